--- a/src/main/java/cobaltseam/adapter/Adapter.java
+++ b/src/main/java/cobaltseam/adapter/Adapter.java
@@ -1,17 +1,5 @@
 package cobaltseam.adapter;
 
-import java.io.BufferedReader;
-import java.io.IOException;
-import java.io.InputStream;
-import java.io.InputStreamReader;
-import java.io.OutputStream;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-
 import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.Fields;
 import cobaltseam.dispatch.EngineId;
@@ -24,114 +12,131 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.InputStreamReader;
+import java.io.OutputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
 
 /** Speaks the simulator's wire: a batch of events a line in, a line of decisions out. */
 public final class Adapter {
-    private final JsonFactory json = new JsonFactory();
-    private final Map<Long, Instance> instances = new HashMap<>();
-    private final Map<Long, List<Listing>> rosters = new HashMap<>();
+  private final JsonFactory json = new JsonFactory();
+  private final Map<Long, Instance> instances = new HashMap<>();
+  private final Map<Long, List<Listing>> rosters = new HashMap<>();
 
-    /** Answers batches until the input ends; throws {@link BadInput} on what it can't take. */
-    public void run(InputStream in, OutputStream out) throws IOException {
-        BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
-        JsonGenerator writer = json.createGenerator(out).disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
-        writer.setRootValueSeparator(null);
-        for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-            Fields batch;
-            try (JsonParser parser = json.createParser(line)) {
-                batch = Fields.of(parser);
-            } catch (JsonProcessingException e) {
-                throw new BadInput("a line is not JSON: " + e.getOriginalMessage());
-            }
-            answer(batch, writer);
-            writer.writeRaw('\n');
-            writer.flush();
-            out.flush();
-        }
+  /** Answers batches until the input ends; throws {@link BadInput} on what it can't take. */
+  public void run(InputStream in, OutputStream out) throws IOException {
+    BufferedReader lines =
+        new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
+    JsonGenerator writer =
+        json.createGenerator(out).disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
+    writer.setRootValueSeparator(null);
+    for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+      Fields batch;
+      try (JsonParser parser = json.createParser(line)) {
+        batch = Fields.of(parser);
+      } catch (JsonProcessingException e) {
+        throw new BadInput("a line is not JSON: " + e.getOriginalMessage());
+      }
+      answer(batch, writer);
+      writer.writeRaw('\n');
+      writer.flush();
+      out.flush();
     }
+  }
 
-    private void answer(Fields batch, JsonGenerator out) throws IOException {
-        Moment now = new Moment(batch.whole("time_us"));
-        Map<Long, List<Instance.Message>> replies = new LinkedHashMap<>();
-        for (Fields group : batch.objects("groups")) {
-            long number = group.whole("dispatcher");
-            List<Instance.Message> reply = replies.computeIfAbsent(number, n -> new ArrayList<>());
-            for (Fields event : group.objects("events")) {
-                String name = event.onlyName();
-                take(number, name, event.object(name), reply, now);
-            }
-        }
+  private void answer(Fields batch, JsonGenerator out) throws IOException {
+    Moment now = new Moment(batch.whole("time_us"));
+    Map<Long, List<Instance.Message>> replies = new LinkedHashMap<>();
+    for (Fields group : batch.objects("groups")) {
+      long number = group.whole("dispatcher");
+      List<Instance.Message> reply = replies.computeIfAbsent(number, n -> new ArrayList<>());
+      for (Fields event : group.objects("events")) {
+        String name = event.onlyName();
+        take(number, name, event.object(name), reply, now);
+      }
+    }
+    out.writeStartObject();
+    out.writeArrayFieldStart("groups");
+    for (Map.Entry<Long, List<Instance.Message>> reply : replies.entrySet()) {
+      if (!reply.getValue().isEmpty()) {
         out.writeStartObject();
-        out.writeArrayFieldStart("groups");
-        for (Map.Entry<Long, List<Instance.Message>> reply : replies.entrySet()) {
-            if (!reply.getValue().isEmpty()) {
-                out.writeStartObject();
-                out.writeNumberField("dispatcher", reply.getKey());
-                out.writeArrayFieldStart("decisions");
-                for (Instance.Message message : reply.getValue()) {
-                    message.write(out);
-                }
-                out.writeEndArray();
-                out.writeEndObject();
-            }
+        out.writeNumberField("dispatcher", reply.getKey());
+        out.writeArrayFieldStart("decisions");
+        for (Instance.Message message : reply.getValue()) {
+          message.write(out);
         }
         out.writeEndArray();
         out.writeEndObject();
+      }
     }
+    out.writeEndArray();
+    out.writeEndObject();
+  }
 
-    private void take(long number, String name, Fields f, List<Instance.Message> reply, Moment now) {
-        if (name.equals("roster")) {
-            rosters.put(f.whole("ref"), roster(f));
-            return;
-        }
-        if (name.equals("stop")) {
-            // What this life still had to write must not reach the next one.
-            instances.remove(number);
-            reply.clear();
-            return;
-        }
-        if (name.equals("born")) {
-            instances.put(number, new Instance(f, reply));
-            return;
-        }
-        Instance instance = instances.get(number);
-        if (instance == null) {
-            throw new BadInput(name + ": dispatcher " + number + " was not born");
-        }
-        try {
-            instance.answerInto(reply);
-            switch (name) {
-                case "accept" -> instance.accepted(f, now);
-                case "verdict" -> instance.ended(f, now);
-                case "sync" -> instance.listed(f, rosters.getOrDefault(f.whole("ref", 0), List.of()), now);
-                case "withdrawn" -> instance.departed(f, now);
-                case "elapsed" -> instance.elapsed(f);
-                case "change" -> instance.noted(f, now);
-                case "check_result", "peer", "first_byte" -> { }
-                default -> throw new BadInput("unknown event '" + name + "'");
-            }
-            instance.follow(now);
-        } catch (BadInput e) {
-            throw e;
-        } catch (RuntimeException e) {
-            instance.fault(e);
-        }
+  private void take(long number, String name, Fields f, List<Instance.Message> reply, Moment now) {
+    if (name.equals("roster")) {
+      rosters.put(f.whole("ref"), roster(f));
+      return;
+    }
+    if (name.equals("stop")) {
+      // What this life still had to write must not reach the next one.
+      instances.remove(number);
+      reply.clear();
+      return;
     }
+    if (name.equals("born")) {
+      instances.put(number, new Instance(f, reply));
+      return;
+    }
+    Instance instance = instances.get(number);
+    if (instance == null) {
+      throw new BadInput(name + ": dispatcher " + number + " was not born");
+    }
+    try {
+      instance.answerInto(reply);
+      switch (name) {
+        case "accept" -> instance.accepted(f, now);
+        case "verdict" -> instance.ended(f, now);
+        case "sync" -> instance.listed(f, rosters.getOrDefault(f.whole("ref", 0), List.of()), now);
+        case "withdrawn" -> instance.departed(f, now);
+        case "elapsed" -> instance.elapsed(f);
+        case "change" -> instance.noted(f, now);
+        case "check_result", "peer", "first_byte" -> {}
+        default -> throw new BadInput("unknown event '" + name + "'");
+      }
+      instance.follow(now);
+    } catch (BadInput e) {
+      throw e;
+    } catch (RuntimeException e) {
+      instance.fault(e);
+    }
+  }
 
-    private static List<Listing> roster(Fields f) {
-        List<Listing> list = new ArrayList<>();
-        for (Fields entry : f.objects("nodes_list")) {
-            String standing = entry.text("lifecycle");
-            list.add(new Listing(new EngineId(entry.whole("node")), new LocationId(entry.text("failure_domain", "")),
-                    new KindId(entry.text("model", "")), new GroupId(entry.whole("block", 0)),
-                    switch (standing) {
-                        case "up" -> Listing.Standing.UP;
-                        case "draining" -> Listing.Standing.DRAINING;
-                        case "removed" -> Listing.Standing.GONE;
-                        default -> throw new BadInput("roster: unknown 'lifecycle' " + standing);
-                    },
-                    new Moment(entry.whole("launched_us", 0))));
-        }
-        return list;
+  private static List<Listing> roster(Fields f) {
+    List<Listing> list = new ArrayList<>();
+    for (Fields entry : f.objects("nodes_list")) {
+      String standing = entry.text("lifecycle");
+      list.add(
+          new Listing(
+              new EngineId(entry.whole("node")),
+              new LocationId(entry.text("failure_domain", "")),
+              new KindId(entry.text("model", "")),
+              new GroupId(entry.whole("block", 0)),
+              switch (standing) {
+                case "up" -> Listing.Standing.UP;
+                case "draining" -> Listing.Standing.DRAINING;
+                case "removed" -> Listing.Standing.GONE;
+                default -> throw new BadInput("roster: unknown 'lifecycle' " + standing);
+              },
+              new Moment(entry.whole("launched_us", 0))));
     }
+    return list;
+  }
 }
--- a/src/main/java/cobaltseam/adapter/Instance.java
+++ b/src/main/java/cobaltseam/adapter/Instance.java
@@ -1,8 +1,5 @@
 package cobaltseam.adapter;
 
-import java.io.IOException;
-import java.util.List;
-
 import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.DeploymentReader;
 import cobaltseam.deployment.Fields;
@@ -23,208 +20,237 @@
 import cobaltseam.dispatch.ShareId;
 import cobaltseam.dispatch.Span;
 import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.util.List;
 
 /** One life of one dispatcher on the wire: its module, its one timer, and what it has to write. */
 final class Instance {
-    /** One message of the reply. */
-    interface Message {
-        void write(JsonGenerator out) throws IOException;
-    }
+  /** One message of the reply. */
+  interface Message {
+    void write(JsonGenerator out) throws IOException;
+  }
 
-    private static final int HINT_VALID = 1;
-    private static final int SHARE_DONE = 1;
-    private static final int SPILLS = 2;
-    private static final int WAITS = 3;
-    private static final double FOR_A_LOAD = 2;
-    /** The wire's rank where none is named. */
-    private static final int UNHEEDED_RANK = 1;
-    private static final int NOTE_MEMORY_STEPS = 4096;
-    private static final int NOTE_MEMORY_MB = 4;
-
-    private final Dispatcher dispatcher;
-    private final boolean subscribes;
-    private final int queueAt;
-    private final int inHandAt;
-    private List<Message> reply;
-    private long timers;
-    private Moment wake;
-
-    Instance(Fields born, List<Message> reply) {
-        Fields told = born.object("settings");
-        Deployment deployment = DeploymentReader.read(told);
-        dispatcher = new Dispatcher(deployment, born.whole("nonce64"));
-        List<String> reported = told.has("load_report") && told.object("load_report").has("fields")
-                ? told.object("load_report").texts("fields") : List.of();
-        queueAt = reported.indexOf(DeploymentReader.QUEUE_REPORT);
-        inHandAt = reported.indexOf(DeploymentReader.IN_HAND_REPORT);
-        subscribes = told.text("discovery", "").equals("subscribe");
-        this.reply = reply;
-        if (subscribes) {
-            subscribe();
-        }
-    }
+  private static final int HINT_VALID = 1;
+  private static final int SHARE_DONE = 1;
+  private static final int SPILLS = 2;
+  private static final int WAITS = 3;
+  private static final double FOR_A_LOAD = 2;
 
-    /** Where this batch's messages go. */
-    void answerInto(List<Message> messages) {
-        reply = messages;
-    }
+  /** The wire's rank where none is named. */
+  private static final int UNHEEDED_RANK = 1;
 
-    private void subscribe() {
-        add("track", out -> out.writeBooleanField("enable", true));
-    }
+  private static final int NOTE_MEMORY_STEPS = 4096;
+  private static final int NOTE_MEMORY_MB = 4;
 
-    void accepted(Fields f, Moment now) {
-        boolean hint = (f.whole("attrs", 0) & HINT_VALID) != 0;
-        String share = f.text("project", null);
-        Command command = new Command(new CommandId(f.text("op_id")), new ProfileId(f.text("kind")),
-                share == null || share.equals("0") ? null : new ShareId(share),
-                f.has("order_key") ? new OrderKey(f.text("order_key")) : null, new Moment(f.whole("due_us")),
-                new Span(hint ? f.whole("guess_us", 0) : 0),
-                f.has("table_group") ? new DataSetId((long) f.number("table_group")) : null,
-                f.number("mem_mb", 0));
-        write(command.id(), dispatcher.place(command, now));
-    }
+  private final Dispatcher dispatcher;
+  private final boolean subscribes;
+  private final int queueAt;
+  private final int inHandAt;
+  private List<Message> reply;
+  private long timers;
+  private Moment wake;
 
-    void ended(Fields f, Moment now) {
-        long note = f.whole("note", 0);
-        Ending ending = ending(f.text("verdict"));
-        boolean told = ending == Ending.ANSWERED && note > 0;
-        CommandId id = new CommandId(f.text("op_id"));
-        Outcome outcome = new Outcome(id, (int) f.whole("copy"), new EngineId(f.whole("node")), ending,
-                new Span(f.whole("duration_us", 0)), f.flag("settled"),
-                new Span(told ? note / NOTE_MEMORY_STEPS * 1000 : -1),
-                told ? note % NOTE_MEMORY_STEPS * NOTE_MEMORY_MB : -1,
-                reported(f, queueAt), reported(f, inHandAt));
-        write(id, dispatcher.after(outcome, now));
+  Instance(Fields born, List<Message> reply) {
+    Fields told = born.object("settings");
+    Deployment deployment = DeploymentReader.read(told);
+    dispatcher = new Dispatcher(deployment, born.whole("nonce64"));
+    List<String> reported =
+        told.has("load_report") && told.object("load_report").has("fields")
+            ? told.object("load_report").texts("fields")
+            : List.of();
+    queueAt = reported.indexOf(DeploymentReader.QUEUE_REPORT);
+    inHandAt = reported.indexOf(DeploymentReader.IN_HAND_REPORT);
+    subscribes = told.text("discovery", "").equals("subscribe");
+    this.reply = reply;
+    if (subscribes) {
+      subscribe();
     }
+  }
 
-    private static double reported(Fields f, int at) {
-        List<Double> row = f.numbers("gauge");
-        return at >= 0 && at < row.size() ? row.get(at) : -1;
-    }
+  /** Where this batch's messages go. */
+  void answerInto(List<Message> messages) {
+    reply = messages;
+  }
 
-    private static Ending ending(String verdict) {
-        return switch (verdict) {
-            case "pass" -> Ending.ANSWERED;
-            case "fault" -> Ending.ERROR;
-            case "no_room" -> Ending.NO_ROOM;
-            case "too_slow" -> Ending.TIMED_OUT;
-            case "no_route" -> Ending.UNREACHABLE;
-            case "cut" -> Ending.CUT;
-            case "undone" -> Ending.CANCELLED;
-            case "stale_send" -> Ending.NEVER_SENT;
-            default -> throw new BadInput("verdict: unknown 'verdict' " + verdict);
-        };
-    }
+  private void subscribe() {
+    add("track", out -> out.writeBooleanField("enable", true));
+  }
 
-    void listed(Fields f, List<Listing> list, Moment now) {
-        switch (f.text("kind")) {
-            case "incr" -> dispatcher.listed(list, false, now);
-            case "total", "warm_copy" -> dispatcher.listed(list, true, now);
-            case "lost" -> {
-                if (subscribes) {
-                    subscribe();
-                }
-            }
-            default -> throw new BadInput("sync: unknown 'kind' " + f.text("kind"));
+  void accepted(Fields f, Moment now) {
+    boolean hint = (f.whole("attrs", 0) & HINT_VALID) != 0;
+    String share = f.text("project", null);
+    Command command =
+        new Command(
+            new CommandId(f.text("op_id")),
+            new ProfileId(f.text("kind")),
+            share == null || share.equals("0") ? null : new ShareId(share),
+            f.has("order_key") ? new OrderKey(f.text("order_key")) : null,
+            new Moment(f.whole("due_us")),
+            new Span(hint ? f.whole("guess_us", 0) : 0),
+            f.has("table_group") ? new DataSetId((long) f.number("table_group")) : null,
+            f.number("mem_mb", 0));
+    write(command.id(), dispatcher.place(command, now));
+  }
+
+  void ended(Fields f, Moment now) {
+    long note = f.whole("note", 0);
+    Ending ending = ending(f.text("verdict"));
+    boolean told = ending == Ending.ANSWERED && note > 0;
+    CommandId id = new CommandId(f.text("op_id"));
+    Outcome outcome =
+        new Outcome(
+            id,
+            (int) f.whole("copy"),
+            new EngineId(f.whole("node")),
+            ending,
+            new Span(f.whole("duration_us", 0)),
+            f.flag("settled"),
+            new Span(told ? note / NOTE_MEMORY_STEPS * 1000 : -1),
+            told ? note % NOTE_MEMORY_STEPS * NOTE_MEMORY_MB : -1,
+            reported(f, queueAt),
+            reported(f, inHandAt));
+    write(id, dispatcher.after(outcome, now));
+  }
+
+  private static double reported(Fields f, int at) {
+    List<Double> row = f.numbers("gauge");
+    return at >= 0 && at < row.size() ? row.get(at) : -1;
+  }
+
+  private static Ending ending(String verdict) {
+    return switch (verdict) {
+      case "pass" -> Ending.ANSWERED;
+      case "fault" -> Ending.ERROR;
+      case "no_room" -> Ending.NO_ROOM;
+      case "too_slow" -> Ending.TIMED_OUT;
+      case "no_route" -> Ending.UNREACHABLE;
+      case "cut" -> Ending.CUT;
+      case "undone" -> Ending.CANCELLED;
+      case "stale_send" -> Ending.NEVER_SENT;
+      default -> throw new BadInput("verdict: unknown 'verdict' " + verdict);
+    };
+  }
+
+  void listed(Fields f, List<Listing> list, Moment now) {
+    switch (f.text("kind")) {
+      case "incr" -> dispatcher.listed(list, false, now);
+      case "total", "warm_copy" -> dispatcher.listed(list, true, now);
+      case "lost" -> {
+        if (subscribes) {
+          subscribe();
         }
+      }
+      default -> throw new BadInput("sync: unknown 'kind' " + f.text("kind"));
     }
+  }
 
-    void departed(Fields f, Moment now) {
-        dispatcher.departed(new CommandId(f.text("op_id")), now);
-    }
+  void departed(Fields f, Moment now) {
+    dispatcher.departed(new CommandId(f.text("op_id")), now);
+  }
 
-    /** A note of a send that is out. */
-    void noted(Fields f, Moment now) {
-        CommandId id = new CommandId(f.text("op_id"));
-        int send = (int) f.whole("copy", 0);
-        double amount = f.number("amount", 0);
-        switch ((int) f.whole("what")) {
-            case SHARE_DONE -> dispatcher.progressed(id, send, amount, now);
-            case SPILLS -> dispatcher.spills(id, send, amount);
-            case WAITS -> {
-                if (amount == FOR_A_LOAD) {
-                    dispatcher.blocked(id, send, now);
-                }
-            }
-            default -> { }
+  /** A note of a send that is out. */
+  void noted(Fields f, Moment now) {
+    CommandId id = new CommandId(f.text("op_id"));
+    int send = (int) f.whole("copy", 0);
+    double amount = f.number("amount", 0);
+    switch ((int) f.whole("what")) {
+      case SHARE_DONE -> dispatcher.progressed(id, send, amount, now);
+      case SPILLS -> dispatcher.spills(id, send, amount);
+      case WAITS -> {
+        if (amount == FOR_A_LOAD) {
+          dispatcher.blocked(id, send, now);
         }
+      }
+      default -> {}
     }
+  }
 
-    void elapsed(Fields f) {
-        if (f.whole("name") == timers) {
-            wake = null;
-        }
+  void elapsed(Fields f) {
+    if (f.whole("name") == timers) {
+      wake = null;
     }
+  }
 
-    /** Follows the module until it names a span to wait, and sets the timer to it. */
-    void follow(Moment now) {
-        Pause pause = dispatcher.pause(now);
-        while (pause.span() != null && !pause.span().isPositive()) {
-            if (pause.callOff() >= 0) {
-                String id = pause.command().id().value();
-                int send = pause.callOff();
-                add("recall", out -> {
-                    out.writeStringField("op_id", id);
-                    out.writeNumberField("copy", send);
-                });
-            } else if (pause.command() != null) {
-                write(pause.command().id(), dispatcher.place(pause.command(), now));
-            } else if (pause.probe() != null) {
-                long engine = pause.probe().value();
-                add("ping", out -> out.writeNumberField("node", engine));
-            }
-            pause = dispatcher.pause(now);
-        }
-        if (pause.span() != null && (wake == null || now.plus(pause.span()).before(wake))) {
-            wake = now.plus(pause.span());
-            long name = ++timers;
-            long us = pause.span().us();
-            add("schedule", out -> {
-                out.writeNumberField("name", name);
-                out.writeNumberField("from_now_us", us);
+  /** Follows the module until it names a span to wait, and sets the timer to it. */
+  void follow(Moment now) {
+    Pause pause = dispatcher.pause(now);
+    while (pause.span() != null && !pause.span().isPositive()) {
+      if (pause.callOff() >= 0) {
+        String id = pause.command().id().value();
+        int send = pause.callOff();
+        add(
+            "recall",
+            out -> {
+              out.writeStringField("op_id", id);
+              out.writeNumberField("copy", send);
             });
-        }
+      } else if (pause.command() != null) {
+        write(pause.command().id(), dispatcher.place(pause.command(), now));
+      } else if (pause.probe() != null) {
+        long engine = pause.probe().value();
+        add("ping", out -> out.writeNumberField("node", engine));
+      }
+      pause = dispatcher.pause(now);
     }
-
-    void fault(RuntimeException e) {
-        add("exception", out -> out.writeStringField("reason_text", e.toString()));
+    if (pause.span() != null && (wake == null || now.plus(pause.span()).before(wake))) {
+      wake = now.plus(pause.span());
+      long name = ++timers;
+      long us = pause.span().us();
+      add(
+          "schedule",
+          out -> {
+            out.writeNumberField("name", name);
+            out.writeNumberField("from_now_us", us);
+          });
     }
+  }
 
-    private void write(CommandId id, Placement p) {
-        switch (p.verdict()) {
-            case SEND -> {
-                if (p.priority() >= 0 || p.grantMb() > 0) {
-                    add("provide", out -> {
-                        out.writeStringField("op_id", id.value());
-                        out.writeNumberField("grant_mb", Math.round(p.grantMb()));
-                        out.writeNumberField("rank", p.priority() >= 0 ? p.priority() : UNHEEDED_RANK);
-                    });
-                }
-                add("try", out -> {
-                    out.writeStringField("op_id", id.value());
-                    out.writeNumberField("node", p.engine().value());
-                    out.writeNumberField("max_wait_us", p.sendTimeout().us());
-                });
-            }
-            case SHED -> add("bounce", out -> {
+  void fault(RuntimeException e) {
+    add("exception", out -> out.writeStringField("reason_text", e.toString()));
+  }
+
+  private void write(CommandId id, Placement p) {
+    switch (p.verdict()) {
+      case SEND -> {
+        if (p.priority() >= 0 || p.grantMb() > 0) {
+          add(
+              "provide",
+              out -> {
+                out.writeStringField("op_id", id.value());
+                out.writeNumberField("grant_mb", Math.round(p.grantMb()));
+                out.writeNumberField("rank", p.priority() >= 0 ? p.priority() : UNHEEDED_RANK);
+              });
+        }
+        add(
+            "try",
+            out -> {
+              out.writeStringField("op_id", id.value());
+              out.writeNumberField("node", p.engine().value());
+              out.writeNumberField("max_wait_us", p.sendTimeout().us());
+            });
+      }
+      case SHED ->
+          add(
+              "bounce",
+              out -> {
                 out.writeStringField("op_id", id.value());
                 if (p.comeBack().isPositive()) {
-                    out.writeNumberField("come_back_us", p.comeBack().us());
+                  out.writeNumberField("come_back_us", p.comeBack().us());
                 }
-            });
-            case FAIL -> add("error", out -> out.writeStringField("op_id", id.value()));
-            default -> { }
-        }
+              });
+      case FAIL -> add("error", out -> out.writeStringField("op_id", id.value()));
+      default -> {}
     }
+  }
 
-    private void add(String name, Message fields) {
-        reply.add(out -> {
-            out.writeStartObject();
-            out.writeObjectFieldStart(name);
-            fields.write(out);
-            out.writeEndObject();
-            out.writeEndObject();
+  private void add(String name, Message fields) {
+    reply.add(
+        out -> {
+          out.writeStartObject();
+          out.writeObjectFieldStart(name);
+          fields.write(out);
+          out.writeEndObject();
+          out.writeEndObject();
         });
-    }
+  }
 }
--- a/src/main/java/cobaltseam/agreement/Acting.java
+++ b/src/main/java/cobaltseam/agreement/Acting.java
@@ -1,36 +1,35 @@
 package cobaltseam.agreement;
 
-import java.util.List;
-
 import cobaltseam.membership.Edition;
+import java.util.List;
 
 /**
  * What a process acts on from a moment on.
  *
- * @param editions oldest first: one, or all that any process may still act on; of a process that stepped back the one that it
- *     holds, or none
+ * @param editions oldest first: one, or all that any process may still act on; of a process that
+ *     stepped back the one that it holds, or none
  */
 public record Acting(Mode mode, List<Edition> editions) {
-    /** How. */
-    public enum Mode {
-        /** On the one edition. */
-        PLAIN,
-        /** On a cautious reading between all of these, which contradicts none of them. */
-        BETWEEN,
-        /** It may have missed one: on a cautious reading of what it holds. */
-        BACK;
+  /** How. */
+  public enum Mode {
+    /** On the one edition. */
+    PLAIN,
+    /** On a cautious reading between all of these, which contradicts none of them. */
+    BETWEEN,
+    /** It may have missed one: on a cautious reading of what it holds. */
+    BACK;
 
-        public String label() {
-            return name().toLowerCase(java.util.Locale.ROOT);
-        }
+    public String label() {
+      return name().toLowerCase(java.util.Locale.ROOT);
     }
+  }
 
-    public Acting {
-        editions = List.copyOf(editions);
-    }
+  public Acting {
+    editions = List.copyOf(editions);
+  }
 
-    /** The edition that it is on the way to, or null. */
-    public Edition newest() {
-        return editions.isEmpty() ? null : editions.get(editions.size() - 1);
-    }
+  /** The edition that it is on the way to, or null. */
+  public Edition newest() {
+    return editions.isEmpty() ? null : editions.get(editions.size() - 1);
+  }
 }
--- a/src/main/java/cobaltseam/cli/Vrrp.java
+++ b/src/main/java/cobaltseam/cli/Vrrp.java
@@ -1,18 +1,5 @@
 package cobaltseam.cli;
 
-import java.io.IOException;
-import java.io.PrintWriter;
-import java.io.StringWriter;
-import java.net.InetAddress;
-import java.util.ArrayList;
-import java.util.HexFormat;
-import java.util.List;
-import java.util.Set;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.Callable;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
-
 import cobaltseam.deployment.BadInput;
 import cobaltseam.dispatch.Moment;
 import cobaltseam.dispatch.Span;
@@ -21,6 +8,7 @@
 import cobaltseam.mastership.Intake;
 import cobaltseam.mastership.Mastership;
 import cobaltseam.mastership.Observer;
+import cobaltseam.seal.Seal;
 import cobaltseam.setup.Setup;
 import cobaltseam.setup.SetupReader;
 import cobaltseam.vrrp.Addresses;
@@ -28,12 +16,23 @@
 import cobaltseam.vrrp.AdvertCodec;
 import cobaltseam.vrrp.Reading;
 import cobaltseam.vrrp.Reading.Covers;
-import cobaltseam.seal.Seal;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.io.StringWriter;
+import java.net.InetAddress;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.Callable;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -41,254 +40,317 @@
 import picocli.CommandLine.Parameters;
 
 /** What operators ask of VRRP: adverts as bytes and as text, and who is active. */
-@Command(name = "vrrp", description = "Adverts of VRRP version 3: decode and encode them, and watch who is active.",
-        subcommands = {Vrrp.Decode.class, Vrrp.Encode.class, Vrrp.Watch.class}, synopsisSubcommandLabel = "COMMAND")
+@Command(
+    name = "vrrp",
+    description = "Adverts of VRRP version 3: decode and encode them, and watch who is active.",
+    subcommands = {Vrrp.Decode.class, Vrrp.Encode.class, Vrrp.Watch.class},
+    synopsisSubcommandLabel = "COMMAND")
 final class Vrrp implements Callable<Integer> {
-    @Mixin
-    Cobaltseam.Standard standard;
-    @CommandLine.Spec
-    CommandLine.Model.CommandSpec spec;
+  @Mixin Cobaltseam.Standard standard;
+  @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
-    @Override
-    public Integer call() {
-        spec.commandLine().usage(spec.commandLine().getErr());
-        return CommandLine.ExitCode.USAGE;
-    }
+  @Override
+  public Integer call() {
+    spec.commandLine().usage(spec.commandLine().getErr());
+    return CommandLine.ExitCode.USAGE;
+  }
+
+  private static InetAddress address(String option, String text) {
+    return Addresses.read(text)
+        .orElseThrow(
+            () ->
+                new BadInput(
+                    option
+                        + ": '"
+                        + text
+                        + "' stands there; an IPv4 or IPv6 address, written out, is allowed"));
+  }
+
+  private static String label(Covers covers) {
+    return covers == Covers.MESSAGE ? "message" : "pseudo_header";
+  }
 
-    private static InetAddress address(String option, String text) {
-        return Addresses.read(text).orElseThrow(() -> new BadInput(option + ": '" + text
-                + "' stands there; an IPv4 or IPv6 address, written out, is allowed"));
+  /** The addresses of the datagram. */
+  static final class Datagram {
+    @Option(
+        names = "--source",
+        required = true,
+        paramLabel = "ADDRESS",
+        description = "source address of the datagram")
+    String source;
+
+    @Option(
+        names = "--destination",
+        required = true,
+        paramLabel = "ADDRESS",
+        description = "destination address of the datagram")
+    String destination;
+
+    InetAddress from() {
+      return address("--source", source);
     }
 
-    private static String label(Covers covers) {
-        return covers == Covers.MESSAGE ? "message" : "pseudo_header";
+    InetAddress to() {
+      return address("--destination", destination);
     }
+  }
 
-    /** The addresses of the datagram. */
-    static final class Datagram {
-        @Option(names = "--source", required = true, paramLabel = "ADDRESS", description = "source address of the datagram")
-        String source;
-        @Option(names = "--destination", required = true, paramLabel = "ADDRESS",
-                description = "destination address of the datagram")
-        String destination;
+  /** Bytes to JSON. */
+  @Command(
+      name = "decode",
+      description = "Reads an advert in hex and prints it as one JSON object, or why it is none.")
+  static final class Decode implements Callable<Integer> {
+    @Mixin Cobaltseam.Standard standard;
+    @Mixin Datagram datagram;
 
-        InetAddress from() {
-            return address("--source", source);
-        }
+    @Parameters(paramLabel = "HEX", description = "the payload, with or without spaces and colons")
+    String hex;
 
-        InetAddress to() {
-            return address("--destination", destination);
-        }
-    }
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
-    /** Bytes to JSON. */
-    @Command(name = "decode", description = "Reads an advert in hex and prints it as one JSON object, or why it is none.")
-    static final class Decode implements Callable<Integer> {
-        @Mixin
-        Cobaltseam.Standard standard;
-        @Mixin
-        Datagram datagram;
-        @Parameters(paramLabel = "HEX", description = "the payload, with or without spaces and colons")
-        String hex;
-        @CommandLine.Spec
-        CommandLine.Model.CommandSpec spec;
-
-        @Override
-        public Integer call() throws IOException {
-            String plain = hex.replaceAll("[\\s:]", "");
-            if (!plain.matches("([0-9a-fA-F]{2})*")) {
-                throw new BadInput("HEX is not a row of whole bytes in hex");
-            }
-            byte[] bytes = HexFormat.of().parseHex(plain);
-            Reading reading = AdvertCodec.read(bytes, datagram.from(), datagram.to());
-            if (reading instanceof Reading.Refused no) {
-                throw new BadInput("no advert, " + no.refusal().label() + ": " + no.refusal().reason());
-            }
-            Reading.Whole whole = (Reading.Whole) reading;
-            StringWriter text = new StringWriter();
-            try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
-                json.writeStartObject();
-                json.writeNumberField("version", 3);
-                json.writeNumberField("virtualRouterId", whole.advert().virtualRouterId());
-                json.writeNumberField("priority", whole.advert().priority());
-                json.writeNumberField("maxAdvertiseIntervalCentiseconds",
-                        whole.advert().maxAdvertiseIntervalCentiseconds());
-                json.writeArrayFieldStart("addresses");
-                for (InetAddress address : whole.advert().addresses()) {
-                    json.writeString(Addresses.text(address));
-                }
-                json.writeEndArray();
-                json.writeStringField("checksumCovers", label(whole.covers()));
-                if (whole.sealed()) {
-                    Seal.Told told = Seal.told(bytes, whole.length());
-                    json.writeObjectFieldStart("seal");
-                    json.writeNumberField("keyId", told.key());
-                    json.writeNumberField("sequence", told.sequence());
-                    json.writeEndObject();
-                }
-                json.writeEndObject();
-            }
-            spec.commandLine().getOut().println(text);
-            spec.commandLine().getOut().flush();
-            return 0;
+    @Override
+    public Integer call() throws IOException {
+      String plain = hex.replaceAll("[\\s:]", "");
+      if (!plain.matches("([0-9a-fA-F]{2})*")) {
+        throw new BadInput("HEX is not a row of whole bytes in hex");
+      }
+      byte[] bytes = HexFormat.of().parseHex(plain);
+      Reading reading = AdvertCodec.read(bytes, datagram.from(), datagram.to());
+      if (reading instanceof Reading.Refused no) {
+        throw new BadInput("no advert, " + no.refusal().label() + ": " + no.refusal().reason());
+      }
+      Reading.Whole whole = (Reading.Whole) reading;
+      StringWriter text = new StringWriter();
+      try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
+        json.writeStartObject();
+        json.writeNumberField("version", 3);
+        json.writeNumberField("virtualRouterId", whole.advert().virtualRouterId());
+        json.writeNumberField("priority", whole.advert().priority());
+        json.writeNumberField(
+            "maxAdvertiseIntervalCentiseconds", whole.advert().maxAdvertiseIntervalCentiseconds());
+        json.writeArrayFieldStart("addresses");
+        for (InetAddress address : whole.advert().addresses()) {
+          json.writeString(Addresses.text(address));
         }
+        json.writeEndArray();
+        json.writeStringField("checksumCovers", label(whole.covers()));
+        if (whole.sealed()) {
+          Seal.Told told = Seal.told(bytes, whole.length());
+          json.writeObjectFieldStart("seal");
+          json.writeNumberField("keyId", told.key());
+          json.writeNumberField("sequence", told.sequence());
+          json.writeEndObject();
+        }
+        json.writeEndObject();
+      }
+      spec.commandLine().getOut().println(text);
+      spec.commandLine().getOut().flush();
+      return 0;
     }
+  }
 
-    /** JSON, or options, to bytes. */
-    @Command(name = "encode", description = "Writes an advert in hex, from the JSON that decode prints or from options.")
-    static final class Encode implements Callable<Integer> {
-        @Mixin
-        Cobaltseam.Standard standard;
-        @Mixin
-        Datagram datagram;
-        @Parameters(paramLabel = "JSON", arity = "0..1", description = "an object as decode prints it, or - for standard input")
-        String json;
-        @Option(names = "--virtual-router-id", paramLabel = "ID", description = "1 to 255")
-        Integer router;
-        @Option(names = "--priority", paramLabel = "PRIORITY", description = "0 to 255; 0 resigns")
-        Integer priority;
-        @Option(names = {"--max-advertise-interval", "--interval"}, paramLabel = "CENTISECONDS", description = "1 to 4095")
-        Integer interval;
-        @Option(names = {"--address", "--addresses"}, paramLabel = "ADDRESS", split = ",",
-                description = "a virtual address; may be given again")
-        List<String> addresses;
-        @Option(names = "--checksum-covers", paramLabel = "WHAT",
-                description = "for IPv4: message (RFC 9568, the default) or pseudo_header")
-        String covers;
-        @CommandLine.Spec
-        CommandLine.Model.CommandSpec spec;
-
-        @Override
-        public Integer call() throws IOException {
-            JsonNode told = told();
-            List<InetAddress> of = new ArrayList<>();
-            if (addresses != null) {
-                addresses.forEach(a -> of.add(address("--address", a)));
-            } else {
-                told.path("addresses").forEach(a -> of.add(address("addresses", a.asText())));
-            }
-            String what = covers != null ? covers : told.path("checksumCovers").asText("message");
-            if (!what.equals("message") && !what.equals("pseudo_header")) {
-                throw new BadInput("--checksum-covers: '" + what + "' stands there; message or pseudo_header is allowed");
-            }
-            try {
-                Advert advert = new Advert(number(router, told, "virtualRouterId"), number(priority, told, "priority"),
-                        number(interval, told, "maxAdvertiseIntervalCentiseconds"), of);
-                spec.commandLine().getOut().println(HexFormat.of().formatHex(AdvertCodec.write(advert, datagram.from(),
-                        datagram.to(), what.equals("message") ? Covers.MESSAGE : Covers.PSEUDO_HEADER)));
-                spec.commandLine().getOut().flush();
-                return 0;
-            } catch (IllegalArgumentException e) {
-                throw new BadInput(e.getMessage());
-            }
-        }
+  /** JSON, or options, to bytes. */
+  @Command(
+      name = "encode",
+      description = "Writes an advert in hex, from the JSON that decode prints or from options.")
+  static final class Encode implements Callable<Integer> {
+    @Mixin Cobaltseam.Standard standard;
+    @Mixin Datagram datagram;
 
-        private JsonNode told() throws IOException {
-            ObjectMapper mapper = new ObjectMapper();
-            if (json == null) {
-                return mapper.createObjectNode();
-            }
-            try {
-                JsonNode told = json.equals("-") ? mapper.readTree(System.in) : mapper.readTree(json);
-                if (!told.isObject()) {
-                    throw new BadInput("JSON is not an object");
-                }
-                return told;
-            } catch (JacksonException e) {
-                throw new BadInput("JSON can't be read: " + e.getOriginalMessage());
-            }
-        }
+    @Parameters(
+        paramLabel = "JSON",
+        arity = "0..1",
+        description = "an object as decode prints it, or - for standard input")
+    String json;
 
-        private static int number(Integer option, JsonNode told, String key) {
-            if (option == null && !told.path(key).canConvertToInt()) {
-                throw new BadInput(key + " is told neither by an option nor by JSON");
-            }
-            return option != null ? option : told.path(key).asInt();
-        }
+    @Option(names = "--virtual-router-id", paramLabel = "ID", description = "1 to 255")
+    Integer router;
+
+    @Option(names = "--priority", paramLabel = "PRIORITY", description = "0 to 255; 0 resigns")
+    Integer priority;
+
+    @Option(
+        names = {"--max-advertise-interval", "--interval"},
+        paramLabel = "CENTISECONDS",
+        description = "1 to 4095")
+    Integer interval;
+
+    @Option(
+        names = {"--address", "--addresses"},
+        paramLabel = "ADDRESS",
+        split = ",",
+        description = "a virtual address; may be given again")
+    List<String> addresses;
+
+    @Option(
+        names = "--checksum-covers",
+        paramLabel = "WHAT",
+        description = "for IPv4: message (RFC 9568, the default) or pseudo_header")
+    String covers;
+
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+    @Override
+    public Integer call() throws IOException {
+      JsonNode told = told();
+      List<InetAddress> of = new ArrayList<>();
+      if (addresses != null) {
+        addresses.forEach(a -> of.add(address("--address", a)));
+      } else {
+        told.path("addresses").forEach(a -> of.add(address("addresses", a.asText())));
+      }
+      String what = covers != null ? covers : told.path("checksumCovers").asText("message");
+      if (!what.equals("message") && !what.equals("pseudo_header")) {
+        throw new BadInput(
+            "--checksum-covers: '" + what + "' stands there; message or pseudo_header is allowed");
+      }
+      try {
+        Advert advert =
+            new Advert(
+                number(router, told, "virtualRouterId"),
+                number(priority, told, "priority"),
+                number(interval, told, "maxAdvertiseIntervalCentiseconds"),
+                of);
+        spec.commandLine()
+            .getOut()
+            .println(
+                HexFormat.of()
+                    .formatHex(
+                        AdvertCodec.write(
+                            advert,
+                            datagram.from(),
+                            datagram.to(),
+                            what.equals("message") ? Covers.MESSAGE : Covers.PSEUDO_HEADER)));
+        spec.commandLine().getOut().flush();
+        return 0;
+      } catch (IllegalArgumentException e) {
+        throw new BadInput(e.getMessage());
+      }
     }
 
-    /** Listens as one of the group, claims nothing, and tells who is active. */
-    @Command(name = "watch", description = "Listens at the own file's address and prints each change of who is active, an "
-            + "object a line. It claims nothing and takes no traffic.")
-    static final class Watch implements Callable<Integer> {
-        private static final int MOST_WAITING = 4096;
-        private static final long US_PER_SECOND = 1_000_000;
-
-        @Mixin
-        Cobaltseam.Standard standard;
-        @Mixin
-        Cobaltseam.Own own;
-        @Option(names = "--seconds", paramLabel = "N", description = "ends after so many seconds; default: never")
-        Long seconds;
-        @CommandLine.Spec
-        CommandLine.Model.CommandSpec spec;
-
-        private record Came(byte[] bytes, InetAddress source) {
+    private JsonNode told() throws IOException {
+      ObjectMapper mapper = new ObjectMapper();
+      if (json == null) {
+        return mapper.createObjectNode();
+      }
+      try {
+        JsonNode told = json.equals("-") ? mapper.readTree(System.in) : mapper.readTree(json);
+        if (!told.isObject()) {
+          throw new BadInput("JSON is not an object");
         }
+        return told;
+      } catch (JacksonException e) {
+        throw new BadInput("JSON can't be read: " + e.getOriginalMessage());
+      }
+    }
 
-        @Override
-        public Integer call() throws IOException, InterruptedException {
-            Setup.Hall hall = own.file == null ? null : SetupReader.read(own.file).hall();
-            if (hall == null) {
-                throw new BadInput("the own file, by --config or COBALTSEAM_CONFIG, names no [mastership]");
-            }
-            InetAddress self = hall.listen().getAddress();
-            Set<InetAddress> peers = hall.peerAddresses();
-            Moment start = now();
-            Span difference = hall.sealing() == null ? Span.ZERO : hall.sealing().clockDifference();
-            Mastership never = new Mastership(self, hall.terms(), peers, 0, Span.ZERO, Span.ZERO,
-                    hall.followsIntervals());
-            Intake intake = new Intake(self, never, new Freshness(start, difference), peers,
-                    hall.sealing() == null ? null : hall.sealing().keys());
-            Observer observer = new Observer();
-            BlockingQueue<Came> waiting = new LinkedBlockingQueue<>(MOST_WAITING);
-            AdvertSocket socket = new AdvertSocket(hall.listen(), peers, (bytes, source) -> waiting.offer(new Came(bytes, source)));
-            socket.open();
-            Moment end = seconds == null ? null : start.plus(new Span(seconds * US_PER_SECOND));
-            PrintWriter out = spec.commandLine().getOut();
-            for (Moment now = start; end == null || now.before(end); now = now()) {
-                Moment wake = observer.wake();
-                Span wait = wake == null ? new Span(US_PER_SECOND) : wake.since(now).max(Span.ZERO);
-                wait = end == null ? wait : wait.min(end.since(now));
-                Came came = waiting.poll(wait.us() + 1, TimeUnit.MICROSECONDS);
-                List<Observer.Seen> seen = new ArrayList<>();
-                if (came != null) {
-                    socket.heard(came.bytes, came.source);
-                    Intake.Verdict verdict = intake.judge(came.bytes, came.source, self, now());
-                    if (verdict.advert() != null) {
-                        seen.addAll(observer.heard(came.source, verdict.advert(), now()));
-                    }
-                }
-                seen.addAll(observer.due(now()));
-                for (Observer.Seen s : seen) {
-                    out.println(line(s));
-                    out.flush();
-                }
-            }
-            socket.close();
-            return 0;
-        }
+    private static int number(Integer option, JsonNode told, String key) {
+      if (option == null && !told.path(key).canConvertToInt()) {
+        throw new BadInput(key + " is told neither by an option nor by JSON");
+      }
+      return option != null ? option : told.path(key).asInt();
+    }
+  }
+
+  /** Listens as one of the group, claims nothing, and tells who is active. */
+  @Command(
+      name = "watch",
+      description =
+          "Listens at the own file's address and prints each change of who is active, an "
+              + "object a line. It claims nothing and takes no traffic.")
+  static final class Watch implements Callable<Integer> {
+    private static final int MOST_WAITING = 4096;
+    private static final long US_PER_SECOND = 1_000_000;
+
+    @Mixin Cobaltseam.Standard standard;
+    @Mixin Cobaltseam.Own own;
+
+    @Option(
+        names = "--seconds",
+        paramLabel = "N",
+        description = "ends after so many seconds; default: never")
+    Long seconds;
 
-        private static Moment now() {
-            return new Moment(java.time.temporal.ChronoUnit.MICROS.between(java.time.Instant.EPOCH, java.time.Instant.now()));
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+    private record Came(byte[] bytes, InetAddress source) {}
+
+    @Override
+    public Integer call() throws IOException, InterruptedException {
+      Setup.Hall hall = own.file == null ? null : SetupReader.read(own.file).hall();
+      if (hall == null) {
+        throw new BadInput("the own file, by --config or COBALTSEAM_CONFIG, names no [mastership]");
+      }
+      InetAddress self = hall.listen().getAddress();
+      Set<InetAddress> peers = hall.peerAddresses();
+      Moment start = now();
+      Span difference = hall.sealing() == null ? Span.ZERO : hall.sealing().clockDifference();
+      Mastership never =
+          new Mastership(
+              self, hall.terms(), peers, 0, Span.ZERO, Span.ZERO, hall.followsIntervals());
+      Intake intake =
+          new Intake(
+              self,
+              never,
+              new Freshness(start, difference),
+              peers,
+              hall.sealing() == null ? null : hall.sealing().keys());
+      Observer observer = new Observer();
+      BlockingQueue<Came> waiting = new LinkedBlockingQueue<>(MOST_WAITING);
+      AdvertSocket socket =
+          new AdvertSocket(
+              hall.listen(), peers, (bytes, source) -> waiting.offer(new Came(bytes, source)));
+      socket.open();
+      Moment end = seconds == null ? null : start.plus(new Span(seconds * US_PER_SECOND));
+      PrintWriter out = spec.commandLine().getOut();
+      for (Moment now = start; end == null || now.before(end); now = now()) {
+        Moment wake = observer.wake();
+        Span wait = wake == null ? new Span(US_PER_SECOND) : wake.since(now).max(Span.ZERO);
+        wait = end == null ? wait : wait.min(end.since(now));
+        Came came = waiting.poll(wait.us() + 1, TimeUnit.MICROSECONDS);
+        List<Observer.Seen> seen = new ArrayList<>();
+        if (came != null) {
+          socket.heard(came.bytes, came.source);
+          Intake.Verdict verdict = intake.judge(came.bytes, came.source, self, now());
+          if (verdict.advert() != null) {
+            seen.addAll(observer.heard(came.source, verdict.advert(), now()));
+          }
+        }
+        seen.addAll(observer.due(now()));
+        for (Observer.Seen s : seen) {
+          out.println(line(s));
+          out.flush();
         }
+      }
+      socket.close();
+      return 0;
+    }
+
+    private static Moment now() {
+      return new Moment(
+          java.time.temporal.ChronoUnit.MICROS.between(
+              java.time.Instant.EPOCH, java.time.Instant.now()));
+    }
 
-        private static String line(Observer.Seen seen) throws IOException {
-            StringWriter text = new StringWriter();
-            try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
-                json.writeStartObject();
-                json.writeStringField("event", "mastership.seen");
-                json.writeStringField("at", java.time.Instant.ofEpochSecond(0, seen.since().us() * 1000).toString());
-                json.writeNumberField("virtualRouterId", seen.router().value());
-                json.writeStringField("state", seen.active().isEmpty() ? "none" : seen.active().size() == 1 ? "active" : "split");
-                json.writeArrayFieldStart("active");
-                for (InetAddress address : seen.active()) {
-                    json.writeString(Addresses.text(address));
-                }
-                json.writeEndArray();
-                json.writeEndObject();
-            }
-            return text.toString();
+    private static String line(Observer.Seen seen) throws IOException {
+      StringWriter text = new StringWriter();
+      try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
+        json.writeStartObject();
+        json.writeStringField("event", "mastership.seen");
+        json.writeStringField(
+            "at", java.time.Instant.ofEpochSecond(0, seen.since().us() * 1000).toString());
+        json.writeNumberField("virtualRouterId", seen.router().value());
+        json.writeStringField(
+            "state",
+            seen.active().isEmpty() ? "none" : seen.active().size() == 1 ? "active" : "split");
+        json.writeArrayFieldStart("active");
+        for (InetAddress address : seen.active()) {
+          json.writeString(Addresses.text(address));
         }
+        json.writeEndArray();
+        json.writeEndObject();
+      }
+      return text.toString();
     }
+  }
 }
--- a/src/main/java/cobaltseam/dispatch/DataSetId.java
+++ b/src/main/java/cobaltseam/dispatch/DataSetId.java
@@ -1,5 +1,4 @@
 package cobaltseam.dispatch;
 
 /** Names the data set that a command reads. */
-public record DataSetId(long value) {
-}
+public record DataSetId(long value) {}
--- a/src/main/java/cobaltseam/dispatch/GroupId.java
+++ b/src/main/java/cobaltseam/dispatch/GroupId.java
@@ -2,8 +2,8 @@
 
 /** Names a small set of engines that drop each other's repeats. */
 public record GroupId(long value) implements Comparable<GroupId> {
-    @Override
-    public int compareTo(GroupId other) {
-        return Long.compare(value, other.value);
-    }
+  @Override
+  public int compareTo(GroupId other) {
+    return Long.compare(value, other.value);
+  }
 }
--- a/src/main/java/cobaltseam/dispatch/LocationId.java
+++ b/src/main/java/cobaltseam/dispatch/LocationId.java
@@ -1,5 +1,4 @@
 package cobaltseam.dispatch;
 
 /** Names one location of engines. */
-public record LocationId(String value) {
-}
+public record LocationId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/ShareId.java
+++ b/src/main/java/cobaltseam/dispatch/ShareId.java
@@ -1,5 +1,4 @@
 package cobaltseam.dispatch;
 
 /** Names one holder of a share of the service. */
-public record ShareId(String value) {
-}
+public record ShareId(String value) {}
--- a/src/main/java/cobaltseam/emulator/Emulate.java
+++ b/src/main/java/cobaltseam/emulator/Emulate.java
@@ -1,5 +1,7 @@
 package cobaltseam.emulator;
 
+import cobaltseam.deployment.BadInput;
+import cobaltseam.dispatch.Dispatcher;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -9,296 +11,543 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.stream.IntStream;
-
-import cobaltseam.deployment.BadInput;
-import cobaltseam.dispatch.Dispatcher;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
 /** The emulator's commands. */
-@Command(name = "emulate", description = "Plays a deployment in virtual time, with the real decisions and with faults.",
-        subcommands = {Emulate.Run.class, Emulate.Hunt.class, Emulate.Policies.class, Emulate.Plays.class, Emulate.Compare.class,
-                Emulate.Shrinks.class}, mixinStandardHelpOptions = true,
-        synopsisSubcommandLabel = "COMMAND")
+@Command(
+    name = "emulate",
+    description = "Plays a deployment in virtual time, with the real decisions and with faults.",
+    subcommands = {
+      Emulate.Run.class,
+      Emulate.Hunt.class,
+      Emulate.Policies.class,
+      Emulate.Plays.class,
+      Emulate.Compare.class,
+      Emulate.Shrinks.class
+    },
+    mixinStandardHelpOptions = true,
+    synopsisSubcommandLabel = "COMMAND")
 public final class Emulate implements Callable<Integer> {
-    @CommandLine.Spec
-    CommandLine.Model.CommandSpec spec;
+  @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
-    @Override
-    public Integer call() {
-        spec.commandLine().usage(spec.commandLine().getErr());
-        return CommandLine.ExitCode.USAGE;
+  @Override
+  public Integer call() {
+    spec.commandLine().usage(spec.commandLine().getErr());
+    return CommandLine.ExitCode.USAGE;
+  }
+
+  /** The policies by name: the module, and what it is compared with. */
+  static Simulation.Policies policies(String name) {
+    if (name.equals("module")) {
+      return (told, seed, truth) -> Policy.module(new Dispatcher(told, seed));
+    }
+    if (name.equals("fleet")) {
+      return (told, seed, sim) ->
+          sim.fellowship(true, 0).joins(told, new Dispatcher(told, seed), seed);
+    }
+    if (name.startsWith("news-")) {
+      double roundMs = Double.parseDouble(name.substring(5));
+      return (told, seed, sim) ->
+          sim.fellowship(false, roundMs).joins(told, new Dispatcher(told, seed), seed);
+    }
+    if (name.equals("fleet-true")) {
+      return (told, seed, sim) -> {
+        Dispatcher d = new Dispatcher(told, seed);
+        d.sharedOver(1 / sim.trafficOf(told.number()));
+        return Policy.module(d);
+      };
     }
+    try {
+      Baseline.Choice choice =
+          Baseline.Choice.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
+      return (told, seed, truth) ->
+          new Baseline(choice, told, new SplittableRandom(seed), truth.truth());
+    } catch (IllegalArgumentException e) {
+      throw new BadInput(
+          "policy '"
+              + name
+              + "' stands there; module, fleet, fleet-true, news-100 (or another round in ms), random, round-robin, least-in-hand, two-choices, "
+              + "shortest-late or clairvoyant is allowed");
+    }
+  }
+
+  /** What every command is told. */
+  static class Common {
+    @Option(
+        names = "--world",
+        paramLabel = "NAME",
+        defaultValue = "hall",
+        description = "hall, or a file; default: ${DEFAULT-VALUE}")
+    String world;
+
+    @Option(
+        names = "--seconds",
+        paramLabel = "S",
+        defaultValue = "60",
+        description = "virtual seconds; default: ${DEFAULT-VALUE}")
+    double seconds;
 
-    /** The policies by name: the module, and what it is compared with. */
-    static Simulation.Policies policies(String name) {
-        if (name.equals("module")) {
-            return (told, seed, truth) -> Policy.module(new Dispatcher(told, seed));
-        }
-        if (name.equals("fleet")) {
-            return (told, seed, sim) -> sim.fellowship(true, 0).joins(told, new Dispatcher(told, seed), seed);
-        }
-        if (name.startsWith("news-")) {
-            double roundMs = Double.parseDouble(name.substring(5));
-            return (told, seed, sim) -> sim.fellowship(false, roundMs).joins(told, new Dispatcher(told, seed), seed);
-        }
-        if (name.equals("fleet-true")) {
-            return (told, seed, sim) -> {
-                Dispatcher d = new Dispatcher(told, seed);
-                d.sharedOver(1 / sim.trafficOf(told.number()));
-                return Policy.module(d);
-            };
-        }
-        try {
-            Baseline.Choice choice = Baseline.Choice.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
-            return (told, seed, truth) -> new Baseline(choice, told, new SplittableRandom(seed), truth.truth());
-        } catch (IllegalArgumentException e) {
-            throw new BadInput("policy '" + name + "' stands there; module, fleet, fleet-true, news-100 (or another round in ms), random, round-robin, least-in-hand, two-choices, "
-                    + "shortest-late or clairvoyant is allowed");
-        }
+    @Option(
+        names = "--seed",
+        paramLabel = "N",
+        defaultValue = "1",
+        description = "default: ${DEFAULT-VALUE}")
+    long seed;
+
+    @Option(
+        names = "--faults",
+        paramLabel = "N",
+        defaultValue = "0",
+        description = "faults drawn by the seed; default: ${DEFAULT-VALUE}")
+    int faults;
+
+    @Option(names = "--engines", paramLabel = "N", description = "in place of the world's number")
+    Integer engines;
+
+    @Option(
+        names = "--dispatchers",
+        paramLabel = "N",
+        description = "in place of the world's number")
+    Integer dispatchers;
+
+    @Option(
+        names = "--load",
+        paramLabel = "SHARE",
+        description = "of the world's capacity, in place of its rate")
+    Double load;
+
+    @Option(
+        names = "--skew",
+        paramLabel = "POWER",
+        description = "dispatchers carry parts as 1 / rank to this power, in place of the world's")
+    Double skew;
+
+    World world() {
+      World w = Worlds.named(world);
+      World.Engines e = w.engines();
+      int count = engines == null ? e.count() : engines;
+      World.Engines of =
+          new World.Engines(
+              count,
+              e.cores(),
+              e.speedSpread(),
+              e.knee(),
+              e.fall(),
+              e.sessions(),
+              e.coldFrom(),
+              e.warmS(),
+              e.memoryMb(),
+              e.spill(),
+              e.warmSets(),
+              e.warmGain(),
+              Math.min(e.locations(), count),
+              Math.min(e.groups(), count),
+              e.errors());
+      World sized =
+          new World(
+              w.name(),
+              of,
+              dispatchers == null ? w.dispatchers() : dispatchers,
+              w.profiles(),
+              w.holders(),
+              w.load(),
+              w.net(),
+              w.roster(),
+              w.limits());
+      double perSecond =
+          load != null ? sized.capacity() * load : w.load().perSecond() * count / e.count();
+      World.Load l = w.load();
+      // Holders are due what they were at the world's own size.
+      List<World.Holder> holders =
+          w.holders().stream()
+              .map(
+                  h ->
+                      new World.Holder(
+                          h.name(),
+                          h.part(),
+                          h.perSecond() * perSecond / Math.max(1e-9, l.perSecond())))
+              .toList();
+      return new World(
+          w.name(),
+          of,
+          sized.dispatchers(),
+          w.profiles(),
+          holders,
+          new World.Load(
+              perSecond,
+              l.swing(),
+              l.swingS(),
+              l.burstEveryS(),
+              l.burstTimes(),
+              l.burstS(),
+              l.dataSets(),
+              l.skew(),
+              l.retries(),
+              l.estimateError(),
+              l.closedClients(),
+              l.thinkMs(),
+              skew != null ? skew : l.dispatcherSkew()),
+          w.net(),
+          w.roster(),
+          w.limits());
     }
 
-    /** What every command is told. */
-    static class Common {
-        @Option(names = "--world", paramLabel = "NAME", defaultValue = "hall", description = "hall, or a file; default: ${DEFAULT-VALUE}")
-        String world;
-        @Option(names = "--seconds", paramLabel = "S", defaultValue = "60", description = "virtual seconds; default: ${DEFAULT-VALUE}")
-        double seconds;
-        @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "default: ${DEFAULT-VALUE}")
-        long seed;
-        @Option(names = "--faults", paramLabel = "N", defaultValue = "0", description = "faults drawn by the seed; default: ${DEFAULT-VALUE}")
-        int faults;
-        @Option(names = "--engines", paramLabel = "N", description = "in place of the world's number")
-        Integer engines;
-        @Option(names = "--dispatchers", paramLabel = "N", description = "in place of the world's number")
-        Integer dispatchers;
-        @Option(names = "--load", paramLabel = "SHARE", description = "of the world's capacity, in place of its rate")
-        Double load;
-
-        @Option(names = "--skew", paramLabel = "POWER", description = "dispatchers carry parts as 1 / rank to this power, in place of the world's")
-        Double skew;
-
-        World world() {
-            World w = Worlds.named(world);
-            World.Engines e = w.engines();
-            int count = engines == null ? e.count() : engines;
-            World.Engines of = new World.Engines(count, e.cores(), e.speedSpread(), e.knee(), e.fall(), e.sessions(), e.coldFrom(),
-                    e.warmS(), e.memoryMb(), e.spill(), e.warmSets(), e.warmGain(), Math.min(e.locations(), count),
-                    Math.min(e.groups(), count), e.errors());
-            World sized = new World(w.name(), of, dispatchers == null ? w.dispatchers() : dispatchers, w.profiles(), w.holders(),
-                    w.load(), w.net(), w.roster(), w.limits());
-            double perSecond = load != null ? sized.capacity() * load : w.load().perSecond() * count / e.count();
-            World.Load l = w.load();
-            // Holders are due what they were at the world's own size.
-            List<World.Holder> holders = w.holders().stream()
-                    .map(h -> new World.Holder(h.name(), h.part(), h.perSecond() * perSecond / Math.max(1e-9, l.perSecond()))).toList();
-            return new World(w.name(), of, sized.dispatchers(), w.profiles(), holders, new World.Load(perSecond, l.swing(), l.swingS(),
-                    l.burstEveryS(), l.burstTimes(), l.burstS(), l.dataSets(), l.skew(), l.retries(), l.estimateError(),
-                    l.closedClients(), l.thinkMs(), skew != null ? skew : l.dispatcherSkew()), w.net(), w.roster(), w.limits());
-        }
-
-        @Option(names = "--script", paramLabel = "FILE", description = "faults from a file, in place of drawn ones")
-        Path script;
-
-        List<Fault> drawn(World w, long of) {
-            return script != null ? Script.read(script, w) : Fault.drawn(w, seconds, faults, of);
-        }
+    @Option(
+        names = "--script",
+        paramLabel = "FILE",
+        description = "faults from a file, in place of drawn ones")
+    Path script;
+
+    List<Fault> drawn(World w, long of) {
+      return script != null ? Script.read(script, w) : Fault.drawn(w, seconds, faults, of);
     }
+  }
 
-    /** One run. */
-    @Command(name = "run", description = "One run: what clients got, rules broken, and how fast it went.", mixinStandardHelpOptions = true)
-    static final class Run implements Callable<Integer> {
-        @CommandLine.Mixin
-        Common common;
-        @Option(names = "--policy", paramLabel = "NAME", defaultValue = "module", description = "default: ${DEFAULT-VALUE}")
-        String policy;
-        @Option(names = "--chart", paramLabel = "FILE", description = "writes benefit by second, with the faults, as SVG")
-        Path chart;
-        @CommandLine.Spec
-        CommandLine.Model.CommandSpec spec;
-
-        @Override
-        public Integer call() throws IOException {
-            PrintWriter out = spec.commandLine().getOut();
-            World world = common.world();
-            List<Fault> faults = common.drawn(world, common.seed);
-            faults.forEach(f -> out.printf(Locale.ROOT, "fault: %s from %.1f s for %.1f s on %d engines, size %.2f, who %d%n",
-                    f.kind().label(), f.atS(), f.lengthS(), f.engines().size(), f.size(), f.who()));
-            Simulation.Result r = new Simulation(world, policies(policy), faults, common.seconds, common.seed).run();
-            out.println("| profile | offered | in target | late | shed | failed | unheard | median, ms | 99th, ms |");
-            out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-            for (int i = 0; i < world.profiles().size(); i++) {
-                Tally.Row row = r.tally().rows().get(i);
-                out.printf(Locale.ROOT, "| %s | %d | %d | %d | %d | %d | %d | %.1f | %.1f |%n", world.profiles().get(i).name(), row.offered,
-                        row.inTarget, row.late, row.shed, row.failed, row.unheard, row.latency.getValueAtPercentile(50) / 1000.0,
-                        row.latency.getValueAtPercentile(99) / 1000.0);
-            }
-            out.printf(Locale.ROOT, "emulated goodput %.4f; %d taken, %d sends, %d further; %d rules broken; %.0f s in %.2f s: %.0f commands a second; "
-                    + "decisions %016x%n", r.tally().goodput(), r.tally().taken(), r.tally().sends(), r.tally().further(), r.brokenRules(),
-                    r.virtualS(), r.realS(), r.pace(), r.hash());
-            r.broken().forEach(out::println);
-            out.flush();
-            if (chart != null) {
-                Charts.series(chart, world.name() + ", " + policy + ", seed " + common.seed + " (emulated)", r.tally().seconds(), faults);
-            }
-            return r.brokenRules() == 0 ? 0 : 1;
-        }
+  /** One run. */
+  @Command(
+      name = "run",
+      description = "One run: what clients got, rules broken, and how fast it went.",
+      mixinStandardHelpOptions = true)
+  static final class Run implements Callable<Integer> {
+    @CommandLine.Mixin Common common;
+
+    @Option(
+        names = "--policy",
+        paramLabel = "NAME",
+        defaultValue = "module",
+        description = "default: ${DEFAULT-VALUE}")
+    String policy;
+
+    @Option(
+        names = "--chart",
+        paramLabel = "FILE",
+        description = "writes benefit by second, with the faults, as SVG")
+    Path chart;
+
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+    @Override
+    public Integer call() throws IOException {
+      PrintWriter out = spec.commandLine().getOut();
+      World world = common.world();
+      List<Fault> faults = common.drawn(world, common.seed);
+      faults.forEach(
+          f ->
+              out.printf(
+                  Locale.ROOT,
+                  "fault: %s from %.1f s for %.1f s on %d engines, size %.2f, who %d%n",
+                  f.kind().label(),
+                  f.atS(),
+                  f.lengthS(),
+                  f.engines().size(),
+                  f.size(),
+                  f.who()));
+      Simulation.Result r =
+          new Simulation(world, policies(policy), faults, common.seconds, common.seed).run();
+      out.println(
+          "| profile | offered | in target | late | shed | failed | unheard | median, ms | 99th, ms |");
+      out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+      for (int i = 0; i < world.profiles().size(); i++) {
+        Tally.Row row = r.tally().rows().get(i);
+        out.printf(
+            Locale.ROOT,
+            "| %s | %d | %d | %d | %d | %d | %d | %.1f | %.1f |%n",
+            world.profiles().get(i).name(),
+            row.offered,
+            row.inTarget,
+            row.late,
+            row.shed,
+            row.failed,
+            row.unheard,
+            row.latency.getValueAtPercentile(50) / 1000.0,
+            row.latency.getValueAtPercentile(99) / 1000.0);
+      }
+      out.printf(
+          Locale.ROOT,
+          "emulated goodput %.4f; %d taken, %d sends, %d further; %d rules broken; %.0f s in %.2f s: %.0f commands a second; "
+              + "decisions %016x%n",
+          r.tally().goodput(),
+          r.tally().taken(),
+          r.tally().sends(),
+          r.tally().further(),
+          r.brokenRules(),
+          r.virtualS(),
+          r.realS(),
+          r.pace(),
+          r.hash());
+      r.broken().forEach(out::println);
+      out.flush();
+      if (chart != null) {
+        Charts.series(
+            chart,
+            world.name() + ", " + policy + ", seed " + common.seed + " (emulated)",
+            r.tally().seconds(),
+            faults);
+      }
+      return r.brokenRules() == 0 ? 0 : 1;
     }
+  }
+
+  /** Many drawn scripts, each a run; all cores. */
+  @Command(
+      name = "hunt",
+      description =
+          "Runs drawn fault scripts over all cores, and tells broken rules and the worst runs.",
+      mixinStandardHelpOptions = true)
+  static final class Hunt implements Callable<Integer> {
+    @CommandLine.Mixin Common common;
+
+    @Option(
+        names = "--policy",
+        paramLabel = "NAME",
+        defaultValue = "module",
+        description = "default: ${DEFAULT-VALUE}")
+    String policy;
 
-    /** Many drawn scripts, each a run; all cores. */
-    @Command(name = "hunt", description = "Runs drawn fault scripts over all cores, and tells broken rules and the worst runs.",
-            mixinStandardHelpOptions = true)
-    static final class Hunt implements Callable<Integer> {
-        @CommandLine.Mixin
-        Common common;
-        @Option(names = "--policy", paramLabel = "NAME", defaultValue = "module", description = "default: ${DEFAULT-VALUE}")
-        String policy;
-        @Option(names = "--runs", paramLabel = "N", defaultValue = "100", description = "default: ${DEFAULT-VALUE}")
-        int runs;
-        @CommandLine.Spec
-        CommandLine.Model.CommandSpec spec;
-
-        private record Ran(long seed, Simulation.Result result) {
-        }
-
-        /** A fault of the code under one seed is told with that seed. */
-        private Ran play(World world, long seed) {
-            try {
-                return new Ran(seed, new Simulation(world, policies(policy), common.drawn(world, seed), common.seconds, seed).run());
-            } catch (RuntimeException e) {
-                throw new IllegalStateException("seed " + seed + " ends in a fault", e);
-            }
-        }
-
-        @Override
-        public Integer call() {
-            PrintWriter out = spec.commandLine().getOut();
-            World world = common.world();
-            List<Ran> ran = IntStream.range(0, runs).parallel().mapToObj(i -> play(world, common.seed + i)).toList();
-            long broken = ran.stream().filter(r -> r.result.brokenRules() > 0).count();
-            double mean = ran.stream().mapToDouble(r -> r.result.tally().goodput()).average().orElse(0);
-            long taken = ran.stream().mapToLong(r -> r.result.tally().taken()).sum();
-            out.printf(Locale.ROOT, "%d runs, %d commands taken, emulated goodput %.4f at the mean, %d runs broke a rule%n", runs, taken, mean, broken);
-            List<Ran> order = new ArrayList<>(ran);
-            order.sort((a, b) -> Double.compare(a.result.tally().goodput(), b.result.tally().goodput()));
-            order.stream().limit(5).forEach(r -> out.printf(Locale.ROOT, "seed %d: goodput %.4f%n", r.seed, r.result.tally().goodput()));
-            ran.stream().filter(r -> r.result.brokenRules() > 0).limit(10).forEach(r -> out.printf(Locale.ROOT, "seed %d broke %d: %s%n", r.seed,
-                    r.result.brokenRules(), r.result.broken().get(0)));
-            out.flush();
-            return broken == 0 ? 0 : 1;
-        }
+    @Option(
+        names = "--runs",
+        paramLabel = "N",
+        defaultValue = "100",
+        description = "default: ${DEFAULT-VALUE}")
+    int runs;
+
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+    private record Ran(long seed, Simulation.Result result) {}
+
+    /** A fault of the code under one seed is told with that seed. */
+    private Ran play(World world, long seed) {
+      try {
+        return new Ran(
+            seed,
+            new Simulation(world, policies(policy), common.drawn(world, seed), common.seconds, seed)
+                .run());
+      } catch (RuntimeException e) {
+        throw new IllegalStateException("seed " + seed + " ends in a fault", e);
+      }
     }
 
-    /** The module beside the baselines, on the same seeds. */
-    @Command(name = "policies", description = "The same worlds, faults and seeds under each policy.", mixinStandardHelpOptions = true)
-    static final class Policies implements Callable<Integer> {
-        @CommandLine.Mixin
-        Common common;
-        @Option(names = "--runs", paramLabel = "N", defaultValue = "8", description = "seeds; default: ${DEFAULT-VALUE}")
-        int runs;
-        @Option(names = "--policies", paramLabel = "NAMES", split = ",",
-                defaultValue = "module,random,round-robin,least-in-hand,two-choices,shortest-late,clairvoyant",
-                description = "default: ${DEFAULT-VALUE}")
-        List<String> names;
-        @CommandLine.Spec
-        CommandLine.Model.CommandSpec spec;
-
-        @Override
-        public Integer call() {
-            PrintWriter out = spec.commandLine().getOut();
-            World world = common.world();
-            out.println("| policy | emulated goodput, mean of seeds | least | rules broken | busiest engine over the mean | idlest | commands a second and core |");
-            out.println("| --- | --- | --- | --- | --- | --- | --- |");
-            for (String name : names) {
-                List<Simulation.Result> results = IntStream.range(0, runs).parallel().mapToObj(i -> new Simulation(world, policies(name),
-                        common.drawn(world, common.seed + i), common.seconds, common.seed + i).run()).toList();
-                out.printf(Locale.ROOT, "| %s | %.4f | %.4f | %d | %.2f | %.2f | %.0f |%n", name,
-                        results.stream().mapToDouble(r -> r.tally().goodput()).average().orElse(0),
-                        results.stream().mapToDouble(r -> r.tally().goodput()).min().orElse(0),
-                        results.stream().mapToLong(Simulation.Result::brokenRules).sum(),
-                        results.stream().mapToDouble(r -> r.tally().busiest()).average().orElse(0),
-                        results.stream().mapToDouble(r -> r.tally().idlest()).average().orElse(0),
-                        results.stream().mapToDouble(Simulation.Result::pace).average().orElse(0));
-                out.flush();
-            }
-            return 0;
-        }
+    @Override
+    public Integer call() {
+      PrintWriter out = spec.commandLine().getOut();
+      World world = common.world();
+      List<Ran> ran =
+          IntStream.range(0, runs).parallel().mapToObj(i -> play(world, common.seed + i)).toList();
+      long broken = ran.stream().filter(r -> r.result.brokenRules() > 0).count();
+      double mean = ran.stream().mapToDouble(r -> r.result.tally().goodput()).average().orElse(0);
+      long taken = ran.stream().mapToLong(r -> r.result.tally().taken()).sum();
+      out.printf(
+          Locale.ROOT,
+          "%d runs, %d commands taken, emulated goodput %.4f at the mean, %d runs broke a rule%n",
+          runs,
+          taken,
+          mean,
+          broken);
+      List<Ran> order = new ArrayList<>(ran);
+      order.sort((a, b) -> Double.compare(a.result.tally().goodput(), b.result.tally().goodput()));
+      order.stream()
+          .limit(5)
+          .forEach(
+              r ->
+                  out.printf(
+                      Locale.ROOT, "seed %d: goodput %.4f%n", r.seed, r.result.tally().goodput()));
+      ran.stream()
+          .filter(r -> r.result.brokenRules() > 0)
+          .limit(10)
+          .forEach(
+              r ->
+                  out.printf(
+                      Locale.ROOT,
+                      "seed %d broke %d: %s%n",
+                      r.seed,
+                      r.result.brokenRules(),
+                      r.result.broken().get(0)));
+      out.flush();
+      return broken == 0 ? 0 : 1;
     }
+  }
+
+  /** The module beside the baselines, on the same seeds. */
+  @Command(
+      name = "policies",
+      description = "The same worlds, faults and seeds under each policy.",
+      mixinStandardHelpOptions = true)
+  static final class Policies implements Callable<Integer> {
+    @CommandLine.Mixin Common common;
+
+    @Option(
+        names = "--runs",
+        paramLabel = "N",
+        defaultValue = "8",
+        description = "seeds; default: ${DEFAULT-VALUE}")
+    int runs;
 
-    /** A plan of runs. */
-    @Command(name = "experiment", description = "Plays a plan over all cores, goes on where it was stopped, and writes an Arrow file, a "
-            + "table and charts.", mixinStandardHelpOptions = true)
-    static final class Plays implements Callable<Integer> {
-        @CommandLine.Parameters(paramLabel = "PLAN", description = "a TOML file; docs/operations/experiments.md")
-        Path plan;
-        @Option(names = "--out", paramLabel = "FOLDER", required = true, description = "where results are kept")
-        Path folder;
-        @CommandLine.Spec
-        CommandLine.Model.CommandSpec spec;
-
-        @Override
-        public Integer call() throws IOException {
-            Experiment.run(Experiment.read(plan), folder, spec.commandLine().getOut());
-            return 0;
-        }
+    @Option(
+        names = "--policies",
+        paramLabel = "NAMES",
+        split = ",",
+        defaultValue =
+            "module,random,round-robin,least-in-hand,two-choices,shortest-late,clairvoyant",
+        description = "default: ${DEFAULT-VALUE}")
+    List<String> names;
+
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+    @Override
+    public Integer call() {
+      PrintWriter out = spec.commandLine().getOut();
+      World world = common.world();
+      out.println(
+          "| policy | emulated goodput, mean of seeds | least | rules broken | busiest engine over the mean | idlest | commands a second and core |");
+      out.println("| --- | --- | --- | --- | --- | --- | --- |");
+      for (String name : names) {
+        List<Simulation.Result> results =
+            IntStream.range(0, runs)
+                .parallel()
+                .mapToObj(
+                    i ->
+                        new Simulation(
+                                world,
+                                policies(name),
+                                common.drawn(world, common.seed + i),
+                                common.seconds,
+                                common.seed + i)
+                            .run())
+                .toList();
+        out.printf(
+            Locale.ROOT,
+            "| %s | %.4f | %.4f | %d | %.2f | %.2f | %.0f |%n",
+            name,
+            results.stream().mapToDouble(r -> r.tally().goodput()).average().orElse(0),
+            results.stream().mapToDouble(r -> r.tally().goodput()).min().orElse(0),
+            results.stream().mapToLong(Simulation.Result::brokenRules).sum(),
+            results.stream().mapToDouble(r -> r.tally().busiest()).average().orElse(0),
+            results.stream().mapToDouble(r -> r.tally().idlest()).average().orElse(0),
+            results.stream().mapToDouble(Simulation.Result::pace).average().orElse(0));
+        out.flush();
+      }
+      return 0;
     }
+  }
+
+  /** A plan of runs. */
+  @Command(
+      name = "experiment",
+      description =
+          "Plays a plan over all cores, goes on where it was stopped, and writes an Arrow file, a "
+              + "table and charts.",
+      mixinStandardHelpOptions = true)
+  static final class Plays implements Callable<Integer> {
+    @CommandLine.Parameters(
+        paramLabel = "PLAN",
+        description = "a TOML file; docs/operations/experiments.md")
+    Path plan;
+
+    @Option(
+        names = "--out",
+        paramLabel = "FOLDER",
+        required = true,
+        description = "where results are kept")
+    Path folder;
+
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
-    /** Two result sets, or two policies of one. */
-    @Command(name = "compare", description = "Differences of goodput pair by pair, with intervals over seeds.", mixinStandardHelpOptions = true)
-    static final class Compare implements Callable<Integer> {
-        @CommandLine.Parameters(paramLabel = "RESULTS", arity = "1..2", description = "one or two results.arrow")
-        List<Path> files;
-        @Option(names = "--policies", paramLabel = "A,B", split = ",", arity = "1", description = "within one set: one policy against another")
-        List<String> names;
-        @CommandLine.Spec
-        CommandLine.Model.CommandSpec spec;
-
-        @Override
-        public Integer call() throws IOException {
-            if (files.size() == 1 && (names == null || names.size() != 2)) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "one result set needs --policies A,B");
-            }
-            List<Outcomes.Row> a = Outcomes.read(files.get(0));
-            List<Outcomes.Row> b = files.size() == 1 ? a : Outcomes.read(files.get(1));
-            boolean within = files.size() == 1;
-            spec.commandLine().getOut().print(Experiment.compared(a, b, within ? names.get(0) : null, within ? names.get(1) : null));
-            spec.commandLine().getOut().flush();
-            return 0;
-        }
+    @Override
+    public Integer call() throws IOException {
+      Experiment.run(Experiment.read(plan), folder, spec.commandLine().getOut());
+      return 0;
+    }
+  }
+
+  /** Two result sets, or two policies of one. */
+  @Command(
+      name = "compare",
+      description = "Differences of goodput pair by pair, with intervals over seeds.",
+      mixinStandardHelpOptions = true)
+  static final class Compare implements Callable<Integer> {
+    @CommandLine.Parameters(
+        paramLabel = "RESULTS",
+        arity = "1..2",
+        description = "one or two results.arrow")
+    List<Path> files;
+
+    @Option(
+        names = "--policies",
+        paramLabel = "A,B",
+        split = ",",
+        arity = "1",
+        description = "within one set: one policy against another")
+    List<String> names;
+
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+    @Override
+    public Integer call() throws IOException {
+      if (files.size() == 1 && (names == null || names.size() != 2)) {
+        throw new CommandLine.ParameterException(
+            spec.commandLine(), "one result set needs --policies A,B");
+      }
+      List<Outcomes.Row> a = Outcomes.read(files.get(0));
+      List<Outcomes.Row> b = files.size() == 1 ? a : Outcomes.read(files.get(1));
+      boolean within = files.size() == 1;
+      spec.commandLine()
+          .getOut()
+          .print(
+              Experiment.compared(
+                  a, b, within ? names.get(0) : null, within ? names.get(1) : null));
+      spec.commandLine().getOut().flush();
+      return 0;
     }
+  }
 
-    /** The least of a failing script. */
-    @Command(name = "shrink", description = "Cuts drawn or scripted faults down to the least that still breaks a rule, or stays under a goodput.",
-            mixinStandardHelpOptions = true)
-    static final class Shrinks implements Callable<Integer> {
-        @CommandLine.Mixin
-        Common common;
-        @Option(names = "--policy", paramLabel = "NAME", defaultValue = "module", description = "default: ${DEFAULT-VALUE}")
-        String policy;
-        @Option(names = "--under", paramLabel = "GOODPUT", description = "in place of a broken rule")
-        Double under;
-        @CommandLine.Spec
-        CommandLine.Model.CommandSpec spec;
-
-        @Override
-        public Integer call() {
-            World world = common.world();
-            List<Fault> faults = common.drawn(world, common.seed);
-            Shrink<Fault> shrink = new Shrink<>(f -> {
-                Simulation.Result r = new Simulation(world, policies(policy), f, common.seconds, common.seed).run();
+  /** The least of a failing script. */
+  @Command(
+      name = "shrink",
+      description =
+          "Cuts drawn or scripted faults down to the least that still breaks a rule, or stays under a goodput.",
+      mixinStandardHelpOptions = true)
+  static final class Shrinks implements Callable<Integer> {
+    @CommandLine.Mixin Common common;
+
+    @Option(
+        names = "--policy",
+        paramLabel = "NAME",
+        defaultValue = "module",
+        description = "default: ${DEFAULT-VALUE}")
+    String policy;
+
+    @Option(names = "--under", paramLabel = "GOODPUT", description = "in place of a broken rule")
+    Double under;
+
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+    @Override
+    public Integer call() {
+      World world = common.world();
+      List<Fault> faults = common.drawn(world, common.seed);
+      Shrink<Fault> shrink =
+          new Shrink<>(
+              f -> {
+                Simulation.Result r =
+                    new Simulation(world, policies(policy), f, common.seconds, common.seed).run();
                 return under != null ? r.tally().goodput() < under : r.brokenRules() > 0;
-            }, Fault::simpler);
-            PrintWriter out = spec.commandLine().getOut();
-            Simulation.Result whole = new Simulation(world, policies(policy), faults, common.seconds, common.seed).run();
-            if (under != null ? whole.tally().goodput() >= under : whole.brokenRules() == 0) {
-                throw new BadInput("the whole script does not fail: nothing to shrink");
-            }
-            List<Fault> least = shrink.of(faults);
-            out.printf("# %d faults of %d are left, after %d runs; seed %d%n", least.size(), faults.size(), shrink.runs(), common.seed);
-            out.print(Script.write(least));
-            out.flush();
-            return 0;
-        }
+              },
+              Fault::simpler);
+      PrintWriter out = spec.commandLine().getOut();
+      Simulation.Result whole =
+          new Simulation(world, policies(policy), faults, common.seconds, common.seed).run();
+      if (under != null ? whole.tally().goodput() >= under : whole.brokenRules() == 0) {
+        throw new BadInput("the whole script does not fail: nothing to shrink");
+      }
+      List<Fault> least = shrink.of(faults);
+      out.printf(
+          "# %d faults of %d are left, after %d runs; seed %d%n",
+          least.size(), faults.size(), shrink.runs(), common.seed);
+      out.print(Script.write(least));
+      out.flush();
+      return 0;
     }
+  }
 }
--- a/src/main/java/cobaltseam/emulator/EngineLink.java
+++ b/src/main/java/cobaltseam/emulator/EngineLink.java
@@ -5,15 +5,14 @@
 
 /** The way between dispatchers and engines. */
 interface EngineLink {
-    /** What an engine is asked to do for a command: the true work, which no dispatcher knows. */
-    record Order(World.Profile profile, double workUs, double memoryMb, DataSetId data) {
-    }
+  /** What an engine is asked to do for a command: the true work, which no dispatcher knows. */
+  record Order(World.Profile profile, double workUs, double memoryMb, DataSetId data) {}
 
-    EngineModel engine(EngineId id);
+  EngineModel engine(EngineId id);
 
-    /** A send leaves; what comes of it is told to its dispatcher. */
-    void send(Host from, Host.Out out, Order order);
+  /** A send leaves; what comes of it is told to its dispatcher. */
+  void send(Host from, Host.Out out, Order order);
 
-    /** A dispatcher waits for a send no longer, and tells its engine. */
-    void giveUp(Host from, Host.Out out);
+  /** A dispatcher waits for a send no longer, and tells its engine. */
+  void giveUp(Host from, Host.Out out);
 }
--- a/src/main/java/cobaltseam/emulator/Experiment.java
+++ b/src/main/java/cobaltseam/emulator/Experiment.java
@@ -1,5 +1,10 @@
 package cobaltseam.emulator;
 
+import cobaltseam.deployment.BadInput;
+import com.fasterxml.jackson.core.JacksonException;
+import com.fasterxml.jackson.databind.DeserializationFeature;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.UncheckedIOException;
@@ -15,196 +20,317 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-import cobaltseam.deployment.BadInput;
-import com.fasterxml.jackson.core.JacksonException;
-import com.fasterxml.jackson.databind.DeserializationFeature;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-
 /**
- * A plan of runs (worlds, policies, seeds and one figure that is swept), played over all cores. Each run that is done is kept
- * at once, so a plan that was killed goes on where it stopped; the results are an Arrow file, a table and charts.
+ * A plan of runs (worlds, policies, seeds and one figure that is swept), played over all cores.
+ * Each run that is done is kept at once, so a plan that was killed goes on where it stopped; the
+ * results are an Arrow file, a table and charts.
  */
 final class Experiment {
-    /** What to play; seeds from the first to the last. {@code figure}: load, engines, dispatchers, faults, or none. */
-    record Plan(String name, List<String> worlds, List<String> policies, long firstSeed, long lastSeed, double seconds, int faults,
-                String figure, List<Double> values) {
-    }
+  /**
+   * What to play; seeds from the first to the last. {@code figure}: load, engines, dispatchers,
+   * faults, or none.
+   */
+  record Plan(
+      String name,
+      List<String> worlds,
+      List<String> policies,
+      long firstSeed,
+      long lastSeed,
+      double seconds,
+      int faults,
+      String figure,
+      List<Double> values) {}
 
-    private record Run(Plan plan, String world, String policy, double value, long seed) {
-    }
+  private record Run(Plan plan, String world, String policy, double value, long seed) {}
 
-    private static final ObjectMapper JSON = new ObjectMapper();
-    private static final List<String> FIGURES = List.of("load", "engines", "dispatchers", "faults", "none");
-    private static final String KEPT = "runs.jsonl";
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final List<String> FIGURES =
+      List.of("load", "engines", "dispatchers", "faults", "none");
+  private static final String KEPT = "runs.jsonl";
 
-    private final Plan plan;
-    private final Path folder;
-    private final PrintWriter out;
+  private final Plan plan;
+  private final Path folder;
+  private final PrintWriter out;
 
-    private Experiment(Plan plan, Path folder, PrintWriter out) {
-        this.plan = plan;
-        this.folder = folder;
-        this.out = out;
-    }
+  private Experiment(Plan plan, Path folder, PrintWriter out) {
+    this.plan = plan;
+    this.folder = folder;
+    this.out = out;
+  }
 
-    /** @throws BadInput if the plan can't be used */
-    static Plan read(Path file) {
-        Plan plan;
-        try {
-            plan = new TomlMapper().enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES, DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-                    .readValue(Files.readString(file), Plan.class);
-        } catch (JacksonException e) {
-            throw new BadInput(file + ": " + e.getOriginalMessage());
-        } catch (IOException e) {
-            throw new BadInput(file + " can't be read: " + e.getMessage());
-        }
-        if (plan.worlds() == null || plan.policies() == null || plan.values() == null || plan.worlds().isEmpty() || plan.policies().isEmpty()
-                || plan.values().isEmpty() || !FIGURES.contains(plan.figure()) || plan.lastSeed() < plan.firstSeed() || !(plan.seconds() > 0)) {
-            throw new BadInput(file + ": worlds, policies and values must not be empty, figure must be one of " + FIGURES
-                    + ", seeds must go up and seconds be above 0");
-        }
-        plan.policies().forEach(Emulate::policies);
-        plan.worlds().forEach(Worlds::named);
-        return plan;
+  /**
+   * @throws BadInput if the plan can't be used
+   */
+  static Plan read(Path file) {
+    Plan plan;
+    try {
+      plan =
+          new TomlMapper()
+              .enable(
+                  DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES,
+                  DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+              .readValue(Files.readString(file), Plan.class);
+    } catch (JacksonException e) {
+      throw new BadInput(file + ": " + e.getOriginalMessage());
+    } catch (IOException e) {
+      throw new BadInput(file + " can't be read: " + e.getMessage());
     }
-
-    /** Plays what is not kept yet, and writes the results. */
-    static void run(Plan plan, Path folder, PrintWriter out) throws IOException {
-        Files.createDirectories(folder);
-        new Experiment(plan, folder, out).run();
+    if (plan.worlds() == null
+        || plan.policies() == null
+        || plan.values() == null
+        || plan.worlds().isEmpty()
+        || plan.policies().isEmpty()
+        || plan.values().isEmpty()
+        || !FIGURES.contains(plan.figure())
+        || plan.lastSeed() < plan.firstSeed()
+        || !(plan.seconds() > 0)) {
+      throw new BadInput(
+          file
+              + ": worlds, policies and values must not be empty, figure must be one of "
+              + FIGURES
+              + ", seeds must go up and seconds be above 0");
     }
+    plan.policies().forEach(Emulate::policies);
+    plan.worlds().forEach(Worlds::named);
+    return plan;
+  }
 
-    private void run() throws IOException {
-        Map<String, Outcomes.Row> kept = kept();
-        List<Run> due = new ArrayList<>();
-        for (String world : plan.worlds()) {
-            for (String policy : plan.policies()) {
-                for (double value : plan.values()) {
-                    for (long seed = plan.firstSeed(); seed <= plan.lastSeed(); seed++) {
-                        Run run = new Run(plan, world, policy, value, seed);
-                        if (!kept.containsKey(key(run))) {
-                            due.add(run);
-                        }
-                    }
-                }
+  /** Plays what is not kept yet, and writes the results. */
+  static void run(Plan plan, Path folder, PrintWriter out) throws IOException {
+    Files.createDirectories(folder);
+    new Experiment(plan, folder, out).run();
+  }
+
+  private void run() throws IOException {
+    Map<String, Outcomes.Row> kept = kept();
+    List<Run> due = new ArrayList<>();
+    for (String world : plan.worlds()) {
+      for (String policy : plan.policies()) {
+        for (double value : plan.values()) {
+          for (long seed = plan.firstSeed(); seed <= plan.lastSeed(); seed++) {
+            Run run = new Run(plan, world, policy, value, seed);
+            if (!kept.containsKey(key(run))) {
+              due.add(run);
             }
+          }
         }
-        out.printf("%d runs are kept, %d are due%n", kept.size(), due.size());
-        out.flush();
-        int[] done = {0};
-        due.parallelStream().forEach(run -> {
-            Outcomes.Row row = play(run);
-            synchronized (done) {
+      }
+    }
+    out.printf("%d runs are kept, %d are due%n", kept.size(), due.size());
+    out.flush();
+    int[] done = {0};
+    due.parallelStream()
+        .forEach(
+            run -> {
+              Outcomes.Row row = play(run);
+              synchronized (done) {
                 keep(row);
                 kept.put(row.key(), row);
                 done[0]++;
                 if (done[0] * 10 / due.size() != (done[0] - 1) * 10 / due.size()) {
-                    out.printf("%3d%% [%-20s]%n", done[0] * 100 / due.size(), "#".repeat(done[0] * 20 / due.size()));
-                    out.flush();
+                  out.printf(
+                      "%3d%% [%-20s]%n",
+                      done[0] * 100 / due.size(), "#".repeat(done[0] * 20 / due.size()));
+                  out.flush();
                 }
-            }
-        });
-        List<Outcomes.Row> rows = new ArrayList<>(new TreeMap<>(kept).values());
-        Outcomes.write(folder.resolve("results.arrow"), rows);
-        Files.writeString(folder.resolve("results.md"), table(rows));
-        if (!plan.figure().equals("none")) {
-            Charts.sweep(folder.resolve("goodput.svg"), plan.name() + ": emulated goodput", plan.figure(), "benefit got of offered", rows, Outcomes.Row::goodput);
-            Charts.sweep(folder.resolve("p99.svg"), plan.name() + ": 99th percentile of answers, ms", plan.figure(), "ms", rows, Outcomes.Row::p99Ms);
-        }
-        out.print(table(rows));
-        out.flush();
+              }
+            });
+    List<Outcomes.Row> rows = new ArrayList<>(new TreeMap<>(kept).values());
+    Outcomes.write(folder.resolve("results.arrow"), rows);
+    Files.writeString(folder.resolve("results.md"), table(rows));
+    if (!plan.figure().equals("none")) {
+      Charts.sweep(
+          folder.resolve("goodput.svg"),
+          plan.name() + ": emulated goodput",
+          plan.figure(),
+          "benefit got of offered",
+          rows,
+          Outcomes.Row::goodput);
+      Charts.sweep(
+          folder.resolve("p99.svg"),
+          plan.name() + ": 99th percentile of answers, ms",
+          plan.figure(),
+          "ms",
+          rows,
+          Outcomes.Row::p99Ms);
     }
+    out.print(table(rows));
+    out.flush();
+  }
 
-    private String key(Run run) {
-        return run.world + " " + run.policy + " " + plan.figure() + " " + run.value + " " + run.seed;
-    }
-
-    /** Lines that are whole; the last one of a run that was killed may not be, and is played again. */
-    private Map<String, Outcomes.Row> kept() throws IOException {
-        Map<String, Outcomes.Row> kept = new HashMap<>();
-        Path file = folder.resolve(KEPT);
-        if (Files.exists(file)) {
-            for (String line : Files.readAllLines(file)) {
-                try {
-                    Outcomes.Row row = JSON.readValue(line, Outcomes.Row.class);
-                    kept.put(row.key(), row);
-                } catch (JacksonException e) {
-                    out.println("a line of " + file + " is not whole, its run is played again");
-                }
-            }
-        }
-        return kept;
-    }
+  private String key(Run run) {
+    return run.world + " " + run.policy + " " + plan.figure() + " " + run.value + " " + run.seed;
+  }
 
-    private void keep(Outcomes.Row row) {
+  /**
+   * Lines that are whole; the last one of a run that was killed may not be, and is played again.
+   */
+  private Map<String, Outcomes.Row> kept() throws IOException {
+    Map<String, Outcomes.Row> kept = new HashMap<>();
+    Path file = folder.resolve(KEPT);
+    if (Files.exists(file)) {
+      for (String line : Files.readAllLines(file)) {
         try {
-            Files.writeString(folder.resolve(KEPT), "\n" + JSON.writeValueAsString(row) + "\n", StandardCharsets.UTF_8,
-                    StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+          Outcomes.Row row = JSON.readValue(line, Outcomes.Row.class);
+          kept.put(row.key(), row);
+        } catch (JacksonException e) {
+          out.println("a line of " + file + " is not whole, its run is played again");
         }
+      }
     }
+    return kept;
+  }
 
-    private static Outcomes.Row play(Run run) {
-        Emulate.Common of = new Emulate.Common();
-        of.world = run.world;
-        of.seconds = run.plan.seconds();
-        of.faults = run.plan.faults();
-        switch (run.plan.figure()) {
-            case "load" -> of.load = run.value;
-            case "engines" -> of.engines = (int) run.value;
-            case "dispatchers" -> of.dispatchers = (int) run.value;
-            case "faults" -> of.faults = (int) run.value;
-            default -> { }
-        }
-        World world = of.world();
-        Simulation.Result r = new Simulation(world, Emulate.policies(run.policy), of.drawn(world, run.seed), run.plan.seconds(), run.seed).run();
-        List<Tally.Row> rows = r.tally().rows();
-        org.HdrHistogram.Histogram all = new org.HdrHistogram.Histogram(3_600_000_000L, 2);
-        rows.forEach(row -> all.add(row.latency));
-        return new Outcomes.Row(run.world, run.policy, run.plan.figure(), run.value, run.seed, r.tally().goodput(), r.tally().offered(),
-                sum(rows, x -> x.inTarget), sum(rows, x -> x.late), sum(rows, x -> x.shed), sum(rows, x -> x.failed), sum(rows, x -> x.unheard),
-                all.getValueAtPercentile(50) / 1000.0, all.getValueAtPercentile(99) / 1000.0, r.brokenRules(), r.tally().taken(),
-                r.tally().sends(), r.tally().further(), r.realS(), r.hash());
+  private void keep(Outcomes.Row row) {
+    try {
+      Files.writeString(
+          folder.resolve(KEPT),
+          "\n" + JSON.writeValueAsString(row) + "\n",
+          StandardCharsets.UTF_8,
+          StandardOpenOption.CREATE,
+          StandardOpenOption.APPEND);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    private static long sum(List<Tally.Row> rows, java.util.function.ToLongFunction<Tally.Row> of) {
-        return rows.stream().mapToLong(of).sum();
+  private static Outcomes.Row play(Run run) {
+    Emulate.Common of = new Emulate.Common();
+    of.world = run.world;
+    of.seconds = run.plan.seconds();
+    of.faults = run.plan.faults();
+    switch (run.plan.figure()) {
+      case "load" -> of.load = run.value;
+      case "engines" -> of.engines = (int) run.value;
+      case "dispatchers" -> of.dispatchers = (int) run.value;
+      case "faults" -> of.faults = (int) run.value;
+      default -> {}
     }
+    World world = of.world();
+    Simulation.Result r =
+        new Simulation(
+                world,
+                Emulate.policies(run.policy),
+                of.drawn(world, run.seed),
+                run.plan.seconds(),
+                run.seed)
+            .run();
+    List<Tally.Row> rows = r.tally().rows();
+    org.HdrHistogram.Histogram all = new org.HdrHistogram.Histogram(3_600_000_000L, 2);
+    rows.forEach(row -> all.add(row.latency));
+    return new Outcomes.Row(
+        run.world,
+        run.policy,
+        run.plan.figure(),
+        run.value,
+        run.seed,
+        r.tally().goodput(),
+        r.tally().offered(),
+        sum(rows, x -> x.inTarget),
+        sum(rows, x -> x.late),
+        sum(rows, x -> x.shed),
+        sum(rows, x -> x.failed),
+        sum(rows, x -> x.unheard),
+        all.getValueAtPercentile(50) / 1000.0,
+        all.getValueAtPercentile(99) / 1000.0,
+        r.brokenRules(),
+        r.tally().taken(),
+        r.tally().sends(),
+        r.tally().further(),
+        r.realS(),
+        r.hash());
+  }
 
-    private String table(List<Outcomes.Row> rows) {
-        StringBuilder text = new StringBuilder("| world | " + plan.figure() + " | policy | runs | emulated goodput | least | 99th, ms | rules broken |\n"
+  private static long sum(List<Tally.Row> rows, java.util.function.ToLongFunction<Tally.Row> of) {
+    return rows.stream().mapToLong(of).sum();
+  }
+
+  private String table(List<Outcomes.Row> rows) {
+    StringBuilder text =
+        new StringBuilder(
+            "| world | "
+                + plan.figure()
+                + " | policy | runs | emulated goodput | least | 99th, ms | rules broken |\n"
                 + "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
-        rows.stream().collect(Collectors.groupingBy(r -> String.format(Locale.ROOT, "%s | %s | %s", r.world(), r.value(), r.policy()), TreeMap::new,
-                Collectors.toList())).forEach((key, of) -> text.append(String.format(Locale.ROOT, "| %s | %d | %.4f | %.4f | %.0f | %d |%n", key, of.size(),
-                        of.stream().mapToDouble(Outcomes.Row::goodput).average().orElse(0), of.stream().mapToDouble(Outcomes.Row::goodput).min().orElse(0),
-                        of.stream().mapToDouble(Outcomes.Row::p99Ms).average().orElse(0), of.stream().mapToLong(Outcomes.Row::brokenRules).sum())));
-        return text.toString();
-    }
+    rows.stream()
+        .collect(
+            Collectors.groupingBy(
+                r -> String.format(Locale.ROOT, "%s | %s | %s", r.world(), r.value(), r.policy()),
+                TreeMap::new,
+                Collectors.toList()))
+        .forEach(
+            (key, of) ->
+                text.append(
+                    String.format(
+                        Locale.ROOT,
+                        "| %s | %d | %.4f | %.4f | %.0f | %d |%n",
+                        key,
+                        of.size(),
+                        of.stream().mapToDouble(Outcomes.Row::goodput).average().orElse(0),
+                        of.stream().mapToDouble(Outcomes.Row::goodput).min().orElse(0),
+                        of.stream().mapToDouble(Outcomes.Row::p99Ms).average().orElse(0),
+                        of.stream().mapToLong(Outcomes.Row::brokenRules).sum())));
+    return text.toString();
+  }
 
-    /** Two result sets, pair by pair: the same world, policy, figure, value and seed; or one policy against another within one set. */
-    static String compared(List<Outcomes.Row> a, List<Outcomes.Row> b, String policyA, String policyB) {
-        Map<String, Outcomes.Row> other = new HashMap<>();
-        b.stream().filter(r -> policyB == null || r.policy().equals(policyB)).forEach(r -> other.put(pair(r, policyB != null), r));
-        Map<String, List<Double>> differences = new TreeMap<>();
-        for (Outcomes.Row r : a) {
-            Outcomes.Row with = policyA == null || r.policy().equals(policyA) ? other.get(pair(r, policyA != null)) : null;
-            if (with != null) {
-                differences.computeIfAbsent(r.world() + " | " + (policyA == null ? r.policy() : policyA + " against " + policyB) + " | " + r.value(),
-                        k -> new ArrayList<>()).add(r.goodput() - with.goodput());
-            }
-        }
-        StringBuilder text = new StringBuilder("| world | policy | value | pairs | difference of emulated goodput | 95% interval | |\n"
+  /**
+   * Two result sets, pair by pair: the same world, policy, figure, value and seed; or one policy
+   * against another within one set.
+   */
+  static String compared(
+      List<Outcomes.Row> a, List<Outcomes.Row> b, String policyA, String policyB) {
+    Map<String, Outcomes.Row> other = new HashMap<>();
+    b.stream()
+        .filter(r -> policyB == null || r.policy().equals(policyB))
+        .forEach(r -> other.put(pair(r, policyB != null), r));
+    Map<String, List<Double>> differences = new TreeMap<>();
+    for (Outcomes.Row r : a) {
+      Outcomes.Row with =
+          policyA == null || r.policy().equals(policyA)
+              ? other.get(pair(r, policyA != null))
+              : null;
+      if (with != null) {
+        differences
+            .computeIfAbsent(
+                r.world()
+                    + " | "
+                    + (policyA == null ? r.policy() : policyA + " against " + policyB)
+                    + " | "
+                    + r.value(),
+                k -> new ArrayList<>())
+            .add(r.goodput() - with.goodput());
+      }
+    }
+    StringBuilder text =
+        new StringBuilder(
+            "| world | policy | value | pairs | difference of emulated goodput | 95% interval | |\n"
                 + "| --- | --- | --- | --- | --- | --- | --- |\n");
-        differences.forEach((key, of) -> {
-            Paired p = Paired.of(of);
-            text.append(String.format(Locale.ROOT, "| %s | %d | %+.4f | %+.4f to %+.4f | %s |%n", key, p.pairs(), p.mean(), p.low(), p.high(), p.words()));
+    differences.forEach(
+        (key, of) -> {
+          Paired p = Paired.of(of);
+          text.append(
+              String.format(
+                  Locale.ROOT,
+                  "| %s | %d | %+.4f | %+.4f to %+.4f | %s |%n",
+                  key,
+                  p.pairs(),
+                  p.mean(),
+                  p.low(),
+                  p.high(),
+                  p.words()));
         });
-        return text.toString();
-    }
+    return text.toString();
+  }
 
-    private static String pair(Outcomes.Row r, boolean anyPolicy) {
-        return r.world() + " " + (anyPolicy ? "" : r.policy()) + " " + r.figure() + " " + r.value() + " " + r.seed();
-    }
+  private static String pair(Outcomes.Row r, boolean anyPolicy) {
+    return r.world()
+        + " "
+        + (anyPolicy ? "" : r.policy())
+        + " "
+        + r.figure()
+        + " "
+        + r.value()
+        + " "
+        + r.seed();
+  }
 }
--- a/src/main/java/cobaltseam/emulator/Host.java
+++ b/src/main/java/cobaltseam/emulator/Host.java
@@ -1,11 +1,5 @@
 package cobaltseam.emulator;
 
-import java.util.ArrayDeque;
-import java.util.Deque;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-
 import cobaltseam.dispatch.Command;
 import cobaltseam.dispatch.CommandId;
 import cobaltseam.dispatch.Listing;
@@ -14,299 +8,333 @@
 import cobaltseam.dispatch.Pause;
 import cobaltseam.dispatch.Placement;
 import cobaltseam.dispatch.Span;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 
-/** One dispatcher around a policy: carries out what it says, as the service does on sockets, and decides nothing. */
+/**
+ * One dispatcher around a policy: carries out what it says, as the service does on sockets, and
+ * decides nothing.
+ */
 final class Host {
-    /** Who waits for the final answer. */
-    interface Asker {
-        void told(Referee.Final what, Span comeBack);
+  /** Who waits for the final answer. */
+  interface Asker {
+    void told(Referee.Final what, Span comeBack);
 
-        /** Whether its client has left before it was taken. */
-        boolean gone();
-    }
+    /** Whether its client has left before it was taken. */
+    boolean gone();
+  }
 
-    /** A command in hand. */
-    private static final class InHand {
-        Command command;
-        Asker asker;
-        EngineLink.Order order;
-        int sends;
-        Out out;
-    }
+  /** A command in hand. */
+  private static final class InHand {
+    Command command;
+    Asker asker;
+    EngineLink.Order order;
+    int sends;
+    Out out;
+  }
 
-    /** One send without outcome. */
-    static final class Out {
-        InHand of;
-        int number;
-        int seen;
-        EngineModel engine;
-        EngineModel.Job job;
-        long sentUs;
-        Timeline.Entry timeout;
-        boolean over;
-    }
+  /** One send without outcome. */
+  static final class Out {
+    InHand of;
+    int number;
+    int seen;
+    EngineModel engine;
+    EngineModel.Job job;
+    long sentUs;
+    Timeline.Entry timeout;
+    boolean over;
+  }
 
-    private static final Span NOT_TOLD = new Span(-1);
-    private static final int MOST_ASKED = 1_000_000;
+  private static final Span NOT_TOLD = new Span(-1);
+  private static final int MOST_ASKED = 1_000_000;
 
-    final int number;
-    private final Timeline time;
-    private final EngineLink link;
-    private final Referee referee;
-    private final Tally tally;
-    private final Map<CommandId, InHand> inHand = new HashMap<>();
-    private Policy policy;
-    private Timeline.Entry wake;
-    private Timeline.Entry soon;
-    private boolean standsStill;
-    /** What came while it stood still. */
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
-    /** Counts its lives; what belongs to an earlier one is passed over. */
-    private int life;
+  final int number;
+  private final Timeline time;
+  private final EngineLink link;
+  private final Referee referee;
+  private final Tally tally;
+  private final Map<CommandId, InHand> inHand = new HashMap<>();
+  private Policy policy;
+  private Timeline.Entry wake;
+  private Timeline.Entry soon;
+  private boolean standsStill;
 
-    Host(int number, Timeline time, EngineLink link, Referee referee, Tally tally) {
-        this.number = number;
-        this.time = time;
-        this.link = link;
-        this.referee = referee;
-        this.tally = tally;
-    }
+  /** What came while it stood still. */
+  private final Deque<Runnable> waiting = new ArrayDeque<>();
 
-    /** Starts, or starts anew with nothing. */
-    void start(Policy with) {
-        life++;
-        policy = with;
-    }
+  /** Counts its lives; what belongs to an earlier one is passed over. */
+  private int life;
 
-    boolean isUp() {
-        return policy != null;
-    }
+  Host(int number, Timeline time, EngineLink link, Referee referee, Tally tally) {
+    this.number = number;
+    this.time = time;
+    this.link = link;
+    this.referee = referee;
+    this.tally = tally;
+  }
 
-    boolean standsStill() {
-        return standsStill;
-    }
+  /** Starts, or starts anew with nothing. */
+  void start(Policy with) {
+    life++;
+    policy = with;
+  }
 
-    void kill() {
-        policy = null;
-        life++;
-        Timeline.cancel(wake);
-        Timeline.cancel(soon);
-        wake = null;
-        soon = null;
-        waiting.clear();
-        standsStill = false;
-        for (InHand c : inHand.values()) {
-            if (c.out != null) {
-                c.out.over = true;
-                Timeline.cancel(c.out.timeout);
-                // Its connections are reset: engines give up what is open on them.
-                link.giveUp(this, c.out);
-            }
-        }
-        inHand.clear();
-        referee.killed(number);
-    }
+  boolean isUp() {
+    return policy != null;
+  }
 
-    void standStill(boolean now) {
-        standsStill = now;
-        if (!now) {
-            while (!standsStill && !waiting.isEmpty()) {
-                waiting.poll().run();
-            }
-        }
-    }
+  boolean standsStill() {
+    return standsStill;
+  }
 
-    /** Something comes to it, now or when it goes on. */
-    private void hear(Runnable what) {
-        if (policy == null) {
-            return;
-        }
-        int mine = life;
-        if (standsStill) {
-            waiting.add(() -> {
-                if (mine == life) {
-                    what.run();
-                }
-            });
-        } else {
-            what.run();
-        }
+  void kill() {
+    policy = null;
+    life++;
+    Timeline.cancel(wake);
+    Timeline.cancel(soon);
+    wake = null;
+    soon = null;
+    waiting.clear();
+    standsStill = false;
+    for (InHand c : inHand.values()) {
+      if (c.out != null) {
+        c.out.over = true;
+        Timeline.cancel(c.out.timeout);
+        // Its connections are reset: engines give up what is open on them.
+        link.giveUp(this, c.out);
+      }
     }
+    inHand.clear();
+    referee.killed(number);
+  }
 
-    void listed(List<Listing> list, boolean whole) {
-        hear(() -> {
-            list.forEach(l -> referee.listed(number, l.engine(), l.standing()));
-            policy.listed(list, whole, time.now());
-            follow();
-        });
+  void standStill(boolean now) {
+    standsStill = now;
+    if (!now) {
+      while (!standsStill && !waiting.isEmpty()) {
+        waiting.poll().run();
+      }
     }
+  }
 
-    /** Takes a command in. */
-    void take(Command command, EngineLink.Order order, String key, Asker asker) {
-        hear(() -> {
-            if (asker.gone()) {
-                return;
+  /** Something comes to it, now or when it goes on. */
+  private void hear(Runnable what) {
+    if (policy == null) {
+      return;
+    }
+    int mine = life;
+    if (standsStill) {
+      waiting.add(
+          () -> {
+            if (mine == life) {
+              what.run();
             }
-            InHand c = new InHand();
-            c.command = command;
-            c.asker = asker;
-            c.order = order;
-            inHand.put(command.id(), c);
-            tally.taken++;
-            referee.taken(number, command.id(), order.profile(), key, command.clientTimeout().us());
-            carryOut(c, policy.place(command, time.now()));
-            follow();
-        });
+          });
+    } else {
+      what.run();
     }
+  }
 
-    /** Its client waits no longer. */
-    void departed(CommandId id) {
-        InHand c = inHand.get(id);
-        if (c == null || c.asker == null) {
-            return;
-        }
-        referee.departed(number, id, standsStill || policy == null);
-        c.asker = null;
-        hear(() -> {
-            policy.departed(id, time.now());
-            if (c.out != null) {
-                giveUp(c.out, Ending.CANCELLED);
-            } else {
-                inHand.remove(id);
-            }
-            follow();
+  void listed(List<Listing> list, boolean whole) {
+    hear(
+        () -> {
+          list.forEach(l -> referee.listed(number, l.engine(), l.standing()));
+          policy.listed(list, whole, time.now());
+          follow();
         });
-    }
+  }
 
-    private void carryOut(InHand c, Placement p) {
-        if (c.asker == null) {
+  /** Takes a command in. */
+  void take(Command command, EngineLink.Order order, String key, Asker asker) {
+    hear(
+        () -> {
+          if (asker.gone()) {
             return;
-        }
-        switch (p.verdict()) {
-            case SEND -> send(c, p);
-            case SHED -> end(c, Referee.Final.SHED, p.comeBack());
-            case FAIL -> end(c, Referee.Final.FAILED, Span.ZERO);
-            default -> { }
-        }
-    }
+          }
+          InHand c = new InHand();
+          c.command = command;
+          c.asker = asker;
+          c.order = order;
+          inHand.put(command.id(), c);
+          tally.taken++;
+          referee.taken(number, command.id(), order.profile(), key, command.clientTimeout().us());
+          carryOut(c, policy.place(command, time.now()));
+          follow();
+        });
+  }
 
-    private void end(InHand c, Referee.Final what, Span comeBack) {
-        Asker asker = c.asker;
-        c.asker = null;
-        referee.answered(number, c.command.id(), what);
-        if (c.out == null) {
-            inHand.remove(c.command.id());
-        }
-        asker.told(what, comeBack);
+  /** Its client waits no longer. */
+  void departed(CommandId id) {
+    InHand c = inHand.get(id);
+    if (c == null || c.asker == null) {
+      return;
     }
+    referee.departed(number, id, standsStill || policy == null);
+    c.asker = null;
+    hear(
+        () -> {
+          policy.departed(id, time.now());
+          if (c.out != null) {
+            giveUp(c.out, Ending.CANCELLED);
+          } else {
+            inHand.remove(id);
+          }
+          follow();
+        });
+  }
 
-    private void send(InHand c, Placement p) {
-        Out out = new Out();
-        out.of = c;
-        out.number = c.sends++;
-        out.engine = link.engine(p.engine());
-        out.sentUs = time.nowUs();
-        out.seen = referee.sent(number, c.command.id(), out.engine);
-        tally.sends++;
-        tally.further += out.number > 0 ? 1 : 0;
-        c.out = out;
-        out.timeout = time.at(out.sentUs + Math.max(1, p.sendTimeout().us()), () -> hear(() -> giveUp(out, Ending.TIMED_OUT)));
-        link.send(this, out, c.order);
+  private void carryOut(InHand c, Placement p) {
+    if (c.asker == null) {
+      return;
     }
-
-    CommandId command(Out out) {
-        return out.of.command.id();
+    switch (p.verdict()) {
+      case SEND -> send(c, p);
+      case SHED -> end(c, Referee.Final.SHED, p.comeBack());
+      case FAIL -> end(c, Referee.Final.FAILED, Span.ZERO);
+      default -> {}
     }
+  }
 
-    /** What an engine, or the network, says of a send. */
-    void ended(Out out, Ending ending, double reportedInHand) {
-        hear(() -> outcome(out, ending, reportedInHand));
+  private void end(InHand c, Referee.Final what, Span comeBack) {
+    Asker asker = c.asker;
+    c.asker = null;
+    referee.answered(number, c.command.id(), what);
+    if (c.out == null) {
+      inHand.remove(c.command.id());
     }
+    asker.told(what, comeBack);
+  }
 
-    void progressed(Out out, double share) {
-        hear(() -> {
-            if (!out.over) {
-                policy.progressed(out.of.command.id(), out.number, share, time.now());
-                follow();
-            }
+  private void send(InHand c, Placement p) {
+    Out out = new Out();
+    out.of = c;
+    out.number = c.sends++;
+    out.engine = link.engine(p.engine());
+    out.sentUs = time.nowUs();
+    out.seen = referee.sent(number, c.command.id(), out.engine);
+    tally.sends++;
+    tally.further += out.number > 0 ? 1 : 0;
+    c.out = out;
+    out.timeout =
+        time.at(
+            out.sentUs + Math.max(1, p.sendTimeout().us()),
+            () -> hear(() -> giveUp(out, Ending.TIMED_OUT)));
+    link.send(this, out, c.order);
+  }
+
+  CommandId command(Out out) {
+    return out.of.command.id();
+  }
+
+  /** What an engine, or the network, says of a send. */
+  void ended(Out out, Ending ending, double reportedInHand) {
+    hear(() -> outcome(out, ending, reportedInHand));
+  }
+
+  void progressed(Out out, double share) {
+    hear(
+        () -> {
+          if (!out.over) {
+            policy.progressed(out.of.command.id(), out.number, share, time.now());
+            follow();
+          }
         });
-    }
+  }
 
-    private void giveUp(Out out, Ending ending) {
-        if (!out.over) {
-            link.giveUp(this, out);
-            outcome(out, ending, -1);
-        }
+  private void giveUp(Out out, Ending ending) {
+    if (!out.over) {
+      link.giveUp(this, out);
+      outcome(out, ending, -1);
     }
+  }
 
-    private void outcome(Out out, Ending ending, double reportedInHand) {
-        if (out.over) {
-            return;
-        }
-        out.over = true;
-        Timeline.cancel(out.timeout);
-        InHand c = out.of;
-        c.out = null;
-        referee.outcome(number, c.command.id(), out.seen, ending);
-        Asker answered = ending == Ending.ANSWERED ? c.asker : null;
-        boolean over = ending == Ending.ANSWERED || c.asker == null;
-        Outcome outcome = new Outcome(c.command.id(), out.number, out.engine.id, ending,
-                new Span(time.nowUs() - out.sentUs), over, NOT_TOLD, -1, reportedInHand < 0 ? -1 : 0, reportedInHand);
-        if (answered != null) {
-            end(c, Referee.Final.ANSWERED, Span.ZERO);
-        }
-        carryOut(c, policy.after(outcome, time.now()));
-        if (c.asker == null) {
-            inHand.remove(c.command.id());
-        }
-        follow();
+  private void outcome(Out out, Ending ending, double reportedInHand) {
+    if (out.over) {
+      return;
+    }
+    out.over = true;
+    Timeline.cancel(out.timeout);
+    InHand c = out.of;
+    c.out = null;
+    referee.outcome(number, c.command.id(), out.seen, ending);
+    Asker answered = ending == Ending.ANSWERED ? c.asker : null;
+    boolean over = ending == Ending.ANSWERED || c.asker == null;
+    Outcome outcome =
+        new Outcome(
+            c.command.id(),
+            out.number,
+            out.engine.id,
+            ending,
+            new Span(time.nowUs() - out.sentUs),
+            over,
+            NOT_TOLD,
+            -1,
+            reportedInHand < 0 ? -1 : 0,
+            reportedInHand);
+    if (answered != null) {
+      end(c, Referee.Final.ANSWERED, Span.ZERO);
     }
+    carryOut(c, policy.after(outcome, time.now()));
+    if (c.asker == null) {
+      inHand.remove(c.command.id());
+    }
+    follow();
+  }
 
-    /** Follows the policy once all that comes at this moment is heard. */
-    private void follow() {
-        if (soon == null) {
-            int mine = life;
-            soon = time.at(time.nowUs(), () -> {
+  /** Follows the policy once all that comes at this moment is heard. */
+  private void follow() {
+    if (soon == null) {
+      int mine = life;
+      soon =
+          time.at(
+              time.nowUs(),
+              () -> {
                 soon = null;
                 if (mine == life) {
-                    followed();
+                  followed();
                 }
-            });
-        }
+              });
     }
+  }
 
-    private void followed() {
-        if (standsStill) {
-            waiting.add(this::followed);
-            return;
-        }
-        Timeline.cancel(wake);
-        wake = null;
-        for (int asked = 0; asked < MOST_ASKED; asked++) {
-            Pause pause = policy.pause(time.now());
-            if (pause.span() == null) {
-                return;
-            }
-            if (pause.span().isPositive()) {
-                int mine = life;
-                wake = time.after(pause.span(), () -> {
-                    if (mine == life) {
-                        followed();
-                    }
+  private void followed() {
+    if (standsStill) {
+      waiting.add(this::followed);
+      return;
+    }
+    Timeline.cancel(wake);
+    wake = null;
+    for (int asked = 0; asked < MOST_ASKED; asked++) {
+      Pause pause = policy.pause(time.now());
+      if (pause.span() == null) {
+        return;
+      }
+      if (pause.span().isPositive()) {
+        int mine = life;
+        wake =
+            time.after(
+                pause.span(),
+                () -> {
+                  if (mine == life) {
+                    followed();
+                  }
                 });
-                return;
-            }
-            InHand c = pause.command() == null ? null : inHand.get(pause.command().id());
-            if (pause.command() != null && c == null) {
-                policy.departed(pause.command().id(), time.now());
-            } else if (pause.callOff() >= 0) {
-                if (c.out != null && c.out.number == pause.callOff()) {
-                    giveUp(c.out, Ending.CANCELLED);
-                }
-            } else if (c != null) {
-                carryOut(c, policy.place(pause.command(), time.now()));
-            }
+        return;
+      }
+      InHand c = pause.command() == null ? null : inHand.get(pause.command().id());
+      if (pause.command() != null && c == null) {
+        policy.departed(pause.command().id(), time.now());
+      } else if (pause.callOff() >= 0) {
+        if (c.out != null && c.out.number == pause.callOff()) {
+          giveUp(c.out, Ending.CANCELLED);
         }
-        throw new IllegalStateException("the policy names the same thing without end");
+      } else if (c != null) {
+        carryOut(c, policy.place(pause.command(), time.now()));
+      }
     }
+    throw new IllegalStateException("the policy names the same thing without end");
+  }
 }
--- a/src/main/java/cobaltseam/emulator/Outcomes.java
+++ b/src/main/java/cobaltseam/emulator/Outcomes.java
@@ -12,7 +12,6 @@
 import java.util.function.Function;
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToLongFunction;
-
 import org.apache.arrow.memory.BufferAllocator;
 import org.apache.arrow.memory.RootAllocator;
 import org.apache.arrow.vector.BigIntVector;
@@ -25,105 +24,173 @@
 
 /** The outcomes of runs as a columnar file (Apache Arrow's file format), one row a run. */
 final class Outcomes {
-    /** One run: what was played, and what came of it. Latencies in milliseconds, of all answers. */
-    record Row(String world, String policy, String figure, double value, long seed, double goodput, long offered, long inTarget,
-               long late, long shed, long failed, long unheard, double medianMs, double p99Ms, long brokenRules, long taken,
-               long sends, long further, double realS, long hash) {
-        String key() {
-            return world + " " + policy + " " + figure + " " + value + " " + seed;
-        }
+  /** One run: what was played, and what came of it. Latencies in milliseconds, of all answers. */
+  record Row(
+      String world,
+      String policy,
+      String figure,
+      double value,
+      long seed,
+      double goodput,
+      long offered,
+      long inTarget,
+      long late,
+      long shed,
+      long failed,
+      long unheard,
+      double medianMs,
+      double p99Ms,
+      long brokenRules,
+      long taken,
+      long sends,
+      long further,
+      double realS,
+      long hash) {
+    String key() {
+      return world + " " + policy + " " + figure + " " + value + " " + seed;
     }
+  }
 
-    private static final List<String> TEXTS = List.of("world", "policy", "figure");
-    private static final List<Function<Row, String>> TEXT = List.of(Row::world, Row::policy, Row::figure);
-    private static final List<String> NUMBERS = List.of("value", "goodput", "median_ms", "p99_ms", "real_s");
-    private static final List<ToDoubleFunction<Row>> NUMBER = List.of(Row::value, Row::goodput, Row::medianMs, Row::p99Ms, Row::realS);
-    private static final List<String> WHOLES = List.of("seed", "offered", "in_target", "late", "shed", "failed", "unheard", "broken_rules",
-            "taken", "sends", "further", "decisions");
-    private static final List<ToLongFunction<Row>> WHOLE = List.of(Row::seed, Row::offered, Row::inTarget, Row::late, Row::shed,
-            Row::failed, Row::unheard, Row::brokenRules, Row::taken, Row::sends, Row::further, Row::hash);
+  private static final List<String> TEXTS = List.of("world", "policy", "figure");
+  private static final List<Function<Row, String>> TEXT =
+      List.of(Row::world, Row::policy, Row::figure);
+  private static final List<String> NUMBERS =
+      List.of("value", "goodput", "median_ms", "p99_ms", "real_s");
+  private static final List<ToDoubleFunction<Row>> NUMBER =
+      List.of(Row::value, Row::goodput, Row::medianMs, Row::p99Ms, Row::realS);
+  private static final List<String> WHOLES =
+      List.of(
+          "seed",
+          "offered",
+          "in_target",
+          "late",
+          "shed",
+          "failed",
+          "unheard",
+          "broken_rules",
+          "taken",
+          "sends",
+          "further",
+          "decisions");
+  private static final List<ToLongFunction<Row>> WHOLE =
+      List.of(
+          Row::seed,
+          Row::offered,
+          Row::inTarget,
+          Row::late,
+          Row::shed,
+          Row::failed,
+          Row::unheard,
+          Row::brokenRules,
+          Row::taken,
+          Row::sends,
+          Row::further,
+          Row::hash);
 
-    /** Held for good, or its level would be forgotten with it. */
-    private static final java.util.logging.Logger QUIET = java.util.logging.Logger.getLogger("org.apache.arrow");
+  /** Held for good, or its level would be forgotten with it. */
+  private static final java.util.logging.Logger QUIET =
+      java.util.logging.Logger.getLogger("org.apache.arrow");
 
-    static {
-        QUIET.setLevel(java.util.logging.Level.WARNING);
-    }
+  static {
+    QUIET.setLevel(java.util.logging.Level.WARNING);
+  }
 
-    private Outcomes() {
-    }
+  private Outcomes() {}
 
-    /** Writes rows to a file, aside first, so that there is never half of one. */
-    static void write(Path file, List<Row> rows) throws IOException {
-        Path aside = file.resolveSibling(file.getFileName() + ".part");
-        try (BufferAllocator memory = new RootAllocator()) {
-            List<FieldVector> columns = new ArrayList<>();
-            for (int c = 0; c < TEXTS.size(); c++) {
-                VarCharVector v = new VarCharVector(TEXTS.get(c), memory);
-                Function<Row, String> of = TEXT.get(c);
-                fill(v, rows, (i, row) -> v.setSafe(i, of.apply(row).getBytes(StandardCharsets.UTF_8)));
-                columns.add(v);
-            }
-            for (int c = 0; c < NUMBERS.size(); c++) {
-                Float8Vector v = new Float8Vector(NUMBERS.get(c), memory);
-                ToDoubleFunction<Row> of = NUMBER.get(c);
-                fill(v, rows, (i, row) -> v.setSafe(i, of.applyAsDouble(row)));
-                columns.add(v);
-            }
-            for (int c = 0; c < WHOLES.size(); c++) {
-                BigIntVector v = new BigIntVector(WHOLES.get(c), memory);
-                ToLongFunction<Row> of = WHOLE.get(c);
-                fill(v, rows, (i, row) -> v.setSafe(i, of.applyAsLong(row)));
-                columns.add(v);
-            }
-            try (VectorSchemaRoot root = new VectorSchemaRoot(columns);
-                    FileChannel out = FileChannel.open(aside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
-                    ArrowFileWriter writer = new ArrowFileWriter(root, null, out)) {
-                root.setRowCount(rows.size());
-                writer.start();
-                writer.writeBatch();
-                writer.end();
-            }
-        }
-        Files.move(aside, file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+  /** Writes rows to a file, aside first, so that there is never half of one. */
+  static void write(Path file, List<Row> rows) throws IOException {
+    Path aside = file.resolveSibling(file.getFileName() + ".part");
+    try (BufferAllocator memory = new RootAllocator()) {
+      List<FieldVector> columns = new ArrayList<>();
+      for (int c = 0; c < TEXTS.size(); c++) {
+        VarCharVector v = new VarCharVector(TEXTS.get(c), memory);
+        Function<Row, String> of = TEXT.get(c);
+        fill(v, rows, (i, row) -> v.setSafe(i, of.apply(row).getBytes(StandardCharsets.UTF_8)));
+        columns.add(v);
+      }
+      for (int c = 0; c < NUMBERS.size(); c++) {
+        Float8Vector v = new Float8Vector(NUMBERS.get(c), memory);
+        ToDoubleFunction<Row> of = NUMBER.get(c);
+        fill(v, rows, (i, row) -> v.setSafe(i, of.applyAsDouble(row)));
+        columns.add(v);
+      }
+      for (int c = 0; c < WHOLES.size(); c++) {
+        BigIntVector v = new BigIntVector(WHOLES.get(c), memory);
+        ToLongFunction<Row> of = WHOLE.get(c);
+        fill(v, rows, (i, row) -> v.setSafe(i, of.applyAsLong(row)));
+        columns.add(v);
+      }
+      try (VectorSchemaRoot root = new VectorSchemaRoot(columns);
+          FileChannel out =
+              FileChannel.open(
+                  aside,
+                  StandardOpenOption.CREATE,
+                  StandardOpenOption.TRUNCATE_EXISTING,
+                  StandardOpenOption.WRITE);
+          ArrowFileWriter writer = new ArrowFileWriter(root, null, out)) {
+        root.setRowCount(rows.size());
+        writer.start();
+        writer.writeBatch();
+        writer.end();
+      }
     }
+    Files.move(aside, file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+  }
 
-    private static void fill(FieldVector v, List<Row> rows, BiConsumer<Integer, Row> set) {
-        v.allocateNew();
-        for (int i = 0; i < rows.size(); i++) {
-            set.accept(i, rows.get(i));
-        }
-        v.setValueCount(rows.size());
+  private static void fill(FieldVector v, List<Row> rows, BiConsumer<Integer, Row> set) {
+    v.allocateNew();
+    for (int i = 0; i < rows.size(); i++) {
+      set.accept(i, rows.get(i));
     }
+    v.setValueCount(rows.size());
+  }
 
-    /** Reads them back. */
-    static List<Row> read(Path file) throws IOException {
-        List<Row> rows = new ArrayList<>();
-        try (BufferAllocator memory = new RootAllocator(); FileChannel in = FileChannel.open(file, StandardOpenOption.READ);
-                ArrowFileReader reader = new ArrowFileReader(in, memory)) {
-            while (reader.loadNextBatch()) {
-                VectorSchemaRoot root = reader.getVectorSchemaRoot();
-                for (int i = 0; i < root.getRowCount(); i++) {
-                    rows.add(new Row(text(root, "world", i), text(root, "policy", i), text(root, "figure", i), number(root, "value", i),
-                            whole(root, "seed", i), number(root, "goodput", i), whole(root, "offered", i), whole(root, "in_target", i),
-                            whole(root, "late", i), whole(root, "shed", i), whole(root, "failed", i), whole(root, "unheard", i),
-                            number(root, "median_ms", i), number(root, "p99_ms", i), whole(root, "broken_rules", i), whole(root, "taken", i),
-                            whole(root, "sends", i), whole(root, "further", i), number(root, "real_s", i), whole(root, "decisions", i)));
-                }
-            }
+  /** Reads them back. */
+  static List<Row> read(Path file) throws IOException {
+    List<Row> rows = new ArrayList<>();
+    try (BufferAllocator memory = new RootAllocator();
+        FileChannel in = FileChannel.open(file, StandardOpenOption.READ);
+        ArrowFileReader reader = new ArrowFileReader(in, memory)) {
+      while (reader.loadNextBatch()) {
+        VectorSchemaRoot root = reader.getVectorSchemaRoot();
+        for (int i = 0; i < root.getRowCount(); i++) {
+          rows.add(
+              new Row(
+                  text(root, "world", i),
+                  text(root, "policy", i),
+                  text(root, "figure", i),
+                  number(root, "value", i),
+                  whole(root, "seed", i),
+                  number(root, "goodput", i),
+                  whole(root, "offered", i),
+                  whole(root, "in_target", i),
+                  whole(root, "late", i),
+                  whole(root, "shed", i),
+                  whole(root, "failed", i),
+                  whole(root, "unheard", i),
+                  number(root, "median_ms", i),
+                  number(root, "p99_ms", i),
+                  whole(root, "broken_rules", i),
+                  whole(root, "taken", i),
+                  whole(root, "sends", i),
+                  whole(root, "further", i),
+                  number(root, "real_s", i),
+                  whole(root, "decisions", i)));
         }
-        return rows;
+      }
     }
+    return rows;
+  }
 
-    private static String text(VectorSchemaRoot root, String name, int i) {
-        return new String(((VarCharVector) root.getVector(name)).get(i), StandardCharsets.UTF_8);
-    }
+  private static String text(VectorSchemaRoot root, String name, int i) {
+    return new String(((VarCharVector) root.getVector(name)).get(i), StandardCharsets.UTF_8);
+  }
 
-    private static double number(VectorSchemaRoot root, String name, int i) {
-        return ((Float8Vector) root.getVector(name)).get(i);
-    }
+  private static double number(VectorSchemaRoot root, String name, int i) {
+    return ((Float8Vector) root.getVector(name)).get(i);
+  }
 
-    private static long whole(VectorSchemaRoot root, String name, int i) {
-        return ((BigIntVector) root.getVector(name)).get(i);
-    }
+  private static long whole(VectorSchemaRoot root, String name, int i) {
+    return ((BigIntVector) root.getVector(name)).get(i);
+  }
 }
--- a/src/main/java/cobaltseam/emulator/Script.java
+++ b/src/main/java/cobaltseam/emulator/Script.java
@@ -1,5 +1,10 @@
 package cobaltseam.emulator;
 
+import cobaltseam.deployment.BadInput;
+import com.fasterxml.jackson.core.JacksonException;
+import com.fasterxml.jackson.databind.DeserializationFeature;
+import com.fasterxml.jackson.databind.MapperFeature;
+import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -7,43 +12,63 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-import cobaltseam.deployment.BadInput;
-import com.fasterxml.jackson.core.JacksonException;
-import com.fasterxml.jackson.databind.DeserializationFeature;
-import com.fasterxml.jackson.databind.MapperFeature;
-import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-
 /** Faults as a file that people can read and change: TOML, a table each. */
 record Script(List<Fault> faults) {
-    private static final TomlMapper TOML = TomlMapper.builder().enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
-            .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES, DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
+  private static final TomlMapper TOML =
+      TomlMapper.builder()
+          .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
+          .enable(
+              DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES,
+              DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+          .build();
 
-    /** @throws BadInput with what can't be used for this world */
-    static List<Fault> read(Path file, World world) {
-        Script script;
-        try {
-            script = TOML.readValue(Files.readString(file), Script.class);
-        } catch (JacksonException e) {
-            throw new BadInput(file + ": " + e.getOriginalMessage());
-        } catch (IOException e) {
-            throw new BadInput(file + " can't be read: " + e.getMessage());
-        }
-        List<Fault> faults = script.faults == null ? List.of() : script.faults;
-        for (Fault f : faults) {
-            boolean engines = f.engines().stream().allMatch(e -> e >= 0 && e < world.engines().count());
-            boolean who = f.who() >= 0 && (f.kind() == Fault.Kind.FLOOD ? f.who() < world.holders().size() : f.who() < world.dispatchers());
-            if (!engines || !who || !(f.atS() >= 0) || !(f.lengthS() > 0) || !(f.size() > 0)) {
-                throw new BadInput(file + ": " + f + ": engines from 0 to " + (world.engines().count() - 1)
-                        + ", a holder or dispatcher that is there, atS from 0, lengthS and size above 0 are allowed");
-            }
-        }
-        return faults;
+  /**
+   * @throws BadInput with what can't be used for this world
+   */
+  static List<Fault> read(Path file, World world) {
+    Script script;
+    try {
+      script = TOML.readValue(Files.readString(file), Script.class);
+    } catch (JacksonException e) {
+      throw new BadInput(file + ": " + e.getOriginalMessage());
+    } catch (IOException e) {
+      throw new BadInput(file + " can't be read: " + e.getMessage());
     }
-
-    /** The same as text. */
-    static String write(List<Fault> faults) {
-        return faults.stream().map(f -> String.format(Locale.ROOT,
-                "[[faults]]%nkind = \"%s\"%natS = %s%nlengthS = %s%nengines = %s%nsize = %s%nwho = %d%n", f.kind().label(), f.atS(), f.lengthS(),
-                f.engines(), f.size(), f.who())).collect(Collectors.joining("\n"));
+    List<Fault> faults = script.faults == null ? List.of() : script.faults;
+    for (Fault f : faults) {
+      boolean engines = f.engines().stream().allMatch(e -> e >= 0 && e < world.engines().count());
+      boolean who =
+          f.who() >= 0
+              && (f.kind() == Fault.Kind.FLOOD
+                  ? f.who() < world.holders().size()
+                  : f.who() < world.dispatchers());
+      if (!engines || !who || !(f.atS() >= 0) || !(f.lengthS() > 0) || !(f.size() > 0)) {
+        throw new BadInput(
+            file
+                + ": "
+                + f
+                + ": engines from 0 to "
+                + (world.engines().count() - 1)
+                + ", a holder or dispatcher that is there, atS from 0, lengthS and size above 0 are allowed");
+      }
     }
+    return faults;
+  }
+
+  /** The same as text. */
+  static String write(List<Fault> faults) {
+    return faults.stream()
+        .map(
+            f ->
+                String.format(
+                    Locale.ROOT,
+                    "[[faults]]%nkind = \"%s\"%natS = %s%nlengthS = %s%nengines = %s%nsize = %s%nwho = %d%n",
+                    f.kind().label(),
+                    f.atS(),
+                    f.lengthS(),
+                    f.engines(),
+                    f.size(),
+                    f.who()))
+        .collect(Collectors.joining("\n"));
+  }
 }
--- a/src/main/java/cobaltseam/emulator/Simulation.java
+++ b/src/main/java/cobaltseam/emulator/Simulation.java
@@ -1,13 +1,5 @@
 package cobaltseam.emulator;
 
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.random.RandomGenerator;
-
 import cobaltseam.dispatch.Command;
 import cobaltseam.dispatch.CommandId;
 import cobaltseam.dispatch.DataSetId;
@@ -24,595 +16,696 @@
 import cobaltseam.dispatch.ProfileId;
 import cobaltseam.dispatch.ShareId;
 import cobaltseam.dispatch.Span;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.random.RandomGenerator;
 
 /**
- * One run of a world in virtual time: clients, dispatchers, the network, engines, the list of engines, and what goes wrong. The
- * same world, policy, faults and seed give the same run, event by event.
+ * One run of a world in virtual time: clients, dispatchers, the network, engines, the list of
+ * engines, and what goes wrong. The same world, policy, faults and seed give the same run, event by
+ * event.
  */
 public final class Simulation implements EngineLink {
-    /** Makes the policy of one dispatcher. */
-    interface Policies {
-        Policy of(Deployment told, long seed, Simulation truth);
-    }
-
-    /** What a run came to. */
-    public record Result(Tally tally, List<String> broken, long brokenRules, long events, double virtualS, double realS, long hash) {
-        /** Commands taken for each second that the run took. */
-        public double pace() {
-            return realS <= 0 ? 0 : tally.taken() / realS;
-        }
-    }
-
-    /** One thing that a client wants, over all its askings. */
-    private static final class Ask {
-        int profile;
-        int holder;
-        long firstUs;
-        Order order;
-        double estimateUs;
-        String key;
-        int retriesLeft;
-        boolean closed;
-    }
-
-    private static final long START_US = 1_000_000_000L;
-    private static final double LONGEST_RETRY_S = 0.05;
-    /** From when on and how often it is looked how even the engines are loaded. */
-    private static final long LOOK_FROM_US = START_US + 10_000_000;
-    private static final long LOOK_US = 200_000;
-    private static final int KEYS = 64;
-    private static final long FNV_PRIME = 0x100000001b3L;
-
-    private final World world;
-    private final Timeline time = new Timeline(new Moment(START_US));
-    private final Referee referee;
-    private final Tally tally;
-    private final Policies policies;
-    private final List<EngineModel> engines = new ArrayList<>();
-    private final List<Standing> standings = new ArrayList<>();
-    private final List<Host> hosts = new ArrayList<>();
-    private final List<Set<Integer>> partitioned = new ArrayList<>();
-    private final long[] heardUntil;
-    private final long[] lives;
-    private final List<Integer> untold = new ArrayList<>();
-    private final RandomGenerator arrivals;
-    private final RandomGenerator works;
-    private final RandomGenerator network;
-    private final RandomGenerator plans;
-    private final RandomGenerator seeds;
-    private final double[] profileParts;
-    private final double[] holderParts;
-    private final double[] dataParts;
-    /** Sums of the dispatchers' parts of the traffic; null where all carry alike. */
-    private final double[] hostParts;
-    private Fellowship fellowship;
-    private final double[] flooded;
-    private final double endS;
-    private int rosterStops;
-    private double badPlans;
-    private double badTimes = 10;
-    private long asked;
-    private long hash = 0xcbf29ce484222325L;
-    private boolean coming = true;
-
-    Simulation(World world, Policies policies, List<Fault> faults, double seconds, long seed) {
-        this.world = world;
-        this.policies = policies;
-        endS = seconds;
-        referee = new Referee(world, time);
-        tally = new Tally(world.profiles().size());
-        hostParts = hostParts(world);
-        SplittableRandom all = new SplittableRandom(seed);
-        arrivals = all.split();
-        works = all.split();
-        network = all.split();
-        plans = all.split();
-        seeds = all.split();
-        RandomGenerator speeds = all.split();
-        heardUntil = new long[world.dispatchers()];
-        lives = new long[world.dispatchers()];
-        for (int i = 0; i < world.engines().count(); i++) {
-            double speed = Math.max(0.1, 1 + world.engines().speedSpread() * (2 * speeds.nextDouble() - 1));
-            engines.add(new EngineModel(new EngineId(i + 1L), new LocationId("l" + i % world.engines().locations()),
-                    new GroupId(i % world.engines().groups()), speed, world.engines(), time));
-            standings.add(Standing.UP);
-        }
-        for (int i = 0; i < world.dispatchers(); i++) {
-            hosts.add(new Host(i, time, this, referee, tally));
-            partitioned.add(new HashSet<>());
-            start(i);
-        }
-        profileParts = cumulative(world.profiles().stream().mapToDouble(World.Profile::part).toArray());
-        holderParts = world.holders().stream().mapToDouble(World.Holder::part).toArray();
-        flooded = new double[Math.max(1, holderParts.length)];
-        Arrays.fill(flooded, 1);
-        double[] sets = new double[Math.max(0, world.load().dataSets())];
-        for (int i = 0; i < sets.length; i++) {
-            sets[i] = 1 / Math.pow(i + 1, world.load().skew());
-        }
-        dataParts = cumulative(sets);
-        for (Fault fault : faults) {
-            time.at(at(fault.atS()), () -> begin(fault));
-        }
-        time.at(LOOK_FROM_US, this::look);
-        if (world.load().perSecond() > 0) {
-            time.at(START_US, this::nextArrival);
-        }
-        for (int i = 0; i < world.load().closedClients(); i++) {
-            time.at(START_US + Math.round(arrivals.nextDouble() * world.load().thinkMs() * 1000), () -> ask(true));
-        }
-    }
-
-    private static double[] hostParts(World world) {
-        Double skew = world.load().dispatcherSkew();
-        if (skew == null || skew == 0) {
-            return null;
-        }
-        double[] parts = new double[world.dispatchers()];
-        for (int i = 0; i < parts.length; i++) {
-            parts[i] = 1 / Math.pow(i + 1, skew);
-        }
-        return cumulative(parts);
-    }
-
-    /** The part of all traffic that a dispatcher gets. */
-    double trafficOf(int dispatcher) {
-        if (hostParts == null) {
-            return 1.0 / world.dispatchers();
-        }
-        double before = dispatcher == 0 ? 0 : hostParts[dispatcher - 1];
-        return (hostParts[dispatcher] - before) / hostParts[hostParts.length - 1];
-    }
-
-    /** The dispatchers as one fleet, for policies that have one. */
-    Fellowship fellowship(boolean spreads, double newsMs) {
-        fellowship = fellowship == null ? new Fellowship(world, time, spreads, newsMs) : fellowship;
-        return fellowship;
-    }
-
-    private void look() {
-        tally.looked(engines.stream().filter(e -> e.life == EngineModel.Life.RUNS).mapToDouble(EngineModel::threads).toArray());
-        time.at(time.nowUs() + LOOK_US, this::look);
-    }
-
-    private static double[] cumulative(double[] parts) {
-        double[] sums = parts.clone();
-        Arrays.parallelPrefix(sums, Double::sum);
-        return sums;
-    }
-
-    private static long at(double seconds) {
-        return START_US + Math.round(seconds * 1e6);
-    }
-
-    /** Runs it: clients come until the end, and all that was asked gets the time it may take. */
-    Result run() {
-        long started = System.nanoTime();
-        time.run(new Moment(at(endS)));
-        coming = false;
-        double longest = world.profiles().stream().mapToDouble(World.Profile::timeoutMs).max().orElse(0) / 1000;
-        time.run(new Moment(at(endS + longest * 2 + 1)));
-        return new Result(tally, referee.broken().stream().map(Referee.Broken::toString).toList(), referee.all(), time.happened(),
-                (time.nowUs() - START_US) / 1e6, (System.nanoTime() - started) / 1e9, hash);
-    }
-
-    Referee referee() {
-        return referee;
-    }
-
-    /** What is so at engines, for a policy that may see it. */
-    Baseline.Truth truth() {
-        return new Baseline.Truth() {
-            @Override
-            public double pace(EngineId engine) {
-                return engine(engine).pace(1);
-            }
-
-            @Override
-            public boolean hasRoom(EngineId engine, int threads) {
-                EngineModel e = engine(engine);
-                return e.threads() == 0 || e.threads() + threads <= world.engines().cores() * world.engines().knee();
-            }
-        };
-    }
-
-    private void note(long what) {
-        hash = (hash ^ what) * FNV_PRIME;
-    }
-
-    // ---- clients
-
-    private double rate() {
-        World.Load load = world.load();
-        double t = (time.nowUs() - START_US) / 1e6;
-        double swing = load.swingS() > 0 ? 1 + load.swing() * Math.sin(2 * Math.PI * t / load.swingS()) : 1;
-        boolean burst = load.burstEveryS() > 0 && t % load.burstEveryS() < load.burstS();
-        double flood = 1;
-        for (int i = 0; i < holderParts.length; i++) {
-            flood += holderParts[i] * (flooded[i] - 1) / Arrays.stream(holderParts).sum();
-        }
-        return load.perSecond() * swing * (burst ? load.burstTimes() : 1) * flood;
-    }
-
-    private void nextArrival() {
-        if (!coming) {
-            return;
-        }
-        ask(false);
-        double gap = -Math.log(1 - arrivals.nextDouble()) / rate();
-        time.at(time.nowUs() + Math.max(0, Math.round(gap * 1e6)), this::nextArrival);
-    }
-
-    private static int draw(double[] sums, double unit) {
-        int found = Arrays.binarySearch(sums, unit * sums[sums.length - 1]);
-        return Math.min(sums.length - 1, found >= 0 ? found + 1 : -found - 1);
-    }
-
-    private int holder() {
-        if (holderParts.length == 0) {
-            return -1;
-        }
-        double[] parts = holderParts.clone();
-        for (int i = 0; i < parts.length; i++) {
-            parts[i] *= flooded[i];
-        }
-        return draw(cumulative(parts), arrivals.nextDouble());
-    }
-
-    private double workUs(World.Profile p) {
-        double mean = p.workMs() * 1000;
-        if (p.cv() == 0) {
-            return mean;
-        }
-        if (p.cv() == 1) {
-            return -Math.log(1 - works.nextDouble()) * mean;
-        }
-        double variance = Math.log(1 + p.cv() * p.cv());
-        return mean * Math.exp(works.nextGaussian() * Math.sqrt(variance) - variance / 2);
-    }
-
-    private void ask(boolean closed) {
-        if (!coming) {
+  /** Makes the policy of one dispatcher. */
+  interface Policies {
+    Policy of(Deployment told, long seed, Simulation truth);
+  }
+
+  /** What a run came to. */
+  public record Result(
+      Tally tally,
+      List<String> broken,
+      long brokenRules,
+      long events,
+      double virtualS,
+      double realS,
+      long hash) {
+    /** Commands taken for each second that the run took. */
+    public double pace() {
+      return realS <= 0 ? 0 : tally.taken() / realS;
+    }
+  }
+
+  /** One thing that a client wants, over all its askings. */
+  private static final class Ask {
+    int profile;
+    int holder;
+    long firstUs;
+    Order order;
+    double estimateUs;
+    String key;
+    int retriesLeft;
+    boolean closed;
+  }
+
+  private static final long START_US = 1_000_000_000L;
+  private static final double LONGEST_RETRY_S = 0.05;
+
+  /** From when on and how often it is looked how even the engines are loaded. */
+  private static final long LOOK_FROM_US = START_US + 10_000_000;
+
+  private static final long LOOK_US = 200_000;
+  private static final int KEYS = 64;
+  private static final long FNV_PRIME = 0x100000001b3L;
+
+  private final World world;
+  private final Timeline time = new Timeline(new Moment(START_US));
+  private final Referee referee;
+  private final Tally tally;
+  private final Policies policies;
+  private final List<EngineModel> engines = new ArrayList<>();
+  private final List<Standing> standings = new ArrayList<>();
+  private final List<Host> hosts = new ArrayList<>();
+  private final List<Set<Integer>> partitioned = new ArrayList<>();
+  private final long[] heardUntil;
+  private final long[] lives;
+  private final List<Integer> untold = new ArrayList<>();
+  private final RandomGenerator arrivals;
+  private final RandomGenerator works;
+  private final RandomGenerator network;
+  private final RandomGenerator plans;
+  private final RandomGenerator seeds;
+  private final double[] profileParts;
+  private final double[] holderParts;
+  private final double[] dataParts;
+
+  /** Sums of the dispatchers' parts of the traffic; null where all carry alike. */
+  private final double[] hostParts;
+
+  private Fellowship fellowship;
+  private final double[] flooded;
+  private final double endS;
+  private int rosterStops;
+  private double badPlans;
+  private double badTimes = 10;
+  private long asked;
+  private long hash = 0xcbf29ce484222325L;
+  private boolean coming = true;
+
+  Simulation(World world, Policies policies, List<Fault> faults, double seconds, long seed) {
+    this.world = world;
+    this.policies = policies;
+    endS = seconds;
+    referee = new Referee(world, time);
+    tally = new Tally(world.profiles().size());
+    hostParts = hostParts(world);
+    SplittableRandom all = new SplittableRandom(seed);
+    arrivals = all.split();
+    works = all.split();
+    network = all.split();
+    plans = all.split();
+    seeds = all.split();
+    RandomGenerator speeds = all.split();
+    heardUntil = new long[world.dispatchers()];
+    lives = new long[world.dispatchers()];
+    for (int i = 0; i < world.engines().count(); i++) {
+      double speed =
+          Math.max(0.1, 1 + world.engines().speedSpread() * (2 * speeds.nextDouble() - 1));
+      engines.add(
+          new EngineModel(
+              new EngineId(i + 1L),
+              new LocationId("l" + i % world.engines().locations()),
+              new GroupId(i % world.engines().groups()),
+              speed,
+              world.engines(),
+              time));
+      standings.add(Standing.UP);
+    }
+    for (int i = 0; i < world.dispatchers(); i++) {
+      hosts.add(new Host(i, time, this, referee, tally));
+      partitioned.add(new HashSet<>());
+      start(i);
+    }
+    profileParts = cumulative(world.profiles().stream().mapToDouble(World.Profile::part).toArray());
+    holderParts = world.holders().stream().mapToDouble(World.Holder::part).toArray();
+    flooded = new double[Math.max(1, holderParts.length)];
+    Arrays.fill(flooded, 1);
+    double[] sets = new double[Math.max(0, world.load().dataSets())];
+    for (int i = 0; i < sets.length; i++) {
+      sets[i] = 1 / Math.pow(i + 1, world.load().skew());
+    }
+    dataParts = cumulative(sets);
+    for (Fault fault : faults) {
+      time.at(at(fault.atS()), () -> begin(fault));
+    }
+    time.at(LOOK_FROM_US, this::look);
+    if (world.load().perSecond() > 0) {
+      time.at(START_US, this::nextArrival);
+    }
+    for (int i = 0; i < world.load().closedClients(); i++) {
+      time.at(
+          START_US + Math.round(arrivals.nextDouble() * world.load().thinkMs() * 1000),
+          () -> ask(true));
+    }
+  }
+
+  private static double[] hostParts(World world) {
+    Double skew = world.load().dispatcherSkew();
+    if (skew == null || skew == 0) {
+      return null;
+    }
+    double[] parts = new double[world.dispatchers()];
+    for (int i = 0; i < parts.length; i++) {
+      parts[i] = 1 / Math.pow(i + 1, skew);
+    }
+    return cumulative(parts);
+  }
+
+  /** The part of all traffic that a dispatcher gets. */
+  double trafficOf(int dispatcher) {
+    if (hostParts == null) {
+      return 1.0 / world.dispatchers();
+    }
+    double before = dispatcher == 0 ? 0 : hostParts[dispatcher - 1];
+    return (hostParts[dispatcher] - before) / hostParts[hostParts.length - 1];
+  }
+
+  /** The dispatchers as one fleet, for policies that have one. */
+  Fellowship fellowship(boolean spreads, double newsMs) {
+    fellowship = fellowship == null ? new Fellowship(world, time, spreads, newsMs) : fellowship;
+    return fellowship;
+  }
+
+  private void look() {
+    tally.looked(
+        engines.stream()
+            .filter(e -> e.life == EngineModel.Life.RUNS)
+            .mapToDouble(EngineModel::threads)
+            .toArray());
+    time.at(time.nowUs() + LOOK_US, this::look);
+  }
+
+  private static double[] cumulative(double[] parts) {
+    double[] sums = parts.clone();
+    Arrays.parallelPrefix(sums, Double::sum);
+    return sums;
+  }
+
+  private static long at(double seconds) {
+    return START_US + Math.round(seconds * 1e6);
+  }
+
+  /** Runs it: clients come until the end, and all that was asked gets the time it may take. */
+  Result run() {
+    long started = System.nanoTime();
+    time.run(new Moment(at(endS)));
+    coming = false;
+    double longest =
+        world.profiles().stream().mapToDouble(World.Profile::timeoutMs).max().orElse(0) / 1000;
+    time.run(new Moment(at(endS + longest * 2 + 1)));
+    return new Result(
+        tally,
+        referee.broken().stream().map(Referee.Broken::toString).toList(),
+        referee.all(),
+        time.happened(),
+        (time.nowUs() - START_US) / 1e6,
+        (System.nanoTime() - started) / 1e9,
+        hash);
+  }
+
+  Referee referee() {
+    return referee;
+  }
+
+  /** What is so at engines, for a policy that may see it. */
+  Baseline.Truth truth() {
+    return new Baseline.Truth() {
+      @Override
+      public double pace(EngineId engine) {
+        return engine(engine).pace(1);
+      }
+
+      @Override
+      public boolean hasRoom(EngineId engine, int threads) {
+        EngineModel e = engine(engine);
+        return e.threads() == 0
+            || e.threads() + threads <= world.engines().cores() * world.engines().knee();
+      }
+    };
+  }
+
+  private void note(long what) {
+    hash = (hash ^ what) * FNV_PRIME;
+  }
+
+  // ---- clients
+
+  private double rate() {
+    World.Load load = world.load();
+    double t = (time.nowUs() - START_US) / 1e6;
+    double swing =
+        load.swingS() > 0 ? 1 + load.swing() * Math.sin(2 * Math.PI * t / load.swingS()) : 1;
+    boolean burst = load.burstEveryS() > 0 && t % load.burstEveryS() < load.burstS();
+    double flood = 1;
+    for (int i = 0; i < holderParts.length; i++) {
+      flood += holderParts[i] * (flooded[i] - 1) / Arrays.stream(holderParts).sum();
+    }
+    return load.perSecond() * swing * (burst ? load.burstTimes() : 1) * flood;
+  }
+
+  private void nextArrival() {
+    if (!coming) {
+      return;
+    }
+    ask(false);
+    double gap = -Math.log(1 - arrivals.nextDouble()) / rate();
+    time.at(time.nowUs() + Math.max(0, Math.round(gap * 1e6)), this::nextArrival);
+  }
+
+  private static int draw(double[] sums, double unit) {
+    int found = Arrays.binarySearch(sums, unit * sums[sums.length - 1]);
+    return Math.min(sums.length - 1, found >= 0 ? found + 1 : -found - 1);
+  }
+
+  private int holder() {
+    if (holderParts.length == 0) {
+      return -1;
+    }
+    double[] parts = holderParts.clone();
+    for (int i = 0; i < parts.length; i++) {
+      parts[i] *= flooded[i];
+    }
+    return draw(cumulative(parts), arrivals.nextDouble());
+  }
+
+  private double workUs(World.Profile p) {
+    double mean = p.workMs() * 1000;
+    if (p.cv() == 0) {
+      return mean;
+    }
+    if (p.cv() == 1) {
+      return -Math.log(1 - works.nextDouble()) * mean;
+    }
+    double variance = Math.log(1 + p.cv() * p.cv());
+    return mean * Math.exp(works.nextGaussian() * Math.sqrt(variance) - variance / 2);
+  }
+
+  private void ask(boolean closed) {
+    if (!coming) {
+      return;
+    }
+    Ask ask = new Ask();
+    ask.profile = draw(profileParts, arrivals.nextDouble());
+    ask.holder = holder();
+    ask.firstUs = time.nowUs();
+    ask.closed = closed;
+    ask.retriesLeft = world.load().retries();
+    World.Profile p = world.profiles().get(ask.profile);
+    DataSetId data =
+        dataParts.length == 0 ? null : new DataSetId(draw(dataParts, works.nextDouble()));
+    ask.order = new Order(p, workUs(p), p.memoryMb(), data);
+    ask.estimateUs =
+        ask.order.workUs() * Math.exp(world.load().estimateError() * works.nextGaussian());
+    ask.key = p.inOrder() ? "k" + works.nextInt(KEYS) : null;
+    tally.offered(ask.profile, p.benefit(), ask.firstUs - START_US);
+    attempt(ask);
+  }
+
+  private void attempt(Ask ask) {
+    World.Profile p = ask.order.profile();
+    Host host =
+        hosts.get(
+            hostParts == null
+                ? arrivals.nextInt(hosts.size())
+                : draw(hostParts, arrivals.nextDouble()));
+    long there = time.nowUs() + Math.round(world.net().clientMs() * 1000);
+    long until = time.nowUs() + p.timeout().us();
+    CommandId id = new CommandId("c" + asked++);
+    Command command =
+        new Command(
+            id,
+            new ProfileId(p.name()),
+            ask.holder < 0 ? null : new ShareId(world.holders().get(ask.holder).name()),
+            ask.key == null ? null : new OrderKey(ask.key),
+            new Moment(until),
+            new Span(Math.round(ask.estimateUs)),
+            ask.order.data(),
+            ask.order.memoryMb());
+    boolean[] told = {false};
+    time.at(
+        there,
+        () -> {
+          if (!host.isUp()) {
+            told[0] = true;
+            again(ask, Span.ZERO, () -> tally.row(ask.profile).failed++);
             return;
-        }
-        Ask ask = new Ask();
-        ask.profile = draw(profileParts, arrivals.nextDouble());
-        ask.holder = holder();
-        ask.firstUs = time.nowUs();
-        ask.closed = closed;
-        ask.retriesLeft = world.load().retries();
-        World.Profile p = world.profiles().get(ask.profile);
-        DataSetId data = dataParts.length == 0 ? null : new DataSetId(draw(dataParts, works.nextDouble()));
-        ask.order = new Order(p, workUs(p), p.memoryMb(), data);
-        ask.estimateUs = ask.order.workUs() * Math.exp(world.load().estimateError() * works.nextGaussian());
-        ask.key = p.inOrder() ? "k" + works.nextInt(KEYS) : null;
-        tally.offered(ask.profile, p.benefit(), ask.firstUs - START_US);
-        attempt(ask);
-    }
-
-    private void attempt(Ask ask) {
-        World.Profile p = ask.order.profile();
-        Host host = hosts.get(hostParts == null ? arrivals.nextInt(hosts.size()) : draw(hostParts, arrivals.nextDouble()));
-        long there = time.nowUs() + Math.round(world.net().clientMs() * 1000);
-        long until = time.nowUs() + p.timeout().us();
-        CommandId id = new CommandId("c" + asked++);
-        Command command = new Command(id, new ProfileId(p.name()),
-                ask.holder < 0 ? null : new ShareId(world.holders().get(ask.holder).name()),
-                ask.key == null ? null : new OrderKey(ask.key), new Moment(until),
-                new Span(Math.round(ask.estimateUs)), ask.order.data(), ask.order.memoryMb());
-        boolean[] told = {false};
-        time.at(there, () -> {
-            if (!host.isUp()) {
-                told[0] = true;
-                again(ask, Span.ZERO, () -> tally.row(ask.profile).failed++);
-                return;
-            }
-            host.take(command, ask.order, ask.key, new Host.Asker() {
+          }
+          host.take(
+              command,
+              ask.order,
+              ask.key,
+              new Host.Asker() {
                 @Override
                 public void told(Referee.Final what, Span comeBack) {
-                    time.after(World.ms(world.net().clientMs()), () -> {
+                  time.after(
+                      World.ms(world.net().clientMs()),
+                      () -> {
                         if (!told[0]) {
-                            told[0] = true;
-                            Simulation.this.told(ask, what, comeBack);
+                          told[0] = true;
+                          Simulation.this.told(ask, what, comeBack);
                         }
-                    });
+                      });
                 }
 
                 @Override
                 public boolean gone() {
-                    return told[0];
+                  return told[0];
                 }
-            });
+              });
         });
-        time.at(until, () -> {
-            if (!told[0]) {
-                told[0] = true;
-                host.departed(id);
-                tally.row(ask.profile).unheard++;
-                over(ask);
-            }
-        });
-    }
-
-    private void told(Ask ask, Referee.Final what, Span comeBack) {
-        World.Profile p = ask.order.profile();
-        note(what.ordinal() + 31L * time.nowUs());
-        switch (what) {
-            case ANSWERED -> {
-                long latency = time.nowUs() - ask.firstUs;
-                double target = p.target().us() + p.stretch() * ask.order.workUs() / p.threads();
-                boolean in = latency <= Math.min(target, p.timeout().us());
-                tally.answered(ask.profile, p.benefit() * (in ? 1 : p.lateBenefit()), in, latency, ask.firstUs - START_US);
-                over(ask);
-            }
-            case SHED -> again(ask, comeBack, () -> tally.row(ask.profile).shed++);
-            default -> {
-                tally.row(ask.profile).failed++;
-                over(ask);
-            }
-        }
-    }
-
-    private void again(Ask ask, Span comeBack, Runnable otherwise) {
-        Span wait = comeBack.max(World.ms(LONGEST_RETRY_S * 1000)).times(0.5 + arrivals.nextDouble());
-        boolean inTime = time.nowUs() + wait.us() < ask.firstUs + ask.order.profile().timeout().us();
-        if (ask.retriesLeft > 0 && inTime) {
-            ask.retriesLeft--;
-            time.after(wait, () -> attempt(ask));
-        } else {
-            otherwise.run();
+    time.at(
+        until,
+        () -> {
+          if (!told[0]) {
+            told[0] = true;
+            host.departed(id);
+            tally.row(ask.profile).unheard++;
             over(ask);
-        }
-    }
-
-    private void over(Ask ask) {
-        if (ask.closed) {
-            time.after(World.ms(world.load().thinkMs()), () -> ask(true));
-        }
-    }
-
-    // ---- the network and engines
-
-    private Span delay() {
-        World.Net net = world.net();
-        return World.ms(net.oneWayMs() * (1 + net.jitter() * (2 * network.nextDouble() - 1)));
-    }
-
-    @Override
-    public EngineModel engine(EngineId id) {
-        return engines.get((int) id.value() - 1);
-    }
-
-    private boolean cut(Host host, EngineModel engine) {
-        return partitioned.get(host.number).contains((int) engine.id.value() - 1);
-    }
-
-    @Override
-    public void send(Host from, Host.Out out, Order order) {
-        note(out.engine.id.value() * 1_000_003 + time.nowUs());
-        World.Profile p = order.profile();
-        boolean bad = plans.nextDouble() < Math.max(p.badPlans(), badPlans);
-        double work = order.workUs() * (bad ? badPlans > p.badPlans() ? badTimes : p.badTimes() : 1);
-        boolean fails = plans.nextDouble() < Math.max(out.engine.failing, world.engines().errors());
-        time.after(delay(), () -> arrive(from, out, order, work, fails));
-    }
-
-    private void arrive(Host from, Host.Out out, Order order, double work, boolean fails) {
-        EngineModel engine = out.engine;
-        if (out.over || cut(from, engine) || engine.life == EngineModel.Life.VANISHED) {
-            return;
-        }
-        if (engine.life == EngineModel.Life.DIED) {
-            back(from, out, Ending.UNREACHABLE, -1);
-            return;
-        }
-        if (fails) {
-            back(from, out, Ending.ERROR, engine.running());
-            return;
-        }
-        if (referee.pushesOver(engine, order.profile().workMs() * 1000)) {
-            die(engine, false);
-            back(from, out, Ending.UNREACHABLE, -1);
-            return;
-        }
-        int threads = order.profile().threads();
-        EngineModel.Job job = new EngineModel.Job(threads, work, order.memoryMb(), () -> {
-            referee.ran(from.number, from.command(out), out.seen);
-            if (!(engine.losing > 0 && plans.nextDouble() < engine.losing)) {
+          }
+        });
+  }
+
+  private void told(Ask ask, Referee.Final what, Span comeBack) {
+    World.Profile p = ask.order.profile();
+    note(what.ordinal() + 31L * time.nowUs());
+    switch (what) {
+      case ANSWERED -> {
+        long latency = time.nowUs() - ask.firstUs;
+        double target = p.target().us() + p.stretch() * ask.order.workUs() / p.threads();
+        boolean in = latency <= Math.min(target, p.timeout().us());
+        tally.answered(
+            ask.profile,
+            p.benefit() * (in ? 1 : p.lateBenefit()),
+            in,
+            latency,
+            ask.firstUs - START_US);
+        over(ask);
+      }
+      case SHED -> again(ask, comeBack, () -> tally.row(ask.profile).shed++);
+      default -> {
+        tally.row(ask.profile).failed++;
+        over(ask);
+      }
+    }
+  }
+
+  private void again(Ask ask, Span comeBack, Runnable otherwise) {
+    Span wait = comeBack.max(World.ms(LONGEST_RETRY_S * 1000)).times(0.5 + arrivals.nextDouble());
+    boolean inTime = time.nowUs() + wait.us() < ask.firstUs + ask.order.profile().timeout().us();
+    if (ask.retriesLeft > 0 && inTime) {
+      ask.retriesLeft--;
+      time.after(wait, () -> attempt(ask));
+    } else {
+      otherwise.run();
+      over(ask);
+    }
+  }
+
+  private void over(Ask ask) {
+    if (ask.closed) {
+      time.after(World.ms(world.load().thinkMs()), () -> ask(true));
+    }
+  }
+
+  // ---- the network and engines
+
+  private Span delay() {
+    World.Net net = world.net();
+    return World.ms(net.oneWayMs() * (1 + net.jitter() * (2 * network.nextDouble() - 1)));
+  }
+
+  @Override
+  public EngineModel engine(EngineId id) {
+    return engines.get((int) id.value() - 1);
+  }
+
+  private boolean cut(Host host, EngineModel engine) {
+    return partitioned.get(host.number).contains((int) engine.id.value() - 1);
+  }
+
+  @Override
+  public void send(Host from, Host.Out out, Order order) {
+    note(out.engine.id.value() * 1_000_003 + time.nowUs());
+    World.Profile p = order.profile();
+    boolean bad = plans.nextDouble() < Math.max(p.badPlans(), badPlans);
+    double work = order.workUs() * (bad ? badPlans > p.badPlans() ? badTimes : p.badTimes() : 1);
+    boolean fails = plans.nextDouble() < Math.max(out.engine.failing, world.engines().errors());
+    time.after(delay(), () -> arrive(from, out, order, work, fails));
+  }
+
+  private void arrive(Host from, Host.Out out, Order order, double work, boolean fails) {
+    EngineModel engine = out.engine;
+    if (out.over || cut(from, engine) || engine.life == EngineModel.Life.VANISHED) {
+      return;
+    }
+    if (engine.life == EngineModel.Life.DIED) {
+      back(from, out, Ending.UNREACHABLE, -1);
+      return;
+    }
+    if (fails) {
+      back(from, out, Ending.ERROR, engine.running());
+      return;
+    }
+    if (referee.pushesOver(engine, order.profile().workMs() * 1000)) {
+      die(engine, false);
+      back(from, out, Ending.UNREACHABLE, -1);
+      return;
+    }
+    int threads = order.profile().threads();
+    EngineModel.Job job =
+        new EngineModel.Job(
+            threads,
+            work,
+            order.memoryMb(),
+            () -> {
+              referee.ran(from.number, from.command(out), out.seen);
+              if (!(engine.losing > 0 && plans.nextDouble() < engine.losing)) {
                 back(from, out, Ending.ANSWERED, engine.running());
+              }
+            },
+            () -> back(from, out, Ending.CUT, -1));
+    if (!engine.begin(job, order.data())) {
+      back(from, out, Ending.NO_ROOM, engine.running());
+      return;
+    }
+    out.job = job;
+    if (world.limits().progressMs() > 0) {
+      time.after(World.ms(world.limits().progressMs()), () -> progress(from, out));
+    }
+  }
+
+  private void progress(Host from, Host.Out out) {
+    if (!out.over && !cut(from, out.engine) && out.engine.life == EngineModel.Life.RUNS) {
+      double share = out.engine.progress(out.job);
+      if (share < 1) {
+        time.after(delay(), () -> from.progressed(out, share));
+        time.after(World.ms(world.limits().progressMs()), () -> progress(from, out));
+      }
+    }
+  }
+
+  /** Word of a send goes back to its dispatcher, unless the way is cut. */
+  private void back(Host to, Host.Out out, Ending ending, double inHand) {
+    if (!cut(to, out.engine)) {
+      time.after(delay(), () -> to.ended(out, ending, inHand));
+    }
+  }
+
+  @Override
+  public void giveUp(Host from, Host.Out out) {
+    if (world.limits().cancels()) {
+      time.after(
+          delay(),
+          () -> {
+            if (out.job != null && !cut(from, out.engine)) {
+              out.engine.cancel(out.job);
             }
-        }, () -> back(from, out, Ending.CUT, -1));
-        if (!engine.begin(job, order.data())) {
-            back(from, out, Ending.NO_ROOM, engine.running());
-            return;
-        }
-        out.job = job;
-        if (world.limits().progressMs() > 0) {
-            time.after(World.ms(world.limits().progressMs()), () -> progress(from, out));
-        }
-    }
-
-    private void progress(Host from, Host.Out out) {
-        if (!out.over && !cut(from, out.engine) && out.engine.life == EngineModel.Life.RUNS) {
-            double share = out.engine.progress(out.job);
-            if (share < 1) {
-                time.after(delay(), () -> from.progressed(out, share));
-                time.after(World.ms(world.limits().progressMs()), () -> progress(from, out));
-            }
-        }
-    }
-
-    /** Word of a send goes back to its dispatcher, unless the way is cut. */
-    private void back(Host to, Host.Out out, Ending ending, double inHand) {
-        if (!cut(to, out.engine)) {
-            time.after(delay(), () -> to.ended(out, ending, inHand));
-        }
-    }
-
-    @Override
-    public void giveUp(Host from, Host.Out out) {
-        if (world.limits().cancels()) {
-            time.after(delay(), () -> {
-                if (out.job != null && !cut(from, out.engine)) {
-                    out.engine.cancel(out.job);
-                }
-            });
-        }
-    }
-
-    // ---- the list
-
-    private void start(int dispatcher) {
-        lives[dispatcher]++;
-        Host host = hosts.get(dispatcher);
-        host.start(policies.of(world.deployment(dispatcher), seeds.nextLong(), this));
-        List<Listing> all = new ArrayList<>();
-        for (int i = 0; i < engines.size(); i++) {
-            all.add(listing(i));
-        }
-        host.listed(all, true);
-    }
-
-    private Listing listing(int engine) {
-        EngineModel e = engines.get(engine);
-        return new Listing(e.id, e.location, new KindId(World.KIND), e.group, standings.get(engine),
-                new Moment(Math.max(0, e.startedUs)));
-    }
-
-    /** An engine's line has changed: each dispatcher hears of it late, and in order. */
-    private void changed(int engine, Standing to) {
-        standings.set(engine, to);
-        if (rosterStops > 0) {
-            untold.add(engine);
-            return;
-        }
-        tell(engine);
-    }
-
-    private void tell(int engine) {
-        Listing line = listing(engine);
-        for (Host host : hosts) {
-            double late = world.roster().lagMs() + network.nextDouble() * world.roster().spreadMs();
-            long when = Math.max(heardUntil[host.number] + 1, time.nowUs() + Math.round(late * 1000));
-            heardUntil[host.number] = when;
-            long life = lives[host.number];
-            time.at(when, () -> {
-                if (lives[host.number] == life) {
-                    host.listed(List.of(line), false);
-                }
-            });
-        }
-    }
-
-    private void die(EngineModel engine, boolean silent) {
-        engine.advance();
-        engine.life = silent ? EngineModel.Life.VANISHED : EngineModel.Life.DIED;
-        List<EngineModel.Job> dropped = engine.drop();
-        if (!silent) {
-            dropped.forEach(j -> j.cut.run());
-        }
-        int number = (int) engine.id.value() - 1;
-        time.after(World.ms(silent ? world.roster().lagMs() * 2 : 0), () -> {
-            if (engine.life != EngineModel.Life.RUNS) {
-                changed(number, Standing.GONE);
+          });
+    }
+  }
+
+  // ---- the list
+
+  private void start(int dispatcher) {
+    lives[dispatcher]++;
+    Host host = hosts.get(dispatcher);
+    host.start(policies.of(world.deployment(dispatcher), seeds.nextLong(), this));
+    List<Listing> all = new ArrayList<>();
+    for (int i = 0; i < engines.size(); i++) {
+      all.add(listing(i));
+    }
+    host.listed(all, true);
+  }
+
+  private Listing listing(int engine) {
+    EngineModel e = engines.get(engine);
+    return new Listing(
+        e.id,
+        e.location,
+        new KindId(World.KIND),
+        e.group,
+        standings.get(engine),
+        new Moment(Math.max(0, e.startedUs)));
+  }
+
+  /** An engine's line has changed: each dispatcher hears of it late, and in order. */
+  private void changed(int engine, Standing to) {
+    standings.set(engine, to);
+    if (rosterStops > 0) {
+      untold.add(engine);
+      return;
+    }
+    tell(engine);
+  }
+
+  private void tell(int engine) {
+    Listing line = listing(engine);
+    for (Host host : hosts) {
+      double late = world.roster().lagMs() + network.nextDouble() * world.roster().spreadMs();
+      long when = Math.max(heardUntil[host.number] + 1, time.nowUs() + Math.round(late * 1000));
+      heardUntil[host.number] = when;
+      long life = lives[host.number];
+      time.at(
+          when,
+          () -> {
+            if (lives[host.number] == life) {
+              host.listed(List.of(line), false);
             }
+          });
+    }
+  }
+
+  private void die(EngineModel engine, boolean silent) {
+    engine.advance();
+    engine.life = silent ? EngineModel.Life.VANISHED : EngineModel.Life.DIED;
+    List<EngineModel.Job> dropped = engine.drop();
+    if (!silent) {
+      dropped.forEach(j -> j.cut.run());
+    }
+    int number = (int) engine.id.value() - 1;
+    time.after(
+        World.ms(silent ? world.roster().lagMs() * 2 : 0),
+        () -> {
+          if (engine.life != EngineModel.Life.RUNS) {
+            changed(number, Standing.GONE);
+          }
         });
-    }
-
-    private void returns(int number) {
-        EngineModel engine = engines.get(number);
-        if (engine.life != EngineModel.Life.RUNS) {
-            engine.life = EngineModel.Life.RUNS;
-            engine.startedUs = time.nowUs();
-            engine.advance();
-            changed(number, Standing.UP);
-        }
-    }
-
-    // ---- what goes wrong
-
-    private void begin(Fault f) {
-        long end = time.nowUs() + Math.round(f.lengthS() * 1e6);
-        switch (f.kind()) {
-            case SLOW -> paced(f, 1 / f.size(), f.size(), end);
-            case HANG -> paced(f, 0, 0, end);
-            case FAIL -> f.engines().forEach(e -> {
-                engines.get(e).failing = f.size();
-                time.at(end, () -> engines.get(e).failing = 0);
-            });
-            case LOSE -> f.engines().forEach(e -> {
-                engines.get(e).losing = f.size();
-                time.at(end, () -> engines.get(e).losing = 0);
-            });
-            case VANISH, DIE -> f.engines().forEach(e -> {
-                if (engines.get(e).life == EngineModel.Life.RUNS) {
-                    die(engines.get(e), f.kind() == Fault.Kind.VANISH);
-                    time.at(end, () -> returns(e));
-                }
-            });
-            case DRAIN -> f.engines().forEach(e -> {
-                if (engines.get(e).life == EngineModel.Life.RUNS) {
-                    changed(e, Standing.DRAINING);
-                    time.at(end, () -> {
-                        if (engines.get(e).life == EngineModel.Life.RUNS) {
-                            die(engines.get(e), false);
-                        }
-                    });
-                    time.at(end + (end - time.nowUs()), () -> returns(e));
-                }
-            });
-            case PARTITION -> {
-                Set<Integer> of = partitioned.get(f.who());
-                of.addAll(f.engines());
-                time.at(end, () -> of.removeAll(f.engines()));
-            }
-            case PAUSE -> {
-                hosts.get(f.who()).standStill(true);
-                time.at(end, () -> hosts.get(f.who()).standStill(false));
-            }
-            case KILL -> {
-                if (hosts.get(f.who()).isUp()) {
-                    hosts.get(f.who()).kill();
-                    lives[f.who()]++;
-                    time.at(end, () -> start(f.who()));
-                }
-            }
-            case ROSTER_STOPS -> {
-                rosterStops++;
-                time.at(end, () -> {
-                    if (--rosterStops == 0) {
-                        List<Integer> due = List.copyOf(untold);
-                        untold.clear();
-                        due.stream().distinct().forEach(this::tell);
+  }
+
+  private void returns(int number) {
+    EngineModel engine = engines.get(number);
+    if (engine.life != EngineModel.Life.RUNS) {
+      engine.life = EngineModel.Life.RUNS;
+      engine.startedUs = time.nowUs();
+      engine.advance();
+      changed(number, Standing.UP);
+    }
+  }
+
+  // ---- what goes wrong
+
+  private void begin(Fault f) {
+    long end = time.nowUs() + Math.round(f.lengthS() * 1e6);
+    switch (f.kind()) {
+      case SLOW -> paced(f, 1 / f.size(), f.size(), end);
+      case HANG -> paced(f, 0, 0, end);
+      case FAIL ->
+          f.engines()
+              .forEach(
+                  e -> {
+                    engines.get(e).failing = f.size();
+                    time.at(end, () -> engines.get(e).failing = 0);
+                  });
+      case LOSE ->
+          f.engines()
+              .forEach(
+                  e -> {
+                    engines.get(e).losing = f.size();
+                    time.at(end, () -> engines.get(e).losing = 0);
+                  });
+      case VANISH, DIE ->
+          f.engines()
+              .forEach(
+                  e -> {
+                    if (engines.get(e).life == EngineModel.Life.RUNS) {
+                      die(engines.get(e), f.kind() == Fault.Kind.VANISH);
+                      time.at(end, () -> returns(e));
                     }
-                });
-            }
-            case FLOOD -> {
-                if (f.who() < holderParts.length) {
-                    flooded[f.who()] = f.size();
-                    time.at(end, () -> flooded[f.who()] = 1);
-                }
-            }
-            case BAD_PLANS -> {
-                badPlans = f.size();
-                time.at(end, () -> badPlans = 0);
-            }
-            default -> throw new IllegalStateException(f.kind().label());
-        }
-    }
-
-    private void paced(Fault f, double factor, double back, long end) {
-        for (int e : f.engines()) {
-            EngineModel engine = engines.get(e);
-            double before = engine.slowed;
-            pace(engine, back == 0 ? 0 : before * factor);
-            time.at(end, () -> pace(engine, back == 0 ? Math.max(before, 0.01) : engine.slowed * back));
-        }
-    }
-
-    private static void pace(EngineModel engine, double to) {
-        engine.advance();
-        engine.slowed = to;
-        engine.plan();
-    }
+                  });
+      case DRAIN ->
+          f.engines()
+              .forEach(
+                  e -> {
+                    if (engines.get(e).life == EngineModel.Life.RUNS) {
+                      changed(e, Standing.DRAINING);
+                      time.at(
+                          end,
+                          () -> {
+                            if (engines.get(e).life == EngineModel.Life.RUNS) {
+                              die(engines.get(e), false);
+                            }
+                          });
+                      time.at(end + (end - time.nowUs()), () -> returns(e));
+                    }
+                  });
+      case PARTITION -> {
+        Set<Integer> of = partitioned.get(f.who());
+        of.addAll(f.engines());
+        time.at(end, () -> of.removeAll(f.engines()));
+      }
+      case PAUSE -> {
+        hosts.get(f.who()).standStill(true);
+        time.at(end, () -> hosts.get(f.who()).standStill(false));
+      }
+      case KILL -> {
+        if (hosts.get(f.who()).isUp()) {
+          hosts.get(f.who()).kill();
+          lives[f.who()]++;
+          time.at(end, () -> start(f.who()));
+        }
+      }
+      case ROSTER_STOPS -> {
+        rosterStops++;
+        time.at(
+            end,
+            () -> {
+              if (--rosterStops == 0) {
+                List<Integer> due = List.copyOf(untold);
+                untold.clear();
+                due.stream().distinct().forEach(this::tell);
+              }
+            });
+      }
+      case FLOOD -> {
+        if (f.who() < holderParts.length) {
+          flooded[f.who()] = f.size();
+          time.at(end, () -> flooded[f.who()] = 1);
+        }
+      }
+      case BAD_PLANS -> {
+        badPlans = f.size();
+        time.at(end, () -> badPlans = 0);
+      }
+      default -> throw new IllegalStateException(f.kind().label());
+    }
+  }
+
+  private void paced(Fault f, double factor, double back, long end) {
+    for (int e : f.engines()) {
+      EngineModel engine = engines.get(e);
+      double before = engine.slowed;
+      pace(engine, back == 0 ? 0 : before * factor);
+      time.at(end, () -> pace(engine, back == 0 ? Math.max(before, 0.01) : engine.slowed * back));
+    }
+  }
+
+  private static void pace(EngineModel engine, double to) {
+    engine.advance();
+    engine.slowed = to;
+    engine.plan();
+  }
 }
