--- a/src/main/java/cobaltseam/emulator/Timeline.java
+++ b/src/main/java/cobaltseam/emulator/Timeline.java
@@ -1,81 +1,88 @@
 package cobaltseam.emulator;
 
-import java.util.PriorityQueue;
-
 import cobaltseam.dispatch.Moment;
 import cobaltseam.dispatch.Span;
+import java.util.PriorityQueue;
 
-/** Virtual time: what is to happen, in the order of its moments, and of its setting where those are the same. */
+/**
+ * Virtual time: what is to happen, in the order of its moments, and of its setting where those are
+ * the same.
+ */
 final class Timeline {
-    /** Something set for a moment, to be taken back by who set it. */
-    static final class Entry implements Comparable<Entry> {
-        private final long at;
-        private final long number;
-        private Runnable what;
+  /** Something set for a moment, to be taken back by who set it. */
+  static final class Entry implements Comparable<Entry> {
+    private final long at;
+    private final long number;
+    private Runnable what;
 
-        private Entry(long at, long number, Runnable what) {
-            this.at = at;
-            this.number = number;
-            this.what = what;
-        }
+    private Entry(long at, long number, Runnable what) {
+      this.at = at;
+      this.number = number;
+      this.what = what;
+    }
 
-        @Override
-        public int compareTo(Entry other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
-        }
+    @Override
+    public int compareTo(Entry other) {
+      return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
     }
+  }
 
-    private final PriorityQueue<Entry> entries = new PriorityQueue<>(1024);
-    private long now;
-    private long numbers;
-    private long happened;
+  private final PriorityQueue<Entry> entries = new PriorityQueue<>(1024);
+  private long now;
+  private long numbers;
+  private long happened;
 
-    Timeline(Moment start) {
-        now = start.us();
-    }
+  Timeline(Moment start) {
+    now = start.us();
+  }
 
-    Moment now() {
-        return new Moment(now);
-    }
+  Moment now() {
+    return new Moment(now);
+  }
 
-    long nowUs() {
-        return now;
-    }
+  long nowUs() {
+    return now;
+  }
 
-    /** How many things have happened. */
-    long happened() {
-        return happened;
-    }
+  /** How many things have happened. */
+  long happened() {
+    return happened;
+  }
 
-    Entry at(long us, Runnable what) {
-        Entry entry = new Entry(Math.max(us, now), numbers++, what);
-        entries.add(entry);
-        return entry;
-    }
+  Entry at(long us, Runnable what) {
+    Entry entry = new Entry(Math.max(us, now), numbers++, what);
+    entries.add(entry);
+    return entry;
+  }
 
-    Entry after(Span span, Runnable what) {
-        return at(now + span.us(), what);
-    }
+  Entry after(Span span, Runnable what) {
+    return at(now + span.us(), what);
+  }
 
-    /** Takes one back; null and what is past are passed over. Its place is freed when its moment comes. */
-    static void cancel(Entry entry) {
-        if (entry != null) {
-            entry.what = null;
-        }
+  /**
+   * Takes one back; null and what is past are passed over. Its place is freed when its moment
+   * comes.
+   */
+  static void cancel(Entry entry) {
+    if (entry != null) {
+      entry.what = null;
     }
+  }
 
-    /** Lets everything up to a moment happen. */
-    void run(Moment until) {
-        for (Entry next = entries.peek(); next != null && next.at <= until.us(); next = entries.peek()) {
-            entries.poll();
-            if (next.what != null) {
-                now = next.at;
-                happened++;
-                Runnable what = next.what;
-                next.what = null;
-                what.run();
-            }
-        }
-        now = Math.max(now, until.us());
+  /** Lets everything up to a moment happen. */
+  void run(Moment until) {
+    for (Entry next = entries.peek();
+        next != null && next.at <= until.us();
+        next = entries.peek()) {
+      entries.poll();
+      if (next.what != null) {
+        now = next.at;
+        happened++;
+        Runnable what = next.what;
+        next.what = null;
+        what.run();
+      }
     }
+    now = Math.max(now, until.us());
+  }
 }
--- a/src/main/java/cobaltseam/emulator/World.java
+++ b/src/main/java/cobaltseam/emulator/World.java
@@ -1,7 +1,5 @@
 package cobaltseam.emulator;
 
-import java.util.List;
-
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.Deployment.Kind;
 import cobaltseam.dispatch.Deployment.Means;
@@ -13,87 +11,184 @@
 import cobaltseam.dispatch.ProfileId;
 import cobaltseam.dispatch.ShareId;
 import cobaltseam.dispatch.Span;
+import java.util.List;
 
 /** What an emulated deployment is made of; every figure is the world's own. */
-public record World(String name, Engines engines, int dispatchers, List<Profile> profiles, List<Holder> holders, Load load,
-                    Net net, Roster roster, Limits limits) {
-    /**
-     * The engines: how many, their cores, the spread of their speeds around 1, threads a core up to which all cores do
-     * work, how much work falls for each thread a core beyond, sessions at most, the part of its work that one can do when it
-     * starts and for how long it warms up, memory, how much work grows for a command with none of the memory it needs, how
-     * many data sets stay warm, and how much less work reading a warm one is.
-     */
-    public record Engines(int count, double cores, double speedSpread, double knee, double fall, int sessions, double coldFrom,
-                          double warmS, double memoryMb, double spill, int warmSets, double warmGain, int locations, int groups,
-                          double errors) {
-    }
+public record World(
+    String name,
+    Engines engines,
+    int dispatchers,
+    List<Profile> profiles,
+    List<Holder> holders,
+    Load load,
+    Net net,
+    Roster roster,
+    Limits limits) {
+  /**
+   * The engines: how many, their cores, the spread of their speeds around 1, threads a core up to
+   * which all cores do work, how much work falls for each thread a core beyond, sessions at most,
+   * the part of its work that one can do when it starts and for how long it warms up, memory, how
+   * much work grows for a command with none of the memory it needs, how many data sets stay warm,
+   * and how much less work reading a warm one is.
+   */
+  public record Engines(
+      int count,
+      double cores,
+      double speedSpread,
+      double knee,
+      double fall,
+      int sessions,
+      double coldFrom,
+      double warmS,
+      double memoryMb,
+      double spill,
+      int warmSets,
+      double warmGain,
+      int locations,
+      int groups,
+      double errors) {}
 
-    /** One profile of commands, by its part of all that come. */
-    public record Profile(String name, double part, int threads, double workMs, double cv, double benefit, double lateBenefit,
-                          double targetMs, double timeoutMs, double stretch, Repeat repeat, Scope scope, double rememberedMs,
-                          double memoryMb, boolean inOrder, double badPlans, double badTimes, List<String> locations) {
-        Span target() {
-            return ms(targetMs);
-        }
-
-        Span timeout() {
-            return ms(timeoutMs);
-        }
+  /** One profile of commands, by its part of all that come. */
+  public record Profile(
+      String name,
+      double part,
+      int threads,
+      double workMs,
+      double cv,
+      double benefit,
+      double lateBenefit,
+      double targetMs,
+      double timeoutMs,
+      double stretch,
+      Repeat repeat,
+      Scope scope,
+      double rememberedMs,
+      double memoryMb,
+      boolean inOrder,
+      double badPlans,
+      double badTimes,
+      List<String> locations) {
+    Span target() {
+      return ms(targetMs);
     }
 
-    /** One holder of a share: its part of the traffic, and how many commands a second it is due. */
-    public record Holder(String name, double part, double perSecond) {
+    Span timeout() {
+      return ms(timeoutMs);
     }
+  }
 
-    /**
-     * What comes: commands a second, how much that swings in how many seconds, how often bursts come and how much more
-     * they bring for how long, how skewed data sets are, how often clients ask again, and closed clients that ask one
-     * at a time with a pause between. Dispatchers carry parts as 1 / rank to the power of their skew; without one all carry alike.
-     */
-    public record Load(double perSecond, double swing, double swingS, double burstEveryS, double burstTimes, double burstS,
-                       int dataSets, double skew, int retries, double estimateError, int closedClients, double thinkMs,
-                       Double dispatcherSkew) {
-    }
+  /** One holder of a share: its part of the traffic, and how many commands a second it is due. */
+  public record Holder(String name, double part, double perSecond) {}
 
-    /** One way between dispatchers and engines, its spread, and between clients and dispatchers, in milliseconds. */
-    public record Net(double oneWayMs, double jitter, double clientMs) {
-    }
+  /**
+   * What comes: commands a second, how much that swings in how many seconds, how often bursts come
+   * and how much more they bring for how long, how skewed data sets are, how often clients ask
+   * again, and closed clients that ask one at a time with a pause between. Dispatchers carry parts
+   * as 1 / rank to the power of their skew; without one all carry alike.
+   */
+  public record Load(
+      double perSecond,
+      double swing,
+      double swingS,
+      double burstEveryS,
+      double burstTimes,
+      double burstS,
+      int dataSets,
+      double skew,
+      int retries,
+      double estimateError,
+      int closedClients,
+      double thinkMs,
+      Double dispatcherSkew) {}
 
-    /** How late a dispatcher hears of changes: at the least, and how much more by chance. */
-    public record Roster(double lagMs, double spreadMs) {
-    }
+  /**
+   * One way between dispatchers and engines, its spread, and between clients and dispatchers, in
+   * milliseconds.
+   */
+  public record Net(double oneWayMs, double jitter, double clientMs) {}
 
-    /** What a dispatcher may do. */
-    public record Limits(int mostSends, boolean cancels, double progressMs, double comeBackMs, double drainGraceMs,
-                         double fallMultiple, double fallWindowMs, double keyRestMs, Double furtherFree, Double furtherRatio,
-                         double furtherWindowMs) {
-    }
+  /** How late a dispatcher hears of changes: at the least, and how much more by chance. */
+  public record Roster(double lagMs, double spreadMs) {}
 
-    static final String KIND = "emulated";
+  /** What a dispatcher may do. */
+  public record Limits(
+      int mostSends,
+      boolean cancels,
+      double progressMs,
+      double comeBackMs,
+      double drainGraceMs,
+      double fallMultiple,
+      double fallWindowMs,
+      double keyRestMs,
+      Double furtherFree,
+      Double furtherRatio,
+      double furtherWindowMs) {}
 
-    static Span ms(double ms) {
-        return new Span(Math.round(ms * 1000));
-    }
+  static final String KIND = "emulated";
 
-    /** What the module is told of this world, as the dispatcher of a number. */
-    Deployment deployment(int number) {
-        return new Deployment(number, dispatchers, profiles.stream().map(p -> new Deployment.Profile(new ProfileId(p.name()),
-                p.threads(), p.benefit(), p.lateBenefit(), p.target(), p.stretch(), p.timeout(), p.repeat(), p.scope(),
-                ms(p.rememberedMs()), p.inOrder(), p.locations() == null ? null
-                        : p.locations().stream().map(cobaltseam.dispatch.LocationId::new).toList(), null)).toList(),
-                List.of(new Kind(new KindId(KIND), engines.cores(), engines.memoryMb())),
-                holders.stream().map(h -> new Share(new ShareId(h.name()), h.perSecond())).toList(), 0.05,
-                new Rules(engines.coldFrom(), ms(engines.warmS() * 1000), limits.fallMultiple(), ms(limits.fallWindowMs()),
-                        ms(limits.keyRestMs()), limits.furtherFree(), limits.furtherRatio(),
-                        limits.furtherFree() == null ? null : ms(limits.furtherWindowMs())),
-                new Means(new Span(1000), limits.mostSends(), limits.cancels(), false, limits.comeBackMs() > 0,
-                        ms(limits.comeBackMs()), ms(limits.progressMs())));
-    }
+  static Span ms(double ms) {
+    return new Span(Math.round(ms * 1000));
+  }
 
-    /** Commands a second that keep every core busy, at the mean work of a command and engines of speed 1. */
-    double capacity() {
-        double mean = profiles.stream().mapToDouble(p -> p.part() * p.workMs() * (1 + p.badPlans() * (p.badTimes() - 1))).sum()
-                / profiles.stream().mapToDouble(Profile::part).sum();
-        return engines.count() * engines.cores() * 1000 / mean;
-    }
+  /** What the module is told of this world, as the dispatcher of a number. */
+  Deployment deployment(int number) {
+    return new Deployment(
+        number,
+        dispatchers,
+        profiles.stream()
+            .map(
+                p ->
+                    new Deployment.Profile(
+                        new ProfileId(p.name()),
+                        p.threads(),
+                        p.benefit(),
+                        p.lateBenefit(),
+                        p.target(),
+                        p.stretch(),
+                        p.timeout(),
+                        p.repeat(),
+                        p.scope(),
+                        ms(p.rememberedMs()),
+                        p.inOrder(),
+                        p.locations() == null
+                            ? null
+                            : p.locations().stream()
+                                .map(cobaltseam.dispatch.LocationId::new)
+                                .toList(),
+                        null))
+            .toList(),
+        List.of(new Kind(new KindId(KIND), engines.cores(), engines.memoryMb())),
+        holders.stream().map(h -> new Share(new ShareId(h.name()), h.perSecond())).toList(),
+        0.05,
+        new Rules(
+            engines.coldFrom(),
+            ms(engines.warmS() * 1000),
+            limits.fallMultiple(),
+            ms(limits.fallWindowMs()),
+            ms(limits.keyRestMs()),
+            limits.furtherFree(),
+            limits.furtherRatio(),
+            limits.furtherFree() == null ? null : ms(limits.furtherWindowMs())),
+        new Means(
+            new Span(1000),
+            limits.mostSends(),
+            limits.cancels(),
+            false,
+            limits.comeBackMs() > 0,
+            ms(limits.comeBackMs()),
+            ms(limits.progressMs())));
+  }
+
+  /**
+   * Commands a second that keep every core busy, at the mean work of a command and engines of speed
+   * 1.
+   */
+  double capacity() {
+    double mean =
+        profiles.stream()
+                .mapToDouble(p -> p.part() * p.workMs() * (1 + p.badPlans() * (p.badTimes() - 1)))
+                .sum()
+            / profiles.stream().mapToDouble(Profile::part).sum();
+    return engines.count() * engines.cores() * 1000 / mean;
+  }
 }
--- a/src/main/java/cobaltseam/emulator/Worlds.java
+++ b/src/main/java/cobaltseam/emulator/Worlds.java
@@ -1,5 +1,9 @@
 package cobaltseam.emulator;
 
+import cobaltseam.deployment.BadInput;
+import com.fasterxml.jackson.core.JacksonException;
+import com.fasterxml.jackson.databind.DeserializationFeature;
+import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -8,78 +12,93 @@
 import java.util.ArrayList;
 import java.util.List;
 
-import cobaltseam.deployment.BadInput;
-import com.fasterxml.jackson.core.JacksonException;
-import com.fasterxml.jackson.databind.DeserializationFeature;
-import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-
-/** Worlds from TOML, by the name of one that comes along or by a file; with every figure checked against its bounds. */
+/**
+ * Worlds from TOML, by the name of one that comes along or by a file; with every figure checked
+ * against its bounds.
+ */
 final class Worlds {
-    private static final TomlMapper TOML = new TomlMapper();
+  private static final TomlMapper TOML = new TomlMapper();
 
-    static {
-        TOML.enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES, DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
-    }
+  static {
+    TOML.enable(
+        DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES,
+        DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
+  }
 
-    private Worlds() {
-    }
+  private Worlds() {}
 
-    /** @throws BadInput with what can't be used */
-    static World named(String name) {
-        String text;
-        try (InputStream in = Worlds.class.getResourceAsStream(name + ".toml")) {
-            text = in != null ? new String(in.readAllBytes(), StandardCharsets.UTF_8) : Files.readString(Path.of(name));
-        } catch (IOException e) {
-            throw new BadInput("world " + name + " is neither one that comes along nor a file: " + e.getMessage());
-        }
-        return read(name, text);
+  /**
+   * @throws BadInput with what can't be used
+   */
+  static World named(String name) {
+    String text;
+    try (InputStream in = Worlds.class.getResourceAsStream(name + ".toml")) {
+      text =
+          in != null
+              ? new String(in.readAllBytes(), StandardCharsets.UTF_8)
+              : Files.readString(Path.of(name));
+    } catch (IOException e) {
+      throw new BadInput(
+          "world " + name + " is neither one that comes along nor a file: " + e.getMessage());
     }
+    return read(name, text);
+  }
 
-    static World read(String name, String text) {
-        World world;
-        try {
-            world = TOML.readValue(text, World.class);
-        } catch (JacksonException e) {
-            throw new BadInput("world " + name + ": " + e.getOriginalMessage());
-        }
-        List<String> wrong = new ArrayList<>();
-        if (world.engines() == null || world.profiles() == null || world.holders() == null || world.load() == null
-                || world.net() == null || world.roster() == null || world.limits() == null) {
-            throw new BadInput("world " + name + ": engines, profiles, holders, load, net, roster and limits are all needed");
-        }
-        World.Engines e = world.engines();
-        bound(wrong, "engines.count", e.count(), 1, 10_000);
-        bound(wrong, "engines.cores", e.cores(), 0.1, 1024);
-        bound(wrong, "engines.speedSpread", e.speedSpread(), 0, 0.9);
-        bound(wrong, "engines.knee", e.knee(), 1, 100);
-        bound(wrong, "engines.fall", e.fall(), 0, 10);
-        bound(wrong, "engines.sessions", e.sessions(), 1, 1_000_000);
-        bound(wrong, "engines.coldFrom", e.coldFrom(), 0.01, 1);
-        bound(wrong, "engines.locations", e.locations(), 1, e.count());
-        bound(wrong, "engines.groups", e.groups(), 1, e.count());
-        bound(wrong, "dispatchers", world.dispatchers(), 1, 10_000);
-        bound(wrong, "profiles", world.profiles().size(), 1, 100);
-        for (World.Profile p : world.profiles()) {
-            bound(wrong, p.name() + ".part", p.part(), 0, 1e9);
-            bound(wrong, p.name() + ".threads", p.threads(), 1, 1024);
-            bound(wrong, p.name() + ".workMs", p.workMs(), 0.001, 1e7);
-            bound(wrong, p.name() + ".cv", p.cv(), 0, 10);
-            bound(wrong, p.name() + ".targetMs", p.targetMs(), 1, 1e7);
-            bound(wrong, p.name() + ".timeoutMs", p.timeoutMs(), p.targetMs(), 1e7);
-            bound(wrong, p.name() + ".badPlans", p.badPlans(), 0, 1);
-        }
-        bound(wrong, "load.perSecond", world.load().perSecond(), 0, 1e7);
-        bound(wrong, "load.swing", world.load().swing(), 0, 0.99);
-        bound(wrong, "net.jitter", world.net().jitter(), 0, 1);
-        if (!wrong.isEmpty()) {
-            throw new BadInput("world " + name + ":\n" + String.join("\n", wrong));
-        }
-        return world;
+  static World read(String name, String text) {
+    World world;
+    try {
+      world = TOML.readValue(text, World.class);
+    } catch (JacksonException e) {
+      throw new BadInput("world " + name + ": " + e.getOriginalMessage());
+    }
+    List<String> wrong = new ArrayList<>();
+    if (world.engines() == null
+        || world.profiles() == null
+        || world.holders() == null
+        || world.load() == null
+        || world.net() == null
+        || world.roster() == null
+        || world.limits() == null) {
+      throw new BadInput(
+          "world "
+              + name
+              + ": engines, profiles, holders, load, net, roster and limits are all needed");
+    }
+    World.Engines e = world.engines();
+    bound(wrong, "engines.count", e.count(), 1, 10_000);
+    bound(wrong, "engines.cores", e.cores(), 0.1, 1024);
+    bound(wrong, "engines.speedSpread", e.speedSpread(), 0, 0.9);
+    bound(wrong, "engines.knee", e.knee(), 1, 100);
+    bound(wrong, "engines.fall", e.fall(), 0, 10);
+    bound(wrong, "engines.sessions", e.sessions(), 1, 1_000_000);
+    bound(wrong, "engines.coldFrom", e.coldFrom(), 0.01, 1);
+    bound(wrong, "engines.locations", e.locations(), 1, e.count());
+    bound(wrong, "engines.groups", e.groups(), 1, e.count());
+    bound(wrong, "dispatchers", world.dispatchers(), 1, 10_000);
+    bound(wrong, "profiles", world.profiles().size(), 1, 100);
+    for (World.Profile p : world.profiles()) {
+      bound(wrong, p.name() + ".part", p.part(), 0, 1e9);
+      bound(wrong, p.name() + ".threads", p.threads(), 1, 1024);
+      bound(wrong, p.name() + ".workMs", p.workMs(), 0.001, 1e7);
+      bound(wrong, p.name() + ".cv", p.cv(), 0, 10);
+      bound(wrong, p.name() + ".targetMs", p.targetMs(), 1, 1e7);
+      bound(wrong, p.name() + ".timeoutMs", p.timeoutMs(), p.targetMs(), 1e7);
+      bound(wrong, p.name() + ".badPlans", p.badPlans(), 0, 1);
+    }
+    bound(wrong, "load.perSecond", world.load().perSecond(), 0, 1e7);
+    bound(wrong, "load.swing", world.load().swing(), 0, 0.99);
+    bound(wrong, "net.jitter", world.net().jitter(), 0, 1);
+    if (!wrong.isEmpty()) {
+      throw new BadInput("world " + name + ":\n" + String.join("\n", wrong));
     }
+    return world;
+  }
 
-    private static void bound(List<String> wrong, String key, double value, double least, double most) {
-        if (!(value >= least && value <= most)) {
-            wrong.add(key + ": " + value + " stands there; from " + least + " to " + most + " is allowed");
-        }
+  private static void bound(
+      List<String> wrong, String key, double value, double least, double most) {
+    if (!(value >= least && value <= most)) {
+      wrong.add(
+          key + ": " + value + " stands there; from " + least + " to " + most + " is allowed");
     }
+  }
 }
--- a/src/main/java/cobaltseam/fleet/Acted.java
+++ b/src/main/java/cobaltseam/fleet/Acted.java
@@ -8,72 +8,104 @@
 import java.util.TreeSet;
 
 /**
- * One line of a process's own record: on which editions of the agreed document it acts from a moment on.
+ * One line of a process's own record: on which editions of the agreed document it acts from a
+ * moment on.
  *
- * @param editions number and hash of each; one if it acts on that alone, several if it reads between them, none if it acts on
- *     nothing that could contradict another: stepped back, standing still or dead
+ * @param editions number and hash of each; one if it acts on that alone, several if it reads
+ *     between them, none if it acts on nothing that could contradict another: stepped back,
+ *     standing still or dead
  */
 public record Acted(double atS, int process, List<String> editions) {
-    /** Two processes and how long they acted on editions that contradict each other; the longest of all. */
-    public record Contradiction(double seconds, double untilS, int one, int other, String what) {
-        static final Contradiction NONE = new Contradiction(0, 0, -1, -1, "");
-    }
+  /**
+   * Two processes and how long they acted on editions that contradict each other; the longest of
+   * all.
+   */
+  public record Contradiction(double seconds, double untilS, int one, int other, String what) {
+    static final Contradiction NONE = new Contradiction(0, 0, -1, -1, "");
+  }
 
-    private boolean contradicts(Acted other, Set<String> harmless) {
-        return !editions.isEmpty() && !other.editions.isEmpty() && editions.stream().noneMatch(e -> other.editions.stream()
-                .anyMatch(o -> o.equals(e) || harmless.contains(hash(e)) && harmless.contains(hash(o))));
-    }
+  private boolean contradicts(Acted other, Set<String> harmless) {
+    return !editions.isEmpty()
+        && !other.editions.isEmpty()
+        && editions.stream()
+            .noneMatch(
+                e ->
+                    other.editions.stream()
+                        .anyMatch(
+                            o ->
+                                o.equals(e)
+                                    || harmless.contains(hash(e)) && harmless.contains(hash(o))));
+  }
 
-    private static String hash(String edition) {
-        return edition.substring(edition.lastIndexOf(':') + 1);
-    }
+  private static String hash(String edition) {
+    return edition.substring(edition.lastIndexOf(':') + 1);
+  }
 
-    /**
-     * The longest time without a break during which any two contradicted each other, up to the end of the record.
-     *
-     * @param harmless hashes of contents of which no two contradict each other
-     */
-    public static Contradiction longest(List<Acted> record, Set<String> harmless, double endS) {
-        Map<Integer, Acted> acting = new HashMap<>();
-        Map<List<Integer>, Double> since = new HashMap<>();
-        Contradiction longest = Contradiction.NONE;
-        List<Acted> all = new ArrayList<>(record);
-        all.sort(java.util.Comparator.comparingDouble(Acted::atS));
-        for (Acted a : all) {
-            Acted before = acting.put(a.process, a);
-            for (Acted b : acting.values()) {
-                List<Integer> pair = List.of(Math.min(a.process, b.process), Math.max(a.process, b.process));
-                Double from = since.get(pair);
-                if (b.process == a.process || from == null && !a.contradicts(b, harmless)) {
-                    continue;
-                } else if (from == null) {
-                    since.put(pair, a.atS);
-                } else if (!a.contradicts(b, harmless)) {
-                    since.remove(pair);
-                    if (a.atS - from > longest.seconds) {
-                        longest = new Contradiction(a.atS - from, a.atS, a.process, b.process,
-                                (before == null ? List.of() : before.editions) + " against " + b.editions);
-                    }
-                }
-            }
+  /**
+   * The longest time without a break during which any two contradicted each other, up to the end of
+   * the record.
+   *
+   * @param harmless hashes of contents of which no two contradict each other
+   */
+  public static Contradiction longest(List<Acted> record, Set<String> harmless, double endS) {
+    Map<Integer, Acted> acting = new HashMap<>();
+    Map<List<Integer>, Double> since = new HashMap<>();
+    Contradiction longest = Contradiction.NONE;
+    List<Acted> all = new ArrayList<>(record);
+    all.sort(java.util.Comparator.comparingDouble(Acted::atS));
+    for (Acted a : all) {
+      Acted before = acting.put(a.process, a);
+      for (Acted b : acting.values()) {
+        List<Integer> pair =
+            List.of(Math.min(a.process, b.process), Math.max(a.process, b.process));
+        Double from = since.get(pair);
+        if (b.process == a.process || from == null && !a.contradicts(b, harmless)) {
+          continue;
+        } else if (from == null) {
+          since.put(pair, a.atS);
+        } else if (!a.contradicts(b, harmless)) {
+          since.remove(pair);
+          if (a.atS - from > longest.seconds) {
+            longest =
+                new Contradiction(
+                    a.atS - from,
+                    a.atS,
+                    a.process,
+                    b.process,
+                    (before == null ? List.of() : before.editions) + " against " + b.editions);
+          }
         }
-        for (Map.Entry<List<Integer>, Double> open : since.entrySet()) {
-            if (endS - open.getValue() > longest.seconds) {
-                int one = open.getKey().get(0);
-                int other = open.getKey().get(1);
-                longest = new Contradiction(endS - open.getValue(), endS, one, other,
-                        acting.get(one).editions + " against " + acting.get(other).editions);
-            }
-        }
-        return longest;
+      }
+    }
+    for (Map.Entry<List<Integer>, Double> open : since.entrySet()) {
+      if (endS - open.getValue() > longest.seconds) {
+        int one = open.getKey().get(0);
+        int other = open.getKey().get(1);
+        longest =
+            new Contradiction(
+                endS - open.getValue(),
+                endS,
+                one,
+                other,
+                acting.get(one).editions + " against " + acting.get(other).editions);
+      }
     }
+    return longest;
+  }
 
-    /** Numbers that were held with more than one content. */
-    public static List<String> twoUnderOneNumber(List<Acted> record) {
-        Map<String, Set<String>> byNumber = new HashMap<>();
-        for (Acted a : record) {
-            a.editions.forEach(e -> byNumber.computeIfAbsent(e.substring(0, e.lastIndexOf(':')), n -> new TreeSet<>()).add(e));
-        }
-        return byNumber.values().stream().filter(e -> e.size() > 1).map(e -> "one number, two contents: " + e).toList();
+  /** Numbers that were held with more than one content. */
+  public static List<String> twoUnderOneNumber(List<Acted> record) {
+    Map<String, Set<String>> byNumber = new HashMap<>();
+    for (Acted a : record) {
+      a.editions.forEach(
+          e ->
+              byNumber
+                  .computeIfAbsent(e.substring(0, e.lastIndexOf(':')), n -> new TreeSet<>())
+                  .add(e));
     }
+    return byNumber.values().stream()
+        .filter(e -> e.size() > 1)
+        .map(e -> "one number, two contents: " + e)
+        .toList();
+  }
 }
--- a/src/main/java/cobaltseam/fleet/AgreeHunt.java
+++ b/src/main/java/cobaltseam/fleet/AgreeHunt.java
@@ -1,5 +1,9 @@
 package cobaltseam.fleet;
 
+import cobaltseam.agreement.Acting;
+import cobaltseam.agreement.Agreement;
+import cobaltseam.dispatch.Span;
+import cobaltseam.membership.Edition;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -14,144 +18,188 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.stream.LongStream;
-
-import cobaltseam.agreement.Acting;
-import cobaltseam.agreement.Agreement;
-import cobaltseam.dispatch.Span;
-import cobaltseam.membership.Edition;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
 /** Fleets in virtual time that agree on a document while much goes wrong. */
-@Command(name = "agree", description = "Runs drawn scripts in virtual time while documents are proposed; tells the longest contradiction.",
-        mixinStandardHelpOptions = true)
+@Command(
+    name = "agree",
+    description =
+        "Runs drawn scripts in virtual time while documents are proposed; tells the longest contradiction.",
+    mixinStandardHelpOptions = true)
 final class AgreeHunt implements Callable<Integer> {
-    /** Of the members' clocks, as a part. */
-    static final double CLOCKS = 0.001;
-    static final Agreement.Terms TERMS = new Agreement.Terms(new Span(2_000_000), CLOCKS, 1 << 20);
-    private static final double SETTLES_WITHIN = 340;
-    private static final double LAST_WITHIN = 60;
-    @CommandLine.Mixin
-    Fleet.Common common;
-    @Option(names = "--runs", paramLabel = "N", defaultValue = "1000", description = "default: ${DEFAULT-VALUE}")
-    int runs;
-    @Option(names = "--every", paramLabel = "S", defaultValue = "3", description = "seconds between two proposals; default: ${DEFAULT-VALUE}")
-    double everyS;
-    @CommandLine.Spec
-    CommandLine.Model.CommandSpec spec;
+  /** Of the members' clocks, as a part. */
+  static final double CLOCKS = 0.001;
 
-    /** What one run came to. */
-    record Verdict(List<String> broken, boolean lostMajority, Acted.Contradiction longest, long editions, double lastS) {
-    }
+  static final Agreement.Terms TERMS = new Agreement.Terms(new Span(2_000_000), CLOCKS, 1 << 20);
+  private static final double SETTLES_WITHIN = 340;
+  private static final double LAST_WITHIN = 60;
+  @CommandLine.Mixin Fleet.Common common;
 
-    static Verdict play(VirtualFleet.Plan plan, List<Trouble> troubles, double seconds, double everyS, long seed) {
-        VirtualFleet fleet = new VirtualFleet(plan, troubles, seed);
-        fleet.agrees(TERMS, CLOCKS);
-        SplittableRandom chance = new SplittableRandom(seed);
-        int proposals = 0;
-        Set<String> harmless = new HashSet<>();
-        for (double s = everyS * chance.nextDouble(); s < seconds; s += everyS * chance.nextDouble(0.1, 2)) {
-            fleet.run(s);
-            for (int sides = chance.nextInt(3); sides >= 0; sides--) {
-                boolean harms = chance.nextInt(4) > 0;
-                byte[] content = text((harms ? "rule" : "log") + proposals++);
-                if (!harms) {
-                    harmless.add(Agreement.hash(content));
-                }
-                fleet.propose(chance.nextInt(plan.processes()), content, -1);
-            }
-        }
-        double s = seconds;
-        for (int calm = 0; s < seconds + SETTLES_WITHIN && calm < 4; s += 0.5) {
-            fleet.run(s);
-            calm = fleet.isSettled() ? calm + 1 : 0;
+  @Option(
+      names = "--runs",
+      paramLabel = "N",
+      defaultValue = "1000",
+      description = "default: ${DEFAULT-VALUE}")
+  int runs;
+
+  @Option(
+      names = "--every",
+      paramLabel = "S",
+      defaultValue = "3",
+      description = "seconds between two proposals; default: ${DEFAULT-VALUE}")
+  double everyS;
+
+  @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+  /** What one run came to. */
+  record Verdict(
+      List<String> broken,
+      boolean lostMajority,
+      Acted.Contradiction longest,
+      long editions,
+      double lastS) {}
+
+  static Verdict play(
+      VirtualFleet.Plan plan, List<Trouble> troubles, double seconds, double everyS, long seed) {
+    VirtualFleet fleet = new VirtualFleet(plan, troubles, seed);
+    fleet.agrees(TERMS, CLOCKS);
+    SplittableRandom chance = new SplittableRandom(seed);
+    int proposals = 0;
+    Set<String> harmless = new HashSet<>();
+    for (double s = everyS * chance.nextDouble();
+        s < seconds;
+        s += everyS * chance.nextDouble(0.1, 2)) {
+      fleet.run(s);
+      for (int sides = chance.nextInt(3); sides >= 0; sides--) {
+        boolean harms = chance.nextInt(4) > 0;
+        byte[] content = text((harms ? "rule" : "log") + proposals++);
+        if (!harms) {
+          harmless.add(Agreement.hash(content));
         }
-        List<String> broken = new ArrayList<>(Acted.twoUnderOneNumber(fleet.acted()));
-        double last = 0;
-        if (!fleet.lostMajority()) {
-            // Messages flow again: a proposal gets through, and all act on it.
-            byte[] content = text("the last");
-            String why = null;
-            while (last < LAST_WITHIN && !actOn(fleet, plan.processes(), Agreement.hash(content))) {
-                for (int i = 0; i < plan.processes(); i++) {
-                    if (fleet.isAlive(i)) {
-                        why = fleet.propose(i, content, -1);
-                        break;
-                    }
-                }
-                last += 0.1;
-                fleet.run(s + last);
-            }
-            if (last >= LAST_WITHIN) {
-                StringBuilder each = new StringBuilder();
-                for (int i = 0; i < plan.processes(); i++) {
-                    each.append(fleet.isAlive(i) ? " " + i + " " + fleet.view(i) + " " + fleet.acting(i) : "");
-                }
-                broken.add("a proposal does not get through: " + why + each);
-            }
+        fleet.propose(chance.nextInt(plan.processes()), content, -1);
+      }
+    }
+    double s = seconds;
+    for (int calm = 0; s < seconds + SETTLES_WITHIN && calm < 4; s += 0.5) {
+      fleet.run(s);
+      calm = fleet.isSettled() ? calm + 1 : 0;
+    }
+    List<String> broken = new ArrayList<>(Acted.twoUnderOneNumber(fleet.acted()));
+    double last = 0;
+    if (!fleet.lostMajority()) {
+      // Messages flow again: a proposal gets through, and all act on it.
+      byte[] content = text("the last");
+      String why = null;
+      while (last < LAST_WITHIN && !actOn(fleet, plan.processes(), Agreement.hash(content))) {
+        for (int i = 0; i < plan.processes(); i++) {
+          if (fleet.isAlive(i)) {
+            why = fleet.propose(i, content, -1);
+            break;
+          }
         }
-        Acted.Contradiction longest = Acted.longest(fleet.acted(), harmless, fleet.now());
-        if (longest.seconds() > TERMS.contradiction().us() / 1e6) {
-            broken.add("contradiction for " + longest);
+        last += 0.1;
+        fleet.run(s + last);
+      }
+      if (last >= LAST_WITHIN) {
+        StringBuilder each = new StringBuilder();
+        for (int i = 0; i < plan.processes(); i++) {
+          each.append(
+              fleet.isAlive(i) ? " " + i + " " + fleet.view(i) + " " + fleet.acting(i) : "");
         }
-        long editions = fleet.acted().stream().flatMap(a -> a.editions().stream()).distinct().count();
-        return new Verdict(broken, fleet.lostMajority(), longest, editions, last);
+        broken.add("a proposal does not get through: " + why + each);
+      }
     }
-
-    /** The run of a seed. */
-    static Verdict one(Fleet.Common common, double everyS, long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        int processes = common.processes > 0 ? common.processes : chance.nextInt(10) == 0 ? 3 + chance.nextInt(48) : 3 + chance.nextInt(7);
-        List<Trouble> script = common.script != null ? common.drawn(seed, processes) : common.drawn(seed, processes, 1 + chance.nextInt(6));
-        VirtualFleet.Plan plan = VirtualFleet.Plan.of(processes);
-        return play(common.folders ? plan.withFolders() : plan, script, common.seconds, everyS, seed);
+    Acted.Contradiction longest = Acted.longest(fleet.acted(), harmless, fleet.now());
+    if (longest.seconds() > TERMS.contradiction().us() / 1e6) {
+      broken.add("contradiction for " + longest);
     }
+    long editions = fleet.acted().stream().flatMap(a -> a.editions().stream()).distinct().count();
+    return new Verdict(broken, fleet.lostMajority(), longest, editions, last);
+  }
 
-    private static boolean actOn(VirtualFleet fleet, int processes, String hash) {
-        for (int i = 0; i < processes; i++) {
-            Edition newest = fleet.isAlive(i) ? fleet.acting(i).newest() : null;
-            if (fleet.isAlive(i) && (newest == null || !newest.hash().equals(hash) || fleet.acting(i).mode() != Acting.Mode.PLAIN)) {
-                return false;
-            }
-        }
-        return true;
-    }
+  /** The run of a seed. */
+  static Verdict one(Fleet.Common common, double everyS, long seed) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    int processes =
+        common.processes > 0
+            ? common.processes
+            : chance.nextInt(10) == 0 ? 3 + chance.nextInt(48) : 3 + chance.nextInt(7);
+    List<Trouble> script =
+        common.script != null
+            ? common.drawn(seed, processes)
+            : common.drawn(seed, processes, 1 + chance.nextInt(6));
+    VirtualFleet.Plan plan = VirtualFleet.Plan.of(processes);
+    return play(common.folders ? plan.withFolders() : plan, script, common.seconds, everyS, seed);
+  }
 
-    private static byte[] text(String text) {
-        return text.getBytes(StandardCharsets.UTF_8);
+  private static boolean actOn(VirtualFleet fleet, int processes, String hash) {
+    for (int i = 0; i < processes; i++) {
+      Edition newest = fleet.isAlive(i) ? fleet.acting(i).newest() : null;
+      if (fleet.isAlive(i)
+          && (newest == null
+              || !newest.hash().equals(hash)
+              || fleet.acting(i).mode() != Acting.Mode.PLAIN)) {
+        return false;
+      }
     }
+    return true;
+  }
+
+  private static byte[] text(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
+  }
 
-    @Override
-    public Integer call() {
-        long from = System.nanoTime();
-        PrintWriter out = spec.commandLine().getOut();
-        List<Verdict> all = Collections.synchronizedList(new ArrayList<>());
-        Map<Acted.Contradiction, Long> seeds = Collections.synchronizedMap(new HashMap<>());
-        LongStream.range(common.seed, common.seed + runs).parallel().forEach(seed -> {
-            Verdict v = one(common, everyS, seed);
-            all.add(v);
-            seeds.put(v.longest, seed);
-            if (!v.broken.isEmpty()) {
+  @Override
+  public Integer call() {
+    long from = System.nanoTime();
+    PrintWriter out = spec.commandLine().getOut();
+    List<Verdict> all = Collections.synchronizedList(new ArrayList<>());
+    Map<Acted.Contradiction, Long> seeds = Collections.synchronizedMap(new HashMap<>());
+    LongStream.range(common.seed, common.seed + runs)
+        .parallel()
+        .forEach(
+            seed -> {
+              Verdict v = one(common, everyS, seed);
+              all.add(v);
+              seeds.put(v.longest, seed);
+              if (!v.broken.isEmpty()) {
                 synchronized (out) {
-                    out.println("seed " + seed + ": BROKEN" + (v.lostMajority ? " (a majority was lost)" : ""));
-                    v.broken.forEach(b -> out.println("  " + b));
-                    out.flush();
+                  out.println(
+                      "seed "
+                          + seed
+                          + ": BROKEN"
+                          + (v.lostMajority ? " (a majority was lost)" : ""));
+                  v.broken.forEach(b -> out.println("  " + b));
+                  out.flush();
                 }
-            }
-        });
-        Acted.Contradiction longest = seeds.keySet().stream().max(Comparator.comparingDouble(Acted.Contradiction::seconds)).orElseThrow();
-        if (longest.seconds() > 0) {
-            out.println("seed " + seeds.get(longest) + " has the longest: " + longest);
-        }
-        long broken = all.stream().filter(v -> !v.broken.isEmpty()).count();
-        List<Double> last = all.stream().filter(v -> !v.lostMajority).map(Verdict::lastS).sorted().toList();
-        out.printf(Locale.ROOT, "%d runs, seeds from %d: %d broken, %d that lost a majority, %d editions acted on; longest contradiction %.3f s; the "
-                + "last proposal acted on by all after %.1f s in the median, %.1f s at most; %.0f s%n", all.size(), common.seed, broken,
-                all.stream().filter(Verdict::lostMajority).count(), all.stream().mapToLong(Verdict::editions).sum(),
-                longest.seconds(), last.isEmpty() ? 0 : last.get(last.size() / 2),
-                last.isEmpty() ? 0 : last.get(last.size() - 1), (System.nanoTime() - from) / 1e9);
-        out.flush();
-        return broken == 0 ? 0 : 1;
+              }
+            });
+    Acted.Contradiction longest =
+        seeds.keySet().stream()
+            .max(Comparator.comparingDouble(Acted.Contradiction::seconds))
+            .orElseThrow();
+    if (longest.seconds() > 0) {
+      out.println("seed " + seeds.get(longest) + " has the longest: " + longest);
     }
+    long broken = all.stream().filter(v -> !v.broken.isEmpty()).count();
+    List<Double> last =
+        all.stream().filter(v -> !v.lostMajority).map(Verdict::lastS).sorted().toList();
+    out.printf(
+        Locale.ROOT,
+        "%d runs, seeds from %d: %d broken, %d that lost a majority, %d editions acted on; longest contradiction %.3f s; the "
+            + "last proposal acted on by all after %.1f s in the median, %.1f s at most; %.0f s%n",
+        all.size(),
+        common.seed,
+        broken,
+        all.stream().filter(Verdict::lostMajority).count(),
+        all.stream().mapToLong(Verdict::editions).sum(),
+        longest.seconds(),
+        last.isEmpty() ? 0 : last.get(last.size() / 2),
+        last.isEmpty() ? 0 : last.get(last.size() - 1),
+        (System.nanoTime() - from) / 1e9);
+    out.flush();
+    return broken == 0 ? 0 : 1;
+  }
 }
--- a/src/main/java/cobaltseam/fleet/FleetScript.java
+++ b/src/main/java/cobaltseam/fleet/FleetScript.java
@@ -1,5 +1,10 @@
 package cobaltseam.fleet;
 
+import cobaltseam.deployment.BadInput;
+import com.fasterxml.jackson.core.JacksonException;
+import com.fasterxml.jackson.databind.DeserializationFeature;
+import com.fasterxml.jackson.databind.MapperFeature;
+import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -7,43 +12,62 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-import cobaltseam.deployment.BadInput;
-import com.fasterxml.jackson.core.JacksonException;
-import com.fasterxml.jackson.databind.DeserializationFeature;
-import com.fasterxml.jackson.databind.MapperFeature;
-import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-
-/** Troubles as a file that people can read and change: TOML, a table each, as the emulator's faults. */
+/**
+ * Troubles as a file that people can read and change: TOML, a table each, as the emulator's faults.
+ */
 record FleetScript(List<Trouble> troubles) {
-    private static final TomlMapper TOML = TomlMapper.builder().enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
-            .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES, DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
+  private static final TomlMapper TOML =
+      TomlMapper.builder()
+          .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
+          .enable(
+              DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES,
+              DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+          .build();
 
-    /** @throws BadInput with what can't be used for so many processes */
-    static List<Trouble> read(Path file, int processes) {
-        FleetScript script;
-        try {
-            script = TOML.readValue(Files.readString(file), FleetScript.class);
-        } catch (JacksonException e) {
-            throw new BadInput(file + ": " + e.getOriginalMessage());
-        } catch (IOException e) {
-            throw new BadInput(file + " can't be read: " + e.getMessage());
-        }
-        List<Trouble> troubles = script.troubles == null ? List.of() : script.troubles;
-        for (Trouble t : troubles) {
-            boolean known = t.who().stream().allMatch(p -> p >= 0 && p < processes)
-                    && t.others().stream().allMatch(p -> p >= 0 && p < processes);
-            if (!known || !(t.atS() >= 0) || !(t.lengthS() > 0) || !(t.size() > 0)) {
-                throw new BadInput(file + ": " + t + ": processes from 0 to " + (processes - 1)
-                        + ", atS from 0, lengthS and size above 0 are allowed");
-            }
-        }
-        return troubles;
+  /**
+   * @throws BadInput with what can't be used for so many processes
+   */
+  static List<Trouble> read(Path file, int processes) {
+    FleetScript script;
+    try {
+      script = TOML.readValue(Files.readString(file), FleetScript.class);
+    } catch (JacksonException e) {
+      throw new BadInput(file + ": " + e.getOriginalMessage());
+    } catch (IOException e) {
+      throw new BadInput(file + " can't be read: " + e.getMessage());
     }
-
-    /** The same as text. */
-    static String write(List<Trouble> troubles) {
-        return troubles.stream().map(t -> String.format(Locale.ROOT,
-                "[[troubles]]%nkind = \"%s\"%natS = %s%nlengthS = %s%nwho = %s%nothers = %s%nsize = %s%n", t.kind().label(), t.atS(),
-                t.lengthS(), t.who(), t.others(), t.size())).collect(Collectors.joining("\n"));
+    List<Trouble> troubles = script.troubles == null ? List.of() : script.troubles;
+    for (Trouble t : troubles) {
+      boolean known =
+          t.who().stream().allMatch(p -> p >= 0 && p < processes)
+              && t.others().stream().allMatch(p -> p >= 0 && p < processes);
+      if (!known || !(t.atS() >= 0) || !(t.lengthS() > 0) || !(t.size() > 0)) {
+        throw new BadInput(
+            file
+                + ": "
+                + t
+                + ": processes from 0 to "
+                + (processes - 1)
+                + ", atS from 0, lengthS and size above 0 are allowed");
+      }
     }
+    return troubles;
+  }
+
+  /** The same as text. */
+  static String write(List<Trouble> troubles) {
+    return troubles.stream()
+        .map(
+            t ->
+                String.format(
+                    Locale.ROOT,
+                    "[[troubles]]%nkind = \"%s\"%natS = %s%nlengthS = %s%nwho = %s%nothers = %s%nsize = %s%n",
+                    t.kind().label(),
+                    t.atS(),
+                    t.lengthS(),
+                    t.who(),
+                    t.others(),
+                    t.size()))
+        .collect(Collectors.joining("\n"));
+  }
 }
--- a/src/main/java/cobaltseam/fleet/SpreadHunt.java
+++ b/src/main/java/cobaltseam/fleet/SpreadHunt.java
@@ -1,5 +1,8 @@
 package cobaltseam.fleet;
 
+import cobaltseam.dispatch.Span;
+import cobaltseam.membership.Lease;
+import cobaltseam.spread.Terms;
 import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -8,102 +11,144 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.stream.LongStream;
-
-import cobaltseam.dispatch.Span;
-import cobaltseam.membership.Lease;
-import cobaltseam.spread.Terms;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
 /** Fleets in virtual time that divide a whole by demand while much goes wrong. */
-@Command(name = "spread", description = "Runs drawn scripts in virtual time while needs change; tells the most that all together might use.",
-        mixinStandardHelpOptions = true)
+@Command(
+    name = "spread",
+    description =
+        "Runs drawn scripts in virtual time while needs change; tells the most that all together might use.",
+    mixinStandardHelpOptions = true)
 final class SpreadHunt implements Callable<Integer> {
-    /** Of the members' clocks, as a part. */
-    static final double CLOCKS = 0.001;
-    static final Lease.Terms LEASE = new Lease.Terms(new Span(2_000_000), CLOCKS);
-    static final long WHOLE = 1_000_000_000L;
-    private static final double SETTLES_WITHIN = 340;
-    /** Once all is calm, parts follow needs within this. */
-    private static final double FOLLOWS_WITHIN = 20;
-    /** What a part may differ from what its need asks for then, as a share of the whole. */
-    private static final double NEAR = 0.1;
-    @CommandLine.Mixin
-    Fleet.Common common;
-    @Option(names = "--runs", paramLabel = "N", defaultValue = "1000", description = "default: ${DEFAULT-VALUE}")
-    int runs;
-    @CommandLine.Spec
-    CommandLine.Model.CommandSpec spec;
+  /** Of the members' clocks, as a part. */
+  static final double CLOCKS = 0.001;
 
-    /** What one run came to: the most that might be used, as a share of the whole, and how far the last needs were missed. */
-    record Verdict(List<String> broken, boolean lostMajority, boolean twoLines, double most, double missed) {
-    }
+  static final Lease.Terms LEASE = new Lease.Terms(new Span(2_000_000), CLOCKS);
+  static final long WHOLE = 1_000_000_000L;
+  private static final double SETTLES_WITHIN = 340;
 
-    static Terms terms(int processes) {
-        return new Terms(WHOLE, 0.1, processes, 0.25, new Span(500_000), 16);
-    }
+  /** Once all is calm, parts follow needs within this. */
+  private static final double FOLLOWS_WITHIN = 20;
 
-    static Verdict play(VirtualFleet.Plan plan, List<Trouble> troubles, double seconds, long seed) {
-        VirtualFleet fleet = new VirtualFleet(plan, troubles, seed);
-        fleet.divides(terms(plan.processes()), LEASE, CLOCKS);
-        SplittableRandom chance = new SplittableRandom(seed);
-        for (double s = 0; s < seconds; s += chance.nextDouble(0.1, 6)) {
-            fleet.run(s);
-            // Most need little, some many times that, and whose turn it is changes.
-            fleet.needs(chance.nextInt(plan.processes()), chance.nextInt(4) == 0 ? chance.nextDouble(5, 50) : chance.nextDouble(0, 1));
-        }
-        double s = seconds;
-        for (int calm = 0; s < seconds + SETTLES_WITHIN && calm < 4; s += 0.5) {
-            fleet.run(s);
-            calm = fleet.isSettled() ? calm + 1 : 0;
-        }
-        boolean settled = fleet.isSettled();
-        fleet.run(s + FOLLOWS_WITHIN);
-        List<String> broken = new ArrayList<>();
-        VirtualFleet.Most most = fleet.most();
-        if (most.amount() > WHOLE) {
-            broken.add(String.format(Locale.ROOT, "%.4f of the whole at %.3f s", (double) most.amount() / WHOLE, most.atS()));
-        }
-        double missed = settled ? fleet.missed() : 0;
-        if (!fleet.lostMajority() && missed > NEAR) {
-            broken.add("parts miss needs by " + missed + " of the whole");
-        }
-        return new Verdict(broken, fleet.lostMajority(), most.twoLines(), (double) most.amount() / WHOLE, missed);
-    }
+  /** What a part may differ from what its need asks for then, as a share of the whole. */
+  private static final double NEAR = 0.1;
 
-    /** The run of a seed. */
-    static Verdict one(Fleet.Common common, long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        int processes = common.processes > 0 ? common.processes : chance.nextInt(10) == 0 ? 3 + chance.nextInt(48) : 3 + chance.nextInt(7);
-        List<Trouble> script = common.script != null ? common.drawn(seed, processes) : common.drawn(seed, processes, 1 + chance.nextInt(6));
-        VirtualFleet.Plan plan = VirtualFleet.Plan.of(processes);
-        return play(common.folders ? plan.withFolders() : plan, script, common.seconds, seed);
+  @CommandLine.Mixin Fleet.Common common;
+
+  @Option(
+      names = "--runs",
+      paramLabel = "N",
+      defaultValue = "1000",
+      description = "default: ${DEFAULT-VALUE}")
+  int runs;
+
+  @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+  /**
+   * What one run came to: the most that might be used, as a share of the whole, and how far the
+   * last needs were missed.
+   */
+  record Verdict(
+      List<String> broken, boolean lostMajority, boolean twoLines, double most, double missed) {}
+
+  static Terms terms(int processes) {
+    return new Terms(WHOLE, 0.1, processes, 0.25, new Span(500_000), 16);
+  }
+
+  static Verdict play(VirtualFleet.Plan plan, List<Trouble> troubles, double seconds, long seed) {
+    VirtualFleet fleet = new VirtualFleet(plan, troubles, seed);
+    fleet.divides(terms(plan.processes()), LEASE, CLOCKS);
+    SplittableRandom chance = new SplittableRandom(seed);
+    for (double s = 0; s < seconds; s += chance.nextDouble(0.1, 6)) {
+      fleet.run(s);
+      // Most need little, some many times that, and whose turn it is changes.
+      fleet.needs(
+          chance.nextInt(plan.processes()),
+          chance.nextInt(4) == 0 ? chance.nextDouble(5, 50) : chance.nextDouble(0, 1));
     }
+    double s = seconds;
+    for (int calm = 0; s < seconds + SETTLES_WITHIN && calm < 4; s += 0.5) {
+      fleet.run(s);
+      calm = fleet.isSettled() ? calm + 1 : 0;
+    }
+    boolean settled = fleet.isSettled();
+    fleet.run(s + FOLLOWS_WITHIN);
+    List<String> broken = new ArrayList<>();
+    VirtualFleet.Most most = fleet.most();
+    if (most.amount() > WHOLE) {
+      broken.add(
+          String.format(
+              Locale.ROOT,
+              "%.4f of the whole at %.3f s",
+              (double) most.amount() / WHOLE,
+              most.atS()));
+    }
+    double missed = settled ? fleet.missed() : 0;
+    if (!fleet.lostMajority() && missed > NEAR) {
+      broken.add("parts miss needs by " + missed + " of the whole");
+    }
+    return new Verdict(
+        broken, fleet.lostMajority(), most.twoLines(), (double) most.amount() / WHOLE, missed);
+  }
 
-    @Override
-    public Integer call() {
-        long from = System.nanoTime();
-        PrintWriter out = spec.commandLine().getOut();
-        List<Verdict> all = Collections.synchronizedList(new ArrayList<>());
-        LongStream.range(common.seed, common.seed + runs).parallel().forEach(seed -> {
-            Verdict v = one(common, seed);
-            all.add(v);
-            if (!v.broken.isEmpty()) {
+  /** The run of a seed. */
+  static Verdict one(Fleet.Common common, long seed) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    int processes =
+        common.processes > 0
+            ? common.processes
+            : chance.nextInt(10) == 0 ? 3 + chance.nextInt(48) : 3 + chance.nextInt(7);
+    List<Trouble> script =
+        common.script != null
+            ? common.drawn(seed, processes)
+            : common.drawn(seed, processes, 1 + chance.nextInt(6));
+    VirtualFleet.Plan plan = VirtualFleet.Plan.of(processes);
+    return play(common.folders ? plan.withFolders() : plan, script, common.seconds, seed);
+  }
+
+  @Override
+  public Integer call() {
+    long from = System.nanoTime();
+    PrintWriter out = spec.commandLine().getOut();
+    List<Verdict> all = Collections.synchronizedList(new ArrayList<>());
+    LongStream.range(common.seed, common.seed + runs)
+        .parallel()
+        .forEach(
+            seed -> {
+              Verdict v = one(common, seed);
+              all.add(v);
+              if (!v.broken.isEmpty()) {
                 synchronized (out) {
-                    out.println("seed " + seed + ": BROKEN" + (v.lostMajority ? " (a majority was lost)" : "") + " " + v.broken);
-                    out.flush();
+                  out.println(
+                      "seed "
+                          + seed
+                          + ": BROKEN"
+                          + (v.lostMajority ? " (a majority was lost)" : "")
+                          + " "
+                          + v.broken);
+                  out.flush();
                 }
-            }
-        });
-        long broken = all.stream().filter(v -> !v.broken.isEmpty()).count();
-        List<Double> missed = all.stream().filter(v -> !v.lostMajority).map(Verdict::missed).sorted().toList();
-        out.printf(Locale.ROOT, "%d runs, seeds from %d: %d broken, %d that lost a majority, %d with two lines; the most used at once %.6f of the whole; "
-                + "needs missed at the end by %.4f in the median, %.4f at most; %.0f s%n", all.size(), common.seed, broken,
-                all.stream().filter(Verdict::lostMajority).count(), all.stream().filter(Verdict::twoLines).count(),
-                all.stream().mapToDouble(Verdict::most).max().orElse(0), missed.isEmpty() ? 0 : missed.get(missed.size() / 2),
-                missed.isEmpty() ? 0 : missed.get(missed.size() - 1), (System.nanoTime() - from) / 1e9);
-        out.flush();
-        return broken == 0 ? 0 : 1;
-    }
+              }
+            });
+    long broken = all.stream().filter(v -> !v.broken.isEmpty()).count();
+    List<Double> missed =
+        all.stream().filter(v -> !v.lostMajority).map(Verdict::missed).sorted().toList();
+    out.printf(
+        Locale.ROOT,
+        "%d runs, seeds from %d: %d broken, %d that lost a majority, %d with two lines; the most used at once %.6f of the whole; "
+            + "needs missed at the end by %.4f in the median, %.4f at most; %.0f s%n",
+        all.size(),
+        common.seed,
+        broken,
+        all.stream().filter(Verdict::lostMajority).count(),
+        all.stream().filter(Verdict::twoLines).count(),
+        all.stream().mapToDouble(Verdict::most).max().orElse(0),
+        missed.isEmpty() ? 0 : missed.get(missed.size() / 2),
+        missed.isEmpty() ? 0 : missed.get(missed.size() - 1),
+        (System.nanoTime() - from) / 1e9);
+    out.flush();
+    return broken == 0 ? 0 : 1;
+  }
 }
--- a/src/main/java/cobaltseam/ground/Ground.java
+++ b/src/main/java/cobaltseam/ground/Ground.java
@@ -1,13 +1,5 @@
 package cobaltseam.ground;
 
-import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.stream.Collectors;
-
 import cobaltseam.agreement.Agreement;
 import cobaltseam.agreement.Doing;
 import cobaltseam.agreement.Word;
@@ -28,291 +20,322 @@
 import cobaltseam.sharing.Known;
 import cobaltseam.sharing.Shared;
 import cobaltseam.sharing.Sharing;
-import cobaltseam.sharing.Told;
 import cobaltseam.spread.Holdings;
 import cobaltseam.spread.LoanWord;
 import cobaltseam.spread.ReportWord;
 import cobaltseam.spread.Reports;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.Collectors;
 
 /**
- * All that this process decides together with others, as one: what comes is handed to the module that it is for, and after each thing
- * each module hears what it hangs on: membership, then the lease, then what acts under it. It does no I/O and decides nothing of its
- * own, so that the service and the fleets in virtual time can't differ in how modules are joined. Parts that are null are off.
+ * All that this process decides together with others, as one: what comes is handed to the module
+ * that it is for, and after each thing each module hears what it hangs on: membership, then the
+ * lease, then what acts under it. It does no I/O and decides nothing of its own, so that the
+ * service and the fleets in virtual time can't differ in how modules are joined. Parts that are
+ * null are off.
  */
 public final class Ground {
-    /** What is to be done. */
-    public interface Out {
-        /** A datagram; it may be lost. */
-        void tell(InetSocketAddress to, Spoken message);
-
-        /** Of membership, all but datagrams. */
-        void act(Act act);
-
-        /** Of the agreement, what is acted on and what is noted. */
-        void doing(Doing doing);
-    }
-
-    /** What was sent so far by this process. */
-    public interface Sends {
-        long firsts();
-
-        /** Further ones, and those that it would have made. */
-        long furtherWanted();
-    }
-
-    /** The name of the figure by which members say how many further sends others may ask them for, in thousandths. */
-    public static final String SPARE = "repeats.spare";
-    /** The name of the figure by which members say what they need. */
-    public static final String DEMAND = "spread.demand";
-    /** Figures are whole numbers; demand is said in this many to one. */
-    private static final double DEMAND_UNITS = 1000;
-
-    private final Membership membership;
-    private final Lease lease;
-    private final Agreement agreement;
-    private final Sharing sharing;
-    private Holdings holdings;
-    private Reports reports;
-    private Purse purse;
-    private Sends sends;
-    private final Out out;
-    private View shared;
-    private boolean following;
-    private Moment seen;
-
-    /**
-     * @param lease null if nothing of this needs one
-     * @param sharing null if members tell no figures
-     */
-    public Ground(Membership membership, Lease lease, Agreement agreement, Sharing sharing, Out out) {
-        this.membership = membership;
-        this.lease = lease;
-        this.agreement = agreement;
-        this.sharing = sharing;
-        this.out = out;
-    }
-
-    /** Has this process hold a part of a whole; needs a lease and sharing. */
-    public void holds(Holdings of) {
-        holdings = of;
-    }
-
-    /** Has members tell each other what engines told them. */
-    public void hears(Reports of) {
-        reports = of;
+  /** What is to be done. */
+  public interface Out {
+    /** A datagram; it may be lost. */
+    void tell(InetSocketAddress to, Spoken message);
+
+    /** Of membership, all but datagrams. */
+    void act(Act act);
+
+    /** Of the agreement, what is acted on and what is noted. */
+    void doing(Doing doing);
+  }
+
+  /** What was sent so far by this process. */
+  public interface Sends {
+    long firsts();
+
+    /** Further ones, and those that it would have made. */
+    long furtherWanted();
+  }
+
+  /**
+   * The name of the figure by which members say how many further sends others may ask them for, in
+   * thousandths.
+   */
+  public static final String SPARE = "repeats.spare";
+
+  /** The name of the figure by which members say what they need. */
+  public static final String DEMAND = "spread.demand";
+
+  /** Figures are whole numbers; demand is said in this many to one. */
+  private static final double DEMAND_UNITS = 1000;
+
+  private final Membership membership;
+  private final Lease lease;
+  private final Agreement agreement;
+  private final Sharing sharing;
+  private Holdings holdings;
+  private Reports reports;
+  private Purse purse;
+  private Sends sends;
+  private final Out out;
+  private View shared;
+  private boolean following;
+  private Moment seen;
+
+  /**
+   * @param lease null if nothing of this needs one
+   * @param sharing null if members tell no figures
+   */
+  public Ground(Membership membership, Lease lease, Agreement agreement, Sharing sharing, Out out) {
+    this.membership = membership;
+    this.lease = lease;
+    this.agreement = agreement;
+    this.sharing = sharing;
+    this.out = out;
+  }
+
+  /** Has this process hold a part of a whole; needs a lease and sharing. */
+  public void holds(Holdings of) {
+    holdings = of;
+  }
+
+  /** Has members tell each other what engines told them. */
+  public void hears(Reports of) {
+    reports = of;
+  }
+
+  /** Has members cap further sends together; needs sharing. */
+  public void caps(Purse with, Sends by) {
+    purse = with;
+    sends = by;
+  }
+
+  /** What holdings hang on. */
+  public Holdings.Ground under() {
+    return new Holdings.Ground() {
+      @Override
+      public View view() {
+        return membership.view();
+      }
+
+      @Override
+      public Member self() {
+        return membership.self();
+      }
+
+      @Override
+      public Message.Teller teller() {
+        return membership.teller();
+      }
+
+      @Override
+      public Moment leaseUntil() {
+        return lease.until();
+      }
+
+      @Override
+      public Span outlasts() {
+        return lease.outlasts();
+      }
+
+      @Override
+      public double clockRates() {
+        return lease.terms().clockRates();
+      }
+
+      @Override
+      public Double demand(MemberName of) {
+        Known known = sharing.known(of, seen);
+        Long said = known == null ? null : known.figures().byName().get(DEMAND);
+        return said == null || said < 0 ? null : Ground.demand(said.longValue());
+      }
+    };
+  }
+
+  /** A demand as the figure under which it is said. */
+  public static long figure(double demand) {
+    return Math.round(Math.min(demand, Integer.MAX_VALUE) * DEMAND_UNITS);
+  }
+
+  /** The demand that a figure says. */
+  public static double demand(long figure) {
+    return figure / DEMAND_UNITS;
+  }
+
+  // ---- what happens
+
+  public void start(Moment now) {
+    acts(membership.start(now), now);
+  }
+
+  public void leave(Moment now) {
+    acts(membership.leave(now), now);
+  }
+
+  public void kept(long number, Moment now) {
+    acts(membership.kept(number), now);
+  }
+
+  public void notKept(String why, Moment now) {
+    acts(membership.notKept(why, now), now);
+  }
+
+  public void foundAnew(ViewId said, Moment now) {
+    acts(membership.foundAnew(said, now), now);
+  }
+
+  /** Time has passed. */
+  public void due(Moment now) {
+    acts(membership.due(now), now);
+  }
+
+  /** A message that its carrier found whole, of this fleet and sealed as it should be. */
+  public void heard(Spoken message, Moment now) {
+    if (message instanceof Message m) {
+      acts(membership.heard(m, now), now);
+    } else if (message instanceof Word word) {
+      if (agreement != null) {
+        doings(agreement.heard(word, now), now);
+      }
+    } else if (membership.spoke(message, now)) {
+      seen = now;
+      if (message instanceof LeaseWord word && lease != null) {
+        lease.heard(word, now).forEach(t -> out.tell(t.to(), t.word()));
+      } else if (message instanceof Shared said && sharing != null) {
+        shares(sharing.heard(said.told(), now));
+      } else if (message instanceof LoanWord word && holdings != null) {
+        holdings.heard(word, now).forEach(t -> out.tell(t.to(), t.word()));
+      } else if (message instanceof PurseWord word && purse != null) {
+        purse
+            .heard(word, membership.view(), membership.teller(), now)
+            .forEach(t -> out.tell(t.to(), t.word()));
+      } else if (message instanceof ReportWord word && reports != null) {
+        reports
+            .heard(word, membership.view(), membership.teller(), now)
+            .forEach(t -> out.tell(t.to(), t.word()));
+      }
     }
-
-    /** Has members cap further sends together; needs sharing. */
-    public void caps(Purse with, Sends by) {
-        purse = with;
-        sends = by;
+    follow(now);
+  }
+
+  /** When {@link #due} is to be asked next; null once this process has left. */
+  public Moment wake(Moment now) {
+    Moment wake = membership.wake(now);
+    if (wake == null) {
+      return null;
     }
-
-    /** What holdings hang on. */
-    public Holdings.Ground under() {
-        return new Holdings.Ground() {
-            @Override
-            public View view() {
-                return membership.view();
-            }
-
-            @Override
-            public Member self() {
-                return membership.self();
-            }
-
-            @Override
-            public Message.Teller teller() {
-                return membership.teller();
-            }
-
-            @Override
-            public Moment leaseUntil() {
-                return lease.until();
-            }
-
-            @Override
-            public Span outlasts() {
-                return lease.outlasts();
-            }
-
-            @Override
-            public double clockRates() {
-                return lease.terms().clockRates();
-            }
-
-            @Override
-            public Double demand(MemberName of) {
-                Known known = sharing.known(of, seen);
-                Long said = known == null ? null : known.figures().byName().get(DEMAND);
-                return said == null || said < 0 ? null : Ground.demand(said.longValue());
-            }
-        };
+    wake = lease == null ? wake : sooner(wake, lease.wake(now));
+    wake = agreement == null ? wake : sooner(wake, agreement.wake(now));
+    wake = sharing == null ? wake : sooner(wake, sharing.wake());
+    wake = purse == null ? wake : sooner(wake, purse.wake(now));
+    wake = reports == null ? wake : sooner(wake, reports.wake());
+    return holdings == null ? wake : sooner(wake, holdings.wake(now));
+  }
+
+  private static Moment sooner(Moment one, Moment other) {
+    return other == null || one.before(other) ? one : other;
+  }
+
+  // ---- what follows
+
+  private void acts(List<Act> acts, Moment now) {
+    for (Act act : acts) {
+      if (act instanceof Act.Tell tell) {
+        out.tell(tell.to(), tell.message());
+      } else {
+        out.act(act);
+      }
     }
-
-    /** A demand as the figure under which it is said. */
-    public static long figure(double demand) {
-        return Math.round(Math.min(demand, Integer.MAX_VALUE) * DEMAND_UNITS);
+    follow(now);
+  }
+
+  private void doings(List<Doing> doings, Moment now) {
+    List<Act> acts = new ArrayList<>();
+    for (Doing doing : doings) {
+      if (doing instanceof Doing.Tell tell) {
+        out.tell(tell.to(), tell.word());
+      } else if (doing instanceof Doing.Of of) {
+        acts.add(of.act());
+      } else {
+        out.doing(doing);
+      }
     }
-
-    /** The demand that a figure says. */
-    public static double demand(long figure) {
-        return figure / DEMAND_UNITS;
+    if (!acts.isEmpty()) {
+      acts(acts, now);
     }
-
-    // ---- what happens
-
-    public void start(Moment now) {
-        acts(membership.start(now), now);
+  }
+
+  private Map<MemberName, Long> spares(Moment now) {
+    Map<MemberName, Long> spares = new HashMap<>();
+    for (Member m : membership.view() == null ? List.<Member>of() : membership.view().members()) {
+      Known known = sharing.known(m.name(), now);
+      Long said = known == null ? null : known.figures().byName().get(SPARE);
+      if (said != null) {
+        spares.put(m.name(), said);
+      }
     }
-
-    public void leave(Moment now) {
-        acts(membership.leave(now), now);
+    return spares;
+  }
+
+  private void shares(List<Sharing.Send> sends) {
+    View view = membership.view();
+    for (Sharing.Send send : sends) {
+      Member to = view == null ? null : view.of(send.to());
+      if (to != null) {
+        out.tell(to.address(), Shared.of(membership.teller(), send.message()));
+      }
     }
-
-    public void kept(long number, Moment now) {
-        acts(membership.kept(number), now);
+  }
+
+  /**
+   * Each in turn hears of what it hangs on, before anything else is done with what is known now.
+   */
+  public void follow(Moment now) {
+    if (following) {
+      return;
     }
-
-    public void notKept(String why, Moment now) {
-        acts(membership.notKept(why, now), now);
+    following = true;
+    seen = now;
+    if (lease != null) {
+      lease.follow(now).forEach(t -> out.tell(t.to(), t.word()));
     }
-
-    public void foundAnew(ViewId said, Moment now) {
-        acts(membership.foundAnew(said, now), now);
+    if (agreement != null) {
+      doings(agreement.follow(now), now);
     }
-
-    /** Time has passed. */
-    public void due(Moment now) {
-        acts(membership.due(now), now);
+    if (sharing != null) {
+      sharing.born(membership.self().birth());
+      if (membership.view() != shared) {
+        shared = membership.view();
+        Set<MemberName> names =
+            shared == null
+                ? Set.of()
+                : shared.members().stream().map(Member::name).collect(Collectors.toSet());
+        sharing.view(names);
+      }
+      shares(sharing.due(now));
     }
-
-    /** A message that its carrier found whole, of this fleet and sealed as it should be. */
-    public void heard(Spoken message, Moment now) {
-        if (message instanceof Message m) {
-            acts(membership.heard(m, now), now);
-        } else if (message instanceof Word word) {
-            if (agreement != null) {
-                doings(agreement.heard(word, now), now);
-            }
-        } else if (membership.spoke(message, now)) {
-            seen = now;
-            if (message instanceof LeaseWord word && lease != null) {
-                lease.heard(word, now).forEach(t -> out.tell(t.to(), t.word()));
-            } else if (message instanceof Shared said && sharing != null) {
-                shares(sharing.heard(said.told(), now));
-            } else if (message instanceof LoanWord word && holdings != null) {
-                holdings.heard(word, now).forEach(t -> out.tell(t.to(), t.word()));
-            } else if (message instanceof PurseWord word && purse != null) {
-                purse.heard(word, membership.view(), membership.teller(), now).forEach(t -> out.tell(t.to(), t.word()));
-            } else if (message instanceof ReportWord word && reports != null) {
-                reports.heard(word, membership.view(), membership.teller(), now).forEach(t -> out.tell(t.to(), t.word()));
-            }
-        }
-        follow(now);
+    if (holdings != null) {
+      holdings.follow(now).forEach(t -> out.tell(t.to(), t.word()));
     }
-
-    /** When {@link #due} is to be asked next; null once this process has left. */
-    public Moment wake(Moment now) {
-        Moment wake = membership.wake(now);
-        if (wake == null) {
-            return null;
-        }
-        wake = lease == null ? wake : sooner(wake, lease.wake(now));
-        wake = agreement == null ? wake : sooner(wake, agreement.wake(now));
-        wake = sharing == null ? wake : sooner(wake, sharing.wake());
-        wake = purse == null ? wake : sooner(wake, purse.wake(now));
-        wake = reports == null ? wake : sooner(wake, reports.wake());
-        return holdings == null ? wake : sooner(wake, holdings.wake(now));
-    }
-
-    private static Moment sooner(Moment one, Moment other) {
-        return other == null || one.before(other) ? one : other;
-    }
-
-    // ---- what follows
-
-    private void acts(List<Act> acts, Moment now) {
-        for (Act act : acts) {
-            if (act instanceof Act.Tell tell) {
-                out.tell(tell.to(), tell.message());
-            } else {
-                out.act(act);
-            }
-        }
-        follow(now);
-    }
-
-    private void doings(List<Doing> doings, Moment now) {
-        List<Act> acts = new ArrayList<>();
-        for (Doing doing : doings) {
-            if (doing instanceof Doing.Tell tell) {
-                out.tell(tell.to(), tell.word());
-            } else if (doing instanceof Doing.Of of) {
-                acts.add(of.act());
-            } else {
-                out.doing(doing);
-            }
-        }
-        if (!acts.isEmpty()) {
-            acts(acts, now);
-        }
-    }
-
-    private Map<MemberName, Long> spares(Moment now) {
-        Map<MemberName, Long> spares = new HashMap<>();
-        for (Member m : membership.view() == null ? List.<Member>of() : membership.view().members()) {
-            Known known = sharing.known(m.name(), now);
-            Long said = known == null ? null : known.figures().byName().get(SPARE);
-            if (said != null) {
-                spares.put(m.name(), said);
-            }
-        }
-        return spares;
+    if (purse != null && purse.isDue(now)) {
+      purse
+          .follow(
+              sends.firsts(),
+              sends.furtherWanted(),
+              spares(now),
+              membership.view(),
+              membership.teller(),
+              now)
+          .forEach(t -> out.tell(t.to(), t.word()));
     }
-
-    private void shares(List<Sharing.Send> sends) {
-        View view = membership.view();
-        for (Sharing.Send send : sends) {
-            Member to = view == null ? null : view.of(send.to());
-            if (to != null) {
-                out.tell(to.address(), Shared.of(membership.teller(), send.message()));
-            }
-        }
-    }
-
-    /** Each in turn hears of what it hangs on, before anything else is done with what is known now. */
-    public void follow(Moment now) {
-        if (following) {
-            return;
-        }
-        following = true;
-        seen = now;
-        if (lease != null) {
-            lease.follow(now).forEach(t -> out.tell(t.to(), t.word()));
-        }
-        if (agreement != null) {
-            doings(agreement.follow(now), now);
-        }
-        if (sharing != null) {
-            sharing.born(membership.self().birth());
-            if (membership.view() != shared) {
-                shared = membership.view();
-                Set<MemberName> names = shared == null ? Set.of() : shared.members().stream().map(Member::name).collect(Collectors.toSet());
-                sharing.view(names);
-            }
-            shares(sharing.due(now));
-        }
-        if (holdings != null) {
-            holdings.follow(now).forEach(t -> out.tell(t.to(), t.word()));
-        }
-        if (purse != null && purse.isDue(now)) {
-            purse.follow(sends.firsts(), sends.furtherWanted(), spares(now), membership.view(), membership.teller(), now)
-                    .forEach(t -> out.tell(t.to(), t.word()));
-        }
-        if (reports != null) {
-            reports.due(membership.view(), membership.teller(), now).forEach(t -> out.tell(t.to(), t.word()));
-        }
-        following = false;
+    if (reports != null) {
+      reports
+          .due(membership.view(), membership.teller(), now)
+          .forEach(t -> out.tell(t.to(), t.word()));
     }
+    following = false;
+  }
 }
--- a/src/main/java/cobaltseam/hall/Datagrams.java
+++ b/src/main/java/cobaltseam/hall/Datagrams.java
@@ -11,80 +11,84 @@
 
 /** A UDP socket that a thread of its own reads; what it keeps is one buffer. */
 final class Datagrams {
-    /** Hears of each datagram, on the reading thread; the buffer is good for the call alone. */
-    interface Receiver {
-        void came(ByteBuffer bytes, InetSocketAddress from);
-    }
+  /** Hears of each datagram, on the reading thread; the buffer is good for the call alone. */
+  interface Receiver {
+    void came(ByteBuffer bytes, InetSocketAddress from);
+  }
 
-    private final InetSocketAddress at;
-    private final int largest;
-    private final Receiver receiver;
-    private DatagramChannel channel;
-    private Selector selector;
+  private final InetSocketAddress at;
+  private final int largest;
+  private final Receiver receiver;
+  private DatagramChannel channel;
+  private Selector selector;
 
-    /** @param largest what is longer comes cut */
-    Datagrams(InetSocketAddress at, int largest, Receiver receiver) {
-        this.at = at;
-        this.largest = largest;
-        this.receiver = receiver;
-    }
+  /**
+   * @param largest what is longer comes cut
+   */
+  Datagrams(InetSocketAddress at, int largest, Receiver receiver) {
+    this.at = at;
+    this.largest = largest;
+    this.receiver = receiver;
+  }
 
-    /** @throws IOException if the address can't be bound */
-    void open(int buffer, String name) throws IOException {
-        selector = Selector.open();
-        channel = DatagramChannel.open();
-        try {
-            channel.setOption(StandardSocketOptions.SO_RCVBUF, buffer);
-            channel.configureBlocking(false);
-            channel.bind(at);
-            channel.register(selector, SelectionKey.OP_READ);
-        } catch (IOException e) {
-            close();
-            throw e;
-        }
-        Thread reader = new Thread(this::read, name);
-        reader.setDaemon(true);
-        reader.start();
+  /**
+   * @throws IOException if the address can't be bound
+   */
+  void open(int buffer, String name) throws IOException {
+    selector = Selector.open();
+    channel = DatagramChannel.open();
+    try {
+      channel.setOption(StandardSocketOptions.SO_RCVBUF, buffer);
+      channel.configureBlocking(false);
+      channel.bind(at);
+      channel.register(selector, SelectionKey.OP_READ);
+    } catch (IOException e) {
+      close();
+      throw e;
     }
+    Thread reader = new Thread(this::read, name);
+    reader.setDaemon(true);
+    reader.start();
+  }
 
-    private void read() {
-        ByteBuffer buffer = ByteBuffer.allocate(largest);
-        while (selector.isOpen()) {
-            try {
-                selector.select();
-                selector.selectedKeys().clear();
-                for (InetSocketAddress from = receive(buffer); from != null; from = receive(buffer)) {
-                    receiver.came(buffer.flip(), from);
-                }
-            } catch (ClosedSelectorException e) {
-                return;
-            } catch (IOException e) {
-                // An error that a datagram of ours brought back; the socket stays.
-                continue;
-            }
+  private void read() {
+    ByteBuffer buffer = ByteBuffer.allocate(largest);
+    while (selector.isOpen()) {
+      try {
+        selector.select();
+        selector.selectedKeys().clear();
+        for (InetSocketAddress from = receive(buffer); from != null; from = receive(buffer)) {
+          receiver.came(buffer.flip(), from);
         }
+      } catch (ClosedSelectorException e) {
+        return;
+      } catch (IOException e) {
+        // An error that a datagram of ours brought back; the socket stays.
+        continue;
+      }
     }
+  }
 
-    private InetSocketAddress receive(ByteBuffer buffer) throws IOException {
-        buffer.clear();
-        return channel.isOpen() ? (InetSocketAddress) channel.receive(buffer) : null;
-    }
+  private InetSocketAddress receive(ByteBuffer buffer) throws IOException {
+    buffer.clear();
+    return channel.isOpen() ? (InetSocketAddress) channel.receive(buffer) : null;
+  }
 
-    /** Sends one; it never waits. */
-    void send(byte[] bytes, InetSocketAddress to) throws IOException {
-        channel.send(ByteBuffer.wrap(bytes), to);
-    }
+  /** Sends one; it never waits. */
+  void send(byte[] bytes, InetSocketAddress to) throws IOException {
+    channel.send(ByteBuffer.wrap(bytes), to);
+  }
 
-    /** Closes it; nothing is handed over from then on. */
-    void close() {
-        try {
-            if (channel != null) {
-                channel.close();
-            }
-            selector.close();
-        } catch (IOException e) {
-            // Nothing of it is left to be used.
-            channel = null;
-        }
+  /** Closes it; nothing is handed over from then on. */
+  void close() {
+    try {
+      if (channel != null) {
+        channel.close();
+      }
+      selector.close();
+    } catch (IOException e) {
+      // Nothing of it is left to be used.
+      channel = null;
     }
+  }
 }
--- a/src/main/java/cobaltseam/hall/KeptCodec.java
+++ b/src/main/java/cobaltseam/hall/KeptCodec.java
@@ -1,36 +1,37 @@
 package cobaltseam.hall;
 
-import java.io.IOException;
-import java.util.Optional;
-
 import cobaltseam.membership.Kept;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.util.Optional;
 
-/** What a member keeps in its folder, as CBOR (RFC 8949); fields that are not known are passed over. */
+/**
+ * What a member keeps in its folder, as CBOR (RFC 8949); fields that are not known are passed over.
+ */
 public final class KeptCodec {
-    /** Of the folder's file. */
-    public static final String NAME = "seat";
-    public static final int FORMAT = 1;
-    private static final ObjectMapper MAPPER = MessageCodec.mapper();
+  /** Of the folder's file. */
+  public static final String NAME = "seat";
 
-    private KeptCodec() {
-    }
+  public static final int FORMAT = 1;
+  private static final ObjectMapper MAPPER = MessageCodec.mapper();
+
+  private KeptCodec() {}
 
-    public static byte[] write(Kept kept) {
-        try {
-            return MAPPER.writeValueAsBytes(kept);
-        } catch (JsonProcessingException e) {
-            throw new IllegalStateException("all that is kept has bytes", e);
-        }
+  public static byte[] write(Kept kept) {
+    try {
+      return MAPPER.writeValueAsBytes(kept);
+    } catch (JsonProcessingException e) {
+      throw new IllegalStateException("all that is kept has bytes", e);
     }
+  }
 
-    /** Nothing, if the bytes are whole but not of this kind. */
-    public static Optional<Kept> read(byte[] bytes) {
-        try {
-            return Optional.ofNullable(MAPPER.readValue(bytes, Kept.class));
-        } catch (IOException | RuntimeException e) {
-            return Optional.empty();
-        }
+  /** Nothing, if the bytes are whole but not of this kind. */
+  public static Optional<Kept> read(byte[] bytes) {
+    try {
+      return Optional.ofNullable(MAPPER.readValue(bytes, Kept.class));
+    } catch (IOException | RuntimeException e) {
+      return Optional.empty();
     }
+  }
 }
--- a/src/main/java/cobaltseam/hall/MessageCodec.java
+++ b/src/main/java/cobaltseam/hall/MessageCodec.java
@@ -1,15 +1,5 @@
 package cobaltseam.hall;
 
-import java.io.IOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.Map;
-import java.util.Optional;
-import java.util.function.Function;
-import java.util.stream.Collectors;
-import java.util.stream.Stream;
-
 import cobaltseam.agreement.Word;
 import cobaltseam.membership.Birth;
 import cobaltseam.membership.LeaseWord;
@@ -37,167 +27,230 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.databind.ser.std.StdSerializer;
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Function;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 
 /**
- * What members tell each other, as bytes: CBOR (RFC 8949) of a version, the fleet's name, the kind of message and its fields
- * by name, and a {@link Seal} behind it where there are keys. Fields that are not known are passed over, so that a later
- * program may add some; a kind that is not known is refused and changes nothing.
+ * What members tell each other, as bytes: CBOR (RFC 8949) of a version, the fleet's name, the kind
+ * of message and its fields by name, and a {@link Seal} behind it where there are keys. Fields that
+ * are not known are passed over, so that a later program may add some; a kind that is not known is
+ * refused and changes nothing.
  */
 public final class MessageCodec {
-    /** A longer message is neither written nor read. */
-    public static final int LARGEST = 1 << 14;
-    private static final int VERSION = 1;
-    private static final Map<String, Class<? extends Spoken>> KINDS = Stream.<Class<? extends Spoken>>of(Message.Probe.class, Message.Relay.class,
-            Message.Answer.class, Message.Ask.class, Message.Part.class, Message.NameTaken.class, Message.Found.class,
-            Message.Consent.class, Message.Prepare.class, Message.Promise.class, Message.Refuse.class, Message.Accept.class,
-            Message.Accepted.class, Message.Decided.class, Message.AskView.class, Message.ViewPart.class, LeaseWord.Renew.class,
-            LeaseWord.Granted.class, Word.Offer.class, Word.Checked.class, Word.Want.class, Word.Piece.class,
-            Shared.ShareAsk.class, Shared.ShareNewer.class, LoanWord.Borrow.class, LoanWord.Lent.class,
-            ReportWord.AskReports.class, ReportWord.Table.class, PurseWord.Beg.class, PurseWord.Give.class)
-            .collect(Collectors.toMap(Class::getSimpleName, Function.identity()));
-
-    /** Why bytes are not taken for a message that counts. */
-    public enum Refusal {
-        TOO_LONG, UNSEALED, KEY_UNKNOWN, FORGED, MALFORMED, VERSION, OTHER_FLEET, KIND;
-
-        public String label() {
-            return name().toLowerCase(java.util.Locale.ROOT);
-        }
-    }
+  /** A longer message is neither written nor read. */
+  public static final int LARGEST = 1 << 14;
 
-    /** What bytes came to: a message, or why none counts. */
-    public record Reading(Spoken message, Refusal refusal) {
-    }
+  private static final int VERSION = 1;
+  private static final Map<String, Class<? extends Spoken>> KINDS =
+      Stream.<Class<? extends Spoken>>of(
+              Message.Probe.class,
+              Message.Relay.class,
+              Message.Answer.class,
+              Message.Ask.class,
+              Message.Part.class,
+              Message.NameTaken.class,
+              Message.Found.class,
+              Message.Consent.class,
+              Message.Prepare.class,
+              Message.Promise.class,
+              Message.Refuse.class,
+              Message.Accept.class,
+              Message.Accepted.class,
+              Message.Decided.class,
+              Message.AskView.class,
+              Message.ViewPart.class,
+              LeaseWord.Renew.class,
+              LeaseWord.Granted.class,
+              Word.Offer.class,
+              Word.Checked.class,
+              Word.Want.class,
+              Word.Piece.class,
+              Shared.ShareAsk.class,
+              Shared.ShareNewer.class,
+              LoanWord.Borrow.class,
+              LoanWord.Lent.class,
+              ReportWord.AskReports.class,
+              ReportWord.Table.class,
+              PurseWord.Beg.class,
+              PurseWord.Give.class)
+          .collect(Collectors.toMap(Class::getSimpleName, Function.identity()));
 
-    private final ObjectMapper mapper;
-    private final String fleet;
-    private final byte[] unsaid;
-    private final SealKeys keys;
-    private final int writeKey;
-    private long sequence;
-
-    /** @param keys the keys of seals, or null where messages have none */
-    public MessageCodec(String fleet, SealKeys keys, int writeKey) {
-        this.fleet = fleet;
-        this.keys = keys;
-        this.writeKey = writeKey;
-        unsaid = fleet.getBytes(StandardCharsets.UTF_8);
-        mapper = mapper();
-    }
+  /** Why bytes are not taken for a message that counts. */
+  public enum Refusal {
+    TOO_LONG,
+    UNSEALED,
+    KEY_UNKNOWN,
+    FORGED,
+    MALFORMED,
+    VERSION,
+    OTHER_FLEET,
+    KIND;
 
-    /** CBOR of our records, fields by name. */
-    static ObjectMapper mapper() {
-        return CBORMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-                .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES, DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
-                .addModule(plain()).build();
+    public String label() {
+      return name().toLowerCase(java.util.Locale.ROOT);
     }
+  }
+
+  /** What bytes came to: a message, or why none counts. */
+  public record Reading(Spoken message, Refusal refusal) {}
+
+  private final ObjectMapper mapper;
+  private final String fleet;
+  private final byte[] unsaid;
+  private final SealKeys keys;
+  private final int writeKey;
+  private long sequence;
+
+  /**
+   * @param keys the keys of seals, or null where messages have none
+   */
+  public MessageCodec(String fleet, SealKeys keys, int writeKey) {
+    this.fleet = fleet;
+    this.keys = keys;
+    this.writeKey = writeKey;
+    unsaid = fleet.getBytes(StandardCharsets.UTF_8);
+    mapper = mapper();
+  }
+
+  /** CBOR of our records, fields by name. */
+  static ObjectMapper mapper() {
+    return CBORMapper.builder()
+        .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+        .enable(
+            DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES,
+            DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+        .addModule(plain())
+        .build();
+  }
 
-    /** Names, births and addresses as one item each. */
-    private static SimpleModule plain() {
-        SimpleModule module = new SimpleModule();
-        module.addKeyDeserializer(MemberName.class, new KeyDeserializer() {
-            @Override
-            public Object deserializeKey(String key, DeserializationContext context) {
-                return new MemberName(key);
-            }
+  /** Names, births and addresses as one item each. */
+  private static SimpleModule plain() {
+    SimpleModule module = new SimpleModule();
+    module.addKeyDeserializer(
+        MemberName.class,
+        new KeyDeserializer() {
+          @Override
+          public Object deserializeKey(String key, DeserializationContext context) {
+            return new MemberName(key);
+          }
         });
-        add(module, MemberName.class, MemberName::value, MemberName::new);
-        add(module, InetSocketAddress.class, MessageCodec::text, MessageCodec::address);
-        module.addSerializer(Birth.class, new StdSerializer<>(Birth.class) {
-            @Override
-            public void serialize(Birth birth, JsonGenerator to, SerializerProvider provider) throws IOException {
-                to.writeNumber(birth.value());
-            }
+    add(module, MemberName.class, MemberName::value, MemberName::new);
+    add(module, InetSocketAddress.class, MessageCodec::text, MessageCodec::address);
+    module.addSerializer(
+        Birth.class,
+        new StdSerializer<>(Birth.class) {
+          @Override
+          public void serialize(Birth birth, JsonGenerator to, SerializerProvider provider)
+              throws IOException {
+            to.writeNumber(birth.value());
+          }
         });
-        module.addDeserializer(Birth.class, new StdDeserializer<>(Birth.class) {
-            @Override
-            public Birth deserialize(JsonParser from, DeserializationContext context) throws IOException {
-                return new Birth(from.getLongValue());
-            }
+    module.addDeserializer(
+        Birth.class,
+        new StdDeserializer<>(Birth.class) {
+          @Override
+          public Birth deserialize(JsonParser from, DeserializationContext context)
+              throws IOException {
+            return new Birth(from.getLongValue());
+          }
         });
-        return module;
-    }
+    return module;
+  }
 
-    private static <T> void add(SimpleModule module, Class<T> type, Function<T, String> write, Function<String, T> read) {
-        module.addSerializer(type, new StdSerializer<>(type) {
-            @Override
-            public void serialize(T value, JsonGenerator to, SerializerProvider provider) throws IOException {
-                to.writeString(write.apply(value));
-            }
+  private static <T> void add(
+      SimpleModule module, Class<T> type, Function<T, String> write, Function<String, T> read) {
+    module.addSerializer(
+        type,
+        new StdSerializer<>(type) {
+          @Override
+          public void serialize(T value, JsonGenerator to, SerializerProvider provider)
+              throws IOException {
+            to.writeString(write.apply(value));
+          }
         });
-        module.addDeserializer(type, new StdDeserializer<>(type) {
-            @Override
-            public T deserialize(JsonParser from, DeserializationContext context) throws IOException {
-                return read.apply(from.getText());
-            }
+    module.addDeserializer(
+        type,
+        new StdDeserializer<>(type) {
+          @Override
+          public T deserialize(JsonParser from, DeserializationContext context) throws IOException {
+            return read.apply(from.getText());
+          }
         });
-    }
+  }
 
-    private static String text(InetSocketAddress address) {
-        return Addresses.text(address.getAddress()) + "|" + address.getPort();
-    }
+  private static String text(InetSocketAddress address) {
+    return Addresses.text(address.getAddress()) + "|" + address.getPort();
+  }
 
-    private static InetSocketAddress address(String text) {
-        int bar = text.indexOf('|');
-        Optional<InetAddress> host = Addresses.read(text.substring(0, Math.max(0, bar)));
-        return new InetSocketAddress(host.orElseThrow(() -> new IllegalArgumentException("not an address")),
-                Integer.parseInt(text.substring(bar + 1)));
-    }
+  private static InetSocketAddress address(String text) {
+    int bar = text.indexOf('|');
+    Optional<InetAddress> host = Addresses.read(text.substring(0, Math.max(0, bar)));
+    return new InetSocketAddress(
+        host.orElseThrow(() -> new IllegalArgumentException("not an address")),
+        Integer.parseInt(text.substring(bar + 1)));
+  }
 
-    /** The bytes of a message; null if it is too long to be sent. */
-    public byte[] write(Spoken message) {
-        ObjectNode whole = mapper.createObjectNode();
-        whole.put("v", VERSION).put("f", fleet).put("k", message.getClass().getSimpleName());
-        whole.set("m", mapper.valueToTree(message));
-        byte[] bytes;
-        try {
-            bytes = mapper.writeValueAsBytes(whole);
-        } catch (JsonProcessingException e) {
-            throw new IllegalStateException("every message has bytes", e);
-        }
-        if (keys != null) {
-            bytes = Seal.write(bytes, unsaid, keys, writeKey, sequence++);
-        }
-        return bytes.length > LARGEST ? null : bytes;
+  /** The bytes of a message; null if it is too long to be sent. */
+  public byte[] write(Spoken message) {
+    ObjectNode whole = mapper.createObjectNode();
+    whole.put("v", VERSION).put("f", fleet).put("k", message.getClass().getSimpleName());
+    whole.set("m", mapper.valueToTree(message));
+    byte[] bytes;
+    try {
+      bytes = mapper.writeValueAsBytes(whole);
+    } catch (JsonProcessingException e) {
+      throw new IllegalStateException("every message has bytes", e);
     }
-
-    /** Reads a datagram; whatever it holds, it throws nothing. */
-    public Reading read(byte[] bytes) {
-        if (bytes.length > LARGEST) {
-            return refused(Refusal.TOO_LONG);
-        }
-        int length = bytes.length;
-        if (keys != null) {
-            length -= Seal.LENGTH;
-            if (!Seal.isAt(bytes, length)) {
-                return refused(Refusal.UNSEALED);
-            }
-            Optional<Seal.Broken> broken = Seal.check(bytes, length, unsaid, keys);
-            if (broken.isPresent()) {
-                return refused(broken.get() == Seal.Broken.FORGED ? Refusal.FORGED : Refusal.KEY_UNKNOWN);
-            }
-        }
-        try {
-            JsonNode whole = mapper.readTree(bytes, 0, length);
-            if (whole == null || !whole.path("v").isInt() || whole.path("v").asInt() != VERSION) {
-                return refused(whole == null || !whole.isObject() ? Refusal.MALFORMED : Refusal.VERSION);
-            }
-            if (!fleet.equals(whole.path("f").asText())) {
-                return refused(Refusal.OTHER_FLEET);
-            }
-            Class<? extends Spoken> kind = KINDS.get(whole.path("k").asText());
-            if (kind == null) {
-                return refused(Refusal.KIND);
-            }
-            Spoken message = mapper.treeToValue(whole.path("m"), kind);
-            return message == null ? refused(Refusal.MALFORMED) : new Reading(message, null);
-        } catch (IOException | RuntimeException e) {
-            // A library's own faults on hostile bytes are the bytes' fault: nothing of them is kept.
-            return refused(Refusal.MALFORMED);
-        }
+    if (keys != null) {
+      bytes = Seal.write(bytes, unsaid, keys, writeKey, sequence++);
     }
+    return bytes.length > LARGEST ? null : bytes;
+  }
 
-    private static Reading refused(Refusal why) {
-        return new Reading(null, why);
+  /** Reads a datagram; whatever it holds, it throws nothing. */
+  public Reading read(byte[] bytes) {
+    if (bytes.length > LARGEST) {
+      return refused(Refusal.TOO_LONG);
+    }
+    int length = bytes.length;
+    if (keys != null) {
+      length -= Seal.LENGTH;
+      if (!Seal.isAt(bytes, length)) {
+        return refused(Refusal.UNSEALED);
+      }
+      Optional<Seal.Broken> broken = Seal.check(bytes, length, unsaid, keys);
+      if (broken.isPresent()) {
+        return refused(broken.get() == Seal.Broken.FORGED ? Refusal.FORGED : Refusal.KEY_UNKNOWN);
+      }
     }
+    try {
+      JsonNode whole = mapper.readTree(bytes, 0, length);
+      if (whole == null || !whole.path("v").isInt() || whole.path("v").asInt() != VERSION) {
+        return refused(whole == null || !whole.isObject() ? Refusal.MALFORMED : Refusal.VERSION);
+      }
+      if (!fleet.equals(whole.path("f").asText())) {
+        return refused(Refusal.OTHER_FLEET);
+      }
+      Class<? extends Spoken> kind = KINDS.get(whole.path("k").asText());
+      if (kind == null) {
+        return refused(Refusal.KIND);
+      }
+      Spoken message = mapper.treeToValue(whole.path("m"), kind);
+      return message == null ? refused(Refusal.MALFORMED) : new Reading(message, null);
+    } catch (IOException | RuntimeException e) {
+      // A library's own faults on hostile bytes are the bytes' fault: nothing of them is kept.
+      return refused(Refusal.MALFORMED);
+    }
+  }
+
+  private static Reading refused(Refusal why) {
+    return new Reading(null, why);
+  }
 }
--- a/src/main/java/cobaltseam/hall/PeerSocket.java
+++ b/src/main/java/cobaltseam/hall/PeerSocket.java
@@ -8,61 +8,67 @@
 import java.util.function.Consumer;
 
 /**
- * The UDP socket of messages between members. Who they are is not known beforehand, so what waits to be heard is bounded for
- * all together; seals are checked by whoever hears it.
+ * The UDP socket of messages between members. Who they are is not known beforehand, so what waits
+ * to be heard is bounded for all together; seals are checked by whoever hears it.
  */
 public final class PeerSocket {
-    /** Bytes that may wait to be heard, each datagram with what keeps it. */
-    private static final int MOST_UNHEARD = 1 << 20;
-    private static final int KEEPING = 128;
-    private static final int BUFFER = 1 << 20;
+  /** Bytes that may wait to be heard, each datagram with what keeps it. */
+  private static final int MOST_UNHEARD = 1 << 20;
 
-    private final Datagrams datagrams;
-    private final Consumer<byte[]> receiver;
-    private final AtomicInteger unheard = new AtomicInteger();
-    private final AtomicLong tooMany = new AtomicLong();
+  private static final int KEEPING = 128;
+  private static final int BUFFER = 1 << 20;
 
-    /** @param receiver hears of each datagram, on the reading thread; {@link #heard} once it is through with it */
-    public PeerSocket(InetSocketAddress at, Consumer<byte[]> receiver) {
-        // One byte more than is taken: what is longer is seen to be.
-        datagrams = new Datagrams(at, MessageCodec.LARGEST + 1, this::handOver);
-        this.receiver = receiver;
-    }
+  private final Datagrams datagrams;
+  private final Consumer<byte[]> receiver;
+  private final AtomicInteger unheard = new AtomicInteger();
+  private final AtomicLong tooMany = new AtomicLong();
 
-    /** @throws IOException if the address can't be bound */
-    public void open() throws IOException {
-        datagrams.open(BUFFER, "members");
-    }
+  /**
+   * @param receiver hears of each datagram, on the reading thread; {@link #heard} once it is
+   *     through with it
+   */
+  public PeerSocket(InetSocketAddress at, Consumer<byte[]> receiver) {
+    // One byte more than is taken: what is longer is seen to be.
+    datagrams = new Datagrams(at, MessageCodec.LARGEST + 1, this::handOver);
+    this.receiver = receiver;
+  }
 
-    private void handOver(ByteBuffer buffer, InetSocketAddress from) {
-        int size = buffer.remaining() + KEEPING;
-        if (unheard.addAndGet(size) > MOST_UNHEARD) {
-            unheard.addAndGet(-size);
-            tooMany.incrementAndGet();
-            return;
-        }
-        byte[] bytes = new byte[buffer.remaining()];
-        buffer.get(bytes);
-        receiver.accept(bytes);
-    }
+  /**
+   * @throws IOException if the address can't be bound
+   */
+  public void open() throws IOException {
+    datagrams.open(BUFFER, "members");
+  }
 
-    /** A datagram has been heard: others may wait in its place. */
-    public void heard(byte[] bytes) {
-        unheard.addAndGet(-bytes.length - KEEPING);
+  private void handOver(ByteBuffer buffer, InetSocketAddress from) {
+    int size = buffer.remaining() + KEEPING;
+    if (unheard.addAndGet(size) > MOST_UNHEARD) {
+      unheard.addAndGet(-size);
+      tooMany.incrementAndGet();
+      return;
     }
+    byte[] bytes = new byte[buffer.remaining()];
+    buffer.get(bytes);
+    receiver.accept(bytes);
+  }
 
-    /** Datagrams beyond the bound since this was last asked. */
-    public long tooMany() {
-        return tooMany.getAndSet(0);
-    }
+  /** A datagram has been heard: others may wait in its place. */
+  public void heard(byte[] bytes) {
+    unheard.addAndGet(-bytes.length - KEEPING);
+  }
 
-    /** Sends one; it never waits. */
-    public void send(byte[] bytes, InetSocketAddress to) throws IOException {
-        datagrams.send(bytes, to);
-    }
+  /** Datagrams beyond the bound since this was last asked. */
+  public long tooMany() {
+    return tooMany.getAndSet(0);
+  }
 
-    /** Closes it; nothing is handed over from then on. */
-    public void close() {
-        datagrams.close();
-    }
+  /** Sends one; it never waits. */
+  public void send(byte[] bytes, InetSocketAddress to) throws IOException {
+    datagrams.send(bytes, to);
+  }
+
+  /** Closes it; nothing is handed over from then on. */
+  public void close() {
+    datagrams.close();
+  }
 }
--- a/src/main/java/cobaltseam/log/JsonLines.java
+++ b/src/main/java/cobaltseam/log/JsonLines.java
@@ -1,69 +1,72 @@
 package cobaltseam.log;
 
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.io.UncheckedIOException;
-import java.util.Set;
 import java.util.HashSet;
+import java.util.Set;
 import java.util.logging.Formatter;
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonGenerator;
-
-/** Writes each log record as one JSON object a line: at, level, logger, event, message, then the record's fields. */
+/**
+ * Writes each log record as one JSON object a line: at, level, logger, event, message, then the
+ * record's fields.
+ */
 public final class JsonLines extends Formatter {
-    private static final JsonFactory JSON = new JsonFactory();
-    private static final String NO_EVENT = "log";
+  private static final JsonFactory JSON = new JsonFactory();
+  private static final String NO_EVENT = "log";
 
-    /** All log lines of this process are JSON from now on. */
-    public static void install() {
-        for (Handler handler : Logger.getLogger("").getHandlers()) {
-            handler.setFormatter(new JsonLines());
-        }
+  /** All log lines of this process are JSON from now on. */
+  public static void install() {
+    for (Handler handler : Logger.getLogger("").getHandlers()) {
+      handler.setFormatter(new JsonLines());
     }
+  }
 
-    @Override
-    public String format(LogRecord record) {
-        StringWriter text = new StringWriter();
-        Object[] told = record.getParameters() == null ? new Object[0] : record.getParameters();
-        try (JsonGenerator json = JSON.createGenerator(text)) {
-            json.writeStartObject();
-            json.writeStringField("at", record.getInstant().toString());
-            json.writeStringField("level", record.getLevel().getName());
-            json.writeStringField("logger", record.getLoggerName());
-            String event = NO_EVENT;
-            for (Object o : told) {
-                event = o instanceof Field f && f.name().equals(Field.EVENT) ? f.toString() : event;
-            }
-            json.writeStringField(Field.EVENT, event);
-            json.writeStringField("message", formatMessage(record));
-            Set<String> written = new HashSet<>(Set.of("at", "level", "logger", Field.EVENT, "message", "error"));
-            for (Object o : told) {
-                if (o instanceof Field f && written.add(f.name())) {
-                    write(json, f);
-                }
-            }
-            if (record.getThrown() != null) {
-                StringWriter trace = new StringWriter();
-                record.getThrown().printStackTrace(new PrintWriter(trace));
-                json.writeStringField("error", trace.toString());
-            }
-            json.writeEndObject();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+  @Override
+  public String format(LogRecord record) {
+    StringWriter text = new StringWriter();
+    Object[] told = record.getParameters() == null ? new Object[0] : record.getParameters();
+    try (JsonGenerator json = JSON.createGenerator(text)) {
+      json.writeStartObject();
+      json.writeStringField("at", record.getInstant().toString());
+      json.writeStringField("level", record.getLevel().getName());
+      json.writeStringField("logger", record.getLoggerName());
+      String event = NO_EVENT;
+      for (Object o : told) {
+        event = o instanceof Field f && f.name().equals(Field.EVENT) ? f.toString() : event;
+      }
+      json.writeStringField(Field.EVENT, event);
+      json.writeStringField("message", formatMessage(record));
+      Set<String> written =
+          new HashSet<>(Set.of("at", "level", "logger", Field.EVENT, "message", "error"));
+      for (Object o : told) {
+        if (o instanceof Field f && written.add(f.name())) {
+          write(json, f);
         }
-        return text.append(System.lineSeparator()).toString();
+      }
+      if (record.getThrown() != null) {
+        StringWriter trace = new StringWriter();
+        record.getThrown().printStackTrace(new PrintWriter(trace));
+        json.writeStringField("error", trace.toString());
+      }
+      json.writeEndObject();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+    return text.append(System.lineSeparator()).toString();
+  }
 
-    private static void write(JsonGenerator json, Field field) throws IOException {
-        if (field.value() instanceof Integer || field.value() instanceof Long) {
-            json.writeNumberField(field.name(), ((Number) field.value()).longValue());
-        } else {
-            json.writeStringField(field.name(), String.valueOf(field.value()));
-        }
+  private static void write(JsonGenerator json, Field field) throws IOException {
+    if (field.value() instanceof Integer || field.value() instanceof Long) {
+      json.writeNumberField(field.name(), ((Number) field.value()).longValue());
+    } else {
+      json.writeStringField(field.name(), String.valueOf(field.value()));
     }
+  }
 }
--- a/src/main/java/cobaltseam/mastership/Fitness.java
+++ b/src/main/java/cobaltseam/mastership/Fitness.java
@@ -1,97 +1,109 @@
 package cobaltseam.mastership;
 
+import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Span;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
-
 /**
- * How many steps of priority this dispatcher gives up for being less able to serve. Each sign counts once it has been
- * bad for a while without a break, and until it has been well for longer; a sign that comes back soon has to stay well
- * twice as long each time, so that one that flaps does not flap the address. No sign gets better by shedding commands.
+ * How many steps of priority this dispatcher gives up for being less able to serve. Each sign
+ * counts once it has been bad for a while without a break, and until it has been well for longer; a
+ * sign that comes back soon has to stay well twice as long each time, so that one that flaps does
+ * not flap the address. No sign gets better by shedding commands.
  */
 public final class Fitness {
-    /** What is watched; the unit of each value is told with its bounds. */
-    public enum Sign {
-        BUS_SILENT, NO_ENGINE, ENGINES_FAILING, DESCRIPTORS, MEMORY, LATE;
+  /** What is watched; the unit of each value is told with its bounds. */
+  public enum Sign {
+    BUS_SILENT,
+    NO_ENGINE,
+    ENGINES_FAILING,
+    DESCRIPTORS,
+    MEMORY,
+    LATE;
 
-        public String label() {
-            return name().toLowerCase(Locale.ROOT);
-        }
+    public String label() {
+      return name().toLowerCase(Locale.ROOT);
     }
+  }
 
-    /** A sign is bad from one value on, well below another, and costs this many steps while it counts. */
-    public record Bounds(double badFrom, double wellBelow, int steps) {
-    }
+  /**
+   * A sign is bad from one value on, well below another, and costs this many steps while it counts.
+   */
+  public record Bounds(double badFrom, double wellBelow, int steps) {}
 
-    /** The bounds of each sign watched, how long it must be bad, how long well, and how often that may double. */
-    public record Watched(Map<Sign, Bounds> bounds, Span sustained, Span calm, int mostDoubled) {
-        public Watched {
-            bounds = Map.copyOf(bounds);
-        }
+  /**
+   * The bounds of each sign watched, how long it must be bad, how long well, and how often that may
+   * double.
+   */
+  public record Watched(Map<Sign, Bounds> bounds, Span sustained, Span calm, int mostDoubled) {
+    public Watched {
+      bounds = Map.copyOf(bounds);
     }
+  }
 
-    private static final class Sighting {
-        boolean counts;
-        Moment badSince, wellSince, cleared;
-        int doubled;
-    }
+  private static final class Sighting {
+    boolean counts;
+    Moment badSince, wellSince, cleared;
+    int doubled;
+  }
 
-    private final Map<Sign, Sighting> seen = new EnumMap<>(Sign.class);
-    private Watched watched;
+  private final Map<Sign, Sighting> seen = new EnumMap<>(Sign.class);
+  private Watched watched;
 
-    public Fitness(Watched watched) {
-        this.watched = watched;
-    }
+  public Fitness(Watched watched) {
+    this.watched = watched;
+  }
 
-    /** Other bounds from now on; what counts goes on counting until it is well by them. */
-    public void renewed(Watched anew) {
-        watched = anew;
-        seen.keySet().retainAll(anew.bounds().keySet());
-    }
+  /** Other bounds from now on; what counts goes on counting until it is well by them. */
+  public void renewed(Watched anew) {
+    watched = anew;
+    seen.keySet().retainAll(anew.bounds().keySet());
+  }
 
-    /** The steps to give up by what is seen at this moment; a sign not told is neither bad nor well. */
-    public int told(Map<Sign, Double> values, Moment now) {
-        int steps = 0;
-        for (Map.Entry<Sign, Bounds> entry : watched.bounds().entrySet()) {
-            Sighting s = seen.computeIfAbsent(entry.getKey(), k -> new Sighting());
-            Double value = values.get(entry.getKey());
-            if (value != null) {
-                look(s, entry.getValue(), value, now);
-            }
-            steps += s.counts ? entry.getValue().steps() : 0;
-        }
-        return steps;
+  /**
+   * The steps to give up by what is seen at this moment; a sign not told is neither bad nor well.
+   */
+  public int told(Map<Sign, Double> values, Moment now) {
+    int steps = 0;
+    for (Map.Entry<Sign, Bounds> entry : watched.bounds().entrySet()) {
+      Sighting s = seen.computeIfAbsent(entry.getKey(), k -> new Sighting());
+      Double value = values.get(entry.getKey());
+      if (value != null) {
+        look(s, entry.getValue(), value, now);
+      }
+      steps += s.counts ? entry.getValue().steps() : 0;
     }
+    return steps;
+  }
 
-    private void look(Sighting s, Bounds bounds, double value, Moment now) {
-        boolean bad = value >= bounds.badFrom();
-        boolean well = value < bounds.wellBelow();
-        s.badSince = !bad ? null : s.badSince == null ? now : s.badSince;
-        s.wellSince = !well ? null : s.wellSince == null ? now : s.wellSince;
-        Span calm = watched.calm().times(1 << s.doubled);
-        if (!s.counts && bad && now.since(s.badSince).compareTo(watched.sustained()) >= 0) {
-            s.counts = true;
-            boolean soon = s.cleared != null && now.since(s.cleared).compareTo(calm.times(2)) < 0;
-            s.doubled = soon ? Math.min(s.doubled + 1, watched.mostDoubled()) : 0;
-        } else if (s.counts && well && now.since(s.wellSince).compareTo(calm) >= 0) {
-            s.counts = false;
-            s.cleared = now;
-        }
+  private void look(Sighting s, Bounds bounds, double value, Moment now) {
+    boolean bad = value >= bounds.badFrom();
+    boolean well = value < bounds.wellBelow();
+    s.badSince = !bad ? null : s.badSince == null ? now : s.badSince;
+    s.wellSince = !well ? null : s.wellSince == null ? now : s.wellSince;
+    Span calm = watched.calm().times(1 << s.doubled);
+    if (!s.counts && bad && now.since(s.badSince).compareTo(watched.sustained()) >= 0) {
+      s.counts = true;
+      boolean soon = s.cleared != null && now.since(s.cleared).compareTo(calm.times(2)) < 0;
+      s.doubled = soon ? Math.min(s.doubled + 1, watched.mostDoubled()) : 0;
+    } else if (s.counts && well && now.since(s.wellSince).compareTo(calm) >= 0) {
+      s.counts = false;
+      s.cleared = now;
     }
+  }
 
-    /** The signs that count now. */
-    public List<Sign> counting() {
-        List<Sign> counting = new ArrayList<>();
-        seen.forEach((sign, s) -> {
-            if (s.counts) {
-                counting.add(sign);
-            }
+  /** The signs that count now. */
+  public List<Sign> counting() {
+    List<Sign> counting = new ArrayList<>();
+    seen.forEach(
+        (sign, s) -> {
+          if (s.counts) {
+            counting.add(sign);
+          }
         });
-        return counting;
-    }
+    return counting;
+  }
 }
--- a/src/main/java/cobaltseam/mastership/Freshness.java
+++ b/src/main/java/cobaltseam/mastership/Freshness.java
@@ -1,58 +1,58 @@
 package cobaltseam.mastership;
 
+import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Span;
+import cobaltseam.vrrp.Refusal;
 import java.net.InetAddress;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
-import cobaltseam.vrrp.Refusal;
-
 /**
- * Whether a sealed advert is a new one. A sequence is its sender's clock, in microseconds, and rises with each advert
- * of a virtual router. Only what is above the last one counts, and nothing that may have been sent before this process
- * started: what was recorded earlier would otherwise pass once after a restart. Clocks may differ by a span that is
- * told; for twice that span after the start an honest peer may go unheard, and nobody here may claim.
+ * Whether a sealed advert is a new one. A sequence is its sender's clock, in microseconds, and
+ * rises with each advert of a virtual router. Only what is above the last one counts, and nothing
+ * that may have been sent before this process started: what was recorded earlier would otherwise
+ * pass once after a restart. Clocks may differ by a span that is told; for twice that span after
+ * the start an honest peer may go unheard, and nobody here may claim.
  */
 public final class Freshness {
-    private record Speaker(InetAddress sender, VirtualRouterId router) {
+  private record Speaker(InetAddress sender, VirtualRouterId router) {}
+
+  private final Moment started;
+  private final Span difference;
+  private final Map<Speaker, Long> last = new HashMap<>();
+
+  public Freshness(Moment started, Span difference) {
+    this.started = started;
+    this.difference = difference;
+  }
+
+  /** How long to listen after the start before a silence tells anything. */
+  public Span listen() {
+    return difference.times(2);
+  }
+
+  /** Judges an advert whose seal holds; one that is new is remembered. */
+  public Optional<Refusal> judge(
+      InetAddress sender, VirtualRouterId router, long sequence, Moment now) {
+    Moment sent = new Moment(sequence);
+    if (!started.plus(difference).before(sent) || sent.before(now.minus(difference.times(2)))) {
+      return Optional.of(Refusal.STALE);
     }
-
-    private final Moment started;
-    private final Span difference;
-    private final Map<Speaker, Long> last = new HashMap<>();
-
-    public Freshness(Moment started, Span difference) {
-        this.started = started;
-        this.difference = difference;
-    }
-
-    /** How long to listen after the start before a silence tells anything. */
-    public Span listen() {
-        return difference.times(2);
+    if (now.plus(difference).before(sent)) {
+      return Optional.of(Refusal.EARLY);
     }
-
-    /** Judges an advert whose seal holds; one that is new is remembered. */
-    public Optional<Refusal> judge(InetAddress sender, VirtualRouterId router, long sequence, Moment now) {
-        Moment sent = new Moment(sequence);
-        if (!started.plus(difference).before(sent) || sent.before(now.minus(difference.times(2)))) {
-            return Optional.of(Refusal.STALE);
-        }
-        if (now.plus(difference).before(sent)) {
-            return Optional.of(Refusal.EARLY);
-        }
-        Speaker speaker = new Speaker(sender, router);
-        if (sequence <= last.getOrDefault(speaker, Long.MIN_VALUE)) {
-            return Optional.of(Refusal.REPLAYED);
-        }
-        last.put(speaker, sequence);
-        return Optional.empty();
-    }
-
-    /** Forgets who is no longer a peer, or no longer set. */
-    public void keep(Set<InetAddress> peers, Set<VirtualRouterId> routers) {
-        last.keySet().removeIf(s -> !peers.contains(s.sender()) || !routers.contains(s.router()));
+    Speaker speaker = new Speaker(sender, router);
+    if (sequence <= last.getOrDefault(speaker, Long.MIN_VALUE)) {
+      return Optional.of(Refusal.REPLAYED);
     }
+    last.put(speaker, sequence);
+    return Optional.empty();
+  }
+
+  /** Forgets who is no longer a peer, or no longer set. */
+  public void keep(Set<InetAddress> peers, Set<VirtualRouterId> routers) {
+    last.keySet().removeIf(s -> !peers.contains(s.sender()) || !routers.contains(s.router()));
+  }
 }
--- a/src/main/java/cobaltseam/mastership/Mastership.java
+++ b/src/main/java/cobaltseam/mastership/Mastership.java
@@ -1,5 +1,10 @@
 package cobaltseam.mastership;
 
+import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Span;
+import cobaltseam.mastership.VirtualRouter.Change;
+import cobaltseam.vrrp.Advert;
+import cobaltseam.vrrp.Refusal;
 import java.net.InetAddress;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -12,317 +17,353 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
-import cobaltseam.mastership.VirtualRouter.Change;
-import cobaltseam.vrrp.Advert;
-import cobaltseam.vrrp.Refusal;
-
 /**
- * Every virtual router of one dispatcher: which it is active for, what follows from adverts, from time, from its
- * fitness and from new terms, and over how many dispatchers the engines are to be shared. It does no I/O: moments come
- * from the caller, and what it is to do goes back as {@link Act}s.
+ * Every virtual router of one dispatcher: which it is active for, what follows from adverts, from
+ * time, from its fitness and from new terms, and over how many dispatchers the engines are to be
+ * shared. It does no I/O: moments come from the caller, and what it is to do goes back as {@link
+ * Act}s.
  *
- * <p>Callers ask {@link #due} no later than {@link #wake}, and {@link #admits} before each thing that only an active
- * dispatcher may do; whatever comes after a gap that lets a peer claim is preceded by stepping back.
+ * <p>Callers ask {@link #due} no later than {@link #wake}, and {@link #admits} before each thing
+ * that only an active dispatcher may do; whatever comes after a gap that lets a peer claim is
+ * preceded by stepping back.
  */
 public final class Mastership {
-    /** An unable router stays back for this many down intervals at first, twice as many each time, up to the most. */
-    private static final int STAYS_BACK = 2;
-    private static final int MOST_DOUBLED = 5;
-
-    /** A moment at which a router is to be looked at. */
-    private record Alarm(Moment at, VirtualRouterId router) implements Comparable<Alarm> {
-        @Override
-        public int compareTo(Alarm other) {
-            int order = at.compareTo(other.at);
-            return order != 0 ? order : router.compareTo(other.router);
-        }
+  /**
+   * An unable router stays back for this many down intervals at first, twice as many each time, up
+   * to the most.
+   */
+  private static final int STAYS_BACK = 2;
+
+  private static final int MOST_DOUBLED = 5;
+
+  /** A moment at which a router is to be looked at. */
+  private record Alarm(Moment at, VirtualRouterId router) implements Comparable<Alarm> {
+    @Override
+    public int compareTo(Alarm other) {
+      int order = at.compareTo(other.at);
+      return order != 0 ? order : router.compareTo(other.router);
     }
-
-    /** One virtual router, for as long as it is set. */
-    private static final class Seat {
-        Terms terms;
-        Standing standing;
-        Moment wake, fence;
-        /** How often in a row it was unable to serve. */
-        int unable;
+  }
+
+  /** One virtual router, for as long as it is set. */
+  private static final class Seat {
+    Terms terms;
+    Standing standing;
+    Moment wake, fence;
+
+    /** How often in a row it was unable to serve. */
+    int unable;
+  }
+
+  /** What a peer last said of a virtual router. */
+  public record Claim(int priority, Moment heard, Span interval) {
+    /** Until when its sender counts as active without another. */
+    Moment until() {
+      return priority == Advert.RESIGNS
+          ? heard
+          : heard.plus(interval.times(VirtualRouter.MISSED + 1));
     }
-
-    /** What a peer last said of a virtual router. */
-    public record Claim(int priority, Moment heard, Span interval) {
-        /** Until when its sender counts as active without another. */
-        Moment until() {
-            return priority == Advert.RESIGNS ? heard : heard.plus(interval.times(VirtualRouter.MISSED + 1));
-        }
+  }
+
+  private final InetAddress self;
+  private final TreeMap<VirtualRouterId, Seat> seats = new TreeMap<>();
+  private final TreeSet<Alarm> wakes = new TreeSet<>();
+  private final TreeSet<Alarm> fences = new TreeSet<>();
+  private final Map<InetAddress, Map<VirtualRouterId, Claim>> claims = new HashMap<>();
+  private final Span longestSend;
+  private final Span listen;
+  private final boolean followsIntervals;
+  private Set<InetAddress> peers;
+  private double elsewhere;
+  private int reduction;
+  private Moment started;
+
+  /**
+   * @param self the address that adverts come from
+   * @param peers where adverts that count come from
+   * @param elsewhere dispatchers that carry traffic and are not of this group
+   * @param longestSend after which no send of a former active dispatcher can still hold an engine
+   * @param listen how long to listen at least before the first claim
+   * @param followsIntervals whether adverts count that tell another interval than ours
+   */
+  public Mastership(
+      InetAddress self,
+      Collection<Terms> routers,
+      Set<InetAddress> peers,
+      double elsewhere,
+      Span longestSend,
+      Span listen,
+      boolean followsIntervals) {
+    this.self = self;
+    this.peers = Set.copyOf(peers);
+    this.elsewhere = elsewhere;
+    this.longestSend = longestSend;
+    this.listen = listen;
+    this.followsIntervals = followsIntervals;
+    for (Terms t : routers) {
+      Seat seat = new Seat();
+      seat.terms = t;
+      seats.put(t.router(), seat);
     }
-
-    private final InetAddress self;
-    private final TreeMap<VirtualRouterId, Seat> seats = new TreeMap<>();
-    private final TreeSet<Alarm> wakes = new TreeSet<>();
-    private final TreeSet<Alarm> fences = new TreeSet<>();
-    private final Map<InetAddress, Map<VirtualRouterId, Claim>> claims = new HashMap<>();
-    private final Span longestSend;
-    private final Span listen;
-    private final boolean followsIntervals;
-    private Set<InetAddress> peers;
-    private double elsewhere;
-    private int reduction;
-    private Moment started;
-
-    /**
-     * @param self the address that adverts come from
-     * @param peers where adverts that count come from
-     * @param elsewhere dispatchers that carry traffic and are not of this group
-     * @param longestSend after which no send of a former active dispatcher can still hold an engine
-     * @param listen how long to listen at least before the first claim
-     * @param followsIntervals whether adverts count that tell another interval than ours
-     */
-    public Mastership(InetAddress self, Collection<Terms> routers, Set<InetAddress> peers, double elsewhere,
-                      Span longestSend, Span listen, boolean followsIntervals) {
-        this.self = self;
-        this.peers = Set.copyOf(peers);
-        this.elsewhere = elsewhere;
-        this.longestSend = longestSend;
-        this.listen = listen;
-        this.followsIntervals = followsIntervals;
-        for (Terms t : routers) {
-            Seat seat = new Seat();
-            seat.terms = t;
-            seats.put(t.router(), seat);
-        }
+  }
+
+  // ---- what happens
+
+  public List<Act> start(Moment now) {
+    started = now;
+    List<Act> acts = new ArrayList<>();
+    seats
+        .values()
+        .forEach(
+            s -> follow(s, VirtualRouter.start(s.terms, priority(s.terms), listen, now), acts));
+    return acts;
+  }
+
+  /** Ends every router; active ones resign first. */
+  public List<Act> stop(Reason why, Moment now) {
+    List<Act> acts = new ArrayList<>();
+    for (Seat s : seats.values()) {
+      if (s.standing != null && s.standing.role() != Role.INITIALIZE) {
+        follow(s, VirtualRouter.stop(s.terms, s.standing, why, now), acts);
+      }
     }
-
-    // ---- what happens
-
-    public List<Act> start(Moment now) {
-        started = now;
-        List<Act> acts = new ArrayList<>();
-        seats.values().forEach(s -> follow(s, VirtualRouter.start(s.terms, priority(s.terms), listen, now), acts));
-        return acts;
+    return acts;
+  }
+
+  /** Why an advert does not count here, whoever sent it. */
+  public Optional<Refusal> refusal(Advert advert) {
+    Seat seat = seats.get(router(advert));
+    if (seat == null) {
+      return Optional.of(Refusal.UNKNOWN_ROUTER);
     }
-
-    /** Ends every router; active ones resign first. */
-    public List<Act> stop(Reason why, Moment now) {
-        List<Act> acts = new ArrayList<>();
-        for (Seat s : seats.values()) {
-            if (s.standing != null && s.standing.role() != Role.INITIALIZE) {
-                follow(s, VirtualRouter.stop(s.terms, s.standing, why, now), acts);
-            }
-        }
-        return acts;
+    if (!new HashSet<>(seat.terms.addresses()).equals(new HashSet<>(advert.addresses()))) {
+      return Optional.of(Refusal.ADDRESSES_DIFFER);
     }
-
-    /** Why an advert does not count here, whoever sent it. */
-    public Optional<Refusal> refusal(Advert advert) {
-        Seat seat = seats.get(router(advert));
-        if (seat == null) {
-            return Optional.of(Refusal.UNKNOWN_ROUTER);
-        }
-        if (!new HashSet<>(seat.terms.addresses()).equals(new HashSet<>(advert.addresses()))) {
-            return Optional.of(Refusal.ADDRESSES_DIFFER);
-        }
-        boolean differs = !VirtualRouter.interval(advert).equals(seat.terms.interval());
-        return differs && !followsIntervals ? Optional.of(Refusal.INTERVAL_DIFFERS) : Optional.empty();
+    boolean differs = !VirtualRouter.interval(advert).equals(seat.terms.interval());
+    return differs && !followsIntervals ? Optional.of(Refusal.INTERVAL_DIFFERS) : Optional.empty();
+  }
+
+  /**
+   * An advert that counts has come: see {@link #refusal}, and {@link Intake} for who may send one.
+   */
+  public List<Act> heard(InetAddress sender, Advert advert, Moment now) {
+    List<Act> acts = fence(now);
+    Seat seat = seats.get(router(advert));
+    if (seat == null || seat.standing == null || !peers.contains(sender)) {
+      return acts;
     }
-
-    /** An advert that counts has come: see {@link #refusal}, and {@link Intake} for who may send one. */
-    public List<Act> heard(InetAddress sender, Advert advert, Moment now) {
-        List<Act> acts = fence(now);
-        Seat seat = seats.get(router(advert));
-        if (seat == null || seat.standing == null || !peers.contains(sender)) {
-            return acts;
-        }
-        claims.computeIfAbsent(sender, s -> new HashMap<>()).put(seat.terms.router(),
-                new Claim(advert.priority(), now, VirtualRouter.interval(advert)));
-        follow(seat, VirtualRouter.heard(seat.terms, seat.standing, self, sender, advert, now), acts);
-        return acts;
+    claims
+        .computeIfAbsent(sender, s -> new HashMap<>())
+        .put(
+            seat.terms.router(), new Claim(advert.priority(), now, VirtualRouter.interval(advert)));
+    follow(seat, VirtualRouter.heard(seat.terms, seat.standing, self, sender, advert, now), acts);
+    return acts;
+  }
+
+  /** Whatever is due by now. */
+  public List<Act> due(Moment now) {
+    List<Act> acts = fence(now);
+    List<Alarm> reached =
+        new ArrayList<>(
+            wakes.headSet(new Alarm(now, new VirtualRouterId(Integer.MAX_VALUE, true))));
+    for (Alarm alarm : reached) {
+      Seat seat = seats.get(alarm.router);
+      follow(seat, VirtualRouter.due(seat.terms, seat.standing, now), acts);
     }
-
-    /** Whatever is due by now. */
-    public List<Act> due(Moment now) {
-        List<Act> acts = fence(now);
-        List<Alarm> reached = new ArrayList<>(wakes.headSet(new Alarm(now, new VirtualRouterId(Integer.MAX_VALUE, true))));
-        for (Alarm alarm : reached) {
-            Seat seat = seats.get(alarm.router);
-            follow(seat, VirtualRouter.due(seat.terms, seat.standing, now), acts);
-        }
-        return acts;
+    return acts;
+  }
+
+  /** Steps back from every router whose peers may have claimed meanwhile. */
+  public List<Act> fence(Moment now) {
+    List<Act> acts = new ArrayList<>();
+    while (!fences.isEmpty() && fences.first().at.before(now)) {
+      Seat seat = seats.get(fences.first().router);
+      follow(seat, VirtualRouter.fenced(seat.terms, seat.standing, now), acts);
     }
-
-    /** Steps back from every router whose peers may have claimed meanwhile. */
-    public List<Act> fence(Moment now) {
-        List<Act> acts = new ArrayList<>();
-        while (!fences.isEmpty() && fences.first().at.before(now)) {
-            Seat seat = seats.get(fences.first().router);
-            follow(seat, VirtualRouter.fenced(seat.terms, seat.standing, now), acts);
-        }
-        return acts;
+    return acts;
+  }
+
+  /** This dispatcher is less able to serve by this many steps of priority; none is ever below 1. */
+  public List<Act> fitness(int steps, Moment now) {
+    List<Act> acts = fence(now);
+    if (steps != reduction) {
+      reduction = steps;
+      seats.values().stream()
+          .filter(s -> s.standing != null)
+          .forEach(
+              s ->
+                  follow(
+                      s,
+                      VirtualRouter.priority(s.terms, s.standing, priority(s.terms), now),
+                      acts));
     }
-
-    /** This dispatcher is less able to serve by this many steps of priority; none is ever below 1. */
-    public List<Act> fitness(int steps, Moment now) {
-        List<Act> acts = fence(now);
-        if (steps != reduction) {
-            reduction = steps;
-            seats.values().stream().filter(s -> s.standing != null).forEach(s -> follow(s,
-                    VirtualRouter.priority(s.terms, s.standing, priority(s.terms), now), acts));
-        }
-        return acts;
+    return acts;
+  }
+
+  /**
+   * It can't serve for a router that it is active for: another is to try, and it stays back for a
+   * while.
+   */
+  public List<Act> unable(VirtualRouterId router, Moment now) {
+    List<Act> acts = fence(now);
+    Seat seat = seats.get(router);
+    if (seat != null && seat.standing != null) {
+      Span back =
+          VirtualRouter.downInterval(seat.standing)
+              .times(STAYS_BACK * Math.pow(2, Math.min(seat.unable, MOST_DOUBLED)));
+      seat.unable++;
+      follow(seat, VirtualRouter.unable(seat.terms, seat.standing, back, now), acts);
     }
+    return acts;
+  }
 
-    /** It can't serve for a router that it is active for: another is to try, and it stays back for a while. */
-    public List<Act> unable(VirtualRouterId router, Moment now) {
-        List<Act> acts = fence(now);
-        Seat seat = seats.get(router);
-        if (seat != null && seat.standing != null) {
-            Span back = VirtualRouter.downInterval(seat.standing)
-                    .times(STAYS_BACK * Math.pow(2, Math.min(seat.unable, MOST_DOUBLED)));
-            seat.unable++;
-            follow(seat, VirtualRouter.unable(seat.terms, seat.standing, back, now), acts);
-        }
-        return acts;
+  /** It does serve for a router. */
+  public void able(VirtualRouterId router) {
+    if (seats.containsKey(router)) {
+      seats.get(router).unable = 0;
     }
-
-    /** It does serve for a router. */
-    public void able(VirtualRouterId router) {
-        if (seats.containsKey(router)) {
-            seats.get(router).unable = 0;
-        }
+  }
+
+  /** New terms: of routers that stay, that go, and that come. */
+  public List<Act> renewed(
+      Collection<Terms> routers, Set<InetAddress> newPeers, double newElsewhere, Moment now) {
+    List<Act> acts = fence(now);
+    peers = Set.copyOf(newPeers);
+    claims.keySet().retainAll(peers);
+    elsewhere = newElsewhere;
+    Map<VirtualRouterId, Terms> told = new TreeMap<>();
+    routers.forEach(t -> told.put(t.router(), t));
+    for (VirtualRouterId id : List.copyOf(seats.keySet())) {
+      Seat seat = seats.get(id);
+      Terms terms = told.remove(id);
+      if (terms == null) {
+        follow(seat, VirtualRouter.stop(seat.terms, seat.standing, Reason.REMOVED, now), acts);
+        seats.remove(id);
+      } else if (!terms.equals(seat.terms)) {
+        seat.terms = terms;
+        follow(seat, VirtualRouter.renewed(terms, seat.standing, priority(terms), now), acts);
+      }
     }
-
-    /** New terms: of routers that stay, that go, and that come. */
-    public List<Act> renewed(Collection<Terms> routers, Set<InetAddress> newPeers, double newElsewhere, Moment now) {
-        List<Act> acts = fence(now);
-        peers = Set.copyOf(newPeers);
-        claims.keySet().retainAll(peers);
-        elsewhere = newElsewhere;
-        Map<VirtualRouterId, Terms> told = new TreeMap<>();
-        routers.forEach(t -> told.put(t.router(), t));
-        for (VirtualRouterId id : List.copyOf(seats.keySet())) {
-            Seat seat = seats.get(id);
-            Terms terms = told.remove(id);
-            if (terms == null) {
-                follow(seat, VirtualRouter.stop(seat.terms, seat.standing, Reason.REMOVED, now), acts);
-                seats.remove(id);
-            } else if (!terms.equals(seat.terms)) {
-                seat.terms = terms;
-                follow(seat, VirtualRouter.renewed(terms, seat.standing, priority(terms), now), acts);
-            }
-        }
-        for (Terms t : told.values()) {
-            Seat seat = new Seat();
-            seat.terms = t;
-            seats.put(t.router(), seat);
-            follow(seat, VirtualRouter.start(t, priority(t), listen, now), acts);
-        }
-        claims.values().forEach(c -> c.keySet().retainAll(seats.keySet()));
-        return acts;
+    for (Terms t : told.values()) {
+      Seat seat = new Seat();
+      seat.terms = t;
+      seats.put(t.router(), seat);
+      follow(seat, VirtualRouter.start(t, priority(t), listen, now), acts);
     }
-
-    // ---- what is asked
-
-    /** When to ask {@link #due} next, or null. */
-    public Moment wake() {
-        return wakes.isEmpty() ? null : wakes.first().at;
+    claims.values().forEach(c -> c.keySet().retainAll(seats.keySet()));
+    return acts;
+  }
+
+  // ---- what is asked
+
+  /** When to ask {@link #due} next, or null. */
+  public Moment wake() {
+    return wakes.isEmpty() ? null : wakes.first().at;
+  }
+
+  /** Whether traffic of this virtual router may be taken and sent on at this moment. */
+  public boolean admits(VirtualRouterId router, Moment now) {
+    Seat seat = seats.get(router);
+    return seat != null
+        && seat.standing != null
+        && seat.standing.role() == Role.ACTIVE
+        && !VirtualRouter.fence(seat.terms, seat.standing).before(now);
+  }
+
+  /**
+   * Whether any mastership may have passed unnoticed: {@link #fence} is to be asked before anything
+   * else.
+   */
+  public boolean overtaken(Moment now) {
+    return !fences.isEmpty() && fences.first().at.before(now);
+  }
+
+  /** Whether it is active for any virtual router. */
+  public boolean isActive() {
+    return !fences.isEmpty();
+  }
+
+  /**
+   * Over how many dispatchers the engines are shared now: those elsewhere, this one, and each peer
+   * that is heard as active. A peer no longer heard fades out over the longest time that a send of
+   * its can still hold an engine; and so does, after a start, one that was there before and was
+   * never heard. In a split each claimant that hears the other leaves it its part; one that hears
+   * nothing takes all, so that an engine is given at most its whole figure by each claimant.
+   */
+  public double dispatchers(Moment now) {
+    double others = 0;
+    for (Map<VirtualRouterId, Claim> said : claims.values()) {
+      double most = 0;
+      for (Claim claim : said.values()) {
+        most = Math.max(most, now.before(claim.until()) ? 1 : left(claim.heard(), now));
+      }
+      others += most;
     }
-
-    /** Whether traffic of this virtual router may be taken and sent on at this moment. */
-    public boolean admits(VirtualRouterId router, Moment now) {
-        Seat seat = seats.get(router);
-        return seat != null && seat.standing != null && seat.standing.role() == Role.ACTIVE
-                && !VirtualRouter.fence(seat.terms, seat.standing).before(now);
-    }
-
-    /** Whether any mastership may have passed unnoticed: {@link #fence} is to be asked before anything else. */
-    public boolean overtaken(Moment now) {
-        return !fences.isEmpty() && fences.first().at.before(now);
-    }
-
-    /** Whether it is active for any virtual router. */
-    public boolean isActive() {
-        return !fences.isEmpty();
-    }
-
-    /**
-     * Over how many dispatchers the engines are shared now: those elsewhere, this one, and each peer that is heard as
-     * active. A peer no longer heard fades out over the longest time that a send of its can still hold an engine; and
-     * so does, after a start, one that was there before and was never heard. In a split each claimant that hears the
-     * other leaves it its part; one that hears nothing takes all, so that an engine is given at most its whole
-     * figure by each claimant.
-     */
-    public double dispatchers(Moment now) {
-        double others = 0;
-        for (Map<VirtualRouterId, Claim> said : claims.values()) {
-            double most = 0;
-            for (Claim claim : said.values()) {
-                most = Math.max(most, now.before(claim.until()) ? 1 : left(claim.heard(), now));
-            }
-            others += most;
-        }
-        boolean alone = peers.isEmpty() || started == null || !claims.isEmpty();
-        return elsewhere + 1 + (alone ? others : left(started, now));
-    }
-
-    private double left(Moment from, Moment now) {
-        return longestSend.isPositive() ? Math.max(0, 1 - now.since(from).over(longestSend)) : 0;
-    }
-
-    public int reduction() {
-        return reduction;
-    }
-
-    /** Every router, in order. */
-    public List<VirtualRouterId> routers() {
-        return List.copyOf(seats.keySet());
-    }
-
-    public Terms terms(VirtualRouterId router) {
-        return seats.get(router).terms;
-    }
-
-    /** Where a router stands, or null before the start. */
-    public Standing standing(VirtualRouterId router) {
-        return seats.get(router).standing;
-    }
-
-    /** What each peer last said of a router. */
-    public Map<InetAddress, Claim> claims(VirtualRouterId router) {
-        Map<InetAddress, Claim> said = new HashMap<>();
-        claims.forEach((peer, of) -> {
-            if (of.containsKey(router)) {
-                said.put(peer, of.get(router));
-            }
+    boolean alone = peers.isEmpty() || started == null || !claims.isEmpty();
+    return elsewhere + 1 + (alone ? others : left(started, now));
+  }
+
+  private double left(Moment from, Moment now) {
+    return longestSend.isPositive() ? Math.max(0, 1 - now.since(from).over(longestSend)) : 0;
+  }
+
+  public int reduction() {
+    return reduction;
+  }
+
+  /** Every router, in order. */
+  public List<VirtualRouterId> routers() {
+    return List.copyOf(seats.keySet());
+  }
+
+  public Terms terms(VirtualRouterId router) {
+    return seats.get(router).terms;
+  }
+
+  /** Where a router stands, or null before the start. */
+  public Standing standing(VirtualRouterId router) {
+    return seats.get(router).standing;
+  }
+
+  /** What each peer last said of a router. */
+  public Map<InetAddress, Claim> claims(VirtualRouterId router) {
+    Map<InetAddress, Claim> said = new HashMap<>();
+    claims.forEach(
+        (peer, of) -> {
+          if (of.containsKey(router)) {
+            said.put(peer, of.get(router));
+          }
         });
-        return said;
+    return said;
+  }
+
+  // ---- within
+
+  private int priority(Terms t) {
+    return Math.max(1, t.priority() - reduction);
+  }
+
+  private static VirtualRouterId router(Advert advert) {
+    return new VirtualRouterId(advert.virtualRouterId(), advert.isIpv6());
+  }
+
+  /** Puts a router where it stands now, and its two alarms with it. */
+  private void follow(Seat seat, Change change, List<Act> acts) {
+    VirtualRouterId id = seat.terms.router();
+    seat.standing = change.standing();
+    seat.wake = moved(wakes, id, seat.wake, seat.standing.wake());
+    seat.fence = moved(fences, id, seat.fence, VirtualRouter.fence(seat.terms, seat.standing));
+    acts.addAll(change.acts());
+  }
+
+  private static Moment moved(
+      TreeSet<Alarm> alarms, VirtualRouterId router, Moment from, Moment to) {
+    if (from != null) {
+      alarms.remove(new Alarm(from, router));
     }
-
-    // ---- within
-
-    private int priority(Terms t) {
-        return Math.max(1, t.priority() - reduction);
-    }
-
-    private static VirtualRouterId router(Advert advert) {
-        return new VirtualRouterId(advert.virtualRouterId(), advert.isIpv6());
-    }
-
-    /** Puts a router where it stands now, and its two alarms with it. */
-    private void follow(Seat seat, Change change, List<Act> acts) {
-        VirtualRouterId id = seat.terms.router();
-        seat.standing = change.standing();
-        seat.wake = moved(wakes, id, seat.wake, seat.standing.wake());
-        seat.fence = moved(fences, id, seat.fence, VirtualRouter.fence(seat.terms, seat.standing));
-        acts.addAll(change.acts());
-    }
-
-    private static Moment moved(TreeSet<Alarm> alarms, VirtualRouterId router, Moment from, Moment to) {
-        if (from != null) {
-            alarms.remove(new Alarm(from, router));
-        }
-        if (to != null) {
-            alarms.add(new Alarm(to, router));
-        }
-        return to;
+    if (to != null) {
+      alarms.add(new Alarm(to, router));
     }
+    return to;
+  }
 }
--- a/src/main/java/cobaltseam/mastership/Observer.java
+++ b/src/main/java/cobaltseam/mastership/Observer.java
@@ -1,5 +1,9 @@
 package cobaltseam.mastership;
 
+import cobaltseam.dispatch.Moment;
+import cobaltseam.mastership.Mastership.Claim;
+import cobaltseam.vrrp.Addresses;
+import cobaltseam.vrrp.Advert;
 import java.net.InetAddress;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,46 +13,47 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.mastership.Mastership.Claim;
-import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Advert;
-
 /** Who is heard as active for each virtual router, for one that only listens and never claims. */
 public final class Observer {
-    /** The claimants of a router as they are from now on: none in a silence, two and more in a split. */
-    public record Seen(VirtualRouterId router, List<InetAddress> active, Moment since) {
-    }
+  /**
+   * The claimants of a router as they are from now on: none in a silence, two and more in a split.
+   */
+  public record Seen(VirtualRouterId router, List<InetAddress> active, Moment since) {}
 
-    private final Map<VirtualRouterId, Map<InetAddress, Claim>> claims = new TreeMap<>();
-    private final Map<VirtualRouterId, List<InetAddress>> told = new HashMap<>();
+  private final Map<VirtualRouterId, Map<InetAddress, Claim>> claims = new TreeMap<>();
+  private final Map<VirtualRouterId, List<InetAddress>> told = new HashMap<>();
 
-    /** An advert that counts; what has changed by it. */
-    public List<Seen> heard(InetAddress sender, Advert advert, Moment now) {
-        VirtualRouterId router = new VirtualRouterId(advert.virtualRouterId(), advert.isIpv6());
-        claims.computeIfAbsent(router, r -> new HashMap<>()).put(sender,
-                new Claim(advert.priority(), now, VirtualRouter.interval(advert)));
-        return due(now);
-    }
+  /** An advert that counts; what has changed by it. */
+  public List<Seen> heard(InetAddress sender, Advert advert, Moment now) {
+    VirtualRouterId router = new VirtualRouterId(advert.virtualRouterId(), advert.isIpv6());
+    claims
+        .computeIfAbsent(router, r -> new HashMap<>())
+        .put(sender, new Claim(advert.priority(), now, VirtualRouter.interval(advert)));
+    return due(now);
+  }
 
-    /** What has changed by now, claims that ran out included. */
-    public List<Seen> due(Moment now) {
-        List<Seen> changed = new ArrayList<>();
-        claims.forEach((router, said) -> {
-            said.values().removeIf(c -> !now.before(c.until()));
-            TreeSet<InetAddress> active = new TreeSet<>(Addresses::compare);
-            active.addAll(said.keySet());
-            List<InetAddress> list = List.copyOf(active);
-            if (!list.equals(told.put(router, list))) {
-                changed.add(new Seen(router, list, now));
-            }
+  /** What has changed by now, claims that ran out included. */
+  public List<Seen> due(Moment now) {
+    List<Seen> changed = new ArrayList<>();
+    claims.forEach(
+        (router, said) -> {
+          said.values().removeIf(c -> !now.before(c.until()));
+          TreeSet<InetAddress> active = new TreeSet<>(Addresses::compare);
+          active.addAll(said.keySet());
+          List<InetAddress> list = List.copyOf(active);
+          if (!list.equals(told.put(router, list))) {
+            changed.add(new Seen(router, list, now));
+          }
         });
-        return changed;
-    }
+    return changed;
+  }
 
-    /** When a claim runs out next, or null. */
-    public Moment wake() {
-        return claims.values().stream().flatMap(m -> m.values().stream()).map(Claim::until)
-                .min(Comparator.naturalOrder()).orElse(null);
-    }
+  /** When a claim runs out next, or null. */
+  public Moment wake() {
+    return claims.values().stream()
+        .flatMap(m -> m.values().stream())
+        .map(Claim::until)
+        .min(Comparator.naturalOrder())
+        .orElse(null);
+  }
 }
--- a/src/main/java/cobaltseam/mastership/Terms.java
+++ b/src/main/java/cobaltseam/mastership/Terms.java
@@ -1,17 +1,22 @@
 package cobaltseam.mastership;
 
+import cobaltseam.dispatch.Span;
 import java.net.InetAddress;
 import java.util.List;
 
-import cobaltseam.dispatch.Span;
-
 /**
- * What is set for one virtual router: the configured priority (1 to 255; 255 owns the addresses), the interval of its
- * adverts, whether and after how long it takes over from a router of lower priority, and its addresses.
+ * What is set for one virtual router: the configured priority (1 to 255; 255 owns the addresses),
+ * the interval of its adverts, whether and after how long it takes over from a router of lower
+ * priority, and its addresses.
  */
-public record Terms(VirtualRouterId router, int priority, Span interval, boolean preempts, Span preemptDelay,
-                    List<InetAddress> addresses) {
-    public Terms {
-        addresses = List.copyOf(addresses);
-    }
+public record Terms(
+    VirtualRouterId router,
+    int priority,
+    Span interval,
+    boolean preempts,
+    Span preemptDelay,
+    List<InetAddress> addresses) {
+  public Terms {
+    addresses = List.copyOf(addresses);
+  }
 }
--- a/src/main/java/cobaltseam/mastership/VirtualRouter.java
+++ b/src/main/java/cobaltseam/mastership/VirtualRouter.java
@@ -1,183 +1,213 @@
 package cobaltseam.mastership;
 
-import java.net.InetAddress;
-import java.util.ArrayList;
-import java.util.List;
-
 import cobaltseam.dispatch.Moment;
 import cobaltseam.dispatch.Span;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Advert;
+import java.net.InetAddress;
+import java.util.ArrayList;
+import java.util.List;
 
 /**
- * The rules of one virtual router, RFC 9568 section 6.4: from where it stands and what happens, to where it stands then
- * and what is to be done. All of it is values, so that every state can be explored.
+ * The rules of one virtual router, RFC 9568 section 6.4: from where it stands and what happens, to
+ * where it stands then and what is to be done. All of it is values, so that every state can be
+ * explored.
  *
- * <p>Added to the RFC: an active router that was held up for as long as its peers wait for its adverts steps back
- * before it does anything else (a fence in time); a backup that was held up listens anew before it claims; a take-over
- * from a lower priority may wait for a delay; and an active one that can't serve resigns and stays back for a while.
+ * <p>Added to the RFC: an active router that was held up for as long as its peers wait for its
+ * adverts steps back before it does anything else (a fence in time); a backup that was held up
+ * listens anew before it claims; a take-over from a lower priority may wait for a delay; and an
+ * active one that can't serve resigns and stays back for a while.
  */
 final class VirtualRouter {
-    /** Adverts of an active router that may be missed before a backup claims. */
-    static final int MISSED = 3;
-    private static final int PRIORITIES = 256;
-    private static final int US_PER_CENTISECOND = 10_000;
-    /** An answer to a lower claim waits for this part of the interval after an advert: a flood is not answered in kind. */
-    private static final double ASSERT_AFTER = 0.25;
-
-    private VirtualRouter() {
-    }
-
-    /** Where it stands next, and what to do, in order. */
-    record Change(Standing standing, List<Act> acts) {
-        Change(Standing standing, Act... acts) {
-            this(standing, List.of(acts));
-        }
-    }
-
-    /** The span that a backup adds to its wait, shorter the higher its priority. */
-    static Span skew(Standing s) {
-        return s.heardInterval().times((double) (PRIORITIES - s.priority()) / PRIORITIES);
-    }
-
-    /** How long a backup hears nothing before it claims. */
-    static Span downInterval(Standing s) {
-        return s.heardInterval().times(MISSED).plus(skew(s));
-    }
-
-    /**
-     * Until when an active router may act without having advertised again: no peer of the same interval claims sooner,
-     * since each waits for its skew as well, and counts from when the advert came.
-     */
-    static Moment fence(Terms t, Standing s) {
-        return s.role() == Role.ACTIVE ? s.advertised().plus(t.interval().times(MISSED)) : null;
-    }
-
-    static Standing initial(Terms t, int priority, Moment now) {
-        return new Standing(Role.INITIALIZE, now, Reason.STARTED, priority, t.interval(), null, null, now);
-    }
-
-    /** Startup. It listens for at least the span given before it claims, also where it owns the addresses. */
-    static Change start(Terms t, int priority, Span listen, Moment now) {
-        Standing s = initial(t, priority, now);
-        if (priority == Advert.OWNER && !listen.isPositive()) {
-            return claim(t, s, Reason.OWNER, now);
-        }
-        s = s.as(Role.BACKUP, Reason.STARTED, now).of(priority, now.plus(t.preemptDelay()));
-        return new Change(s.wakesAt(now.plus(listen).plus(downInterval(s))));
-    }
-
-    /** Shutdown: an active one resigns, so that a peer takes over within its skew. */
-    static Change stop(Terms t, Standing s, Reason why, Moment now) {
-        Standing next = s.as(Role.INITIALIZE, why, now).wakesAt(null);
-        return s.role() == Role.ACTIVE
-                ? new Change(next, new Act.Advertise(t.router(), Advert.RESIGNS), new Act.Leave(t.router(), why))
-                : new Change(next);
-    }
-
-    /** Its moment to be asked has come. */
-    static Change due(Terms t, Standing s, Moment now) {
-        if (s.role() == Role.ACTIVE) {
-            return new Change(s.advertisedAt(now, now.plus(t.interval())),
-                    new Act.Advertise(t.router(), s.priority()));
-        }
-        if (s.role() != Role.BACKUP) {
-            return new Change(s.wakesAt(null));
-        }
-        // What the active one said meanwhile may lie unread: a process that was held up hears nothing, and the
-        // silence is its own.
-        if (now.since(s.wake()).compareTo(s.heardInterval()) > 0) {
-            return new Change(s.wakesAt(now.plus(downInterval(s))));
-        }
-        return claim(t, s, Reason.NONE_HEARD, now);
-    }
-
-    private static Change claim(Terms t, Standing s, Reason why, Moment now) {
-        Standing next = s.as(Role.ACTIVE, why, now).heard(t.interval()).advertisedAt(now, now.plus(t.interval()));
-        return new Change(next, new Act.Advertise(t.router(), s.priority()), new Act.Take(t.router(), why));
-    }
-
-    /** An advert that counts has come from a peer. */
-    static Change heard(Terms t, Standing s, InetAddress self, InetAddress sender, Advert advert, Moment now) {
-        return switch (s.role()) {
-            case INITIALIZE -> new Change(s);
-            case BACKUP -> heardAsBackup(t, s, advert, now);
-            case ACTIVE -> heardAsActive(t, s, self, sender, advert, now);
-        };
-    }
-
-    private static Change heardAsBackup(Terms t, Standing s, Advert advert, Moment now) {
-        if (advert.priority() == Advert.RESIGNS) {
-            // Not later than it would be without: a resigned claim proves that its sender is gone, no more.
-            Moment soon = now.plus(skew(s));
-            return new Change(s.wake() != null && s.wake().before(soon) ? s : s.wakesAt(soon));
-        }
-        boolean takesOver = t.preempts() && advert.priority() < s.priority() && !now.before(s.preemptsFrom());
-        if (takesOver) {
-            return new Change(s);
-        }
-        Standing next = s.heard(interval(advert));
-        return new Change(next.wakesAt(now.plus(downInterval(next))));
-    }
-
-    private static Change heardAsActive(Terms t, Standing s, InetAddress self, InetAddress sender, Advert advert,
-                                        Moment now) {
-        boolean higher = advert.priority() > s.priority();
-        boolean tied = advert.priority() == s.priority() && Addresses.compare(sender, self) > 0;
-        if (advert.priority() != Advert.RESIGNS && (higher || tied)) {
-            Reason why = higher ? Reason.HIGHER_HEARD : Reason.ADDRESS_HIGHER;
-            Standing next = s.as(Role.BACKUP, why, now).heard(interval(advert));
-            return new Change(next.wakesAt(now.plus(downInterval(next))), new Act.Leave(t.router(), why));
-        }
-        // Asserts itself against a lower claim at once, and after a resignation, for the sake of those that listen.
-        if (now.since(s.advertised()).compareTo(t.interval().times(ASSERT_AFTER)) < 0) {
-            return new Change(s);
-        }
-        return due(t, s, now);
-    }
-
-    /** Was it held up for so long that a peer may have claimed? Then it steps back, and listens before it claims. */
-    static Change fenced(Terms t, Standing s, Moment now) {
-        Moment fence = fence(t, s);
-        if (fence == null || !fence.before(now)) {
-            return new Change(s);
-        }
-        Standing next = s.as(Role.BACKUP, Reason.FENCED, now).heard(t.interval());
-        return new Change(next.wakesAt(now.plus(downInterval(next))), new Act.Leave(t.router(), Reason.FENCED));
-    }
-
-    /** It is active and can't serve: it resigns, and claims again no sooner than after the span given. */
-    static Change unable(Terms t, Standing s, Span stayBack, Moment now) {
-        if (s.role() != Role.ACTIVE) {
-            return new Change(s);
-        }
-        Standing next = s.as(Role.BACKUP, Reason.UNABLE, now).of(s.priority(), now.plus(stayBack));
-        return new Change(next.wakesAt(now.plus(stayBack).plus(downInterval(next))),
-                new Act.Advertise(t.router(), Advert.RESIGNS), new Act.Leave(t.router(), Reason.UNABLE));
-    }
-
-    /** Its priority is another from now on; one that rose waits for the delay before it takes over. */
-    static Change priority(Terms t, Standing s, int priority, Moment now) {
-        boolean rose = priority > s.priority();
-        return new Change(s.of(priority, rose ? now.plus(t.preemptDelay()) : s.preemptsFrom()));
-    }
-
-    /** Its terms are others from now on. */
-    static Change renewed(Terms t, Standing s, int priority, Moment now) {
-        List<Act> acts = new ArrayList<>();
-        Standing next = priority(t, s, priority, now).standing();
-        if (s.role() == Role.ACTIVE) {
-            // At once, so that peers that wait by the old interval don't claim in between.
-            next = next.heard(t.interval()).advertisedAt(now, now.plus(t.interval()));
-            acts.add(new Act.Advertise(t.router(), priority));
-        } else if (s.role() == Role.BACKUP) {
-            Moment wake = now.plus(downInterval(next.heard(t.interval())));
-            next = next.heard(t.interval()).wakesAt(s.wake() != null && wake.before(s.wake()) ? s.wake() : wake);
-        }
-        return new Change(next, acts);
-    }
-
-    static Span interval(Advert advert) {
-        return new Span((long) advert.maxAdvertiseIntervalCentiseconds() * US_PER_CENTISECOND);
-    }
+  /** Adverts of an active router that may be missed before a backup claims. */
+  static final int MISSED = 3;
+
+  private static final int PRIORITIES = 256;
+  private static final int US_PER_CENTISECOND = 10_000;
+
+  /**
+   * An answer to a lower claim waits for this part of the interval after an advert: a flood is not
+   * answered in kind.
+   */
+  private static final double ASSERT_AFTER = 0.25;
+
+  private VirtualRouter() {}
+
+  /** Where it stands next, and what to do, in order. */
+  record Change(Standing standing, List<Act> acts) {
+    Change(Standing standing, Act... acts) {
+      this(standing, List.of(acts));
+    }
+  }
+
+  /** The span that a backup adds to its wait, shorter the higher its priority. */
+  static Span skew(Standing s) {
+    return s.heardInterval().times((double) (PRIORITIES - s.priority()) / PRIORITIES);
+  }
+
+  /** How long a backup hears nothing before it claims. */
+  static Span downInterval(Standing s) {
+    return s.heardInterval().times(MISSED).plus(skew(s));
+  }
+
+  /**
+   * Until when an active router may act without having advertised again: no peer of the same
+   * interval claims sooner, since each waits for its skew as well, and counts from when the advert
+   * came.
+   */
+  static Moment fence(Terms t, Standing s) {
+    return s.role() == Role.ACTIVE ? s.advertised().plus(t.interval().times(MISSED)) : null;
+  }
+
+  static Standing initial(Terms t, int priority, Moment now) {
+    return new Standing(
+        Role.INITIALIZE, now, Reason.STARTED, priority, t.interval(), null, null, now);
+  }
+
+  /**
+   * Startup. It listens for at least the span given before it claims, also where it owns the
+   * addresses.
+   */
+  static Change start(Terms t, int priority, Span listen, Moment now) {
+    Standing s = initial(t, priority, now);
+    if (priority == Advert.OWNER && !listen.isPositive()) {
+      return claim(t, s, Reason.OWNER, now);
+    }
+    s = s.as(Role.BACKUP, Reason.STARTED, now).of(priority, now.plus(t.preemptDelay()));
+    return new Change(s.wakesAt(now.plus(listen).plus(downInterval(s))));
+  }
+
+  /** Shutdown: an active one resigns, so that a peer takes over within its skew. */
+  static Change stop(Terms t, Standing s, Reason why, Moment now) {
+    Standing next = s.as(Role.INITIALIZE, why, now).wakesAt(null);
+    return s.role() == Role.ACTIVE
+        ? new Change(
+            next, new Act.Advertise(t.router(), Advert.RESIGNS), new Act.Leave(t.router(), why))
+        : new Change(next);
+  }
+
+  /** Its moment to be asked has come. */
+  static Change due(Terms t, Standing s, Moment now) {
+    if (s.role() == Role.ACTIVE) {
+      return new Change(
+          s.advertisedAt(now, now.plus(t.interval())), new Act.Advertise(t.router(), s.priority()));
+    }
+    if (s.role() != Role.BACKUP) {
+      return new Change(s.wakesAt(null));
+    }
+    // What the active one said meanwhile may lie unread: a process that was held up hears nothing,
+    // and the
+    // silence is its own.
+    if (now.since(s.wake()).compareTo(s.heardInterval()) > 0) {
+      return new Change(s.wakesAt(now.plus(downInterval(s))));
+    }
+    return claim(t, s, Reason.NONE_HEARD, now);
+  }
+
+  private static Change claim(Terms t, Standing s, Reason why, Moment now) {
+    Standing next =
+        s.as(Role.ACTIVE, why, now).heard(t.interval()).advertisedAt(now, now.plus(t.interval()));
+    return new Change(
+        next, new Act.Advertise(t.router(), s.priority()), new Act.Take(t.router(), why));
+  }
+
+  /** An advert that counts has come from a peer. */
+  static Change heard(
+      Terms t, Standing s, InetAddress self, InetAddress sender, Advert advert, Moment now) {
+    return switch (s.role()) {
+      case INITIALIZE -> new Change(s);
+      case BACKUP -> heardAsBackup(t, s, advert, now);
+      case ACTIVE -> heardAsActive(t, s, self, sender, advert, now);
+    };
+  }
+
+  private static Change heardAsBackup(Terms t, Standing s, Advert advert, Moment now) {
+    if (advert.priority() == Advert.RESIGNS) {
+      // Not later than it would be without: a resigned claim proves that its sender is gone, no
+      // more.
+      Moment soon = now.plus(skew(s));
+      return new Change(s.wake() != null && s.wake().before(soon) ? s : s.wakesAt(soon));
+    }
+    boolean takesOver =
+        t.preempts() && advert.priority() < s.priority() && !now.before(s.preemptsFrom());
+    if (takesOver) {
+      return new Change(s);
+    }
+    Standing next = s.heard(interval(advert));
+    return new Change(next.wakesAt(now.plus(downInterval(next))));
+  }
+
+  private static Change heardAsActive(
+      Terms t, Standing s, InetAddress self, InetAddress sender, Advert advert, Moment now) {
+    boolean higher = advert.priority() > s.priority();
+    boolean tied = advert.priority() == s.priority() && Addresses.compare(sender, self) > 0;
+    if (advert.priority() != Advert.RESIGNS && (higher || tied)) {
+      Reason why = higher ? Reason.HIGHER_HEARD : Reason.ADDRESS_HIGHER;
+      Standing next = s.as(Role.BACKUP, why, now).heard(interval(advert));
+      return new Change(next.wakesAt(now.plus(downInterval(next))), new Act.Leave(t.router(), why));
+    }
+    // Asserts itself against a lower claim at once, and after a resignation, for the sake of those
+    // that listen.
+    if (now.since(s.advertised()).compareTo(t.interval().times(ASSERT_AFTER)) < 0) {
+      return new Change(s);
+    }
+    return due(t, s, now);
+  }
+
+  /**
+   * Was it held up for so long that a peer may have claimed? Then it steps back, and listens before
+   * it claims.
+   */
+  static Change fenced(Terms t, Standing s, Moment now) {
+    Moment fence = fence(t, s);
+    if (fence == null || !fence.before(now)) {
+      return new Change(s);
+    }
+    Standing next = s.as(Role.BACKUP, Reason.FENCED, now).heard(t.interval());
+    return new Change(
+        next.wakesAt(now.plus(downInterval(next))), new Act.Leave(t.router(), Reason.FENCED));
+  }
+
+  /**
+   * It is active and can't serve: it resigns, and claims again no sooner than after the span given.
+   */
+  static Change unable(Terms t, Standing s, Span stayBack, Moment now) {
+    if (s.role() != Role.ACTIVE) {
+      return new Change(s);
+    }
+    Standing next = s.as(Role.BACKUP, Reason.UNABLE, now).of(s.priority(), now.plus(stayBack));
+    return new Change(
+        next.wakesAt(now.plus(stayBack).plus(downInterval(next))),
+        new Act.Advertise(t.router(), Advert.RESIGNS),
+        new Act.Leave(t.router(), Reason.UNABLE));
+  }
+
+  /**
+   * Its priority is another from now on; one that rose waits for the delay before it takes over.
+   */
+  static Change priority(Terms t, Standing s, int priority, Moment now) {
+    boolean rose = priority > s.priority();
+    return new Change(s.of(priority, rose ? now.plus(t.preemptDelay()) : s.preemptsFrom()));
+  }
+
+  /** Its terms are others from now on. */
+  static Change renewed(Terms t, Standing s, int priority, Moment now) {
+    List<Act> acts = new ArrayList<>();
+    Standing next = priority(t, s, priority, now).standing();
+    if (s.role() == Role.ACTIVE) {
+      // At once, so that peers that wait by the old interval don't claim in between.
+      next = next.heard(t.interval()).advertisedAt(now, now.plus(t.interval()));
+      acts.add(new Act.Advertise(t.router(), priority));
+    } else if (s.role() == Role.BACKUP) {
+      Moment wake = now.plus(downInterval(next.heard(t.interval())));
+      next =
+          next.heard(t.interval())
+              .wakesAt(s.wake() != null && wake.before(s.wake()) ? s.wake() : wake);
+    }
+    return new Change(next, acts);
+  }
+
+  static Span interval(Advert advert) {
+    return new Span((long) advert.maxAdvertiseIntervalCentiseconds() * US_PER_CENTISECOND);
+  }
 }
--- a/src/main/java/cobaltseam/membership/Condition.java
+++ b/src/main/java/cobaltseam/membership/Condition.java
@@ -1,4 +1,12 @@
 package cobaltseam.membership;
 
-/** How a process seems from here; in the order in which news of one incarnation overrules other news of it. */
-public enum Condition { ALIVE, SUSPECT, DEAD, LEFT }
+/**
+ * How a process seems from here; in the order in which news of one incarnation overrules other news
+ * of it.
+ */
+public enum Condition {
+  ALIVE,
+  SUSPECT,
+  DEAD,
+  LEFT
+}
--- a/src/main/java/cobaltseam/membership/Lease.java
+++ b/src/main/java/cobaltseam/membership/Lease.java
@@ -1,5 +1,9 @@
 package cobaltseam.membership;
 
+import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Span;
+import cobaltseam.membership.LeaseWord.Granted;
+import cobaltseam.membership.LeaseWord.Renew;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -9,136 +13,138 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
-import cobaltseam.membership.LeaseWord.Granted;
-import cobaltseam.membership.LeaseWord.Renew;
-
 /**
- * Whether this process may act on its view. It does no I/O. A majority of the view says, at a moment after it was asked, that the
- * view has no successor yet; from the moment of asking that counts for a stated time by the own clock. Whatever follows a view was
- * accepted by a majority of it, and that and the answering majority share a member, who answered before it accepted: so within that
- * time after a successor is chosen, nobody acts on the view any more. Nobody has to remember a lease.
+ * Whether this process may act on its view. It does no I/O. A majority of the view says, at a
+ * moment after it was asked, that the view has no successor yet; from the moment of asking that
+ * counts for a stated time by the own clock. Whatever follows a view was accepted by a majority of
+ * it, and that and the answering majority share a member, who answered before it accepted: so
+ * within that time after a successor is chosen, nobody acts on the view any more. Nobody has to
+ * remember a lease.
  */
 public final class Lease {
-    /**
-     * What it is set to.
-     *
-     * @param lasts for so long after it was asked for
-     * @param clockRates by which part the rates of two clocks differ at most
-     */
-    public record Terms(Span lasts, double clockRates) {
-        public Terms {
-            if (!lasts.isPositive()) {
-                throw new IllegalArgumentException("a lease lasts longer than no time");
-            }
-        }
-    }
-
-    /** A datagram to an address; it may be lost. */
-    public record Tell(InetSocketAddress to, LeaseWord word) {
-    }
-
-    /** The part of a lease after which it is asked for again. */
-    private static final double RENEW = 0.25;
-    private static final int MOST_ROUNDS = 8;
-
-    private static final class Round {
-        ViewId view;
-        Moment sent;
-        final Set<MemberName> grants = new HashSet<>();
-    }
-
-    private final Terms terms;
-    private final Membership membership;
-    private final RandomGenerator chance;
-    private final Map<Long, Round> rounds = new LinkedHashMap<>();
-    private View held;
-    private Moment until, renewAt;
-
-    public Lease(Terms terms, Membership membership, RandomGenerator chance) {
-        this.terms = terms;
-        this.membership = membership;
-        this.chance = chance;
+  /**
+   * What it is set to.
+   *
+   * @param lasts for so long after it was asked for
+   * @param clockRates by which part the rates of two clocks differ at most
+   */
+  public record Terms(Span lasts, double clockRates) {
+    public Terms {
+      if (!lasts.isPositive()) {
+        throw new IllegalArgumentException("a lease lasts longer than no time");
+      }
     }
-
-    /** Until when this process may act without hearing from a majority; null if it may not. */
-    public Moment until() {
-        return until;
+  }
+
+  /** A datagram to an address; it may be lost. */
+  public record Tell(InetSocketAddress to, LeaseWord word) {}
+
+  /** The part of a lease after which it is asked for again. */
+  private static final double RENEW = 0.25;
+
+  private static final int MOST_ROUNDS = 8;
+
+  private static final class Round {
+    ViewId view;
+    Moment sent;
+    final Set<MemberName> grants = new HashSet<>();
+  }
+
+  private final Terms terms;
+  private final Membership membership;
+  private final RandomGenerator chance;
+  private final Map<Long, Round> rounds = new LinkedHashMap<>();
+  private View held;
+  private Moment until, renewAt;
+
+  public Lease(Terms terms, Membership membership, RandomGenerator chance) {
+    this.terms = terms;
+    this.membership = membership;
+    this.chance = chance;
+  }
+
+  /** Until when this process may act without hearing from a majority; null if it may not. */
+  public Moment until() {
+    return until;
+  }
+
+  public Span left(Moment now) {
+    return until == null || !now.before(until) ? Span.ZERO : until.since(now);
+  }
+
+  /** After so long all leases that were given before have ended, whichever clock is the slower. */
+  public Span outlasts() {
+    return terms.lasts().times(1 + 2 * terms.clockRates());
+  }
+
+  public Terms terms() {
+    return terms;
+  }
+
+  /** When {@link #follow} is to be asked again; null where there is no view. */
+  public Moment wake(Moment now) {
+    return renewAt == null
+        ? null
+        : now.before(renewAt) ? renewAt : now.plus(terms.lasts().times(RENEW / 2));
+  }
+
+  /** What follows from the view and from time. */
+  public List<Tell> follow(Moment now) {
+    View view = membership.view();
+    if (view != held) {
+      boolean sameLine = view != null && held != null && view.id().line() == held.id().line();
+      until = sameLine ? until : null;
+      held = view;
+      renewAt = view == null ? null : now;
     }
-
-    public Span left(Moment now) {
-        return until == null || !now.before(until) ? Span.ZERO : until.since(now);
+    List<Tell> tells = new ArrayList<>();
+    if (view == null || now.before(renewAt) || !membership.isNewest()) {
+      return tells;
     }
-
-    /** After so long all leases that were given before have ended, whichever clock is the slower. */
-    public Span outlasts() {
-        return terms.lasts().times(1 + 2 * terms.clockRates());
+    renewAt = now.plus(terms.lasts().times(RENEW));
+    Round round = new Round();
+    round.view = view.id();
+    round.sent = now;
+    long id = chance.nextLong();
+    rounds.put(id, round);
+    if (rounds.size() > MOST_ROUNDS) {
+      rounds.remove(rounds.keySet().iterator().next());
     }
-
-    public Terms terms() {
-        return terms;
+    for (Member m : view.members()) {
+      if (!m.name().equals(membership.self().name())) {
+        tells.add(new Tell(m.address(), new Renew(membership.teller(), id)));
+      }
     }
-
-    /** When {@link #follow} is to be asked again; null where there is no view. */
-    public Moment wake(Moment now) {
-        return renewAt == null ? null : now.before(renewAt) ? renewAt : now.plus(terms.lasts().times(RENEW / 2));
+    granted(round, membership.self(), view);
+    return tells;
+  }
+
+  /** One of a round's view says that at a moment after it was asked the view had no successor. */
+  private void granted(Round round, Member by, View view) {
+    round.grants.add(by.name());
+    if (round.grants.size() >= view.majority()) {
+      Moment ends = round.sent.plus(terms.lasts());
+      until = until == null || until.before(ends) ? ends : until;
     }
-
-    /** What follows from the view and from time. */
-    public List<Tell> follow(Moment now) {
-        View view = membership.view();
-        if (view != held) {
-            boolean sameLine = view != null && held != null && view.id().line() == held.id().line();
-            until = sameLine ? until : null;
-            held = view;
-            renewAt = view == null ? null : now;
-        }
-        List<Tell> tells = new ArrayList<>();
-        if (view == null || now.before(renewAt) || !membership.isNewest()) {
-            return tells;
-        }
-        renewAt = now.plus(terms.lasts().times(RENEW));
-        Round round = new Round();
-        round.view = view.id();
-        round.sent = now;
-        long id = chance.nextLong();
-        rounds.put(id, round);
-        if (rounds.size() > MOST_ROUNDS) {
-            rounds.remove(rounds.keySet().iterator().next());
-        }
-        for (Member m : view.members()) {
-            if (!m.name().equals(membership.self().name())) {
-                tells.add(new Tell(m.address(), new Renew(membership.teller(), id)));
-            }
-        }
-        granted(round, membership.self(), view);
-        return tells;
+  }
+
+  /**
+   * What to tell after a word that its carrier found whole; the caller has asked {@link
+   * Membership#spoke}.
+   */
+  public List<Tell> heard(LeaseWord word, Moment now) {
+    View view = membership.view();
+    Member from = word.from().member();
+    if (view == null || !view.holds(from.name(), from.birth())) {
+      return List.of();
     }
-
-    /** One of a round's view says that at a moment after it was asked the view had no successor. */
-    private void granted(Round round, Member by, View view) {
-        round.grants.add(by.name());
-        if (round.grants.size() >= view.majority()) {
-            Moment ends = round.sent.plus(terms.lasts());
-            until = until == null || until.before(ends) ? ends : until;
-        }
+    if (word instanceof Renew r && membership.isNewest() && r.from().view().equals(view.id())) {
+      return List.of(new Tell(from.address(), new Granted(membership.teller(), r.id())));
     }
-
-    /** What to tell after a word that its carrier found whole; the caller has asked {@link Membership#spoke}. */
-    public List<Tell> heard(LeaseWord word, Moment now) {
-        View view = membership.view();
-        Member from = word.from().member();
-        if (view == null || !view.holds(from.name(), from.birth())) {
-            return List.of();
-        }
-        if (word instanceof Renew r && membership.isNewest() && r.from().view().equals(view.id())) {
-            return List.of(new Tell(from.address(), new Granted(membership.teller(), r.id())));
-        }
-        Round round = word instanceof Granted g ? rounds.get(g.id()) : null;
-        if (round != null && round.view.equals(view.id()) && word.from().view().equals(round.view)) {
-            granted(round, from, view);
-        }
-        return List.of();
+    Round round = word instanceof Granted g ? rounds.get(g.id()) : null;
+    if (round != null && round.view.equals(view.id()) && word.from().view().equals(round.view)) {
+      granted(round, from, view);
     }
+    return List.of();
+  }
 }
--- a/src/main/java/cobaltseam/membership/Member.java
+++ b/src/main/java/cobaltseam/membership/Member.java
@@ -5,9 +5,9 @@
 
 /** One process of a fleet: what makes up its identity, and where it hears peers. */
 public record Member(MemberName name, Birth birth, InetSocketAddress address) {
-    public Member {
-        Objects.requireNonNull(name);
-        Objects.requireNonNull(birth);
-        Objects.requireNonNull(address);
-    }
+  public Member {
+    Objects.requireNonNull(name);
+    Objects.requireNonNull(birth);
+    Objects.requireNonNull(address);
+  }
 }
--- a/src/main/java/cobaltseam/membership/MemberName.java
+++ b/src/main/java/cobaltseam/membership/MemberName.java
@@ -2,22 +2,22 @@
 
 /** The name of a dispatcher among those of its fleet. */
 public record MemberName(String value) implements Comparable<MemberName> {
-    /** Longer ones are refused: names go into every message. */
-    public static final int LONGEST = 64;
+  /** Longer ones are refused: names go into every message. */
+  public static final int LONGEST = 64;
 
-    public MemberName {
-        if (value.isEmpty() || value.length() > LONGEST) {
-            throw new IllegalArgumentException("a name has 1 to " + LONGEST + " characters");
-        }
+  public MemberName {
+    if (value.isEmpty() || value.length() > LONGEST) {
+      throw new IllegalArgumentException("a name has 1 to " + LONGEST + " characters");
     }
+  }
 
-    @Override
-    public int compareTo(MemberName other) {
-        return value.compareTo(other.value);
-    }
+  @Override
+  public int compareTo(MemberName other) {
+    return value.compareTo(other.value);
+  }
 
-    @Override
-    public String toString() {
-        return value;
-    }
+  @Override
+  public String toString() {
+    return value;
+  }
 }
