--- a/src/main/java/cobaltseam/membership/Membership.java
+++ b/src/main/java/cobaltseam/membership/Membership.java
@@ -1,22 +1,5 @@
 package cobaltseam.membership;
 
-import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Deque;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Objects;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.function.Function;
-import java.util.function.Predicate;
-import java.util.random.RandomGenerator;
-import java.util.stream.Stream;
-
 import cobaltseam.dispatch.Moment;
 import cobaltseam.dispatch.Span;
 import cobaltseam.membership.Act.Event;
@@ -33,1037 +16,1296 @@
 import cobaltseam.membership.Message.ViewPart;
 import cobaltseam.membership.Succession.Step;
 import cobaltseam.membership.Suspicion.Peer;
+import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.Function;
+import java.util.function.Predicate;
+import java.util.random.RandomGenerator;
+import java.util.stream.Stream;
 
 /**
- * One process among those of its fleet: the second layer, agreed views, over the first, {@link Suspicion}. It does no I/O:
- * moments, chance and messages come from the caller, who asks {@link #due} no later than {@link #wake}.
+ * One process among those of its fleet: the second layer, agreed views, over the first, {@link
+ * Suspicion}. It does no I/O: moments, chance and messages come from the caller, who asks {@link
+ * #due} no later than {@link #wake}.
  *
- * <p>A view follows only from its predecessor, by a majority of it ({@link Succession}). Whoever of a view comes first among
- * those that seem alive proposes the next one, once what it would change has settled; if nothing comes of it, the next
- * in order does. Each voter says who should stay, and nobody is taken out without a majority that agrees.
+ * <p>A view follows only from its predecessor, by a majority of it ({@link Succession}). Whoever of
+ * a view comes first among those that seem alive proposes the next one, once what it would change
+ * has settled; if nothing comes of it, the next in order does. Each voter says who should stay, and
+ * nobody is taken out without a majority that agrees.
  */
 public final class Membership {
-    /** No change of a view is larger, so that it fits a datagram. */
-    private static final int MOST_OUT = 128;
-    private static final int MOST_IN = 64;
-    private static final int MOST_VIEW_PART = 48;
-    private static final int MOST_VIEW = 4096;
-    /** Periods: until what is wanted counts as settled, at most, and by which each next one in order waits longer. */
-    private static final double SETTLE = 0.5;
-    private static final double SETTLE_MOST = 6;
-    private static final double NEXT_AFTER = 2;
-    private static final double TRY_FOR = 0.5;
-    private static final double AGAIN = 0.125;
-    private static final double GIVES_UP = 2;
-    private static final int TOLD_AGAIN = 2;
-    /** One that is taken in again waits for so many periods, twice as many each time, up to the most doublings. */
-    private static final double STABLE = 1;
-    private static final double BACK_AFTER = 10;
-    private static final int MOST_DOUBLED = 6;
-    /** Rounds in which a founder listens for a view before it founds one. */
-    private static final int LISTENS = 3;
-    /** A process heard within so many periods stays, whatever is said of it. */
-    private static final double HEARD_WITHIN = 1.5;
-    /** Periods after a majority came back in which nobody is taken out. */
-    private static final double HEALS = 8;
-    private static final double SPLIT_FROM = 3;
-    private static final int MOST_REMOVALS = 4096;
-    /** Lines that a process may have left; each is a founding, and beyond it none is joined until the next start. */
-    private static final int MOST_LINES = 64;
-    /** Messages held back while the folder is written; more are lost, as any datagram may be. */
-    private static final int MOST_WITHHELD = 4096;
-    /** An operator founds anew only if for so many times what is borne nothing was heard of those that are missing. */
-    private static final double SILENT_FOR = 3;
-
-    private record Removal(int times, Moment at) {
-    }
-
-    /** A view that comes in parts. */
-    private static final class Coming {
-        ViewId id;
-        int size;
-        Edition edition;
-        final List<Member> members = new ArrayList<>();
-    }
-
-    private final Terms terms;
-    private final RandomGenerator chance;
-    private final List<Act> acts = new ArrayList<>();
-    private final Suspicion suspicion;
-    private Seat seat = new Seat(null, null, null, null, null);
-    /** Who was taken out, by name and birth: how often, so that a flapping one comes back ever later. */
-    private final Map<Member, Removal> removals = new LinkedHashMap<>();
-    /** Processes taken out whose sends may still hold engines, until when. */
-    private final Map<Member, Moment> lingering = new HashMap<>();
-    private Change wanted = Change.NONE;
-    private Moment wantedSince, settledFrom, triedAt, confirmFrom, started, viewSince, asked, roundSince, againAt;
-    /** After a higher ballot or a round that came to nothing, it rests until then. */
-    private Moment restsUntil = new Moment(0);
-    /** Not before then does it call the whole view again. */
-    private Moment callsFrom = new Moment(0);
-    private Coming coming;
-    /** Who told of a later view, until it is held here. */
-    private Teller ahead;
-    /** What this process decided, while it is told again. */
-    private List<Succession.Tell> decided;
-    private int decidedLeft;
-    /**
-     * Of each line that was given up here, the number of its view then: that and those before it are not taken again from one
-     * who still holds them, since what was promised in them is forgotten.
-     */
-    private final Map<Long, Long> left = new HashMap<>();
-    /** Lines known to have ended, and the view that has no successor. */
-    private final Map<Long, Long> ended = new HashMap<>();
-    /** The view that this process was taken out by, until another holds it or that one is known to have ended. */
-    private View takenOutBy;
-    /** Nobody at all is heard; since when there is no majority; and when one last came back after a while. */
-    private boolean unheard;
-    private Moment minoritySince, healedAt;
-    private boolean leaving;
-    private long highestRound;
-    // founding
-    private long attempt;
-    private List<Member> founding;
-    private final Set<MemberName> consents = new HashSet<>();
-    private Birth vowedTo;
-    private long vowedAttempt;
-    // the lasting folder
-    private record Withheld(long number, Act act) {
-    }
-
-    private boolean lasting;
-    /** A process that goes on from its folder votes only once a majority was heard, of whom one may know that the folder is old. */
-    private boolean resumed;
-    private long starts;
-    private Kept kept;
-    private long keeps, stored;
-    private final Deque<Withheld> withheld = new ArrayDeque<>();
-    /** How many of the members of the view seem alive, as of what; it is asked for at every message. */
-    private View countedOf;
-    private long countedAt = -1;
-    private int aliveCount;
-    /** What this process would have the next view hold, or null. */
-    private Edition offered;
-    private Predicate<Edition> hasDocument = e -> true;
-    private Function<Edition, byte[]> documentOf = e -> null;
-
-    /** A process with a lasting folder; {@code former} is what that holds, or null if it is new or was another's. */
-    public static Membership lasting(Terms terms, Member self, Kept former, RandomGenerator chance) {
-        boolean same = former != null && former.self().name().equals(self.name()) && former.self().address().equals(self.address());
-        Member as = same ? former.self() : self;
-        if (former != null && !same && former.self().name().equals(self.name())) {
-            as = new Member(self.name(), new Birth(Math.max(self.birth().value(), former.self().birth().value() + 1)), self.address());
-        }
-        Membership m = new Membership(terms, as, chance);
-        m.lasting = true;
-        m.starts = same ? former.starts() + 1 : 1;
-        m.suspicion.resumes(m.starts);
-        if (same) {
-            m.seat = former.seat();
-            m.vowedTo = former.vowedTo();
-            m.vowedAttempt = former.vowedAttempt();
-            m.left.putAll(former.left());
-            m.ended.putAll(former.ended());
-            m.resumed = former.view() != null;
-        }
-        return m;
-    }
-
-    public Membership(Terms terms, Member self, RandomGenerator chance) {
-        this.terms = terms;
-        this.chance = chance;
-        suspicion = new Suspicion(terms, self, chance, new Suspicion.Out() {
-            @Override
-            public void tell(InetSocketAddress to, Message message) {
+  /** No change of a view is larger, so that it fits a datagram. */
+  private static final int MOST_OUT = 128;
+
+  private static final int MOST_IN = 64;
+  private static final int MOST_VIEW_PART = 48;
+  private static final int MOST_VIEW = 4096;
+
+  /**
+   * Periods: until what is wanted counts as settled, at most, and by which each next one in order
+   * waits longer.
+   */
+  private static final double SETTLE = 0.5;
+
+  private static final double SETTLE_MOST = 6;
+  private static final double NEXT_AFTER = 2;
+  private static final double TRY_FOR = 0.5;
+  private static final double AGAIN = 0.125;
+  private static final double GIVES_UP = 2;
+  private static final int TOLD_AGAIN = 2;
+
+  /**
+   * One that is taken in again waits for so many periods, twice as many each time, up to the most
+   * doublings.
+   */
+  private static final double STABLE = 1;
+
+  private static final double BACK_AFTER = 10;
+  private static final int MOST_DOUBLED = 6;
+
+  /** Rounds in which a founder listens for a view before it founds one. */
+  private static final int LISTENS = 3;
+
+  /** A process heard within so many periods stays, whatever is said of it. */
+  private static final double HEARD_WITHIN = 1.5;
+
+  /** Periods after a majority came back in which nobody is taken out. */
+  private static final double HEALS = 8;
+
+  private static final double SPLIT_FROM = 3;
+  private static final int MOST_REMOVALS = 4096;
+
+  /**
+   * Lines that a process may have left; each is a founding, and beyond it none is joined until the
+   * next start.
+   */
+  private static final int MOST_LINES = 64;
+
+  /** Messages held back while the folder is written; more are lost, as any datagram may be. */
+  private static final int MOST_WITHHELD = 4096;
+
+  /**
+   * An operator founds anew only if for so many times what is borne nothing was heard of those that
+   * are missing.
+   */
+  private static final double SILENT_FOR = 3;
+
+  private record Removal(int times, Moment at) {}
+
+  /** A view that comes in parts. */
+  private static final class Coming {
+    ViewId id;
+    int size;
+    Edition edition;
+    final List<Member> members = new ArrayList<>();
+  }
+
+  private final Terms terms;
+  private final RandomGenerator chance;
+  private final List<Act> acts = new ArrayList<>();
+  private final Suspicion suspicion;
+  private Seat seat = new Seat(null, null, null, null, null);
+
+  /**
+   * Who was taken out, by name and birth: how often, so that a flapping one comes back ever later.
+   */
+  private final Map<Member, Removal> removals = new LinkedHashMap<>();
+
+  /** Processes taken out whose sends may still hold engines, until when. */
+  private final Map<Member, Moment> lingering = new HashMap<>();
+
+  private Change wanted = Change.NONE;
+  private Moment wantedSince,
+      settledFrom,
+      triedAt,
+      confirmFrom,
+      started,
+      viewSince,
+      asked,
+      roundSince,
+      againAt;
+
+  /** After a higher ballot or a round that came to nothing, it rests until then. */
+  private Moment restsUntil = new Moment(0);
+
+  /** Not before then does it call the whole view again. */
+  private Moment callsFrom = new Moment(0);
+
+  private Coming coming;
+
+  /** Who told of a later view, until it is held here. */
+  private Teller ahead;
+
+  /** What this process decided, while it is told again. */
+  private List<Succession.Tell> decided;
+
+  private int decidedLeft;
+
+  /**
+   * Of each line that was given up here, the number of its view then: that and those before it are
+   * not taken again from one who still holds them, since what was promised in them is forgotten.
+   */
+  private final Map<Long, Long> left = new HashMap<>();
+
+  /** Lines known to have ended, and the view that has no successor. */
+  private final Map<Long, Long> ended = new HashMap<>();
+
+  /**
+   * The view that this process was taken out by, until another holds it or that one is known to
+   * have ended.
+   */
+  private View takenOutBy;
+
+  /**
+   * Nobody at all is heard; since when there is no majority; and when one last came back after a
+   * while.
+   */
+  private boolean unheard;
+
+  private Moment minoritySince, healedAt;
+  private boolean leaving;
+  private long highestRound;
+  // founding
+  private long attempt;
+  private List<Member> founding;
+  private final Set<MemberName> consents = new HashSet<>();
+  private Birth vowedTo;
+  private long vowedAttempt;
+
+  // the lasting folder
+  private record Withheld(long number, Act act) {}
+
+  private boolean lasting;
+
+  /**
+   * A process that goes on from its folder votes only once a majority was heard, of whom one may
+   * know that the folder is old.
+   */
+  private boolean resumed;
+
+  private long starts;
+  private Kept kept;
+  private long keeps, stored;
+  private final Deque<Withheld> withheld = new ArrayDeque<>();
+
+  /**
+   * How many of the members of the view seem alive, as of what; it is asked for at every message.
+   */
+  private View countedOf;
+
+  private long countedAt = -1;
+  private int aliveCount;
+
+  /** What this process would have the next view hold, or null. */
+  private Edition offered;
+
+  private Predicate<Edition> hasDocument = e -> true;
+  private Function<Edition, byte[]> documentOf = e -> null;
+
+  /**
+   * A process with a lasting folder; {@code former} is what that holds, or null if it is new or was
+   * another's.
+   */
+  public static Membership lasting(Terms terms, Member self, Kept former, RandomGenerator chance) {
+    boolean same =
+        former != null
+            && former.self().name().equals(self.name())
+            && former.self().address().equals(self.address());
+    Member as = same ? former.self() : self;
+    if (former != null && !same && former.self().name().equals(self.name())) {
+      as =
+          new Member(
+              self.name(),
+              new Birth(Math.max(self.birth().value(), former.self().birth().value() + 1)),
+              self.address());
+    }
+    Membership m = new Membership(terms, as, chance);
+    m.lasting = true;
+    m.starts = same ? former.starts() + 1 : 1;
+    m.suspicion.resumes(m.starts);
+    if (same) {
+      m.seat = former.seat();
+      m.vowedTo = former.vowedTo();
+      m.vowedAttempt = former.vowedAttempt();
+      m.left.putAll(former.left());
+      m.ended.putAll(former.ended());
+      m.resumed = former.view() != null;
+    }
+    return m;
+  }
+
+  public Membership(Terms terms, Member self, RandomGenerator chance) {
+    this.terms = terms;
+    this.chance = chance;
+    suspicion =
+        new Suspicion(
+            terms,
+            self,
+            chance,
+            new Suspicion.Out() {
+              @Override
+              public void tell(InetSocketAddress to, Message message) {
                 acts.add(new Act.Tell(to, message));
-            }
+              }
 
-            @Override
-            public void note(Event event, MemberName who, String detail) {
+              @Override
+              public void note(Event event, MemberName who, String detail) {
                 acts.add(new Act.Noted(event, who, detail));
-            }
-        });
-    }
-
-    // ---- what is asked
-
-    public Member self() {
-        return suspicion.self();
-    }
-
-    /** The last agreed view known here, or null. */
-    public View view() {
-        return seat.view();
-    }
-
-    /** What may be made of it at this moment; a caller that stood still asks {@link #due} first. */
-    public Standing standing() {
-        if (seat.view() == null) {
-            return Standing.NONE;
-        }
-        if (confirmFrom != null) {
-            return Standing.UNSURE;
-        }
-        if (unheard && seat.view().members().size() > 1) {
-            return Standing.MINORITY;
-        }
-        return alive() >= seat.view().majority() ? Standing.MAJORITY : Standing.MINORITY;
-    }
-
-    private int alive() {
-        if (countedOf != seat.view() || countedAt != suspicion.version()) {
-            countedOf = seat.view();
-            countedAt = suspicion.version();
-            aliveCount = 0;
-            for (Member m : seat.view().members()) {
-                aliveCount += suspicion.alive(m) ? 1 : 0;
-            }
-        }
-        return aliveCount;
-    }
-
-    /** Whether all that are known are of the view and seem alive, and the view holds nobody else. */
-    private boolean isWhole() {
-        int members = seat.view().members().size();
-        return alive() == members && suspicion.peers().size() == members - 1;
-    }
-
-    /**
-     * Over how many dispatchers the engines are to be shared: those of the view, and those taken out of it whose sends may still
-     * hold engines. It goes up at once, and down only then. Zero where there is no view.
-     */
-    public int carriers(Moment now) {
-        lingering.values().removeIf(until -> !now.before(until));
-        return seat.view() == null ? 0 : seat.view().members().size() + lingering.size();
-    }
-
-    /** When {@link #carriers} may next go down; null if not by itself. */
-    public Moment carriersFallAt() {
-        return lingering.values().stream().min(Moment::compareTo).orElse(null);
-    }
-
-    /** How a member seems from here, for operators. */
-    public record Seen(Member member, long incarnation, Condition condition, Moment since, Moment heard, Span roundTrip,
-                       List<MemberName> by) {
-    }
-
-    public List<Seen> seen() {
-        return suspicion.peers().stream().map(p -> new Seen(p.member, p.incarnation, p.condition, p.since, p.heard, p.roundTrip,
-                p.by.stream().sorted().toList())).toList();
-    }
-
-    /** From 0 for well, how badly this process itself seems to run. */
-    public int health() {
-        return suspicion.health();
-    }
-
-    public Moment viewSince() {
-        return viewSince;
-    }
-
-    /** A pause below this takes nobody out. */
-    public Span bears() {
-        return suspicion.refutesWithin();
-    }
-
-    /** Whether what is promised outlives this process. */
-    public boolean isLasting() {
-        return lasting;
-    }
-
-    Seat seat() {
-        return seat;
-    }
-
-    // ---- from the start to the end
-
-    public List<Act> start(Moment now) {
-        started = now;
-        suspicion.start(now);
-        if (seat.view() != null) {
-            // From the folder: a member as before, once it has heard from a majority.
-            viewSince = now;
-            suspicion.learn(seat.view().members(), now);
-            suspicion.holds(seat.view().id(), false);
-            confirmFrom = now;
-            suspicion.rollCall(seat.view().members(), now);
-        }
-        tellEnded();
-        return done();
-    }
-
-    /** Tells others that it leaves; from then on it takes part in nothing. */
-    public List<Act> leave(Moment now) {
-        if (!leaving) {
-            suspicion.leave();
-            leaving = true;
-        }
-        return done();
-    }
-
-    /** When it is to be asked again; null once it has left. */
-    public Moment wake(Moment now) {
-        if (leaving) {
-            return null;
-        }
-        Moment next = suspicion.wake(now);
-        Moment soon = now.plus(terms.period().times(0.125));
-        boolean pending = seat.round() != null || wantedSince != null || ahead != null || decided != null;
-        return pending && soon.before(next) ? soon : next;
-    }
-
-    private List<Act> done() {
-        if (lasting) {
-            keep();
-        }
-        List<Act> what = List.copyOf(acts);
-        acts.clear();
-        return what;
-    }
-
-    // ---- the lasting folder
-
-    /** What others may build on waits until it is on disk; how members seem does not. */
-    private void keep() {
-        boolean same = kept != null && kept.view() == seat.view() && kept.promised() == seat.promised()
-                && kept.accepted() == seat.accepted() && kept.value() == seat.value() && kept.self() == self()
-                && kept.vowedTo() == vowedTo && kept.vowedAttempt() == vowedAttempt && kept.left().equals(left)
-                && kept.ended().equals(ended);
-        if (!same) {
-            kept = new Kept(self(), starts, seat.view(), seat.promised(), seat.accepted(), seat.value(), vowedTo, vowedAttempt, left, ended,
-                    Stream.of(accepted(), seat.view() == null ? null : seat.view().edition()).filter(Objects::nonNull).map(documentOf)
-                            .filter(Objects::nonNull).distinct().toList());
-            keeps++;
-        }
-        if (keeps > stored) {
-            acts.removeIf(a -> {
-                boolean waits = a instanceof Act.Installed || a instanceof Act.Tell t && t.message().binds();
-                if (waits && (a instanceof Act.Installed || withheld.size() < MOST_WITHHELD)) {
-                    withheld.add(new Withheld(keeps, a));
-                }
-                return waits;
+              }
             });
-        }
-        if (!same) {
-            acts.add(0, new Act.Keep(keeps, kept));
-        }
-    }
-
-    /** The folder holds what was given under this number; what waited for it follows. */
-    public List<Act> kept(long number) {
-        stored = Math.max(stored, number);
-        List<Act> what = new ArrayList<>();
-        while (!withheld.isEmpty() && withheld.peek().number <= stored) {
-            Act act = withheld.poll().act;
-            // This process may be another member by now.
-            boolean others = act instanceof Act.Installed i && i.view() != null && !i.view().holds(self().name(), self().birth());
-            if (!others) {
-                what.add(act);
-            }
-        }
-        return what;
-    }
-
-    /**
-     * The folder can't be written. What waited for it was told to nobody; this process goes on as another member that has none, and
-     * the folder holds all that was ever told by the one that it was.
-     */
-    public List<Act> notKept(String why, Moment now) {
-        if (lasting) {
-            lasting = false;
-            withheld.clear();
-            acts.add(new Act.Noted(Event.FOLDER_LOST, self().name(), why));
-            suspicion.beginAnew();
-            if (seat.view() != null) {
-                leaveLine(Event.LINE_LEFT, "its folder is lost", now);
-            }
-        }
-        return done();
-    }
-
-    // ---- time
-
-    public List<Act> due(Moment now) {
-        if (leaving) {
-            return done();
-        }
-        Member before = suspicion.self();
-        Span late = suspicion.due(now);
-        if (late.isPositive() && seat.view() != null) {
-            // Whoever stood still may have been taken out meanwhile: it hears from a majority before it acts as a member.
-            confirmFrom = now;
-            acts.add(new Act.Noted(Event.STOOD_STILL, before.name(), late.us() / 1000 + " ms"));
-            suspicion.rollCall(seat.view().members(), now);
-        }
-        follow(now);
-        return done();
-    }
-
-    /** What follows from what is known now. */
-    private void follow(Moment now) {
-        if (offered != null && seat.view() != null && !isNext(offered)) {
-            offered = null;
-        }
-        confirm(now);
-        abandonDead(now);
-        unheard = suspicion.hearsNobody(now);
-        if (seat.view() == null || standing() == Standing.MAJORITY) {
-            boolean split = minoritySince != null && now.since(minoritySince).compareTo(terms.period().times(SPLIT_FROM)) > 0;
-            healedAt = split ? now : healedAt;
-            minoritySince = null;
-        } else if (minoritySince == null) {
-            minoritySince = now;
-        }
-        if (seat.view() != null) {
-            suspicion.holds(seat.view().id(), standing() == Standing.MAJORITY);
-        }
-        if (seat.view() == null) {
-            found(now);
-        } else {
-            if (ahead != null && now.since(asked).compareTo(terms.period().times(AGAIN)) >= 0) {
-                askAhead(now);
-            }
-            if (seat.round() != null && !now.before(againAt)) {
-                againAt = now.plus(terms.period().times(AGAIN));
-                boolean late = now.since(roundSince).compareTo(patience()) >= 0;
-                take(Succession.proceed(seat, teller(), late), now);
-                if (seat.round() != null) {
-                    take(Succession.again(seat, teller()), now);
-                }
-            }
-            if (decided != null && !now.before(againAt)) {
-                // Twice more, ever later, to all: a datagram may be lost, and whoever lacks it acts on an older view.
-                decided.forEach(t -> acts.add(new Act.Tell(t.to().address(), t.message())));
-                againAt = now.plus(terms.period().times(SETTLE));
-                decided = --decidedLeft > 0 ? decided : null;
-            }
-            if (suspicion.suspects() > 0 && !now.before(callsFrom) && rank() == 0) {
-                // What fell silent together is found together: one change for a rack, not one for each of it.
-                callsFrom = now.plus(terms.period().times(SETTLE_MOST));
-                suspicion.rollCall(seat.view().members(), now);
-            }
-            consider(now);
-        }
-    }
-
-    private Span patience() {
-        return terms.period().times(TRY_FOR);
-    }
-
-    private void confirm(Moment now) {
-        if (confirmFrom == null || seat.view() == null) {
-            confirmFrom = null;
-            return;
-        }
-        int heard = 1;
-        for (Member m : seat.view().members()) {
-            Peer p = suspicion.peer(m.name());
-            boolean spoke = p != null && p.heard != null && !p.heard.before(confirmFrom) && p.member.birth().equals(m.birth());
-            heard += spoke && !p.view.after(seat.view().id()) ? 1 : 0;
-        }
-        if (heard >= seat.view().majority()) {
-            confirmFrom = null;
-            if (resumed) {
-                resumed = false;
-                viewSince = now;
-                acts.add(new Act.Installed(seat.view()));
+  }
+
+  // ---- what is asked
+
+  public Member self() {
+    return suspicion.self();
+  }
+
+  /** The last agreed view known here, or null. */
+  public View view() {
+    return seat.view();
+  }
+
+  /** What may be made of it at this moment; a caller that stood still asks {@link #due} first. */
+  public Standing standing() {
+    if (seat.view() == null) {
+      return Standing.NONE;
+    }
+    if (confirmFrom != null) {
+      return Standing.UNSURE;
+    }
+    if (unheard && seat.view().members().size() > 1) {
+      return Standing.MINORITY;
+    }
+    return alive() >= seat.view().majority() ? Standing.MAJORITY : Standing.MINORITY;
+  }
+
+  private int alive() {
+    if (countedOf != seat.view() || countedAt != suspicion.version()) {
+      countedOf = seat.view();
+      countedAt = suspicion.version();
+      aliveCount = 0;
+      for (Member m : seat.view().members()) {
+        aliveCount += suspicion.alive(m) ? 1 : 0;
+      }
+    }
+    return aliveCount;
+  }
+
+  /** Whether all that are known are of the view and seem alive, and the view holds nobody else. */
+  private boolean isWhole() {
+    int members = seat.view().members().size();
+    return alive() == members && suspicion.peers().size() == members - 1;
+  }
+
+  /**
+   * Over how many dispatchers the engines are to be shared: those of the view, and those taken out
+   * of it whose sends may still hold engines. It goes up at once, and down only then. Zero where
+   * there is no view.
+   */
+  public int carriers(Moment now) {
+    lingering.values().removeIf(until -> !now.before(until));
+    return seat.view() == null ? 0 : seat.view().members().size() + lingering.size();
+  }
+
+  /** When {@link #carriers} may next go down; null if not by itself. */
+  public Moment carriersFallAt() {
+    return lingering.values().stream().min(Moment::compareTo).orElse(null);
+  }
+
+  /** How a member seems from here, for operators. */
+  public record Seen(
+      Member member,
+      long incarnation,
+      Condition condition,
+      Moment since,
+      Moment heard,
+      Span roundTrip,
+      List<MemberName> by) {}
+
+  public List<Seen> seen() {
+    return suspicion.peers().stream()
+        .map(
+            p ->
+                new Seen(
+                    p.member,
+                    p.incarnation,
+                    p.condition,
+                    p.since,
+                    p.heard,
+                    p.roundTrip,
+                    p.by.stream().sorted().toList()))
+        .toList();
+  }
+
+  /** From 0 for well, how badly this process itself seems to run. */
+  public int health() {
+    return suspicion.health();
+  }
+
+  public Moment viewSince() {
+    return viewSince;
+  }
+
+  /** A pause below this takes nobody out. */
+  public Span bears() {
+    return suspicion.refutesWithin();
+  }
+
+  /** Whether what is promised outlives this process. */
+  public boolean isLasting() {
+    return lasting;
+  }
+
+  Seat seat() {
+    return seat;
+  }
+
+  // ---- from the start to the end
+
+  public List<Act> start(Moment now) {
+    started = now;
+    suspicion.start(now);
+    if (seat.view() != null) {
+      // From the folder: a member as before, once it has heard from a majority.
+      viewSince = now;
+      suspicion.learn(seat.view().members(), now);
+      suspicion.holds(seat.view().id(), false);
+      confirmFrom = now;
+      suspicion.rollCall(seat.view().members(), now);
+    }
+    tellEnded();
+    return done();
+  }
+
+  /** Tells others that it leaves; from then on it takes part in nothing. */
+  public List<Act> leave(Moment now) {
+    if (!leaving) {
+      suspicion.leave();
+      leaving = true;
+    }
+    return done();
+  }
+
+  /** When it is to be asked again; null once it has left. */
+  public Moment wake(Moment now) {
+    if (leaving) {
+      return null;
+    }
+    Moment next = suspicion.wake(now);
+    Moment soon = now.plus(terms.period().times(0.125));
+    boolean pending =
+        seat.round() != null || wantedSince != null || ahead != null || decided != null;
+    return pending && soon.before(next) ? soon : next;
+  }
+
+  private List<Act> done() {
+    if (lasting) {
+      keep();
+    }
+    List<Act> what = List.copyOf(acts);
+    acts.clear();
+    return what;
+  }
+
+  // ---- the lasting folder
+
+  /** What others may build on waits until it is on disk; how members seem does not. */
+  private void keep() {
+    boolean same =
+        kept != null
+            && kept.view() == seat.view()
+            && kept.promised() == seat.promised()
+            && kept.accepted() == seat.accepted()
+            && kept.value() == seat.value()
+            && kept.self() == self()
+            && kept.vowedTo() == vowedTo
+            && kept.vowedAttempt() == vowedAttempt
+            && kept.left().equals(left)
+            && kept.ended().equals(ended);
+    if (!same) {
+      kept =
+          new Kept(
+              self(),
+              starts,
+              seat.view(),
+              seat.promised(),
+              seat.accepted(),
+              seat.value(),
+              vowedTo,
+              vowedAttempt,
+              left,
+              ended,
+              Stream.of(accepted(), seat.view() == null ? null : seat.view().edition())
+                  .filter(Objects::nonNull)
+                  .map(documentOf)
+                  .filter(Objects::nonNull)
+                  .distinct()
+                  .toList());
+      keeps++;
+    }
+    if (keeps > stored) {
+      acts.removeIf(
+          a -> {
+            boolean waits =
+                a instanceof Act.Installed || a instanceof Act.Tell t && t.message().binds();
+            if (waits && (a instanceof Act.Installed || withheld.size() < MOST_WITHHELD)) {
+              withheld.add(new Withheld(keeps, a));
             }
-        }
-    }
-
-    // ---- the next view
-
-    /** Proposes the next view, where this process is the one to do so and what it wants has settled. */
-    private void consider(Moment now) {
-        Change change = standing() == Standing.MAJORITY ? change(now) : Change.NONE;
-        // What was accepted here may have been chosen by a process that could tell nobody: it has to be brought to its end.
-        boolean unfinished = seat.accepted() != null && standing() == Standing.MAJORITY;
-        if (change.isEmpty() && !unfinished && !(isNext(offered) && standing() == Standing.MAJORITY)) {
-            wanted = change;
-            wantedSince = null;
-            return;
-        }
-        Span period = terms.period();
-        if (wantedSince == null) {
-            wantedSince = now;
-            settledFrom = now.plus(period.times(SETTLE));
-        }
-        if (!change.equals(wanted)) {
-            wanted = change;
-            settledFrom = now.plus(period.times(SETTLE));
-        }
-        // Those that others suspect already may soon be part of it: one change for all that fell silent together.
-        boolean more = seat.view().members().stream().anyMatch(this::isConfirmedSuspect);
-        boolean edits = isNext(offered) && !unfinished;
-        boolean unsettled = now.before(settledFrom) || more;
-        Moment turn = wantedSince.plus(period.times(NEXT_AFTER * rank()));
-        boolean waits = now.before(turn) || unsettled && now.before(turn.plus(period.times(SETTLE_MOST)));
-        boolean tries = seat.round() != null && now.since(roundSince).compareTo(period.times(GIVES_UP)) < 0;
-        if ((!waits || edits) && !tries && !now.before(restsUntil)) {
-            roundSince = now;
-            againAt = now.plus(period.times(AGAIN));
-            // An edition waits for no turn: whoever has one proposes it, and takes along what it would have proposed now.
-            Change what = edits ? new Change(waits ? List.of() : wanted.out(), waits ? List.of() : wanted.in(), offered) : wanted;
-            take(Succession.propose(seat, teller(), what, highestRound), now);
-        }
-    }
-
-    private boolean isNext(Edition edition) {
-        return edition != null && edition.number() == Edition.number(seat.view().edition()) + 1;
-    }
-
-    /**
-     * Whether a document is here is asked before its edition is accepted, so that a chosen one is held by a majority; until then
-     * this process answers nothing. Without this any is accepted.
-     *
-     * @param of the document of an edition, or null if it is not here: what is kept in the folder beside the vote
-     */
-    public void accepts(Predicate<Edition> has, Function<Edition, byte[]> of) {
-        hasDocument = has;
-        documentOf = of;
-    }
-
-    /** The edition that this process accepted for the next view, or null. */
-    public Edition accepted() {
-        return seat.accepted() == null || seat.value() == null ? null : seat.value().edition();
-    }
-
-    /** Proposes no edition any more; one that is on its way may be chosen yet. */
-    public void withdraw() {
-        offered = null;
-    }
-
-    /** Has this process propose an edition, until it or another one under its number is held. */
-    public List<Act> offer(Edition edition, Moment now) {
-        offered = edition;
-        if (!leaving && seat.view() != null) {
-            consider(now);
-        }
-        return done();
-    }
-
-    /**
-     * Whether nothing is on its way here that would follow the view: a majority that says so shows that at this moment it had no
-     * successor yet.
-     */
-    public boolean isNewest() {
-        return seat.view() != null && seat.accepted() == null && !resumed && seat.view().holds(self().name(), self().birth());
-    }
-
-    /** Whether all members of the view have told of it, or of a later one. */
-    public boolean isHeldByAll() {
-        for (Member m : seat.view().members()) {
-            Peer p = suspicion.peer(m.name());
-            boolean holds = m.name().equals(self().name()) || p != null && p.member.birth().equals(m.birth())
-                    && (p.view.equals(seat.view().id()) || p.view.after(seat.view().id()));
-            if (!holds) {
-                return false;
-            }
-        }
-        return true;
-    }
-
-    /** A process of another part has spoken: false if what it says does not count. */
-    public boolean spoke(Spoken spoken, Moment now) {
-        if (leaving || suspicion.isQuiet(now) || !suspicion.spoke(spoken.from(), now)) {
-            return false;
-        }
-        behind(spoken.from(), now);
-        return true;
-    }
-
-    private boolean isConfirmedSuspect(Member m) {
-        Peer p = suspicion.peer(m.name());
-        return p != null && p.condition == Condition.SUSPECT && p.by.size() > 1 && p.member.birth().equals(m.birth());
-    }
-
-    /** How many come before this process among those of the view that seem alive. */
-    private int rank() {
-        int rank = 0;
-        List<Member> members = seat.view().members();
-        for (int i = 0; i < members.size(); i++) {
-            Member m = members.get((int) ((i + seat.view().id().number()) % members.size()));
-            if (m.name().equals(self().name())) {
-                return rank;
-            }
-            rank += suspicion.alive(m) ? 1 : 0;
-        }
-        return rank;
-    }
-
-    private Change change(Moment now) {
-        if (isWhole()) {
-            return Change.NONE;
-        }
-        List<Member> out = new ArrayList<>();
-        List<Member> in = new ArrayList<>();
-        View view = seat.view();
-        for (Member m : view.members()) {
-            Peer p = suspicion.peer(m.name());
-            if (m.name().equals(self().name())) {
-                continue;
-            }
-            // Guards against a split that heals in parts: those that come back last are given time to say so.
-            boolean rests = healedAt != null && now.since(healedAt).compareTo(terms.period().times(HEALS)) < 0;
-            boolean gone = p != null && (p.condition.compareTo(Condition.DEAD) >= 0 && !rests
-                    || !p.member.birth().equals(m.birth()));
-            if (gone && out.size() < MOST_OUT) {
-                out.add(m);
-            }
-        }
-        for (Peer p : suspicion.peers()) {
-            Member there = view.of(p.member.name());
-            boolean free = there == null || out.contains(there) && !there.birth().equals(p.member.birth());
-            if (free && p.condition == Condition.ALIVE && mayComeIn(p, now) && in.size() < MOST_IN
-                    && view.members().size() - out.size() + in.size() < MOST_VIEW) {
-                in.add(p.member);
-            }
-        }
-        return new Change(out, in);
-    }
-
-    private boolean mayComeIn(Peer p, Moment now) {
-        // Who holds a view of another line does not follow ours until it has left that.
-        if (p.view.line() != 0 && p.view.line() != seat.view().id().line()) {
-            return false;
-        }
-        Removal removal = removals.get(p.member);
-        Span waits = removal == null ? terms.period().times(STABLE)
-                : terms.period().times(BACK_AFTER * (1 << Math.min(MOST_DOUBLED, removal.times - 1)));
-        return now.since(p.since).compareTo(waits) >= 0;
-    }
-
-    /** Of those named, whom this process would not take out. */
-    private List<MemberName> stay(List<MemberName> named, Moment now) {
-        List<MemberName> stay = new ArrayList<>();
-        for (MemberName name : named) {
-            Member m = seat.view().of(name);
-            Peer p = suspicion.peer(name);
-            boolean same = m != null && p != null && p.member.birth().equals(m.birth());
-            boolean heard = same && p.heard != null
-                    && now.since(p.heard).compareTo(terms.period().times(HEARD_WITHIN)) < 0;
-            if (m != null && (name.equals(self().name()) || same && p.condition != Condition.LEFT
-                    && (p.condition == Condition.ALIVE || heard))) {
-                stay.add(name);
-            }
-        }
-        return stay;
-    }
-
-    public Teller teller() {
-        return suspicion.teller();
-    }
-
-    /** The seat is what a step made of it, and what it says is told; to itself at once. */
-    private void take(Step step, Moment now) {
-        View before = seat.view();
-        seat = step.seat();
-        boolean out = seat.view() != before && !seat.view().holds(self().name(), self().birth());
-        if (out) {
-            // What it had to propose was an earlier choice, and that took this process out.
-            step.tells().forEach(t -> acts.add(new Act.Tell(t.to().address(), t.message())));
-            takenOutBy = seat.view();
-            seat = Seat.of(before);
-            leaveLine(Event.TAKEN_OUT, "by view " + takenOutBy.id(), now);
-            return;
-        }
-        if (seat.view() != before) {
-            installed(before, now);
-        }
-        if (seat.view() != before && !step.tells().isEmpty()) {
-            decided = step.tells().stream().filter(t -> !t.to().name().equals(self().name())).toList();
-            decidedLeft = TOLD_AGAIN;
-            againAt = now.plus(terms.period().times(AGAIN));
-        }
-        for (Succession.Tell tell : step.tells()) {
-            if (tell.to().name().equals(self().name())) {
-                choice(tell.message(), now);
-            } else {
-                acts.add(new Act.Tell(tell.to().address(), tell.message()));
-            }
-        }
-    }
-
-    private void installed(View before, Moment now) {
-        View view = seat.view();
-        wanted = Change.NONE;
-        wantedSince = null;
-        triedAt = null;
-        coming = null;
-        founding = null;
-        ahead = null;
-        decided = null;
-        viewSince = now;
+            return waits;
+          });
+    }
+    if (!same) {
+      acts.add(0, new Act.Keep(keeps, kept));
+    }
+  }
+
+  /** The folder holds what was given under this number; what waited for it follows. */
+  public List<Act> kept(long number) {
+    stored = Math.max(stored, number);
+    List<Act> what = new ArrayList<>();
+    while (!withheld.isEmpty() && withheld.peek().number <= stored) {
+      Act act = withheld.poll().act;
+      // This process may be another member by now.
+      boolean others =
+          act instanceof Act.Installed i
+              && i.view() != null
+              && !i.view().holds(self().name(), self().birth());
+      if (!others) {
+        what.add(act);
+      }
+    }
+    return what;
+  }
+
+  /**
+   * The folder can't be written. What waited for it was told to nobody; this process goes on as
+   * another member that has none, and the folder holds all that was ever told by the one that it
+   * was.
+   */
+  public List<Act> notKept(String why, Moment now) {
+    if (lasting) {
+      lasting = false;
+      withheld.clear();
+      acts.add(new Act.Noted(Event.FOLDER_LOST, self().name(), why));
+      suspicion.beginAnew();
+      if (seat.view() != null) {
+        leaveLine(Event.LINE_LEFT, "its folder is lost", now);
+      }
+    }
+    return done();
+  }
+
+  // ---- time
+
+  public List<Act> due(Moment now) {
+    if (leaving) {
+      return done();
+    }
+    Member before = suspicion.self();
+    Span late = suspicion.due(now);
+    if (late.isPositive() && seat.view() != null) {
+      // Whoever stood still may have been taken out meanwhile: it hears from a majority before it
+      // acts as a member.
+      confirmFrom = now;
+      acts.add(new Act.Noted(Event.STOOD_STILL, before.name(), late.us() / 1000 + " ms"));
+      suspicion.rollCall(seat.view().members(), now);
+    }
+    follow(now);
+    return done();
+  }
+
+  /** What follows from what is known now. */
+  private void follow(Moment now) {
+    if (offered != null && seat.view() != null && !isNext(offered)) {
+      offered = null;
+    }
+    confirm(now);
+    abandonDead(now);
+    unheard = suspicion.hearsNobody(now);
+    if (seat.view() == null || standing() == Standing.MAJORITY) {
+      boolean split =
+          minoritySince != null
+              && now.since(minoritySince).compareTo(terms.period().times(SPLIT_FROM)) > 0;
+      healedAt = split ? now : healedAt;
+      minoritySince = null;
+    } else if (minoritySince == null) {
+      minoritySince = now;
+    }
+    if (seat.view() != null) {
+      suspicion.holds(seat.view().id(), standing() == Standing.MAJORITY);
+    }
+    if (seat.view() == null) {
+      found(now);
+    } else {
+      if (ahead != null && now.since(asked).compareTo(terms.period().times(AGAIN)) >= 0) {
+        askAhead(now);
+      }
+      if (seat.round() != null && !now.before(againAt)) {
+        againAt = now.plus(terms.period().times(AGAIN));
+        boolean late = now.since(roundSince).compareTo(patience()) >= 0;
+        take(Succession.proceed(seat, teller(), late), now);
+        if (seat.round() != null) {
+          take(Succession.again(seat, teller()), now);
+        }
+      }
+      if (decided != null && !now.before(againAt)) {
+        // Twice more, ever later, to all: a datagram may be lost, and whoever lacks it acts on an
+        // older view.
+        decided.forEach(t -> acts.add(new Act.Tell(t.to().address(), t.message())));
+        againAt = now.plus(terms.period().times(SETTLE));
+        decided = --decidedLeft > 0 ? decided : null;
+      }
+      if (suspicion.suspects() > 0 && !now.before(callsFrom) && rank() == 0) {
+        // What fell silent together is found together: one change for a rack, not one for each of
+        // it.
+        callsFrom = now.plus(terms.period().times(SETTLE_MOST));
+        suspicion.rollCall(seat.view().members(), now);
+      }
+      consider(now);
+    }
+  }
+
+  private Span patience() {
+    return terms.period().times(TRY_FOR);
+  }
+
+  private void confirm(Moment now) {
+    if (confirmFrom == null || seat.view() == null) {
+      confirmFrom = null;
+      return;
+    }
+    int heard = 1;
+    for (Member m : seat.view().members()) {
+      Peer p = suspicion.peer(m.name());
+      boolean spoke =
+          p != null
+              && p.heard != null
+              && !p.heard.before(confirmFrom)
+              && p.member.birth().equals(m.birth());
+      heard += spoke && !p.view.after(seat.view().id()) ? 1 : 0;
+    }
+    if (heard >= seat.view().majority()) {
+      confirmFrom = null;
+      if (resumed) {
         resumed = false;
-        suspicion.holds(view == null ? ViewId.NONE : view.id(), standing() == Standing.MAJORITY);
-        if (view == null) {
-            confirmFrom = null;
-            acts.add(new Act.Installed(null));
-            return;
-        }
-        suspicion.learn(view.members(), now);
+        viewSince = now;
+        acts.add(new Act.Installed(seat.view()));
+      }
+    }
+  }
+
+  // ---- the next view
+
+  /**
+   * Proposes the next view, where this process is the one to do so and what it wants has settled.
+   */
+  private void consider(Moment now) {
+    Change change = standing() == Standing.MAJORITY ? change(now) : Change.NONE;
+    // What was accepted here may have been chosen by a process that could tell nobody: it has to be
+    // brought to its end.
+    boolean unfinished = seat.accepted() != null && standing() == Standing.MAJORITY;
+    if (change.isEmpty() && !unfinished && !(isNext(offered) && standing() == Standing.MAJORITY)) {
+      wanted = change;
+      wantedSince = null;
+      return;
+    }
+    Span period = terms.period();
+    if (wantedSince == null) {
+      wantedSince = now;
+      settledFrom = now.plus(period.times(SETTLE));
+    }
+    if (!change.equals(wanted)) {
+      wanted = change;
+      settledFrom = now.plus(period.times(SETTLE));
+    }
+    // Those that others suspect already may soon be part of it: one change for all that fell silent
+    // together.
+    boolean more = seat.view().members().stream().anyMatch(this::isConfirmedSuspect);
+    boolean edits = isNext(offered) && !unfinished;
+    boolean unsettled = now.before(settledFrom) || more;
+    Moment turn = wantedSince.plus(period.times(NEXT_AFTER * rank()));
+    boolean waits =
+        now.before(turn) || unsettled && now.before(turn.plus(period.times(SETTLE_MOST)));
+    boolean tries =
+        seat.round() != null && now.since(roundSince).compareTo(period.times(GIVES_UP)) < 0;
+    if ((!waits || edits) && !tries && !now.before(restsUntil)) {
+      roundSince = now;
+      againAt = now.plus(period.times(AGAIN));
+      // An edition waits for no turn: whoever has one proposes it, and takes along what it would
+      // have proposed now.
+      Change what =
+          edits
+              ? new Change(
+                  waits ? List.of() : wanted.out(), waits ? List.of() : wanted.in(), offered)
+              : wanted;
+      take(Succession.propose(seat, teller(), what, highestRound), now);
+    }
+  }
+
+  private boolean isNext(Edition edition) {
+    return edition != null && edition.number() == Edition.number(seat.view().edition()) + 1;
+  }
+
+  /**
+   * Whether a document is here is asked before its edition is accepted, so that a chosen one is
+   * held by a majority; until then this process answers nothing. Without this any is accepted.
+   *
+   * @param of the document of an edition, or null if it is not here: what is kept in the folder
+   *     beside the vote
+   */
+  public void accepts(Predicate<Edition> has, Function<Edition, byte[]> of) {
+    hasDocument = has;
+    documentOf = of;
+  }
+
+  /** The edition that this process accepted for the next view, or null. */
+  public Edition accepted() {
+    return seat.accepted() == null || seat.value() == null ? null : seat.value().edition();
+  }
+
+  /** Proposes no edition any more; one that is on its way may be chosen yet. */
+  public void withdraw() {
+    offered = null;
+  }
+
+  /** Has this process propose an edition, until it or another one under its number is held. */
+  public List<Act> offer(Edition edition, Moment now) {
+    offered = edition;
+    if (!leaving && seat.view() != null) {
+      consider(now);
+    }
+    return done();
+  }
+
+  /**
+   * Whether nothing is on its way here that would follow the view: a majority that says so shows
+   * that at this moment it had no successor yet.
+   */
+  public boolean isNewest() {
+    return seat.view() != null
+        && seat.accepted() == null
+        && !resumed
+        && seat.view().holds(self().name(), self().birth());
+  }
+
+  /** Whether all members of the view have told of it, or of a later one. */
+  public boolean isHeldByAll() {
+    for (Member m : seat.view().members()) {
+      Peer p = suspicion.peer(m.name());
+      boolean holds =
+          m.name().equals(self().name())
+              || p != null
+                  && p.member.birth().equals(m.birth())
+                  && (p.view.equals(seat.view().id()) || p.view.after(seat.view().id()));
+      if (!holds) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  /** A process of another part has spoken: false if what it says does not count. */
+  public boolean spoke(Spoken spoken, Moment now) {
+    if (leaving || suspicion.isQuiet(now) || !suspicion.spoke(spoken.from(), now)) {
+      return false;
+    }
+    behind(spoken.from(), now);
+    return true;
+  }
+
+  private boolean isConfirmedSuspect(Member m) {
+    Peer p = suspicion.peer(m.name());
+    return p != null
+        && p.condition == Condition.SUSPECT
+        && p.by.size() > 1
+        && p.member.birth().equals(m.birth());
+  }
+
+  /** How many come before this process among those of the view that seem alive. */
+  private int rank() {
+    int rank = 0;
+    List<Member> members = seat.view().members();
+    for (int i = 0; i < members.size(); i++) {
+      Member m = members.get((int) ((i + seat.view().id().number()) % members.size()));
+      if (m.name().equals(self().name())) {
+        return rank;
+      }
+      rank += suspicion.alive(m) ? 1 : 0;
+    }
+    return rank;
+  }
+
+  private Change change(Moment now) {
+    if (isWhole()) {
+      return Change.NONE;
+    }
+    List<Member> out = new ArrayList<>();
+    List<Member> in = new ArrayList<>();
+    View view = seat.view();
+    for (Member m : view.members()) {
+      Peer p = suspicion.peer(m.name());
+      if (m.name().equals(self().name())) {
+        continue;
+      }
+      // Guards against a split that heals in parts: those that come back last are given time to say
+      // so.
+      boolean rests =
+          healedAt != null && now.since(healedAt).compareTo(terms.period().times(HEALS)) < 0;
+      boolean gone =
+          p != null
+              && (p.condition.compareTo(Condition.DEAD) >= 0 && !rests
+                  || !p.member.birth().equals(m.birth()));
+      if (gone && out.size() < MOST_OUT) {
+        out.add(m);
+      }
+    }
+    for (Peer p : suspicion.peers()) {
+      Member there = view.of(p.member.name());
+      boolean free =
+          there == null || out.contains(there) && !there.birth().equals(p.member.birth());
+      if (free
+          && p.condition == Condition.ALIVE
+          && mayComeIn(p, now)
+          && in.size() < MOST_IN
+          && view.members().size() - out.size() + in.size() < MOST_VIEW) {
+        in.add(p.member);
+      }
+    }
+    return new Change(out, in);
+  }
+
+  private boolean mayComeIn(Peer p, Moment now) {
+    // Who holds a view of another line does not follow ours until it has left that.
+    if (p.view.line() != 0 && p.view.line() != seat.view().id().line()) {
+      return false;
+    }
+    Removal removal = removals.get(p.member);
+    Span waits =
+        removal == null
+            ? terms.period().times(STABLE)
+            : terms.period().times(BACK_AFTER * (1 << Math.min(MOST_DOUBLED, removal.times - 1)));
+    return now.since(p.since).compareTo(waits) >= 0;
+  }
+
+  /** Of those named, whom this process would not take out. */
+  private List<MemberName> stay(List<MemberName> named, Moment now) {
+    List<MemberName> stay = new ArrayList<>();
+    for (MemberName name : named) {
+      Member m = seat.view().of(name);
+      Peer p = suspicion.peer(name);
+      boolean same = m != null && p != null && p.member.birth().equals(m.birth());
+      boolean heard =
+          same
+              && p.heard != null
+              && now.since(p.heard).compareTo(terms.period().times(HEARD_WITHIN)) < 0;
+      if (m != null
+          && (name.equals(self().name())
+              || same
+                  && p.condition != Condition.LEFT
+                  && (p.condition == Condition.ALIVE || heard))) {
+        stay.add(name);
+      }
+    }
+    return stay;
+  }
+
+  public Teller teller() {
+    return suspicion.teller();
+  }
+
+  /** The seat is what a step made of it, and what it says is told; to itself at once. */
+  private void take(Step step, Moment now) {
+    View before = seat.view();
+    seat = step.seat();
+    boolean out = seat.view() != before && !seat.view().holds(self().name(), self().birth());
+    if (out) {
+      // What it had to propose was an earlier choice, and that took this process out.
+      step.tells().forEach(t -> acts.add(new Act.Tell(t.to().address(), t.message())));
+      takenOutBy = seat.view();
+      seat = Seat.of(before);
+      leaveLine(Event.TAKEN_OUT, "by view " + takenOutBy.id(), now);
+      return;
+    }
+    if (seat.view() != before) {
+      installed(before, now);
+    }
+    if (seat.view() != before && !step.tells().isEmpty()) {
+      decided = step.tells().stream().filter(t -> !t.to().name().equals(self().name())).toList();
+      decidedLeft = TOLD_AGAIN;
+      againAt = now.plus(terms.period().times(AGAIN));
+    }
+    for (Succession.Tell tell : step.tells()) {
+      if (tell.to().name().equals(self().name())) {
+        choice(tell.message(), now);
+      } else {
+        acts.add(new Act.Tell(tell.to().address(), tell.message()));
+      }
+    }
+  }
+
+  private void installed(View before, Moment now) {
+    View view = seat.view();
+    wanted = Change.NONE;
+    wantedSince = null;
+    triedAt = null;
+    coming = null;
+    founding = null;
+    ahead = null;
+    decided = null;
+    viewSince = now;
+    resumed = false;
+    suspicion.holds(view == null ? ViewId.NONE : view.id(), standing() == Standing.MAJORITY);
+    if (view == null) {
+      confirmFrom = null;
+      acts.add(new Act.Installed(null));
+      return;
+    }
+    suspicion.learn(view.members(), now);
+    takenOutBy = null;
+    if (before != null && before.id().line() == view.id().line()) {
+      for (Member m : before.members()) {
+        if (!view.holds(m.name(), m.birth())) {
+          lingering.put(m, now.plus(terms.longestSend()));
+          Removal old = removals.remove(m);
+          removals.put(m, new Removal(old == null ? 1 : old.times + 1, now));
+        }
+      }
+      while (removals.size() > MOST_REMOVALS) {
+        removals.remove(removals.keySet().iterator().next());
+      }
+    }
+    view.members().forEach(m -> lingering.remove(m));
+    acts.add(new Act.Installed(view));
+  }
+
+  private void leaveLine(Event why, String detail, Moment now) {
+    acts.add(new Act.Noted(why, self().name(), detail));
+    View before = seat.view();
+    left.merge(before.id().line(), before.id().number(), Math::max);
+    seat = new Seat(null, null, null, null, null);
+    installed(before, now);
+  }
+
+  /**
+   * A view whose majority has started anew can never have a successor: what they promised is
+   * forgotten.
+   */
+  private void abandonDead(Moment now) {
+    View view = seat.view();
+    if (view == null) {
+      if (takenOutBy != null && isDead(takenOutBy)) {
+        ends(takenOutBy.id());
         takenOutBy = null;
-        if (before != null && before.id().line() == view.id().line()) {
-            for (Member m : before.members()) {
-                if (!view.holds(m.name(), m.birth())) {
-                    lingering.put(m, now.plus(terms.longestSend()));
-                    Removal old = removals.remove(m);
-                    removals.put(m, new Removal(old == null ? 1 : old.times + 1, now));
-                }
-            }
-            while (removals.size() > MOST_REMOVALS) {
-                removals.remove(removals.keySet().iterator().next());
-            }
-        }
-        view.members().forEach(m -> lingering.remove(m));
-        acts.add(new Act.Installed(view));
-    }
-
-    private void leaveLine(Event why, String detail, Moment now) {
-        acts.add(new Act.Noted(why, self().name(), detail));
-        View before = seat.view();
-        left.merge(before.id().line(), before.id().number(), Math::max);
-        seat = new Seat(null, null, null, null, null);
-        installed(before, now);
-    }
-
-    /** A view whose majority has started anew can never have a successor: what they promised is forgotten. */
-    private void abandonDead(Moment now) {
-        View view = seat.view();
-        if (view == null) {
-            if (takenOutBy != null && isDead(takenOutBy)) {
-                ends(takenOutBy.id());
-                takenOutBy = null;
-            }
-            return;
-        }
-        boolean notOurs = !view.holds(self().name(), self().birth());
-        if (notOurs) {
-            leaveLine(Event.LINE_LEFT, "view " + view.id() + " holds a former process of this name", now);
-        } else if (!isWhole() && isDead(view)) {
-            ends(view.id());
-            leaveLine(Event.LINE_LEFT, "most members of view " + view.id() + " have started anew", now);
-        }
-    }
-
-    /** Whether so many of a view's members have started anew without memory that it can have no successor. */
-    private boolean isDead(View view) {
-        int replaced = 0;
-        for (Member m : view.members()) {
-            Peer p = suspicion.peer(m.name());
-            boolean self = m.name().equals(self().name());
-            replaced += self ? m.birth().equals(self().birth()) ? 0 : 1
-                    : p != null && p.member.birth().compareTo(m.birth()) > 0 ? 1 : 0;
-        }
-        return view.members().size() - replaced < view.majority();
-    }
-
-    /** Remembers, and from now on tells, that a line has ended: whoever it took out need not wait for it. */
-    private void ends(ViewId last) {
-        Long known = ended.get(last.line());
-        if (last.line() == 0 || known != null && known >= last.number() || known == null && ended.size() >= MOST_LINES) {
-            return;
-        }
-        ended.put(last.line(), last.number());
-        acts.add(new Act.Noted(Event.LINE_ENDED, self().name(), "view " + last + " has no successor"));
-        tellEnded();
-    }
-
-    /** Guards against one that was not told of the last views of its line and waits for members that have left it. */
-    private void leaveEnded(Moment now) {
-        View view = seat.view();
-        if (view != null && hasEnded(view.id()) && (ended.get(view.id().line()) > view.id().number() || standing() == Standing.MINORITY)) {
-            leaveLine(Event.LINE_LEFT, "it has ended", now);
-        }
-    }
-
-    private void tellEnded() {
-        ended.keySet().stream().max(Long::compare).ifPresent(line -> suspicion.ended(new ViewId(line, ended.get(line))));
-    }
-
-    private boolean hasEnded(ViewId id) {
-        Long last = ended.get(id.line());
-        return last != null && id.number() <= last;
-    }
-
-    /**
-     * Two lines may live where all founders forgot at once, cut off from the rest, or an operator founded one anew. A process
-     * leaves its own for the elder of two that both have their majority, and for any that has one where its own has none.
-     */
-    private void otherLine(Teller from, Moment now) {
-        if (seat.view() != null && from.majority() && from.view().line() != 0 && from.view().line() != seat.view().id().line()
-                && mayTake(from.view())
-                && (from.view().line() < seat.view().id().line() || standing() == Standing.MINORITY)) {
-            leaveLine(Event.LINE_LEFT, "for the line of view " + from.view(), now);
-        }
-    }
-
-    // ---- founding
-
-    /**
-     * Founds the first view: the first of the founders asks all the others for consent to just these processes, and each
-     * consents to one attempt of one process. So a line begins once, or with nobody left who held it.
-     */
-    private void found(Moment now) {
-        List<MemberName> founders = terms.founders();
-        if (founders.isEmpty() || !founders.get(0).equals(self().name()) || leaving || suspicion.isQuiet(now)
-                || now.since(started).compareTo(terms.period().times(LISTENS)) < 0 || heardOfView()) {
-            return;
-        }
-        if (left.containsKey(self().birth().value())) {
-            // The line that it founded has died; a line begins with a birth, so another one needs another.
-            suspicion.beginAnew();
-        }
-        List<Member> all = new ArrayList<>();
-        for (MemberName name : founders) {
-            Peer p = suspicion.peer(name);
-            if (name.equals(self().name())) {
-                all.add(self());
-            } else if (p != null && p.condition == Condition.ALIVE && p.heard != null) {
-                all.add(p.member);
-            }
-        }
-        if (all.size() < founders.size()) {
-            return;
-        }
-        if (!all.equals(founding)) {
-            founding = all;
-            attempt++;
-            consents.clear();
-            consents.add(self().name());
-        } else if (triedAt != null && now.since(triedAt).compareTo(patience()) < 0) {
-            return;
-        }
-        triedAt = now;
-        all.stream().filter(m -> !consents.contains(m.name()))
-                .forEach(m -> acts.add(new Act.Tell(m.address(), new Found(teller(), attempt, founding))));
-        founded(now);
-    }
-
-    private void founded(Moment now) {
-        if (founding == null || consents.size() < founding.size()) {
-            return;
-        }
-        View first = View.of(new ViewId(self().birth().value(), 1), founding);
-        seat = Seat.of(first);
-        installed(null, now);
-        first.members().stream().filter(m -> !m.equals(self())).forEach(m -> part(m, 0));
-    }
-
-    /**
-     * Whether a view may be held somewhere: by a process that told of one, however dead it seems, or by those that took this
-     * one out. Only a later process of its name shows that a former one holds nothing any more, or one who saw the line end.
-     */
-    private boolean heardOfView() {
-        return takenOutBy != null && !hasEnded(takenOutBy.id())
-                || suspicion.peers().stream().anyMatch(p -> !p.view.equals(ViewId.NONE) && !hasEnded(p.view));
-    }
-
-    /**
-     * An operator says that the majority of this view is gone for good: this process founds another line, alone, and whoever else is
-     * left of the view comes to it. If the old majority lives after all, its line is the elder and wins.
-     *
-     * @return what follows; among it why not, if the old majority may live
-     */
-    public List<Act> foundAnew(ViewId said, Moment now) {
-        View view = seat.view();
-        Span silent = bears().times(SILENT_FOR);
-        String no = view == null || !view.id().equals(said) ? "it holds view " + (view == null ? "none" : view.id())
-                : standing() != Standing.MINORITY ? "it stands " + standing().label()
-                : minoritySince == null || now.since(minoritySince).compareTo(silent) < 0 ? "a majority was there less than "
-                + silent.us() / 1000 + " ms ago" : missing(view, silent, now);
-        if (no != null) {
-            acts.add(new Act.Noted(Event.NOT_FOUNDED_ANEW, self().name(), "view " + said + ": " + no));
-            return done();
-        }
-        acts.add(new Act.Noted(Event.FOUNDED_ANEW, self().name(), "in place of view " + said));
-        ends(said);
-        leaveLine(Event.LINE_LEFT, "an operator ended the line", now);
-        suspicion.beginAnew();
-        seat = Seat.of(View.of(new ViewId(self().birth().value(), 1), List.of(self())));
-        installed(null, now);
-        return done();
-    }
-
-    /** One that is missing from the view and may live yet, in words; null if there is none. */
-    private String missing(View view, Span silent, Moment now) {
-        for (Member m : view.members()) {
-            Peer p = suspicion.peer(m.name());
-            boolean here = m.name().equals(self().name()) || suspicion.alive(m);
-            boolean gone = p != null && (p.condition.compareTo(Condition.DEAD) >= 0 || !p.member.birth().equals(m.birth()))
-                    && (p.heard == null || now.since(p.heard).compareTo(silent) >= 0 || !p.member.birth().equals(m.birth()));
-            if (!here && !gone) {
-                return m.name() + " may live";
-            }
-        }
-        return null;
-    }
-
-    private void asked(Found found) {
-        Member by = found.from().member();
-        List<MemberName> names = found.members().stream().map(Member::name).sorted().toList();
-        if (seat.view() != null || heardOfView() || !names.equals(terms.founders()) || !by.name().equals(names.get(0))
-                || !found.members().contains(self())) {
-            return;
-        }
-        int order = vowedTo == null ? 1 : by.birth().compareTo(vowedTo);
-        if (order > 0 || order == 0 && found.attempt() >= vowedAttempt) {
-            vowedTo = by.birth();
-            vowedAttempt = found.attempt();
-            acts.add(new Act.Tell(by.address(), new Consent(teller(), found.attempt())));
-        }
-    }
-
-    // ---- what comes
-
-    /** A message that its carrier found whole, of this fleet and sealed as it should be. */
-    public List<Act> heard(Message message, Moment now) {
-        if (leaving) {
-            return done();
-        }
-        Teller from = message.from();
-        if (!suspicion.isQuiet(now) || message instanceof Message.Part || message instanceof Message.NameTaken) {
-            if (suspicion.spoke(from, now)) {
-                suspicion.heard(message, now);
-                ends(from.ended());
-                long ahead = resumed && from.view().after(seat.view().id()) ? from.view().number() - seat.view().id().number() : 0;
-                if (ahead > 1 || ahead == 1 && seat.accepted() == null) {
-                    // Guards against a folder copied back from an earlier time: what was promised since is not in it. One that had
-                    // accepted a successor is of the last moment before it.
-                    acts.add(new Act.Noted(Event.FOLDER_OLD, self().name(), "view " + seat.view().id() + ", a peer holds " + from.view()));
-                    suspicion.beginAnew();
-                    leaveLine(Event.LINE_LEFT, "its folder may be an old one", now);
-                }
-                leaveEnded(now);
-                otherLine(from, now);
-                behind(from, now);
-                choice(message, now);
-                if (confirmFrom != null) {
-                    confirm(now);
-                }
-            }
-        }
-        return done();
-    }
-
-    /** Whoever tells of a later view, or of any where none is known here, is asked for it. */
-    private void behind(Teller from, Moment now) {
-        boolean none = seat.view() == null;
-        boolean later = none ? mayTake(from.view()) : from.view().after(seat.view().id());
-        boolean rests = asked != null && now.since(asked).compareTo(terms.period().times(none ? 1 : AGAIN)) < 0;
-        if (later) {
-            ahead = from;
-        }
-        if (later && !rests) {
-            askAhead(now);
-        }
-    }
-
-    private void askAhead(Moment now) {
-        asked = now;
-        acts.add(new Act.Tell(ahead.member().address(), new AskView(teller(), ahead.view(), 0)));
-    }
-
-    private void choice(Message message, Moment now) {
-        Teller from = message.from();
-        if (message instanceof Prepare m && counted(m.of(), from, m.ballot())) {
-            take(Succession.prepare(seat, teller(), m, stay(m.out(), now)), now);
-        } else if (message instanceof Promise m && counted(m.of(), from, null)) {
-            take(Succession.promised(seat, teller(), m), now);
-        } else if (message instanceof Refuse m && counted(m.of(), from, m.promised())) {
-            if (seat.round() != null && seat.round().ballot().equals(m.ballot())) {
-                seat = seat.with((Seat.Round) null);
-                restsUntil = now.plus(terms.period().times(chance.nextDouble()));
-            }
-        } else if (message instanceof Accept m && counted(m.of(), from, m.ballot())
-                && (m.value().edition() == null || hasDocument.test(m.value().edition()))) {
-            take(Succession.accept(seat, teller(), m), now);
-        } else if (message instanceof Accepted m && counted(m.of(), from, null)) {
-            take(Succession.accepted(seat, teller(), m), now);
-        } else if (message instanceof Decided m) {
-            decided(m, now);
-        } else if (message instanceof AskView m && seat.view() != null) {
-            part(from.member(), m.of().equals(seat.view().id()) ? m.index() : 0);
-        } else if (message instanceof ViewPart m) {
-            parts(m, now);
-        } else if (message instanceof Found m) {
-            asked(m);
-        } else if (message instanceof Consent m && founding != null && m.attempt() == attempt
-                && founding.contains(from.member())) {
-            consents.add(from.member().name());
-            founded(now);
-        }
-    }
-
-    private boolean counted(ViewId of, Teller from, Ballot ballot) {
-        if (ballot != null) {
-            highestRound = Math.max(highestRound, Math.min(ballot.round(), Long.MAX_VALUE / 2));
-        }
-        // One that was taken for another birth by itself holds no seat.
-        return !resumed && Succession.counts(seat, from, of) && seat.view().holds(self().name(), self().birth());
-    }
-
-    private void decided(Decided m, Moment now) {
-        if (seat.view() != null && seat.view().id().equals(m.of())) {
-            follows(seat.view().with(m.value()), now);
-        } else if (seat.view() == null && m.value().in().contains(self())) {
-            acts.add(new Act.Tell(m.from().member().address(), new AskView(teller(), m.of().next(), 0)));
-        }
-    }
-
-    /** A later view of our line, or the first one here. */
-    private void follows(View next, Moment now) {
-        View before = seat.view();
-        if (next.holds(self().name(), self().birth())) {
-            seat = Seat.of(next);
-            installed(before, now);
-        } else if (before != null) {
-            takenOutBy = next;
-            leaveLine(Event.TAKEN_OUT, "by view " + next.id(), now);
-        }
-    }
-
-    private void part(Member to, int index) {
-        View view = seat.view();
-        int from = Math.max(0, Math.min(index, view.members().size()));
-        int until = Math.min(view.members().size(), from + MOST_VIEW_PART);
-        acts.add(new Act.Tell(to.address(),
-                new ViewPart(teller(), view.id(), from, view.members().size(), view.members().subList(from, until), view.edition())));
-    }
-
-    private void parts(ViewPart m, Moment now) {
-        boolean known = seat.view() != null ? !m.of().after(seat.view().id()) : !mayTake(m.of());
-        if (known || m.size() > MOST_VIEW || m.members().isEmpty()) {
-            return;
-        }
-        if (coming == null || !coming.id.equals(m.of()) || m.index() == 0) {
-            coming = new Coming();
-            coming.id = m.of();
-            coming.size = m.size();
-            coming.edition = m.edition();
-        }
-        if (coming.members.size() != m.index()) {
-            return;
-        }
-        coming.members.addAll(m.members());
-        if (coming.members.size() < coming.size) {
-            acts.add(new Act.Tell(m.from().member().address(), new AskView(teller(), coming.id, coming.members.size())));
-            return;
-        }
-        View whole = View.of(coming.id, coming.members, coming.edition);
-        coming = null;
-        if (seat.view() != null || whole.holds(self().name(), self().birth())) {
-            follows(whole, now);
-        }
-    }
-
-    private boolean mayTake(ViewId id) {
-        Long given = left.get(id.line());
-        return id.line() != 0 && (given == null ? left.size() < MOST_LINES : id.number() > given);
-    }
-
-    /** So many processes, by how they seem. */
-    public Map<Condition, Integer> counts() {
-        return new TreeMap<>(suspicion.counts());
-    }
+      }
+      return;
+    }
+    boolean notOurs = !view.holds(self().name(), self().birth());
+    if (notOurs) {
+      leaveLine(Event.LINE_LEFT, "view " + view.id() + " holds a former process of this name", now);
+    } else if (!isWhole() && isDead(view)) {
+      ends(view.id());
+      leaveLine(Event.LINE_LEFT, "most members of view " + view.id() + " have started anew", now);
+    }
+  }
+
+  /**
+   * Whether so many of a view's members have started anew without memory that it can have no
+   * successor.
+   */
+  private boolean isDead(View view) {
+    int replaced = 0;
+    for (Member m : view.members()) {
+      Peer p = suspicion.peer(m.name());
+      boolean self = m.name().equals(self().name());
+      replaced +=
+          self
+              ? m.birth().equals(self().birth()) ? 0 : 1
+              : p != null && p.member.birth().compareTo(m.birth()) > 0 ? 1 : 0;
+    }
+    return view.members().size() - replaced < view.majority();
+  }
+
+  /**
+   * Remembers, and from now on tells, that a line has ended: whoever it took out need not wait for
+   * it.
+   */
+  private void ends(ViewId last) {
+    Long known = ended.get(last.line());
+    if (last.line() == 0
+        || known != null && known >= last.number()
+        || known == null && ended.size() >= MOST_LINES) {
+      return;
+    }
+    ended.put(last.line(), last.number());
+    acts.add(new Act.Noted(Event.LINE_ENDED, self().name(), "view " + last + " has no successor"));
+    tellEnded();
+  }
+
+  /**
+   * Guards against one that was not told of the last views of its line and waits for members that
+   * have left it.
+   */
+  private void leaveEnded(Moment now) {
+    View view = seat.view();
+    if (view != null
+        && hasEnded(view.id())
+        && (ended.get(view.id().line()) > view.id().number() || standing() == Standing.MINORITY)) {
+      leaveLine(Event.LINE_LEFT, "it has ended", now);
+    }
+  }
+
+  private void tellEnded() {
+    ended.keySet().stream()
+        .max(Long::compare)
+        .ifPresent(line -> suspicion.ended(new ViewId(line, ended.get(line))));
+  }
+
+  private boolean hasEnded(ViewId id) {
+    Long last = ended.get(id.line());
+    return last != null && id.number() <= last;
+  }
+
+  /**
+   * Two lines may live where all founders forgot at once, cut off from the rest, or an operator
+   * founded one anew. A process leaves its own for the elder of two that both have their majority,
+   * and for any that has one where its own has none.
+   */
+  private void otherLine(Teller from, Moment now) {
+    if (seat.view() != null
+        && from.majority()
+        && from.view().line() != 0
+        && from.view().line() != seat.view().id().line()
+        && mayTake(from.view())
+        && (from.view().line() < seat.view().id().line() || standing() == Standing.MINORITY)) {
+      leaveLine(Event.LINE_LEFT, "for the line of view " + from.view(), now);
+    }
+  }
+
+  // ---- founding
+
+  /**
+   * Founds the first view: the first of the founders asks all the others for consent to just these
+   * processes, and each consents to one attempt of one process. So a line begins once, or with
+   * nobody left who held it.
+   */
+  private void found(Moment now) {
+    List<MemberName> founders = terms.founders();
+    if (founders.isEmpty()
+        || !founders.get(0).equals(self().name())
+        || leaving
+        || suspicion.isQuiet(now)
+        || now.since(started).compareTo(terms.period().times(LISTENS)) < 0
+        || heardOfView()) {
+      return;
+    }
+    if (left.containsKey(self().birth().value())) {
+      // The line that it founded has died; a line begins with a birth, so another one needs
+      // another.
+      suspicion.beginAnew();
+    }
+    List<Member> all = new ArrayList<>();
+    for (MemberName name : founders) {
+      Peer p = suspicion.peer(name);
+      if (name.equals(self().name())) {
+        all.add(self());
+      } else if (p != null && p.condition == Condition.ALIVE && p.heard != null) {
+        all.add(p.member);
+      }
+    }
+    if (all.size() < founders.size()) {
+      return;
+    }
+    if (!all.equals(founding)) {
+      founding = all;
+      attempt++;
+      consents.clear();
+      consents.add(self().name());
+    } else if (triedAt != null && now.since(triedAt).compareTo(patience()) < 0) {
+      return;
+    }
+    triedAt = now;
+    all.stream()
+        .filter(m -> !consents.contains(m.name()))
+        .forEach(m -> acts.add(new Act.Tell(m.address(), new Found(teller(), attempt, founding))));
+    founded(now);
+  }
+
+  private void founded(Moment now) {
+    if (founding == null || consents.size() < founding.size()) {
+      return;
+    }
+    View first = View.of(new ViewId(self().birth().value(), 1), founding);
+    seat = Seat.of(first);
+    installed(null, now);
+    first.members().stream().filter(m -> !m.equals(self())).forEach(m -> part(m, 0));
+  }
+
+  /**
+   * Whether a view may be held somewhere: by a process that told of one, however dead it seems, or
+   * by those that took this one out. Only a later process of its name shows that a former one holds
+   * nothing any more, or one who saw the line end.
+   */
+  private boolean heardOfView() {
+    return takenOutBy != null && !hasEnded(takenOutBy.id())
+        || suspicion.peers().stream()
+            .anyMatch(p -> !p.view.equals(ViewId.NONE) && !hasEnded(p.view));
+  }
+
+  /**
+   * An operator says that the majority of this view is gone for good: this process founds another
+   * line, alone, and whoever else is left of the view comes to it. If the old majority lives after
+   * all, its line is the elder and wins.
+   *
+   * @return what follows; among it why not, if the old majority may live
+   */
+  public List<Act> foundAnew(ViewId said, Moment now) {
+    View view = seat.view();
+    Span silent = bears().times(SILENT_FOR);
+    String no =
+        view == null || !view.id().equals(said)
+            ? "it holds view " + (view == null ? "none" : view.id())
+            : standing() != Standing.MINORITY
+                ? "it stands " + standing().label()
+                : minoritySince == null || now.since(minoritySince).compareTo(silent) < 0
+                    ? "a majority was there less than " + silent.us() / 1000 + " ms ago"
+                    : missing(view, silent, now);
+    if (no != null) {
+      acts.add(new Act.Noted(Event.NOT_FOUNDED_ANEW, self().name(), "view " + said + ": " + no));
+      return done();
+    }
+    acts.add(new Act.Noted(Event.FOUNDED_ANEW, self().name(), "in place of view " + said));
+    ends(said);
+    leaveLine(Event.LINE_LEFT, "an operator ended the line", now);
+    suspicion.beginAnew();
+    seat = Seat.of(View.of(new ViewId(self().birth().value(), 1), List.of(self())));
+    installed(null, now);
+    return done();
+  }
+
+  /** One that is missing from the view and may live yet, in words; null if there is none. */
+  private String missing(View view, Span silent, Moment now) {
+    for (Member m : view.members()) {
+      Peer p = suspicion.peer(m.name());
+      boolean here = m.name().equals(self().name()) || suspicion.alive(m);
+      boolean gone =
+          p != null
+              && (p.condition.compareTo(Condition.DEAD) >= 0 || !p.member.birth().equals(m.birth()))
+              && (p.heard == null
+                  || now.since(p.heard).compareTo(silent) >= 0
+                  || !p.member.birth().equals(m.birth()));
+      if (!here && !gone) {
+        return m.name() + " may live";
+      }
+    }
+    return null;
+  }
+
+  private void asked(Found found) {
+    Member by = found.from().member();
+    List<MemberName> names = found.members().stream().map(Member::name).sorted().toList();
+    if (seat.view() != null
+        || heardOfView()
+        || !names.equals(terms.founders())
+        || !by.name().equals(names.get(0))
+        || !found.members().contains(self())) {
+      return;
+    }
+    int order = vowedTo == null ? 1 : by.birth().compareTo(vowedTo);
+    if (order > 0 || order == 0 && found.attempt() >= vowedAttempt) {
+      vowedTo = by.birth();
+      vowedAttempt = found.attempt();
+      acts.add(new Act.Tell(by.address(), new Consent(teller(), found.attempt())));
+    }
+  }
+
+  // ---- what comes
+
+  /** A message that its carrier found whole, of this fleet and sealed as it should be. */
+  public List<Act> heard(Message message, Moment now) {
+    if (leaving) {
+      return done();
+    }
+    Teller from = message.from();
+    if (!suspicion.isQuiet(now)
+        || message instanceof Message.Part
+        || message instanceof Message.NameTaken) {
+      if (suspicion.spoke(from, now)) {
+        suspicion.heard(message, now);
+        ends(from.ended());
+        long ahead =
+            resumed && from.view().after(seat.view().id())
+                ? from.view().number() - seat.view().id().number()
+                : 0;
+        if (ahead > 1 || ahead == 1 && seat.accepted() == null) {
+          // Guards against a folder copied back from an earlier time: what was promised since is
+          // not in it. One that had
+          // accepted a successor is of the last moment before it.
+          acts.add(
+              new Act.Noted(
+                  Event.FOLDER_OLD,
+                  self().name(),
+                  "view " + seat.view().id() + ", a peer holds " + from.view()));
+          suspicion.beginAnew();
+          leaveLine(Event.LINE_LEFT, "its folder may be an old one", now);
+        }
+        leaveEnded(now);
+        otherLine(from, now);
+        behind(from, now);
+        choice(message, now);
+        if (confirmFrom != null) {
+          confirm(now);
+        }
+      }
+    }
+    return done();
+  }
+
+  /** Whoever tells of a later view, or of any where none is known here, is asked for it. */
+  private void behind(Teller from, Moment now) {
+    boolean none = seat.view() == null;
+    boolean later = none ? mayTake(from.view()) : from.view().after(seat.view().id());
+    boolean rests =
+        asked != null && now.since(asked).compareTo(terms.period().times(none ? 1 : AGAIN)) < 0;
+    if (later) {
+      ahead = from;
+    }
+    if (later && !rests) {
+      askAhead(now);
+    }
+  }
+
+  private void askAhead(Moment now) {
+    asked = now;
+    acts.add(new Act.Tell(ahead.member().address(), new AskView(teller(), ahead.view(), 0)));
+  }
+
+  private void choice(Message message, Moment now) {
+    Teller from = message.from();
+    if (message instanceof Prepare m && counted(m.of(), from, m.ballot())) {
+      take(Succession.prepare(seat, teller(), m, stay(m.out(), now)), now);
+    } else if (message instanceof Promise m && counted(m.of(), from, null)) {
+      take(Succession.promised(seat, teller(), m), now);
+    } else if (message instanceof Refuse m && counted(m.of(), from, m.promised())) {
+      if (seat.round() != null && seat.round().ballot().equals(m.ballot())) {
+        seat = seat.with((Seat.Round) null);
+        restsUntil = now.plus(terms.period().times(chance.nextDouble()));
+      }
+    } else if (message instanceof Accept m
+        && counted(m.of(), from, m.ballot())
+        && (m.value().edition() == null || hasDocument.test(m.value().edition()))) {
+      take(Succession.accept(seat, teller(), m), now);
+    } else if (message instanceof Accepted m && counted(m.of(), from, null)) {
+      take(Succession.accepted(seat, teller(), m), now);
+    } else if (message instanceof Decided m) {
+      decided(m, now);
+    } else if (message instanceof AskView m && seat.view() != null) {
+      part(from.member(), m.of().equals(seat.view().id()) ? m.index() : 0);
+    } else if (message instanceof ViewPart m) {
+      parts(m, now);
+    } else if (message instanceof Found m) {
+      asked(m);
+    } else if (message instanceof Consent m
+        && founding != null
+        && m.attempt() == attempt
+        && founding.contains(from.member())) {
+      consents.add(from.member().name());
+      founded(now);
+    }
+  }
+
+  private boolean counted(ViewId of, Teller from, Ballot ballot) {
+    if (ballot != null) {
+      highestRound = Math.max(highestRound, Math.min(ballot.round(), Long.MAX_VALUE / 2));
+    }
+    // One that was taken for another birth by itself holds no seat.
+    return !resumed
+        && Succession.counts(seat, from, of)
+        && seat.view().holds(self().name(), self().birth());
+  }
+
+  private void decided(Decided m, Moment now) {
+    if (seat.view() != null && seat.view().id().equals(m.of())) {
+      follows(seat.view().with(m.value()), now);
+    } else if (seat.view() == null && m.value().in().contains(self())) {
+      acts.add(new Act.Tell(m.from().member().address(), new AskView(teller(), m.of().next(), 0)));
+    }
+  }
+
+  /** A later view of our line, or the first one here. */
+  private void follows(View next, Moment now) {
+    View before = seat.view();
+    if (next.holds(self().name(), self().birth())) {
+      seat = Seat.of(next);
+      installed(before, now);
+    } else if (before != null) {
+      takenOutBy = next;
+      leaveLine(Event.TAKEN_OUT, "by view " + next.id(), now);
+    }
+  }
+
+  private void part(Member to, int index) {
+    View view = seat.view();
+    int from = Math.max(0, Math.min(index, view.members().size()));
+    int until = Math.min(view.members().size(), from + MOST_VIEW_PART);
+    acts.add(
+        new Act.Tell(
+            to.address(),
+            new ViewPart(
+                teller(),
+                view.id(),
+                from,
+                view.members().size(),
+                view.members().subList(from, until),
+                view.edition())));
+  }
+
+  private void parts(ViewPart m, Moment now) {
+    boolean known = seat.view() != null ? !m.of().after(seat.view().id()) : !mayTake(m.of());
+    if (known || m.size() > MOST_VIEW || m.members().isEmpty()) {
+      return;
+    }
+    if (coming == null || !coming.id.equals(m.of()) || m.index() == 0) {
+      coming = new Coming();
+      coming.id = m.of();
+      coming.size = m.size();
+      coming.edition = m.edition();
+    }
+    if (coming.members.size() != m.index()) {
+      return;
+    }
+    coming.members.addAll(m.members());
+    if (coming.members.size() < coming.size) {
+      acts.add(
+          new Act.Tell(
+              m.from().member().address(),
+              new AskView(teller(), coming.id, coming.members.size())));
+      return;
+    }
+    View whole = View.of(coming.id, coming.members, coming.edition);
+    coming = null;
+    if (seat.view() != null || whole.holds(self().name(), self().birth())) {
+      follows(whole, now);
+    }
+  }
+
+  private boolean mayTake(ViewId id) {
+    Long given = left.get(id.line());
+    return id.line() != 0 && (given == null ? left.size() < MOST_LINES : id.number() > given);
+  }
+
+  /** So many processes, by how they seem. */
+  public Map<Condition, Integer> counts() {
+    return new TreeMap<>(suspicion.counts());
+  }
 }
--- a/src/main/java/cobaltseam/membership/News.java
+++ b/src/main/java/cobaltseam/membership/News.java
@@ -9,14 +9,14 @@
  * @param by who found it so
  */
 public record News(Member member, long incarnation, Condition condition, MemberName by) {
-    private static final long MOST = 1L << 60;
+  private static final long MOST = 1L << 60;
 
-    public News {
-        if (incarnation < 0 || incarnation > MOST) {
-            throw new IllegalArgumentException("an incarnation is from 0 to 2^60");
-        }
-        Objects.requireNonNull(member);
-        Objects.requireNonNull(condition);
-        Objects.requireNonNull(by);
+  public News {
+    if (incarnation < 0 || incarnation > MOST) {
+      throw new IllegalArgumentException("an incarnation is from 0 to 2^60");
     }
+    Objects.requireNonNull(member);
+    Objects.requireNonNull(condition);
+    Objects.requireNonNull(by);
+  }
 }
--- a/src/main/java/cobaltseam/membership/Spoken.java
+++ b/src/main/java/cobaltseam/membership/Spoken.java
@@ -2,5 +2,5 @@
 
 /** What members tell each other, whichever part of them speaks. */
 public interface Spoken {
-    Message.Teller from();
+  Message.Teller from();
 }
--- a/src/main/java/cobaltseam/membership/Suspicion.java
+++ b/src/main/java/cobaltseam/membership/Suspicion.java
@@ -1,5 +1,15 @@
 package cobaltseam.membership;
 
+import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Span;
+import cobaltseam.membership.Act.Event;
+import cobaltseam.membership.Message.Answer;
+import cobaltseam.membership.Message.Ask;
+import cobaltseam.membership.Message.NameTaken;
+import cobaltseam.membership.Message.Part;
+import cobaltseam.membership.Message.Probe;
+import cobaltseam.membership.Message.Relay;
+import cobaltseam.membership.Message.Teller;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -14,685 +24,737 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
-import cobaltseam.membership.Act.Event;
-import cobaltseam.membership.Message.Answer;
-import cobaltseam.membership.Message.Ask;
-import cobaltseam.membership.Message.NameTaken;
-import cobaltseam.membership.Message.Part;
-import cobaltseam.membership.Message.Probe;
-import cobaltseam.membership.Message.Relay;
-import cobaltseam.membership.Message.Teller;
-
 /**
- * The first layer: who seems alive, seen from here. Probes in rounds, indirect probes before a suspicion, suspicions that need
- * time and others' confirmation and can be refuted (SWIM with Lifeguard's changes). What it says differs from process to process
- * and may be wrong; {@link Membership} makes agreed views of it.
+ * The first layer: who seems alive, seen from here. Probes in rounds, indirect probes before a
+ * suspicion, suspicions that need time and others' confirmation and can be refuted (SWIM with
+ * Lifeguard's changes). What it says differs from process to process and may be wrong; {@link
+ * Membership} makes agreed views of it.
  */
 final class Suspicion {
-    /** What is known of another process. */
-    static final class Peer {
-        Member member;
-        long incarnation;
-        Condition condition;
-        Moment since;
-        /** When it last spoke to us itself; null if never. */
-        Moment heard;
-        /** While suspected: from when, until when it may refute, and who suspects it. */
-        Moment suspected, expires;
-        final Set<MemberName> by = new HashSet<>();
-        Span roundTrip;
-        ViewId view = ViewId.NONE;
-        boolean majority;
-
-        News news(MemberName self) {
-            return new News(member, incarnation, condition, by.isEmpty() ? self : by.iterator().next());
-        }
-    }
-
-    private static final class Probing {
-        Peer target;
-        Moment sent, again;
-        boolean indirect, answered, favour;
-        int helpers, helped;
-    }
-
-    /** A probe for another: who asked, and under which id. */
-    private record Favour(Member asker, long id, Moment until) {
-    }
-
-    /** Guards against a peer that invents names without end. */
-    private static final int MOST_PEERS = 4096;
-    private static final int MOST_FAVOURS = 1024;
-    private static final int MOST_NEWS = 8;
-    private static final int MOST_PART = 24;
-    /** The part of a round after which helpers are asked. */
-    private static final double DIRECT = 0.3;
-    private static final double AGAIN = 0.6;
-    /** A probe is judged at the end of a round if it had this part of one. */
-    private static final double JUDGED_FROM = 0.6;
-    private static final double FAVOUR_FOR = 2;
-    /** However badly this process runs, its rounds are no longer than so many periods. */
-    private static final int SLOWEST_ROUND = 3;
-    private static final int CALLED_BACK = 3;
-    /** One that nobody else suspects has this many times as long to refute. */
-    private static final double ALONE = 2;
-    private static final int CONFIRMATIONS = 2;
-    private static final int SYNC_ROUNDS = 16;
-    private static final int HEAL_ROUNDS = 4;
-    private static final int FORGET_PERIODS = 120;
-    private static final int QUIET_PERIODS = 10;
-    private static final int REPROBED = 3;
-    /** Refutations that one start of a member with a folder has; the next start begins above them. */
-    private static final int REFUTATIONS_A_START = 20;
-
-    /** What the layer says, as it says it. */
-    interface Out {
-        void tell(InetSocketAddress to, Message message);
-
-        void note(Event event, MemberName who, String detail);
-    }
-
-    private final Terms terms;
-    private final RandomGenerator chance;
-    private final Out out;
-    private final GossipQueue updates = new GossipQueue();
-    private final TreeMap<MemberName, Peer> peers = new TreeMap<>();
-    private final Map<Long, Probing> probing = new LinkedHashMap<>();
-    private final Map<Long, Favour> favours = new LinkedHashMap<>();
-    private final OwnHealth health = new OwnHealth();
-    private final List<Peer> order = new ArrayList<>();
-    private Member self;
-    private long incarnation;
-    private ViewId view = ViewId.NONE;
-    private boolean majority;
-    private Moment roundEnds, quietUntil, promised, lastHeard;
-    private int width = 1;
-    private long rounds;
-    private int suspects;
-    private ViewId ended = ViewId.NONE;
-    /** Goes up whenever who is known, or how one seems, changes. */
-    private long version;
-
-    Suspicion(Terms terms, Member self, RandomGenerator chance, Out out) {
-        this.terms = terms;
-        this.self = self;
-        this.chance = chance;
-        this.out = out;
-    }
-
-    // ---- what is asked
-
-    Member self() {
-        return self;
-    }
-
-    Teller teller() {
-        return new Teller(self, incarnation, view, majority, ended);
-    }
-
-    /** What this process tells of lines that have ended. */
-    void ended(ViewId last) {
-        ended = last;
-    }
-
-    long version() {
-        return version;
-    }
-
-    /** What this process tells of itself from now on. */
-    void holds(ViewId now, boolean withMajority) {
-        view = now;
-        majority = withMajority;
-    }
-
-    Peer peer(MemberName name) {
-        return peers.get(name);
-    }
-
-    Collection<Peer> peers() {
-        return peers.values();
-    }
-
-    int health() {
-        return health.score();
-    }
-
-    /** Whether this very process seems alive from here. */
-    boolean alive(Member m) {
-        if (m.name().equals(self.name())) {
-            return m.birth().equals(self.birth());
-        }
-        Peer p = peers.get(m.name());
-        return p != null && p.condition == Condition.ALIVE && p.member.birth().equals(m.birth());
-    }
-
-    boolean isQuiet(Moment now) {
-        return quietUntil != null && now.before(quietUntil);
-    }
-
-    int suspects() {
-        return suspects;
-    }
-
-    /** The time that one suspected by several has to refute, at least. */
-    Span refutesWithin() {
-        return terms.period().times(terms.patience() + Math.log10(2 + peers.size()));
-    }
-
-    // ---- rounds
-
-    void start(Moment now) {
-        roundEnds = now;
-        promised = now;
-    }
-
-    /** This member was so many processes with one folder, this one included. */
-    void resumes(long starts) {
-        incarnation = starts << REFUTATIONS_A_START;
-    }
-
-    /** Which start of a member with a folder an incarnation belongs to; zero without one. */
-    private static long start(long incarnation) {
-        return incarnation >>> REFUTATIONS_A_START;
-    }
-
-    /** From now on this is another process: what it promised before is not to be kept to. */
-    void beginAnew() {
-        self = new Member(self.name(), self.birth().above(self.birth()), self.address());
-        incarnation = 0;
-        updates.add(new News(self, incarnation, Condition.ALIVE, self.name()));
-    }
-
-    /** When it is to be asked again. */
-    Moment wake(Moment now) {
-        boolean pending = suspects > 0 || probing.values().stream().anyMatch(p -> !p.answered);
-        Moment soon = now.plus(terms.period().times(0.125));
-        promised = pending && soon.before(roundEnds) ? soon : roundEnds;
-        return promised;
-    }
-
-    /**
-     * What time brings. Where this process was held up, nothing is concluded from silence meanwhile.
-     *
-     * @return how much later than promised it was asked, if that is more than half a period; else zero
-     */
-    Span due(Moment now) {
-        Span late = promised == null ? Span.ZERO : now.since(promised);
-        boolean held = late.compareTo(terms.period().times(0.5)) > 0;
-        if (held) {
-            // Guards against a process that stood still: what it did not hear, it could not hear.
-            health.worse();
-            probing.clear();
-            peers.values().stream().filter(p -> p.condition == Condition.SUSPECT)
-                    .forEach(p -> p.expires = p.expires.plus(late));
-            roundEnds = now;
-        }
-        if (isQuiet(now)) {
-            roundEnds = now.plus(terms.period());
-            return held ? late : Span.ZERO;
-        }
-        askHelpers(now);
-        if (!now.before(roundEnds)) {
-            endRound(now);
-            round(now);
-        }
-        if (suspects > 0) {
-            expire(now);
-        }
-        return held ? late : Span.ZERO;
-    }
-
-    private Span roundLength() {
-        return terms.period().times(Math.min(SLOWEST_ROUND, health.slower()));
-    }
-
-    /** Whether nobody at all spoke for longer than two rounds, though some were asked. */
-    boolean hearsNobody(Moment now) {
-        return lastHeard != null && now.since(lastHeard).compareTo(roundLength().times(2).plus(terms.period())) > 0;
-    }
-
-    private void askHelpers(Moment now) {
-        Span direct = terms.period().times(DIRECT * health.slower());
-        probing.forEach((id, p) -> {
-            if (p.answered || now.before(p.again)) {
-                return;
-            }
-            // Once more itself too: where datagrams are lost at random, the next may come through.
-            p.again = now.plus(direct.times(AGAIN));
-            say(p.target, new Probe(teller(), id, p.target.member.name(), newsFor(p.target)));
-            if (p.indirect) {
-                return;
-            }
-            p.indirect = true;
-            for (Peer helper : drawn(terms.helpers(), h -> h.condition == Condition.ALIVE && h != p.target)) {
-                p.helpers++;
-                say(helper, new Relay(teller(), id, p.target.member, newsFor(helper)));
-            }
-        });
-    }
-
-    private void endRound(Moment now) {
-        int failed = 0;
-        int judged = 0;
-        boolean own = false;
-        Span least = terms.period().times(JUDGED_FROM * health.slower());
-        for (Iterator<Probing> all = probing.values().iterator(); all.hasNext();) {
-            Probing p = all.next();
-            if (!p.answered && now.since(p.sent).compareTo(least) < 0) {
-                // Asked in the middle of the round, and had no time yet.
-                continue;
-            }
-            all.remove();
-            judged++;
-            if (p.answered || p.target.heard != null && !p.target.heard.before(p.sent)) {
-                continue;
-            }
-            failed++;
-            // Helpers that do not even say that they failed: it may well be us.
-            own |= !p.favour && (p.helped < p.helpers || p.helpers == 0);
-            suspect(p.target, self.name(), now);
-        }
-        if (own) {
-            health.worse();
-        } else if (failed == 0 && judged > 0) {
-            health.better();
-        }
-        // Guards against learning of a split one silent member a round: the fewer answer, the more are asked.
-        width = 2 * failed > judged ? Math.min(2 * width, Math.max(1, peers.size())) : 1;
-        favours.values().removeIf(f -> f.until.before(now));
-    }
-
-    private void round(Moment now) {
-        rounds++;
-        roundEnds = now.plus(roundLength());
-        for (int i = 0; i < width; i++) {
-            // Every other round the next in the ring of names, so that each has one who asks it every two periods at the latest.
-            Peer target = i == 0 && rounds % 2 == 0 ? successor() : nextTarget();
-            if (target != null) {
-                probe(target, now);
-            }
-        }
-        drawn(REPROBED, p -> p.condition == Condition.SUSPECT).forEach(p -> probe(p, now));
-        boolean alone = peers.values().stream().noneMatch(p -> p.condition == Condition.ALIVE);
-        if (alone || rounds % SYNC_ROUNDS == 0) {
-            drawn(1, p -> p.condition == Condition.ALIVE).forEach(p -> say(p, new Ask(teller(), null)));
-        }
-        if (alone || !majority || rounds % HEAL_ROUNDS == 0) {
-            // Guards against a split that heals and that nobody notices, as nobody talks to the dead.
-            drawn(majority ? 1 : CALLED_BACK, p -> p.condition.compareTo(Condition.DEAD) >= 0).forEach(p -> say(p, new Ask(teller(), null)));
-            List<InetSocketAddress> seeds = new ArrayList<>(terms.seeds());
-            for (int i = 0; i < (alone ? MOST_NEWS : 1) && !seeds.isEmpty(); i++) {
-                InetSocketAddress seed = seeds.remove(chance.nextInt(seeds.size()));
-                boolean known = peers.values().stream()
-                        .anyMatch(p -> p.condition == Condition.ALIVE && p.member.address().equals(seed));
-                if (!known && !seed.equals(self.address())) {
-                    out.tell(seed, new Ask(teller(), null));
-                }
-            }
-        }
-        if (rounds % SYNC_ROUNDS == 0) {
-            // One that told of a view is kept while none is held here: it says that there is one.
-            version++;
-            peers.values().removeIf(p -> p.condition.compareTo(Condition.DEAD) >= 0
-                    && (view.line() != 0 || p.view.line() == 0) && now.since(p.since).compareTo(terms.period().times(FORGET_PERIODS)) > 0);
-        }
-    }
-
-    private Peer successor() {
-        for (Map<MemberName, Peer> part : List.of(peers.tailMap(self.name(), false), peers.headMap(self.name(), false))) {
-            for (Peer p : part.values()) {
-                if (p.condition == Condition.ALIVE) {
-                    return p;
-                }
-            }
-        }
-        return null;
-    }
-
-    /** Each in turn, in an order drawn anew each time through, so that the time to the next probe of one is bounded. */
-    private Peer nextTarget() {
-        for (int tries = 0; tries < 2; tries++) {
-            while (!order.isEmpty()) {
-                Peer p = order.remove(order.size() - 1);
-                if (peers.get(p.member.name()) == p && p.condition == Condition.ALIVE) {
-                    return p;
-                }
-            }
-            peers.values().stream().filter(p -> p.condition == Condition.ALIVE).forEach(order::add);
-            java.util.Collections.shuffle(order, new java.util.Random(chance.nextLong()));
-        }
-        return null;
-    }
-
-    private List<Peer> drawn(int number, Predicate<Peer> which) {
-        List<Peer> all = new ArrayList<>();
-        for (Peer p : peers.values()) {
-            if (which.test(p)) {
-                all.add(p);
-            }
-        }
-        List<Peer> some = new ArrayList<>();
-        while (some.size() < number && !all.isEmpty()) {
-            some.add(all.remove(chance.nextInt(all.size())));
-        }
-        return some;
-    }
-
-    long probe(Peer target, Moment now) {
-        Probing p = new Probing();
-        p.target = target;
-        p.sent = now;
-        p.again = now.plus(terms.period().times(DIRECT * health.slower()));
-        long id = chance.nextLong();
-        probing.put(id, p);
-        say(target, new Probe(teller(), id, target.member.name(), newsFor(target)));
-        return id;
-    }
-
-    /** Asks all these at once: after standing still, or to find all that fell silent together. */
-    void rollCall(Collection<Member> members, Moment now) {
-        for (Member m : members) {
-            Peer p = peers.get(m.name());
-            if (p != null && p.condition.compareTo(Condition.DEAD) < 0) {
-                probe(p, now);
-            }
-        }
-    }
-
-    private void say(Peer to, Message message) {
-        out.tell(to.member.address(), message);
-    }
-
-    /** What is said of the one spoken to comes first, so that it can refute it. */
-    private List<News> newsFor(Peer to) {
-        List<News> news = updates.next(MOST_NEWS, peers.size() + 1);
-        if (to.condition != Condition.ALIVE) {
-            news.add(0, to.news(self.name()));
-        }
-        return news;
-    }
-
-    // ---- judging
-
-    private void suspect(Peer p, MemberName by, Moment now) {
-        told(new News(p.member, p.incarnation, Condition.SUSPECT, by), now);
-    }
-
-    private void expire(Moment now) {
-        for (Peer p : new ArrayList<>(peers.values())) {
-            if (p.condition == Condition.SUSPECT && !now.before(p.expires)) {
-                told(new News(p.member, p.incarnation, Condition.DEAD, self.name()), now);
-            }
-        }
-    }
-
-    private void set(Peer p, Condition to, Moment now) {
-        suspects += (to == Condition.SUSPECT ? 1 : 0) - (p.condition == Condition.SUSPECT ? 1 : 0);
-        if (p.condition != to) {
-            p.since = now;
-            version++;
-        }
-        p.condition = to;
-        if (to != Condition.SUSPECT) {
-            p.by.clear();
-        }
-    }
-
-    /** More who suspect, or longer own trouble, move the moment until which one may refute. */
-    private void deadline(Peer p) {
-        double least = refutesWithin().us() * (double) health.slower();
-        int needed = Math.max(1, Math.min(CONFIRMATIONS, peers.size() - 1));
-        double confirmed = Math.log(p.by.size()) / Math.log(needed + 1);
-        double span = least * (ALONE - (ALONE - 1) * Math.min(1, confirmed));
-        p.expires = p.suspected.plus(new Span(Math.round(span)));
-    }
-
-    /** News of anybody, from anybody. */
-    void told(News news, Moment now) {
-        Member m = news.member();
-        if (m.name().equals(self.name())) {
-            ofUs(news, now);
+  /** What is known of another process. */
+  static final class Peer {
+    Member member;
+    long incarnation;
+    Condition condition;
+    Moment since;
+
+    /** When it last spoke to us itself; null if never. */
+    Moment heard;
+
+    /** While suspected: from when, until when it may refute, and who suspects it. */
+    Moment suspected, expires;
+
+    final Set<MemberName> by = new HashSet<>();
+    Span roundTrip;
+    ViewId view = ViewId.NONE;
+    boolean majority;
+
+    News news(MemberName self) {
+      return new News(member, incarnation, condition, by.isEmpty() ? self : by.iterator().next());
+    }
+  }
+
+  private static final class Probing {
+    Peer target;
+    Moment sent, again;
+    boolean indirect, answered, favour;
+    int helpers, helped;
+  }
+
+  /** A probe for another: who asked, and under which id. */
+  private record Favour(Member asker, long id, Moment until) {}
+
+  /** Guards against a peer that invents names without end. */
+  private static final int MOST_PEERS = 4096;
+
+  private static final int MOST_FAVOURS = 1024;
+  private static final int MOST_NEWS = 8;
+  private static final int MOST_PART = 24;
+
+  /** The part of a round after which helpers are asked. */
+  private static final double DIRECT = 0.3;
+
+  private static final double AGAIN = 0.6;
+
+  /** A probe is judged at the end of a round if it had this part of one. */
+  private static final double JUDGED_FROM = 0.6;
+
+  private static final double FAVOUR_FOR = 2;
+
+  /** However badly this process runs, its rounds are no longer than so many periods. */
+  private static final int SLOWEST_ROUND = 3;
+
+  private static final int CALLED_BACK = 3;
+
+  /** One that nobody else suspects has this many times as long to refute. */
+  private static final double ALONE = 2;
+
+  private static final int CONFIRMATIONS = 2;
+  private static final int SYNC_ROUNDS = 16;
+  private static final int HEAL_ROUNDS = 4;
+  private static final int FORGET_PERIODS = 120;
+  private static final int QUIET_PERIODS = 10;
+  private static final int REPROBED = 3;
+
+  /** Refutations that one start of a member with a folder has; the next start begins above them. */
+  private static final int REFUTATIONS_A_START = 20;
+
+  /** What the layer says, as it says it. */
+  interface Out {
+    void tell(InetSocketAddress to, Message message);
+
+    void note(Event event, MemberName who, String detail);
+  }
+
+  private final Terms terms;
+  private final RandomGenerator chance;
+  private final Out out;
+  private final GossipQueue updates = new GossipQueue();
+  private final TreeMap<MemberName, Peer> peers = new TreeMap<>();
+  private final Map<Long, Probing> probing = new LinkedHashMap<>();
+  private final Map<Long, Favour> favours = new LinkedHashMap<>();
+  private final OwnHealth health = new OwnHealth();
+  private final List<Peer> order = new ArrayList<>();
+  private Member self;
+  private long incarnation;
+  private ViewId view = ViewId.NONE;
+  private boolean majority;
+  private Moment roundEnds, quietUntil, promised, lastHeard;
+  private int width = 1;
+  private long rounds;
+  private int suspects;
+  private ViewId ended = ViewId.NONE;
+
+  /** Goes up whenever who is known, or how one seems, changes. */
+  private long version;
+
+  Suspicion(Terms terms, Member self, RandomGenerator chance, Out out) {
+    this.terms = terms;
+    this.self = self;
+    this.chance = chance;
+    this.out = out;
+  }
+
+  // ---- what is asked
+
+  Member self() {
+    return self;
+  }
+
+  Teller teller() {
+    return new Teller(self, incarnation, view, majority, ended);
+  }
+
+  /** What this process tells of lines that have ended. */
+  void ended(ViewId last) {
+    ended = last;
+  }
+
+  long version() {
+    return version;
+  }
+
+  /** What this process tells of itself from now on. */
+  void holds(ViewId now, boolean withMajority) {
+    view = now;
+    majority = withMajority;
+  }
+
+  Peer peer(MemberName name) {
+    return peers.get(name);
+  }
+
+  Collection<Peer> peers() {
+    return peers.values();
+  }
+
+  int health() {
+    return health.score();
+  }
+
+  /** Whether this very process seems alive from here. */
+  boolean alive(Member m) {
+    if (m.name().equals(self.name())) {
+      return m.birth().equals(self.birth());
+    }
+    Peer p = peers.get(m.name());
+    return p != null && p.condition == Condition.ALIVE && p.member.birth().equals(m.birth());
+  }
+
+  boolean isQuiet(Moment now) {
+    return quietUntil != null && now.before(quietUntil);
+  }
+
+  int suspects() {
+    return suspects;
+  }
+
+  /** The time that one suspected by several has to refute, at least. */
+  Span refutesWithin() {
+    return terms.period().times(terms.patience() + Math.log10(2 + peers.size()));
+  }
+
+  // ---- rounds
+
+  void start(Moment now) {
+    roundEnds = now;
+    promised = now;
+  }
+
+  /** This member was so many processes with one folder, this one included. */
+  void resumes(long starts) {
+    incarnation = starts << REFUTATIONS_A_START;
+  }
+
+  /** Which start of a member with a folder an incarnation belongs to; zero without one. */
+  private static long start(long incarnation) {
+    return incarnation >>> REFUTATIONS_A_START;
+  }
+
+  /** From now on this is another process: what it promised before is not to be kept to. */
+  void beginAnew() {
+    self = new Member(self.name(), self.birth().above(self.birth()), self.address());
+    incarnation = 0;
+    updates.add(new News(self, incarnation, Condition.ALIVE, self.name()));
+  }
+
+  /** When it is to be asked again. */
+  Moment wake(Moment now) {
+    boolean pending = suspects > 0 || probing.values().stream().anyMatch(p -> !p.answered);
+    Moment soon = now.plus(terms.period().times(0.125));
+    promised = pending && soon.before(roundEnds) ? soon : roundEnds;
+    return promised;
+  }
+
+  /**
+   * What time brings. Where this process was held up, nothing is concluded from silence meanwhile.
+   *
+   * @return how much later than promised it was asked, if that is more than half a period; else
+   *     zero
+   */
+  Span due(Moment now) {
+    Span late = promised == null ? Span.ZERO : now.since(promised);
+    boolean held = late.compareTo(terms.period().times(0.5)) > 0;
+    if (held) {
+      // Guards against a process that stood still: what it did not hear, it could not hear.
+      health.worse();
+      probing.clear();
+      peers.values().stream()
+          .filter(p -> p.condition == Condition.SUSPECT)
+          .forEach(p -> p.expires = p.expires.plus(late));
+      roundEnds = now;
+    }
+    if (isQuiet(now)) {
+      roundEnds = now.plus(terms.period());
+      return held ? late : Span.ZERO;
+    }
+    askHelpers(now);
+    if (!now.before(roundEnds)) {
+      endRound(now);
+      round(now);
+    }
+    if (suspects > 0) {
+      expire(now);
+    }
+    return held ? late : Span.ZERO;
+  }
+
+  private Span roundLength() {
+    return terms.period().times(Math.min(SLOWEST_ROUND, health.slower()));
+  }
+
+  /** Whether nobody at all spoke for longer than two rounds, though some were asked. */
+  boolean hearsNobody(Moment now) {
+    return lastHeard != null
+        && now.since(lastHeard).compareTo(roundLength().times(2).plus(terms.period())) > 0;
+  }
+
+  private void askHelpers(Moment now) {
+    Span direct = terms.period().times(DIRECT * health.slower());
+    probing.forEach(
+        (id, p) -> {
+          if (p.answered || now.before(p.again)) {
             return;
-        }
-        Peer p = peers.get(m.name());
-        if (p == null) {
-            if (news.condition().compareTo(Condition.DEAD) < 0 && peers.size() < MOST_PEERS) {
-                p = new Peer();
-                p.member = m;
-                p.incarnation = news.incarnation();
-                p.condition = Condition.ALIVE;
-                p.since = now;
-                peers.put(m.name(), p);
-                version++;
-                order.add(chance.nextInt(order.size() + 1), p);
-                out.note(Event.JOINED_SIGHT, m.name(), m.address() + " birth " + m.birth());
-                updates.add(new News(m, p.incarnation, Condition.ALIVE, news.by()));
-                if (news.condition() == Condition.SUSPECT) {
-                    told(news, now);
-                }
-            }
-            return;
-        }
-        int birth = m.birth().compareTo(p.member.birth());
-        if (birth < 0) {
+          }
+          // Once more itself too: where datagrams are lost at random, the next may come through.
+          p.again = now.plus(direct.times(AGAIN));
+          say(p.target, new Probe(teller(), id, p.target.member.name(), newsFor(p.target)));
+          if (p.indirect) {
             return;
-        }
-        if (birth > 0) {
-            if (news.condition().compareTo(Condition.DEAD) < 0) {
-                replaced(p, m, news, now);
-            }
-            return;
-        }
-        int newer = Long.compare(news.incarnation(), p.incarnation);
-        boolean overrules = news.condition() == Condition.ALIVE ? newer > 0
-                : newer > 0 || newer == 0 && news.condition().compareTo(p.condition) > 0;
-        if (newer == 0 && news.condition() == Condition.SUSPECT && p.condition == Condition.SUSPECT) {
-            if (p.by.size() <= CONFIRMATIONS && p.by.add(news.by())) {
-                deadline(p);
-                updates.add(news);
-            }
-            return;
-        }
-        if (!overrules || p.condition == Condition.LEFT && newer <= 0) {
-            return;
-        }
-        Condition was = p.condition;
-        p.incarnation = news.incarnation();
-        set(p, news.condition(), now);
-        switch (news.condition()) {
-            case SUSPECT -> {
-                p.by.clear();
-                p.by.add(news.by());
-                p.suspected = now;
-                deadline(p);
-                out.note(Event.SUSPECTED, m.name(), "by " + news.by());
-            }
-            case DEAD -> out.note(Event.SEEMS_DEAD, m.name(), "found by " + news.by());
-            case LEFT -> out.note(Event.LEFT, m.name(), "told by " + news.by());
-            default -> {
-                if (was != Condition.ALIVE) {
-                    out.note(Event.REFUTED, m.name(), "incarnation " + p.incarnation);
-                }
-            }
-        }
-        updates.add(news);
-    }
-
-    /** A later process of a known name. */
-    private void replaced(Peer p, Member m, News news, Moment now) {
-        out.note(Event.RESTARTED, m.name(), "birth " + m.birth() + " for " + p.member.birth() + " at " + m.address());
+          }
+          p.indirect = true;
+          for (Peer helper :
+              drawn(terms.helpers(), h -> h.condition == Condition.ALIVE && h != p.target)) {
+            p.helpers++;
+            say(helper, new Relay(teller(), id, p.target.member, newsFor(helper)));
+          }
+        });
+  }
+
+  private void endRound(Moment now) {
+    int failed = 0;
+    int judged = 0;
+    boolean own = false;
+    Span least = terms.period().times(JUDGED_FROM * health.slower());
+    for (Iterator<Probing> all = probing.values().iterator(); all.hasNext(); ) {
+      Probing p = all.next();
+      if (!p.answered && now.since(p.sent).compareTo(least) < 0) {
+        // Asked in the middle of the round, and had no time yet.
+        continue;
+      }
+      all.remove();
+      judged++;
+      if (p.answered || p.target.heard != null && !p.target.heard.before(p.sent)) {
+        continue;
+      }
+      failed++;
+      // Helpers that do not even say that they failed: it may well be us.
+      own |= !p.favour && (p.helped < p.helpers || p.helpers == 0);
+      suspect(p.target, self.name(), now);
+    }
+    if (own) {
+      health.worse();
+    } else if (failed == 0 && judged > 0) {
+      health.better();
+    }
+    // Guards against learning of a split one silent member a round: the fewer answer, the more are
+    // asked.
+    width = 2 * failed > judged ? Math.min(2 * width, Math.max(1, peers.size())) : 1;
+    favours.values().removeIf(f -> f.until.before(now));
+  }
+
+  private void round(Moment now) {
+    rounds++;
+    roundEnds = now.plus(roundLength());
+    for (int i = 0; i < width; i++) {
+      // Every other round the next in the ring of names, so that each has one who asks it every two
+      // periods at the latest.
+      Peer target = i == 0 && rounds % 2 == 0 ? successor() : nextTarget();
+      if (target != null) {
+        probe(target, now);
+      }
+    }
+    drawn(REPROBED, p -> p.condition == Condition.SUSPECT).forEach(p -> probe(p, now));
+    boolean alone = peers.values().stream().noneMatch(p -> p.condition == Condition.ALIVE);
+    if (alone || rounds % SYNC_ROUNDS == 0) {
+      drawn(1, p -> p.condition == Condition.ALIVE).forEach(p -> say(p, new Ask(teller(), null)));
+    }
+    if (alone || !majority || rounds % HEAL_ROUNDS == 0) {
+      // Guards against a split that heals and that nobody notices, as nobody talks to the dead.
+      drawn(majority ? 1 : CALLED_BACK, p -> p.condition.compareTo(Condition.DEAD) >= 0)
+          .forEach(p -> say(p, new Ask(teller(), null)));
+      List<InetSocketAddress> seeds = new ArrayList<>(terms.seeds());
+      for (int i = 0; i < (alone ? MOST_NEWS : 1) && !seeds.isEmpty(); i++) {
+        InetSocketAddress seed = seeds.remove(chance.nextInt(seeds.size()));
+        boolean known =
+            peers.values().stream()
+                .anyMatch(p -> p.condition == Condition.ALIVE && p.member.address().equals(seed));
+        if (!known && !seed.equals(self.address())) {
+          out.tell(seed, new Ask(teller(), null));
+        }
+      }
+    }
+    if (rounds % SYNC_ROUNDS == 0) {
+      // One that told of a view is kept while none is held here: it says that there is one.
+      version++;
+      peers
+          .values()
+          .removeIf(
+              p ->
+                  p.condition.compareTo(Condition.DEAD) >= 0
+                      && (view.line() != 0 || p.view.line() == 0)
+                      && now.since(p.since).compareTo(terms.period().times(FORGET_PERIODS)) > 0);
+    }
+  }
+
+  private Peer successor() {
+    for (Map<MemberName, Peer> part :
+        List.of(peers.tailMap(self.name(), false), peers.headMap(self.name(), false))) {
+      for (Peer p : part.values()) {
+        if (p.condition == Condition.ALIVE) {
+          return p;
+        }
+      }
+    }
+    return null;
+  }
+
+  /**
+   * Each in turn, in an order drawn anew each time through, so that the time to the next probe of
+   * one is bounded.
+   */
+  private Peer nextTarget() {
+    for (int tries = 0; tries < 2; tries++) {
+      while (!order.isEmpty()) {
+        Peer p = order.remove(order.size() - 1);
+        if (peers.get(p.member.name()) == p && p.condition == Condition.ALIVE) {
+          return p;
+        }
+      }
+      peers.values().stream().filter(p -> p.condition == Condition.ALIVE).forEach(order::add);
+      java.util.Collections.shuffle(order, new java.util.Random(chance.nextLong()));
+    }
+    return null;
+  }
+
+  private List<Peer> drawn(int number, Predicate<Peer> which) {
+    List<Peer> all = new ArrayList<>();
+    for (Peer p : peers.values()) {
+      if (which.test(p)) {
+        all.add(p);
+      }
+    }
+    List<Peer> some = new ArrayList<>();
+    while (some.size() < number && !all.isEmpty()) {
+      some.add(all.remove(chance.nextInt(all.size())));
+    }
+    return some;
+  }
+
+  long probe(Peer target, Moment now) {
+    Probing p = new Probing();
+    p.target = target;
+    p.sent = now;
+    p.again = now.plus(terms.period().times(DIRECT * health.slower()));
+    long id = chance.nextLong();
+    probing.put(id, p);
+    say(target, new Probe(teller(), id, target.member.name(), newsFor(target)));
+    return id;
+  }
+
+  /** Asks all these at once: after standing still, or to find all that fell silent together. */
+  void rollCall(Collection<Member> members, Moment now) {
+    for (Member m : members) {
+      Peer p = peers.get(m.name());
+      if (p != null && p.condition.compareTo(Condition.DEAD) < 0) {
+        probe(p, now);
+      }
+    }
+  }
+
+  private void say(Peer to, Message message) {
+    out.tell(to.member.address(), message);
+  }
+
+  /** What is said of the one spoken to comes first, so that it can refute it. */
+  private List<News> newsFor(Peer to) {
+    List<News> news = updates.next(MOST_NEWS, peers.size() + 1);
+    if (to.condition != Condition.ALIVE) {
+      news.add(0, to.news(self.name()));
+    }
+    return news;
+  }
+
+  // ---- judging
+
+  private void suspect(Peer p, MemberName by, Moment now) {
+    told(new News(p.member, p.incarnation, Condition.SUSPECT, by), now);
+  }
+
+  private void expire(Moment now) {
+    for (Peer p : new ArrayList<>(peers.values())) {
+      if (p.condition == Condition.SUSPECT && !now.before(p.expires)) {
+        told(new News(p.member, p.incarnation, Condition.DEAD, self.name()), now);
+      }
+    }
+  }
+
+  private void set(Peer p, Condition to, Moment now) {
+    suspects += (to == Condition.SUSPECT ? 1 : 0) - (p.condition == Condition.SUSPECT ? 1 : 0);
+    if (p.condition != to) {
+      p.since = now;
+      version++;
+    }
+    p.condition = to;
+    if (to != Condition.SUSPECT) {
+      p.by.clear();
+    }
+  }
+
+  /** More who suspect, or longer own trouble, move the moment until which one may refute. */
+  private void deadline(Peer p) {
+    double least = refutesWithin().us() * (double) health.slower();
+    int needed = Math.max(1, Math.min(CONFIRMATIONS, peers.size() - 1));
+    double confirmed = Math.log(p.by.size()) / Math.log(needed + 1);
+    double span = least * (ALONE - (ALONE - 1) * Math.min(1, confirmed));
+    p.expires = p.suspected.plus(new Span(Math.round(span)));
+  }
+
+  /** News of anybody, from anybody. */
+  void told(News news, Moment now) {
+    Member m = news.member();
+    if (m.name().equals(self.name())) {
+      ofUs(news, now);
+      return;
+    }
+    Peer p = peers.get(m.name());
+    if (p == null) {
+      if (news.condition().compareTo(Condition.DEAD) < 0 && peers.size() < MOST_PEERS) {
+        p = new Peer();
         p.member = m;
-        version++;
         p.incarnation = news.incarnation();
-        p.heard = null;
-        p.view = ViewId.NONE;
-        set(p, Condition.ALIVE, now);
+        p.condition = Condition.ALIVE;
         p.since = now;
+        peers.put(m.name(), p);
+        version++;
+        order.add(chance.nextInt(order.size() + 1), p);
+        out.note(Event.JOINED_SIGHT, m.name(), m.address() + " birth " + m.birth());
         updates.add(new News(m, p.incarnation, Condition.ALIVE, news.by()));
-    }
-
-    private void ofUs(News news, Moment now) {
-        Member m = news.member();
-        int birth = m.birth().compareTo(self.birth());
-        if (birth < 0) {
-            return;
-        }
-        if (!m.address().equals(self.address())) {
-            taken(m, now);
-        } else if (birth > 0) {
-            // A former process here had a later clock: ours comes after it all the same.
-            self = new Member(self.name(), self.birth().above(m.birth()), self.address());
-            incarnation = 0;
-        } else if (birth == 0 && start(news.incarnation()) > start(incarnation) && start(incarnation) > 0) {
-            // Guards against a folder copied back from an earlier time: a later process has been this member, and may have
-            // promised what this one knows nothing of.
-            out.note(Event.FOLDER_OLD, self.name(), "start " + start(incarnation) + ", peers know " + start(news.incarnation()));
-            beginAnew();
-        } else if (news.condition() != Condition.ALIVE && news.incarnation() >= incarnation
-                || news.incarnation() > incarnation) {
-            incarnation = news.incarnation() + 1;
-            health.worse();
-            updates.add(new News(self, incarnation, Condition.ALIVE, self.name()));
-            // Told to some at once: spread at the pace of rounds, it could come too late.
-            drawn(terms.helpers(), p -> p.condition == Condition.ALIVE).forEach(p -> say(p, new Part(teller(),
-                    List.of(new News(self, incarnation, Condition.ALIVE, self.name())), false)));
-        }
-    }
-
-    private void taken(Member holder, Moment now) {
-        if (!isQuiet(now)) {
-            out.note(Event.NAME_TAKEN, self.name(), "held by the process at " + holder.address());
-        }
-        quietUntil = now.plus(terms.period().times(QUIET_PERIODS));
-    }
-
-    // ---- what comes
-
-    /** A process has spoken. False if what it says does not count: it is a former one, or its name is another's. */
-    boolean spoke(Teller t, Moment now) {
-        Member m = t.member();
-        if (m.name().equals(self.name())) {
-            if (!m.birth().equals(self.birth()) && !m.address().equals(self.address()) && !isQuiet(now)) {
-                out.tell(m.address(), new NameTaken(teller(), self));
-            }
-            return false;
-        }
-        Peer p = peers.get(m.name());
-        boolean former = p != null && m.birth().equals(p.member.birth()) && start(t.incarnation()) < start(p.incarnation);
-        if (p != null && m.birth().compareTo(p.member.birth()) < 0 || former) {
-            out.tell(m.address(), new Part(teller(), List.of(p.news(self.name())), false));
-            return false;
-        }
-        if (p != null && !m.address().equals(p.member.address()) && p.condition == Condition.ALIVE && p.heard != null
-                && now.since(p.heard).compareTo(refutesWithin().times(ALONE)) < 0) {
-            out.tell(m.address(), new NameTaken(teller(), p.member));
-            return false;
-        }
-        told(new News(m, t.incarnation(), Condition.ALIVE, m.name()), now);
-        p = peers.get(m.name());
-        if (p == null) {
-            return false;
-        }
-        if (!m.address().equals(p.member.address())) {
-            p.member = m;
-            version++;
-        }
-        p.heard = now;
-        lastHeard = now;
-        p.view = t.view();
-        p.majority = t.majority();
-        return true;
-    }
-
-    /** A message of this layer, from a teller that counts. */
-    void heard(Message message, Moment now) {
-        Peer from = peers.get(message.from().member().name());
-        if (message instanceof Probe probe) {
-            probe.news().forEach(n -> told(n, now));
-            if (probe.to().equals(self.name())) {
-                say(from, new Answer(teller(), probe.id(), true, newsFor(from)));
-            }
-        } else if (message instanceof Relay relay) {
-            relay.news().forEach(n -> told(n, now));
-            Peer target = peers.get(relay.target().name());
-            if (target != null && favours.size() < MOST_FAVOURS) {
-                // Its own probe too: what it does not reach, it suspects as well, and so confirms.
-                long id = probe(target, now);
-                probing.get(id).indirect = true;
-                probing.get(id).favour = true;
-                favours.put(id, new Favour(from.member, relay.id(), now.plus(terms.period().times(FAVOUR_FOR))));
-            }
-            // That it heard of the wish at least: the other then knows that not all of this is about itself.
-            say(from, new Answer(teller(), relay.id(), false, List.of()));
-        } else if (message instanceof Answer answer) {
-            answer.news().forEach(n -> told(n, now));
-            answered(answer, from, now);
-        } else if (message instanceof Ask ask) {
-            part(from, ask.after());
-        } else if (message instanceof Part part) {
-            part.state().forEach(n -> told(n, now));
-            if (part.more() && !part.state().isEmpty()) {
-                say(from, new Ask(teller(), part.state().get(part.state().size() - 1).member().name()));
-            }
-        } else if (message instanceof NameTaken no && !no.holder().address().equals(self.address())) {
-            taken(no.holder(), now);
-        }
-    }
-
-    private void answered(Answer answer, Peer from, Moment now) {
-        Favour favour = favours.get(answer.id());
-        if (favour != null && answer.reached()) {
-            favours.remove(answer.id());
-            out.tell(favour.asker.address(), new Answer(teller(), favour.id, true, List.of(from.news(self.name()))));
-        }
-        Probing p = probing.get(answer.id());
-        if (p == null) {
-            return;
-        }
-        if (!answer.reached()) {
-            p.helped++;
-        } else {
-            p.answered = true;
-            if (p.target == from) {
-                from.roundTrip = now.since(p.sent);
-            }
-        }
-    }
-
-    private void part(Peer to, MemberName after) {
-        List<News> state = new ArrayList<>();
-        if (after == null) {
-            state.add(new News(self, incarnation, Condition.ALIVE, self.name()));
-        }
-        Iterator<Peer> rest = (after == null ? peers : peers.tailMap(after, false)).values().iterator();
-        while (rest.hasNext() && state.size() < MOST_PART) {
-            state.add(rest.next().news(self.name()));
-        }
-        say(to, new Part(teller(), state, rest.hasNext()));
-    }
-
-    /** Tells some that this process leaves; no suspicion follows. */
-    void leave() {
-        News news = new News(self, incarnation, Condition.LEFT, self.name());
-        drawn(MOST_NEWS, p -> p.condition == Condition.ALIVE)
-                .forEach(p -> say(p, new Part(teller(), List.of(news), false)));
-    }
-
-    /** Members of a view that were not known here count as alive until they do not answer. */
-    void learn(Collection<Member> members, Moment now) {
-        for (Member m : members) {
-            if (!m.name().equals(self.name()) && !peers.containsKey(m.name())) {
-                told(new News(m, 0, Condition.ALIVE, self.name()), now);
-            }
-        }
-    }
-
-    /** So many members, by how they seem. */
-    Map<Condition, Integer> counts() {
-        Map<Condition, Integer> counts = new HashMap<>();
-        peers.values().forEach(p -> counts.merge(p.condition, 1, Integer::sum));
-        return counts;
-    }
+        if (news.condition() == Condition.SUSPECT) {
+          told(news, now);
+        }
+      }
+      return;
+    }
+    int birth = m.birth().compareTo(p.member.birth());
+    if (birth < 0) {
+      return;
+    }
+    if (birth > 0) {
+      if (news.condition().compareTo(Condition.DEAD) < 0) {
+        replaced(p, m, news, now);
+      }
+      return;
+    }
+    int newer = Long.compare(news.incarnation(), p.incarnation);
+    boolean overrules =
+        news.condition() == Condition.ALIVE
+            ? newer > 0
+            : newer > 0 || newer == 0 && news.condition().compareTo(p.condition) > 0;
+    if (newer == 0 && news.condition() == Condition.SUSPECT && p.condition == Condition.SUSPECT) {
+      if (p.by.size() <= CONFIRMATIONS && p.by.add(news.by())) {
+        deadline(p);
+        updates.add(news);
+      }
+      return;
+    }
+    if (!overrules || p.condition == Condition.LEFT && newer <= 0) {
+      return;
+    }
+    Condition was = p.condition;
+    p.incarnation = news.incarnation();
+    set(p, news.condition(), now);
+    switch (news.condition()) {
+      case SUSPECT -> {
+        p.by.clear();
+        p.by.add(news.by());
+        p.suspected = now;
+        deadline(p);
+        out.note(Event.SUSPECTED, m.name(), "by " + news.by());
+      }
+      case DEAD -> out.note(Event.SEEMS_DEAD, m.name(), "found by " + news.by());
+      case LEFT -> out.note(Event.LEFT, m.name(), "told by " + news.by());
+      default -> {
+        if (was != Condition.ALIVE) {
+          out.note(Event.REFUTED, m.name(), "incarnation " + p.incarnation);
+        }
+      }
+    }
+    updates.add(news);
+  }
+
+  /** A later process of a known name. */
+  private void replaced(Peer p, Member m, News news, Moment now) {
+    out.note(
+        Event.RESTARTED,
+        m.name(),
+        "birth " + m.birth() + " for " + p.member.birth() + " at " + m.address());
+    p.member = m;
+    version++;
+    p.incarnation = news.incarnation();
+    p.heard = null;
+    p.view = ViewId.NONE;
+    set(p, Condition.ALIVE, now);
+    p.since = now;
+    updates.add(new News(m, p.incarnation, Condition.ALIVE, news.by()));
+  }
+
+  private void ofUs(News news, Moment now) {
+    Member m = news.member();
+    int birth = m.birth().compareTo(self.birth());
+    if (birth < 0) {
+      return;
+    }
+    if (!m.address().equals(self.address())) {
+      taken(m, now);
+    } else if (birth > 0) {
+      // A former process here had a later clock: ours comes after it all the same.
+      self = new Member(self.name(), self.birth().above(m.birth()), self.address());
+      incarnation = 0;
+    } else if (birth == 0
+        && start(news.incarnation()) > start(incarnation)
+        && start(incarnation) > 0) {
+      // Guards against a folder copied back from an earlier time: a later process has been this
+      // member, and may have
+      // promised what this one knows nothing of.
+      out.note(
+          Event.FOLDER_OLD,
+          self.name(),
+          "start " + start(incarnation) + ", peers know " + start(news.incarnation()));
+      beginAnew();
+    } else if (news.condition() != Condition.ALIVE && news.incarnation() >= incarnation
+        || news.incarnation() > incarnation) {
+      incarnation = news.incarnation() + 1;
+      health.worse();
+      updates.add(new News(self, incarnation, Condition.ALIVE, self.name()));
+      // Told to some at once: spread at the pace of rounds, it could come too late.
+      drawn(terms.helpers(), p -> p.condition == Condition.ALIVE)
+          .forEach(
+              p ->
+                  say(
+                      p,
+                      new Part(
+                          teller(),
+                          List.of(new News(self, incarnation, Condition.ALIVE, self.name())),
+                          false)));
+    }
+  }
+
+  private void taken(Member holder, Moment now) {
+    if (!isQuiet(now)) {
+      out.note(Event.NAME_TAKEN, self.name(), "held by the process at " + holder.address());
+    }
+    quietUntil = now.plus(terms.period().times(QUIET_PERIODS));
+  }
+
+  // ---- what comes
+
+  /**
+   * A process has spoken. False if what it says does not count: it is a former one, or its name is
+   * another's.
+   */
+  boolean spoke(Teller t, Moment now) {
+    Member m = t.member();
+    if (m.name().equals(self.name())) {
+      if (!m.birth().equals(self.birth()) && !m.address().equals(self.address()) && !isQuiet(now)) {
+        out.tell(m.address(), new NameTaken(teller(), self));
+      }
+      return false;
+    }
+    Peer p = peers.get(m.name());
+    boolean former =
+        p != null
+            && m.birth().equals(p.member.birth())
+            && start(t.incarnation()) < start(p.incarnation);
+    if (p != null && m.birth().compareTo(p.member.birth()) < 0 || former) {
+      out.tell(m.address(), new Part(teller(), List.of(p.news(self.name())), false));
+      return false;
+    }
+    if (p != null
+        && !m.address().equals(p.member.address())
+        && p.condition == Condition.ALIVE
+        && p.heard != null
+        && now.since(p.heard).compareTo(refutesWithin().times(ALONE)) < 0) {
+      out.tell(m.address(), new NameTaken(teller(), p.member));
+      return false;
+    }
+    told(new News(m, t.incarnation(), Condition.ALIVE, m.name()), now);
+    p = peers.get(m.name());
+    if (p == null) {
+      return false;
+    }
+    if (!m.address().equals(p.member.address())) {
+      p.member = m;
+      version++;
+    }
+    p.heard = now;
+    lastHeard = now;
+    p.view = t.view();
+    p.majority = t.majority();
+    return true;
+  }
+
+  /** A message of this layer, from a teller that counts. */
+  void heard(Message message, Moment now) {
+    Peer from = peers.get(message.from().member().name());
+    if (message instanceof Probe probe) {
+      probe.news().forEach(n -> told(n, now));
+      if (probe.to().equals(self.name())) {
+        say(from, new Answer(teller(), probe.id(), true, newsFor(from)));
+      }
+    } else if (message instanceof Relay relay) {
+      relay.news().forEach(n -> told(n, now));
+      Peer target = peers.get(relay.target().name());
+      if (target != null && favours.size() < MOST_FAVOURS) {
+        // Its own probe too: what it does not reach, it suspects as well, and so confirms.
+        long id = probe(target, now);
+        probing.get(id).indirect = true;
+        probing.get(id).favour = true;
+        favours.put(
+            id, new Favour(from.member, relay.id(), now.plus(terms.period().times(FAVOUR_FOR))));
+      }
+      // That it heard of the wish at least: the other then knows that not all of this is about
+      // itself.
+      say(from, new Answer(teller(), relay.id(), false, List.of()));
+    } else if (message instanceof Answer answer) {
+      answer.news().forEach(n -> told(n, now));
+      answered(answer, from, now);
+    } else if (message instanceof Ask ask) {
+      part(from, ask.after());
+    } else if (message instanceof Part part) {
+      part.state().forEach(n -> told(n, now));
+      if (part.more() && !part.state().isEmpty()) {
+        say(from, new Ask(teller(), part.state().get(part.state().size() - 1).member().name()));
+      }
+    } else if (message instanceof NameTaken no && !no.holder().address().equals(self.address())) {
+      taken(no.holder(), now);
+    }
+  }
+
+  private void answered(Answer answer, Peer from, Moment now) {
+    Favour favour = favours.get(answer.id());
+    if (favour != null && answer.reached()) {
+      favours.remove(answer.id());
+      out.tell(
+          favour.asker.address(),
+          new Answer(teller(), favour.id, true, List.of(from.news(self.name()))));
+    }
+    Probing p = probing.get(answer.id());
+    if (p == null) {
+      return;
+    }
+    if (!answer.reached()) {
+      p.helped++;
+    } else {
+      p.answered = true;
+      if (p.target == from) {
+        from.roundTrip = now.since(p.sent);
+      }
+    }
+  }
+
+  private void part(Peer to, MemberName after) {
+    List<News> state = new ArrayList<>();
+    if (after == null) {
+      state.add(new News(self, incarnation, Condition.ALIVE, self.name()));
+    }
+    Iterator<Peer> rest = (after == null ? peers : peers.tailMap(after, false)).values().iterator();
+    while (rest.hasNext() && state.size() < MOST_PART) {
+      state.add(rest.next().news(self.name()));
+    }
+    say(to, new Part(teller(), state, rest.hasNext()));
+  }
+
+  /** Tells some that this process leaves; no suspicion follows. */
+  void leave() {
+    News news = new News(self, incarnation, Condition.LEFT, self.name());
+    drawn(MOST_NEWS, p -> p.condition == Condition.ALIVE)
+        .forEach(p -> say(p, new Part(teller(), List.of(news), false)));
+  }
+
+  /** Members of a view that were not known here count as alive until they do not answer. */
+  void learn(Collection<Member> members, Moment now) {
+    for (Member m : members) {
+      if (!m.name().equals(self.name()) && !peers.containsKey(m.name())) {
+        told(new News(m, 0, Condition.ALIVE, self.name()), now);
+      }
+    }
+  }
+
+  /** So many members, by how they seem. */
+  Map<Condition, Integer> counts() {
+    Map<Condition, Integer> counts = new HashMap<>();
+    peers.values().forEach(p -> counts.merge(p.condition, 1, Integer::sum));
+    return counts;
+  }
 }
--- a/src/main/java/cobaltseam/postgres/Replies.java
+++ b/src/main/java/cobaltseam/postgres/Replies.java
@@ -7,92 +7,122 @@
 
 /** Writes the messages of PostgreSQL's protocol 3.0 that a server sends. */
 public final class Replies {
-    /** The state that must not be told as a refusal: nothing is said of what ran. */
-    public static final String FAILED = "58000";
-    /** The refusal after which trying again is harmless. */
-    public static final String SHED = "53300";
-    /** The server can't take it now: as class 53, trying again is harmless. */
-    public static final String STANDS_BY = "57P03";
-    public static final String BAD_STATEMENT = "42601";
-    public static final String NOT_SPOKEN = "0A000";
-    public static final String BAD_PROTOCOL = "08P01";
-    private static final int TEXT_TYPE = 25;
-
-    private final ByteArrayOutputStream out = new ByteArrayOutputStream(128);
-
-    public byte[] bytes() {
-        return out.toByteArray();
-    }
+  /** The state that must not be told as a refusal: nothing is said of what ran. */
+  public static final String FAILED = "58000";
 
-    /** What a started session is told before its first statement. */
-    public Replies welcome(int session, int secret) {
-        message('R', ByteBuffer.allocate(4).putInt(0).array());
-        String[] told = {"server_version", "15.0", "server_encoding", "UTF8", "client_encoding", "UTF8",
-            "DateStyle", "ISO, MDY", "integer_datetimes", "on", "standard_conforming_strings", "on"};
-        for (int i = 0; i < told.length; i += 2) {
-            message('S', (told[i] + '\0' + told[i + 1] + '\0').getBytes(StandardCharsets.UTF_8));
-        }
-        message('K', ByteBuffer.allocate(8).putInt(session).putInt(secret).array());
-        return ready();
-    }
+  /** The refusal after which trying again is harmless. */
+  public static final String SHED = "53300";
 
-    public Replies ready() {
-        return message('Z', new byte[] {'I'});
-    }
+  /** The server can't take it now: as class 53, trying again is harmless. */
+  public static final String STANDS_BY = "57P03";
 
-    public Replies emptyStatement() {
-        return message('I', new byte[0]);
-    }
+  public static final String BAD_STATEMENT = "42601";
+  public static final String NOT_SPOKEN = "0A000";
+  public static final String BAD_PROTOCOL = "08P01";
+  private static final int TEXT_TYPE = 25;
 
-    public Replies error(String severity, String state, String text) {
-        String body = 'S' + severity + "\0V" + severity + "\0C" + state
-                + "\0M" + text.replace('\0', ' ') + "\0\0";
-        return message('E', body.getBytes(StandardCharsets.UTF_8));
-    }
+  private final ByteArrayOutputStream out = new ByteArrayOutputStream(128);
 
-    public Replies complete(String tag) {
-        return message('C', (tag + '\0').getBytes(StandardCharsets.UTF_8));
-    }
+  public byte[] bytes() {
+    return out.toByteArray();
+  }
 
-    /** Names the columns, all of them text. */
-    public Replies columns(List<String> names) {
-        ByteArrayOutputStream body = new ByteArrayOutputStream();
-        body.writeBytes(ByteBuffer.allocate(2).putShort((short) names.size()).array());
-        for (String name : names) {
-            body.writeBytes((name + '\0').getBytes(StandardCharsets.UTF_8));
-            body.writeBytes(ByteBuffer.allocate(18).putInt(0).putShort((short) 0).putInt(TEXT_TYPE)
-                    .putShort((short) -1).putInt(-1).putShort((short) 0).array());
-        }
-        return message('T', body.toByteArray());
+  /** What a started session is told before its first statement. */
+  public Replies welcome(int session, int secret) {
+    message('R', ByteBuffer.allocate(4).putInt(0).array());
+    String[] told = {
+      "server_version",
+      "15.0",
+      "server_encoding",
+      "UTF8",
+      "client_encoding",
+      "UTF8",
+      "DateStyle",
+      "ISO, MDY",
+      "integer_datetimes",
+      "on",
+      "standard_conforming_strings",
+      "on"
+    };
+    for (int i = 0; i < told.length; i += 2) {
+      message('S', (told[i] + '\0' + told[i + 1] + '\0').getBytes(StandardCharsets.UTF_8));
     }
+    message('K', ByteBuffer.allocate(8).putInt(session).putInt(secret).array());
+    return ready();
+  }
 
-    /** One row, from text with a tab between its columns. */
-    public Replies row(byte[] text, int from, int to) {
-        int columns = 1;
-        for (int i = from; i < to; i++) {
-            columns += text[i] == '\t' ? 1 : 0;
-        }
-        head('D', 2 + 4 * columns + to - from - (columns - 1));
-        out.writeBytes(ByteBuffer.allocate(2).putShort((short) columns).array());
-        int start = from;
-        for (int i = from; i <= to; i++) {
-            if (i == to || text[i] == '\t') {
-                out.writeBytes(ByteBuffer.allocate(4).putInt(i - start).array());
-                out.write(text, start, i - start);
-                start = i + 1;
-            }
-        }
-        return this;
-    }
+  public Replies ready() {
+    return message('Z', new byte[] {'I'});
+  }
 
-    private Replies message(char type, byte[] body) {
-        head(type, body.length);
-        out.writeBytes(body);
-        return this;
+  public Replies emptyStatement() {
+    return message('I', new byte[0]);
+  }
+
+  public Replies error(String severity, String state, String text) {
+    String body =
+        'S'
+            + severity
+            + "\0V"
+            + severity
+            + "\0C"
+            + state
+            + "\0M"
+            + text.replace('\0', ' ')
+            + "\0\0";
+    return message('E', body.getBytes(StandardCharsets.UTF_8));
+  }
+
+  public Replies complete(String tag) {
+    return message('C', (tag + '\0').getBytes(StandardCharsets.UTF_8));
+  }
+
+  /** Names the columns, all of them text. */
+  public Replies columns(List<String> names) {
+    ByteArrayOutputStream body = new ByteArrayOutputStream();
+    body.writeBytes(ByteBuffer.allocate(2).putShort((short) names.size()).array());
+    for (String name : names) {
+      body.writeBytes((name + '\0').getBytes(StandardCharsets.UTF_8));
+      body.writeBytes(
+          ByteBuffer.allocate(18)
+              .putInt(0)
+              .putShort((short) 0)
+              .putInt(TEXT_TYPE)
+              .putShort((short) -1)
+              .putInt(-1)
+              .putShort((short) 0)
+              .array());
     }
+    return message('T', body.toByteArray());
+  }
 
-    private void head(char type, int bodyLength) {
-        out.write(type);
-        out.writeBytes(ByteBuffer.allocate(4).putInt(bodyLength + 4).array());
+  /** One row, from text with a tab between its columns. */
+  public Replies row(byte[] text, int from, int to) {
+    int columns = 1;
+    for (int i = from; i < to; i++) {
+      columns += text[i] == '\t' ? 1 : 0;
     }
+    head('D', 2 + 4 * columns + to - from - (columns - 1));
+    out.writeBytes(ByteBuffer.allocate(2).putShort((short) columns).array());
+    int start = from;
+    for (int i = from; i <= to; i++) {
+      if (i == to || text[i] == '\t') {
+        out.writeBytes(ByteBuffer.allocate(4).putInt(i - start).array());
+        out.write(text, start, i - start);
+        start = i + 1;
+      }
+    }
+    return this;
+  }
+
+  private Replies message(char type, byte[] body) {
+    head(type, body.length);
+    out.writeBytes(body);
+    return this;
+  }
+
+  private void head(char type, int bodyLength) {
+    out.write(type);
+    out.writeBytes(ByteBuffer.allocate(4).putInt(bodyLength + 4).array());
+  }
 }
--- a/src/main/java/cobaltseam/repeats/Terms.java
+++ b/src/main/java/cobaltseam/repeats/Terms.java
@@ -12,9 +12,14 @@
  * @param clockRates by which part the rates of two clocks differ at most
  */
 public record Terms(double ratio, double alone, Span window, Span round, double clockRates) {
-    public Terms {
-        if (!(ratio >= 0) || !(alone >= 0) || !window.isPositive() || !round.isPositive() || round.compareTo(window) >= 0) {
-            throw new IllegalArgumentException("ratio and alone from 0, a round above 0 and below the window");
-        }
+  public Terms {
+    if (!(ratio >= 0)
+        || !(alone >= 0)
+        || !window.isPositive()
+        || !round.isPositive()
+        || round.compareTo(window) >= 0) {
+      throw new IllegalArgumentException(
+          "ratio and alone from 0, a round above 0 and below the window");
     }
+  }
 }
--- a/src/main/java/cobaltseam/service/Hall.java
+++ b/src/main/java/cobaltseam/service/Hall.java
@@ -1,25 +1,5 @@
 package cobaltseam.service;
 
-import java.io.IOException;
-import java.lang.System.Logger.Level;
-import java.lang.management.ManagementFactory;
-import java.lang.management.MemoryPoolMXBean;
-import java.lang.management.MemoryType;
-import java.lang.management.MemoryUsage;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.SocketAddress;
-import java.util.ArrayList;
-import java.util.EnumMap;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.concurrent.ExecutorService;
-import java.util.concurrent.Executors;
-import java.util.function.Supplier;
-
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.Moment;
 import cobaltseam.dispatch.Span;
@@ -38,486 +18,638 @@
 import cobaltseam.mastership.VirtualRouterId;
 import cobaltseam.service.Counters.Count;
 import cobaltseam.setup.Setup;
-import cobaltseam.vrrp.AdvertSeal;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Advert;
 import cobaltseam.vrrp.AdvertCodec;
+import cobaltseam.vrrp.AdvertSeal;
 import cobaltseam.vrrp.Reading.Covers;
 import cobaltseam.vrrp.Refusal;
+import java.io.IOException;
+import java.lang.System.Logger.Level;
+import java.lang.management.ManagementFactory;
+import java.lang.management.MemoryPoolMXBean;
+import java.lang.management.MemoryType;
+import java.lang.management.MemoryUsage;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.function.Supplier;
 
 /**
- * This dispatcher among those of its hall: carries adverts between the socket and {@link Mastership}, and makes the
- * service follow what that says. Listeners are opened and closed on a thread of their own, since that may wait.
+ * This dispatcher among those of its hall: carries adverts between the socket and {@link
+ * Mastership}, and makes the service follow what that says. Listeners are opened and closed on a
+ * thread of their own, since that may wait.
  */
 final class Hall implements Clients.Gate {
-    /** What fitness is judged by, beside what is measured here. */
-    record Report(Span busSilent, int engines, double failing, double descriptors) {
-    }
-
-    private static final System.Logger LOG = System.getLogger(Hall.class.getName());
-    private static final Span BEAT = new Span(100_000);
-    private static final double SECOND_US = 1e6;
-    private static final int US_PER_CENTISECOND = 10_000;
-    /** A listener that can't be opened is tried again after this part of an interval, for this many intervals. */
-    private static final double TRY_AGAIN = 0.25;
-    private static final int TRY_FOR = 4;
-    /** The module hears of a number of dispatchers that changed by more than this part. */
-    private static final double NOTABLE = 0.01;
-
-    /** The listener of one virtual router, for as long as the router is set. */
-    private static final class Listener {
-        InetSocketAddress serve;
-        /** Whether it is to be open; and whether it is, or about to be, as far as is known here. */
-        boolean wanted, open, busy;
-        Moment wantedSince;
-    }
-
-    private final Supplier<Report> report;
-    private final Commands commands;
-    private final Clients clients;
-    private final BoundedAcceptor acceptor;
-    private final Inbox inbox;
-    private final Clock clock;
-    private final Deadlines deadlines;
-    private final Counters counters;
-    private final BoundedLog log;
-    private final InetAddress self;
-    private final int dispatchersTold;
-    private final Freshness freshness;
-    private final Mastership mastership;
-    private final Intake intake;
-    private final Fitness fitness;
-    private final AdvertSocket socket;
-    private final ExecutorService listening = Executors.newSingleThreadExecutor(Hall::thread);
-    private final Map<VirtualRouterId, Listener> listeners = new HashMap<>();
-    private final Map<SocketAddress, VirtualRouterId> routers = new HashMap<>();
-    private final Map<VirtualRouterId, Moment> noted = new HashMap<>();
-    private Setup.Hall told;
-    private Deadlines.Deadline wake;
-    private Moment beat;
-    private long sequence;
-    private double sharedOver;
-    private boolean broken;
-
-    Hall(Setup.Hall told, ServiceConfiguration configuration, Supplier<Report> report, Commands commands, Clients clients, BoundedAcceptor acceptor,
-         Inbox inbox, Clock clock, Deadlines deadlines, Counters counters) {
-        this.told = told;
-        this.report = report;
-        this.commands = commands;
-        this.clients = clients;
-        this.acceptor = acceptor;
-        this.inbox = inbox;
-        this.clock = clock;
-        this.deadlines = deadlines;
-        this.counters = counters;
-        log = new BoundedLog(LOG, clock);
-        self = told.listen().getAddress();
-        dispatchersTold = configuration.deployment().dispatchers();
-        sharedOver = dispatchersTold;
-        Span difference = told.sealing() == null ? Span.ZERO : told.sealing().clockDifference();
-        freshness = new Freshness(clock.now(), difference);
-        Span longest = configuration.deployment().profiles().stream().map(Deployment.Profile::clientTimeout)
-                .max(Span::compareTo).orElse(Span.ZERO);
-        mastership = new Mastership(self, told.terms(), told.peerAddresses(), elsewhere(), longest, freshness.listen(),
-                told.followsIntervals());
-        intake = new Intake(self, mastership, freshness, told.peerAddresses(),
-                told.sealing() == null ? null : told.sealing().keys());
-        fitness = new Fitness(told.fitness());
-        socket = new AdvertSocket(told.listen(), told.peerAddresses(), this::came);
-        told.seats().forEach(this::listener);
-        clients.guardedBy(this);
-        clients.shows("mastership", this::rows);
-        commands.sendsWhile(this::maySend);
-    }
-
-    private static Thread thread(Runnable task) {
-        Thread thread = new Thread(task, "listeners");
-        thread.setDaemon(true);
-        return thread;
-    }
-
-    private double elsewhere() {
-        return told.elsewhere() >= 0 ? told.elsewhere() : Math.max(0, dispatchersTold - 1 - told.peers().size());
-    }
-
-    private void listener(Setup.Seat seat) {
-        Listener l = listeners.computeIfAbsent(seat.terms().router(), r -> new Listener());
-        l.serve = seat.serve();
-        routers.put(seat.serve(), seat.terms().router());
-    }
-
-    // ---- from the start to the end
-
-    boolean answersStandingBy() {
-        return told.standByAnswers();
-    }
-
-    void open() throws IOException {
-        socket.open();
-        beat = clock.now().plus(BEAT);
-        deadlines.set(beat, this::beat);
-        act(() -> mastership.start(clock.now()));
-        LOG.log(Level.INFO, "adverts are sent and heard on {0}", Field.of("address", told.listen()),
-                Field.event("mastership.opened"));
-    }
-
-    /** New terms of the own file; what they can't change here stays until the next start. */
-    void renewed(Setup.Hall anew) {
-        if (!anew.listen().equals(told.listen()) || anew.sealing() == null != (told.sealing() == null)) {
-            LOG.log(Level.WARNING, "mastership.listen, and whether adverts are sealed, stay until the next start",
-                    Field.event("configuration.partly"));
-            anew = new Setup.Hall(told.listen(), anew.peers(), anew.covers(), anew.followsIntervals(), anew.elsewhere(),
-                    anew.standByAnswers(), anew.seats(), anew.sealing() == null != (told.sealing() == null)
-                    ? told.sealing() : anew.sealing(), anew.fitness());
+  /** What fitness is judged by, beside what is measured here. */
+  record Report(Span busSilent, int engines, double failing, double descriptors) {}
+
+  private static final System.Logger LOG = System.getLogger(Hall.class.getName());
+  private static final Span BEAT = new Span(100_000);
+  private static final double SECOND_US = 1e6;
+  private static final int US_PER_CENTISECOND = 10_000;
+
+  /**
+   * A listener that can't be opened is tried again after this part of an interval, for this many
+   * intervals.
+   */
+  private static final double TRY_AGAIN = 0.25;
+
+  private static final int TRY_FOR = 4;
+
+  /** The module hears of a number of dispatchers that changed by more than this part. */
+  private static final double NOTABLE = 0.01;
+
+  /** The listener of one virtual router, for as long as the router is set. */
+  private static final class Listener {
+    InetSocketAddress serve;
+
+    /** Whether it is to be open; and whether it is, or about to be, as far as is known here. */
+    boolean wanted, open, busy;
+
+    Moment wantedSince;
+  }
+
+  private final Supplier<Report> report;
+  private final Commands commands;
+  private final Clients clients;
+  private final BoundedAcceptor acceptor;
+  private final Inbox inbox;
+  private final Clock clock;
+  private final Deadlines deadlines;
+  private final Counters counters;
+  private final BoundedLog log;
+  private final InetAddress self;
+  private final int dispatchersTold;
+  private final Freshness freshness;
+  private final Mastership mastership;
+  private final Intake intake;
+  private final Fitness fitness;
+  private final AdvertSocket socket;
+  private final ExecutorService listening = Executors.newSingleThreadExecutor(Hall::thread);
+  private final Map<VirtualRouterId, Listener> listeners = new HashMap<>();
+  private final Map<SocketAddress, VirtualRouterId> routers = new HashMap<>();
+  private final Map<VirtualRouterId, Moment> noted = new HashMap<>();
+  private Setup.Hall told;
+  private Deadlines.Deadline wake;
+  private Moment beat;
+  private long sequence;
+  private double sharedOver;
+  private boolean broken;
+
+  Hall(
+      Setup.Hall told,
+      ServiceConfiguration configuration,
+      Supplier<Report> report,
+      Commands commands,
+      Clients clients,
+      BoundedAcceptor acceptor,
+      Inbox inbox,
+      Clock clock,
+      Deadlines deadlines,
+      Counters counters) {
+    this.told = told;
+    this.report = report;
+    this.commands = commands;
+    this.clients = clients;
+    this.acceptor = acceptor;
+    this.inbox = inbox;
+    this.clock = clock;
+    this.deadlines = deadlines;
+    this.counters = counters;
+    log = new BoundedLog(LOG, clock);
+    self = told.listen().getAddress();
+    dispatchersTold = configuration.deployment().dispatchers();
+    sharedOver = dispatchersTold;
+    Span difference = told.sealing() == null ? Span.ZERO : told.sealing().clockDifference();
+    freshness = new Freshness(clock.now(), difference);
+    Span longest =
+        configuration.deployment().profiles().stream()
+            .map(Deployment.Profile::clientTimeout)
+            .max(Span::compareTo)
+            .orElse(Span.ZERO);
+    mastership =
+        new Mastership(
+            self,
+            told.terms(),
+            told.peerAddresses(),
+            elsewhere(),
+            longest,
+            freshness.listen(),
+            told.followsIntervals());
+    intake =
+        new Intake(
+            self,
+            mastership,
+            freshness,
+            told.peerAddresses(),
+            told.sealing() == null ? null : told.sealing().keys());
+    fitness = new Fitness(told.fitness());
+    socket = new AdvertSocket(told.listen(), told.peerAddresses(), this::came);
+    told.seats().forEach(this::listener);
+    clients.guardedBy(this);
+    clients.shows("mastership", this::rows);
+    commands.sendsWhile(this::maySend);
+  }
+
+  private static Thread thread(Runnable task) {
+    Thread thread = new Thread(task, "listeners");
+    thread.setDaemon(true);
+    return thread;
+  }
+
+  private double elsewhere() {
+    return told.elsewhere() >= 0
+        ? told.elsewhere()
+        : Math.max(0, dispatchersTold - 1 - told.peers().size());
+  }
+
+  private void listener(Setup.Seat seat) {
+    Listener l = listeners.computeIfAbsent(seat.terms().router(), r -> new Listener());
+    l.serve = seat.serve();
+    routers.put(seat.serve(), seat.terms().router());
+  }
+
+  // ---- from the start to the end
+
+  boolean answersStandingBy() {
+    return told.standByAnswers();
+  }
+
+  void open() throws IOException {
+    socket.open();
+    beat = clock.now().plus(BEAT);
+    deadlines.set(beat, this::beat);
+    act(() -> mastership.start(clock.now()));
+    LOG.log(
+        Level.INFO,
+        "adverts are sent and heard on {0}",
+        Field.of("address", told.listen()),
+        Field.event("mastership.opened"));
+  }
+
+  /** New terms of the own file; what they can't change here stays until the next start. */
+  void renewed(Setup.Hall anew) {
+    if (!anew.listen().equals(told.listen())
+        || anew.sealing() == null != (told.sealing() == null)) {
+      LOG.log(
+          Level.WARNING,
+          "mastership.listen, and whether adverts are sealed, stay until the next start",
+          Field.event("configuration.partly"));
+      anew =
+          new Setup.Hall(
+              told.listen(),
+              anew.peers(),
+              anew.covers(),
+              anew.followsIntervals(),
+              anew.elsewhere(),
+              anew.standByAnswers(),
+              anew.seats(),
+              anew.sealing() == null != (told.sealing() == null) ? told.sealing() : anew.sealing(),
+              anew.fitness());
+    }
+    told = anew;
+    Set<InetAddress> peers = told.peerAddresses();
+    fitness.renewed(told.fitness());
+    // Served elsewhere from now on: what is open at the old address is wound down as on any loss.
+    for (Setup.Seat seat : told.seats()) {
+      Listener l = listeners.get(seat.terms().router());
+      if (l != null && !l.serve.equals(seat.serve())) {
+        boolean wanted = l.wanted;
+        left(seat.terms().router());
+        listeners.put(seat.terms().router(), new Listener());
+        listener(seat);
+        if (wanted) {
+          want(seat.terms().router());
         }
-        told = anew;
-        Set<InetAddress> peers = told.peerAddresses();
-        fitness.renewed(told.fitness());
-        // Served elsewhere from now on: what is open at the old address is wound down as on any loss.
-        for (Setup.Seat seat : told.seats()) {
-            Listener l = listeners.get(seat.terms().router());
-            if (l != null && !l.serve.equals(seat.serve())) {
-                boolean wanted = l.wanted;
-                left(seat.terms().router());
-                listeners.put(seat.terms().router(), new Listener());
-                listener(seat);
-                if (wanted) {
-                    want(seat.terms().router());
-                }
-            } else {
-                listener(seat);
-            }
-        }
-        act(() -> mastership.renewed(told.terms(), peers, elsewhere(), clock.now()));
-        intake.renewed(peers, told.sealing() == null ? null : told.sealing().keys());
-        socket.peers(peers);
-        Set<VirtualRouterId> set = new HashSet<>(mastership.routers());
-        listeners.keySet().removeIf(r -> !set.contains(r));
-        Set<InetSocketAddress> served = new HashSet<>();
-        told.seats().forEach(s -> served.add(s.serve()));
-        routers.keySet().removeIf(a -> !served.contains(a));
-    }
-
-    /** Resigns: a peer takes over within its skew. What is in hand here is finished. */
-    void leave() {
-        act(() -> mastership.stop(Reason.ENDED, clock.now()));
-    }
-
-    void close() {
-        socket.close();
-        listening.shutdownNow();
-    }
-
-    // ---- what happens
-
-    private void came(byte[] bytes, InetAddress source) {
-        inbox.post(null, () -> {
-            socket.heard(bytes, source);
-            heard(bytes, source);
+      } else {
+        listener(seat);
+      }
+    }
+    act(() -> mastership.renewed(told.terms(), peers, elsewhere(), clock.now()));
+    intake.renewed(peers, told.sealing() == null ? null : told.sealing().keys());
+    socket.peers(peers);
+    Set<VirtualRouterId> set = new HashSet<>(mastership.routers());
+    listeners.keySet().removeIf(r -> !set.contains(r));
+    Set<InetSocketAddress> served = new HashSet<>();
+    told.seats().forEach(s -> served.add(s.serve()));
+    routers.keySet().removeIf(a -> !served.contains(a));
+  }
+
+  /** Resigns: a peer takes over within its skew. What is in hand here is finished. */
+  void leave() {
+    act(() -> mastership.stop(Reason.ENDED, clock.now()));
+  }
+
+  void close() {
+    socket.close();
+    listening.shutdownNow();
+  }
+
+  // ---- what happens
+
+  private void came(byte[] bytes, InetAddress source) {
+    inbox.post(
+        null,
+        () -> {
+          socket.heard(bytes, source);
+          heard(bytes, source);
         });
-    }
-
-    private void heard(byte[] bytes, InetAddress source) {
-        if (broken) {
-            return;
-        }
-        Moment now = clock.now();
-        Intake.Verdict verdict;
-        try {
-            verdict = intake.judge(bytes, source, self, now);
-        } catch (RuntimeException e) {
-            fault(e);
-            return;
-        }
-        if (verdict.refusal() != null) {
-            counters.add(Count.MASTERSHIP_ADVERTS_REFUSED);
-            log.warn("an advert from {0} is refused: {1}", Field.of("peer", Addresses.text(source)),
-                    Field.of("reason", verdict.refusal().reason()), Field.event("mastership.advert_refused"));
-            return;
-        }
-        counters.add(Count.MASTERSHIP_ADVERTS_TAKEN);
-        act(() -> mastership.heard(source, verdict.advert(), now));
-    }
-
-    /** Steps back first, if a mastership may have passed while this process stood still. */
-    void look() {
-        if (!broken && mastership.overtaken(clock.now())) {
-            act(() -> mastership.fence(clock.now()));
-        }
-    }
-
-    private boolean maySend() {
-        return !mastership.overtaken(clock.now());
-    }
-
-    private void due() {
-        act(() -> mastership.due(clock.now()));
-    }
-
-    /** Looks at its own fitness, and at how many dispatchers carry traffic. */
-    private void beat() {
-        Moment now = clock.now();
-        Span late = now.since(beat);
-        beat = now.plus(BEAT);
-        deadlines.set(beat, this::beat);
-        intake.refusedTo(Refusal.UNKNOWN_SENDER, counted(socket.strangers()));
-        intake.refusedTo(Refusal.TOO_MANY, counted(socket.tooMany()));
-        act(() -> {
-            int before = mastership.reduction();
-            int steps = fitness.told(signs(late), now);
-            if (steps != before) {
-                LOG.log(Level.WARNING, "fitness: {0} steps of priority given up, for {1}", Field.of("steps", steps),
-                        Field.of("signs", fitness.counting()), Field.event("mastership.fitness"));
-            }
-            return mastership.fitness(steps, now);
+  }
+
+  private void heard(byte[] bytes, InetAddress source) {
+    if (broken) {
+      return;
+    }
+    Moment now = clock.now();
+    Intake.Verdict verdict;
+    try {
+      verdict = intake.judge(bytes, source, self, now);
+    } catch (RuntimeException e) {
+      fault(e);
+      return;
+    }
+    if (verdict.refusal() != null) {
+      counters.add(Count.MASTERSHIP_ADVERTS_REFUSED);
+      log.warn(
+          "an advert from {0} is refused: {1}",
+          Field.of("peer", Addresses.text(source)),
+          Field.of("reason", verdict.refusal().reason()),
+          Field.event("mastership.advert_refused"));
+      return;
+    }
+    counters.add(Count.MASTERSHIP_ADVERTS_TAKEN);
+    act(() -> mastership.heard(source, verdict.advert(), now));
+  }
+
+  /** Steps back first, if a mastership may have passed while this process stood still. */
+  void look() {
+    if (!broken && mastership.overtaken(clock.now())) {
+      act(() -> mastership.fence(clock.now()));
+    }
+  }
+
+  private boolean maySend() {
+    return !mastership.overtaken(clock.now());
+  }
+
+  private void due() {
+    act(() -> mastership.due(clock.now()));
+  }
+
+  /** Looks at its own fitness, and at how many dispatchers carry traffic. */
+  private void beat() {
+    Moment now = clock.now();
+    Span late = now.since(beat);
+    beat = now.plus(BEAT);
+    deadlines.set(beat, this::beat);
+    intake.refusedTo(Refusal.UNKNOWN_SENDER, counted(socket.strangers()));
+    intake.refusedTo(Refusal.TOO_MANY, counted(socket.tooMany()));
+    act(
+        () -> {
+          int before = mastership.reduction();
+          int steps = fitness.told(signs(late), now);
+          if (steps != before) {
+            LOG.log(
+                Level.WARNING,
+                "fitness: {0} steps of priority given up, for {1}",
+                Field.of("steps", steps),
+                Field.of("signs", fitness.counting()),
+                Field.event("mastership.fitness"));
+          }
+          return mastership.fitness(steps, now);
         });
-    }
-
-    private long counted(long refused) {
-        counters.add(Count.MASTERSHIP_ADVERTS_REFUSED, refused);
-        return refused;
-    }
-
-    private Map<Sign, Double> signs(Span late) {
-        Report seen = report.get();
-        Map<Sign, Double> values = new EnumMap<>(Sign.class);
-        values.put(Sign.BUS_SILENT, seen.busSilent().us() / SECOND_US);
-        values.put(Sign.NO_ENGINE, seen.engines() == 0 ? 1.0 : 0.0);
-        values.put(Sign.ENGINES_FAILING, seen.failing());
-        values.put(Sign.DESCRIPTORS, seen.descriptors());
-        values.put(Sign.LATE, late.us() / SECOND_US);
-        double memory = memory();
-        if (memory >= 0) {
-            values.put(Sign.MEMORY, memory);
-        }
-        return values;
-    }
-
-    /** The heap's part in use after the last collection, or below zero before the first. */
-    private static double memory() {
-        long used = 0;
-        long most = 0;
-        for (MemoryPoolMXBean pool : ManagementFactory.getMemoryPoolMXBeans()) {
-            MemoryUsage left = pool.getType() == MemoryType.HEAP ? pool.getCollectionUsage() : null;
-            used += left == null ? 0 : left.getUsed();
-            most += left == null || left.getMax() < 0 ? 0 : left.getMax();
-        }
-        return most == 0 || used == 0 ? -1 : (double) used / most;
-    }
-
-    // ---- what follows
-
-    /** Asks mastership, and does what it says; a fault of it ends mastership and nothing else. */
-    private void act(Supplier<List<Act>> asked) {
-        if (broken) {
-            return;
-        }
-        try {
-            for (Act act : asked.get()) {
-                carryOut(act);
-            }
-            Moment now = clock.now();
-            double over = mastership.dispatchers(now);
-            if (Math.abs(over - sharedOver) > NOTABLE * sharedOver) {
-                sharedOver = over;
-                commands.sharedOver(over);
-            }
-            deadlines.cancel(wake);
-            wake = mastership.wake() == null ? null : deadlines.set(mastership.wake(), this::due);
-        } catch (RuntimeException e) {
-            fault(e);
-        }
-    }
-
-    private void carryOut(Act act) {
-        VirtualRouterId router = act.router();
-        if (act instanceof Act.Advertise advertise) {
-            advertise(router, advertise.priority());
-        } else if (act instanceof Act.Take take) {
-            counters.add(Count.MASTERSHIP_TAKEN);
-            LOG.log(Level.INFO, "active for virtual router {0}: {1}", Field.of("virtualRouter", router),
-                    Field.of("reason", take.reason().label()), Field.event("mastership.taken"));
-            want(router);
-        } else if (act instanceof Act.Leave leave) {
-            counters.add(Count.MASTERSHIP_LEFT);
-            if (leave.reason() == Reason.FENCED) {
-                counters.add(Count.MASTERSHIP_FENCED);
-            }
-            LOG.log(Level.WARNING, "no longer active for virtual router {0}: {1}", Field.of("virtualRouter", router),
-                    Field.of("reason", leave.reason().label()), Field.event("mastership.left"));
-            left(router);
-        }
-    }
-
-    private void advertise(VirtualRouterId router, int priority) {
-        Terms terms = mastership.terms(router);
-        Advert advert = new Advert(router.value(), priority, (int) (terms.interval().us() / US_PER_CENTISECOND),
-                terms.addresses());
-        sequence = Math.max(sequence + 1, clock.now().us());
-        for (InetSocketAddress peer : told.peers()) {
-            byte[] bytes = AdvertCodec.write(advert, self, peer.getAddress(), told.covers());
-            if (told.sealing() != null) {
-                bytes = AdvertSeal.write(bytes, self, peer.getAddress(), told.sealing().keys(), told.sealing().writeKey(), sequence);
-            }
-            try {
-                socket.send(bytes, peer);
-                counters.add(Count.MASTERSHIP_ADVERTS_SENT);
-            } catch (IOException e) {
-                counters.add(Count.MASTERSHIP_ADVERTS_UNSENT);
-                log.warn("no advert to {0}: {1}", Field.of("peer", peer), Field.of("reason", e.getMessage()),
-                        Field.event("mastership.advert_unsent"));
-            }
-        }
-    }
-
-    /** Opens the listener of a router, and goes on trying where its address is still held by another. */
-    private void want(VirtualRouterId router) {
-        Listener l = listeners.get(router);
-        l.wanted = true;
-        l.wantedSince = clock.now();
-        follow(router, l);
-    }
-
-    private void left(VirtualRouterId router) {
-        Listener l = listeners.get(router);
-        l.wanted = false;
-        follow(router, l);
-        clients.standDown(at -> l.serve.equals(at), true);
-        if (!mastership.isActive()) {
-            clients.standDown(at -> !routers.containsKey(at), false);
-        }
-    }
-
-    /** Brings a listener to where it is wanted, a step at a time. */
-    private void follow(VirtualRouterId router, Listener l) {
-        if (l.busy || l.wanted == l.open) {
-            return;
-        }
-        l.busy = true;
-        boolean opens = l.wanted;
-        listening.execute(() -> {
-            IOException failed = null;
-            try {
-                if (opens) {
-                    acceptor.bind(l.serve);
-                } else {
-                    acceptor.unbind(l.serve);
-                }
-            } catch (IOException e) {
-                failed = e;
-            } catch (RuntimeException e) {
-                failed = new IOException(e);
+  }
+
+  private long counted(long refused) {
+    counters.add(Count.MASTERSHIP_ADVERTS_REFUSED, refused);
+    return refused;
+  }
+
+  private Map<Sign, Double> signs(Span late) {
+    Report seen = report.get();
+    Map<Sign, Double> values = new EnumMap<>(Sign.class);
+    values.put(Sign.BUS_SILENT, seen.busSilent().us() / SECOND_US);
+    values.put(Sign.NO_ENGINE, seen.engines() == 0 ? 1.0 : 0.0);
+    values.put(Sign.ENGINES_FAILING, seen.failing());
+    values.put(Sign.DESCRIPTORS, seen.descriptors());
+    values.put(Sign.LATE, late.us() / SECOND_US);
+    double memory = memory();
+    if (memory >= 0) {
+      values.put(Sign.MEMORY, memory);
+    }
+    return values;
+  }
+
+  /** The heap's part in use after the last collection, or below zero before the first. */
+  private static double memory() {
+    long used = 0;
+    long most = 0;
+    for (MemoryPoolMXBean pool : ManagementFactory.getMemoryPoolMXBeans()) {
+      MemoryUsage left = pool.getType() == MemoryType.HEAP ? pool.getCollectionUsage() : null;
+      used += left == null ? 0 : left.getUsed();
+      most += left == null || left.getMax() < 0 ? 0 : left.getMax();
+    }
+    return most == 0 || used == 0 ? -1 : (double) used / most;
+  }
+
+  // ---- what follows
+
+  /** Asks mastership, and does what it says; a fault of it ends mastership and nothing else. */
+  private void act(Supplier<List<Act>> asked) {
+    if (broken) {
+      return;
+    }
+    try {
+      for (Act act : asked.get()) {
+        carryOut(act);
+      }
+      Moment now = clock.now();
+      double over = mastership.dispatchers(now);
+      if (Math.abs(over - sharedOver) > NOTABLE * sharedOver) {
+        sharedOver = over;
+        commands.sharedOver(over);
+      }
+      deadlines.cancel(wake);
+      wake = mastership.wake() == null ? null : deadlines.set(mastership.wake(), this::due);
+    } catch (RuntimeException e) {
+      fault(e);
+    }
+  }
+
+  private void carryOut(Act act) {
+    VirtualRouterId router = act.router();
+    if (act instanceof Act.Advertise advertise) {
+      advertise(router, advertise.priority());
+    } else if (act instanceof Act.Take take) {
+      counters.add(Count.MASTERSHIP_TAKEN);
+      LOG.log(
+          Level.INFO,
+          "active for virtual router {0}: {1}",
+          Field.of("virtualRouter", router),
+          Field.of("reason", take.reason().label()),
+          Field.event("mastership.taken"));
+      want(router);
+    } else if (act instanceof Act.Leave leave) {
+      counters.add(Count.MASTERSHIP_LEFT);
+      if (leave.reason() == Reason.FENCED) {
+        counters.add(Count.MASTERSHIP_FENCED);
+      }
+      LOG.log(
+          Level.WARNING,
+          "no longer active for virtual router {0}: {1}",
+          Field.of("virtualRouter", router),
+          Field.of("reason", leave.reason().label()),
+          Field.event("mastership.left"));
+      left(router);
+    }
+  }
+
+  private void advertise(VirtualRouterId router, int priority) {
+    Terms terms = mastership.terms(router);
+    Advert advert =
+        new Advert(
+            router.value(),
+            priority,
+            (int) (terms.interval().us() / US_PER_CENTISECOND),
+            terms.addresses());
+    sequence = Math.max(sequence + 1, clock.now().us());
+    for (InetSocketAddress peer : told.peers()) {
+      byte[] bytes = AdvertCodec.write(advert, self, peer.getAddress(), told.covers());
+      if (told.sealing() != null) {
+        bytes =
+            AdvertSeal.write(
+                bytes,
+                self,
+                peer.getAddress(),
+                told.sealing().keys(),
+                told.sealing().writeKey(),
+                sequence);
+      }
+      try {
+        socket.send(bytes, peer);
+        counters.add(Count.MASTERSHIP_ADVERTS_SENT);
+      } catch (IOException e) {
+        counters.add(Count.MASTERSHIP_ADVERTS_UNSENT);
+        log.warn(
+            "no advert to {0}: {1}",
+            Field.of("peer", peer),
+            Field.of("reason", e.getMessage()),
+            Field.event("mastership.advert_unsent"));
+      }
+    }
+  }
+
+  /**
+   * Opens the listener of a router, and goes on trying where its address is still held by another.
+   */
+  private void want(VirtualRouterId router) {
+    Listener l = listeners.get(router);
+    l.wanted = true;
+    l.wantedSince = clock.now();
+    follow(router, l);
+  }
+
+  private void left(VirtualRouterId router) {
+    Listener l = listeners.get(router);
+    l.wanted = false;
+    follow(router, l);
+    clients.standDown(at -> l.serve.equals(at), true);
+    if (!mastership.isActive()) {
+      clients.standDown(at -> !routers.containsKey(at), false);
+    }
+  }
+
+  /** Brings a listener to where it is wanted, a step at a time. */
+  private void follow(VirtualRouterId router, Listener l) {
+    if (l.busy || l.wanted == l.open) {
+      return;
+    }
+    l.busy = true;
+    boolean opens = l.wanted;
+    listening.execute(
+        () -> {
+          IOException failed = null;
+          try {
+            if (opens) {
+              acceptor.bind(l.serve);
+            } else {
+              acceptor.unbind(l.serve);
             }
-            IOException why = failed;
-            inbox.post(null, () -> followed(router, l, opens, why));
+          } catch (IOException e) {
+            failed = e;
+          } catch (RuntimeException e) {
+            failed = new IOException(e);
+          }
+          IOException why = failed;
+          inbox.post(null, () -> followed(router, l, opens, why));
         });
-    }
-
-    private void followed(VirtualRouterId router, Listener l, boolean opens, IOException why) {
-        l.busy = false;
-        if (why == null || !opens) {
-            l.open = opens;
-            if (opens && l.wanted) {
-                mastership.able(router);
-                LOG.log(Level.INFO, "takes clients on {0}", Field.of("address", l.serve),
-                        Field.of("virtualRouter", router), Field.event("mastership.serves"));
-            }
-            follow(router, l);
-            return;
-        }
-        counters.add(Count.MASTERSHIP_BINDS_FAILED);
-        log.warn("no clients on {0} yet: {1}", Field.of("address", l.serve), Field.of("reason", why.getMessage()),
-                Field.event("mastership.bind_failed"));
-        if (!l.wanted || listeners.get(router) != l) {
-            return;
-        }
-        Span interval = mastership.terms(router).interval();
-        if (clock.now().since(l.wantedSince).compareTo(interval.times(TRY_FOR)) > 0) {
-            act(() -> mastership.unable(router, clock.now()));
-        } else {
-            deadlines.set(clock.now().plus(interval.times(TRY_AGAIN)), () -> follow(router, l));
-        }
-    }
-
-    /** Ends mastership for good, and takes nothing new at its addresses; what is in hand is finished. */
-    private void fault(RuntimeException e) {
-        counters.add(Count.FAULTS);
-        LOG.log(Level.ERROR, "a fault in mastership, which ends here until the next start", e);
-        try {
-            mastership.stop(Reason.FAULT, clock.now()).forEach(a -> {
+  }
+
+  private void followed(VirtualRouterId router, Listener l, boolean opens, IOException why) {
+    l.busy = false;
+    if (why == null || !opens) {
+      l.open = opens;
+      if (opens && l.wanted) {
+        mastership.able(router);
+        LOG.log(
+            Level.INFO,
+            "takes clients on {0}",
+            Field.of("address", l.serve),
+            Field.of("virtualRouter", router),
+            Field.event("mastership.serves"));
+      }
+      follow(router, l);
+      return;
+    }
+    counters.add(Count.MASTERSHIP_BINDS_FAILED);
+    log.warn(
+        "no clients on {0} yet: {1}",
+        Field.of("address", l.serve),
+        Field.of("reason", why.getMessage()),
+        Field.event("mastership.bind_failed"));
+    if (!l.wanted || listeners.get(router) != l) {
+      return;
+    }
+    Span interval = mastership.terms(router).interval();
+    if (clock.now().since(l.wantedSince).compareTo(interval.times(TRY_FOR)) > 0) {
+      act(() -> mastership.unable(router, clock.now()));
+    } else {
+      deadlines.set(clock.now().plus(interval.times(TRY_AGAIN)), () -> follow(router, l));
+    }
+  }
+
+  /**
+   * Ends mastership for good, and takes nothing new at its addresses; what is in hand is finished.
+   */
+  private void fault(RuntimeException e) {
+    counters.add(Count.FAULTS);
+    LOG.log(Level.ERROR, "a fault in mastership, which ends here until the next start", e);
+    try {
+      mastership
+          .stop(Reason.FAULT, clock.now())
+          .forEach(
+              a -> {
                 if (a instanceof Act.Advertise resigns) {
-                    advertise(resigns.router(), resigns.priority());
+                  advertise(resigns.router(), resigns.priority());
                 }
-            });
-        } catch (RuntimeException again) {
-            LOG.log(Level.ERROR, "nor could it resign", again);
-        }
-        broken = true;
-        deadlines.cancel(wake);
-        listeners.forEach((router, l) -> {
-            l.wanted = false;
-            follow(router, l);
+              });
+    } catch (RuntimeException again) {
+      LOG.log(Level.ERROR, "nor could it resign", again);
+    }
+    broken = true;
+    deadlines.cancel(wake);
+    listeners.forEach(
+        (router, l) -> {
+          l.wanted = false;
+          follow(router, l);
         });
-        clients.standDown(routers::containsKey, true);
-        clients.standDown(at -> !routers.containsKey(at), false);
-    }
-
-    // ---- what is asked
-
-    @Override
-    public boolean admits(SocketAddress at) {
-        Moment now = clock.now();
-        if (broken) {
-            return false;
-        }
-        VirtualRouterId router = routers.get(at);
-        return router != null ? mastership.admits(router, now) : mastership.isActive() && !mastership.overtaken(now);
-    }
-
-    @Override
-    public boolean stays(SocketAddress at) {
-        return !routers.containsKey(at) || admits(at);
-    }
-
-    /** After a down interval another has taken over. */
-    @Override
-    public Span comeBack(SocketAddress at) {
-        VirtualRouterId router = routers.getOrDefault(at, mastership.routers().get(0));
-        return mastership.terms(router).interval().times(TRY_FOR);
-    }
-
-    /** SHOW cobaltseam.mastership. */
-    private List<String[]> rows() {
-        Moment now = clock.now();
-        List<String[]> rows = new ArrayList<>();
-        rows.add(new String[] {"mastership", broken ? "ended by a fault" : "on"});
-        rows.add(new String[] {"engines_shared_over", String.format(java.util.Locale.ROOT, "%.2f", sharedOver)});
-        rows.add(new String[] {"fitness_steps", mastership.reduction() + " " + fitness.counting().stream()
-                .map(Sign::label).toList()});
-        for (VirtualRouterId router : mastership.routers()) {
-            Standing s = mastership.standing(router);
-            String name = "router_" + router + "_";
-            rows.add(new String[] {name + "state", s == null ? "initialize"
-                    : s.role() == Role.ACTIVE ? "active" : s.role().name().toLowerCase(java.util.Locale.ROOT)});
-            if (s != null) {
-                rows.add(new String[] {name + "since_ms", Long.toString(now.since(s.since()).us() / 1000)});
-                rows.add(new String[] {name + "reason", s.reason().label()});
-                rows.add(new String[] {name + "priority", s.priority() + " of " + mastership.terms(router).priority()});
-            }
-            rows.add(new String[] {name + "serves", listeners.get(router).serve + (listeners.get(router).open ? " open" : " closed")});
-            mastership.claims(router).forEach((peer, claim) -> rows.add(new String[] {name + "peer_" + Addresses.text(peer),
-                    "priority " + claim.priority() + ", " + now.since(claim.heard()).us() / 1000 + " ms ago"}));
-        }
-        rows.add(new String[] {"adverts_taken", Long.toString(intake.taken())});
-        for (Covers what : Covers.values()) {
-            rows.add(new String[] {"adverts_covering_" + what.name().toLowerCase(java.util.Locale.ROOT),
-                    Long.toString(intake.covering(what))});
-        }
-        for (Refusal why : Refusal.values()) {
-            if (intake.refused(why) > 0) {
-                rows.add(new String[] {"adverts_refused_" + why.label(), Long.toString(intake.refused(why))});
-            }
-        }
-        return rows;
-    }
+    clients.standDown(routers::containsKey, true);
+    clients.standDown(at -> !routers.containsKey(at), false);
+  }
+
+  // ---- what is asked
+
+  @Override
+  public boolean admits(SocketAddress at) {
+    Moment now = clock.now();
+    if (broken) {
+      return false;
+    }
+    VirtualRouterId router = routers.get(at);
+    return router != null
+        ? mastership.admits(router, now)
+        : mastership.isActive() && !mastership.overtaken(now);
+  }
+
+  @Override
+  public boolean stays(SocketAddress at) {
+    return !routers.containsKey(at) || admits(at);
+  }
+
+  /** After a down interval another has taken over. */
+  @Override
+  public Span comeBack(SocketAddress at) {
+    VirtualRouterId router = routers.getOrDefault(at, mastership.routers().get(0));
+    return mastership.terms(router).interval().times(TRY_FOR);
+  }
+
+  /** SHOW cobaltseam.mastership. */
+  private List<String[]> rows() {
+    Moment now = clock.now();
+    List<String[]> rows = new ArrayList<>();
+    rows.add(new String[] {"mastership", broken ? "ended by a fault" : "on"});
+    rows.add(
+        new String[] {
+          "engines_shared_over", String.format(java.util.Locale.ROOT, "%.2f", sharedOver)
+        });
+    rows.add(
+        new String[] {
+          "fitness_steps",
+          mastership.reduction() + " " + fitness.counting().stream().map(Sign::label).toList()
+        });
+    for (VirtualRouterId router : mastership.routers()) {
+      Standing s = mastership.standing(router);
+      String name = "router_" + router + "_";
+      rows.add(
+          new String[] {
+            name + "state",
+            s == null
+                ? "initialize"
+                : s.role() == Role.ACTIVE
+                    ? "active"
+                    : s.role().name().toLowerCase(java.util.Locale.ROOT)
+          });
+      if (s != null) {
+        rows.add(new String[] {name + "since_ms", Long.toString(now.since(s.since()).us() / 1000)});
+        rows.add(new String[] {name + "reason", s.reason().label()});
+        rows.add(
+            new String[] {
+              name + "priority", s.priority() + " of " + mastership.terms(router).priority()
+            });
+      }
+      rows.add(
+          new String[] {
+            name + "serves",
+            listeners.get(router).serve + (listeners.get(router).open ? " open" : " closed")
+          });
+      mastership
+          .claims(router)
+          .forEach(
+              (peer, claim) ->
+                  rows.add(
+                      new String[] {
+                        name + "peer_" + Addresses.text(peer),
+                        "priority "
+                            + claim.priority()
+                            + ", "
+                            + now.since(claim.heard()).us() / 1000
+                            + " ms ago"
+                      }));
+    }
+    rows.add(new String[] {"adverts_taken", Long.toString(intake.taken())});
+    for (Covers what : Covers.values()) {
+      rows.add(
+          new String[] {
+            "adverts_covering_" + what.name().toLowerCase(java.util.Locale.ROOT),
+            Long.toString(intake.covering(what))
+          });
+    }
+    for (Refusal why : Refusal.values()) {
+      if (intake.refused(why) > 0) {
+        rows.add(
+            new String[] {"adverts_refused_" + why.label(), Long.toString(intake.refused(why))});
+      }
+    }
+    return rows;
+  }
 }
