--- a/src/main/java/cobaltseam/service/ServiceConfiguration.java
+++ b/src/main/java/cobaltseam/service/ServiceConfiguration.java
@@ -1,12 +1,5 @@
 package cobaltseam.service;
 
-import java.io.File;
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-
 import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.DeploymentReader;
 import cobaltseam.deployment.Fields;
@@ -15,87 +8,138 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
+import java.io.File;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
 
-/** What the service is told by its configuration file: where it stands, and the deployment around it. */
-record ServiceConfiguration(String name, InetSocketAddress listen, InetSocketAddress bus, long seed, int sockets,
-                    long memoryBytes, long knownOffset, List<TopologyEvent> known, Deployment deployment, Span connectTimeout,
-                    Span connectionIdle, int sendsPerConnection) {
-    private static final int HEX = 16;
-    /** What a process has at least, where nothing is told. */
-    private static final long LEAST_MEMORY_MB = 32;
-    private static final int LAST_PORT = 65_535;
+/**
+ * What the service is told by its configuration file: where it stands, and the deployment around
+ * it.
+ */
+record ServiceConfiguration(
+    String name,
+    InetSocketAddress listen,
+    InetSocketAddress bus,
+    long seed,
+    int sockets,
+    long memoryBytes,
+    long knownOffset,
+    List<TopologyEvent> known,
+    Deployment deployment,
+    Span connectTimeout,
+    Span connectionIdle,
+    int sendsPerConnection) {
+  private static final int HEX = 16;
 
-    /** Reads the file that the environment names; what it also names must agree. */
-    static ServiceConfiguration read(Map<String, String> environment) {
-        String path = environment.get("GW_CONFIG");
-        if (path == null || path.isEmpty()) {
-            throw new BadInput("GW_CONFIG names no configuration file");
-        }
-        Fields told;
-        try (JsonParser parser = new JsonFactory().createParser(new File(path))) {
-            told = Fields.of(parser);
-        } catch (JsonProcessingException e) {
-            throw new BadInput(path + " is not JSON: " + e.getOriginalMessage());
-        } catch (IOException e) {
-            throw new BadInput(path + " can't be read: " + e.getMessage());
-        }
-        ServiceConfiguration read = of(told);
-        agree(environment, "GW_NAME", read.name);
-        agree(environment, "GW_LISTEN", told.text("listen"));
-        return read;
-    }
+  /** What a process has at least, where nothing is told. */
+  private static final long LEAST_MEMORY_MB = 32;
 
-    private static void agree(Map<String, String> environment, String variable, String value) {
-        if (!value.equals(environment.getOrDefault(variable, value))) {
-            throw new BadInput(variable + " is " + environment.get(variable) + ", the configuration has " + value);
-        }
-    }
+  private static final int LAST_PORT = 65_535;
 
-    static ServiceConfiguration of(Fields told) {
-        Fields settings = told.object("settings");
-        Fields limits = settings.object("limits");
-        Fields known = told.object("known");
-        List<TopologyEvent> events = new ArrayList<>();
-        for (Fields event : known.objects("batch")) {
-            if (event.has(TopologyEvent.EVENT)) {
-                events.add(TopologyEvent.of(event));
-            }
-        }
-        String seed = told.text("seed");
-        if (!seed.matches("[0-9a-fA-F]{1,16}")) {
-            throw new BadInput("'seed' is not 16 hex digits");
-        }
-        return new ServiceConfiguration(told.text("name"), address(told.text("listen")), address(told.text("bus")),
-                Long.parseUnsignedLong(seed, HEX),
-                (int) told.object("limits").whole("sockets"),
-                told.object("limits").whole("memory_mb", LEAST_MEMORY_MB) << 20,
-                known.whole("offset"), events, DeploymentReader.read(settings),
-                new Span(limits.whole("connect_timeout_us")),
-                new Span(limits.whole("conn_idle_us", 0)),
-                (int) Math.max(1, limits.whole("streams_per_conn", 1)));
+  /** Reads the file that the environment names; what it also names must agree. */
+  static ServiceConfiguration read(Map<String, String> environment) {
+    String path = environment.get("GW_CONFIG");
+    if (path == null || path.isEmpty()) {
+      throw new BadInput("GW_CONFIG names no configuration file");
     }
+    Fields told;
+    try (JsonParser parser = new JsonFactory().createParser(new File(path))) {
+      told = Fields.of(parser);
+    } catch (JsonProcessingException e) {
+      throw new BadInput(path + " is not JSON: " + e.getOriginalMessage());
+    } catch (IOException e) {
+      throw new BadInput(path + " can't be read: " + e.getMessage());
+    }
+    ServiceConfiguration read = of(told);
+    agree(environment, "GW_NAME", read.name);
+    agree(environment, "GW_LISTEN", told.text("listen"));
+    return read;
+  }
 
-    /** The same with other settings of decisions. */
-    ServiceConfiguration with(Deployment other) {
-        return new ServiceConfiguration(name, listen, bus, seed, sockets, memoryBytes, knownOffset, known, other, connectTimeout, connectionIdle,
-                sendsPerConnection);
+  private static void agree(Map<String, String> environment, String variable, String value) {
+    if (!value.equals(environment.getOrDefault(variable, value))) {
+      throw new BadInput(
+          variable + " is " + environment.get(variable) + ", the configuration has " + value);
     }
+  }
 
-    /** The same deployment at other addresses. */
-    ServiceConfiguration movedTo(InetSocketAddress listensOn, InetSocketAddress busAt, List<TopologyEvent> engines) {
-        return new ServiceConfiguration(name, listensOn, busAt, seed, sockets, memoryBytes, knownOffset, engines, deployment,
-                connectTimeout, connectionIdle, sendsPerConnection);
+  static ServiceConfiguration of(Fields told) {
+    Fields settings = told.object("settings");
+    Fields limits = settings.object("limits");
+    Fields known = told.object("known");
+    List<TopologyEvent> events = new ArrayList<>();
+    for (Fields event : known.objects("batch")) {
+      if (event.has(TopologyEvent.EVENT)) {
+        events.add(TopologyEvent.of(event));
+      }
+    }
+    String seed = told.text("seed");
+    if (!seed.matches("[0-9a-fA-F]{1,16}")) {
+      throw new BadInput("'seed' is not 16 hex digits");
     }
+    return new ServiceConfiguration(
+        told.text("name"),
+        address(told.text("listen")),
+        address(told.text("bus")),
+        Long.parseUnsignedLong(seed, HEX),
+        (int) told.object("limits").whole("sockets"),
+        told.object("limits").whole("memory_mb", LEAST_MEMORY_MB) << 20,
+        known.whole("offset"),
+        events,
+        DeploymentReader.read(settings),
+        new Span(limits.whole("connect_timeout_us")),
+        new Span(limits.whole("conn_idle_us", 0)),
+        (int) Math.max(1, limits.whole("streams_per_conn", 1)));
+  }
+
+  /** The same with other settings of decisions. */
+  ServiceConfiguration with(Deployment other) {
+    return new ServiceConfiguration(
+        name,
+        listen,
+        bus,
+        seed,
+        sockets,
+        memoryBytes,
+        knownOffset,
+        known,
+        other,
+        connectTimeout,
+        connectionIdle,
+        sendsPerConnection);
+  }
+
+  /** The same deployment at other addresses. */
+  ServiceConfiguration movedTo(
+      InetSocketAddress listensOn, InetSocketAddress busAt, List<TopologyEvent> engines) {
+    return new ServiceConfiguration(
+        name,
+        listensOn,
+        busAt,
+        seed,
+        sockets,
+        memoryBytes,
+        knownOffset,
+        engines,
+        deployment,
+        connectTimeout,
+        connectionIdle,
+        sendsPerConnection);
+  }
 
-    /** An address with its port; no name is ever looked up. */
-    static InetSocketAddress address(String text) {
-        int colon = text.lastIndexOf(':');
-        String host = colon < 0 ? "" : text.substring(0, colon);
-        String port = text.substring(colon + 1);
-        if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:]+]") || !port.matches("[0-9]{1,5}")
-                || Integer.parseInt(port) > LAST_PORT) {
-            throw new BadInput("'" + text + "' is not an address with a port");
-        }
-        return new InetSocketAddress(host, Integer.parseInt(port));
+  /** An address with its port; no name is ever looked up. */
+  static InetSocketAddress address(String text) {
+    int colon = text.lastIndexOf(':');
+    String host = colon < 0 ? "" : text.substring(0, colon);
+    String port = text.substring(colon + 1);
+    if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:]+]")
+        || !port.matches("[0-9]{1,5}")
+        || Integer.parseInt(port) > LAST_PORT) {
+      throw new BadInput("'" + text + "' is not an address with a port");
     }
+    return new InetSocketAddress(host, Integer.parseInt(port));
+  }
 }
--- a/src/main/java/cobaltseam/service/TopologyEvent.java
+++ b/src/main/java/cobaltseam/service/TopologyEvent.java
@@ -1,12 +1,5 @@
 package cobaltseam.service;
 
-import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-
 import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.Fields;
 import cobaltseam.dispatch.EngineId;
@@ -15,64 +8,82 @@
 import cobaltseam.dispatch.Listing;
 import cobaltseam.dispatch.LocationId;
 import cobaltseam.dispatch.Moment;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 
-/** One event of the bus: what has changed in the list of engines, or the whole list, and their addresses. */
-record TopologyEvent(long offset, boolean whole, List<Listing> list, Map<EngineId, InetSocketAddress> addresses) {
-    static final String EVENT = "topology";
-    static final String OFFSET = "offset";
-    static final String WHOLE = "all";
-    private static final int HEX = 16;
-    /** As many hex digits as an int holds. */
-    private static final String NUMBER = "[0-9a-fA-F]{1,8}";
-    private static final long US_PER_MS = 1000;
-    private static final long FNV_BASIS = 0xcbf29ce484222325L;
-    private static final long FNV_PRIME = 0x100000001b3L;
+/**
+ * One event of the bus: what has changed in the list of engines, or the whole list, and their
+ * addresses.
+ */
+record TopologyEvent(
+    long offset, boolean whole, List<Listing> list, Map<EngineId, InetSocketAddress> addresses) {
+  static final String EVENT = "topology";
+  static final String OFFSET = "offset";
+  static final String WHOLE = "all";
+  private static final int HEX = 16;
 
-    static TopologyEvent of(Fields event) {
-        Fields told = event.object(EVENT);
-        List<Listing> list = new ArrayList<>();
-        Map<EngineId, InetSocketAddress> addresses = new HashMap<>();
-        for (Fields target : told.objects("targets")) {
-            EngineId engine = engine(target.text("uid"));
-            list.add(new Listing(engine, new LocationId(target.text("az", "")), new KindId(target.text("model", "")),
-                    new GroupId(target.whole("pod_group", 0)), standing(target.text("state")),
-                    new Moment(target.whole("boot_ms", 0) * US_PER_MS)));
-            if (target.has("endpoint")) {
-                addresses.put(engine, ServiceConfiguration.address(target.text("endpoint")));
-            }
-        }
-        return new TopologyEvent(event.whole(OFFSET, 0), told.flag(WHOLE), list, addresses);
-    }
+  /** As many hex digits as an int holds. */
+  private static final String NUMBER = "[0-9a-fA-F]{1,8}";
 
-    private static Listing.Standing standing(String state) {
-        return switch (state) {
-            case "in_service" -> Listing.Standing.UP;
-            case "terminating" -> Listing.Standing.DRAINING;
-            case "terminated" -> Listing.Standing.GONE;
-            default -> throw new BadInput("targets: unknown 'state' " + state);
-        };
+  private static final long US_PER_MS = 1000;
+  private static final long FNV_BASIS = 0xcbf29ce484222325L;
+  private static final long FNV_PRIME = 0x100000001b3L;
+
+  static TopologyEvent of(Fields event) {
+    Fields told = event.object(EVENT);
+    List<Listing> list = new ArrayList<>();
+    Map<EngineId, InetSocketAddress> addresses = new HashMap<>();
+    for (Fields target : told.objects("targets")) {
+      EngineId engine = engine(target.text("uid"));
+      list.add(
+          new Listing(
+              engine,
+              new LocationId(target.text("az", "")),
+              new KindId(target.text("model", "")),
+              new GroupId(target.whole("pod_group", 0)),
+              standing(target.text("state")),
+              new Moment(target.whole("boot_ms", 0) * US_PER_MS)));
+      if (target.has("endpoint")) {
+        addresses.put(engine, ServiceConfiguration.address(target.text("endpoint")));
+      }
     }
+    return new TopologyEvent(event.whole(OFFSET, 0), told.flag(WHOLE), list, addresses);
+  }
+
+  private static Listing.Standing standing(String state) {
+    return switch (state) {
+      case "in_service" -> Listing.Standing.UP;
+      case "terminating" -> Listing.Standing.DRAINING;
+      case "terminated" -> Listing.Standing.GONE;
+      default -> throw new BadInput("targets: unknown 'state' " + state);
+    };
+  }
 
-    /**
-     * An engine's id, made from its name alone and so alike everywhere: the number at the name's end below a hash of what
-     * stands before it, so that "east-01" and "west-01" are two engines, and those of one kind of name keep the order of
-     * their numbers. A name without such a number is hashed whole.
-     */
-    static EngineId engine(String uid) {
-        int numberFrom = uid.lastIndexOf('-') + 1;
-        String number = uid.substring(numberFrom);
-        if (!number.matches(NUMBER)) {
-            return new EngineId(hash(uid) & Long.MAX_VALUE);
-        }
-        long before = hash(uid.substring(0, numberFrom)) << Integer.SIZE;
-        return new EngineId((before | Long.parseLong(number, HEX)) & Long.MAX_VALUE);
+  /**
+   * An engine's id, made from its name alone and so alike everywhere: the number at the name's end
+   * below a hash of what stands before it, so that "east-01" and "west-01" are two engines, and
+   * those of one kind of name keep the order of their numbers. A name without such a number is
+   * hashed whole.
+   */
+  static EngineId engine(String uid) {
+    int numberFrom = uid.lastIndexOf('-') + 1;
+    String number = uid.substring(numberFrom);
+    if (!number.matches(NUMBER)) {
+      return new EngineId(hash(uid) & Long.MAX_VALUE);
     }
+    long before = hash(uid.substring(0, numberFrom)) << Integer.SIZE;
+    return new EngineId((before | Long.parseLong(number, HEX)) & Long.MAX_VALUE);
+  }
 
-    private static long hash(String name) {
-        long hash = FNV_BASIS;
-        for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
-            hash = (hash ^ b & 0xff) * FNV_PRIME;
-        }
-        return hash;
+  private static long hash(String name) {
+    long hash = FNV_BASIS;
+    for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
+      hash = (hash ^ b & 0xff) * FNV_PRIME;
     }
+    return hash;
+  }
 }
--- a/src/main/java/cobaltseam/setup/Setup.java
+++ b/src/main/java/cobaltseam/setup/Setup.java
@@ -1,5 +1,10 @@
 package cobaltseam.setup;
 
+import cobaltseam.dispatch.Span;
+import cobaltseam.mastership.Fitness;
+import cobaltseam.mastership.Terms;
+import cobaltseam.seal.SealKeys;
+import cobaltseam.vrrp.Reading.Covers;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -7,113 +12,142 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-import cobaltseam.dispatch.Span;
-import cobaltseam.mastership.Fitness;
-import cobaltseam.mastership.Terms;
-import cobaltseam.vrrp.Reading.Covers;
-import cobaltseam.seal.SealKeys;
-
 /** What our own file switches on; a part that is null is off. */
-public record Setup(boolean jsonLog, Hall hall, Fleet fleet, Agreed agreed, Spread spread, Repeats repeats) {
-    /** Without a file: everything is off. */
-    public static final Setup OFF = new Setup(false, null, null, null, null, null);
-
-    private static final Span SHARING_ROUND = new Span(1_000_000);
-    private static final int SHARING_ASKED = 3;
-    private static final int SHARING_ROUNDS = 10;
-
-    /** How members tell each other their figures. */
-    public cobaltseam.sharing.Terms sharing(int mostBytes, double clocks) {
-        Span round = spread != null ? spread.round() : SHARING_ROUND;
-        return new cobaltseam.sharing.Terms(round, SHARING_ASKED, spread != null ? spread.end() : round.times(SHARING_ROUNDS), mostBytes, clocks);
+public record Setup(
+    boolean jsonLog, Hall hall, Fleet fleet, Agreed agreed, Spread spread, Repeats repeats) {
+  /** Without a file: everything is off. */
+  public static final Setup OFF = new Setup(false, null, null, null, null, null);
+
+  private static final Span SHARING_ROUND = new Span(1_000_000);
+  private static final int SHARING_ASKED = 3;
+  private static final int SHARING_ROUNDS = 10;
+
+  /** How members tell each other their figures. */
+  public cobaltseam.sharing.Terms sharing(int mostBytes, double clocks) {
+    Span round = spread != null ? spread.round() : SHARING_ROUND;
+    return new cobaltseam.sharing.Terms(
+        round,
+        SHARING_ASKED,
+        spread != null ? spread.end() : round.times(SHARING_ROUNDS),
+        mostBytes,
+        clocks);
+  }
+
+  /**
+   * The group of dispatchers that share virtual addresses by VRRP; elsewhere is below zero where it
+   * is not set.
+   */
+  public record Hall(
+      InetSocketAddress listen,
+      List<InetSocketAddress> peers,
+      Covers covers,
+      boolean followsIntervals,
+      int elsewhere,
+      boolean standByAnswers,
+      List<Seat> seats,
+      Sealing sealing,
+      Fitness.Watched fitness) {
+    public Set<InetAddress> peerAddresses() {
+      return peers.stream().map(InetSocketAddress::getAddress).collect(Collectors.toSet());
     }
 
-    /** The group of dispatchers that share virtual addresses by VRRP; elsewhere is below zero where it is not set. */
-    public record Hall(InetSocketAddress listen, List<InetSocketAddress> peers, Covers covers, boolean followsIntervals,
-                       int elsewhere, boolean standByAnswers, List<Seat> seats, Sealing sealing,
-                       Fitness.Watched fitness) {
-        public Set<InetAddress> peerAddresses() {
-            return peers.stream().map(InetSocketAddress::getAddress).collect(Collectors.toSet());
-        }
-
-        public List<Terms> terms() {
-            return seats.stream().map(Seat::terms).toList();
-        }
+    public List<Terms> terms() {
+      return seats.stream().map(Seat::terms).toList();
     }
-
-    /** One virtual router, and where clients are taken in while it is active. */
-    public record Seat(Terms terms, InetSocketAddress serve) {
+  }
+
+  /** One virtual router, and where clients are taken in while it is active. */
+  public record Seat(Terms terms, InetSocketAddress serve) {}
+
+  /**
+   * The fleet that this dispatcher is a member of.
+   *
+   * @param folder where it keeps what it promised, or null
+   * @param foundAnew the view whose majority an operator says is gone for good, or null
+   * @param sealing null where messages have no seal
+   */
+  public record Fleet(
+      String fleet,
+      InetSocketAddress listen,
+      InetSocketAddress advertise,
+      List<InetSocketAddress> seeds,
+      List<String> founders,
+      Span period,
+      double patience,
+      int helpers,
+      Path folder,
+      String foundAnew,
+      Sealing sealing) {
+    /** What is read at the start alone, keys of seals aside. */
+    public Fleet fixed() {
+      return new Fleet(
+          fleet, listen, advertise, seeds, founders, period, patience, helpers, folder, null, null);
     }
-
-    /**
-     * The fleet that this dispatcher is a member of.
-     *
-     * @param folder where it keeps what it promised, or null
-     * @param foundAnew the view whose majority an operator says is gone for good, or null
-     * @param sealing null where messages have no seal
-     */
-    public record Fleet(String fleet, InetSocketAddress listen, InetSocketAddress advertise, List<InetSocketAddress> seeds,
-                        List<String> founders, Span period, double patience, int helpers, Path folder, String foundAnew,
-                        Sealing sealing) {
-        /** What is read at the start alone, keys of seals aside. */
-        public Fleet fixed() {
-            return new Fleet(fleet, listen, advertise, seeds, founders, period, patience, helpers, folder, null, null);
-        }
+  }
+
+  /**
+   * That the fleet agrees on the settings of decisions: for how long two members may contradict
+   * each other.
+   */
+  public record Agreed(Span contradiction) {}
+
+  /**
+   * What the fleet knows together of engines and of what its members need.
+   *
+   * @param byDemand whether parts of the engines follow demand; else they are even over the view
+   * @param alone the share of engines that dispatchers hold whatever they know, all together
+   * @param floor the share of its even part that one keeps, though it needs nothing
+   * @param lease for how long a part outlives the word of a majority
+   * @param window after which half of what a dispatcher was asked for counts no more
+   * @param round between two rounds of asking others
+   * @param end after which a figure of another is unknown
+   * @param news between two rounds of asking another what engines told it; zero for never
+   * @param audit whether each change of the own part is written to the log
+   */
+  public record Spread(
+      boolean byDemand,
+      double alone,
+      double floor,
+      Span lease,
+      Span window,
+      Span round,
+      Span end,
+      Span news,
+      boolean audit) {
+    private static final long WHOLE = 1_000_000_000L;
+    private static final int LOANS = 16;
+
+    /** Rounds after which what an engine told is nothing. */
+    private static final int NEWS_ROUNDS = 30;
+
+    /** In how many parts the engines are divided. */
+    public long whole() {
+      return WHOLE;
     }
 
-    /** That the fleet agrees on the settings of decisions: for how long two members may contradict each other. */
-    public record Agreed(Span contradiction) {
+    public cobaltseam.spread.Terms terms(int processes) {
+      return new cobaltseam.spread.Terms(WHOLE, alone, processes, floor, lease.times(0.25), LOANS);
     }
 
-    /**
-     * What the fleet knows together of engines and of what its members need.
-     *
-     * @param byDemand whether parts of the engines follow demand; else they are even over the view
-     * @param alone the share of engines that dispatchers hold whatever they know, all together
-     * @param floor the share of its even part that one keeps, though it needs nothing
-     * @param lease for how long a part outlives the word of a majority
-     * @param window after which half of what a dispatcher was asked for counts no more
-     * @param round between two rounds of asking others
-     * @param end after which a figure of another is unknown
-     * @param news between two rounds of asking another what engines told it; zero for never
-     * @param audit whether each change of the own part is written to the log
-     */
-    public record Spread(boolean byDemand, double alone, double floor, Span lease, Span window, Span round, Span end, Span news, boolean audit) {
-        private static final long WHOLE = 1_000_000_000L;
-        private static final int LOANS = 16;
-        /** Rounds after which what an engine told is nothing. */
-        private static final int NEWS_ROUNDS = 30;
-
-        /** In how many parts the engines are divided. */
-        public long whole() {
-            return WHOLE;
-        }
-
-        public cobaltseam.spread.Terms terms(int processes) {
-            return new cobaltseam.spread.Terms(WHOLE, alone, processes, floor, lease.times(0.25), LOANS);
-        }
-
-        public cobaltseam.spread.Reports.Terms reports(double clocks) {
-            return new cobaltseam.spread.Reports.Terms(news, 1, news.times(NEWS_ROUNDS), clocks);
-        }
-
+    public cobaltseam.spread.Reports.Terms reports(double clocks) {
+      return new cobaltseam.spread.Reports.Terms(news, 1, news.times(NEWS_ROUNDS), clocks);
     }
-
-    /**
-     * That further sends are capped over the fleet.
-     *
-     * @param ratio further sends for each first one
-     * @param alone further sends in a window that each dispatcher has beside, whatever it knows
-     * @param window for which what first sends earn may be spent
-     * @param round between two looks at whom to ask for more
-     */
-    public record Repeats(double ratio, double alone, Span window, Span round) {
-        public cobaltseam.repeats.Terms terms(double clocks) {
-            return new cobaltseam.repeats.Terms(ratio, alone, window, round, clocks);
-        }
+  }
+
+  /**
+   * That further sends are capped over the fleet.
+   *
+   * @param ratio further sends for each first one
+   * @param alone further sends in a window that each dispatcher has beside, whatever it knows
+   * @param window for which what first sends earn may be spent
+   * @param round between two looks at whom to ask for more
+   */
+  public record Repeats(double ratio, double alone, Span window, Span round) {
+    public cobaltseam.repeats.Terms terms(double clocks) {
+      return new cobaltseam.repeats.Terms(ratio, alone, window, round, clocks);
     }
+  }
 
-    /** The keys of seals, the one to write with, and how much clocks may differ. */
-    public record Sealing(SealKeys keys, int writeKey, Span clockDifference) {
-    }
+  /** The keys of seals, the one to write with, and how much clocks may differ. */
+  public record Sealing(SealKeys keys, int writeKey, Span clockDifference) {}
 }
--- a/src/main/java/cobaltseam/setup/SetupReader.java
+++ b/src/main/java/cobaltseam/setup/SetupReader.java
@@ -1,29 +1,14 @@
 package cobaltseam.setup;
 
-import java.io.IOException;
-import java.io.InputStream;
-import java.net.Inet6Address;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.EnumMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Locale;
-import java.util.Map;
-import java.util.Set;
-
 import cobaltseam.deployment.BadInput;
 import cobaltseam.dispatch.Span;
 import cobaltseam.mastership.Fitness;
 import cobaltseam.mastership.Fitness.Sign;
 import cobaltseam.mastership.Terms;
 import cobaltseam.mastership.VirtualRouterId;
+import cobaltseam.seal.SealKeys;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Reading.Covers;
-import cobaltseam.seal.SealKeys;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -33,361 +18,461 @@
 import com.networknt.schema.Schema;
 import com.networknt.schema.SchemaRegistry;
 import com.networknt.schema.SpecificationVersion;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.Inet6Address;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
 
 /**
- * Reads our own file: TOML, checked against the schema in this package's resources, then across keys. All that is
- * wrong is told at once, each with file, key, what stands there and what is allowed.
+ * Reads our own file: TOML, checked against the schema in this package's resources, then across
+ * keys. All that is wrong is told at once, each with file, key, what stands there and what is
+ * allowed.
  */
 public final class SetupReader {
-    private static final String SCHEMA = "schema.json";
-    private static final int LARGEST = 1 << 20;
-    private static final int US_PER_MS = 1000;
-    private static final int US_PER_CENTISECOND = 10_000;
-    private static final int LAST_PORT = 65_535;
-    private static final int MOST_CLAIMS = 1 << 13;
+  private static final String SCHEMA = "schema.json";
+  private static final int LARGEST = 1 << 20;
+  private static final int US_PER_MS = 1000;
+  private static final int US_PER_CENTISECOND = 10_000;
+  private static final int LAST_PORT = 65_535;
+  private static final int MOST_CLAIMS = 1 << 13;
 
-    private final Path file;
-    private final JsonNode schema;
-    private final List<String> wrong = new ArrayList<>();
+  private final Path file;
+  private final JsonNode schema;
+  private final List<String> wrong = new ArrayList<>();
 
-    private SetupReader(Path file) {
-        this.file = file;
-        try (InputStream in = SetupReader.class.getResourceAsStream(SCHEMA)) {
-            schema = new ObjectMapper().readTree(in);
-        } catch (IOException e) {
-            throw new IllegalStateException("the schema is not in the jar", e);
-        }
+  private SetupReader(Path file) {
+    this.file = file;
+    try (InputStream in = SetupReader.class.getResourceAsStream(SCHEMA)) {
+      schema = new ObjectMapper().readTree(in);
+    } catch (IOException e) {
+      throw new IllegalStateException("the schema is not in the jar", e);
     }
+  }
 
-    /**
-     * What a file sets.
-     *
-     * @throws BadInput with everything that is wrong with it, a line each
-     */
-    public static Setup read(Path file) {
-        return new SetupReader(file).read();
-    }
+  /**
+   * What a file sets.
+   *
+   * @throws BadInput with everything that is wrong with it, a line each
+   */
+  public static Setup read(Path file) {
+    return new SetupReader(file).read();
+  }
 
-    private Setup read() {
-        JsonNode told;
-        try {
-            if (Files.size(file) > LARGEST) {
-                throw new BadInput(file + ": it is longer than " + LARGEST + " bytes");
-            }
-            told = new TomlMapper().readTree(Files.readString(file));
-        } catch (JacksonException e) {
-            throw new BadInput(file + ": it is not TOML: " + e.getOriginalMessage()
-                    + (e.getLocation() == null ? "" : ", line " + e.getLocation().getLineNr()));
-        } catch (IOException e) {
-            throw new BadInput(file + ": it can't be read: " + e.getMessage());
-        }
-        Schema checks = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(schema);
-        for (Error error : checks.validate(told)) {
-            wrong(error);
-        }
-        end();
-        boolean json = told.at("/logging/form").asText("text").equals("json");
-        JsonNode mastership = told.path("mastership");
-        JsonNode membership = told.path("membership");
-        Setup setup = new Setup(json, mastership.isMissingNode() ? null : hall(mastership),
-                membership.isMissingNode() ? null : fleet(membership), agreed(told.path("agreement"), membership),
-                spread(told.path("spread"), membership, told.path("agreement")), repeats(told.path("repeats"), membership));
-        end();
-        return setup;
+  private Setup read() {
+    JsonNode told;
+    try {
+      if (Files.size(file) > LARGEST) {
+        throw new BadInput(file + ": it is longer than " + LARGEST + " bytes");
+      }
+      told = new TomlMapper().readTree(Files.readString(file));
+    } catch (JacksonException e) {
+      throw new BadInput(
+          file
+              + ": it is not TOML: "
+              + e.getOriginalMessage()
+              + (e.getLocation() == null ? "" : ", line " + e.getLocation().getLineNr()));
+    } catch (IOException e) {
+      throw new BadInput(file + ": it can't be read: " + e.getMessage());
     }
+    Schema checks =
+        SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(schema);
+    for (Error error : checks.validate(told)) {
+      wrong(error);
+    }
+    end();
+    boolean json = told.at("/logging/form").asText("text").equals("json");
+    JsonNode mastership = told.path("mastership");
+    JsonNode membership = told.path("membership");
+    Setup setup =
+        new Setup(
+            json,
+            mastership.isMissingNode() ? null : hall(mastership),
+            membership.isMissingNode() ? null : fleet(membership),
+            agreed(told.path("agreement"), membership),
+            spread(told.path("spread"), membership, told.path("agreement")),
+            repeats(told.path("repeats"), membership));
+    end();
+    return setup;
+  }
 
-    private void end() {
-        if (!wrong.isEmpty()) {
-            throw new BadInput(String.join("\n", wrong));
-        }
+  private void end() {
+    if (!wrong.isEmpty()) {
+      throw new BadInput(String.join("\n", wrong));
     }
+  }
 
-    // ---- against the schema
+  // ---- against the schema
 
-    private void wrong(Error error) {
-        String key = key(error.getInstanceLocation().toString());
-        JsonNode there = error.getInstanceNode();
-        switch (error.getKeyword()) {
-            case "required" -> wrong(join(key, error.getProperty()), "nothing",
-                    allowed(schemaOf(error).at("/properties/" + error.getProperty())));
-            case "additionalProperties" -> {
-                List<String> names = new ArrayList<>();
-                schemaOf(error).path("properties").fieldNames().forEachRemaining(names::add);
-                wrong(join(key, error.getProperty()), there == null ? MissingNode.getInstance() : there.path(error.getProperty()),
-                        "only these are allowed there: " + String.join(", ", names));
-            }
-            default -> wrong(key, there, allowed(schemaOf(error)));
-        }
+  private void wrong(Error error) {
+    String key = key(error.getInstanceLocation().toString());
+    JsonNode there = error.getInstanceNode();
+    switch (error.getKeyword()) {
+      case "required" ->
+          wrong(
+              join(key, error.getProperty()),
+              "nothing",
+              allowed(schemaOf(error).at("/properties/" + error.getProperty())));
+      case "additionalProperties" -> {
+        List<String> names = new ArrayList<>();
+        schemaOf(error).path("properties").fieldNames().forEachRemaining(names::add);
+        wrong(
+            join(key, error.getProperty()),
+            there == null ? MissingNode.getInstance() : there.path(error.getProperty()),
+            "only these are allowed there: " + String.join(", ", names));
+      }
+      default -> wrong(key, there, allowed(schemaOf(error)));
     }
+  }
 
-    /** The part of the schema that an error's keyword stands in. */
-    private JsonNode schemaOf(Error error) {
-        String at = error.getSchemaLocation().getFragment().toString();
-        JsonNode node = schema;
-        String[] steps = at.split("/");
-        for (int i = 1; i < steps.length - 1; i++) {
-            node = node.isArray() ? node.path(Integer.parseInt(steps[i])) : node.path(steps[i]);
-        }
-        return node;
+  /** The part of the schema that an error's keyword stands in. */
+  private JsonNode schemaOf(Error error) {
+    String at = error.getSchemaLocation().getFragment().toString();
+    JsonNode node = schema;
+    String[] steps = at.split("/");
+    for (int i = 1; i < steps.length - 1; i++) {
+      node = node.isArray() ? node.path(Integer.parseInt(steps[i])) : node.path(steps[i]);
     }
+    return node;
+  }
 
-    private static String allowed(JsonNode schema) {
-        List<String> parts = new ArrayList<>();
-        if (schema.has("enum")) {
-            parts.add("one of " + schema.path("enum"));
-        }
-        if (schema.has("type")) {
-            parts.add(switch (schema.path("type").asText()) {
-                case "integer" -> "a whole number";
-                case "number" -> "a number";
-                case "boolean" -> "true or false";
-                case "array" -> "a list";
-                case "object" -> "a table";
-                default -> "a text";
-            });
-        }
-        if (schema.has("minimum")) {
-            parts.add("from " + schema.path("minimum") + " to " + schema.path("maximum"));
-        }
-        if (schema.has("multipleOf")) {
-            parts.add("a multiple of " + schema.path("multipleOf"));
-        }
-        if (schema.has("minItems")) {
-            parts.add("of " + schema.path("minItems") + " to " + schema.path("maxItems") + ", each once");
-        }
-        if (schema.has("pattern")) {
-            parts.add("address:port, an IPv6 address in brackets");
-        }
-        if (schema.has("default")) {
-            parts.add("default " + schema.path("default"));
-        }
-        return String.join(", ", parts) + " is allowed. " + schema.path("description").asText();
+  private static String allowed(JsonNode schema) {
+    List<String> parts = new ArrayList<>();
+    if (schema.has("enum")) {
+      parts.add("one of " + schema.path("enum"));
     }
-
-    private static String key(String pointer) {
-        StringBuilder key = new StringBuilder();
-        for (String step : pointer.split("/")) {
-            if (step.matches("[0-9]+")) {
-                key.append('[').append(step).append(']');
-            } else if (!step.isEmpty()) {
-                key.append(key.length() == 0 ? "" : ".").append(step);
-            }
-        }
-        return key.toString();
+    if (schema.has("type")) {
+      parts.add(
+          switch (schema.path("type").asText()) {
+            case "integer" -> "a whole number";
+            case "number" -> "a number";
+            case "boolean" -> "true or false";
+            case "array" -> "a list";
+            case "object" -> "a table";
+            default -> "a text";
+          });
     }
-
-    private static String join(String key, String name) {
-        return key.isEmpty() ? name : key + "." + name;
+    if (schema.has("minimum")) {
+      parts.add("from " + schema.path("minimum") + " to " + schema.path("maximum"));
     }
-
-    private void wrong(String key, JsonNode there, String allowed) {
-        wrong(key, there == null || there.isMissingNode() ? "nothing" : there.toString(), allowed);
+    if (schema.has("multipleOf")) {
+      parts.add("a multiple of " + schema.path("multipleOf"));
+    }
+    if (schema.has("minItems")) {
+      parts.add("of " + schema.path("minItems") + " to " + schema.path("maxItems") + ", each once");
+    }
+    if (schema.has("pattern")) {
+      parts.add("address:port, an IPv6 address in brackets");
+    }
+    if (schema.has("default")) {
+      parts.add("default " + schema.path("default"));
     }
+    return String.join(", ", parts) + " is allowed. " + schema.path("description").asText();
+  }
 
-    private void wrong(String key, String there, String allowed) {
-        wrong.add(file + ": " + key + ": " + there + " stands there; " + allowed.strip());
+  private static String key(String pointer) {
+    StringBuilder key = new StringBuilder();
+    for (String step : pointer.split("/")) {
+      if (step.matches("[0-9]+")) {
+        key.append('[').append(step).append(']');
+      } else if (!step.isEmpty()) {
+        key.append(key.length() == 0 ? "" : ".").append(step);
+      }
     }
+    return key.toString();
+  }
 
-    // ---- across keys
+  private static String join(String key, String name) {
+    return key.isEmpty() ? name : key + "." + name;
+  }
 
-    private Setup.Hall hall(JsonNode told) {
-        InetSocketAddress listen = address("mastership.listen", told.path("listen"));
-        List<InetSocketAddress> peers = new ArrayList<>();
-        Set<InetAddress> hosts = new HashSet<>();
-        for (int i = 0; i < told.path("peers").size(); i++) {
-            JsonNode peer = told.path("peers").path(i);
-            String key = "mastership.peers[" + i + "]";
-            InetSocketAddress at = address(key, peer);
-            if (at != null && !hosts.add(at.getAddress())) {
-                wrong(key, peer, "each peer needs an IP address of its own: adverts are known by it.");
-            } else if (at != null && listen != null && at.getAddress().equals(listen.getAddress())) {
-                wrong(key, peer, "a peer's address must not be mastership.listen, which is ours.");
-            } else if (at != null && listen != null && six(at) != six(listen)) {
-                wrong(key, peer, "it must be of the family of mastership.listen.");
-            }
-            peers.add(at);
-        }
-        List<Setup.Seat> seats = new ArrayList<>();
-        Set<VirtualRouterId> ids = new HashSet<>();
-        Set<InetSocketAddress> served = new HashSet<>();
-        for (int i = 0; i < told.path("router").size(); i++) {
-            JsonNode router = told.path("router").path(i);
-            String key = "mastership.router[" + i + "]";
-            Setup.Seat seat = seat(key, router, listen);
-            seats.add(seat);
-            if (!ids.add(seat.terms().router())) {
-                wrong(key + ".id", router.path("id"), "each virtual router id may be used once.");
-            }
-            if (seat.serve() != null && !served.add(seat.serve())) {
-                wrong(key + ".serve", router.path("serve"), "each virtual router needs an address to serve of its own.");
-            }
-        }
-        if (told.path("peers").size() * seats.size() > MOST_CLAIMS) {
-            wrong("mastership.router", told.path("router").size() + " routers", "no more than " + MOST_CLAIMS
-                    + " routers times peers is allowed: something is kept for each.");
-        }
-        return new Setup.Hall(listen, List.copyOf(peers.stream().filter(p -> p != null).toList()),
-                told.path("ipv4_checksum").asText("message").equals("message") ? Covers.MESSAGE : Covers.PSEUDO_HEADER,
-                told.path("other_interval").asText("follow").equals("follow"), told.path("elsewhere").asInt(-1),
-                told.path("stand_by_answers").asBoolean(true), seats, sealing("mastership", told.path("seal")),
-                fitness(told.path("fitness")));
-    }
+  private void wrong(String key, JsonNode there, String allowed) {
+    wrong(key, there == null || there.isMissingNode() ? "nothing" : there.toString(), allowed);
+  }
 
-    private Setup.Agreed agreed(JsonNode told, JsonNode membership) {
-        if (told.isMissingNode()) {
-            return null;
-        }
-        if (membership.isMissingNode()) {
-            wrong("agreement", told, "it needs [membership]: views carry what is agreed.");
-        }
-        return new Setup.Agreed(new Span(value(told, schema.at("/properties/agreement/properties"), "contradiction_ms").asLong() * US_PER_MS));
-    }
+  private void wrong(String key, String there, String allowed) {
+    wrong.add(file + ": " + key + ": " + there + " stands there; " + allowed.strip());
+  }
 
-    private Setup.Spread spread(JsonNode told, JsonNode membership, JsonNode agreement) {
-        if (told.isMissingNode()) {
-            return null;
-        }
-        JsonNode keys = schema.at("/properties/spread/properties");
-        if (membership.isMissingNode()) {
-            wrong("spread", told, "it needs [membership]: parts are those of the members of a view.");
-        }
-        if (told.has("lease_ms") && agreement.has("contradiction_ms")) {
-            wrong("spread.lease_ms", told.path("lease_ms"), "agreement.contradiction_ms says for how long a lease lasts; one of the two is allowed.");
-        }
-        Span round = new Span(value(told, keys, "round_ms").asLong() * US_PER_MS);
-        Span end = new Span(value(told, keys, "unknown_after_ms").asLong() * US_PER_MS);
-        if (end.compareTo(round) <= 0) {
-            wrong("spread.unknown_after_ms", told.path("unknown_after_ms"), "it must be longer than spread.round_ms.");
-        }
-        return new Setup.Spread(value(told, keys, "by").asText().equals("demand"), value(told, keys, "alone").asDouble(), value(told, keys, "floor").asDouble(),
-                new Span(value(told, keys, "lease_ms").asLong() * US_PER_MS), new Span(value(told, keys, "window_ms").asLong() * US_PER_MS), round, end,
-                new Span(value(told, keys, "news_ms").asLong() * US_PER_MS),
-                value(told, keys, "audit").asBoolean());
-    }
+  // ---- across keys
 
-    private Setup.Repeats repeats(JsonNode told, JsonNode membership) {
-        if (told.isMissingNode()) {
-            return null;
-        }
-        JsonNode keys = schema.at("/properties/repeats/properties");
-        if (membership.isMissingNode()) {
-            wrong("repeats", told, "it needs [membership]: what is left is moved between members.");
-        }
-        Span window = new Span(value(told, keys, "window_ms").asLong() * US_PER_MS);
-        Span round = new Span(value(told, keys, "round_ms").asLong() * US_PER_MS);
-        if (round.compareTo(window) >= 0) {
-            wrong("repeats.round_ms", told.path("round_ms"), "it must be shorter than repeats.window_ms.");
-        }
-        return new Setup.Repeats(value(told, keys, "ratio").asDouble(), value(told, keys, "alone").asDouble(), window, round);
+  private Setup.Hall hall(JsonNode told) {
+    InetSocketAddress listen = address("mastership.listen", told.path("listen"));
+    List<InetSocketAddress> peers = new ArrayList<>();
+    Set<InetAddress> hosts = new HashSet<>();
+    for (int i = 0; i < told.path("peers").size(); i++) {
+      JsonNode peer = told.path("peers").path(i);
+      String key = "mastership.peers[" + i + "]";
+      InetSocketAddress at = address(key, peer);
+      if (at != null && !hosts.add(at.getAddress())) {
+        wrong(key, peer, "each peer needs an IP address of its own: adverts are known by it.");
+      } else if (at != null && listen != null && at.getAddress().equals(listen.getAddress())) {
+        wrong(key, peer, "a peer's address must not be mastership.listen, which is ours.");
+      } else if (at != null && listen != null && six(at) != six(listen)) {
+        wrong(key, peer, "it must be of the family of mastership.listen.");
+      }
+      peers.add(at);
     }
-
-    private Setup.Fleet fleet(JsonNode told) {
-        JsonNode keys = schema.at("/properties/membership/properties");
-        InetSocketAddress listen = address("membership.listen", told.path("listen"));
-        InetSocketAddress advertise = told.has("advertise") ? address("membership.advertise", told.path("advertise")) : listen;
-        List<InetSocketAddress> seeds = new ArrayList<>();
-        for (int i = 0; i < told.path("seeds").size(); i++) {
-            InetSocketAddress seed = address("membership.seeds[" + i + "]", told.path("seeds").path(i));
-            if (seed != null) {
-                seeds.add(seed);
-            }
-        }
-        List<String> founders = new ArrayList<>();
-        told.path("founders").forEach(f -> founders.add(f.asText()));
-        return new Setup.Fleet(told.path("fleet").asText(), listen, advertise, List.copyOf(seeds), List.copyOf(founders),
-                new Span(value(told, keys, "period_ms").asLong() * US_PER_MS), value(told, keys, "patience").asDouble(),
-                value(told, keys, "helpers").asInt(), told.has("folder") ? beside(told.path("folder").asText()) : null,
-                told.has("found_anew") ? told.path("found_anew").asText() : null, sealing("membership", told.path("seal")));
+    List<Setup.Seat> seats = new ArrayList<>();
+    Set<VirtualRouterId> ids = new HashSet<>();
+    Set<InetSocketAddress> served = new HashSet<>();
+    for (int i = 0; i < told.path("router").size(); i++) {
+      JsonNode router = told.path("router").path(i);
+      String key = "mastership.router[" + i + "]";
+      Setup.Seat seat = seat(key, router, listen);
+      seats.add(seat);
+      if (!ids.add(seat.terms().router())) {
+        wrong(key + ".id", router.path("id"), "each virtual router id may be used once.");
+      }
+      if (seat.serve() != null && !served.add(seat.serve())) {
+        wrong(
+            key + ".serve",
+            router.path("serve"),
+            "each virtual router needs an address to serve of its own.");
+      }
+    }
+    if (told.path("peers").size() * seats.size() > MOST_CLAIMS) {
+      wrong(
+          "mastership.router",
+          told.path("router").size() + " routers",
+          "no more than "
+              + MOST_CLAIMS
+              + " routers times peers is allowed: something is kept for each.");
     }
+    return new Setup.Hall(
+        listen,
+        List.copyOf(peers.stream().filter(p -> p != null).toList()),
+        told.path("ipv4_checksum").asText("message").equals("message")
+            ? Covers.MESSAGE
+            : Covers.PSEUDO_HEADER,
+        told.path("other_interval").asText("follow").equals("follow"),
+        told.path("elsewhere").asInt(-1),
+        told.path("stand_by_answers").asBoolean(true),
+        seats,
+        sealing("mastership", told.path("seal")),
+        fitness(told.path("fitness")));
+  }
 
-    private static boolean six(InetSocketAddress address) {
-        return address.getAddress() instanceof Inet6Address;
+  private Setup.Agreed agreed(JsonNode told, JsonNode membership) {
+    if (told.isMissingNode()) {
+      return null;
     }
+    if (membership.isMissingNode()) {
+      wrong("agreement", told, "it needs [membership]: views carry what is agreed.");
+    }
+    return new Setup.Agreed(
+        new Span(
+            value(told, schema.at("/properties/agreement/properties"), "contradiction_ms").asLong()
+                * US_PER_MS));
+  }
 
-    private Setup.Seat seat(String key, JsonNode told, InetSocketAddress listen) {
-        List<InetAddress> addresses = new ArrayList<>();
-        for (int i = 0; i < told.path("addresses").size(); i++) {
-            JsonNode text = told.path("addresses").path(i);
-            InetAddress read = Addresses.read(text.asText()).orElse(null);
-            if (read == null) {
-                wrong(key + ".addresses[" + i + "]", text, "an IPv4 or IPv6 address, written out, is allowed.");
-            } else if (listen != null && read instanceof Inet6Address != six(listen)) {
-                wrong(key + ".addresses[" + i + "]", text, "it must be of the family of mastership.listen.");
-            } else {
-                addresses.add(read);
-            }
-        }
-        boolean ipv6 = listen != null && six(listen);
-        Terms terms = new Terms(new VirtualRouterId(told.path("id").asInt(), ipv6), told.path("priority").asInt(100),
-                ms(told.path("interval_ms"), US_PER_CENTISECOND * 100 / US_PER_MS),
-                told.path("preempt").asBoolean(true), ms(told.path("preempt_delay_ms"), 0), addresses);
-        return new Setup.Seat(terms, address(key + ".serve", told.path("serve")));
+  private Setup.Spread spread(JsonNode told, JsonNode membership, JsonNode agreement) {
+    if (told.isMissingNode()) {
+      return null;
+    }
+    JsonNode keys = schema.at("/properties/spread/properties");
+    if (membership.isMissingNode()) {
+      wrong("spread", told, "it needs [membership]: parts are those of the members of a view.");
     }
+    if (told.has("lease_ms") && agreement.has("contradiction_ms")) {
+      wrong(
+          "spread.lease_ms",
+          told.path("lease_ms"),
+          "agreement.contradiction_ms says for how long a lease lasts; one of the two is allowed.");
+    }
+    Span round = new Span(value(told, keys, "round_ms").asLong() * US_PER_MS);
+    Span end = new Span(value(told, keys, "unknown_after_ms").asLong() * US_PER_MS);
+    if (end.compareTo(round) <= 0) {
+      wrong(
+          "spread.unknown_after_ms",
+          told.path("unknown_after_ms"),
+          "it must be longer than spread.round_ms.");
+    }
+    return new Setup.Spread(
+        value(told, keys, "by").asText().equals("demand"),
+        value(told, keys, "alone").asDouble(),
+        value(told, keys, "floor").asDouble(),
+        new Span(value(told, keys, "lease_ms").asLong() * US_PER_MS),
+        new Span(value(told, keys, "window_ms").asLong() * US_PER_MS),
+        round,
+        end,
+        new Span(value(told, keys, "news_ms").asLong() * US_PER_MS),
+        value(told, keys, "audit").asBoolean());
+  }
 
-    private static Span ms(JsonNode told, long otherwise) {
-        return new Span(told.asLong(otherwise) * US_PER_MS);
+  private Setup.Repeats repeats(JsonNode told, JsonNode membership) {
+    if (told.isMissingNode()) {
+      return null;
+    }
+    JsonNode keys = schema.at("/properties/repeats/properties");
+    if (membership.isMissingNode()) {
+      wrong("repeats", told, "it needs [membership]: what is left is moved between members.");
     }
+    Span window = new Span(value(told, keys, "window_ms").asLong() * US_PER_MS);
+    Span round = new Span(value(told, keys, "round_ms").asLong() * US_PER_MS);
+    if (round.compareTo(window) >= 0) {
+      wrong(
+          "repeats.round_ms", told.path("round_ms"), "it must be shorter than repeats.window_ms.");
+    }
+    return new Setup.Repeats(
+        value(told, keys, "ratio").asDouble(),
+        value(told, keys, "alone").asDouble(),
+        window,
+        round);
+  }
 
-    /** A path in the file counts from the file's own folder. */
-    private Path beside(String name) {
-        return file.toAbsolutePath().getParent().resolve(name);
+  private Setup.Fleet fleet(JsonNode told) {
+    JsonNode keys = schema.at("/properties/membership/properties");
+    InetSocketAddress listen = address("membership.listen", told.path("listen"));
+    InetSocketAddress advertise =
+        told.has("advertise") ? address("membership.advertise", told.path("advertise")) : listen;
+    List<InetSocketAddress> seeds = new ArrayList<>();
+    for (int i = 0; i < told.path("seeds").size(); i++) {
+      InetSocketAddress seed = address("membership.seeds[" + i + "]", told.path("seeds").path(i));
+      if (seed != null) {
+        seeds.add(seed);
+      }
     }
+    List<String> founders = new ArrayList<>();
+    told.path("founders").forEach(f -> founders.add(f.asText()));
+    return new Setup.Fleet(
+        told.path("fleet").asText(),
+        listen,
+        advertise,
+        List.copyOf(seeds),
+        List.copyOf(founders),
+        new Span(value(told, keys, "period_ms").asLong() * US_PER_MS),
+        value(told, keys, "patience").asDouble(),
+        value(told, keys, "helpers").asInt(),
+        told.has("folder") ? beside(told.path("folder").asText()) : null,
+        told.has("found_anew") ? told.path("found_anew").asText() : null,
+        sealing("membership", told.path("seal")));
+  }
+
+  private static boolean six(InetSocketAddress address) {
+    return address.getAddress() instanceof Inet6Address;
+  }
 
-    private Setup.Sealing sealing(String part, JsonNode told) {
-        if (told.isMissingNode()) {
-            return null;
-        }
-        String name = told.path("keys").asText();
-        try {
-            SealKeys keys = SealKeys.read(Files.readString(beside(name)));
-            if (!keys.has(told.path("write_key").asInt())) {
-                wrong(part + ".seal.write_key", told.path("write_key"), "the id of a key in " + name + " is allowed.");
-            }
-            return new Setup.Sealing(keys, told.path("write_key").asInt(), ms(told.path("clock_difference_ms"), 500));
-        } catch (IOException e) {
-            wrong(part + ".seal.keys", told.path("keys"), "a file that can be read is allowed; this one: " + e);
-        } catch (IllegalArgumentException e) {
-            wrong(part + ".seal.keys", told.path("keys"), "a file of keys is allowed; of this one " + e.getMessage());
-        }
-        return null;
+  private Setup.Seat seat(String key, JsonNode told, InetSocketAddress listen) {
+    List<InetAddress> addresses = new ArrayList<>();
+    for (int i = 0; i < told.path("addresses").size(); i++) {
+      JsonNode text = told.path("addresses").path(i);
+      InetAddress read = Addresses.read(text.asText()).orElse(null);
+      if (read == null) {
+        wrong(
+            key + ".addresses[" + i + "]",
+            text,
+            "an IPv4 or IPv6 address, written out, is allowed.");
+      } else if (listen != null && read instanceof Inet6Address != six(listen)) {
+        wrong(
+            key + ".addresses[" + i + "]", text, "it must be of the family of mastership.listen.");
+      } else {
+        addresses.add(read);
+      }
     }
+    boolean ipv6 = listen != null && six(listen);
+    Terms terms =
+        new Terms(
+            new VirtualRouterId(told.path("id").asInt(), ipv6),
+            told.path("priority").asInt(100),
+            ms(told.path("interval_ms"), US_PER_CENTISECOND * 100 / US_PER_MS),
+            told.path("preempt").asBoolean(true),
+            ms(told.path("preempt_delay_ms"), 0),
+            addresses);
+    return new Setup.Seat(terms, address(key + ".serve", told.path("serve")));
+  }
+
+  private static Span ms(JsonNode told, long otherwise) {
+    return new Span(told.asLong(otherwise) * US_PER_MS);
+  }
 
-    private Fitness.Watched fitness(JsonNode told) {
-        JsonNode keys = schema.at("/properties/mastership/properties/fitness/properties");
-        Map<Sign, Fitness.Bounds> bounds = new EnumMap<>(Sign.class);
-        for (Sign sign : Sign.values()) {
-            String name = sign.name().toLowerCase(Locale.ROOT);
-            JsonNode of = told.path(name);
-            JsonNode defaults = keys.path(name).path("properties");
-            double bad = value(of, defaults, "bad_from").asDouble();
-            double well = value(of, defaults, "well_below").asDouble();
-            int steps = value(of, defaults, "steps").asInt();
-            if (well > bad) {
-                wrong("mastership.fitness." + name + ".well_below", of.path("well_below"),
-                        "no more than bad_from, " + bad + ", is allowed.");
-            }
-            if (steps > 0) {
-                bounds.put(sign, new Fitness.Bounds(bad, well, steps));
-            }
-        }
-        return new Fitness.Watched(bounds, new Span(value(told, keys, "sustained_ms").asLong() * US_PER_MS),
-                new Span(value(told, keys, "calm_ms").asLong() * US_PER_MS), value(told, keys, "most_doubled").asInt());
+  /** A path in the file counts from the file's own folder. */
+  private Path beside(String name) {
+    return file.toAbsolutePath().getParent().resolve(name);
+  }
+
+  private Setup.Sealing sealing(String part, JsonNode told) {
+    if (told.isMissingNode()) {
+      return null;
+    }
+    String name = told.path("keys").asText();
+    try {
+      SealKeys keys = SealKeys.read(Files.readString(beside(name)));
+      if (!keys.has(told.path("write_key").asInt())) {
+        wrong(
+            part + ".seal.write_key",
+            told.path("write_key"),
+            "the id of a key in " + name + " is allowed.");
+      }
+      return new Setup.Sealing(
+          keys, told.path("write_key").asInt(), ms(told.path("clock_difference_ms"), 500));
+    } catch (IOException e) {
+      wrong(
+          part + ".seal.keys",
+          told.path("keys"),
+          "a file that can be read is allowed; this one: " + e);
+    } catch (IllegalArgumentException e) {
+      wrong(
+          part + ".seal.keys",
+          told.path("keys"),
+          "a file of keys is allowed; of this one " + e.getMessage());
     }
+    return null;
+  }
 
-    private static JsonNode value(JsonNode told, JsonNode schema, String name) {
-        return told.has(name) ? told.path(name) : schema.path(name).path("default");
+  private Fitness.Watched fitness(JsonNode told) {
+    JsonNode keys = schema.at("/properties/mastership/properties/fitness/properties");
+    Map<Sign, Fitness.Bounds> bounds = new EnumMap<>(Sign.class);
+    for (Sign sign : Sign.values()) {
+      String name = sign.name().toLowerCase(Locale.ROOT);
+      JsonNode of = told.path(name);
+      JsonNode defaults = keys.path(name).path("properties");
+      double bad = value(of, defaults, "bad_from").asDouble();
+      double well = value(of, defaults, "well_below").asDouble();
+      int steps = value(of, defaults, "steps").asInt();
+      if (well > bad) {
+        wrong(
+            "mastership.fitness." + name + ".well_below",
+            of.path("well_below"),
+            "no more than bad_from, " + bad + ", is allowed.");
+      }
+      if (steps > 0) {
+        bounds.put(sign, new Fitness.Bounds(bad, well, steps));
+      }
     }
+    return new Fitness.Watched(
+        bounds,
+        new Span(value(told, keys, "sustained_ms").asLong() * US_PER_MS),
+        new Span(value(told, keys, "calm_ms").asLong() * US_PER_MS),
+        value(told, keys, "most_doubled").asInt());
+  }
+
+  private static JsonNode value(JsonNode told, JsonNode schema, String name) {
+    return told.has(name) ? told.path(name) : schema.path(name).path("default");
+  }
 
-    private InetSocketAddress address(String key, JsonNode told) {
-        String text = told.isMissingNode() || told instanceof MissingNode ? "" : told.asText();
-        int colon = text.lastIndexOf(':');
-        String host = colon < 0 ? "" : text.substring(0, colon).replaceAll("^\\[|]$", "");
-        InetAddress read = Addresses.read(host).orElse(null);
-        int port = colon < 0 || read == null ? -1 : Integer.parseInt(text.substring(colon + 1));
-        if (read == null || port < 1 || port > LAST_PORT || read.isAnyLocalAddress()) {
-            wrong(key, told, "one address written out, a colon and a port from 1 to " + LAST_PORT + " is allowed.");
-            return null;
-        }
-        return new InetSocketAddress(read, port);
+  private InetSocketAddress address(String key, JsonNode told) {
+    String text = told.isMissingNode() || told instanceof MissingNode ? "" : told.asText();
+    int colon = text.lastIndexOf(':');
+    String host = colon < 0 ? "" : text.substring(0, colon).replaceAll("^\\[|]$", "");
+    InetAddress read = Addresses.read(host).orElse(null);
+    int port = colon < 0 || read == null ? -1 : Integer.parseInt(text.substring(colon + 1));
+    if (read == null || port < 1 || port > LAST_PORT || read.isAnyLocalAddress()) {
+      wrong(
+          key,
+          told,
+          "one address written out, a colon and a port from 1 to " + LAST_PORT + " is allowed.");
+      return null;
     }
+    return new InetSocketAddress(read, port);
+  }
 }
--- a/src/main/java/cobaltseam/sharing/Figures.java
+++ b/src/main/java/cobaltseam/sharing/Figures.java
@@ -4,18 +4,21 @@
 import java.util.TreeMap;
 
 /**
- * What one member says of itself, by name of figure. A figure that is not there is unknown, never zero. Names that this build
- * does not know are passed on as they came.
+ * What one member says of itself, by name of figure. A figure that is not there is unknown, never
+ * zero. Names that this build does not know are passed on as they came.
  */
 public record Figures(Map<String, Long> byName) {
-    /** No member says more than this many figures: what a peer makes others hold is bounded. */
-    public static final int MOST = 256;
-    public static final int LONGEST_NAME = 64;
+  /** No member says more than this many figures: what a peer makes others hold is bounded. */
+  public static final int MOST = 256;
 
-    public Figures {
-        if (byName.size() > MOST || byName.keySet().stream().anyMatch(n -> n.isEmpty() || n.length() > LONGEST_NAME)) {
-            throw new IllegalArgumentException("at most " + MOST + " figures, with names of 1 to " + LONGEST_NAME + " characters");
-        }
-        byName = Map.copyOf(new TreeMap<>(byName));
+  public static final int LONGEST_NAME = 64;
+
+  public Figures {
+    if (byName.size() > MOST
+        || byName.keySet().stream().anyMatch(n -> n.isEmpty() || n.length() > LONGEST_NAME)) {
+      throw new IllegalArgumentException(
+          "at most " + MOST + " figures, with names of 1 to " + LONGEST_NAME + " characters");
     }
+    byName = Map.copyOf(new TreeMap<>(byName));
+  }
 }
--- a/src/main/java/cobaltseam/sharing/Known.java
+++ b/src/main/java/cobaltseam/sharing/Known.java
@@ -3,5 +3,4 @@
 import cobaltseam.dispatch.Span;
 
 /** What is known of a member now: its figures, and how old they are at the most. */
-public record Known(Version version, Figures figures, Span age) {
-}
+public record Known(Version version, Figures figures, Span age) {}
--- a/src/main/java/cobaltseam/sharing/Statement.java
+++ b/src/main/java/cobaltseam/sharing/Statement.java
@@ -1,16 +1,15 @@
 package cobaltseam.sharing;
 
-import java.util.Objects;
-
 import cobaltseam.dispatch.Span;
 import cobaltseam.membership.MemberName;
+import java.util.Objects;
 
 /** What a member said of itself, and how long ago at least that was when this left its teller. */
 public record Statement(MemberName of, Version version, Figures figures, Span age) {
-    public Statement {
-        Objects.requireNonNull(of);
-        Objects.requireNonNull(version);
-        Objects.requireNonNull(figures);
-        Objects.requireNonNull(age);
-    }
+  public Statement {
+    Objects.requireNonNull(of);
+    Objects.requireNonNull(version);
+    Objects.requireNonNull(figures);
+    Objects.requireNonNull(age);
+  }
 }
--- a/src/main/java/cobaltseam/sharing/Terms.java
+++ b/src/main/java/cobaltseam/sharing/Terms.java
@@ -3,14 +3,19 @@
 import cobaltseam.dispatch.Span;
 
 /**
- * How knowledge is spread: between two rounds of one member, how many it asks in one, how old a figure may be before it is
- * unknown, the bytes of one message, and by how much clocks' rates may differ (0.001 is one part in a thousand).
+ * How knowledge is spread: between two rounds of one member, how many it asks in one, how old a
+ * figure may be before it is unknown, the bytes of one message, and by how much clocks' rates may
+ * differ (0.001 is one part in a thousand).
  */
 public record Terms(Span round, int asked, Span end, int mostBytes, double drift) {
-    public Terms {
-        if (!round.isPositive() || asked < 1 || end.compareTo(round) <= 0 || mostBytes < 512 || !(drift >= 0 && drift < 0.1)) {
-            throw new IllegalArgumentException(
-                    "round above 0, asked at least 1, end above round, at least 512 bytes, drift from 0 to below 0.1");
-        }
+  public Terms {
+    if (!round.isPositive()
+        || asked < 1
+        || end.compareTo(round) <= 0
+        || mostBytes < 512
+        || !(drift >= 0 && drift < 0.1)) {
+      throw new IllegalArgumentException(
+          "round above 0, asked at least 1, end above round, at least 512 bytes, drift from 0 to below 0.1");
     }
+  }
 }
--- a/src/main/java/cobaltseam/spread/Demand.java
+++ b/src/main/java/cobaltseam/spread/Demand.java
@@ -4,31 +4,36 @@
 import cobaltseam.dispatch.Span;
 
 /**
- * What a process needs, from a running sum of what it was asked for: its mean rate, of which news counts by half after a stated span.
- * Thin traffic comes in clumps; the span is to hold several commands, or parts would follow chance.
+ * What a process needs, from a running sum of what it was asked for: its mean rate, of which news
+ * counts by half after a stated span. Thin traffic comes in clumps; the span is to hold several
+ * commands, or parts would follow chance.
  */
 public final class Demand {
-    private final Span half;
-    private Moment at;
-    private double total;
-    private double rate;
-    /** How much of the mean is news yet, from 0 to 1: a process that began a moment ago knows its rate by that alone. */
-    private double known;
+  private final Span half;
+  private Moment at;
+  private double total;
+  private double rate;
 
-    public Demand(Span half) {
-        this.half = half;
-    }
+  /**
+   * How much of the mean is news yet, from 0 to 1: a process that began a moment ago knows its rate
+   * by that alone.
+   */
+  private double known;
+
+  public Demand(Span half) {
+    this.half = half;
+  }
 
-    /** The rate a second, after the sum has come to this. */
-    public double told(double sum, Moment now) {
-        if (at != null && at.before(now)) {
-            Span since = now.since(at);
-            double keep = Math.pow(0.5, since.over(half));
-            rate = rate * keep + (sum - total) / since.us() * 1e6 * (1 - keep);
-            known = known * keep + 1 - keep;
-        }
-        at = now;
-        total = sum;
-        return known > 0 ? rate / known : 0;
+  /** The rate a second, after the sum has come to this. */
+  public double told(double sum, Moment now) {
+    if (at != null && at.before(now)) {
+      Span since = now.since(at);
+      double keep = Math.pow(0.5, since.over(half));
+      rate = rate * keep + (sum - total) / since.us() * 1e6 * (1 - keep);
+      known = known * keep + 1 - keep;
     }
+    at = now;
+    total = sum;
+    return known > 0 ? rate / known : 0;
+  }
 }
--- a/src/main/java/cobaltseam/store/WholeFile.java
+++ b/src/main/java/cobaltseam/store/WholeFile.java
@@ -13,136 +13,160 @@
 import java.util.zip.CRC32C;
 
 /**
- * One value in a folder of its own, such that a crash at any moment leaves the old or the new one whole: it is written aside,
- * synced, renamed over the old one, and the folder synced. There is one generation only: for promises an older value is
- * worse than none, so one that is not whole is set aside and counts as none. One process at a time has the folder.
+ * One value in a folder of its own, such that a crash at any moment leaves the old or the new one
+ * whole: it is written aside, synced, renamed over the old one, and the folder synced. There is one
+ * generation only: for promises an older value is worse than none, so one that is not whole is set
+ * aside and counts as none. One process at a time has the folder.
  *
- * <p>Layout, big-endian: the bytes {@code CSWF}, a 4-byte format number, a 4-byte length of the value, a 4-byte CRC32C (RFC 3720,
- * appendix B.4) of the format number, the length and the value, and the value.
+ * <p>Layout, big-endian: the bytes {@code CSWF}, a 4-byte format number, a 4-byte length of the
+ * value, a 4-byte CRC32C (RFC 3720, appendix B.4) of the format number, the length and the value,
+ * and the value.
  */
 public final class WholeFile implements AutoCloseable {
-    private static final int MAGIC = 0x43535746;
-    private static final int HEAD = 16;
-    /** A longer value is neither written nor read. */
-    public static final int LARGEST = 1 << 24;
-    private static final String LOCK = "lock";
+  private static final int MAGIC = 0x43535746;
+  private static final int HEAD = 16;
 
-    /** What a folder held. */
-    public enum Found {
-        NOTHING, VALUE,
-        /** Not whole: set aside under {@code .broken}. */
-        BROKEN,
-        /** Of a later program: left in place, and nothing may be written over it. */
-        LATER
-    }
+  /** A longer value is neither written nor read. */
+  public static final int LARGEST = 1 << 24;
 
-    /** @param value null unless found */
-    public record Reading(Found found, byte[] value) {
-    }
+  private static final String LOCK = "lock";
 
-    private final Path folder;
-    private final Path file;
-    private final int format;
-    private final FileChannel lockFile;
+  /** What a folder held. */
+  public enum Found {
+    NOTHING,
+    VALUE,
+    /** Not whole: set aside under {@code .broken}. */
+    BROKEN,
+    /** Of a later program: left in place, and nothing may be written over it. */
+    LATER
+  }
 
-    private WholeFile(Path folder, String name, int format, FileChannel lockFile) {
-        this.folder = folder;
-        this.file = folder.resolve(name);
-        this.format = format;
-        this.lockFile = lockFile;
-    }
+  /**
+   * @param value null unless found
+   */
+  public record Reading(Found found, byte[] value) {}
 
-    /**
-     * Takes the folder, which is made where it is missing.
-     *
-     * @throws IOException if it can't be written, or another process has it
-     */
-    public static WholeFile open(Path folder, String name, int format) throws IOException {
-        Files.createDirectories(folder);
-        FileChannel channel = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        FileLock lock;
-        try {
-            lock = channel.tryLock();
-        } catch (OverlappingFileLockException e) {
-            lock = null;
-        }
-        if (lock == null) {
-            channel.close();
-            throw new IOException("another process has the folder " + folder);
-        }
-        return new WholeFile(folder, name, format, channel);
-    }
+  private final Path folder;
+  private final Path file;
+  private final int format;
+  private final FileChannel lockFile;
 
-    /** What is there. */
-    public Reading read() throws IOException {
-        Files.deleteIfExists(aside());
-        if (!Files.exists(file)) {
-            return new Reading(Found.NOTHING, null);
-        }
-        Reading reading = Files.size(file) > LARGEST + HEAD ? new Reading(Found.BROKEN, null) : parse(Files.readAllBytes(file), format);
-        if (reading.found == Found.BROKEN) {
-            Files.move(file, folder.resolve(file.getFileName() + ".broken"), StandardCopyOption.REPLACE_EXISTING);
-        }
-        return reading;
-    }
+  private WholeFile(Path folder, String name, int format, FileChannel lockFile) {
+    this.folder = folder;
+    this.file = folder.resolve(name);
+    this.format = format;
+    this.lockFile = lockFile;
+  }
 
-    /** The same of the bytes of a file. */
-    public static Reading parse(byte[] bytes, int format) {
-        ByteBuffer in = ByteBuffer.wrap(bytes);
-        if (bytes.length < HEAD || in.getInt() != MAGIC) {
-            return new Reading(Found.BROKEN, null);
-        }
-        int of = in.getInt();
-        int length = in.getInt();
-        int sum = in.getInt();
-        if (length != in.remaining()) {
-            return new Reading(Found.BROKEN, null);
-        }
-        byte[] value = new byte[length];
-        in.get(value);
-        if (sum != sum(of, value)) {
-            return new Reading(Found.BROKEN, null);
-        }
-        return of > format ? new Reading(Found.LATER, null) : new Reading(Found.VALUE, value);
+  /**
+   * Takes the folder, which is made where it is missing.
+   *
+   * @throws IOException if it can't be written, or another process has it
+   */
+  public static WholeFile open(Path folder, String name, int format) throws IOException {
+    Files.createDirectories(folder);
+    FileChannel channel =
+        FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    FileLock lock;
+    try {
+      lock = channel.tryLock();
+    } catch (OverlappingFileLockException e) {
+      lock = null;
     }
-
-    private static int sum(int format, byte[] value) {
-        CRC32C sum = new CRC32C();
-        sum.update(ByteBuffer.allocate(8).putInt(format).putInt(value.length).flip());
-        sum.update(value);
-        return (int) sum.getValue();
+    if (lock == null) {
+      channel.close();
+      throw new IOException("another process has the folder " + folder);
     }
+    return new WholeFile(folder, name, format, channel);
+  }
 
-    private Path aside() {
-        return folder.resolve(file.getFileName() + ".new");
+  /** What is there. */
+  public Reading read() throws IOException {
+    Files.deleteIfExists(aside());
+    if (!Files.exists(file)) {
+      return new Reading(Found.NOTHING, null);
     }
+    Reading reading =
+        Files.size(file) > LARGEST + HEAD
+            ? new Reading(Found.BROKEN, null)
+            : parse(Files.readAllBytes(file), format);
+    if (reading.found == Found.BROKEN) {
+      Files.move(
+          file,
+          folder.resolve(file.getFileName() + ".broken"),
+          StandardCopyOption.REPLACE_EXISTING);
+    }
+    return reading;
+  }
 
-    /** Returns once the value is on disk, in place of the one before. */
-    public void write(byte[] value) throws IOException {
-        if (value.length > LARGEST) {
-            throw new IOException(value.length + " bytes are more than " + LARGEST);
-        }
-        ByteBuffer whole = ByteBuffer.allocate(HEAD + value.length).putInt(MAGIC).putInt(format).putInt(value.length)
-                .putInt(sum(format, value)).put(value).flip();
-        try (FileChannel out = FileChannel.open(aside(), StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
-            while (whole.hasRemaining()) {
-                out.write(whole);
-            }
-            out.force(true);
-        }
-        try {
-            Files.move(aside(), file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        } catch (AtomicMoveNotSupportedException e) {
-            throw new IOException("this file system can't rename in one step: " + e.getMessage(), e);
-        }
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
-        }
+  /** The same of the bytes of a file. */
+  public static Reading parse(byte[] bytes, int format) {
+    ByteBuffer in = ByteBuffer.wrap(bytes);
+    if (bytes.length < HEAD || in.getInt() != MAGIC) {
+      return new Reading(Found.BROKEN, null);
+    }
+    int of = in.getInt();
+    int length = in.getInt();
+    int sum = in.getInt();
+    if (length != in.remaining()) {
+      return new Reading(Found.BROKEN, null);
     }
+    byte[] value = new byte[length];
+    in.get(value);
+    if (sum != sum(of, value)) {
+      return new Reading(Found.BROKEN, null);
+    }
+    return of > format ? new Reading(Found.LATER, null) : new Reading(Found.VALUE, value);
+  }
+
+  private static int sum(int format, byte[] value) {
+    CRC32C sum = new CRC32C();
+    sum.update(ByteBuffer.allocate(8).putInt(format).putInt(value.length).flip());
+    sum.update(value);
+    return (int) sum.getValue();
+  }
 
-    @Override
-    public void close() throws IOException {
-        lockFile.close();
+  private Path aside() {
+    return folder.resolve(file.getFileName() + ".new");
+  }
+
+  /** Returns once the value is on disk, in place of the one before. */
+  public void write(byte[] value) throws IOException {
+    if (value.length > LARGEST) {
+      throw new IOException(value.length + " bytes are more than " + LARGEST);
+    }
+    ByteBuffer whole =
+        ByteBuffer.allocate(HEAD + value.length)
+            .putInt(MAGIC)
+            .putInt(format)
+            .putInt(value.length)
+            .putInt(sum(format, value))
+            .put(value)
+            .flip();
+    try (FileChannel out =
+        FileChannel.open(
+            aside(),
+            StandardOpenOption.CREATE,
+            StandardOpenOption.WRITE,
+            StandardOpenOption.TRUNCATE_EXISTING)) {
+      while (whole.hasRemaining()) {
+        out.write(whole);
+      }
+      out.force(true);
     }
+    try {
+      Files.move(
+          aside(), file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    } catch (AtomicMoveNotSupportedException e) {
+      throw new IOException("this file system can't rename in one step: " + e.getMessage(), e);
+    }
+    try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
+      names.force(true);
+    }
+  }
+
+  @Override
+  public void close() throws IOException {
+    lockFile.close();
+  }
 }
--- a/src/main/java/cobaltseam/store/Writer.java
+++ b/src/main/java/cobaltseam/store/Writer.java
@@ -9,68 +9,82 @@
 import java.util.function.Supplier;
 
 /**
- * Writes the newest of the values given to it on a thread of its own, so that a slow disk holds up nobody. What is given while
- * one is being written replaces what waits: each holds all that those before it did.
+ * Writes the newest of the values given to it on a thread of its own, so that a slow disk holds up
+ * nobody. What is given while one is being written replaces what waits: each holds all that those
+ * before it did.
  */
 public final class Writer implements AutoCloseable {
-    private record Given(long number, Supplier<byte[]> value) {
-    }
+  private record Given(long number, Supplier<byte[]> value) {}
 
-    /** What can't be written, in words. */
-    public interface Failed {
-        void failed(String why);
-    }
+  /** What can't be written, in words. */
+  public interface Failed {
+    void failed(String why);
+  }
 
-    private final WholeFile file;
-    private final LongConsumer written;
-    private final Failed failed;
-    private final AtomicReference<Given> newest = new AtomicReference<>();
-    private final ExecutorService thread;
+  private final WholeFile file;
+  private final LongConsumer written;
+  private final Failed failed;
+  private final AtomicReference<Given> newest = new AtomicReference<>();
+  private final ExecutorService thread;
 
-    /** Both are called on the writer's thread: with the number of what was written, or with why it could not be. */
-    public Writer(WholeFile file, LongConsumer written, Failed failed) {
-        this.file = file;
-        this.written = written;
-        this.failed = failed;
-        // One runs and one waits: a third would find what the second is to write.
-        thread = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(1), r -> {
-            Thread t = new Thread(r, "store");
-            t.setDaemon(true);
-            return t;
-        }, new ThreadPoolExecutor.DiscardPolicy());
-    }
+  /**
+   * Both are called on the writer's thread: with the number of what was written, or with why it
+   * could not be.
+   */
+  public Writer(WholeFile file, LongConsumer written, Failed failed) {
+    this.file = file;
+    this.written = written;
+    this.failed = failed;
+    // One runs and one waits: a third would find what the second is to write.
+    thread =
+        new ThreadPoolExecutor(
+            1,
+            1,
+            0,
+            TimeUnit.SECONDS,
+            new ArrayBlockingQueue<>(1),
+            r -> {
+              Thread t = new Thread(r, "store");
+              t.setDaemon(true);
+              return t;
+            },
+            new ThreadPoolExecutor.DiscardPolicy());
+  }
 
-    /** The value is asked for on the writer's thread. */
-    public void give(long number, Supplier<byte[]> value) {
-        newest.set(new Given(number, value));
-        thread.execute(this::write);
-    }
+  /** The value is asked for on the writer's thread. */
+  public void give(long number, Supplier<byte[]> value) {
+    newest.set(new Given(number, value));
+    thread.execute(this::write);
+  }
 
-    private void write() {
-        Given given = newest.getAndSet(null);
-        if (given == null) {
-            return;
-        }
-        try {
-            file.write(given.value.get());
-            written.accept(given.number);
-        } catch (java.io.IOException | RuntimeException e) {
-            failed.failed(String.valueOf(e.getMessage()));
-        }
+  private void write() {
+    Given given = newest.getAndSet(null);
+    if (given == null) {
+      return;
+    }
+    try {
+      file.write(given.value.get());
+      written.accept(given.number);
+    } catch (java.io.IOException | RuntimeException e) {
+      failed.failed(String.valueOf(e.getMessage()));
     }
+  }
 
-    /** Returns once what is being written is written, within a second; what waits is dropped with the process. */
-    @Override
-    public void close() {
-        thread.shutdown();
-        try {
-            thread.awaitTermination(1, TimeUnit.SECONDS);
-            file.close();
-        } catch (java.io.IOException e) {
-            // The lock ends with the process all the same.
-            failed.failed("closing: " + e.getMessage());
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+  /**
+   * Returns once what is being written is written, within a second; what waits is dropped with the
+   * process.
+   */
+  @Override
+  public void close() {
+    thread.shutdown();
+    try {
+      thread.awaitTermination(1, TimeUnit.SECONDS);
+      file.close();
+    } catch (java.io.IOException e) {
+      // The lock ends with the process all the same.
+      failed.failed("closing: " + e.getMessage());
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 }
--- a/src/main/java/cobaltseam/vrrp/Addresses.java
+++ b/src/main/java/cobaltseam/vrrp/Addresses.java
@@ -8,96 +8,97 @@
 
 /** IP addresses as text and bytes; no name is ever looked up. */
 public final class Addresses {
-    private static final int GROUPS = 8;
-    private static final int LONGEST = 45;
+  private static final int GROUPS = 8;
+  private static final int LONGEST = 45;
 
-    private Addresses() {
-    }
+  private Addresses() {}
 
-    /** The address that a text writes out, IPv4 in four decimal parts or IPv6 without a zone. */
-    public static Optional<InetAddress> read(String text) {
-        if (text == null || text.isEmpty() || text.length() > LONGEST) {
-            return Optional.empty();
-        }
-        if (text.matches("(0|[1-9][0-9]{0,2})(\\.(0|[1-9][0-9]{0,2})){3}")) {
-            byte[] bytes = new byte[4];
-            String[] parts = text.split("\\.");
-            for (int i = 0; i < bytes.length; i++) {
-                int part = Integer.parseInt(parts[i]);
-                if (part > 255) {
-                    return Optional.empty();
-                }
-                bytes[i] = (byte) part;
-            }
-            return Optional.of(of(bytes));
-        }
-        if (text.indexOf(':') < 0 || !text.matches("[0-9a-fA-F:.]+")) {
-            return Optional.empty();
-        }
-        try {
-            // A text with a colon is never looked up, only parsed.
-            InetAddress parsed = InetAddress.getByName(text);
-            return Optional.of(parsed instanceof Inet6Address ? of(parsed.getAddress()) : mapped(parsed));
-        } catch (UnknownHostException e) {
-            return Optional.empty();
+  /** The address that a text writes out, IPv4 in four decimal parts or IPv6 without a zone. */
+  public static Optional<InetAddress> read(String text) {
+    if (text == null || text.isEmpty() || text.length() > LONGEST) {
+      return Optional.empty();
+    }
+    if (text.matches("(0|[1-9][0-9]{0,2})(\\.(0|[1-9][0-9]{0,2})){3}")) {
+      byte[] bytes = new byte[4];
+      String[] parts = text.split("\\.");
+      for (int i = 0; i < bytes.length; i++) {
+        int part = Integer.parseInt(parts[i]);
+        if (part > 255) {
+          return Optional.empty();
         }
+        bytes[i] = (byte) part;
+      }
+      return Optional.of(of(bytes));
     }
-
-    /** ::ffff:a.b.c.d, which the platform's parser takes for IPv4. */
-    private static InetAddress mapped(InetAddress v4) {
-        byte[] bytes = new byte[16];
-        bytes[10] = (byte) 0xff;
-        bytes[11] = (byte) 0xff;
-        System.arraycopy(v4.getAddress(), 0, bytes, 12, 4);
-        return of(bytes);
+    if (text.indexOf(':') < 0 || !text.matches("[0-9a-fA-F:.]+")) {
+      return Optional.empty();
     }
-
-    /** An address from its 4 or 16 bytes; 16 bytes always make an IPv6 one. */
-    static InetAddress of(byte[] bytes) {
-        try {
-            return bytes.length == 4 ? InetAddress.getByAddress(bytes) : Inet6Address.getByAddress(null, bytes, -1);
-        } catch (UnknownHostException e) {
-            throw new IllegalArgumentException("no address has " + bytes.length + " bytes", e);
-        }
+    try {
+      // A text with a colon is never looked up, only parsed.
+      InetAddress parsed = InetAddress.getByName(text);
+      return Optional.of(parsed instanceof Inet6Address ? of(parsed.getAddress()) : mapped(parsed));
+    } catch (UnknownHostException e) {
+      return Optional.empty();
     }
+  }
 
-    /** The text of an address: for IPv6 the short form of RFC 5952. */
-    public static String text(InetAddress address) {
-        byte[] bytes = address.getAddress();
-        if (bytes.length == 4) {
-            return address.getHostAddress();
-        }
-        int[] groups = new int[GROUPS];
-        for (int i = 0; i < GROUPS; i++) {
-            groups[i] = (bytes[2 * i] & 0xff) << 8 | bytes[2 * i + 1] & 0xff;
-        }
-        int from = -1;
-        int longest = 1;
-        for (int i = 0; i < GROUPS; i++) {
-            int run = 0;
-            while (i + run < GROUPS && groups[i + run] == 0) {
-                run++;
-            }
-            if (run > longest) {
-                from = i;
-                longest = run;
-            }
-        }
-        StringBuilder text = new StringBuilder();
-        for (int i = 0; i < GROUPS; i++) {
-            if (i == from) {
-                text.append("::");
-                i += longest - 1;
-            } else {
-                text.append(text.length() == 0 || text.charAt(text.length() - 1) == ':' ? "" : ":")
-                        .append(Integer.toHexString(groups[i]));
-            }
-        }
-        return text.toString();
+  /** ::ffff:a.b.c.d, which the platform's parser takes for IPv4. */
+  private static InetAddress mapped(InetAddress v4) {
+    byte[] bytes = new byte[16];
+    bytes[10] = (byte) 0xff;
+    bytes[11] = (byte) 0xff;
+    System.arraycopy(v4.getAddress(), 0, bytes, 12, 4);
+    return of(bytes);
+  }
+
+  /** An address from its 4 or 16 bytes; 16 bytes always make an IPv6 one. */
+  static InetAddress of(byte[] bytes) {
+    try {
+      return bytes.length == 4
+          ? InetAddress.getByAddress(bytes)
+          : Inet6Address.getByAddress(null, bytes, -1);
+    } catch (UnknownHostException e) {
+      throw new IllegalArgumentException("no address has " + bytes.length + " bytes", e);
     }
+  }
 
-    /** The order of addresses as unsigned numbers in network byte order. */
-    public static int compare(InetAddress one, InetAddress other) {
-        return Arrays.compareUnsigned(one.getAddress(), other.getAddress());
+  /** The text of an address: for IPv6 the short form of RFC 5952. */
+  public static String text(InetAddress address) {
+    byte[] bytes = address.getAddress();
+    if (bytes.length == 4) {
+      return address.getHostAddress();
     }
+    int[] groups = new int[GROUPS];
+    for (int i = 0; i < GROUPS; i++) {
+      groups[i] = (bytes[2 * i] & 0xff) << 8 | bytes[2 * i + 1] & 0xff;
+    }
+    int from = -1;
+    int longest = 1;
+    for (int i = 0; i < GROUPS; i++) {
+      int run = 0;
+      while (i + run < GROUPS && groups[i + run] == 0) {
+        run++;
+      }
+      if (run > longest) {
+        from = i;
+        longest = run;
+      }
+    }
+    StringBuilder text = new StringBuilder();
+    for (int i = 0; i < GROUPS; i++) {
+      if (i == from) {
+        text.append("::");
+        i += longest - 1;
+      } else {
+        text.append(text.length() == 0 || text.charAt(text.length() - 1) == ':' ? "" : ":")
+            .append(Integer.toHexString(groups[i]));
+      }
+    }
+    return text.toString();
+  }
+
+  /** The order of addresses as unsigned numbers in network byte order. */
+  public static int compare(InetAddress one, InetAddress other) {
+    return Arrays.compareUnsigned(one.getAddress(), other.getAddress());
+  }
 }
--- a/src/main/java/cobaltseam/vrrp/Advert.java
+++ b/src/main/java/cobaltseam/vrrp/Advert.java
@@ -5,35 +5,49 @@
 import java.util.List;
 
 /**
- * One advertisement of VRRP version 3: who speaks for a virtual router, how strongly (0 resigns, 255 owns the
- * addresses), how often at the longest in centiseconds (1 to 4095), and for which addresses (1 to 255, of one family).
+ * One advertisement of VRRP version 3: who speaks for a virtual router, how strongly (0 resigns,
+ * 255 owns the addresses), how often at the longest in centiseconds (1 to 4095), and for which
+ * addresses (1 to 255, of one family).
  */
-public record Advert(int virtualRouterId, int priority, int maxAdvertiseIntervalCentiseconds,
-                     List<InetAddress> addresses) {
-    public static final int LONGEST_INTERVAL = 0xfff;
-    public static final int MOST_ADDRESSES = 0xff;
-    public static final int OWNER = 255;
-    public static final int RESIGNS = 0;
+public record Advert(
+    int virtualRouterId,
+    int priority,
+    int maxAdvertiseIntervalCentiseconds,
+    List<InetAddress> addresses) {
+  public static final int LONGEST_INTERVAL = 0xfff;
+  public static final int MOST_ADDRESSES = 0xff;
+  public static final int OWNER = 255;
+  public static final int RESIGNS = 0;
 
-    /** @throws IllegalArgumentException with what is out of its bounds */
-    public Advert {
-        addresses = List.copyOf(addresses);
-        require(virtualRouterId >= 1 && virtualRouterId <= 255, "the virtual router id is not from 1 to 255");
-        require(priority >= RESIGNS && priority <= OWNER, "the priority is not from 0 to 255");
-        require(maxAdvertiseIntervalCentiseconds >= 1 && maxAdvertiseIntervalCentiseconds <= LONGEST_INTERVAL,
-                "the interval is not from 1 to 4095 centiseconds");
-        require(!addresses.isEmpty() && addresses.size() <= MOST_ADDRESSES, "there are not 1 to 255 addresses");
-        boolean six = addresses.get(0) instanceof Inet6Address;
-        require(addresses.stream().allMatch(a -> a instanceof Inet6Address == six), "the addresses mix families");
-    }
+  /**
+   * @throws IllegalArgumentException with what is out of its bounds
+   */
+  public Advert {
+    addresses = List.copyOf(addresses);
+    require(
+        virtualRouterId >= 1 && virtualRouterId <= 255,
+        "the virtual router id is not from 1 to 255");
+    require(priority >= RESIGNS && priority <= OWNER, "the priority is not from 0 to 255");
+    require(
+        maxAdvertiseIntervalCentiseconds >= 1
+            && maxAdvertiseIntervalCentiseconds <= LONGEST_INTERVAL,
+        "the interval is not from 1 to 4095 centiseconds");
+    require(
+        !addresses.isEmpty() && addresses.size() <= MOST_ADDRESSES,
+        "there are not 1 to 255 addresses");
+    boolean six = addresses.get(0) instanceof Inet6Address;
+    require(
+        addresses.stream().allMatch(a -> a instanceof Inet6Address == six),
+        "the addresses mix families");
+  }
 
-    private static void require(boolean holds, String what) {
-        if (!holds) {
-            throw new IllegalArgumentException(what);
-        }
+  private static void require(boolean holds, String what) {
+    if (!holds) {
+      throw new IllegalArgumentException(what);
     }
+  }
 
-    public boolean isIpv6() {
-        return addresses.get(0) instanceof Inet6Address;
-    }
+  public boolean isIpv6() {
+    return addresses.get(0) instanceof Inet6Address;
+  }
 }
--- a/src/test/java/cobaltseam/agreement/CautionTest.java
+++ b/src/test/java/cobaltseam/agreement/CautionTest.java
@@ -4,97 +4,130 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.IOException;
-import java.util.Arrays;
-import java.util.Set;
-import java.util.TreeSet;
-
 import cobaltseam.deployment.DeploymentReader;
 import cobaltseam.deployment.Fields;
 import cobaltseam.dispatch.Deployment;
 import com.fasterxml.jackson.core.JsonFactory;
+import java.io.IOException;
+import java.util.Arrays;
+import java.util.Set;
+import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Every part of what a dispatcher is told has a reading between two values, and that is the cautious one. */
+/**
+ * Every part of what a dispatcher is told has a reading between two values, and that is the
+ * cautious one.
+ */
 class CautionTest {
-    private static final String TEXT = """
+  private static final String TEXT =
+      """
             {"balancers":2,"position":0,"tick_us":5000,"classes":[{"name":"look","aim_us":500000,"hard_limit_us":3000000,"repeat":"read_like",
             "key_scope":"all","window_us":100,"late_value":0.5,"importance":1}],"projects":[{"name":"acme","quota_rps":1000}],
             "machine_types":["m"],"family_info":{"cores_by_kind":[4],"width_by_class":[2],"takes_grants":true},"over_share_worth":0.5,
             "rules":{"cold_from":0.3,"key_rest_us":10,"counted_over_us":1000,"spare_attempts":5,"repeat_ratio":0.1},
             "limits":{"most_tries":3,"cancel":true,"retry_after":true,"max_retry_after_us":500000}}""";
 
-    private static Deployment read(String from, String to) {
-        assertTrue(TEXT.contains(from), from);
-        try {
-            return DeploymentReader.read(Fields.of(new JsonFactory().createParser(TEXT.replace(from, to))));
-        } catch (IOException e) {
-            throw new IllegalStateException(e);
-        }
+  private static Deployment read(String from, String to) {
+    assertTrue(TEXT.contains(from), from);
+    try {
+      return DeploymentReader.read(
+          Fields.of(new JsonFactory().createParser(TEXT.replace(from, to))));
+    } catch (IOException e) {
+      throw new IllegalStateException(e);
     }
+  }
 
-    private static final Deployment BASE = read("{", "{");
+  private static final Deployment BASE = read("{", "{");
 
-    @Test
-    void everyPartHasAnEntry() {
-        Set<String> parts = new TreeSet<>();
-        for (Class<?> type : new Class<?>[] {Deployment.class, Deployment.Profile.class, Deployment.Kind.class, Deployment.Share.class,
-            Deployment.Rules.class, Deployment.Means.class}) {
-            Arrays.stream(type.getRecordComponents()).forEach(c -> parts.add(type.getSimpleName() + "." + c.getName()));
-        }
-        assertEquals(parts, new TreeSet<>(Caution.TABLE.keySet()));
+  @Test
+  void everyPartHasAnEntry() {
+    Set<String> parts = new TreeSet<>();
+    for (Class<?> type :
+        new Class<?>[] {
+          Deployment.class,
+          Deployment.Profile.class,
+          Deployment.Kind.class,
+          Deployment.Share.class,
+          Deployment.Rules.class,
+          Deployment.Means.class
+        }) {
+      Arrays.stream(type.getRecordComponents())
+          .forEach(c -> parts.add(type.getSimpleName() + "." + c.getName()));
     }
+    assertEquals(parts, new TreeSet<>(Caution.TABLE.keySet()));
+  }
 
-    @Test
-    void whatOneDecidesForItselfDoesNotContradict() {
-        for (Deployment other : new Deployment[] {read("\"aim_us\":500000", "\"aim_us\":400000"), read("\"importance\":1", "\"importance\":9"),
-            read("\"late_value\":0.5", "\"late_value\":0.1"), read("\"tick_us\":5000", "\"tick_us\":1000")}) {
-            assertFalse(other.equals(BASE));
-            assertFalse(Caution.contradict(BASE, other));
-            assertEquals(other, Caution.between(BASE, other));
-        }
+  @Test
+  void whatOneDecidesForItselfDoesNotContradict() {
+    for (Deployment other :
+        new Deployment[] {
+          read("\"aim_us\":500000", "\"aim_us\":400000"),
+          read("\"importance\":1", "\"importance\":9"),
+          read("\"late_value\":0.5", "\"late_value\":0.1"),
+          read("\"tick_us\":5000", "\"tick_us\":1000")
+        }) {
+      assertFalse(other.equals(BASE));
+      assertFalse(Caution.contradict(BASE, other));
+      assertEquals(other, Caution.between(BASE, other));
     }
+  }
 
-    @Test
-    void theCautiousReadingIsTheStricterOneWhicheverCameFirst() {
-        String[][] strict = {{"\"most_tries\":3", "\"most_tries\":2"}, {"\"cancel\":true", "\"cancel\":false"},
-            {"\"takes_grants\":true", "\"takes_grants\":false"},
-            {"\"quota_rps\":1000", "\"quota_rps\":100"}, {"read_like", "non_idempotent"}, {"\"key_scope\":\"all\"", "\"key_scope\":\"cell\""},
-            {"\"window_us\":100", "\"window_us\":50"}, {"\"balancers\":2", "\"balancers\":5"}, {"\"key_rest_us\":10", "\"key_rest_us\":99"},
-            {"\"spare_attempts\":5", "\"spare_attempts\":1"}, {"\"hard_limit_us\":3000000", "\"hard_limit_us\":1000000"},
-            {"\"width_by_class\":[2]", "\"width_by_class\":[3]"}, {"\"cores_by_kind\":[4]", "\"cores_by_kind\":[2]"},
-            {"\"late_value\":0.5", "\"late_value\":0.5,\"in_order\":true"}, {"\"late_value\":0.5", "\"late_value\":0.5,\"runs_on\":[\"m\"]"},
-            {"\"max_retry_after_us\":500000", "\"max_retry_after_us\":5"}, {"\"over_share_worth\":0.5", "\"over_share_worth\":0.1"}};
-        for (String[] change : strict) {
-            Deployment stricter = read(change[0], change[1]);
-            assertTrue(Caution.contradict(BASE, stricter), change[1]);
-            assertEquals(stricter, Caution.between(BASE, stricter), change[1]);
-            assertEquals(stricter, Caution.between(stricter, BASE), change[1]);
-        }
+  @Test
+  void theCautiousReadingIsTheStricterOneWhicheverCameFirst() {
+    String[][] strict = {
+      {"\"most_tries\":3", "\"most_tries\":2"},
+      {"\"cancel\":true", "\"cancel\":false"},
+      {"\"takes_grants\":true", "\"takes_grants\":false"},
+      {"\"quota_rps\":1000", "\"quota_rps\":100"},
+      {"read_like", "non_idempotent"},
+      {"\"key_scope\":\"all\"", "\"key_scope\":\"cell\""},
+      {"\"window_us\":100", "\"window_us\":50"},
+      {"\"balancers\":2", "\"balancers\":5"},
+      {"\"key_rest_us\":10", "\"key_rest_us\":99"},
+      {"\"spare_attempts\":5", "\"spare_attempts\":1"},
+      {"\"hard_limit_us\":3000000", "\"hard_limit_us\":1000000"},
+      {"\"width_by_class\":[2]", "\"width_by_class\":[3]"},
+      {"\"cores_by_kind\":[4]", "\"cores_by_kind\":[2]"},
+      {"\"late_value\":0.5", "\"late_value\":0.5,\"in_order\":true"},
+      {"\"late_value\":0.5", "\"late_value\":0.5,\"runs_on\":[\"m\"]"},
+      {"\"max_retry_after_us\":500000", "\"max_retry_after_us\":5"},
+      {"\"over_share_worth\":0.5", "\"over_share_worth\":0.1"}
+    };
+    for (String[] change : strict) {
+      Deployment stricter = read(change[0], change[1]);
+      assertTrue(Caution.contradict(BASE, stricter), change[1]);
+      assertEquals(stricter, Caution.between(BASE, stricter), change[1]);
+      assertEquals(stricter, Caution.between(stricter, BASE), change[1]);
     }
+  }
 
-    @Test
-    void whatOnlyOneHasStays() {
-        Deployment other = read("\"name\":\"look\"", "\"name\":\"load\"");
-        assertEquals(2, Caution.between(BASE, other).profiles().size());
-        assertTrue(Caution.contradict(BASE, other));
-    }
+  @Test
+  void whatOnlyOneHasStays() {
+    Deployment other = read("\"name\":\"look\"", "\"name\":\"load\"");
+    assertEquals(2, Caution.between(BASE, other).profiles().size());
+    assertTrue(Caution.contradict(BASE, other));
+  }
 
-    @Test
-    void aloneNothingIsSentTwice() {
-        Deployment alone = Caution.alone(BASE);
-        assertEquals(1, alone.means().mostSends());
-        assertEquals(Deployment.Repeat.NON_REPLAYABLE, alone.profiles().get(0).repeat());
-        assertFalse(alone.means().cancels());
-    }
+  @Test
+  void aloneNothingIsSentTwice() {
+    Deployment alone = Caution.alone(BASE);
+    assertEquals(1, alone.means().mostSends());
+    assertEquals(Deployment.Repeat.NON_REPLAYABLE, alone.profiles().get(0).repeat());
+    assertFalse(alone.means().cancels());
+  }
 
-    @Test
-    void whatGuidesTheChoiceOfAnEngineIsReadAsInTheLaterOne() {
-        Deployment loads = read("\"width_by_class\":[2]", "\"width_by_class\":[2],\"writes_tables\":[true],\"waits_for_loads\":[true]");
-        assertFalse(loads.equals(BASE));
-        assertFalse(Caution.contradict(BASE, loads));
-        assertEquals(loads, Caution.between(BASE, loads));
-        assertTrue(Caution.alone(loads).profiles().get(0).load() && Caution.alone(loads).profiles().get(0).waits());
-        assertEquals(loads.place(), Caution.alone(loads).place());
-    }
+  @Test
+  void whatGuidesTheChoiceOfAnEngineIsReadAsInTheLaterOne() {
+    Deployment loads =
+        read(
+            "\"width_by_class\":[2]",
+            "\"width_by_class\":[2],\"writes_tables\":[true],\"waits_for_loads\":[true]");
+    assertFalse(loads.equals(BASE));
+    assertFalse(Caution.contradict(BASE, loads));
+    assertEquals(loads, Caution.between(BASE, loads));
+    assertTrue(
+        Caution.alone(loads).profiles().get(0).load()
+            && Caution.alone(loads).profiles().get(0).waits());
+    assertEquals(loads.place(), Caution.alone(loads).place());
+  }
 }
--- a/src/test/java/cobaltseam/deployment/DeploymentReaderTest.java
+++ b/src/test/java/cobaltseam/deployment/DeploymentReaderTest.java
@@ -6,63 +6,75 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import java.io.IOException;
-import java.util.List;
-
-import org.junit.jupiter.api.Test;
-
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.KindId;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
+import java.io.IOException;
+import java.util.List;
+import org.junit.jupiter.api.Test;
 
 /** The settings that the move brought, read alike by the simulator's adapter and by the service. */
 class DeploymentReaderTest {
-    private static final String CLASSES = "\"classes\": [{\"name\": \"lookup\", \"aim_us\": 500000, \"hard_limit_us\": "
-            + "2500000, \"repeat\": \"read_like\"}, {\"name\": \"report\", \"aim_us\": 2000000, \"hard_limit_us\": "
-            + "20000000, \"repeat\": \"read_like\" RUNS}], ";
+  private static final String CLASSES =
+      "\"classes\": [{\"name\": \"lookup\", \"aim_us\": 500000, \"hard_limit_us\": "
+          + "2500000, \"repeat\": \"read_like\"}, {\"name\": \"report\", \"aim_us\": 2000000, \"hard_limit_us\": "
+          + "20000000, \"repeat\": \"read_like\" RUNS}], ";
 
-    private static Deployment read(String runsOn, String rules, String limits, String family) {
-        String json = "{\"balancers\": 50, \"position\": 3, \"tick_us\": 5000, " + CLASSES.replace("RUNS", runsOn)
-                + "\"machine_types\": [\"c8\", \"c16\"], \"family_info\": {\"cores_by_kind\": [8, 16], "
-                + "\"width_by_class\": [1, 4]" + family + "}, \"limits\": {\"cancel\": false" + limits + "}, "
-                + "\"rules\": {\"cold_from\": 0.33" + rules + "}}";
-        try (JsonParser parser = new JsonFactory().createParser(json)) {
-            return DeploymentReader.read(Fields.of(parser));
-        } catch (IOException e) {
-            throw new AssertionError(e);
-        }
+  private static Deployment read(String runsOn, String rules, String limits, String family) {
+    String json =
+        "{\"balancers\": 50, \"position\": 3, \"tick_us\": 5000, "
+            + CLASSES.replace("RUNS", runsOn)
+            + "\"machine_types\": [\"c8\", \"c16\"], \"family_info\": {\"cores_by_kind\": [8, 16], "
+            + "\"width_by_class\": [1, 4]"
+            + family
+            + "}, \"limits\": {\"cancel\": false"
+            + limits
+            + "}, "
+            + "\"rules\": {\"cold_from\": 0.33"
+            + rules
+            + "}}";
+    try (JsonParser parser = new JsonFactory().createParser(json)) {
+      return DeploymentReader.read(Fields.of(parser));
+    } catch (IOException e) {
+      throw new AssertionError(e);
     }
+  }
 
-    @Test
-    void withoutTheNewKeysAllStaysAsBefore() {
-        Deployment d = read("", "", "", "");
-        assertNull(d.rules().furtherWindow(), "no budget of further sends");
-        assertNull(d.profiles().get(1).onKinds(), "any kind");
-        assertFalse(d.means().comeBack());
-        assertEquals(1, d.means().mostSends());
-    }
+  @Test
+  void withoutTheNewKeysAllStaysAsBefore() {
+    Deployment d = read("", "", "", "");
+    assertNull(d.rules().furtherWindow(), "no budget of further sends");
+    assertNull(d.profiles().get(1).onKinds(), "any kind");
+    assertFalse(d.means().comeBack());
+    assertEquals(1, d.means().mostSends());
+  }
 
-    @Test
-    void theBudgetOfFurtherSendsAndTheKindsOfAProfileAreRead() {
-        Deployment d = read(", \"runs_on\": [\"c8\"]",
-                ", \"spare_attempts\": 2, \"repeat_ratio\": 0.2, \"counted_over_us\": 10000000",
-                ", \"most_tries\": 5, \"retry_after\": false, \"max_retry_after_us\": 2000000", "");
-        assertEquals(2.0, d.rules().furtherFree());
-        assertEquals(0.2, d.rules().furtherRatio());
-        assertEquals(10_000_000, d.rules().furtherWindow().us());
-        assertEquals(List.of(new KindId("c8")), d.profiles().get(1).onKinds());
-        assertFalse(d.means().comeBack(), "clients are not told when to come back");
-        assertEquals(5, d.means().mostSends());
-    }
+  @Test
+  void theBudgetOfFurtherSendsAndTheKindsOfAProfileAreRead() {
+    Deployment d =
+        read(
+            ", \"runs_on\": [\"c8\"]",
+            ", \"spare_attempts\": 2, \"repeat_ratio\": 0.2, \"counted_over_us\": 10000000",
+            ", \"most_tries\": 5, \"retry_after\": false, \"max_retry_after_us\": 2000000",
+            "");
+    assertEquals(2.0, d.rules().furtherFree());
+    assertEquals(0.2, d.rules().furtherRatio());
+    assertEquals(10_000_000, d.rules().furtherWindow().us());
+    assertEquals(List.of(new KindId("c8")), d.profiles().get(1).onKinds());
+    assertFalse(d.means().comeBack(), "clients are not told when to come back");
+    assertEquals(5, d.means().mostSends());
+  }
 
-    @Test
-    void figuresThatCantBeKeptAreRefused() {
-        assertThrows(BadInput.class, () -> read(", \"runs_on\": [\"std-a\"]", "", "", ""));
-        assertThrows(BadInput.class, () -> read("", ", \"repeat_ratio\": -1, \"counted_over_us\": 10000000", "", ""));
-        assertThrows(BadInput.class, () -> read("", ", \"counted_over_us\": 0", "", ""));
-        assertThrows(BadInput.class, () -> read("", "", ", \"most_tries\": 0", ""));
-        assertThrows(BadInput.class, () -> read("", "", "", ", \"out_of_memory\": \"swap\""));
-        assertDoesNotThrow(() -> read("", "", "", ", \"out_of_memory\": \"page\""));
-    }
+  @Test
+  void figuresThatCantBeKeptAreRefused() {
+    assertThrows(BadInput.class, () -> read(", \"runs_on\": [\"std-a\"]", "", "", ""));
+    assertThrows(
+        BadInput.class,
+        () -> read("", ", \"repeat_ratio\": -1, \"counted_over_us\": 10000000", "", ""));
+    assertThrows(BadInput.class, () -> read("", ", \"counted_over_us\": 0", "", ""));
+    assertThrows(BadInput.class, () -> read("", "", ", \"most_tries\": 0", ""));
+    assertThrows(BadInput.class, () -> read("", "", "", ", \"out_of_memory\": \"swap\""));
+    assertDoesNotThrow(() -> read("", "", "", ", \"out_of_memory\": \"page\""));
+  }
 }
--- a/src/test/java/cobaltseam/dispatch/MoreTest.java
+++ b/src/test/java/cobaltseam/dispatch/MoreTest.java
@@ -4,188 +4,212 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
-import java.util.SplittableRandom;
-
-import org.junit.jupiter.api.Test;
-
 import cobaltseam.dispatch.Deployment.Means;
 import cobaltseam.dispatch.Deployment.Profile;
 import cobaltseam.dispatch.Outcome.Ending;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
 
 /** What deployments with loads that hold data sets, told spills and rough estimates need. */
 class MoreTest {
-    private static final long WORK = 100_000;
-    private static final Means NOTES = new Means(World.TICK, 5, true, true, true, new Span(500_000),
-            new Span(1_000_000), true);
-
-    private static World world(Means means, int dispatchers, long... engines) {
-        Profile p = World.profile("p", 1);
-        World w = new World(World.deployment(0, dispatchers, World.RULES, means, p), 7);
-        w.list(true, java.util.Arrays.stream(engines).mapToObj(World::up).toArray(Listing[]::new));
-        return w;
+  private static final long WORK = 100_000;
+  private static final Means NOTES =
+      new Means(World.TICK, 5, true, true, true, new Span(500_000), new Span(1_000_000), true);
+
+  private static World world(Means means, int dispatchers, long... engines) {
+    Profile p = World.profile("p", 1);
+    World w = new World(World.deployment(0, dispatchers, World.RULES, means, p), 7);
+    w.list(true, java.util.Arrays.stream(engines).mapToObj(World::up).toArray(Listing[]::new));
+    return w;
+  }
+
+  private static World.Out sendOne(World w) {
+    w.take("p", WORK);
+    return w.sends.get(w.sends.size() - 1);
+  }
+
+  /**
+   * Commands whose need is twice the estimate: short of their grant they spill, and no answer tells
+   * the need.
+   */
+  private static double grantAfter(World w, int commands) {
+    double needMb = 2 * w.memoryMb;
+    double grant = 0;
+    for (int i = 0; i < commands; i++) {
+      World.Out o = sendOne(w);
+      grant = o.how().grantMb();
+      double granted = grant > 0 ? grant : w.memoryMb;
+      if (granted < needMb) {
+        w.dispatcher.spills(o.command().id(), o.number(), needMb - granted);
+      }
+      w.pass(new Span(100_000));
+      w.end(o, Ending.ANSWERED, true);
     }
-
-    private static World.Out sendOne(World w) {
-        w.take("p", WORK);
-        return w.sends.get(w.sends.size() - 1);
+    return grant;
+  }
+
+  @Test
+  void grantsFollowTheNotesOfSpillsWhereAnswersTellNoNeed() {
+    World w = world(NOTES, 1, 1, 2);
+    double grant = grantAfter(w, 60);
+    assertTrue(grant >= 1.7 * w.memoryMb && grant <= 2.6 * w.memoryMb, "grant " + grant);
+  }
+
+  @Test
+  void whereGrantsAreNotHeededNoneIsLearntFromSpills() {
+    World w =
+        world(
+            new Means(
+                World.TICK, 5, true, true, true, new Span(500_000), new Span(1_000_000), false),
+            1,
+            1,
+            2);
+    assertEquals(0, grantAfter(w, 60), "the engine alone sets grants");
+  }
+
+  @Test
+  void aSendThatStandsBehindALoadIsCalledOffForAnotherEngine() {
+    World w = world(NOTES, 1, 1, 2);
+    World.Out o = sendOne(w);
+    w.dispatcher.blocked(o.command().id(), o.number(), w.now);
+    w.follow();
+    assertEquals(List.of(o.command().id()), w.callOffs, "called off at once");
+    w.end(o, Ending.CANCELLED, false);
+    World.Out next = w.sends.get(w.sends.size() - 1);
+    assertEquals(o.command().id(), next.command().id());
+    assertNotEquals(o.engine(), next.engine(), "not behind the same load again");
+  }
+
+  @Test
+  void aCommandBehindLoadsEverywhereDoesNotSpendItsSendsInTurn() {
+    // Two engines hold what it reads: going to and fro between them took five sends within
+    // milliseconds.
+    World w = world(NOTES, 1, 1, 2);
+    World.Out o = sendOne(w);
+    for (int i = 0; i < 4; i++) {
+      World.Out out = w.out.get(o.command().id());
+      w.dispatcher.blocked(out.command().id(), out.number(), w.now);
+      w.follow();
+      if (w.callOffs.remove(out.command().id())) {
+        w.end(out, Ending.CANCELLED, false);
+      }
+      w.pass(World.TICK);
     }
-
-    /** Commands whose need is twice the estimate: short of their grant they spill, and no answer tells the need. */
-    private static double grantAfter(World w, int commands) {
-        double needMb = 2 * w.memoryMb;
-        double grant = 0;
-        for (int i = 0; i < commands; i++) {
-            World.Out o = sendOne(w);
-            grant = o.how().grantMb();
-            double granted = grant > 0 ? grant : w.memoryMb;
-            if (granted < needMb) {
-                w.dispatcher.spills(o.command().id(), o.number(), needMb - granted);
-            }
-            w.pass(new Span(100_000));
-            w.end(o, Ending.ANSWERED, true);
-        }
-        return grant;
+    assertEquals(2, w.sends.size(), "one send to each, and the second stays");
+  }
+
+  @Test
+  void ofEnginesWithAsMuchLeftOneAtHomeGoesFirst() {
+    Deployment told = World.deployment(1, 1, World.RULES, NOTES, World.profile("p", 1));
+    Deployment at =
+        new Deployment(
+            told.number(),
+            told.dispatchers(),
+            told.profiles(),
+            told.kinds(),
+            told.shares(),
+            told.overShareWorth(),
+            told.rules(),
+            told.means(),
+            new Deployment.Place(new LocationId("l1"), true));
+    World w = new World(at, 7);
+    w.list(true, World.up(1), World.up(2), World.up(4), World.up(5));
+    for (int i = 0; i < 2; i++) {
+      World.Out o = sendOne(w);
+      assertEquals(1, o.engine().value() % 3, "engines 1 and 4 stand at l1: " + o.engine());
     }
-
-    @Test
-    void grantsFollowTheNotesOfSpillsWhereAnswersTellNoNeed() {
-        World w = world(NOTES, 1, 1, 2);
-        double grant = grantAfter(w, 60);
-        assertTrue(grant >= 1.7 * w.memoryMb && grant <= 2.6 * w.memoryMb, "grant " + grant);
+  }
+
+  @Test
+  void whatMustNotRunTwiceStaysBehindALoad() {
+    // It has no call-off that could be brought forward: asking for one ended the dispatcher.
+    Profile once =
+        World.profile(
+            "p", 1, Deployment.Repeat.NON_REPLAYABLE, Deployment.Scope.ALL, false, null, null);
+    World w = new World(World.deployment(0, 1, World.RULES, NOTES, once), 7);
+    w.list(true, World.up(1), World.up(2));
+    sendOne(w);
+    World.Out second = sendOne(w);
+    w.dispatcher.blocked(second.command().id(), second.number(), w.now);
+    w.dispatcher.progressed(second.command().id(), second.number(), 0.5, w.now);
+    w.follow();
+    assertTrue(w.callOffs.isEmpty());
+  }
+
+  @Test
+  void aSendBehindALoadStaysWhereThereIsNoOtherEngine() {
+    World w = world(NOTES, 1, 1);
+    World.Out o = sendOne(w);
+    w.dispatcher.blocked(o.command().id(), o.number(), w.now);
+    w.follow();
+    assertTrue(w.callOffs.isEmpty(), "the only engine: the load ends sooner or later");
+  }
+
+  @Test
+  void estimatesFarTooLowAreNoOverloadWhileReportsTellOfRoom() {
+    assertEquals(
+        0, shedWhereAllTakesFourTimesItsEstimate(0.2), "room on every engine: nothing is too dear");
+    int shed = shedWhereAllTakesFourTimesItsEstimate(30);
+    assertTrue(shed > 20, shed + " sheds: the same answers from full engines are overload");
+  }
+
+  /** Sheds among the later commands of a day on which engines report this many in hand. */
+  private static int shedWhereAllTakesFourTimesItsEstimate(double inHand) {
+    World w = world(NOTES, 1, 1, 2, 4);
+    w.inHand = inHand;
+    SplittableRandom r = new SplittableRandom(3);
+    int before = 0;
+    for (int i = 0; i < 200; i++) {
+      before = i == 100 ? w.finals.size() : before;
+      int sent = w.sends.size();
+      w.take("p", WORK);
+      if (w.sends.size() > sent) {
+        World.Out o = w.sends.get(sent);
+        w.pass(new Span(4 * WORK - r.nextLong(WORK / 4)));
+        w.end(o, Ending.ANSWERED, true);
+      }
     }
-
-    @Test
-    void whereGrantsAreNotHeededNoneIsLearntFromSpills() {
-        World w = world(new Means(World.TICK, 5, true, true, true, new Span(500_000), new Span(1_000_000), false), 1, 1, 2);
-        assertEquals(0, grantAfter(w, 60), "the engine alone sets grants");
+    return w.finals.size() - before;
+  }
+
+  /**
+   * Of a hundred commands that come while answers take three times the usual, how many are shed as
+   * they come.
+   */
+  private static long shedAtOnce(boolean failing) {
+    World w = world(NOTES, 1, 1, 2, 5, 6);
+    w.inHand = 1;
+    for (int i = 0; i < 60; i++) {
+      World.Out o = sendOne(w);
+      w.pass(new Span(WORK));
+      w.end(o, Ending.ANSWERED, true);
     }
-
-    @Test
-    void aSendThatStandsBehindALoadIsCalledOffForAnotherEngine() {
-        World w = world(NOTES, 1, 1, 2);
-        World.Out o = sendOne(w);
-        w.dispatcher.blocked(o.command().id(), o.number(), w.now);
-        w.follow();
-        assertEquals(List.of(o.command().id()), w.callOffs, "called off at once");
-        w.end(o, Ending.CANCELLED, false);
-        World.Out next = w.sends.get(w.sends.size() - 1);
-        assertEquals(o.command().id(), next.command().id());
-        assertNotEquals(o.engine(), next.engine(), "not behind the same load again");
-    }
-
-    @Test
-    void aCommandBehindLoadsEverywhereDoesNotSpendItsSendsInTurn() {
-        // Two engines hold what it reads: going to and fro between them took five sends within milliseconds.
-        World w = world(NOTES, 1, 1, 2);
-        World.Out o = sendOne(w);
-        for (int i = 0; i < 4; i++) {
-            World.Out out = w.out.get(o.command().id());
-            w.dispatcher.blocked(out.command().id(), out.number(), w.now);
-            w.follow();
-            if (w.callOffs.remove(out.command().id())) {
-                w.end(out, Ending.CANCELLED, false);
-            }
-            w.pass(World.TICK);
-        }
-        assertEquals(2, w.sends.size(), "one send to each, and the second stays");
-    }
-
-    @Test
-    void ofEnginesWithAsMuchLeftOneAtHomeGoesFirst() {
-        Deployment told = World.deployment(1, 1, World.RULES, NOTES, World.profile("p", 1));
-        Deployment at = new Deployment(told.number(), told.dispatchers(), told.profiles(), told.kinds(), told.shares(),
-                told.overShareWorth(), told.rules(), told.means(), new Deployment.Place(new LocationId("l1"), true));
-        World w = new World(at, 7);
-        w.list(true, World.up(1), World.up(2), World.up(4), World.up(5));
-        for (int i = 0; i < 2; i++) {
-            World.Out o = sendOne(w);
-            assertEquals(1, o.engine().value() % 3, "engines 1 and 4 stand at l1: " + o.engine());
-        }
-    }
-
-    @Test
-    void whatMustNotRunTwiceStaysBehindALoad() {
-        // It has no call-off that could be brought forward: asking for one ended the dispatcher.
-        Profile once = World.profile("p", 1, Deployment.Repeat.NON_REPLAYABLE, Deployment.Scope.ALL, false, null, null);
-        World w = new World(World.deployment(0, 1, World.RULES, NOTES, once), 7);
-        w.list(true, World.up(1), World.up(2));
-        sendOne(w);
-        World.Out second = sendOne(w);
-        w.dispatcher.blocked(second.command().id(), second.number(), w.now);
-        w.dispatcher.progressed(second.command().id(), second.number(), 0.5, w.now);
-        w.follow();
-        assertTrue(w.callOffs.isEmpty());
-    }
-
-    @Test
-    void aSendBehindALoadStaysWhereThereIsNoOtherEngine() {
-        World w = world(NOTES, 1, 1);
-        World.Out o = sendOne(w);
-        w.dispatcher.blocked(o.command().id(), o.number(), w.now);
-        w.follow();
-        assertTrue(w.callOffs.isEmpty(), "the only engine: the load ends sooner or later");
-    }
-
-    @Test
-    void estimatesFarTooLowAreNoOverloadWhileReportsTellOfRoom() {
-        assertEquals(0, shedWhereAllTakesFourTimesItsEstimate(0.2), "room on every engine: nothing is too dear");
-        int shed = shedWhereAllTakesFourTimesItsEstimate(30);
-        assertTrue(shed > 20, shed + " sheds: the same answers from full engines are overload");
-    }
-
-    /** Sheds among the later commands of a day on which engines report this many in hand. */
-    private static int shedWhereAllTakesFourTimesItsEstimate(double inHand) {
-        World w = world(NOTES, 1, 1, 2, 4);
-        w.inHand = inHand;
-        SplittableRandom r = new SplittableRandom(3);
-        int before = 0;
-        for (int i = 0; i < 200; i++) {
-            before = i == 100 ? w.finals.size() : before;
-            int sent = w.sends.size();
-            w.take("p", WORK);
-            if (w.sends.size() > sent) {
-                World.Out o = w.sends.get(sent);
-                w.pass(new Span(4 * WORK - r.nextLong(WORK / 4)));
-                w.end(o, Ending.ANSWERED, true);
-            }
-        }
-        return w.finals.size() - before;
-    }
-
-    /** Of a hundred commands that come while answers take three times the usual, how many are shed as they come. */
-    private static long shedAtOnce(boolean failing) {
-        World w = world(NOTES, 1, 1, 2, 5, 6);
-        w.inHand = 1;
-        for (int i = 0; i < 60; i++) {
-            World.Out o = sendOne(w);
-            w.pass(new Span(WORK));
-            w.end(o, Ending.ANSWERED, true);
-        }
-        long before = 0;
-        for (int i = 0; i < 100; i++) {
-            int sent = w.sends.size();
-            long shed = w.finals.size();
-            Command c = w.take("p", WORK);
-            before += w.finals.size() - shed;
-            if (w.sends.size() == sent) {
-                continue;
-            }
-            boolean fails = failing && i % 4 != 0;
-            w.pass(new Span(fails ? WORK / 10 : 3 * WORK));
-            if (w.out.containsKey(c.id())) {
-                w.end(w.out.get(c.id()), fails ? Ending.ERROR : Ending.ANSWERED, true);
-            }
-        }
-        return before;
-    }
-
-    @Test
-    void whatFailsTellsOfNoRoomThoughTheFewAnswersDo() {
-        // Reports come with answers alone. Before, a pool of which most did not answer looked empty by the rest, and nothing was shed.
-        long alone = shedAtOnce(false);
-        long beside = shedAtOnce(true);
-        assertEquals(0, alone, "slow, but all engines tell of room");
-        assertTrue(beside > 0, "slow, and most of all fails");
+    long before = 0;
+    for (int i = 0; i < 100; i++) {
+      int sent = w.sends.size();
+      long shed = w.finals.size();
+      Command c = w.take("p", WORK);
+      before += w.finals.size() - shed;
+      if (w.sends.size() == sent) {
+        continue;
+      }
+      boolean fails = failing && i % 4 != 0;
+      w.pass(new Span(fails ? WORK / 10 : 3 * WORK));
+      if (w.out.containsKey(c.id())) {
+        w.end(w.out.get(c.id()), fails ? Ending.ERROR : Ending.ANSWERED, true);
+      }
     }
+    return before;
+  }
+
+  @Test
+  void whatFailsTellsOfNoRoomThoughTheFewAnswersDo() {
+    // Reports come with answers alone. Before, a pool of which most did not answer looked empty by
+    // the rest, and nothing was shed.
+    long alone = shedAtOnce(false);
+    long beside = shedAtOnce(true);
+    assertEquals(0, alone, "slow, but all engines tell of room");
+    assertTrue(beside > 0, "slow, and most of all fails");
+  }
 }
--- a/src/test/java/cobaltseam/emulator/RefereeTest.java
+++ b/src/test/java/cobaltseam/emulator/RefereeTest.java
@@ -4,11 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-
 import cobaltseam.deployment.BadInput;
 import cobaltseam.dispatch.Command;
 import cobaltseam.dispatch.CommandId;
@@ -23,245 +18,369 @@
 import cobaltseam.dispatch.Placement.Verdict;
 import cobaltseam.dispatch.Span;
 import cobaltseam.emulator.Referee.Rule;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** The real module in the emulator keeps the rules, and the same seed decides the same; mutants of it are caught. */
+/**
+ * The real module in the emulator keeps the rules, and the same seed decides the same; mutants of
+ * it are caught.
+ */
 class RefereeTest {
-    private static final double SECONDS = 20;
-
-    /** The module with something broken. */
-    private static class Mutant implements Policy {
-        final Policy module;
-        final Map<CommandId, Command> commands = new HashMap<>();
-
-        Mutant(Policy module) {
-            this.module = module;
-        }
-
-        @Override
-        public Placement place(Command command, Moment now) {
-            commands.put(command.id(), command);
-            return module.place(command, now);
-        }
-
-        @Override
-        public Placement after(Outcome outcome, Moment now) {
-            return module.after(outcome, now);
-        }
-
-        @Override
-        public Pause pause(Moment now) {
-            return module.pause(now);
-        }
-
-        @Override
-        public void listed(List<Listing> list, boolean whole, Moment now) {
-            module.listed(list, whole, now);
-        }
-
-        @Override
-        public void progressed(CommandId command, int send, double share, Moment now) {
-            module.progressed(command, send, share, now);
-        }
-
-        @Override
-        public void departed(CommandId command, Moment now) {
-            module.departed(command, now);
-        }
-    }
-
-    private interface Mutation {
-        Policy of(Policy module);
-    }
-
-    private static World hall() {
-        return Worlds.named("hall");
-    }
+  private static final double SECONDS = 20;
 
-    private static Referee play(World world, List<Fault> faults, Mutation mutation, long seed) {
-        Simulation s = new Simulation(world, (told, of, truth) -> mutation.of(Policy.module(new Dispatcher(told, of))), faults, SECONDS, seed);
-        s.run();
-        return s.referee();
-    }
+  /** The module with something broken. */
+  private static class Mutant implements Policy {
+    final Policy module;
+    final Map<CommandId, Command> commands = new HashMap<>();
 
-    private static World with(World w, World.Limits limits) {
-        return new World(w.name(), w.engines(), w.dispatchers(), w.profiles(), w.holders(), w.load(), w.net(), w.roster(), limits);
+    Mutant(Policy module) {
+      this.module = module;
     }
 
-    private static World budgeted() {
-        World.Limits l = hall().limits();
-        return with(hall(), new World.Limits(l.mostSends(), l.cancels(), l.progressMs(), l.comeBackMs(), l.drainGraceMs(),
-                l.fallMultiple(), l.fallWindowMs(), l.keyRestMs(), 2.0, 0.02, 2000));
+    @Override
+    public Placement place(Command command, Moment now) {
+      commands.put(command.id(), command);
+      return module.place(command, now);
     }
 
-    @Test
-    void theModuleKeepsTheRulesUnderDrawnFaults() {
-        for (long seed = 1; seed <= 12; seed++) {
-            World world = seed % 3 == 0 ? budgeted() : hall();
-            Referee referee = play(world, Fault.drawn(world, SECONDS, 8, seed), m -> m, seed);
-            assertEquals(0, referee.all(), "seed " + seed + ": " + referee.broken());
-        }
+    @Override
+    public Placement after(Outcome outcome, Moment now) {
+      return module.after(outcome, now);
     }
 
-    @Test
-    void theSameSeedDecidesTheSameAndAnotherDoesNot() {
-        List<Fault> faults = Fault.drawn(hall(), SECONDS, 8, 5);
-        long one = new Simulation(hall(), Emulate.policies("module"), faults, SECONDS, 5).run().hash();
-        assertEquals(one, new Simulation(hall(), Emulate.policies("module"), faults, SECONDS, 5).run().hash());
-        assertNotEquals(one, new Simulation(hall(), Emulate.policies("module"), faults, SECONDS, 6).run().hash());
-        assertEquals(faults, Fault.drawn(hall(), SECONDS, 8, 5));
+    @Override
+    public Pause pause(Moment now) {
+      return module.pause(now);
     }
 
-    /** What comes to a killed one while it is also to stand still must not wait for its next life. */
-    @Test
-    void aKilledDispatcherThatStandsStillHearsNothing() {
-        List<Fault> faults = List.of(new Fault(Fault.Kind.KILL, 3, 6, List.of(0), 1, 0), new Fault(Fault.Kind.PAUSE, 4, 2, List.of(0), 1, 0),
-                new Fault(Fault.Kind.DRAIN, 4.2, 2, List.of(1), 1, 0), new Fault(Fault.Kind.PAUSE, 8, 3, List.of(0), 1, 0));
-        assertEquals(0, play(hall(), faults, m -> m, 1).all());
+    @Override
+    public void listed(List<Listing> list, boolean whole, Moment now) {
+      module.listed(list, whole, now);
     }
 
-    @Test
-    void aDrainIgnoredIsSeen() {
-        List<Fault> faults = List.of(new Fault(Fault.Kind.DRAIN, 3, 10, List.of(0, 1, 2), 1, 0));
-        Referee referee = play(hall(), faults, m -> new Mutant(m) {
-            @Override
-            public void listed(List<Listing> list, boolean whole, Moment now) {
-                module.listed(list.stream().map(l -> new Listing(l.engine(), l.location(), l.kind(), l.group(), Standing.UP, l.started()))
-                        .toList(), whole, now);
-            }
-        }, 1);
-        assertTrue(referee.count(Rule.DRAIN) > 0);
+    @Override
+    public void progressed(CommandId command, int send, double share, Moment now) {
+      module.progressed(command, send, share, now);
     }
 
-    /** It is asked again for a command that is out, and sends it once more. */
-    @Test
-    void aSecondSendWithOneOutIsSeen() {
-        Referee referee = play(hall(), List.of(), m -> new Mutant(m) {
-            private int placed;
-            private Command twice;
-
-            @Override
-            public Placement place(Command command, Moment now) {
-                if (command.equals(twice)) {
-                    twice = null;
-                    return Placement.send(new EngineId(2), new Span(1_000_000), -1);
-                }
-                Placement p = super.place(command, now);
-                twice = p.verdict() == Verdict.SEND && ++placed % 50 == 0 ? command : twice;
-                return p;
-            }
-
-            @Override
-            public Pause pause(Moment now) {
-                return twice != null ? Pause.ask(twice) : module.pause(now);
-            }
-        }, 1);
-        assertTrue(referee.count(Rule.TWICE) > 0);
+    @Override
+    public void departed(CommandId command, Moment now) {
+      module.departed(command, now);
     }
-
-    @Test
-    void commandsForgottenAreSeen() {
-        Referee referee = play(hall(), Fault.drawn(hall(), SECONDS, 8, 1), m -> new Mutant(m) {
-            private int after;
-
-            @Override
-            public Placement after(Outcome outcome, Moment now) {
-                Placement p = module.after(outcome, now);
-                return p.verdict() == Verdict.SHED && ++after > 0 ? Placement.hold() : p;
-            }
-
-            @Override
-            public Placement place(Command command, Moment now) {
-                Placement p = module.place(command, now);
-                return p.verdict() == Verdict.SHED ? Placement.hold() : p;
-            }
-        }, 1);
-        assertTrue(referee.count(Rule.LOST) > 0);
+  }
+
+  private interface Mutation {
+    Policy of(Policy module);
+  }
+
+  private static World hall() {
+    return Worlds.named("hall");
+  }
+
+  private static Referee play(World world, List<Fault> faults, Mutation mutation, long seed) {
+    Simulation s =
+        new Simulation(
+            world,
+            (told, of, truth) -> mutation.of(Policy.module(new Dispatcher(told, of))),
+            faults,
+            SECONDS,
+            seed);
+    s.run();
+    return s.referee();
+  }
+
+  private static World with(World w, World.Limits limits) {
+    return new World(
+        w.name(),
+        w.engines(),
+        w.dispatchers(),
+        w.profiles(),
+        w.holders(),
+        w.load(),
+        w.net(),
+        w.roster(),
+        limits);
+  }
+
+  private static World budgeted() {
+    World.Limits l = hall().limits();
+    return with(
+        hall(),
+        new World.Limits(
+            l.mostSends(),
+            l.cancels(),
+            l.progressMs(),
+            l.comeBackMs(),
+            l.drainGraceMs(),
+            l.fallMultiple(),
+            l.fallWindowMs(),
+            l.keyRestMs(),
+            2.0,
+            0.02,
+            2000));
+  }
+
+  @Test
+  void theModuleKeepsTheRulesUnderDrawnFaults() {
+    for (long seed = 1; seed <= 12; seed++) {
+      World world = seed % 3 == 0 ? budgeted() : hall();
+      Referee referee = play(world, Fault.drawn(world, SECONDS, 8, seed), m -> m, seed);
+      assertEquals(0, referee.all(), "seed " + seed + ": " + referee.broken());
     }
-
-    /** Mutants that answer or send by themselves: each breaks one rule on its own. */
-    @Test
-    void repeatsShedsOrderPlacementAndBudgetsAreSeen() {
-        List<Fault> failing = List.of(new Fault(Fault.Kind.FAIL, 2, 15, List.of(0, 1, 2, 3, 4, 5), 0.5, 0));
-        Mutation repeats = m -> new Mutant(m) {
-            private final List<Command> again = new ArrayList<>();
-
-            @Override
-            public Placement after(Outcome outcome, Moment now) {
+  }
+
+  @Test
+  void theSameSeedDecidesTheSameAndAnotherDoesNot() {
+    List<Fault> faults = Fault.drawn(hall(), SECONDS, 8, 5);
+    long one = new Simulation(hall(), Emulate.policies("module"), faults, SECONDS, 5).run().hash();
+    assertEquals(
+        one, new Simulation(hall(), Emulate.policies("module"), faults, SECONDS, 5).run().hash());
+    assertNotEquals(
+        one, new Simulation(hall(), Emulate.policies("module"), faults, SECONDS, 6).run().hash());
+    assertEquals(faults, Fault.drawn(hall(), SECONDS, 8, 5));
+  }
+
+  /** What comes to a killed one while it is also to stand still must not wait for its next life. */
+  @Test
+  void aKilledDispatcherThatStandsStillHearsNothing() {
+    List<Fault> faults =
+        List.of(
+            new Fault(Fault.Kind.KILL, 3, 6, List.of(0), 1, 0),
+            new Fault(Fault.Kind.PAUSE, 4, 2, List.of(0), 1, 0),
+            new Fault(Fault.Kind.DRAIN, 4.2, 2, List.of(1), 1, 0),
+            new Fault(Fault.Kind.PAUSE, 8, 3, List.of(0), 1, 0));
+    assertEquals(0, play(hall(), faults, m -> m, 1).all());
+  }
+
+  @Test
+  void aDrainIgnoredIsSeen() {
+    List<Fault> faults = List.of(new Fault(Fault.Kind.DRAIN, 3, 10, List.of(0, 1, 2), 1, 0));
+    Referee referee =
+        play(
+            hall(),
+            faults,
+            m ->
+                new Mutant(m) {
+                  @Override
+                  public void listed(List<Listing> list, boolean whole, Moment now) {
+                    module.listed(
+                        list.stream()
+                            .map(
+                                l ->
+                                    new Listing(
+                                        l.engine(),
+                                        l.location(),
+                                        l.kind(),
+                                        l.group(),
+                                        Standing.UP,
+                                        l.started()))
+                            .toList(),
+                        whole,
+                        now);
+                  }
+                },
+            1);
+    assertTrue(referee.count(Rule.DRAIN) > 0);
+  }
+
+  /** It is asked again for a command that is out, and sends it once more. */
+  @Test
+  void aSecondSendWithOneOutIsSeen() {
+    Referee referee =
+        play(
+            hall(),
+            List.of(),
+            m ->
+                new Mutant(m) {
+                  private int placed;
+                  private Command twice;
+
+                  @Override
+                  public Placement place(Command command, Moment now) {
+                    if (command.equals(twice)) {
+                      twice = null;
+                      return Placement.send(new EngineId(2), new Span(1_000_000), -1);
+                    }
+                    Placement p = super.place(command, now);
+                    twice = p.verdict() == Verdict.SEND && ++placed % 50 == 0 ? command : twice;
+                    return p;
+                  }
+
+                  @Override
+                  public Pause pause(Moment now) {
+                    return twice != null ? Pause.ask(twice) : module.pause(now);
+                  }
+                },
+            1);
+    assertTrue(referee.count(Rule.TWICE) > 0);
+  }
+
+  @Test
+  void commandsForgottenAreSeen() {
+    Referee referee =
+        play(
+            hall(),
+            Fault.drawn(hall(), SECONDS, 8, 1),
+            m ->
+                new Mutant(m) {
+                  private int after;
+
+                  @Override
+                  public Placement after(Outcome outcome, Moment now) {
+                    Placement p = module.after(outcome, now);
+                    return p.verdict() == Verdict.SHED && ++after > 0 ? Placement.hold() : p;
+                  }
+
+                  @Override
+                  public Placement place(Command command, Moment now) {
+                    Placement p = module.place(command, now);
+                    return p.verdict() == Verdict.SHED ? Placement.hold() : p;
+                  }
+                },
+            1);
+    assertTrue(referee.count(Rule.LOST) > 0);
+  }
+
+  /** Mutants that answer or send by themselves: each breaks one rule on its own. */
+  @Test
+  void repeatsShedsOrderPlacementAndBudgetsAreSeen() {
+    List<Fault> failing =
+        List.of(new Fault(Fault.Kind.FAIL, 2, 15, List.of(0, 1, 2, 3, 4, 5), 0.5, 0));
+    Mutation repeats =
+        m ->
+            new Mutant(m) {
+              private final List<Command> again = new ArrayList<>();
+
+              @Override
+              public Placement after(Outcome outcome, Moment now) {
                 Placement p = module.after(outcome, now);
                 if (outcome.ending() == Outcome.Ending.ERROR && p.verdict() != Verdict.HOLD) {
-                    again.add(commands.get(outcome.command()));
-                    return Placement.hold();
+                  again.add(commands.get(outcome.command()));
+                  return Placement.hold();
                 }
                 return p;
-            }
+              }
 
-            @Override
-            public Pause pause(Moment now) {
+              @Override
+              public Pause pause(Moment now) {
                 return again.isEmpty() ? module.pause(now) : Pause.ask(again.get(0));
-            }
+              }
 
-            @Override
-            public Placement place(Command command, Moment now) {
+              @Override
+              public Placement place(Command command, Moment now) {
                 if (!again.isEmpty() && again.get(0).equals(command)) {
-                    again.remove(0);
-                    return Placement.send(new EngineId(7), new Span(1_000_000), -1);
+                  again.remove(0);
+                  return Placement.send(new EngineId(7), new Span(1_000_000), -1);
                 }
                 return super.place(command, now);
-            }
-        };
-        assertTrue(play(hall(), failing, repeats, 2).count(Rule.TWICE) > 0);
-        Mutation sheds = m -> new Mutant(m) {
-            @Override
-            public Placement after(Outcome outcome, Moment now) {
+              }
+            };
+    assertTrue(play(hall(), failing, repeats, 2).count(Rule.TWICE) > 0);
+    Mutation sheds =
+        m ->
+            new Mutant(m) {
+              @Override
+              public Placement after(Outcome outcome, Moment now) {
                 Placement p = module.after(outcome, now);
                 return p.verdict() == Verdict.FAIL ? Placement.shed(Span.ZERO) : p;
-            }
-        };
-        assertTrue(play(hall(), failing, sheds, 2).count(Rule.TWICE) > 0);
-        Mutation hasty = m -> new Mutant(m) {
-            @Override
-            public Placement place(Command command, Moment now) {
+              }
+            };
+    assertTrue(play(hall(), failing, sheds, 2).count(Rule.TWICE) > 0);
+    Mutation hasty =
+        m ->
+            new Mutant(m) {
+              @Override
+              public Placement place(Command command, Moment now) {
                 Placement p = super.place(command, now);
-                return p.verdict() == Verdict.HOLD && command.key() != null && !commands.containsKey(new CommandId("x" + command.id().value()))
+                return p.verdict() == Verdict.HOLD
+                        && command.key() != null
+                        && !commands.containsKey(new CommandId("x" + command.id().value()))
                         && commands.put(new CommandId("x" + command.id().value()), command) == null
-                        ? Placement.send(new EngineId(3), new Span(1_000_000), -1) : p;
-            }
-        };
-        assertTrue(play(hall(), List.of(), hasty, 2).count(Rule.ORDER) > 0);
-        World.Profile first = hall().profiles().get(0);
-        World placed = new World("placed", hall().engines(), hall().dispatchers(), List.of(new World.Profile(first.name(), 1, first.threads(),
-                first.workMs(), first.cv(), 1, 0, first.targetMs(), first.timeoutMs(), 0, first.repeat(), first.scope(), 0, 0, false, 0, 1,
-                List.of("l1"))), hall().holders(), hall().load(), hall().net(), hall().roster(), hall().limits());
-        assertEquals(0, play(placed, List.of(), m -> m, 2).all());
-        Mutation anywhere = m -> new Mutant(m) {
-            @Override
-            public Placement place(Command command, Moment now) {
+                    ? Placement.send(new EngineId(3), new Span(1_000_000), -1)
+                    : p;
+              }
+            };
+    assertTrue(play(hall(), List.of(), hasty, 2).count(Rule.ORDER) > 0);
+    World.Profile first = hall().profiles().get(0);
+    World placed =
+        new World(
+            "placed",
+            hall().engines(),
+            hall().dispatchers(),
+            List.of(
+                new World.Profile(
+                    first.name(),
+                    1,
+                    first.threads(),
+                    first.workMs(),
+                    first.cv(),
+                    1,
+                    0,
+                    first.targetMs(),
+                    first.timeoutMs(),
+                    0,
+                    first.repeat(),
+                    first.scope(),
+                    0,
+                    0,
+                    false,
+                    0,
+                    1,
+                    List.of("l1"))),
+            hall().holders(),
+            hall().load(),
+            hall().net(),
+            hall().roster(),
+            hall().limits());
+    assertEquals(0, play(placed, List.of(), m -> m, 2).all());
+    Mutation anywhere =
+        m ->
+            new Mutant(m) {
+              @Override
+              public Placement place(Command command, Moment now) {
                 Placement p = super.place(command, now);
-                return p.verdict() == Verdict.SEND ? Placement.send(new EngineId(1), p.sendTimeout(), -1) : p;
-            }
-        };
-        assertTrue(play(placed, List.of(), anywhere, 2).count(Rule.PLACEMENT) > 0);
-        World unbudgeted = hall();
-        Mutation spends = m -> Policy.module(new Dispatcher(unbudgeted.deployment(0), 3));
-        assertTrue(play(budgeted(), failing, spends, 2).count(Rule.BUDGET) > 0);
-    }
-
-    @Test
-    void coldEnginesThatAreFloodedAreSeen() {
-        List<Fault> faults = List.of(new Fault(Fault.Kind.DIE, 3, 2, List.of(0, 1, 2, 3), 1, 0));
-        World.Limits l = hall().limits();
-        World strict = with(hall(), new World.Limits(l.mostSends(), l.cancels(), l.progressMs(), l.comeBackMs(), l.drainGraceMs(), 0.3,
-                l.fallWindowMs(), l.keyRestMs(), null, null, 0));
-        Simulation s = new Simulation(strict, Emulate.policies("least-in-hand"), faults, SECONDS, 3);
-        s.run();
-        assertTrue(s.referee().count(Rule.COLD) > 0);
-    }
-
-    @Test
-    void worldsOutOfBoundsAreRefused() {
-        Assertions.assertThrows(BadInput.class, () -> Worlds.named("no such world"));
-        Assertions.assertThrows(BadInput.class, () -> Worlds.read("x", "name = 1\nnonsense = 2"));
-    }
+                return p.verdict() == Verdict.SEND
+                    ? Placement.send(new EngineId(1), p.sendTimeout(), -1)
+                    : p;
+              }
+            };
+    assertTrue(play(placed, List.of(), anywhere, 2).count(Rule.PLACEMENT) > 0);
+    World unbudgeted = hall();
+    Mutation spends = m -> Policy.module(new Dispatcher(unbudgeted.deployment(0), 3));
+    assertTrue(play(budgeted(), failing, spends, 2).count(Rule.BUDGET) > 0);
+  }
+
+  @Test
+  void coldEnginesThatAreFloodedAreSeen() {
+    List<Fault> faults = List.of(new Fault(Fault.Kind.DIE, 3, 2, List.of(0, 1, 2, 3), 1, 0));
+    World.Limits l = hall().limits();
+    World strict =
+        with(
+            hall(),
+            new World.Limits(
+                l.mostSends(),
+                l.cancels(),
+                l.progressMs(),
+                l.comeBackMs(),
+                l.drainGraceMs(),
+                0.3,
+                l.fallWindowMs(),
+                l.keyRestMs(),
+                null,
+                null,
+                0));
+    Simulation s = new Simulation(strict, Emulate.policies("least-in-hand"), faults, SECONDS, 3);
+    s.run();
+    assertTrue(s.referee().count(Rule.COLD) > 0);
+  }
+
+  @Test
+  void worldsOutOfBoundsAreRefused() {
+    Assertions.assertThrows(BadInput.class, () -> Worlds.named("no such world"));
+    Assertions.assertThrows(BadInput.class, () -> Worlds.read("x", "name = 1\nnonsense = 2"));
+  }
 }
--- a/src/test/java/cobaltseam/fleet/SpreadFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/SpreadFleetTest.java
@@ -3,130 +3,150 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.List;
-
 import cobaltseam.dispatch.Span;
 import cobaltseam.fleet.Trouble.Kind;
 import cobaltseam.membership.Lease;
+import java.util.ArrayList;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A whole that a fleet divides by need, in virtual time on the real modules: one seed, one history. */
+/**
+ * A whole that a fleet divides by need, in virtual time on the real modules: one seed, one history.
+ */
 class SpreadFleetTest {
-    private static final double FORMED = 30;
-
-    private static VirtualFleet fleet(int processes, long seed, Lease.Terms lease, double clocks, Trouble... troubles) {
-        VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(processes), List.of(troubles), seed);
-        fleet.divides(SpreadHunt.terms(processes), lease, clocks);
-        fleet.run(FORMED - 0.01);
-        return fleet;
-    }
-
-    private static Trouble trouble(Kind kind, double length, List<Integer> who) {
-        return new Trouble(kind, FORMED, length, who, List.of(), 1);
-    }
-
-    private static double part(VirtualFleet fleet, int i) {
-        return (double) fleet.usable(i) / SpreadHunt.WHOLE;
-    }
-
-    private static void kept(VirtualFleet fleet) {
-        assertTrue(fleet.most().amount() <= SpreadHunt.WHOLE && !fleet.most().twoLines(), fleet.most().toString());
+  private static final double FORMED = 30;
+
+  private static VirtualFleet fleet(
+      int processes, long seed, Lease.Terms lease, double clocks, Trouble... troubles) {
+    VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(processes), List.of(troubles), seed);
+    fleet.divides(SpreadHunt.terms(processes), lease, clocks);
+    fleet.run(FORMED - 0.01);
+    return fleet;
+  }
+
+  private static Trouble trouble(Kind kind, double length, List<Integer> who) {
+    return new Trouble(kind, FORMED, length, who, List.of(), 1);
+  }
+
+  private static double part(VirtualFleet fleet, int i) {
+    return (double) fleet.usable(i) / SpreadHunt.WHOLE;
+  }
+
+  private static void kept(VirtualFleet fleet) {
+    assertTrue(
+        fleet.most().amount() <= SpreadHunt.WHOLE && !fleet.most().twoLines(),
+        fleet.most().toString());
+  }
+
+  private static List<Integer> upTo(int from, int to) {
+    List<Integer> who = new ArrayList<>();
+    for (int i = from; i < to; i++) {
+      who.add(i);
     }
-
-    private static List<Integer> upTo(int from, int to) {
-        List<Integer> who = new ArrayList<>();
-        for (int i = from; i < to; i++) {
-            who.add(i);
-        }
-        return who;
-    }
-
-    @Test
-    void partsFollowNeedsAndGoBackWithinALease() {
-        VirtualFleet fleet = fleet(10, 1, SpreadHunt.LEASE, SpreadHunt.CLOCKS);
-        for (int i = 0; i < 10; i++) {
-            assertEquals(0.1, part(fleet, i), 0.01, "nobody needs anything: all alike");
-            fleet.needs(i, i == 3 ? 30 : 1);
-        }
-        fleet.run(FORMED + 6);
-        assertTrue(part(fleet, 3) > 0.5, "it carries three quarters of all: " + part(fleet, 3));
-        fleet.needs(3, 0);
-        fleet.needs(7, 30);
-        fleet.run(FORMED + 12);
-        assertTrue(part(fleet, 7) > 0.5, Double.toString(part(fleet, 7)));
-        assertTrue(part(fleet, 3) < 0.06, Double.toString(part(fleet, 3)));
-        assertTrue(fleet.missed() < 0.02, Double.toString(fleet.missed()));
-        kept(fleet);
-    }
-
-    @Test
-    void halfCutOffWhileItHoldsMostKeepsNothingButItsLonePart() {
-        VirtualFleet fleet = fleet(9, 2, SpreadHunt.LEASE, SpreadHunt.CLOCKS, trouble(Kind.CUT, 60, upTo(0, 4)));
-        fleet.needs(2, 40);
-        fleet.needs(7, 10);
-        fleet.run(FORMED + 2.1);
-        assertEquals(0.1 / 9, part(fleet, 2), 1e-3, "no majority is heard there");
-        fleet.run(FORMED + 40);
-        assertTrue(part(fleet, 7) > 0.5, "the others have what it held, but for the lone parts: " + part(fleet, 7));
-        fleet.run(FORMED + 120);
-        assertTrue(part(fleet, 2) > 0.4, "healed, it has it again: " + part(fleet, 2));
-        kept(fleet);
-    }
-
-    @Test
-    void aThirdKilledAndAsManyJoiningNeverHoldMoreThanTheWhole() {
-        VirtualFleet fleet = fleet(12, 3, SpreadHunt.LEASE, SpreadHunt.CLOCKS, trouble(Kind.KILL, 15, upTo(0, 4)),
-                new Trouble(Kind.LOSS, FORMED, 30, List.of(), List.of(), 0.3));
-        for (int i = 0; i < 12; i++) {
-            fleet.needs(i, i % 3 == 0 ? 20 : 1);
-        }
-        fleet.run(FORMED + 100);
-        assertTrue(fleet.isSettled());
-        assertTrue(fleet.missed() < 0.05, Double.toString(fleet.missed()));
-        kept(fleet);
-    }
-
-    @Test
-    void oneThatStoodStillBeginsWithItsLonePart() {
-        VirtualFleet fleet = fleet(5, 4, SpreadHunt.LEASE, SpreadHunt.CLOCKS, trouble(Kind.PAUSE, 3, List.of(2)));
-        fleet.needs(2, 40);
-        fleet.run(FORMED + 3.0005);
-        assertTrue(part(fleet, 2) < 0.05, "its lease has ended meanwhile: " + part(fleet, 2));
-        fleet.run(FORMED + 40);
-        assertTrue(part(fleet, 2) > 0.5, Double.toString(part(fleet, 2)));
-        kept(fleet);
+    return who;
+  }
+
+  @Test
+  void partsFollowNeedsAndGoBackWithinALease() {
+    VirtualFleet fleet = fleet(10, 1, SpreadHunt.LEASE, SpreadHunt.CLOCKS);
+    for (int i = 0; i < 10; i++) {
+      assertEquals(0.1, part(fleet, i), 0.01, "nobody needs anything: all alike");
+      fleet.needs(i, i == 3 ? 30 : 1);
     }
-
-    @Test
-    void drawnScriptsNeverHoldMoreThanTheWhole() {
-        for (long seed = 1; seed <= 25; seed++) {
-            for (boolean folders : new boolean[] {false, true}) {
-                VirtualFleet.Plan plan = VirtualFleet.Plan.of(folders ? 4 : 7);
-                SpreadHunt.Verdict v = SpreadHunt.play(folders ? plan.withFolders() : plan, Trouble.drawn(plan.processes(), 60, 4, seed), 60, seed);
-                assertEquals(List.of(), v.broken(), "seed " + seed);
-            }
-        }
+    fleet.run(FORMED + 6);
+    assertTrue(part(fleet, 3) > 0.5, "it carries three quarters of all: " + part(fleet, 3));
+    fleet.needs(3, 0);
+    fleet.needs(7, 30);
+    fleet.run(FORMED + 12);
+    assertTrue(part(fleet, 7) > 0.5, Double.toString(part(fleet, 7)));
+    assertTrue(part(fleet, 3) < 0.06, Double.toString(part(fleet, 3)));
+    assertTrue(fleet.missed() < 0.02, Double.toString(fleet.missed()));
+    kept(fleet);
+  }
+
+  @Test
+  void halfCutOffWhileItHoldsMostKeepsNothingButItsLonePart() {
+    VirtualFleet fleet =
+        fleet(9, 2, SpreadHunt.LEASE, SpreadHunt.CLOCKS, trouble(Kind.CUT, 60, upTo(0, 4)));
+    fleet.needs(2, 40);
+    fleet.needs(7, 10);
+    fleet.run(FORMED + 2.1);
+    assertEquals(0.1 / 9, part(fleet, 2), 1e-3, "no majority is heard there");
+    fleet.run(FORMED + 40);
+    assertTrue(
+        part(fleet, 7) > 0.5,
+        "the others have what it held, but for the lone parts: " + part(fleet, 7));
+    fleet.run(FORMED + 120);
+    assertTrue(part(fleet, 2) > 0.4, "healed, it has it again: " + part(fleet, 2));
+    kept(fleet);
+  }
+
+  @Test
+  void aThirdKilledAndAsManyJoiningNeverHoldMoreThanTheWhole() {
+    VirtualFleet fleet =
+        fleet(
+            12,
+            3,
+            SpreadHunt.LEASE,
+            SpreadHunt.CLOCKS,
+            trouble(Kind.KILL, 15, upTo(0, 4)),
+            new Trouble(Kind.LOSS, FORMED, 30, List.of(), List.of(), 0.3));
+    for (int i = 0; i < 12; i++) {
+      fleet.needs(i, i % 3 == 0 ? 20 : 1);
     }
-
-    /** Cuts and kills at many moments: the most that was held at once, as a share of the whole. */
-    private static double most(Lease.Terms lease, double clocks) {
-        double most = 0;
-        for (int seed = 0; seed < 20; seed++) {
-            VirtualFleet fleet = fleet(5, seed, lease, clocks, trouble(Kind.CUT, 20, List.of(3, 4)));
-            fleet.needs(3, 40);
-            fleet.needs(1, 10);
-            fleet.run(FORMED + 30);
-            most = Math.max(most, (double) fleet.most().amount() / SpreadHunt.WHOLE);
-        }
-        return most;
+    fleet.run(FORMED + 100);
+    assertTrue(fleet.isSettled());
+    assertTrue(fleet.missed() < 0.05, Double.toString(fleet.missed()));
+    kept(fleet);
+  }
+
+  @Test
+  void oneThatStoodStillBeginsWithItsLonePart() {
+    VirtualFleet fleet =
+        fleet(5, 4, SpreadHunt.LEASE, SpreadHunt.CLOCKS, trouble(Kind.PAUSE, 3, List.of(2)));
+    fleet.needs(2, 40);
+    fleet.run(FORMED + 3.0005);
+    assertTrue(part(fleet, 2) < 0.05, "its lease has ended meanwhile: " + part(fleet, 2));
+    fleet.run(FORMED + 40);
+    assertTrue(part(fleet, 2) > 0.5, Double.toString(part(fleet, 2)));
+    kept(fleet);
+  }
+
+  @Test
+  void drawnScriptsNeverHoldMoreThanTheWhole() {
+    for (long seed = 1; seed <= 25; seed++) {
+      for (boolean folders : new boolean[] {false, true}) {
+        VirtualFleet.Plan plan = VirtualFleet.Plan.of(folders ? 4 : 7);
+        SpreadHunt.Verdict v =
+            SpreadHunt.play(
+                folders ? plan.withFolders() : plan,
+                Trouble.drawn(plan.processes(), 60, 4, seed),
+                60,
+                seed);
+        assertEquals(List.of(), v.broken(), "seed " + seed);
+      }
     }
-
-    @Test
-    void partsThatGrowTooSoonAndClocksFurtherApartThanStatedAreFound() {
-        // Mutants of the rule: growing as soon as a view is held, and clocks at half and one and a half the rate under a bound of 0.1%.
-        assertTrue(most(new Lease.Terms(new Span(20_000_000), -0.5), 0) > 1, "no wait");
-        assertTrue(most(new Lease.Terms(new Span(10_000_000), 0.001), 1) > 1, "clocks");
-        assertTrue(most(SpreadHunt.LEASE, SpreadHunt.CLOCKS) <= 1);
+  }
+
+  /** Cuts and kills at many moments: the most that was held at once, as a share of the whole. */
+  private static double most(Lease.Terms lease, double clocks) {
+    double most = 0;
+    for (int seed = 0; seed < 20; seed++) {
+      VirtualFleet fleet = fleet(5, seed, lease, clocks, trouble(Kind.CUT, 20, List.of(3, 4)));
+      fleet.needs(3, 40);
+      fleet.needs(1, 10);
+      fleet.run(FORMED + 30);
+      most = Math.max(most, (double) fleet.most().amount() / SpreadHunt.WHOLE);
     }
+    return most;
+  }
+
+  @Test
+  void partsThatGrowTooSoonAndClocksFurtherApartThanStatedAreFound() {
+    // Mutants of the rule: growing as soon as a view is held, and clocks at half and one and a half
+    // the rate under a bound of 0.1%.
+    assertTrue(most(new Lease.Terms(new Span(20_000_000), -0.5), 0) > 1, "no wait");
+    assertTrue(most(new Lease.Terms(new Span(10_000_000), 0.001), 1) > 1, "clocks");
+    assertTrue(most(SpreadHunt.LEASE, SpreadHunt.CLOCKS) <= 1);
+  }
 }
--- a/src/test/java/cobaltseam/mastership/Exploration.java
+++ b/src/test/java/cobaltseam/mastership/Exploration.java
@@ -1,5 +1,10 @@
 package cobaltseam.mastership;
 
+import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Span;
+import cobaltseam.mastership.VirtualRouter.Change;
+import cobaltseam.vrrp.Addresses;
+import cobaltseam.vrrp.Advert;
 import java.net.InetAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,309 +14,378 @@
 import java.util.List;
 import java.util.Set;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
-import cobaltseam.mastership.VirtualRouter.Change;
-import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Advert;
-
 /**
- * Every state that a few routers can come to, on the real rules, when adverts are lost, doubled or late and routers stand
- * still or start anew, each a bounded number of times at every possible place. From every state on, with no more of
- * that, exactly one must become active and stay so.
+ * Every state that a few routers can come to, on the real rules, when adverts are lost, doubled or
+ * late and routers stand still or start anew, each a bounded number of times at every possible
+ * place. From every state on, with no more of that, exactly one must become active and stay so.
  */
 final class Exploration {
-    static final Span INTERVAL = new Span(100_000);
-    private static final Span LATENCY = new Span(1_000);
-    private static final Span LATE = INTERVAL.times(1.5);
-    private static final List<Span> FREEZES = List.of(INTERVAL.times(0.5), INTERVAL.times(3.2), INTERVAL.times(10));
-    private static final Moment ZERO = new Moment(0);
+  static final Span INTERVAL = new Span(100_000);
+  private static final Span LATENCY = new Span(1_000);
+  private static final Span LATE = INTERVAL.times(1.5);
+  private static final List<Span> FREEZES =
+      List.of(INTERVAL.times(0.5), INTERVAL.times(3.2), INTERVAL.times(10));
+  private static final Moment ZERO = new Moment(0);
 
-    /** How often each thing may go wrong. */
-    record Faults(int lost, int doubled, int late, int freezes, int restarts) {
-        boolean none() {
-            return equals(new Faults(0, 0, 0, 0, 0));
-        }
+  /** How often each thing may go wrong. */
+  record Faults(int lost, int doubled, int late, int freezes, int restarts) {
+    boolean none() {
+      return equals(new Faults(0, 0, 0, 0, 0));
     }
+  }
 
-    private record Flying(int from, int to, int priority, Moment at) {
-    }
+  private record Flying(int from, int to, int priority, Moment at) {}
 
-    /** All moments count from now. */
-    private record World(List<Standing> routers, List<Moment> frozen, List<Flying> flying, Faults left,
-                         Moment overlapSince) {
-    }
+  /** All moments count from now. */
+  private record World(
+      List<Standing> routers,
+      List<Moment> frozen,
+      List<Flying> flying,
+      Faults left,
+      Moment overlapSince) {}
 
-    private final List<Terms> terms;
-    private final List<InetAddress> selves = new ArrayList<>();
-    private final Set<World> seen = new HashSet<>();
-    private final Span settle;
-    private final boolean fencesHold;
-    private long steps;
-    private Span longestOverlap = Span.ZERO;
+  private final List<Terms> terms;
+  private final List<InetAddress> selves = new ArrayList<>();
+  private final Set<World> seen = new HashSet<>();
+  private final Span settle;
+  private final boolean fencesHold;
+  private long steps;
+  private Span longestOverlap = Span.ZERO;
 
-    Exploration(List<Terms> terms, Faults faults) {
-        this.terms = terms;
-        for (int i = 0; i < terms.size(); i++) {
-            selves.add(Addresses.read("10.0.0." + (i + 1)).orElseThrow());
-        }
-        // A down interval after the last fault, the longest freeze and lateness, and what an unheard claim takes to yield.
-        settle = INTERVAL.times(2 * VirtualRouter.MISSED + 4).plus(FREEZES.get(2)).plus(LATE);
-        fencesHold = faults.lost == 0 && faults.late == 0 && faults.restarts == 0;
+  Exploration(List<Terms> terms, Faults faults) {
+    this.terms = terms;
+    for (int i = 0; i < terms.size(); i++) {
+      selves.add(Addresses.read("10.0.0." + (i + 1)).orElseThrow());
     }
+    // A down interval after the last fault, the longest freeze and lateness, and what an unheard
+    // claim takes to yield.
+    settle = INTERVAL.times(2 * VirtualRouter.MISSED + 4).plus(FREEZES.get(2)).plus(LATE);
+    fencesHold = faults.lost == 0 && faults.late == 0 && faults.restarts == 0;
+  }
 
-    int states() {
-        return seen.size();
-    }
+  int states() {
+    return seen.size();
+  }
 
-    long steps() {
-        return steps;
-    }
+  long steps() {
+    return steps;
+  }
 
-    Span longestOverlap() {
-        return longestOverlap;
-    }
+  Span longestOverlap() {
+    return longestOverlap;
+  }
 
-    /** Explores all; throws with what went wrong. */
-    void run(Faults faults) {
-        List<Standing> start = terms.stream()
-                .map(t -> VirtualRouter.start(t, t.priority(), Span.ZERO, ZERO).standing()).toList();
-        Deque<World> open = new ArrayDeque<>();
-        add(open, new World(start, Collections.nCopies(terms.size(), ZERO), List.of(), faults, null));
-        while (!open.isEmpty()) {
-            World world = open.removeLast();
-            settles(world);
-            step(world, true).forEach(w -> add(open, w));
-        }
+  /** Explores all; throws with what went wrong. */
+  void run(Faults faults) {
+    List<Standing> start =
+        terms.stream()
+            .map(t -> VirtualRouter.start(t, t.priority(), Span.ZERO, ZERO).standing())
+            .toList();
+    Deque<World> open = new ArrayDeque<>();
+    add(open, new World(start, Collections.nCopies(terms.size(), ZERO), List.of(), faults, null));
+    while (!open.isEmpty()) {
+      World world = open.removeLast();
+      settles(world);
+      step(world, true).forEach(w -> add(open, w));
     }
+  }
 
-    private void add(Deque<World> open, World world) {
-        if (seen.add(world)) {
-            open.addLast(world);
-        }
+  private void add(Deque<World> open, World world) {
+    if (seen.add(world)) {
+      open.addLast(world);
     }
+  }
 
-    /** Without further faults exactly one is active after a while, and the same one stays. */
-    private void settles(World from) {
-        World world = new World(from.routers, from.frozen, from.flying, new Faults(0, 0, 0, 0, 0), from.overlapSince);
-        Span spent = Span.ZERO;
-        int active = -1;
-        while (spent.compareTo(settle.plus(INTERVAL.times(5))) < 0) {
-            Span wait = next(world).since(ZERO);
-            spent = spent.plus(wait);
-            world = step(world, false).get(0);
-            if (spent.compareTo(settle) >= 0) {
-                List<Integer> now = active(world);
-                if (now.size() != 1 || active >= 0 && now.get(0) != active) {
-                    throw new AssertionError("active: " + now + " after " + spent + " of " + from + ", now " + world);
-                }
-                active = now.get(0);
-            }
+  /** Without further faults exactly one is active after a while, and the same one stays. */
+  private void settles(World from) {
+    World world =
+        new World(
+            from.routers, from.frozen, from.flying, new Faults(0, 0, 0, 0, 0), from.overlapSince);
+    Span spent = Span.ZERO;
+    int active = -1;
+    while (spent.compareTo(settle.plus(INTERVAL.times(5))) < 0) {
+      Span wait = next(world).since(ZERO);
+      spent = spent.plus(wait);
+      world = step(world, false).get(0);
+      if (spent.compareTo(settle) >= 0) {
+        List<Integer> now = active(world);
+        if (now.size() != 1 || active >= 0 && now.get(0) != active) {
+          throw new AssertionError(
+              "active: " + now + " after " + spent + " of " + from + ", now " + world);
         }
+        active = now.get(0);
+      }
     }
+  }
 
-    private static List<Integer> active(World world) {
-        List<Integer> active = new ArrayList<>();
-        for (int i = 0; i < world.routers.size(); i++) {
-            if (world.routers.get(i).role() == Role.ACTIVE) {
-                active.add(i);
-            }
-        }
-        return active;
+  private static List<Integer> active(World world) {
+    List<Integer> active = new ArrayList<>();
+    for (int i = 0; i < world.routers.size(); i++) {
+      if (world.routers.get(i).role() == Role.ACTIVE) {
+        active.add(i);
+      }
     }
+    return active;
+  }
 
-    private Moment wakeOf(World w, int i) {
-        Moment wake = w.routers.get(i).wake();
-        return wake == null ? null : later(wake, w.frozen.get(i));
-    }
+  private Moment wakeOf(World w, int i) {
+    Moment wake = w.routers.get(i).wake();
+    return wake == null ? null : later(wake, w.frozen.get(i));
+  }
 
-    private static Moment later(Moment one, Moment other) {
-        return one.before(other) ? other : one;
-    }
+  private static Moment later(Moment one, Moment other) {
+    return one.before(other) ? other : one;
+  }
 
-    private Moment next(World w) {
-        Moment next = null;
-        for (int i = 0; i < w.routers.size(); i++) {
-            Moment at = wakeOf(w, i);
-            next = at != null && (next == null || at.before(next)) ? at : next;
-        }
-        for (Flying f : w.flying) {
-            Moment at = later(f.at, w.frozen.get(f.to));
-            next = next == null || at.before(next) ? at : next;
-        }
-        return later(next, ZERO);
+  private Moment next(World w) {
+    Moment next = null;
+    for (int i = 0; i < w.routers.size(); i++) {
+      Moment at = wakeOf(w, i);
+      next = at != null && (next == null || at.before(next)) ? at : next;
     }
-
-    /** Every world that the next event can lead to; what has flown is heard before what is due. */
-    private List<World> step(World w, boolean faulty) {
-        steps++;
-        Moment now = next(w);
-        List<World> worlds = new ArrayList<>();
-        Flying come = w.flying.stream().filter(f -> !now.before(later(f.at, w.frozen.get(f.to)))).findFirst().orElse(null);
-        if (come != null) {
-            List<Flying> rest = new ArrayList<>(w.flying);
-            rest.remove(come);
-            World heard = new World(w.routers, w.frozen, rest, w.left, w.overlapSince);
-            Advert advert = new Advert(1, come.priority, 10, List.of(selves.get(0)));
-            follow(heard, come.to, now, faulty, worlds, (t, s) ->
-                    VirtualRouter.heard(t, s, selves.get(come.to), selves.get(come.from), advert, now));
-            return worlds;
-        }
-        for (int i = 0; i < w.routers.size(); i++) {
-            Moment at = wakeOf(w, i);
-            if (at == null || now.before(at)) {
-                continue;
-            }
-            if (faulty && w.left.freezes > 0) {
-                for (Span freeze : FREEZES) {
-                    List<Moment> frozen = new ArrayList<>(w.frozen);
-                    frozen.set(i, now.plus(freeze));
-                    Faults left = new Faults(w.left.lost, w.left.doubled, w.left.late, w.left.freezes - 1, w.left.restarts);
-                    worlds.add(shifted(new World(w.routers, frozen, w.flying, left, w.overlapSince), now));
-                }
-            }
-            if (faulty && w.left.restarts > 0) {
-                List<Standing> routers = new ArrayList<>(w.routers);
-                routers.set(i, VirtualRouter.start(terms.get(i), terms.get(i).priority(), INTERVAL, now).standing());
-                Faults left = new Faults(w.left.lost, w.left.doubled, w.left.late, w.left.freezes, w.left.restarts - 1);
-                worlds.add(shifted(new World(routers, w.frozen, w.flying, left, w.overlapSince), now));
-            }
-            follow(w, i, now, faulty, worlds, (t, s) -> s.wake() != null && !now.before(s.wake())
-                    ? VirtualRouter.due(t, s, now) : new Change(s));
-            return worlds;
-        }
-        throw new AssertionError("nothing is due at " + now + " in " + w);
+    for (Flying f : w.flying) {
+      Moment at = later(f.at, w.frozen.get(f.to));
+      next = next == null || at.before(next) ? at : next;
     }
+    return later(next, ZERO);
+  }
 
-    private interface Event {
-        Change on(Terms terms, Standing standing);
+  /** Every world that the next event can lead to; what has flown is heard before what is due. */
+  private List<World> step(World w, boolean faulty) {
+    steps++;
+    Moment now = next(w);
+    List<World> worlds = new ArrayList<>();
+    Flying come =
+        w.flying.stream()
+            .filter(f -> !now.before(later(f.at, w.frozen.get(f.to))))
+            .findFirst()
+            .orElse(null);
+    if (come != null) {
+      List<Flying> rest = new ArrayList<>(w.flying);
+      rest.remove(come);
+      World heard = new World(w.routers, w.frozen, rest, w.left, w.overlapSince);
+      Advert advert = new Advert(1, come.priority, 10, List.of(selves.get(0)));
+      follow(
+          heard,
+          come.to,
+          now,
+          faulty,
+          worlds,
+          (t, s) ->
+              VirtualRouter.heard(t, s, selves.get(come.to), selves.get(come.from), advert, now));
+      return worlds;
     }
-
-    /** The fence first, as in service; then the event; then each way that its adverts can go. */
-    private void follow(World w, int i, Moment now, boolean faulty, List<World> worlds, Event event) {
-        Standing before = w.routers.get(i);
-        Change fenced = VirtualRouter.fenced(terms.get(i), before, now);
-        Change change = event.on(terms.get(i), fenced.standing());
-        List<Act> acts = new ArrayList<>(fenced.acts());
-        acts.addAll(change.acts());
-        taking(before.role() == Role.ACTIVE, change.standing().role() == Role.ACTIVE, acts);
-        List<Standing> routers = new ArrayList<>(w.routers);
-        routers.set(i, change.standing());
-        List<World> ways = List.of(new World(routers, w.frozen, w.flying, w.left, w.overlapSince));
-        for (Act act : acts) {
-            if (act instanceof Act.Advertise advertise) {
-                for (int to = 0; to < routers.size(); to++) {
-                    if (to != i) {
-                        ways = flown(ways, new Flying(i, to, advertise.priority(), now.plus(LATENCY)), faulty);
-                    }
-                }
-            }
+    for (int i = 0; i < w.routers.size(); i++) {
+      Moment at = wakeOf(w, i);
+      if (at == null || now.before(at)) {
+        continue;
+      }
+      if (faulty && w.left.freezes > 0) {
+        for (Span freeze : FREEZES) {
+          List<Moment> frozen = new ArrayList<>(w.frozen);
+          frozen.set(i, now.plus(freeze));
+          Faults left =
+              new Faults(
+                  w.left.lost, w.left.doubled, w.left.late, w.left.freezes - 1, w.left.restarts);
+          worlds.add(shifted(new World(w.routers, frozen, w.flying, left, w.overlapSince), now));
         }
-        ways.forEach(x -> worlds.add(shifted(overlap(x, now), now)));
+      }
+      if (faulty && w.left.restarts > 0) {
+        List<Standing> routers = new ArrayList<>(w.routers);
+        routers.set(
+            i,
+            VirtualRouter.start(terms.get(i), terms.get(i).priority(), INTERVAL, now).standing());
+        Faults left =
+            new Faults(
+                w.left.lost, w.left.doubled, w.left.late, w.left.freezes, w.left.restarts - 1);
+        worlds.add(shifted(new World(routers, w.frozen, w.flying, left, w.overlapSince), now));
+      }
+      follow(
+          w,
+          i,
+          now,
+          faulty,
+          worlds,
+          (t, s) ->
+              s.wake() != null && !now.before(s.wake())
+                  ? VirtualRouter.due(t, s, now)
+                  : new Change(s));
+      return worlds;
     }
+    throw new AssertionError("nothing is due at " + now + " in " + w);
+  }
 
-    /** Traffic is taken by no other than an active one: what acts say must be what its role is. */
-    private static void taking(boolean before, boolean after, List<Act> acts) {
-        boolean taking = before;
-        for (Act act : acts) {
-            if (act instanceof Act.Take == taking && !(act instanceof Act.Advertise)) {
-                throw new AssertionError(acts + " while taking: " + taking);
-            }
-            taking = act instanceof Act.Take || taking && !(act instanceof Act.Leave);
-        }
-        if (taking != after) {
-            throw new AssertionError(acts + " lead to taking: " + taking + ", active: " + after);
-        }
-    }
+  private interface Event {
+    Change on(Terms terms, Standing standing);
+  }
 
-    private static List<World> flown(List<World> ways, Flying advert, boolean faulty) {
-        List<World> more = new ArrayList<>();
-        for (World w : ways) {
-            Faults l = w.left;
-            more.add(with(w, l, advert));
-            if (faulty && l.lost > 0) {
-                more.add(with(w, new Faults(l.lost - 1, l.doubled, l.late, l.freezes, l.restarts)));
-            }
-            Flying late = new Flying(advert.from, advert.to, advert.priority, advert.at.plus(LATE));
-            if (faulty && l.doubled > 0) {
-                more.add(with(w, new Faults(l.lost, l.doubled - 1, l.late, l.freezes, l.restarts), advert, late));
-            }
-            if (faulty && l.late > 0) {
-                more.add(with(w, new Faults(l.lost, l.doubled, l.late - 1, l.freezes, l.restarts), late));
-            }
+  /** The fence first, as in service; then the event; then each way that its adverts can go. */
+  private void follow(World w, int i, Moment now, boolean faulty, List<World> worlds, Event event) {
+    Standing before = w.routers.get(i);
+    Change fenced = VirtualRouter.fenced(terms.get(i), before, now);
+    Change change = event.on(terms.get(i), fenced.standing());
+    List<Act> acts = new ArrayList<>(fenced.acts());
+    acts.addAll(change.acts());
+    taking(before.role() == Role.ACTIVE, change.standing().role() == Role.ACTIVE, acts);
+    List<Standing> routers = new ArrayList<>(w.routers);
+    routers.set(i, change.standing());
+    List<World> ways = List.of(new World(routers, w.frozen, w.flying, w.left, w.overlapSince));
+    for (Act act : acts) {
+      if (act instanceof Act.Advertise advertise) {
+        for (int to = 0; to < routers.size(); to++) {
+          if (to != i) {
+            ways = flown(ways, new Flying(i, to, advertise.priority(), now.plus(LATENCY)), faulty);
+          }
         }
-        return more;
+      }
     }
+    ways.forEach(x -> worlds.add(shifted(overlap(x, now), now)));
+  }
 
-    private static World with(World w, Faults left, Flying... adverts) {
-        List<Flying> flying = new ArrayList<>(w.flying);
-        flying.addAll(List.of(adverts));
-        return new World(w.routers, w.frozen, flying, left, w.overlapSince);
+  /** Traffic is taken by no other than an active one: what acts say must be what its role is. */
+  private static void taking(boolean before, boolean after, List<Act> acts) {
+    boolean taking = before;
+    for (Act act : acts) {
+      if (act instanceof Act.Take == taking && !(act instanceof Act.Advertise)) {
+        throw new AssertionError(acts + " while taking: " + taking);
+      }
+      taking = act instanceof Act.Take || taking && !(act instanceof Act.Leave);
     }
-
-    /** Two that may both take traffic at this moment: for how long by now. */
-    private World overlap(World w, Moment now) {
-        int admitted = 0;
-        for (int i = 0; i < w.routers.size(); i++) {
-            Moment fence = VirtualRouter.fence(terms.get(i), w.routers.get(i));
-            // One that stands still takes nothing; when it goes on, its fence or the adverts that wait for it decide.
-            boolean frozen = now.before(w.frozen.get(i));
-            admitted += fence != null && !fence.before(now) && !frozen ? 1 : 0;
-        }
-        Moment since = admitted < 2 ? null : w.overlapSince == null ? now : w.overlapSince;
-        if (since != null) {
-            longestOverlap = longestOverlap.max(now.since(since));
-            if (fencesHold && now.since(since).compareTo(LATENCY) > 0) {
-                throw new AssertionError("two take traffic for " + now.since(since) + " in " + w);
-            }
-        }
-        return new World(w.routers, w.frozen, w.flying, w.left, since);
+    if (taking != after) {
+      throw new AssertionError(acts + " lead to taking: " + taking + ", active: " + after);
     }
+  }
 
-    /** The same world with now as the moment zero; what is long past is all the same. */
-    private World shifted(World w, Moment now) {
-        Span past = now.since(ZERO);
-        List<Standing> routers = new ArrayList<>();
-        for (Standing s : w.routers) {
-            routers.add(new Standing(s.role(), ZERO, s.reason(), s.priority(), s.heardInterval(), moved(s.wake(), past, false),
-                    moved(s.advertised(), past, false), moved(s.preemptsFrom(), past, true)));
-        }
-        return new World(routers, w.frozen.stream().map(m -> moved(m, past, true)).toList(),
-                w.flying.stream().map(f -> new Flying(f.from, f.to, f.priority, f.at.minus(past))).toList(), w.left,
-                moved(w.overlapSince, past, false));
+  private static List<World> flown(List<World> ways, Flying advert, boolean faulty) {
+    List<World> more = new ArrayList<>();
+    for (World w : ways) {
+      Faults l = w.left;
+      more.add(with(w, l, advert));
+      if (faulty && l.lost > 0) {
+        more.add(with(w, new Faults(l.lost - 1, l.doubled, l.late, l.freezes, l.restarts)));
+      }
+      Flying late = new Flying(advert.from, advert.to, advert.priority, advert.at.plus(LATE));
+      if (faulty && l.doubled > 0) {
+        more.add(
+            with(
+                w, new Faults(l.lost, l.doubled - 1, l.late, l.freezes, l.restarts), advert, late));
+      }
+      if (faulty && l.late > 0) {
+        more.add(with(w, new Faults(l.lost, l.doubled, l.late - 1, l.freezes, l.restarts), late));
+      }
     }
+    return more;
+  }
 
-    private static Moment moved(Moment moment, Span by, boolean onlyAhead) {
-        Moment to = moment == null ? null : moment.minus(by);
-        return to != null && onlyAhead && to.before(ZERO) ? ZERO : to;
+  private static World with(World w, Faults left, Flying... adverts) {
+    List<Flying> flying = new ArrayList<>(w.flying);
+    flying.addAll(List.of(adverts));
+    return new World(w.routers, w.frozen, flying, left, w.overlapSince);
+  }
+
+  /** Two that may both take traffic at this moment: for how long by now. */
+  private World overlap(World w, Moment now) {
+    int admitted = 0;
+    for (int i = 0; i < w.routers.size(); i++) {
+      Moment fence = VirtualRouter.fence(terms.get(i), w.routers.get(i));
+      // One that stands still takes nothing; when it goes on, its fence or the adverts that wait
+      // for it decide.
+      boolean frozen = now.before(w.frozen.get(i));
+      admitted += fence != null && !fence.before(now) && !frozen ? 1 : 0;
+    }
+    Moment since = admitted < 2 ? null : w.overlapSince == null ? now : w.overlapSince;
+    if (since != null) {
+      longestOverlap = longestOverlap.max(now.since(since));
+      if (fencesHold && now.since(since).compareTo(LATENCY) > 0) {
+        throw new AssertionError("two take traffic for " + now.since(since) + " in " + w);
+      }
     }
+    return new World(w.routers, w.frozen, w.flying, w.left, since);
+  }
 
-    static Terms terms(int priority, boolean preempts) {
-        return new Terms(new VirtualRouterId(1, false), priority, INTERVAL, preempts, Span.ZERO,
-                List.of(Addresses.read("192.0.2.10").orElseThrow()));
+  /** The same world with now as the moment zero; what is long past is all the same. */
+  private World shifted(World w, Moment now) {
+    Span past = now.since(ZERO);
+    List<Standing> routers = new ArrayList<>();
+    for (Standing s : w.routers) {
+      routers.add(
+          new Standing(
+              s.role(),
+              ZERO,
+              s.reason(),
+              s.priority(),
+              s.heardInterval(),
+              moved(s.wake(), past, false),
+              moved(s.advertised(), past, false),
+              moved(s.preemptsFrom(), past, true)));
     }
+    return new World(
+        routers,
+        w.frozen.stream().map(m -> moved(m, past, true)).toList(),
+        w.flying.stream().map(f -> new Flying(f.from, f.to, f.priority, f.at.minus(past))).toList(),
+        w.left,
+        moved(w.overlapSince, past, false));
+  }
 
-    /** A line of the table in docs/design-mastership.md for each row of arguments: priorities, then faults. */
-    public static void main(String[] args) {
-        System.out.println("| priorities | preempts | lost | doubled | late | freezes | restarts | states | steps | longest overlap, ms |");
-        System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (String arg : args) {
-            String[] parts = arg.split("[:,]");
-            boolean preempts = parts[0].equals("preempt");
-            int[] faults = new int[5];
-            List<Terms> terms = new ArrayList<>();
-            for (int i = 1; i < parts.length - 5; i++) {
-                terms.add(terms(Integer.parseInt(parts[i]), preempts));
-            }
-            for (int i = 0; i < 5; i++) {
-                faults[i] = Integer.parseInt(parts[parts.length - 5 + i]);
-            }
-            Faults of = new Faults(faults[0], faults[1], faults[2], faults[3], faults[4]);
-            Exploration exploration = new Exploration(terms, of);
-            exploration.run(of);
-            System.out.println("| " + terms.stream().map(t -> Integer.toString(t.priority())).toList() + " | " + preempts + " | "
-                    + faults[0] + " | " + faults[1] + " | " + faults[2] + " | " + faults[3] + " | " + faults[4] + " | "
-                    + exploration.states() + " | " + exploration.steps() + " | " + exploration.longestOverlap().us() / 1000.0 + " |");
-        }
+  private static Moment moved(Moment moment, Span by, boolean onlyAhead) {
+    Moment to = moment == null ? null : moment.minus(by);
+    return to != null && onlyAhead && to.before(ZERO) ? ZERO : to;
+  }
+
+  static Terms terms(int priority, boolean preempts) {
+    return new Terms(
+        new VirtualRouterId(1, false),
+        priority,
+        INTERVAL,
+        preempts,
+        Span.ZERO,
+        List.of(Addresses.read("192.0.2.10").orElseThrow()));
+  }
+
+  /**
+   * A line of the table in docs/design-mastership.md for each row of arguments: priorities, then
+   * faults.
+   */
+  public static void main(String[] args) {
+    System.out.println(
+        "| priorities | preempts | lost | doubled | late | freezes | restarts | states | steps | longest overlap, ms |");
+    System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    for (String arg : args) {
+      String[] parts = arg.split("[:,]");
+      boolean preempts = parts[0].equals("preempt");
+      int[] faults = new int[5];
+      List<Terms> terms = new ArrayList<>();
+      for (int i = 1; i < parts.length - 5; i++) {
+        terms.add(terms(Integer.parseInt(parts[i]), preempts));
+      }
+      for (int i = 0; i < 5; i++) {
+        faults[i] = Integer.parseInt(parts[parts.length - 5 + i]);
+      }
+      Faults of = new Faults(faults[0], faults[1], faults[2], faults[3], faults[4]);
+      Exploration exploration = new Exploration(terms, of);
+      exploration.run(of);
+      System.out.println(
+          "| "
+              + terms.stream().map(t -> Integer.toString(t.priority())).toList()
+              + " | "
+              + preempts
+              + " | "
+              + faults[0]
+              + " | "
+              + faults[1]
+              + " | "
+              + faults[2]
+              + " | "
+              + faults[3]
+              + " | "
+              + faults[4]
+              + " | "
+              + exploration.states()
+              + " | "
+              + exploration.steps()
+              + " | "
+              + exploration.longestOverlap().us() / 1000.0
+              + " |");
     }
+  }
 }
--- a/src/test/java/cobaltseam/mastership/ExplorationTest.java
+++ b/src/test/java/cobaltseam/mastership/ExplorationTest.java
@@ -2,33 +2,44 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cobaltseam.mastership.Exploration.Faults;
 import java.util.Arrays;
 import java.util.List;
-
-import cobaltseam.mastership.Exploration.Faults;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** All states of two and three routers under bounded faults; longer explorations stand in docs/design-mastership.md. */
+/**
+ * All states of two and three routers under bounded faults; longer explorations stand in
+ * docs/design-mastership.md.
+ */
 class ExplorationTest {
-    @ParameterizedTest
-    @CsvSource({
-        "200 100, true, 2, 1, 1, 1, 0",
-        "200 100, true, 1, 0, 1, 1, 1",
-        "100 100, true, 2, 1, 1, 1, 0",
-        "200 100, false, 2, 1, 1, 1, 0",
-        "255 100, true, 1, 1, 1, 1, 1",
-        "200 150 100, true, 1, 1, 0, 1, 0",
-        "200 150 100, false, 1, 0, 1, 1, 0",
-        "200 100, true, 0, 2, 0, 2, 0",
-        "200 150 100, true, 0, 1, 0, 2, 0",
-    })
-    void oneIsActiveOnceMessagesFlow(String priorities, boolean preempts, int lost, int doubled, int late, int freezes,
-                                     int restarts) {
-        List<Terms> terms = Arrays.stream(priorities.split(" ")).map(p -> Exploration.terms(Integer.parseInt(p), preempts)).toList();
-        Faults faults = new Faults(lost, doubled, late, freezes, restarts);
-        Exploration exploration = new Exploration(terms, faults);
-        exploration.run(faults);
-        assertTrue(exploration.states() > 100, "only " + exploration.states() + " states");
-    }
+  @ParameterizedTest
+  @CsvSource({
+    "200 100, true, 2, 1, 1, 1, 0",
+    "200 100, true, 1, 0, 1, 1, 1",
+    "100 100, true, 2, 1, 1, 1, 0",
+    "200 100, false, 2, 1, 1, 1, 0",
+    "255 100, true, 1, 1, 1, 1, 1",
+    "200 150 100, true, 1, 1, 0, 1, 0",
+    "200 150 100, false, 1, 0, 1, 1, 0",
+    "200 100, true, 0, 2, 0, 2, 0",
+    "200 150 100, true, 0, 1, 0, 2, 0",
+  })
+  void oneIsActiveOnceMessagesFlow(
+      String priorities,
+      boolean preempts,
+      int lost,
+      int doubled,
+      int late,
+      int freezes,
+      int restarts) {
+    List<Terms> terms =
+        Arrays.stream(priorities.split(" "))
+            .map(p -> Exploration.terms(Integer.parseInt(p), preempts))
+            .toList();
+    Faults faults = new Faults(lost, doubled, late, freezes, restarts);
+    Exploration exploration = new Exploration(terms, faults);
+    exploration.run(faults);
+    assertTrue(exploration.states() > 100, "only " + exploration.states() + " states");
+  }
 }
