--- a/src/test/java/cobaltseam/mastership/MastershipTest.java
+++ b/src/test/java/cobaltseam/mastership/MastershipTest.java
@@ -4,390 +4,447 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.net.InetAddress;
-import java.util.ArrayList;
-import java.util.EnumMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-
 import cobaltseam.dispatch.Moment;
 import cobaltseam.dispatch.Span;
 import cobaltseam.mastership.Fitness.Sign;
-import cobaltseam.vrrp.AdvertSeal;
+import cobaltseam.seal.SealKeys;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Advert;
 import cobaltseam.vrrp.AdvertCodec;
+import cobaltseam.vrrp.AdvertSeal;
 import cobaltseam.vrrp.Reading.Covers;
 import cobaltseam.vrrp.Refusal;
-import cobaltseam.seal.SealKeys;
+import java.net.InetAddress;
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 /** Mastership of one dispatcher in time that the tests set. */
 class MastershipTest {
-    private static final Span SECOND = new Span(1_000_000);
-    private static final Span LONGEST_SEND = SECOND.times(10);
-    private static final Moment START = new Moment(1_000_000_000_000L);
-    private static final InetAddress SELF = ip("10.0.0.5");
-    private static final InetAddress LOWER = ip("10.0.0.4");
-    private static final InetAddress HIGHER = ip("10.0.0.6");
-    private static final List<InetAddress> ADDRESSES = List.of(ip("192.0.2.10"));
-    private static final VirtualRouterId R1 = new VirtualRouterId(1, false);
-
-    private Moment now = START;
-
-    private static InetAddress ip(String text) {
-        return Addresses.read(text).orElseThrow();
-    }
-
-    private static Terms terms(int router, int priority, boolean preempts, Span delay) {
-        return new Terms(new VirtualRouterId(router, false), priority, SECOND, preempts, delay, ADDRESSES);
-    }
-
-    private static Mastership of(Terms... terms) {
-        return new Mastership(SELF, List.of(terms), Set.of(LOWER, HIGHER), 3, LONGEST_SEND, Span.ZERO, true);
-    }
-
-    private static Advert advert(int priority) {
-        return advert(priority, 100);
-    }
-
-    private static Advert advert(int priority, int centiseconds) {
-        return new Advert(1, priority, centiseconds, ADDRESSES);
-    }
-
-    /** Lets time pass, asking whenever it wants to be asked. */
-    private List<Act> pass(Mastership m, double seconds) {
-        Moment until = now.plus(SECOND.times(seconds));
-        List<Act> acts = new ArrayList<>();
-        while (m.wake() != null && !until.before(m.wake())) {
-            now = m.wake();
-            acts.addAll(m.due(now));
-        }
-        now = until;
-        return acts;
-    }
-
-    private static Role role(Mastership m) {
-        return m.standing(R1).role();
-    }
-
-    private static List<Act> taken(Reason why) {
-        return List.of(new Act.Advertise(R1, 100), new Act.Take(R1, why));
-    }
-
-    private Mastership active() {
-        Mastership m = of(terms(1, 100, true, Span.ZERO));
-        m.start(now);
-        pass(m, 4);
-        assertEquals(Role.ACTIVE, role(m));
-        return m;
-    }
-
-    @Test
-    void claimsAfterTheDownIntervalOfSilence() {
-        Mastership m = of(terms(1, 100, true, Span.ZERO));
-        assertEquals(List.of(), m.start(now));
-        // Three intervals and a skew of 156/256 of one.
-        assertEquals(START.plus(new Span(3_609_375)), m.wake());
-        assertFalse(m.admits(R1, now));
-        assertEquals(taken(Reason.NONE_HEARD), pass(m, 3.7));
-        assertTrue(m.admits(R1, now));
-    }
-
-    @Test
-    void anOwnerClaimsAtOnceButNotBeforeItHasListened() {
-        Mastership m = of(terms(1, 255, true, Span.ZERO));
-        assertEquals(List.of(new Act.Advertise(R1, 255), new Act.Take(R1, Reason.OWNER)), m.start(now));
-        Mastership listens = new Mastership(SELF, List.of(terms(1, 255, true, Span.ZERO)), Set.of(LOWER), 0, SECOND, SECOND, true);
-        assertEquals(List.of(), listens.start(now));
-    }
-
-    @Test
-    void aBackupFollowsTheIntervalOfTheAdvertAndAnotherResignation() {
-        Mastership m = of(terms(1, 100, true, Span.ZERO));
-        m.start(now);
-        m.heard(HIGHER, advert(200, 200), now);
-        assertEquals(now.plus(new Span(2 * 3_609_375)), m.wake());
-        m.heard(HIGHER, advert(0, 200), now);
-        assertEquals(now.plus(new Span(2 * 609_375)), m.wake());
-        assertEquals(taken(Reason.NONE_HEARD), pass(m, 1.3));
-    }
-
-    @Test
-    void aResignationNeverPutsAClaimOff() {
-        Mastership m = of(terms(1, 1, true, Span.ZERO));
-        m.start(now);
-        pass(m, 3.9);
-        Moment before = m.wake();
-        m.heard(HIGHER, advert(0), now);
-        assertEquals(before, m.wake());
-    }
-
-    @Test
-    void preemptionIsOnOffOrDelayed() {
-        for (boolean preempts : new boolean[] {true, false}) {
-            Mastership m = of(terms(1, 100, preempts, Span.ZERO));
-            m.start(now);
-            for (int i = 0; i < 6; i++) {
-                m.heard(LOWER, advert(50), now);
-                pass(m, 1);
-            }
-            assertEquals(preempts ? Role.ACTIVE : Role.BACKUP, role(m));
-        }
-        Mastership delayed = of(terms(1, 100, true, SECOND.times(10)));
-        delayed.start(now);
-        Moment from = now;
-        while (role(delayed) == Role.BACKUP && now.since(from).compareTo(SECOND.times(20)) < 0) {
-            delayed.heard(LOWER, advert(50), now);
-            pass(delayed, 1);
-        }
-        assertTrue(now.since(from).compareTo(SECOND.times(10)) > 0 && now.since(from).compareTo(SECOND.times(15)) < 0,
-                now.since(from).toString());
-    }
-
-    @Test
-    void anActiveOneYieldsToAHigherPriorityOrAddressOnly() {
-        Mastership m = active();
-        assertEquals(List.of(new Act.Advertise(R1, 100)), m.heard(LOWER, advert(100), now));
-        assertEquals(Role.ACTIVE, role(m));
-        assertEquals(List.of(new Act.Leave(R1, Reason.ADDRESS_HIGHER)), m.heard(HIGHER, advert(100), now));
-        assertEquals(List.of(new Act.Leave(R1, Reason.HIGHER_HEARD)), active().heard(LOWER, advert(101), now));
-    }
-
-    @Test
-    void aLowerClaimIsAnsweredButAFloodOfThemIsNot() {
-        Mastership m = active();
-        pass(m, 0.5);
-        int answers = 0;
-        for (int i = 0; i < 100; i++) {
-            answers += m.heard(LOWER, advert(50), now).size();
-        }
-        assertEquals(1, answers);
-    }
-
-    @Test
-    void afterAGapItStepsBackBeforeAnythingElse() {
-        Mastership m = active();
-        Moment advertised = m.standing(R1).advertised();
-        Moment last = advertised.plus(SECOND.times(3));
-        assertTrue(m.admits(R1, last));
-        assertFalse(m.overtaken(last));
-        Moment after = last.plus(new Span(1));
-        assertFalse(m.admits(R1, after));
-        assertTrue(m.overtaken(after));
-        // What comes first after the gap, its own alarm included, finds it stepping back.
-        assertEquals(List.of(new Act.Leave(R1, Reason.FENCED)), m.due(after));
-        assertEquals(after.plus(new Span(3_609_375)), m.wake());
-    }
-
-    @Test
-    void aBackupThatWasHeldUpListensAnewBeforeItClaims() {
-        Mastership m = of(terms(1, 100, true, Span.ZERO));
-        m.start(now);
-        now = now.plus(SECOND.times(60));
-        assertEquals(List.of(), m.due(now));
-        m.heard(HIGHER, advert(200), now);
-        assertEquals(List.of(), pass(m, 3.5));
-        assertEquals(Role.BACKUP, role(m));
-    }
-
-    @Test
-    void anEndedOneResigns() {
-        Mastership m = active();
-        assertEquals(List.of(new Act.Advertise(R1, 0), new Act.Leave(R1, Reason.ENDED)), m.stop(Reason.ENDED, now));
-        assertEquals(List.of(), m.heard(LOWER, advert(1), now));
-        assertEquals(List.of(), pass(m, 60));
-        assertFalse(m.isActive());
-    }
-
-    @Test
-    void oneThatCantServeStaysBackTwiceAsLongEachTime() {
-        Mastership m = active();
-        List<Long> waits = new ArrayList<>();
-        for (int i = 0; i < 3; i++) {
-            assertEquals(new Act.Leave(R1, Reason.UNABLE), m.unable(R1, now).get(1));
-            waits.add(m.wake().since(now).us());
-            pass(m, 100);
-            assertEquals(Role.ACTIVE, role(m));
-        }
-        long down = 3_609_375;
-        assertEquals(List.of(3 * down, 5 * down, 9 * down), waits);
-        m.able(R1);
-        m.unable(R1, now);
-        assertEquals(3 * down, m.wake().since(now).us());
-    }
-
-    @Test
-    void aLessFitOneAdvertisesALowerPriorityNeverBelowOne() {
-        Mastership m = active();
-        m.fitness(30, now);
-        assertEquals(List.of(new Act.Advertise(R1, 70)), pass(m, 1).subList(0, 1));
-        m.fitness(200, now);
-        assertEquals(new Act.Advertise(R1, 1), pass(m, 1).get(0));
-        assertEquals(List.of(new Act.Leave(R1, Reason.HIGHER_HEARD)), m.heard(LOWER, advert(50), now));
-        // Well again: it takes over once more, in a down interval.
-        m.fitness(0, now);
-        for (int i = 0; i < 5; i++) {
-            pass(m, 0.95);
-            m.heard(LOWER, advert(50), now);
-        }
-        assertEquals(Role.ACTIVE, role(m));
-    }
-
-    @Test
-    void newTermsHoldAtOnceAndRoutersComeAndGo() {
-        Mastership m = active();
-        List<Act> acts = m.renewed(List.of(terms(1, 180, true, Span.ZERO), terms(2, 90, true, Span.ZERO)), Set.of(LOWER), 3, now);
-        assertEquals(List.of(new Act.Advertise(R1, 180)), acts);
-        assertEquals(List.of(R1, new VirtualRouterId(2, false)), m.routers());
-        assertEquals(List.of(), m.heard(HIGHER, advert(255), now), "no peer any more");
-        acts = m.renewed(List.of(terms(2, 90, true, Span.ZERO)), Set.of(LOWER), 3, now);
-        assertEquals(List.of(new Act.Advertise(R1, 0), new Act.Leave(R1, Reason.REMOVED)), acts);
-        assertFalse(m.admits(R1, now));
+  private static final Span SECOND = new Span(1_000_000);
+  private static final Span LONGEST_SEND = SECOND.times(10);
+  private static final Moment START = new Moment(1_000_000_000_000L);
+  private static final InetAddress SELF = ip("10.0.0.5");
+  private static final InetAddress LOWER = ip("10.0.0.4");
+  private static final InetAddress HIGHER = ip("10.0.0.6");
+  private static final List<InetAddress> ADDRESSES = List.of(ip("192.0.2.10"));
+  private static final VirtualRouterId R1 = new VirtualRouterId(1, false);
+
+  private Moment now = START;
+
+  private static InetAddress ip(String text) {
+    return Addresses.read(text).orElseThrow();
+  }
+
+  private static Terms terms(int router, int priority, boolean preempts, Span delay) {
+    return new Terms(
+        new VirtualRouterId(router, false), priority, SECOND, preempts, delay, ADDRESSES);
+  }
+
+  private static Mastership of(Terms... terms) {
+    return new Mastership(
+        SELF, List.of(terms), Set.of(LOWER, HIGHER), 3, LONGEST_SEND, Span.ZERO, true);
+  }
+
+  private static Advert advert(int priority) {
+    return advert(priority, 100);
+  }
+
+  private static Advert advert(int priority, int centiseconds) {
+    return new Advert(1, priority, centiseconds, ADDRESSES);
+  }
+
+  /** Lets time pass, asking whenever it wants to be asked. */
+  private List<Act> pass(Mastership m, double seconds) {
+    Moment until = now.plus(SECOND.times(seconds));
+    List<Act> acts = new ArrayList<>();
+    while (m.wake() != null && !until.before(m.wake())) {
+      now = m.wake();
+      acts.addAll(m.due(now));
     }
-
-    @Test
-    void manyRoutersAreEachAskedInTheirTime() {
-        Terms[] all = new Terms[255];
-        for (int i = 0; i < all.length; i++) {
-            all[i] = terms(i + 1, 1 + i % 254, true, Span.ZERO);
-        }
-        Mastership m = of(all);
-        m.start(now);
-        assertEquals(255, pass(m, 4.1).stream().filter(a -> a instanceof Act.Take).count());
-        assertEquals(255 * 10, pass(m, 10).size());
-        // All are fenced by one gap.
-        now = now.plus(SECOND.times(5));
-        assertEquals(255, m.due(now).stream().filter(a -> a instanceof Act.Leave).count());
-    }
-
-    @Test
-    void enginesAreSharedWithWhoIsHeardAndWithWhatAFormerOneLeft() {
-        Mastership m = of(terms(1, 100, true, Span.ZERO));
-        m.start(now);
-        // One that was there before the start may have left sends, and fades.
-        assertEquals(5, m.dispatchers(now), 0.001);
-        assertEquals(4.5, m.dispatchers(now.plus(LONGEST_SEND.times(0.5))), 0.001);
-        assertEquals(4, m.dispatchers(now.plus(LONGEST_SEND)), 0.001);
-        // Heard as active: whole while it is heard, then fading from its last advert on.
-        m.heard(LOWER, advert(50), now);
-        assertEquals(5, m.dispatchers(now.plus(SECOND)), 0.001);
-        assertEquals(4.5, m.dispatchers(now.plus(LONGEST_SEND.times(0.5))), 0.001);
-        // In a split that is heard, both count for as long as it lasts.
-        now = now.plus(SECOND.times(100));
+    now = until;
+    return acts;
+  }
+
+  private static Role role(Mastership m) {
+    return m.standing(R1).role();
+  }
+
+  private static List<Act> taken(Reason why) {
+    return List.of(new Act.Advertise(R1, 100), new Act.Take(R1, why));
+  }
+
+  private Mastership active() {
+    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    m.start(now);
+    pass(m, 4);
+    assertEquals(Role.ACTIVE, role(m));
+    return m;
+  }
+
+  @Test
+  void claimsAfterTheDownIntervalOfSilence() {
+    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    assertEquals(List.of(), m.start(now));
+    // Three intervals and a skew of 156/256 of one.
+    assertEquals(START.plus(new Span(3_609_375)), m.wake());
+    assertFalse(m.admits(R1, now));
+    assertEquals(taken(Reason.NONE_HEARD), pass(m, 3.7));
+    assertTrue(m.admits(R1, now));
+  }
+
+  @Test
+  void anOwnerClaimsAtOnceButNotBeforeItHasListened() {
+    Mastership m = of(terms(1, 255, true, Span.ZERO));
+    assertEquals(List.of(new Act.Advertise(R1, 255), new Act.Take(R1, Reason.OWNER)), m.start(now));
+    Mastership listens =
+        new Mastership(
+            SELF, List.of(terms(1, 255, true, Span.ZERO)), Set.of(LOWER), 0, SECOND, SECOND, true);
+    assertEquals(List.of(), listens.start(now));
+  }
+
+  @Test
+  void aBackupFollowsTheIntervalOfTheAdvertAndAnotherResignation() {
+    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    m.start(now);
+    m.heard(HIGHER, advert(200, 200), now);
+    assertEquals(now.plus(new Span(2 * 3_609_375)), m.wake());
+    m.heard(HIGHER, advert(0, 200), now);
+    assertEquals(now.plus(new Span(2 * 609_375)), m.wake());
+    assertEquals(taken(Reason.NONE_HEARD), pass(m, 1.3));
+  }
+
+  @Test
+  void aResignationNeverPutsAClaimOff() {
+    Mastership m = of(terms(1, 1, true, Span.ZERO));
+    m.start(now);
+    pass(m, 3.9);
+    Moment before = m.wake();
+    m.heard(HIGHER, advert(0), now);
+    assertEquals(before, m.wake());
+  }
+
+  @Test
+  void preemptionIsOnOffOrDelayed() {
+    for (boolean preempts : new boolean[] {true, false}) {
+      Mastership m = of(terms(1, 100, preempts, Span.ZERO));
+      m.start(now);
+      for (int i = 0; i < 6; i++) {
         m.heard(LOWER, advert(50), now);
-        m.heard(HIGHER, advert(60), now);
-        assertEquals(6, m.dispatchers(now), 0.001);
-        // A resignation fades at once.
-        m.heard(HIGHER, advert(0), now);
-        assertEquals(5.9, m.dispatchers(now.plus(SECOND)), 0.001);
+        pass(m, 1);
+      }
+      assertEquals(preempts ? Role.ACTIVE : Role.BACKUP, role(m));
     }
-
-    @Test
-    void differingAddressesRoutersAndIntervalsAreRefused() {
-        Mastership m = of(terms(1, 100, true, Span.ZERO));
-        m.start(now);
-        assertEquals(Refusal.UNKNOWN_ROUTER, m.refusal(new Advert(9, 1, 100, ADDRESSES)).orElseThrow());
-        assertEquals(Refusal.ADDRESSES_DIFFER, m.refusal(new Advert(1, 1, 100, List.of(SELF))).orElseThrow());
-        assertTrue(m.refusal(advert(1, 200)).isEmpty());
-        Mastership strict = new Mastership(SELF, List.of(terms(1, 100, true, Span.ZERO)), Set.of(LOWER), 0, SECOND, Span.ZERO, false);
-        assertEquals(Refusal.INTERVAL_DIFFERS, strict.refusal(advert(1, 200)).orElseThrow());
+    Mastership delayed = of(terms(1, 100, true, SECOND.times(10)));
+    delayed.start(now);
+    Moment from = now;
+    while (role(delayed) == Role.BACKUP && now.since(from).compareTo(SECOND.times(20)) < 0) {
+      delayed.heard(LOWER, advert(50), now);
+      pass(delayed, 1);
     }
-
-    // ---- who may say so
-
-    private static final SealKeys KEYS = SealKeys.read("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
-    private static final Span DIFFERENCE = SECOND.times(0.5);
-
-    private byte[] sealed(Moment sent, SealKeys keys, int key) {
-        return AdvertSeal.write(AdvertCodec.write(advert(200), LOWER, SELF, Covers.MESSAGE), LOWER, SELF, keys, key, sent.us());
+    assertTrue(
+        now.since(from).compareTo(SECOND.times(10)) > 0
+            && now.since(from).compareTo(SECOND.times(15)) < 0,
+        now.since(from).toString());
+  }
+
+  @Test
+  void anActiveOneYieldsToAHigherPriorityOrAddressOnly() {
+    Mastership m = active();
+    assertEquals(List.of(new Act.Advertise(R1, 100)), m.heard(LOWER, advert(100), now));
+    assertEquals(Role.ACTIVE, role(m));
+    assertEquals(
+        List.of(new Act.Leave(R1, Reason.ADDRESS_HIGHER)), m.heard(HIGHER, advert(100), now));
+    assertEquals(
+        List.of(new Act.Leave(R1, Reason.HIGHER_HEARD)), active().heard(LOWER, advert(101), now));
+  }
+
+  @Test
+  void aLowerClaimIsAnsweredButAFloodOfThemIsNot() {
+    Mastership m = active();
+    pass(m, 0.5);
+    int answers = 0;
+    for (int i = 0; i < 100; i++) {
+      answers += m.heard(LOWER, advert(50), now).size();
     }
-
-    @Test
-    void forgedReplayedAndStaleAdvertsNeverCount() {
-        Mastership m = of(terms(1, 100, true, Span.ZERO));
-        m.start(now);
-        Intake intake = new Intake(SELF, m, new Freshness(START, DIFFERENCE), Set.of(LOWER), KEYS);
-        byte[] recorded = sealed(START.plus(DIFFERENCE), KEYS, 1);
-        now = START.plus(SECOND);
-        assertEquals(Refusal.STALE, intake.judge(recorded, LOWER, SELF, now).refusal(), "sent before the start, by its clock");
-        byte[] good = sealed(now, KEYS, 1);
-        assertEquals(200, intake.judge(good, LOWER, SELF, now).advert().priority());
-        assertEquals(Refusal.REPLAYED, intake.judge(good, LOWER, SELF, now).refusal());
-        assertEquals(Refusal.REPLAYED, intake.judge(sealed(now.minus(new Span(1)), KEYS, 1), LOWER, SELF, now).refusal());
-        byte[] late = sealed(now.plus(new Span(1)), KEYS, 2);
-        now = now.plus(SECOND.times(2));
-        assertEquals(Refusal.STALE, intake.judge(late, LOWER, SELF, now).refusal());
-        assertEquals(Refusal.EARLY, intake.judge(sealed(now.plus(SECOND), KEYS, 1), LOWER, SELF, now).refusal());
-        assertEquals(Refusal.FORGED, intake.judge(sealed(now, SealKeys.read("1 " + "00".repeat(16)), 1), LOWER, SELF, now).refusal());
-        assertEquals(Refusal.KEY_UNKNOWN, intake.judge(sealed(now, SealKeys.read("3 " + "00".repeat(16)), 3), LOWER, SELF, now).refusal());
-        assertEquals(Refusal.UNSEALED, intake.judge(AdvertCodec.write(advert(200), LOWER, SELF, Covers.MESSAGE), LOWER, SELF, now).refusal());
-        assertEquals(Refusal.UNKNOWN_SENDER, intake.judge(good, HIGHER, SELF, now).refusal());
-        assertEquals(Refusal.OUR_OWN, intake.judge(good, SELF, SELF, now).refusal());
-        assertEquals(1, intake.taken());
-        assertEquals(2, intake.refused(Refusal.REPLAYED));
-        // After a restart of the receiver what was taken before is not taken again.
-        Freshness restarted = new Freshness(now, DIFFERENCE);
-        Intake again = new Intake(SELF, m, restarted, Set.of(LOWER), KEYS);
-        assertEquals(Refusal.STALE, again.judge(good, LOWER, SELF, now).refusal());
-        // A change of keys: the new one counts once it is there, the old one as long as it is.
-        again.renewed(Set.of(LOWER), SealKeys.read("2 " + "cd".repeat(16)));
-        now = now.plus(SECOND.times(2));
-        assertEquals(Refusal.KEY_UNKNOWN, again.judge(sealed(now, KEYS, 1), LOWER, SELF, now).refusal());
-        assertEquals(200, again.judge(sealed(now, KEYS, 2), LOWER, SELF, now).advert().priority());
+    assertEquals(1, answers);
+  }
+
+  @Test
+  void afterAGapItStepsBackBeforeAnythingElse() {
+    Mastership m = active();
+    Moment advertised = m.standing(R1).advertised();
+    Moment last = advertised.plus(SECOND.times(3));
+    assertTrue(m.admits(R1, last));
+    assertFalse(m.overtaken(last));
+    Moment after = last.plus(new Span(1));
+    assertFalse(m.admits(R1, after));
+    assertTrue(m.overtaken(after));
+    // What comes first after the gap, its own alarm included, finds it stepping back.
+    assertEquals(List.of(new Act.Leave(R1, Reason.FENCED)), m.due(after));
+    assertEquals(after.plus(new Span(3_609_375)), m.wake());
+  }
+
+  @Test
+  void aBackupThatWasHeldUpListensAnewBeforeItClaims() {
+    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    m.start(now);
+    now = now.plus(SECOND.times(60));
+    assertEquals(List.of(), m.due(now));
+    m.heard(HIGHER, advert(200), now);
+    assertEquals(List.of(), pass(m, 3.5));
+    assertEquals(Role.BACKUP, role(m));
+  }
+
+  @Test
+  void anEndedOneResigns() {
+    Mastership m = active();
+    assertEquals(
+        List.of(new Act.Advertise(R1, 0), new Act.Leave(R1, Reason.ENDED)),
+        m.stop(Reason.ENDED, now));
+    assertEquals(List.of(), m.heard(LOWER, advert(1), now));
+    assertEquals(List.of(), pass(m, 60));
+    assertFalse(m.isActive());
+  }
+
+  @Test
+  void oneThatCantServeStaysBackTwiceAsLongEachTime() {
+    Mastership m = active();
+    List<Long> waits = new ArrayList<>();
+    for (int i = 0; i < 3; i++) {
+      assertEquals(new Act.Leave(R1, Reason.UNABLE), m.unable(R1, now).get(1));
+      waits.add(m.wake().since(now).us());
+      pass(m, 100);
+      assertEquals(Role.ACTIVE, role(m));
     }
-
-    @Test
-    void withoutSealsEitherChecksumCountsAndIsCounted() {
-        Mastership m = of(terms(1, 100, true, Span.ZERO));
-        m.start(now);
-        Intake intake = new Intake(SELF, m, new Freshness(START, Span.ZERO), Set.of(LOWER), null);
-        for (Covers covers : Covers.values()) {
-            assertEquals(200, intake.judge(AdvertCodec.write(advert(200), LOWER, SELF, covers), LOWER, SELF, now).advert().priority());
-            assertEquals(1, intake.covering(covers));
-        }
+    long down = 3_609_375;
+    assertEquals(List.of(3 * down, 5 * down, 9 * down), waits);
+    m.able(R1);
+    m.unable(R1, now);
+    assertEquals(3 * down, m.wake().since(now).us());
+  }
+
+  @Test
+  void aLessFitOneAdvertisesALowerPriorityNeverBelowOne() {
+    Mastership m = active();
+    m.fitness(30, now);
+    assertEquals(List.of(new Act.Advertise(R1, 70)), pass(m, 1).subList(0, 1));
+    m.fitness(200, now);
+    assertEquals(new Act.Advertise(R1, 1), pass(m, 1).get(0));
+    assertEquals(List.of(new Act.Leave(R1, Reason.HIGHER_HEARD)), m.heard(LOWER, advert(50), now));
+    // Well again: it takes over once more, in a down interval.
+    m.fitness(0, now);
+    for (int i = 0; i < 5; i++) {
+      pass(m, 0.95);
+      m.heard(LOWER, advert(50), now);
     }
-
-    // ---- fitness
-
-    @Test
-    void aFlappingSignDoesNotFlapThePriority() {
-        Map<Sign, Fitness.Bounds> bounds = new EnumMap<>(Sign.class);
-        bounds.put(Sign.LATE, new Fitness.Bounds(0.5, 0.2, 30));
-        Fitness fitness = new Fitness(new Fitness.Watched(bounds, SECOND, SECOND.times(5), 5));
-        int changes = 0;
-        int last = 0;
-        int counted = 0;
-        // Two seconds bad, eight seconds well, for an hour: undamped that would be 720 changes.
-        for (int tenth = 0; tenth < 36_000; tenth++) {
-            int steps = fitness.told(Map.of(Sign.LATE, tenth % 100 < 20 ? 1.0 : 0.0), START.plus(SECOND.times(tenth / 10.0)));
-            changes += steps != last ? 1 : 0;
-            counted += steps > 0 ? 1 : 0;
-            last = steps;
-        }
-        assertTrue(changes <= 5, changes + " changes");
-        assertTrue(counted > 30_000, "counted in " + counted + " of 36000 looks");
-        assertEquals(List.of(Sign.LATE), fitness.counting());
-        // Between the bounds it stays as it is; well for long enough it ends.
-        Moment later = START.plus(SECOND.times(4000));
-        fitness.told(Map.of(Sign.LATE, 0.0), later);
-        assertEquals(0, fitness.told(Map.of(Sign.LATE, 0.0), later.plus(SECOND.times(160))));
-        assertEquals(0, fitness.told(Map.of(Sign.LATE, 0.4), later.plus(SECOND.times(170))));
-        assertEquals(0, fitness.told(Map.of(Sign.LATE, 0.6), later.plus(SECOND.times(171))));
-        assertEquals(30, fitness.told(Map.of(Sign.LATE, 0.6), later.plus(SECOND.times(172))));
-        assertEquals(30, fitness.told(Map.of(Sign.LATE, 0.4), later.plus(SECOND.times(999))));
+    assertEquals(Role.ACTIVE, role(m));
+  }
+
+  @Test
+  void newTermsHoldAtOnceAndRoutersComeAndGo() {
+    Mastership m = active();
+    List<Act> acts =
+        m.renewed(
+            List.of(terms(1, 180, true, Span.ZERO), terms(2, 90, true, Span.ZERO)),
+            Set.of(LOWER),
+            3,
+            now);
+    assertEquals(List.of(new Act.Advertise(R1, 180)), acts);
+    assertEquals(List.of(R1, new VirtualRouterId(2, false)), m.routers());
+    assertEquals(List.of(), m.heard(HIGHER, advert(255), now), "no peer any more");
+    acts = m.renewed(List.of(terms(2, 90, true, Span.ZERO)), Set.of(LOWER), 3, now);
+    assertEquals(List.of(new Act.Advertise(R1, 0), new Act.Leave(R1, Reason.REMOVED)), acts);
+    assertFalse(m.admits(R1, now));
+  }
+
+  @Test
+  void manyRoutersAreEachAskedInTheirTime() {
+    Terms[] all = new Terms[255];
+    for (int i = 0; i < all.length; i++) {
+      all[i] = terms(i + 1, 1 + i % 254, true, Span.ZERO);
     }
-
-    @Test
-    void anObserverTellsSilencesAndSplits() {
-        Observer observer = new Observer();
-        assertEquals(List.of(LOWER), observer.heard(LOWER, advert(50), now).get(0).active());
-        assertEquals(List.of(), observer.heard(LOWER, advert(50), now));
-        assertEquals(List.of(LOWER, HIGHER), observer.heard(HIGHER, advert(60), now).get(0).active());
-        assertEquals(List.of(HIGHER), observer.heard(LOWER, advert(0), now).get(0).active());
-        assertEquals(List.of(), observer.due(now.plus(SECOND)));
-        assertEquals(now.plus(SECOND.times(4)), observer.wake());
-        assertEquals(List.of(), observer.due(observer.wake()).get(0).active());
+    Mastership m = of(all);
+    m.start(now);
+    assertEquals(255, pass(m, 4.1).stream().filter(a -> a instanceof Act.Take).count());
+    assertEquals(255 * 10, pass(m, 10).size());
+    // All are fenced by one gap.
+    now = now.plus(SECOND.times(5));
+    assertEquals(255, m.due(now).stream().filter(a -> a instanceof Act.Leave).count());
+  }
+
+  @Test
+  void enginesAreSharedWithWhoIsHeardAndWithWhatAFormerOneLeft() {
+    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    m.start(now);
+    // One that was there before the start may have left sends, and fades.
+    assertEquals(5, m.dispatchers(now), 0.001);
+    assertEquals(4.5, m.dispatchers(now.plus(LONGEST_SEND.times(0.5))), 0.001);
+    assertEquals(4, m.dispatchers(now.plus(LONGEST_SEND)), 0.001);
+    // Heard as active: whole while it is heard, then fading from its last advert on.
+    m.heard(LOWER, advert(50), now);
+    assertEquals(5, m.dispatchers(now.plus(SECOND)), 0.001);
+    assertEquals(4.5, m.dispatchers(now.plus(LONGEST_SEND.times(0.5))), 0.001);
+    // In a split that is heard, both count for as long as it lasts.
+    now = now.plus(SECOND.times(100));
+    m.heard(LOWER, advert(50), now);
+    m.heard(HIGHER, advert(60), now);
+    assertEquals(6, m.dispatchers(now), 0.001);
+    // A resignation fades at once.
+    m.heard(HIGHER, advert(0), now);
+    assertEquals(5.9, m.dispatchers(now.plus(SECOND)), 0.001);
+  }
+
+  @Test
+  void differingAddressesRoutersAndIntervalsAreRefused() {
+    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    m.start(now);
+    assertEquals(Refusal.UNKNOWN_ROUTER, m.refusal(new Advert(9, 1, 100, ADDRESSES)).orElseThrow());
+    assertEquals(
+        Refusal.ADDRESSES_DIFFER, m.refusal(new Advert(1, 1, 100, List.of(SELF))).orElseThrow());
+    assertTrue(m.refusal(advert(1, 200)).isEmpty());
+    Mastership strict =
+        new Mastership(
+            SELF,
+            List.of(terms(1, 100, true, Span.ZERO)),
+            Set.of(LOWER),
+            0,
+            SECOND,
+            Span.ZERO,
+            false);
+    assertEquals(Refusal.INTERVAL_DIFFERS, strict.refusal(advert(1, 200)).orElseThrow());
+  }
+
+  // ---- who may say so
+
+  private static final SealKeys KEYS =
+      SealKeys.read("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
+  private static final Span DIFFERENCE = SECOND.times(0.5);
+
+  private byte[] sealed(Moment sent, SealKeys keys, int key) {
+    return AdvertSeal.write(
+        AdvertCodec.write(advert(200), LOWER, SELF, Covers.MESSAGE),
+        LOWER,
+        SELF,
+        keys,
+        key,
+        sent.us());
+  }
+
+  @Test
+  void forgedReplayedAndStaleAdvertsNeverCount() {
+    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    m.start(now);
+    Intake intake = new Intake(SELF, m, new Freshness(START, DIFFERENCE), Set.of(LOWER), KEYS);
+    byte[] recorded = sealed(START.plus(DIFFERENCE), KEYS, 1);
+    now = START.plus(SECOND);
+    assertEquals(
+        Refusal.STALE,
+        intake.judge(recorded, LOWER, SELF, now).refusal(),
+        "sent before the start, by its clock");
+    byte[] good = sealed(now, KEYS, 1);
+    assertEquals(200, intake.judge(good, LOWER, SELF, now).advert().priority());
+    assertEquals(Refusal.REPLAYED, intake.judge(good, LOWER, SELF, now).refusal());
+    assertEquals(
+        Refusal.REPLAYED,
+        intake.judge(sealed(now.minus(new Span(1)), KEYS, 1), LOWER, SELF, now).refusal());
+    byte[] late = sealed(now.plus(new Span(1)), KEYS, 2);
+    now = now.plus(SECOND.times(2));
+    assertEquals(Refusal.STALE, intake.judge(late, LOWER, SELF, now).refusal());
+    assertEquals(
+        Refusal.EARLY, intake.judge(sealed(now.plus(SECOND), KEYS, 1), LOWER, SELF, now).refusal());
+    assertEquals(
+        Refusal.FORGED,
+        intake
+            .judge(sealed(now, SealKeys.read("1 " + "00".repeat(16)), 1), LOWER, SELF, now)
+            .refusal());
+    assertEquals(
+        Refusal.KEY_UNKNOWN,
+        intake
+            .judge(sealed(now, SealKeys.read("3 " + "00".repeat(16)), 3), LOWER, SELF, now)
+            .refusal());
+    assertEquals(
+        Refusal.UNSEALED,
+        intake
+            .judge(AdvertCodec.write(advert(200), LOWER, SELF, Covers.MESSAGE), LOWER, SELF, now)
+            .refusal());
+    assertEquals(Refusal.UNKNOWN_SENDER, intake.judge(good, HIGHER, SELF, now).refusal());
+    assertEquals(Refusal.OUR_OWN, intake.judge(good, SELF, SELF, now).refusal());
+    assertEquals(1, intake.taken());
+    assertEquals(2, intake.refused(Refusal.REPLAYED));
+    // After a restart of the receiver what was taken before is not taken again.
+    Freshness restarted = new Freshness(now, DIFFERENCE);
+    Intake again = new Intake(SELF, m, restarted, Set.of(LOWER), KEYS);
+    assertEquals(Refusal.STALE, again.judge(good, LOWER, SELF, now).refusal());
+    // A change of keys: the new one counts once it is there, the old one as long as it is.
+    again.renewed(Set.of(LOWER), SealKeys.read("2 " + "cd".repeat(16)));
+    now = now.plus(SECOND.times(2));
+    assertEquals(
+        Refusal.KEY_UNKNOWN, again.judge(sealed(now, KEYS, 1), LOWER, SELF, now).refusal());
+    assertEquals(200, again.judge(sealed(now, KEYS, 2), LOWER, SELF, now).advert().priority());
+  }
+
+  @Test
+  void withoutSealsEitherChecksumCountsAndIsCounted() {
+    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    m.start(now);
+    Intake intake = new Intake(SELF, m, new Freshness(START, Span.ZERO), Set.of(LOWER), null);
+    for (Covers covers : Covers.values()) {
+      assertEquals(
+          200,
+          intake
+              .judge(AdvertCodec.write(advert(200), LOWER, SELF, covers), LOWER, SELF, now)
+              .advert()
+              .priority());
+      assertEquals(1, intake.covering(covers));
+    }
+  }
+
+  // ---- fitness
+
+  @Test
+  void aFlappingSignDoesNotFlapThePriority() {
+    Map<Sign, Fitness.Bounds> bounds = new EnumMap<>(Sign.class);
+    bounds.put(Sign.LATE, new Fitness.Bounds(0.5, 0.2, 30));
+    Fitness fitness = new Fitness(new Fitness.Watched(bounds, SECOND, SECOND.times(5), 5));
+    int changes = 0;
+    int last = 0;
+    int counted = 0;
+    // Two seconds bad, eight seconds well, for an hour: undamped that would be 720 changes.
+    for (int tenth = 0; tenth < 36_000; tenth++) {
+      int steps =
+          fitness.told(
+              Map.of(Sign.LATE, tenth % 100 < 20 ? 1.0 : 0.0),
+              START.plus(SECOND.times(tenth / 10.0)));
+      changes += steps != last ? 1 : 0;
+      counted += steps > 0 ? 1 : 0;
+      last = steps;
     }
+    assertTrue(changes <= 5, changes + " changes");
+    assertTrue(counted > 30_000, "counted in " + counted + " of 36000 looks");
+    assertEquals(List.of(Sign.LATE), fitness.counting());
+    // Between the bounds it stays as it is; well for long enough it ends.
+    Moment later = START.plus(SECOND.times(4000));
+    fitness.told(Map.of(Sign.LATE, 0.0), later);
+    assertEquals(0, fitness.told(Map.of(Sign.LATE, 0.0), later.plus(SECOND.times(160))));
+    assertEquals(0, fitness.told(Map.of(Sign.LATE, 0.4), later.plus(SECOND.times(170))));
+    assertEquals(0, fitness.told(Map.of(Sign.LATE, 0.6), later.plus(SECOND.times(171))));
+    assertEquals(30, fitness.told(Map.of(Sign.LATE, 0.6), later.plus(SECOND.times(172))));
+    assertEquals(30, fitness.told(Map.of(Sign.LATE, 0.4), later.plus(SECOND.times(999))));
+  }
+
+  @Test
+  void anObserverTellsSilencesAndSplits() {
+    Observer observer = new Observer();
+    assertEquals(List.of(LOWER), observer.heard(LOWER, advert(50), now).get(0).active());
+    assertEquals(List.of(), observer.heard(LOWER, advert(50), now));
+    assertEquals(List.of(LOWER, HIGHER), observer.heard(HIGHER, advert(60), now).get(0).active());
+    assertEquals(List.of(HIGHER), observer.heard(LOWER, advert(0), now).get(0).active());
+    assertEquals(List.of(), observer.due(now.plus(SECOND)));
+    assertEquals(now.plus(SECOND.times(4)), observer.wake());
+    assertEquals(List.of(), observer.due(observer.wake()).get(0).active());
+  }
 }
--- a/src/test/java/cobaltseam/membership/MembershipTest.java
+++ b/src/test/java/cobaltseam/membership/MembershipTest.java
@@ -5,136 +5,156 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Span;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
 import org.junit.jupiter.api.Test;
 
 /** Names, births and bounds, between a few members that hear each other at once. */
 class MembershipTest {
-    private static final Span PERIOD = new Span(1_000_000);
+  private static final Span PERIOD = new Span(1_000_000);
 
-    private final Map<InetSocketAddress, Membership> at = new HashMap<>();
-    private final List<Act.Noted> noted = new ArrayList<>();
-    private Moment now = new Moment(1_000_000);
+  private final Map<InetSocketAddress, Membership> at = new HashMap<>();
+  private final List<Act.Noted> noted = new ArrayList<>();
+  private Moment now = new Moment(1_000_000);
 
-    private static InetSocketAddress address(int port) {
-        return new InetSocketAddress("127.0.0.1", port);
-    }
+  private static InetSocketAddress address(int port) {
+    return new InetSocketAddress("127.0.0.1", port);
+  }
 
-    private Membership member(String name, long birth, int port, int... seeds) {
-        List<InetSocketAddress> of = java.util.Arrays.stream(seeds).mapToObj(MembershipTest::address).toList();
-        Terms terms = new Terms(PERIOD, 2, 3, List.of(new MemberName("a")), of, new Span(3_000_000));
-        Membership m = new Membership(terms, new Member(new MemberName(name), new Birth(birth), address(port)), new SplittableRandom(port));
-        at.put(address(port), m);
-        carry(m.start(now));
-        return m;
-    }
+  private Membership member(String name, long birth, int port, int... seeds) {
+    List<InetSocketAddress> of =
+        java.util.Arrays.stream(seeds).mapToObj(MembershipTest::address).toList();
+    Terms terms = new Terms(PERIOD, 2, 3, List.of(new MemberName("a")), of, new Span(3_000_000));
+    Membership m =
+        new Membership(
+            terms,
+            new Member(new MemberName(name), new Birth(birth), address(port)),
+            new SplittableRandom(port));
+    at.put(address(port), m);
+    carry(m.start(now));
+    return m;
+  }
 
-    /** Each message is heard at once; what nobody has an address for is lost. */
-    private void carry(List<Act> acts) {
-        for (Act act : acts) {
-            if (act instanceof Act.Tell tell && at.containsKey(tell.to())) {
-                carry(at.get(tell.to()).heard(tell.message(), now));
-            } else if (act instanceof Act.Noted n) {
-                noted.add(n);
-            }
-        }
+  /** Each message is heard at once; what nobody has an address for is lost. */
+  private void carry(List<Act> acts) {
+    for (Act act : acts) {
+      if (act instanceof Act.Tell tell && at.containsKey(tell.to())) {
+        carry(at.get(tell.to()).heard(tell.message(), now));
+      } else if (act instanceof Act.Noted n) {
+        noted.add(n);
+      }
     }
+  }
 
-    private void pass(double periods) {
-        Moment until = now.plus(PERIOD.times(periods));
-        while (now.before(until)) {
-            now = now.plus(PERIOD.times(0.125));
-            for (Membership m : List.copyOf(at.values())) {
-                if (m.wake(now) != null && !now.before(m.wake(now.minus(PERIOD.times(0.125))))) {
-                    carry(m.due(now));
-                }
-            }
+  private void pass(double periods) {
+    Moment until = now.plus(PERIOD.times(periods));
+    while (now.before(until)) {
+      now = now.plus(PERIOD.times(0.125));
+      for (Membership m : List.copyOf(at.values())) {
+        if (m.wake(now) != null && !now.before(m.wake(now.minus(PERIOD.times(0.125))))) {
+          carry(m.due(now));
         }
+      }
     }
+  }
 
-    private boolean isNoted(Act.Event event) {
-        return noted.stream().anyMatch(n -> n.event() == event);
-    }
+  private boolean isNoted(Act.Event event) {
+    return noted.stream().anyMatch(n -> n.event() == event);
+  }
 
-    @Test
-    void theSecondOfOneNameIsRefusedAndSaysSo() {
-        Membership a = member("a", 1, 1);
-        Membership b = member("b", 2, 2, 1);
-        pass(15);
-        assertEquals(2, a.view().members().size());
-        Membership second = member("b", 9, 3, 1);
-        pass(20);
-        assertTrue(isNoted(Act.Event.NAME_TAKEN));
-        assertNull(second.view(), "it is not taken in");
-        assertTrue(a.view().holds(b.self().name(), b.self().birth()), "the one that lives stays: " + a.view());
-        at.remove(address(2));
-        pass(60);
-        assertTrue(a.view().holds(second.self().name(), second.self().birth()), "once the first is dead the name is free: " + a.view());
-    }
+  @Test
+  void theSecondOfOneNameIsRefusedAndSaysSo() {
+    Membership a = member("a", 1, 1);
+    Membership b = member("b", 2, 2, 1);
+    pass(15);
+    assertEquals(2, a.view().members().size());
+    Membership second = member("b", 9, 3, 1);
+    pass(20);
+    assertTrue(isNoted(Act.Event.NAME_TAKEN));
+    assertNull(second.view(), "it is not taken in");
+    assertTrue(
+        a.view().holds(b.self().name(), b.self().birth()), "the one that lives stays: " + a.view());
+    at.remove(address(2));
+    pass(60);
+    assertTrue(
+        a.view().holds(second.self().name(), second.self().birth()),
+        "once the first is dead the name is free: " + a.view());
+  }
 
-    @Test
-    void aProcessWhoseClockWentBackIsTheLaterOneAllTheSame() {
-        Membership a = member("a", 1_000, 1);
-        member("b", 5_000, 2, 1);
-        pass(15);
-        at.remove(address(2));
-        Membership anew = member("b", 10, 2, 1);
-        pass(40);
-        assertTrue(anew.self().birth().value() > 5_000, "birth " + anew.self().birth());
-        assertTrue(a.view().holds(anew.self().name(), anew.self().birth()), a.view().toString());
-    }
+  @Test
+  void aProcessWhoseClockWentBackIsTheLaterOneAllTheSame() {
+    Membership a = member("a", 1_000, 1);
+    member("b", 5_000, 2, 1);
+    pass(15);
+    at.remove(address(2));
+    Membership anew = member("b", 10, 2, 1);
+    pass(40);
+    assertTrue(anew.self().birth().value() > 5_000, "birth " + anew.self().birth());
+    assertTrue(a.view().holds(anew.self().name(), anew.self().birth()), a.view().toString());
+  }
 
-    @Test
-    void lateWordsOfAFormerProcessChangeNothing() {
-        Membership a = member("a", 1, 1);
-        Membership former = member("b", 2, 2, 1);
-        pass(15);
-        at.remove(address(2));
-        Membership later = member("b", 3, 2, 1);
-        pass(20);
-        View view = a.view();
-        assertTrue(view.holds(later.self().name(), later.self().birth()));
-        Message.Teller old = new Message.Teller(former.self(), 50, former.view() == null ? ViewId.NONE : former.view().id(), true);
-        carry(a.heard(new Message.Part(old, List.of(new News(later.self(), 99, Condition.DEAD, former.self().name())), false), now));
-        pass(5);
-        assertEquals(view, a.view());
-    }
+  @Test
+  void lateWordsOfAFormerProcessChangeNothing() {
+    Membership a = member("a", 1, 1);
+    Membership former = member("b", 2, 2, 1);
+    pass(15);
+    at.remove(address(2));
+    Membership later = member("b", 3, 2, 1);
+    pass(20);
+    View view = a.view();
+    assertTrue(view.holds(later.self().name(), later.self().birth()));
+    Message.Teller old =
+        new Message.Teller(
+            former.self(), 50, former.view() == null ? ViewId.NONE : former.view().id(), true);
+    carry(
+        a.heard(
+            new Message.Part(
+                old,
+                List.of(new News(later.self(), 99, Condition.DEAD, former.self().name())),
+                false),
+            now));
+    pass(5);
+    assertEquals(view, a.view());
+  }
 
-    @Test
-    void namesWithoutEndAreNotKept() {
-        Membership a = member("a", 1, 1);
-        Member liar = new Member(new MemberName("liar"), new Birth(1), address(9));
-        for (int i = 0; i < 6000; i += 20) {
-            List<News> news = new ArrayList<>();
-            for (int n = i; n < i + 20; n++) {
-                news.add(new News(new Member(new MemberName("x" + n), new Birth(1), address(10_000 + n)), 0, Condition.ALIVE, liar.name()));
-            }
-            a.heard(new Message.Part(new Message.Teller(liar, 0, ViewId.NONE, false), news, true), now);
-        }
-        assertTrue(a.seen().size() <= 4096, "holds " + a.seen().size());
+  @Test
+  void namesWithoutEndAreNotKept() {
+    Membership a = member("a", 1, 1);
+    Member liar = new Member(new MemberName("liar"), new Birth(1), address(9));
+    for (int i = 0; i < 6000; i += 20) {
+      List<News> news = new ArrayList<>();
+      for (int n = i; n < i + 20; n++) {
+        news.add(
+            new News(
+                new Member(new MemberName("x" + n), new Birth(1), address(10_000 + n)),
+                0,
+                Condition.ALIVE,
+                liar.name()));
+      }
+      a.heard(new Message.Part(new Message.Teller(liar, 0, ViewId.NONE, false), news, true), now);
     }
+    assertTrue(a.seen().size() <= 4096, "holds " + a.seen().size());
+  }
 
-    @Test
-    void whoLeavesIsNotSuspected() {
-        Membership a = member("a", 1, 1);
-        Membership b = member("b", 2, 2, 1);
-        Membership c = member("c", 3, 3, 1);
-        pass(20);
-        assertEquals(3, a.view().members().size());
-        noted.clear();
-        carry(c.leave(now));
-        at.remove(address(3));
-        pass(4);
-        assertEquals(2, a.view().members().size());
-        assertEquals(a.view(), b.view());
-        assertFalse(isNoted(Act.Event.SUSPECTED));
-    }
+  @Test
+  void whoLeavesIsNotSuspected() {
+    Membership a = member("a", 1, 1);
+    Membership b = member("b", 2, 2, 1);
+    Membership c = member("c", 3, 3, 1);
+    pass(20);
+    assertEquals(3, a.view().members().size());
+    noted.clear();
+    carry(c.leave(now));
+    at.remove(address(3));
+    pass(4);
+    assertEquals(2, a.view().members().size());
+    assertEquals(a.view(), b.view());
+    assertFalse(isNoted(Act.Event.SUSPECTED));
+  }
 }
--- a/src/test/java/cobaltseam/postgres/PostgresTest.java
+++ b/src/test/java/cobaltseam/postgres/PostgresTest.java
@@ -12,171 +12,214 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-
 import org.junit.jupiter.api.Test;
 
 /** The client wire and the statement scanner, on bytes alone. */
 class PostgresTest {
-    private static final String FIELDS = "/* op=report,call=9b1f03aa5c7e2d41,ttl=1500 */ ";
+  private static final String FIELDS = "/* op=report,call=9b1f03aa5c7e2d41,ttl=1500 */ ";
 
-    private static ByteBuffer session(String... queries) {
-        ByteBuffer out = ByteBuffer.allocate(4096);
-        out.putInt(8).putInt(80877103);
-        out.putInt(18).putInt(3 << 16).put("user\0app\0\0".getBytes(StandardCharsets.UTF_8));
-        for (String query : queries) {
-            byte[] text = query.getBytes(StandardCharsets.UTF_8);
-            out.put((byte) 'Q').putInt(text.length + 5).put(text).put((byte) 0);
-        }
-        return out.put((byte) 'X').putInt(4).flip();
+  private static ByteBuffer session(String... queries) {
+    ByteBuffer out = ByteBuffer.allocate(4096);
+    out.putInt(8).putInt(80877103);
+    out.putInt(18).putInt(3 << 16).put("user\0app\0\0".getBytes(StandardCharsets.UTF_8));
+    for (String query : queries) {
+      byte[] text = query.getBytes(StandardCharsets.UTF_8);
+      out.put((byte) 'Q').putInt(text.length + 5).put(text).put((byte) 0);
     }
+    return out.put((byte) 'X').putInt(4).flip();
+  }
 
-    /** What the messages say, in short. */
-    private static List<String> told(ClientParser parser, ByteBuffer... pieces) {
-        List<String> told = new ArrayList<>();
-        for (ByteBuffer piece : pieces) {
-            parser.take(piece, m -> told.add(m instanceof ClientMessage.Query q
-                    ? "Query " + new String(q.text(), StandardCharsets.UTF_8) : m.getClass().getSimpleName()));
-        }
-        return told;
+  /** What the messages say, in short. */
+  private static List<String> told(ClientParser parser, ByteBuffer... pieces) {
+    List<String> told = new ArrayList<>();
+    for (ByteBuffer piece : pieces) {
+      parser.take(
+          piece,
+          m ->
+              told.add(
+                  m instanceof ClientMessage.Query q
+                      ? "Query " + new String(q.text(), StandardCharsets.UTF_8)
+                      : m.getClass().getSimpleName()));
     }
+    return told;
+  }
 
-    @Test
-    void aSessionReadsTheSameWhereverItIsCut() {
-        byte[] all = session("SELECT 'ı'", "").array();
-        int length = session("SELECT 'ı'", "").limit();
-        List<String> whole = List.of("EncryptionRequest", "Startup", "Query SELECT 'ı'", "Query ", "Terminate");
-        for (int cut = 0; cut <= length; cut++) {
-            assertEquals(whole, told(new ClientParser(), ByteBuffer.wrap(all, 0, cut).slice(),
-                    ByteBuffer.wrap(all, cut, length - cut).slice()), "cut at " + cut);
-        }
-        ClientParser slow = new ClientParser();
-        List<String> told = new ArrayList<>();
-        for (int i = 0; i < length; i++) {
-            told.addAll(told(slow, ByteBuffer.wrap(all, i, 1)));
-        }
-        assertEquals(whole, told);
+  @Test
+  void aSessionReadsTheSameWhereverItIsCut() {
+    byte[] all = session("SELECT 'ı'", "").array();
+    int length = session("SELECT 'ı'", "").limit();
+    List<String> whole =
+        List.of("EncryptionRequest", "Startup", "Query SELECT 'ı'", "Query ", "Terminate");
+    for (int cut = 0; cut <= length; cut++) {
+      assertEquals(
+          whole,
+          told(
+              new ClientParser(),
+              ByteBuffer.wrap(all, 0, cut).slice(),
+              ByteBuffer.wrap(all, cut, length - cut).slice()),
+          "cut at " + cut);
     }
-
-    @Test
-    void aCancelRequestNamesItsSession() {
-        List<ClientMessage> told = new ArrayList<>();
-        new ClientParser().take(ByteBuffer.allocate(16).putInt(16).putInt(80877102).putInt(7).putInt(-9).flip(), told::add);
-        assertEquals(List.of(new ClientMessage.Cancel(7, -9)), told);
+    ClientParser slow = new ClientParser();
+    List<String> told = new ArrayList<>();
+    for (int i = 0; i < length; i++) {
+      told.addAll(told(slow, ByteBuffer.wrap(all, i, 1)));
     }
+    assertEquals(whole, told);
+  }
 
-    @Test
-    void whatIsNoProtocolIsToldOnceAndNothingIsReadBehindIt() {
-        int[][] heads = {{7, 3 << 16}, {10_001, 3 << 16}, {8, 2 << 16}, {8, 80877102}, {-1, 0}};
-        for (int[] head : heads) {
-            ByteBuffer bad = ByteBuffer.allocate(64).putInt(head[0]).putInt(head[1]);
-            assertEquals(List.of("Malformed"), told(new ClientParser(), bad.position(64).flip(), session()));
-        }
-        ByteBuffer started = ByteBuffer.allocate(64).putInt(8).putInt(3 << 16);
-        assertEquals(List.of("Startup", "Malformed"),
-                told(new ClientParser(), started.put((byte) 'Q').putInt(ClientParser.LONGEST_MESSAGE + 1).flip()));
-        ByteBuffer unended = ByteBuffer.allocate(64).putInt(8).putInt(3 << 16);
-        assertEquals(List.of("Startup", "Malformed"),
-                told(new ClientParser(), unended.put((byte) 'Q').putInt(5).put((byte) 'x').flip()));
-    }
+  @Test
+  void aCancelRequestNamesItsSession() {
+    List<ClientMessage> told = new ArrayList<>();
+    new ClientParser()
+        .take(
+            ByteBuffer.allocate(16).putInt(16).putInt(80877102).putInt(7).putInt(-9).flip(),
+            told::add);
+    assertEquals(List.of(new ClientMessage.Cancel(7, -9)), told);
+  }
 
-    @Test
-    void garbageNeverThrowsAndEndsTheReading() {
-        SplittableRandom random = new SplittableRandom(11);
-        for (int i = 0; i < 3000; i++) {
-            byte[] bytes = new byte[random.nextInt(1, 200)];
-            random.nextBytes(bytes);
-            ByteBuffer in = i % 2 == 0 ? ByteBuffer.wrap(bytes)
-                    : ByteBuffer.allocate(8 + bytes.length).putInt(8).putInt(3 << 16).put(bytes).flip();
-            List<String> told = told(new ClientParser(), in);
-            int malformed = told.indexOf("Malformed");
-            assertTrue(malformed < 0 || malformed == told.size() - 1, told.toString());
-        }
+  @Test
+  void whatIsNoProtocolIsToldOnceAndNothingIsReadBehindIt() {
+    int[][] heads = {{7, 3 << 16}, {10_001, 3 << 16}, {8, 2 << 16}, {8, 80877102}, {-1, 0}};
+    for (int[] head : heads) {
+      ByteBuffer bad = ByteBuffer.allocate(64).putInt(head[0]).putInt(head[1]);
+      assertEquals(
+          List.of("Malformed"), told(new ClientParser(), bad.position(64).flip(), session()));
     }
+    ByteBuffer started = ByteBuffer.allocate(64).putInt(8).putInt(3 << 16);
+    assertEquals(
+        List.of("Startup", "Malformed"),
+        told(
+            new ClientParser(),
+            started.put((byte) 'Q').putInt(ClientParser.LONGEST_MESSAGE + 1).flip()));
+    ByteBuffer unended = ByteBuffer.allocate(64).putInt(8).putInt(3 << 16);
+    assertEquals(
+        List.of("Startup", "Malformed"),
+        told(new ClientParser(), unended.put((byte) 'Q').putInt(5).put((byte) 'x').flip()));
+  }
 
-    @Test
-    void rowsAreFramedAsTheProtocolHasThem() {
-        byte[] row = "a\t\tçö".getBytes(StandardCharsets.UTF_8);
-        ByteBuffer out = ByteBuffer.wrap(new Replies().row(row, 0, row.length).complete("SELECT 1").bytes());
-        assertEquals('D', out.get());
-        assertEquals(4 + 2 + 3 * 4 + 5, out.getInt());
-        assertEquals(3, out.getShort());
-        for (String column : List.of("a", "", "çö")) {
-            byte[] read = new byte[out.getInt()];
-            out.get(read);
-            assertEquals(column, new String(read, StandardCharsets.UTF_8));
-        }
-        assertEquals('C', out.get());
-        assertEquals(4 + 9, out.getInt());
+  @Test
+  void garbageNeverThrowsAndEndsTheReading() {
+    SplittableRandom random = new SplittableRandom(11);
+    for (int i = 0; i < 3000; i++) {
+      byte[] bytes = new byte[random.nextInt(1, 200)];
+      random.nextBytes(bytes);
+      ByteBuffer in =
+          i % 2 == 0
+              ? ByteBuffer.wrap(bytes)
+              : ByteBuffer.allocate(8 + bytes.length).putInt(8).putInt(3 << 16).put(bytes).flip();
+      List<String> told = told(new ClientParser(), in);
+      int malformed = told.indexOf("Malformed");
+      assertTrue(malformed < 0 || malformed == told.size() - 1, told.toString());
     }
+  }
 
-    @Test
-    void fieldsStandInAnyOrderAndTheStatementStaysAsItCame() throws StatementScanner.Unusable {
-        byte[] text = "-- é\n /*x*/ /*  space=96 ,ttl=1500,new=1,org=acme,work=820.5,call=9B1f03aa5c7e2d41,op=report*/\n select 1 -- \u00fc"
-                .getBytes(StandardCharsets.UTF_8);
-        Statement s = StatementScanner.scan(text);
-        assertEquals("report", s.profile());
-        assertEquals("9B1f03aa5c7e2d41", s.call());
-        assertEquals(1500, s.timeToLiveMs());
-        assertEquals("acme", s.share());
-        assertEquals(820.5, s.workMs());
-        assertEquals(96, s.memoryMb());
-        assertEquals("-- é\n /*x*/ select 1 -- \u00fc", new String(s.text(), StandardCharsets.UTF_8));
-        byte[] odd = (FIELDS + "select '\u0000'").getBytes(StandardCharsets.UTF_8);
-        odd[odd.length - 2] = (byte) 0xff;
-        assertArrayEquals(new byte[] {'\'', (byte) 0xff, '\''},
-                Arrays.copyOfRange(StatementScanner.scan(odd).text(), 7, 10));
+  @Test
+  void rowsAreFramedAsTheProtocolHasThem() {
+    byte[] row = "a\t\tçö".getBytes(StandardCharsets.UTF_8);
+    ByteBuffer out =
+        ByteBuffer.wrap(new Replies().row(row, 0, row.length).complete("SELECT 1").bytes());
+    assertEquals('D', out.get());
+    assertEquals(4 + 2 + 3 * 4 + 5, out.getInt());
+    assertEquals(3, out.getShort());
+    for (String column : List.of("a", "", "çö")) {
+      byte[] read = new byte[out.getInt()];
+      out.get(read);
+      assertEquals(column, new String(read, StandardCharsets.UTF_8));
     }
+    assertEquals('C', out.get());
+    assertEquals(4 + 9, out.getInt());
+  }
+
+  @Test
+  void fieldsStandInAnyOrderAndTheStatementStaysAsItCame() throws StatementScanner.Unusable {
+    byte[] text =
+        "-- é\n /*x*/ /*  space=96 ,ttl=1500,new=1,org=acme,work=820.5,call=9B1f03aa5c7e2d41,op=report*/\n select 1 -- \u00fc"
+            .getBytes(StandardCharsets.UTF_8);
+    Statement s = StatementScanner.scan(text);
+    assertEquals("report", s.profile());
+    assertEquals("9B1f03aa5c7e2d41", s.call());
+    assertEquals(1500, s.timeToLiveMs());
+    assertEquals("acme", s.share());
+    assertEquals(820.5, s.workMs());
+    assertEquals(96, s.memoryMb());
+    assertEquals("-- é\n /*x*/ select 1 -- \u00fc", new String(s.text(), StandardCharsets.UTF_8));
+    byte[] odd = (FIELDS + "select '\u0000'").getBytes(StandardCharsets.UTF_8);
+    odd[odd.length - 2] = (byte) 0xff;
+    assertArrayEquals(
+        new byte[] {'\'', (byte) 0xff, '\''},
+        Arrays.copyOfRange(StatementScanner.scan(odd).text(), 7, 10));
+  }
 
-    @Test
-    void statementsWithoutUsableFieldsAreTold() {
-        String call = "call=9b1f03aa5c7e2d41";
-        for (String bad : List.of("select 1", "/* op=a,ttl=1," + call + " ", "/* ttl=1," + call + " */ x", "/* op=a,ttl=1 */ x",
-                "/* op=a," + call + " */ x", "/* op=a,ttl=-1," + call + " */ x", "/* op=a,ttl=1e3," + call + " */ x",
-                "/* op=a,ttl=1,call=9b1f */ x", "/* op=a,ttl=1,work=NaN," + call + " */ x",
-                "/* op=a,ttl=1,space=," + call + " */ x", "/* op=a,ttl=1," + call + " */ ;", "-- op=a,ttl=1," + call)) {
-            assertThrows(StatementScanner.Unusable.class, () -> StatementScanner.scan(bad.getBytes(StandardCharsets.UTF_8)), bad);
-        }
+  @Test
+  void statementsWithoutUsableFieldsAreTold() {
+    String call = "call=9b1f03aa5c7e2d41";
+    for (String bad :
+        List.of(
+            "select 1",
+            "/* op=a,ttl=1," + call + " ",
+            "/* ttl=1," + call + " */ x",
+            "/* op=a,ttl=1 */ x",
+            "/* op=a," + call + " */ x",
+            "/* op=a,ttl=-1," + call + " */ x",
+            "/* op=a,ttl=1e3," + call + " */ x",
+            "/* op=a,ttl=1,call=9b1f */ x",
+            "/* op=a,ttl=1,work=NaN," + call + " */ x",
+            "/* op=a,ttl=1,space=," + call + " */ x",
+            "/* op=a,ttl=1," + call + " */ ;",
+            "-- op=a,ttl=1," + call)) {
+      assertThrows(
+          StatementScanner.Unusable.class,
+          () -> StatementScanner.scan(bad.getBytes(StandardCharsets.UTF_8)),
+          bad);
     }
+  }
 
-    @Test
-    void theDataSetComesFromTheSchemaThatIsReadOrWritten() throws StatementScanner.Unusable {
-        Object[][] cases = {
-            {17, "SELECT day FROM sales_17.orders WHERE tag = '3f9c'"},
-            {17, "select x from Sales_17 . orders"},
-            {4, "INSERT INTO \"ops_4\".\"t\"\"x\" VALUES ('from a_9.b')"},
-            {5, "UPDATE only a_5.t SET x = 'it''s from a_9.b'"},
-            {6, "SELECT E'\\' from a_9.b', $$ from a_9.b $$, $q$ from a_9.b $ $q$ FROM a_6.t"},
-            {7, "SELECT 1 -- from a_9.b\n /* from a_9.b /* nested */ from a_9.b */ FROM a_7.t"},
-            {8, "SELECT x FROM staging.tmp s JOIN a_8.t ON s.i_9 = 1"},
-            {3, "SELECT x FROM staging.tmp, a_3.t"},
-            {2, "WITH w AS (SELECT * FROM db.mart_2.lines) SELECT * FROM w"},
-            {1, "DELETE FROM a_1.t USING b_9.u"},
-            {0, "select a.id, a_9.n from ops_0.events a"},
-            {-1, "SELECT a_9.x, 'y' FROM orders a_9"},
-            {-1, "SELECT 1"},
-            {-1, "SELECT x FROM a_99999999999999999999.t"},
-            {-1, "SELECT 'from a_9.b"},
-        };
-        for (Object[] c : cases) {
-            assertEquals(((Integer) c[0]).longValue(),
-                    StatementScanner.scan((FIELDS + c[1]).getBytes(StandardCharsets.UTF_8)).dataSet(), c[1].toString());
-        }
+  @Test
+  void theDataSetComesFromTheSchemaThatIsReadOrWritten() throws StatementScanner.Unusable {
+    Object[][] cases = {
+      {17, "SELECT day FROM sales_17.orders WHERE tag = '3f9c'"},
+      {17, "select x from Sales_17 . orders"},
+      {4, "INSERT INTO \"ops_4\".\"t\"\"x\" VALUES ('from a_9.b')"},
+      {5, "UPDATE only a_5.t SET x = 'it''s from a_9.b'"},
+      {6, "SELECT E'\\' from a_9.b', $$ from a_9.b $$, $q$ from a_9.b $ $q$ FROM a_6.t"},
+      {7, "SELECT 1 -- from a_9.b\n /* from a_9.b /* nested */ from a_9.b */ FROM a_7.t"},
+      {8, "SELECT x FROM staging.tmp s JOIN a_8.t ON s.i_9 = 1"},
+      {3, "SELECT x FROM staging.tmp, a_3.t"},
+      {2, "WITH w AS (SELECT * FROM db.mart_2.lines) SELECT * FROM w"},
+      {1, "DELETE FROM a_1.t USING b_9.u"},
+      {0, "select a.id, a_9.n from ops_0.events a"},
+      {-1, "SELECT a_9.x, 'y' FROM orders a_9"},
+      {-1, "SELECT 1"},
+      {-1, "SELECT x FROM a_99999999999999999999.t"},
+      {-1, "SELECT 'from a_9.b"},
+    };
+    for (Object[] c : cases) {
+      assertEquals(
+          ((Integer) c[0]).longValue(),
+          StatementScanner.scan((FIELDS + c[1]).getBytes(StandardCharsets.UTF_8)).dataSet(),
+          c[1].toString());
     }
+  }
 
-    @Test
-    void theScannerEndsOnAnyText() {
-        SplittableRandom random = new SplittableRandom(5);
-        String[] parts = {"'", "\"", "$", "$a$", "/*", "*/", "--", "\n", "from", "a_1.", ".", ",", "(", ")", "E'", "\\", " ", "é", "x"};
-        for (int i = 0; i < 5000; i++) {
-            StringBuilder text = new StringBuilder(FIELDS).append("s ");
-            for (int j = random.nextInt(20); j >= 0; j--) {
-                text.append(parts[random.nextInt(parts.length)]);
-            }
-            try {
-                assertInstanceOf(Statement.class, StatementScanner.scan(text.toString().getBytes(StandardCharsets.UTF_8)));
-            } catch (StatementScanner.Unusable e) {
-                throw new AssertionError(text.toString(), e);
-            }
-        }
+  @Test
+  void theScannerEndsOnAnyText() {
+    SplittableRandom random = new SplittableRandom(5);
+    String[] parts = {
+      "'", "\"", "$", "$a$", "/*", "*/", "--", "\n", "from", "a_1.", ".", ",", "(", ")", "E'", "\\",
+      " ", "é", "x"
+    };
+    for (int i = 0; i < 5000; i++) {
+      StringBuilder text = new StringBuilder(FIELDS).append("s ");
+      for (int j = random.nextInt(20); j >= 0; j--) {
+        text.append(parts[random.nextInt(parts.length)]);
+      }
+      try {
+        assertInstanceOf(
+            Statement.class,
+            StatementScanner.scan(text.toString().getBytes(StandardCharsets.UTF_8)));
+      } catch (StatementScanner.Unusable e) {
+        throw new AssertionError(text.toString(), e);
+      }
     }
+  }
 }
--- a/src/test/java/cobaltseam/repeats/PurseTest.java
+++ b/src/test/java/cobaltseam/repeats/PurseTest.java
@@ -4,15 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.PriorityQueue;
-import java.util.SplittableRandom;
-import java.util.concurrent.atomic.AtomicLong;
-
 import cobaltseam.dispatch.Moment;
 import cobaltseam.dispatch.Span;
 import cobaltseam.membership.Birth;
@@ -23,242 +14,288 @@
 import cobaltseam.membership.ViewId;
 import cobaltseam.repeats.PurseWord.Beg;
 import cobaltseam.repeats.PurseWord.Give;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** Further sends capped over a fleet: one purse, and many that messages, kills and pauses come between. */
+/**
+ * Further sends capped over a fleet: one purse, and many that messages, kills and pauses come
+ * between.
+ */
 class PurseTest {
-    private static final Terms TERMS = new Terms(0.1, 0, new Span(10_000_000), new Span(100_000), 0.001);
+  private static final Terms TERMS =
+      new Terms(0.1, 0, new Span(10_000_000), new Span(100_000), 0.001);
 
-    private static Member member(int i, long birth) {
-        return new Member(new MemberName("n" + i), new Birth(birth), new InetSocketAddress("127.0.0.1", 1000 + i));
-    }
+  private static Member member(int i, long birth) {
+    return new Member(
+        new MemberName("n" + i), new Birth(birth), new InetSocketAddress("127.0.0.1", 1000 + i));
+  }
 
-    private static View view(int members) {
-        List<Member> of = new ArrayList<>();
-        for (int i = 0; i < members; i++) {
-            of.add(member(i, 1));
-        }
-        return new View(new ViewId(1, 1), of, null);
+  private static View view(int members) {
+    List<Member> of = new ArrayList<>();
+    for (int i = 0; i < members; i++) {
+      of.add(member(i, 1));
     }
+    return new View(new ViewId(1, 1), of, null);
+  }
 
-    private static Teller teller(int i) {
-        return new Teller(member(i, 1), 0, ViewId.NONE, true);
-    }
+  private static Teller teller(int i) {
+    return new Teller(member(i, 1), 0, ViewId.NONE, true);
+  }
 
-    private static Moment at(double s) {
-        return new Moment(Math.round(s * 1e6));
-    }
+  private static Moment at(double s) {
+    return new Moment(Math.round(s * 1e6));
+  }
 
-    /** A purse and whoever spends from it. */
-    private static class One {
-        final AtomicLong left = new AtomicLong();
-        final Purse purse;
-        long firsts, wanted;
+  /** A purse and whoever spends from it. */
+  private static class One {
+    final AtomicLong left = new AtomicLong();
+    final Purse purse;
+    long firsts, wanted;
 
-        One(Terms terms, long seed) {
-            purse = new Purse(terms, new Purse.Left() {
+    One(Terms terms, long seed) {
+      purse =
+          new Purse(
+              terms,
+              new Purse.Left() {
                 @Override
                 public long get() {
-                    return left.get();
+                  return left.get();
                 }
 
                 @Override
                 public boolean change(long expected, long to) {
-                    return left.compareAndSet(expected, to);
+                  return left.compareAndSet(expected, to);
                 }
-            }, new SplittableRandom(seed));
-        }
-
-        boolean spends() {
-            wanted++;
-            return left.get() >= Purse.ONE && left.addAndGet(-Purse.ONE) >= 0;
-        }
-
-        List<Purse.Tell> follow(Map<MemberName, Long> spares, int self, double s) {
-            return purse.follow(firsts, wanted, spares, view(3), teller(self), at(s));
-        }
+              },
+              new SplittableRandom(seed));
     }
 
-    @Test
-    void firstSendsEarnWhatMayBeSpentForAWindow() {
-        One one = new One(TERMS, 1);
-        one.follow(Map.of(), 0, 0);
-        assertTrue(!one.spends(), "nothing is earned yet");
-        one.firsts = 25;
-        one.follow(Map.of(), 0, 1);
-        assertTrue(one.spends() && one.spends() && !one.spends(), "two and a half");
-        one.firsts = 30;
-        one.follow(Map.of(), 0, 2);
-        assertTrue(one.spends() && !one.spends(), "the half is kept");
-        one.firsts = 130;
-        one.follow(Map.of(), 0, 3);
-        assertEquals(10 * Purse.ONE, one.left.get());
-        one.follow(Map.of(), 0, 11.9);
-        assertEquals(10 * Purse.ONE, one.left.get());
-        one.follow(Map.of(), 0, 12);
-        assertEquals(0, one.left.get(), "a window from the look before they were sent");
+    boolean spends() {
+      wanted++;
+      return left.get() >= Purse.ONE && left.addAndGet(-Purse.ONE) >= 0;
     }
 
-    @Test
-    void aloneAProcessEarnsItsStatedPartAndNoMoreIsSavedUp() {
-        One one = new One(new Terms(0, 2, new Span(10_000_000), new Span(100_000), 0.001), 1);
-        for (int ds = 0; ds <= 1000; ds++) {
-            one.follow(Map.of(), 0, ds / 10.0);
-            assertTrue(one.left.get() <= 2 * Purse.ONE, "at " + ds);
-        }
-        assertTrue(one.left.get() > 1.8 * Purse.ONE, Long.toString(one.left.get()));
+    List<Purse.Tell> follow(Map<MemberName, Long> spares, int self, double s) {
+      return purse.follow(firsts, wanted, spares, view(3), teller(self), at(s));
     }
+  }
 
-    @Test
-    void aPauseEarnsNoMoreThanAWindow() {
-        One one = new One(new Terms(0, 2, new Span(10_000_000), new Span(100_000), 0.001), 1);
-        one.follow(Map.of(), 0, 0);
-        one.follow(Map.of(), 0, 500);
-        assertTrue(one.left.get() <= 2 * Purse.ONE);
-    }
+  @Test
+  void firstSendsEarnWhatMayBeSpentForAWindow() {
+    One one = new One(TERMS, 1);
+    one.follow(Map.of(), 0, 0);
+    assertTrue(!one.spends(), "nothing is earned yet");
+    one.firsts = 25;
+    one.follow(Map.of(), 0, 1);
+    assertTrue(one.spends() && one.spends() && !one.spends(), "two and a half");
+    one.firsts = 30;
+    one.follow(Map.of(), 0, 2);
+    assertTrue(one.spends() && !one.spends(), "the half is kept");
+    one.firsts = 130;
+    one.follow(Map.of(), 0, 3);
+    assertEquals(10 * Purse.ONE, one.left.get());
+    one.follow(Map.of(), 0, 11.9);
+    assertEquals(10 * Purse.ONE, one.left.get());
+    one.follow(Map.of(), 0, 12);
+    assertEquals(0, one.left.get(), "a window from the look before they were sent");
+  }
 
-    @Test
-    void whatIsGivenIsGoneAndCountsOnceForWhoeverAsked() {
-        One giver = new One(TERMS, 1);
-        giver.follow(Map.of(), 1, 0);
-        giver.firsts = 400;
-        giver.follow(Map.of(), 1, 1);
-        One asker = new One(TERMS, 2);
-        asker.follow(Map.of(), 0, 0);
-        asker.wanted = 1000;
-        List<Purse.Tell> asks = asker.follow(Map.of(new MemberName("n1"), giver.purse.spare()), 0, 1.2);
-        Beg beg = (Beg) asks.get(0).word();
-        Give give = (Give) giver.purse.heard(beg, view(3), teller(1), at(1.3)).get(0).word();
-        assertEquals(20 * Purse.ONE, giver.left.get(), "half of what it can do without");
-        asker.purse.heard(give, view(3), teller(0), at(1.4));
-        asker.purse.heard(give, view(3), teller(0), at(1.4));
-        assertEquals(20 * Purse.ONE, asker.left.get(), "once");
-        asker.follow(Map.of(), 0, 9.8);
-        assertEquals(20 * Purse.ONE, asker.left.get());
-        asker.follow(Map.of(), 0, 10);
-        assertEquals(0, asker.left.get(), "it ends there no later than it would have here, by any clock");
+  @Test
+  void aloneAProcessEarnsItsStatedPartAndNoMoreIsSavedUp() {
+    One one = new One(new Terms(0, 2, new Span(10_000_000), new Span(100_000), 0.001), 1);
+    for (int ds = 0; ds <= 1000; ds++) {
+      one.follow(Map.of(), 0, ds / 10.0);
+      assertTrue(one.left.get() <= 2 * Purse.ONE, "at " + ds);
     }
+    assertTrue(one.left.get() > 1.8 * Purse.ONE, Long.toString(one.left.get()));
+  }
 
-    @Test
-    void whatNobodyAskedForAndNonsenseGiveNothing() {
-        One one = new One(TERMS, 1);
-        one.follow(Map.of(), 0, 0);
-        one.wanted = 1000;
-        Beg beg = (Beg) one.follow(Map.of(new MemberName("n1"), 50_000L), 0, 1).get(0).word();
-        long[] much = {5_000};
-        long[] lasts = {9_000_000};
-        one.purse.heard(new Give(teller(1), beg.id() + 1, much, lasts), view(3), teller(0), at(1.1));
-        one.purse.heard(new Give(teller(2), beg.id(), much, lasts), view(3), teller(0), at(1.1));
-        one.purse.heard(new Give(new Teller(member(1, 9), 0, ViewId.NONE, true), beg.id(), much, lasts), view(3), teller(0), at(1.1));
-        assertEquals(0, one.left.get());
-        one.purse.heard(new Give(teller(1), beg.id(), new long[] {-5_000}, lasts), view(3), teller(0), at(1.1));
-        assertEquals(0, one.left.get());
-        assertThrows(IllegalArgumentException.class, () -> new Give(teller(1), 1, new long[1], new long[2]));
-    }
+  @Test
+  void aPauseEarnsNoMoreThanAWindow() {
+    One one = new One(new Terms(0, 2, new Span(10_000_000), new Span(100_000), 0.001), 1);
+    one.follow(Map.of(), 0, 0);
+    one.follow(Map.of(), 0, 500);
+    assertTrue(one.left.get() <= 2 * Purse.ONE);
+  }
 
-    private record Late(double at, int to, long life, PurseWord word) {
-    }
+  @Test
+  void whatIsGivenIsGoneAndCountsOnceForWhoeverAsked() {
+    One giver = new One(TERMS, 1);
+    giver.follow(Map.of(), 1, 0);
+    giver.firsts = 400;
+    giver.follow(Map.of(), 1, 1);
+    One asker = new One(TERMS, 2);
+    asker.follow(Map.of(), 0, 0);
+    asker.wanted = 1000;
+    List<Purse.Tell> asks = asker.follow(Map.of(new MemberName("n1"), giver.purse.spare()), 0, 1.2);
+    Beg beg = (Beg) asks.get(0).word();
+    Give give = (Give) giver.purse.heard(beg, view(3), teller(1), at(1.3)).get(0).word();
+    assertEquals(20 * Purse.ONE, giver.left.get(), "half of what it can do without");
+    asker.purse.heard(give, view(3), teller(0), at(1.4));
+    asker.purse.heard(give, view(3), teller(0), at(1.4));
+    assertEquals(20 * Purse.ONE, asker.left.get(), "once");
+    asker.follow(Map.of(), 0, 9.8);
+    assertEquals(20 * Purse.ONE, asker.left.get());
+    asker.follow(Map.of(), 0, 10);
+    assertEquals(
+        0, asker.left.get(), "it ends there no later than it would have here, by any clock");
+  }
 
-    /** What a drawn day came to: the most that further sends were over what their bound was, in any stretch that was looked at. */
-    private static double day(long seed, Terms terms, boolean forgets, boolean doubles) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        int members = 3 + chance.nextInt(8);
-        One[] all = new One[members];
-        double[] rates = new double[members];
-        double[] stands = new double[members];
-        long[] lives = new long[members];
-        for (int i = 0; i < members; i++) {
-            all[i] = new One(terms, chance.nextLong());
-            rates[i] = 1 + 0.001 * (chance.nextDouble() - 0.5);
+  @Test
+  void whatNobodyAskedForAndNonsenseGiveNothing() {
+    One one = new One(TERMS, 1);
+    one.follow(Map.of(), 0, 0);
+    one.wanted = 1000;
+    Beg beg = (Beg) one.follow(Map.of(new MemberName("n1"), 50_000L), 0, 1).get(0).word();
+    long[] much = {5_000};
+    long[] lasts = {9_000_000};
+    one.purse.heard(new Give(teller(1), beg.id() + 1, much, lasts), view(3), teller(0), at(1.1));
+    one.purse.heard(new Give(teller(2), beg.id(), much, lasts), view(3), teller(0), at(1.1));
+    one.purse.heard(
+        new Give(new Teller(member(1, 9), 0, ViewId.NONE, true), beg.id(), much, lasts),
+        view(3),
+        teller(0),
+        at(1.1));
+    assertEquals(0, one.left.get());
+    one.purse.heard(
+        new Give(teller(1), beg.id(), new long[] {-5_000}, lasts), view(3), teller(0), at(1.1));
+    assertEquals(0, one.left.get());
+    assertThrows(
+        IllegalArgumentException.class, () -> new Give(teller(1), 1, new long[1], new long[2]));
+  }
+
+  private record Late(double at, int to, long life, PurseWord word) {}
+
+  /**
+   * What a drawn day came to: the most that further sends were over what their bound was, in any
+   * stretch that was looked at.
+   */
+  private static double day(long seed, Terms terms, boolean forgets, boolean doubles) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    int members = 3 + chance.nextInt(8);
+    One[] all = new One[members];
+    double[] rates = new double[members];
+    double[] stands = new double[members];
+    long[] lives = new long[members];
+    for (int i = 0; i < members; i++) {
+      all[i] = new One(terms, chance.nextLong());
+      rates[i] = 1 + 0.001 * (chance.nextDouble() - 0.5);
+    }
+    View view = view(members);
+    PriorityQueue<Late> late = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
+    List<Double> firsts = new ArrayList<>();
+    List<Double> further = new ArrayList<>();
+    double loss = chance.nextDouble() * 0.4;
+    for (int ms = 0; ms < 60_000; ms += 20) {
+      double s = ms / 1000.0;
+      for (int i = 0; i < members; i++) {
+        if (chance.nextInt(20_000) == 0) {
+          // Killed; it starts anew with nothing.
+          all[i] = new One(terms, chance.nextLong());
+          lives[i]++;
+        } else if (chance.nextInt(10_000) == 0) {
+          stands[i] = s + chance.nextDouble() * 15;
         }
-        View view = view(members);
-        PriorityQueue<Late> late = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
-        List<Double> firsts = new ArrayList<>();
-        List<Double> further = new ArrayList<>();
-        double loss = chance.nextDouble() * 0.4;
-        for (int ms = 0; ms < 60_000; ms += 20) {
-            double s = ms / 1000.0;
-            for (int i = 0; i < members; i++) {
-                if (chance.nextInt(20_000) == 0) {
-                    // Killed; it starts anew with nothing.
-                    all[i] = new One(terms, chance.nextLong());
-                    lives[i]++;
-                } else if (chance.nextInt(10_000) == 0) {
-                    stands[i] = s + chance.nextDouble() * 15;
-                }
-                if (s < stands[i]) {
-                    continue;
-                }
-                boolean heavy = i == (int) (s / 15) % members;
-                if (chance.nextInt(heavy ? 1 : 8) == 0) {
-                    all[i].firsts++;
-                    firsts.add(s);
-                }
-                if (chance.nextInt(heavy ? 2 : 400) == 0 && all[i].spends()) {
-                    further.add(s);
-                }
-                Map<MemberName, Long> spares = new HashMap<>();
-                for (int o = 0; o < members; o++) {
-                    spares.put(new MemberName("n" + o), all[o].purse.spare());
-                }
-                One one = all[i];
-                for (Purse.Tell t : one.purse.follow(one.firsts, one.wanted, spares, view, teller(i), at(s * rates[i]))) {
-                    send(late, t, s, loss, doubles, lives, chance);
-                }
-            }
-            while (!late.isEmpty() && late.peek().at <= s) {
-                Late l = late.poll();
-                if (s < stands[l.to]) {
-                    late.add(new Late(stands[l.to], l.to, l.life, l.word));
-                } else {
-                    for (Purse.Tell t : all[l.to].purse.heard(l.word, view, teller(l.to), at(s * rates[l.to]))) {
-                        send(late, t, s, loss, doubles, lives, chance);
-                    }
-                }
-            }
+        if (s < stands[i]) {
+          continue;
+        }
+        boolean heavy = i == (int) (s / 15) % members;
+        if (chance.nextInt(heavy ? 1 : 8) == 0) {
+          all[i].firsts++;
+          firsts.add(s);
+        }
+        if (chance.nextInt(heavy ? 2 : 400) == 0 && all[i].spends()) {
+          further.add(s);
         }
-        double over = -1e9;
-        double window = terms.window().us() / 1e6 * 1.003 + 0.1;
-        for (double from = 0; from < 60; from += 2.5) {
-            for (double to = from + 2.5; to <= 60; to += 5) {
-                double f = from;
-                double t = to;
-                long sent = further.stream().filter(x -> x >= f && x < t).count();
-                double bound = terms.ratio() * firsts.stream().filter(x -> x >= f - window && x < t).count()
-                        + terms.alone() * members * (t - f + window) / (window - 0.1);
-                over = Math.max(over, sent - bound);
-            }
+        Map<MemberName, Long> spares = new HashMap<>();
+        for (int o = 0; o < members; o++) {
+          spares.put(new MemberName("n" + o), all[o].purse.spare());
         }
-        return forgets ? further.size() : over;
+        One one = all[i];
+        for (Purse.Tell t :
+            one.purse.follow(one.firsts, one.wanted, spares, view, teller(i), at(s * rates[i]))) {
+          send(late, t, s, loss, doubles, lives, chance);
+        }
+      }
+      while (!late.isEmpty() && late.peek().at <= s) {
+        Late l = late.poll();
+        if (s < stands[l.to]) {
+          late.add(new Late(stands[l.to], l.to, l.life, l.word));
+        } else {
+          for (Purse.Tell t :
+              all[l.to].purse.heard(l.word, view, teller(l.to), at(s * rates[l.to]))) {
+            send(late, t, s, loss, doubles, lives, chance);
+          }
+        }
+      }
+    }
+    double over = -1e9;
+    double window = terms.window().us() / 1e6 * 1.003 + 0.1;
+    for (double from = 0; from < 60; from += 2.5) {
+      for (double to = from + 2.5; to <= 60; to += 5) {
+        double f = from;
+        double t = to;
+        long sent = further.stream().filter(x -> x >= f && x < t).count();
+        double bound =
+            terms.ratio() * firsts.stream().filter(x -> x >= f - window && x < t).count()
+                + terms.alone() * members * (t - f + window) / (window - 0.1);
+        over = Math.max(over, sent - bound);
+      }
     }
+    return forgets ? further.size() : over;
+  }
 
-    private static void send(PriorityQueue<Late> late, Purse.Tell tell, double s, double loss, boolean doubles, long[] lives,
-                             SplittableRandom chance) {
-        int to = tell.to().getPort() - 1000;
-        for (int n = chance.nextDouble() < loss ? 0 : doubles && chance.nextInt(4) == 0 ? 2 : 1; n > 0; n--) {
-            late.add(new Late(s + chance.nextDouble() * chance.nextDouble() * 0.4, to, lives[to], tell.word()));
-        }
+  private static void send(
+      PriorityQueue<Late> late,
+      Purse.Tell tell,
+      double s,
+      double loss,
+      boolean doubles,
+      long[] lives,
+      SplittableRandom chance) {
+    int to = tell.to().getPort() - 1000;
+    for (int n = chance.nextDouble() < loss ? 0 : doubles && chance.nextInt(4) == 0 ? 2 : 1;
+        n > 0;
+        n--) {
+      late.add(
+          new Late(
+              s + chance.nextDouble() * chance.nextDouble() * 0.4, to, lives[to], tell.word()));
     }
+  }
 
-    @Test
-    void whateverComesBetweenThemNoMoreIsSentAgainThanAllEarned() {
-        for (long seed = 1; seed <= 40; seed++) {
-            double over = day(seed, TERMS, false, true);
-            assertTrue(over <= 1e-6, "seed " + seed + ": " + over + " over the bound");
-            over = day(seed, new Terms(0.05, 1, new Span(5_000_000), new Span(100_000), 0.001), false, true);
-            assertTrue(over <= 1e-6, "seed " + seed + " with parts of their own: " + over + " over the bound");
-        }
+  @Test
+  void whateverComesBetweenThemNoMoreIsSentAgainThanAllEarned() {
+    for (long seed = 1; seed <= 40; seed++) {
+      double over = day(seed, TERMS, false, true);
+      assertTrue(over <= 1e-6, "seed " + seed + ": " + over + " over the bound");
+      over =
+          day(seed, new Terms(0.05, 1, new Span(5_000_000), new Span(100_000), 0.001), false, true);
+      assertTrue(
+          over <= 1e-6, "seed " + seed + " with parts of their own: " + over + " over the bound");
     }
+  }
 
-    @Test
-    void whereOneNeedsMoreThanItEarnsOthersGiveIt() {
-        double moved = 0;
-        double stays = 0;
-        for (long seed = 1; seed <= 10; seed++) {
-            moved += day(seed, TERMS, true, false);
-            // Rounds so long that nobody is ever asked.
-            stays += day(seed, new Terms(0.1, 0, new Span(10_000_000), new Span(9_999_999), 0.001), true, false);
-        }
-        assertTrue(moved > stays, moved + " against " + stays);
+  @Test
+  void whereOneNeedsMoreThanItEarnsOthersGiveIt() {
+    double moved = 0;
+    double stays = 0;
+    for (long seed = 1; seed <= 10; seed++) {
+      moved += day(seed, TERMS, true, false);
+      // Rounds so long that nobody is ever asked.
+      stays +=
+          day(
+              seed,
+              new Terms(0.1, 0, new Span(10_000_000), new Span(9_999_999), 0.001),
+              true,
+              false);
     }
+    assertTrue(moved > stays, moved + " against " + stays);
+  }
 }
--- a/src/test/java/cobaltseam/service/AnswerOrderTest.java
+++ b/src/test/java/cobaltseam/service/AnswerOrderTest.java
@@ -6,134 +6,156 @@
 
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
-
 import org.junit.jupiter.api.Test;
 
-/** Answers that break off, never end or come late, for a class that may be repeated and for one that must not be. */
+/**
+ * Answers that break off, never end or come late, for a class that may be repeated and for one that
+ * must not be.
+ */
 class AnswerOrderTest extends ServiceRig {
-    private static void answerWell(Message pull) throws Exception {
-        pull.answer(pull.id(), "200", "pages=1", ROWS);
-    }
+  private static void answerWell(Message pull) throws Exception {
+    pull.answer(pull.id(), "200", "pages=1", ROWS);
+  }
 
-    /** The engine answers and closes, and both are read together: the answer counts, and nothing is sent again. */
-    @Test
-    void anAnswerWithTheEndOfItsConnectionRightBehindItCounts() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        start(one, two);
-        Client client = new Client(look(1, 10_000));
-        Message pull = poll(one, two);
-        CountDownLatch held = holdUpSockets();
-        answerWell(pull);
-        pull.from().close();
-        held.countDown();
-        assertEquals("SELECT 2", client.told().get(2));
-        assertTrue(client.ask("SHOW cobaltseam.counters").contains("sends|1"), "it was sent again");
-    }
+  /**
+   * The engine answers and closes, and both are read together: the answer counts, and nothing is
+   * sent again.
+   */
+  @Test
+  void anAnswerWithTheEndOfItsConnectionRightBehindItCounts() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    start(one, two);
+    Client client = new Client(look(1, 10_000));
+    Message pull = poll(one, two);
+    CountDownLatch held = holdUpSockets();
+    answerWell(pull);
+    pull.from().close();
+    held.countDown();
+    assertEquals("SELECT 2", client.told().get(2));
+    assertTrue(client.ask("SHOW cobaltseam.counters").contains("sends|1"), "it was sent again");
+  }
 
-    /** The first page alone is no answer: it is passed on with all others or not at all. */
-    @Test
-    void anAnswerThatBreaksOffBetweenItsPagesIsAskedForAgainWhereThatIsAllowed() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        start(one, two);
-        Client client = new Client(look(1, 20_000));
-        Message first = poll(one, two);
-        first.answer(first.id(), "200", "pages=2", ROWS);
-        assertEquals("SCROLL", poll(one, two).items().get(0));
-        first.reset();
-        Message again = poll(one, two);
-        assertEquals(first.id(), again.id());
-        answerWell(again);
-        assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.told());
-    }
+  /** The first page alone is no answer: it is passed on with all others or not at all. */
+  @Test
+  void anAnswerThatBreaksOffBetweenItsPagesIsAskedForAgainWhereThatIsAllowed() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    start(one, two);
+    Client client = new Client(look(1, 20_000));
+    Message first = poll(one, two);
+    first.answer(first.id(), "200", "pages=2", ROWS);
+    assertEquals("SCROLL", poll(one, two).items().get(0));
+    first.reset();
+    Message again = poll(one, two);
+    assertEquals(first.id(), again.id());
+    answerWell(again);
+    assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.told());
+  }
 
-    @Test
-    void anAnswerThatBreaksOffFailsWhatMustNotBeRepeated() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        start(one, two);
-        Client client = new Client(command("once", 1, 20_000));
-        Message first = poll(one, two);
-        first.say("*4\r\n$16\r\n" + first.id().substring(0, 7));
-        first.reset();
-        assertEquals(List.of("error 58"), client.told());
-        Client watch = new Client();
-        assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|1"));
-    }
+  @Test
+  void anAnswerThatBreaksOffFailsWhatMustNotBeRepeated() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    start(one, two);
+    Client client = new Client(command("once", 1, 20_000));
+    Message first = poll(one, two);
+    first.say("*4\r\n$16\r\n" + first.id().substring(0, 7));
+    first.reset();
+    assertEquals(List.of("error 58"), client.told());
+    Client watch = new Client();
+    assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|1"));
+  }
 
-    /** Its head promises bytes that never come: the send is given up in time for another, and nothing of it is passed on. */
-    @Test
-    void anAnswerThatNeverEndsIsGivenUpAndAskedForAgain() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        start(one, two);
-        Client client = new Client(look(1, 20_000));
-        Message first = poll(one, two);
-        first.say("*4\r\n$16\r\n" + first.id() + "\r\n$3\r\n200\r\n$7\r\npages=1\r\n$48000\r\nhalf");
-        Message again = poll(one, two);
-        assertEquals(first.id(), again.id());
-        assertNotEquals(first.from(), again.from());
-        answerWell(again);
-        assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.told());
-    }
+  /**
+   * Its head promises bytes that never come: the send is given up in time for another, and nothing
+   * of it is passed on.
+   */
+  @Test
+  void anAnswerThatNeverEndsIsGivenUpAndAskedForAgain() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    start(one, two);
+    Client client = new Client(look(1, 20_000));
+    Message first = poll(one, two);
+    first.say("*4\r\n$16\r\n" + first.id() + "\r\n$3\r\n200\r\n$7\r\npages=1\r\n$48000\r\nhalf");
+    Message again = poll(one, two);
+    assertEquals(first.id(), again.id());
+    assertNotEquals(first.from(), again.from());
+    answerWell(again);
+    assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.told());
+  }
 
-    /** Nothing comes, or a part, or a whole first page of two: it may have run, and is failed in time and sent to nobody else. */
-    @Test
-    void whatMustNotBeRepeatedFailsWhateverIsMissingOfItsAnswer() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        start(one, two);
-        Client client = new Client();
-        String first = "*4\r\n$16\r\n%s\r\n$3\r\n200\r\n$7\r\npages=%d\r\n$%d\r\n%s";
-        int call = 0;
-        for (String part : List.of("", first.formatted("ID", 1, 48_000, "half"), first.formatted("ID", 2, ROWS.length(), ROWS + "\r\n"))) {
-            client.query(client.out, command("once", ++call, 1500));
-            Message pull = poll(one, two);
-            pull.say(part.replace("ID", pull.id()));
-            assertEquals(List.of("error 58"), client.told(), part);
-        }
-        assertNoSecondPull(one);
-        assertNoSecondPull(two);
+  /**
+   * Nothing comes, or a part, or a whole first page of two: it may have run, and is failed in time
+   * and sent to nobody else.
+   */
+  @Test
+  void whatMustNotBeRepeatedFailsWhateverIsMissingOfItsAnswer() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    start(one, two);
+    Client client = new Client();
+    String first = "*4\r\n$16\r\n%s\r\n$3\r\n200\r\n$7\r\npages=%d\r\n$%d\r\n%s";
+    int call = 0;
+    for (String part :
+        List.of(
+            "",
+            first.formatted("ID", 1, 48_000, "half"),
+            first.formatted("ID", 2, ROWS.length(), ROWS + "\r\n"))) {
+      client.query(client.out, command("once", ++call, 1500));
+      Message pull = poll(one, two);
+      pull.say(part.replace("ID", pull.id()));
+      assertEquals(List.of("error 58"), client.told(), part);
     }
+    assertNoSecondPull(one);
+    assertNoSecondPull(two);
+  }
 
-    private static void assertNoSecondPull(Peer peer) {
-        assertTrue(peer.heard.stream().noneMatch(m -> m.items().get(0).equals("PULL")), peer.heard.toString());
-    }
+  private static void assertNoSecondPull(Peer peer) {
+    assertTrue(
+        peer.heard.stream().noneMatch(m -> m.items().get(0).equals("PULL")), peer.heard.toString());
+  }
 
-    /** Reset long after its last answer, the connection is not used for the next send, which would be lost with it. */
-    @Test
-    void aConnectionResetWhileItRestsIsNotUsedAgain() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        Client client = new Client(command("once", 1, 20_000));
-        Message first = engine.next("PULL");
-        answerWell(first);
-        assertEquals("SELECT 2", client.told().get(2));
-        first.reset();
-        engine.next("closed");
-        await(client, "engine_connections_closed|1");
-        client.query(client.out, command("once", 2, 20_000));
-        Message second = engine.next("PULL");
-        assertNotEquals(first.from(), second.from());
-        answerWell(second);
-        assertEquals("SELECT 2", client.told().get(2));
-    }
+  /**
+   * Reset long after its last answer, the connection is not used for the next send, which would be
+   * lost with it.
+   */
+  @Test
+  void aConnectionResetWhileItRestsIsNotUsedAgain() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    Client client = new Client(command("once", 1, 20_000));
+    Message first = engine.next("PULL");
+    answerWell(first);
+    assertEquals("SELECT 2", client.told().get(2));
+    first.reset();
+    engine.next("closed");
+    await(client, "engine_connections_closed|1");
+    client.query(client.out, command("once", 2, 20_000));
+    Message second = engine.next("PULL");
+    assertNotEquals(first.from(), second.from());
+    answerWell(second);
+    assertEquals("SELECT 2", client.told().get(2));
+  }
 
-    /** The second answer to a request that has its answer belongs to nobody: not to the next request either. */
-    @Test
-    void aSecondAnswerThatComesLateIsNotTakenForTheNextRequests() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        Client client = new Client(command("once", 1, 20_000));
-        Message first = engine.next("PULL");
-        answerWell(first);
-        assertEquals("SELECT 2", client.told().get(2));
-        client.query(client.out, command("once", 2, 20_000));
-        Message second = engine.next("PULL");
-        assertEquals(first.from(), second.from());
-        first.answer(first.id(), "200", "pages=1", "wrong\t0\tx\n");
-        second.answer(second.id(), "200", "pages=1", "c\t3\tz\n");
-        assertEquals(List.of("c|3|z", "SELECT 1"), client.told());
-    }
+  /**
+   * The second answer to a request that has its answer belongs to nobody: not to the next request
+   * either.
+   */
+  @Test
+  void aSecondAnswerThatComesLateIsNotTakenForTheNextRequests() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    Client client = new Client(command("once", 1, 20_000));
+    Message first = engine.next("PULL");
+    answerWell(first);
+    assertEquals("SELECT 2", client.told().get(2));
+    client.query(client.out, command("once", 2, 20_000));
+    Message second = engine.next("PULL");
+    assertEquals(first.from(), second.from());
+    first.answer(first.id(), "200", "pages=1", "wrong\t0\tx\n");
+    second.answer(second.id(), "200", "pages=1", "c\t3\tz\n");
+    assertEquals(List.of("c|3|z", "SELECT 1"), client.told());
+  }
 }
--- a/src/test/java/cobaltseam/service/ColdEngineOrderTest.java
+++ b/src/test/java/cobaltseam/service/ColdEngineOrderTest.java
@@ -7,154 +7,187 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
-
 import org.junit.jupiter.api.Test;
 
 /** An engine that has just started, under all that many dispatchers send it together. */
 class ColdEngineOrderTest extends ServiceRig {
-    private static final int DISPATCHERS = 24;
-    /** Clients of one dispatcher, and calls that each may make. */
-    private static final int CLIENTS = 8;
-    private static final int CALLS = 100_000;
-    private static final int CONNECTS_AFTER_MS = 2500;
-    private static final int TTL_MS = 3000;
-    private static final int LONG_TTL_MS = 20_000;
-    private static final double CORES = 4;
-    private static final double COLD_FROM = 0.3;
-    private static final double WARM_WITHIN_S = 15;
-    private static final double FALL_MULTIPLE = 2;
-    private static final double FALL_S = 3;
-    private static final double WORK_S = 0.1;
-    private static final String RULES = "\"rules\":{\"cold_from\":%s,\"warm_within_us\":%d,\"fall_multiple\":%s,\"overload_for_us\":%d}"
-            .formatted(COLD_FROM, (long) (WARM_WITHIN_S * 1e6), FALL_MULTIPLE, (long) (FALL_S * 1e6));
+  private static final int DISPATCHERS = 24;
 
-    private String configuration(String plain, int number, long bootMs) {
-        return plain.replace("\"rules\":{\"cold_from\":0.3}", RULES)
-                .replace("\"balancers\":1,\"position\":0", "\"balancers\":" + DISPATCHERS + ",\"position\":" + number)
-                .replace("8c1f30d27a5be964", "8c1f30d27a5b" + (1000 + number))
-                .replace("\"boot_ms\":0", "\"boot_ms\":" + bootMs);
-    }
+  /** Clients of one dispatcher, and calls that each may make. */
+  private static final int CLIENTS = 8;
 
-    /**
-     * What an engine may be sent by a part of all within the time after which it falls, from so many seconds after its
-     * start on, and what counts as chance.
-     */
-    private static double most(double fromS, double part) {
-        double meanWarmth = COLD_FROM + (1 - COLD_FROM) * (fromS + FALL_S / 2) / WARM_WITHIN_S;
-        double allowed = part * FALL_MULTIPLE * CORES * meanWarmth * FALL_S / WORK_S;
-        return allowed + 2 * Math.sqrt(allowed) + 2;
-    }
+  private static final int CALLS = 100_000;
+  private static final int CONNECTS_AFTER_MS = 2500;
+  private static final int TTL_MS = 3000;
+  private static final int LONG_TTL_MS = 20_000;
+  private static final double CORES = 4;
+  private static final double COLD_FROM = 0.3;
+  private static final double WARM_WITHIN_S = 15;
+  private static final double FALL_MULTIPLE = 2;
+  private static final double FALL_S = 3;
+  private static final double WORK_S = 0.1;
+  private static final String RULES =
+      "\"rules\":{\"cold_from\":%s,\"warm_within_us\":%d,\"fall_multiple\":%s,\"overload_for_us\":%d}"
+          .formatted(COLD_FROM, (long) (WARM_WITHIN_S * 1e6), FALL_MULTIPLE, (long) (FALL_S * 1e6));
 
-    /** Each has far more to send than the engine can do: the sum has to keep to the ramp, not each one alone. */
-    @Test
-    void allDispatchersTogetherKeepToTheRampOfAColdEngine() throws Exception {
-        Peer engine = new Peer(true);
-        long boot = System.currentTimeMillis();
-        long bootNanos = System.nanoTime();
-        for (int i = 0; i < DISPATCHERS; i++) {
-            startOne(plain -> plain, i, boot, engine.address());
-            asks(i, 0, TTL_MS);
-        }
-        List<Sent> sent = answerAll(engine, 2 * FALL_S);
-        assertTrue(sent.size() > DISPATCHERS / 2, "it is sent something: " + sent.size());
-        assertKeepToRamp(sent, bootNanos, 1);
-    }
+  private String configuration(String plain, int number, long bootMs) {
+    return plain
+        .replace("\"rules\":{\"cold_from\":0.3}", RULES)
+        .replace(
+            "\"balancers\":1,\"position\":0",
+            "\"balancers\":" + DISPATCHERS + ",\"position\":" + number)
+        .replace("8c1f30d27a5be964", "8c1f30d27a5b" + (1000 + number))
+        .replace("\"boot_ms\":0", "\"boot_ms\":" + bootMs);
+  }
 
-    /** Not written yet, it is on its way all the same: uncounted, all that waited would come at once. */
-    @Test
-    void whatWaitsForAConnectionToAColdEngineCounts() throws Exception {
-        Crowded engine = new Crowded();
-        long boot = System.currentTimeMillis();
-        long bootNanos = System.nanoTime();
-        for (int i = 0; i < DISPATCHERS; i++) {
-            startOne(plain -> patient(plain).replace("\"hard_limit_us\":3000000", "\"hard_limit_us\":20000000"), i, boot, engine.address());
-            for (int k = 0; k < CLIENTS; k++) {
-                asks(i, k, LONG_TTL_MS);
-            }
-        }
-        // Until the second time that machines try to connect: the duration is the subject.
-        Thread.sleep(CONNECTS_AFTER_MS);
-        List<Sent> sent = answerAll(engine.relieve(), 2 * FALL_S);
-        assertTrue(sent.size() > DISPATCHERS / 2, "it is sent something: " + sent.size());
-        assertKeepToRamp(sent, bootNanos, 1);
-    }
+  /**
+   * What an engine may be sent by a part of all within the time after which it falls, from so many
+   * seconds after its start on, and what counts as chance.
+   */
+  private static double most(double fromS, double part) {
+    double meanWarmth = COLD_FROM + (1 - COLD_FROM) * (fromS + FALL_S / 2) / WARM_WITHIN_S;
+    double allowed = part * FALL_MULTIPLE * CORES * meanWarmth * FALL_S / WORK_S;
+    return allowed + 2 * Math.sqrt(allowed) + 2;
+  }
 
-    /** Some hear late that the engine has started anew: those that know keep to their part, and then all do. */
-    @Test
-    void aStartThatIsToldLateToSomeIsHeededByTheOthersAndThenByAll() throws Exception {
-        Peer engine = new Peer(true);
-        long boot = System.currentTimeMillis();
-        long bootNanos = System.nanoTime();
-        List<Message> late = new ArrayList<>();
-        for (int i = 0; i < DISPATCHERS; i++) {
-            boolean knows = i < DISPATCHERS / 2;
-            Peer bus = startOne(plain -> plain, i, knows ? boot : 0, engine.address());
-            if (!knows) {
-                late.add(bus.next("from 7"));
-            }
-            asks(i, 0, TTL_MS);
-        }
-        List<Sent> before = new ArrayList<>();
-        for (int second = 0; second < FALL_S; second++) {
-            for (Message watch : late) {
-                // The beat of a bus that has nothing to tell.
-                watch.say("7\n");
-            }
-            before.addAll(answerAll(engine, 1));
-        }
-        String told = event(8, false, target(1, engine.address(), "in_service").replace("\"boot_ms\":0", "\"boot_ms\":" + boot));
-        for (Message watch : late) {
-            watch.say(told + "\n");
-        }
-        // What those that did not know had sent may still come; then it is over.
-        answerAll(engine, 1);
-        List<Sent> after = answerAll(engine, FALL_S);
-        List<Sent> byThoseThatKnow = before.stream().filter(s -> s.dispatcher() < DISPATCHERS / 2).toList();
-        assertTrue(!byThoseThatKnow.isEmpty() && byThoseThatKnow.size() < before.size(), "both send: " + before.size());
-        assertKeepToRamp(byThoseThatKnow, bootNanos, 0.5);
-        assertKeepToRamp(after, bootNanos, 1);
+  /**
+   * Each has far more to send than the engine can do: the sum has to keep to the ramp, not each one
+   * alone.
+   */
+  @Test
+  void allDispatchersTogetherKeepToTheRampOfAColdEngine() throws Exception {
+    Peer engine = new Peer(true);
+    long boot = System.currentTimeMillis();
+    long bootNanos = System.nanoTime();
+    for (int i = 0; i < DISPATCHERS; i++) {
+      startOne(plain -> plain, i, boot, engine.address());
+      asks(i, 0, TTL_MS);
     }
+    List<Sent> sent = answerAll(engine, 2 * FALL_S);
+    assertTrue(sent.size() > DISPATCHERS / 2, "it is sent something: " + sent.size());
+    assertKeepToRamp(sent, bootNanos, 1);
+  }
 
-    /** One request that came to the engine, and whose it was. */
-    private record Sent(long atNanos, int dispatcher) {
+  /**
+   * Not written yet, it is on its way all the same: uncounted, all that waited would come at once.
+   */
+  @Test
+  void whatWaitsForAConnectionToAColdEngineCounts() throws Exception {
+    Crowded engine = new Crowded();
+    long boot = System.currentTimeMillis();
+    long bootNanos = System.nanoTime();
+    for (int i = 0; i < DISPATCHERS; i++) {
+      startOne(
+          plain ->
+              patient(plain).replace("\"hard_limit_us\":3000000", "\"hard_limit_us\":20000000"),
+          i,
+          boot,
+          engine.address());
+      for (int k = 0; k < CLIENTS; k++) {
+        asks(i, k, LONG_TTL_MS);
+      }
     }
+    // Until the second time that machines try to connect: the duration is the subject.
+    Thread.sleep(CONNECTS_AFTER_MS);
+    List<Sent> sent = answerAll(engine.relieve(), 2 * FALL_S);
+    assertTrue(sent.size() > DISPATCHERS / 2, "it is sent something: " + sent.size());
+    assertKeepToRamp(sent, bootNanos, 1);
+  }
 
-    private Peer startOne(UnaryOperator<String> changed, int number, long boot, String engine) throws IOException {
-        return start(plain -> configuration(changed.apply(plain), number, boot), SOCKETS, IDLE_MS, engine);
+  /**
+   * Some hear late that the engine has started anew: those that know keep to their part, and then
+   * all do.
+   */
+  @Test
+  void aStartThatIsToldLateToSomeIsHeededByTheOthersAndThenByAll() throws Exception {
+    Peer engine = new Peer(true);
+    long boot = System.currentTimeMillis();
+    long bootNanos = System.nanoTime();
+    List<Message> late = new ArrayList<>();
+    for (int i = 0; i < DISPATCHERS; i++) {
+      boolean knows = i < DISPATCHERS / 2;
+      Peer bus = startOne(plain -> plain, i, knows ? boot : 0, engine.address());
+      if (!knows) {
+        late.add(bus.next("from 7"));
+      }
+      asks(i, 0, TTL_MS);
     }
+    List<Sent> before = new ArrayList<>();
+    for (int second = 0; second < FALL_S; second++) {
+      for (Message watch : late) {
+        // The beat of a bus that has nothing to tell.
+        watch.say("7\n");
+      }
+      before.addAll(answerAll(engine, 1));
+    }
+    String told =
+        event(
+            8,
+            false,
+            target(1, engine.address(), "in_service")
+                .replace("\"boot_ms\":0", "\"boot_ms\":" + boot));
+    for (Message watch : late) {
+      watch.say(told + "\n");
+    }
+    // What those that did not know had sent may still come; then it is over.
+    answerAll(engine, 1);
+    List<Sent> after = answerAll(engine, FALL_S);
+    List<Sent> byThoseThatKnow =
+        before.stream().filter(s -> s.dispatcher() < DISPATCHERS / 2).toList();
+    assertTrue(
+        !byThoseThatKnow.isEmpty() && byThoseThatKnow.size() < before.size(),
+        "both send: " + before.size());
+    assertKeepToRamp(byThoseThatKnow, bootNanos, 0.5);
+    assertKeepToRamp(after, bootNanos, 1);
+  }
+
+  /** One request that came to the engine, and whose it was. */
+  private record Sent(long atNanos, int dispatcher) {}
 
-    /** A client of the dispatcher started last, that asks on and on. */
-    private void asks(int dispatcher, int client, int ttlMs) throws IOException {
-        Client session = new Client();
-        int first = (dispatcher * CLIENTS + client) * CALLS;
-        thread(() -> {
-            for (int call = first; !session.socket.isClosed(); call++) {
-                session.ask(command("look", call, ttlMs));
-            }
+  private Peer startOne(UnaryOperator<String> changed, int number, long boot, String engine)
+      throws IOException {
+    return start(
+        plain -> configuration(changed.apply(plain), number, boot), SOCKETS, IDLE_MS, engine);
+  }
+
+  /** A client of the dispatcher started last, that asks on and on. */
+  private void asks(int dispatcher, int client, int ttlMs) throws IOException {
+    Client session = new Client();
+    int first = (dispatcher * CLIENTS + client) * CALLS;
+    thread(
+        () -> {
+          for (int call = first; !session.socket.isClosed(); call++) {
+            session.ask(command("look", call, ttlMs));
+          }
         });
-    }
+  }
 
-    /** Answers all that comes within so many seconds at once. */
-    private static List<Sent> answerAll(Peer engine, double seconds) throws Exception {
-        List<Sent> sent = new ArrayList<>();
-        long until = System.nanoTime() + (long) (seconds * 1e9);
-        for (long left = until - System.nanoTime(); left > 0; left = until - System.nanoTime()) {
-            Message message = engine.heard.poll(left, TimeUnit.NANOSECONDS);
-            if (message != null && message.items().get(0).equals("PULL")) {
-                sent.add(new Sent(System.nanoTime(), Integer.parseInt(message.id(), 16) / CALLS / CLIENTS));
-                message.answer(message.id(), "200", "pages=1", ROWS);
-            }
-        }
-        return sent;
+  /** Answers all that comes within so many seconds at once. */
+  private static List<Sent> answerAll(Peer engine, double seconds) throws Exception {
+    List<Sent> sent = new ArrayList<>();
+    long until = System.nanoTime() + (long) (seconds * 1e9);
+    for (long left = until - System.nanoTime(); left > 0; left = until - System.nanoTime()) {
+      Message message = engine.heard.poll(left, TimeUnit.NANOSECONDS);
+      if (message != null && message.items().get(0).equals("PULL")) {
+        sent.add(new Sent(System.nanoTime(), Integer.parseInt(message.id(), 16) / CALLS / CLIENTS));
+        message.answer(message.id(), "200", "pages=1", ROWS);
+      }
     }
+    return sent;
+  }
 
-    /** @param part of all dispatchers, those that sent this */
-    private static void assertKeepToRamp(List<Sent> sent, long bootNanos, double part) {
-        for (Sent first : sent) {
-            long from = first.atNanos();
-            long within = sent.stream().filter(s -> s.atNanos() >= from && s.atNanos() < from + FALL_S * 1e9).count();
-            double most = most((from - bootNanos) / 1e9, part);
-            assertTrue(within <= most, within + " within the time after which it falls, at most " + most);
-        }
+  /**
+   * @param part of all dispatchers, those that sent this
+   */
+  private static void assertKeepToRamp(List<Sent> sent, long bootNanos, double part) {
+    for (Sent first : sent) {
+      long from = first.atNanos();
+      long within =
+          sent.stream()
+              .filter(s -> s.atNanos() >= from && s.atNanos() < from + FALL_S * 1e9)
+              .count();
+      double most = most((from - bootNanos) / 1e9, part);
+      assertTrue(within <= most, within + " within the time after which it falls, at most " + most);
     }
+  }
 }
--- a/src/test/java/cobaltseam/service/DepartureOrderTest.java
+++ b/src/test/java/cobaltseam/service/DepartureOrderTest.java
@@ -7,346 +7,385 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
-
 import org.junit.jupiter.api.Test;
 
-/** Clients that close or cancel at each step of their request: nothing begins for one that has gone. */
+/**
+ * Clients that close or cancel at each step of their request: nothing begins for one that has gone.
+ */
 class DepartureOrderTest extends ServiceRig {
-    private static final int PAIRS = 8;
-    private static final int LEAVERS = 20;
-    /** Longer than a retry is put off, and than a client may be gone when an attempt begins: the duration is the subject. */
-    private static final int GONE_FOR_MS = 200;
-    /** Threads that one engine of these tests is given. */
-    private static final int ROOM = 8;
+  private static final int PAIRS = 8;
+  private static final int LEAVERS = 20;
 
-    /** One of so much work that no answer is held to be slow, and the engine to have less room for it. */
-    private static String heavy(int call) {
-        return command("once", call, 20_000).replace("work=100", "work=5000");
-    }
+  /**
+   * Longer than a retry is put off, and than a client may be gone when an attempt begins: the
+   * duration is the subject.
+   */
+  private static final int GONE_FOR_MS = 200;
 
-    /** Its end lies right behind its statement, and both are read at once, however long ago they were written. */
-    @Test
-    void aStatementWithTheEndRightBehindItIsNotSentOn() throws Exception {
-        start(new Peer(true));
-        Client watch = new Client();
-        Client leaver = new Client();
-        CountDownLatch held = holdUpSockets();
-        leaver.query(leaver.out, look(1, 10_000));
-        leaver.close();
-        held.countDown();
-        await(watch, "clients_closed|1");
-        assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|0"));
-    }
+  /** Threads that one engine of these tests is given. */
+  private static final int ROOM = 8;
 
-    /** The thread that decides is late: by the time it hears the statement, the end has been read as well. */
-    @Test
-    void aStatementHeardLateFromAClientThatHasGoneIsNotSentOn() throws Exception {
-        start(new Peer(true));
-        Client watch = new Client();
-        Client leaver = new Client();
-        CountDownLatch held = holdUp();
-        leaver.query(leaver.out, look(1, 10_000));
-        awaitRead();
-        leaver.close();
-        awaitRead();
-        held.countDown();
-        await(watch, "clients_closed|1");
-        assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|0"));
-    }
+  /**
+   * One of so much work that no answer is held to be slow, and the engine to have less room for it.
+   */
+  private static String heavy(int call) {
+    return command("once", call, 20_000).replace("work=100", "work=5000");
+  }
 
-    /** Held for want of room, and left: when room comes, it goes to who still waits. */
-    @Test
-    void whatIsHeldForAClientThatHasGoneIsNeverSent() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        List<Message> out = new ArrayList<>();
-        List<Client> busy = new ArrayList<>();
-        for (int i = 0; i < ROOM; i++) {
-            busy.add(new Client(heavy(i)));
-            out.add(engine.next("PULL"));
-        }
-        Client watch = new Client();
-        Client leaver = new Client(heavy(20));
-        await(watch, "commands_taken|9");
-        Client stays = new Client(heavy(21));
-        await(watch, "commands_taken|10");
-        leaver.close();
-        await(watch, "commands_departed|1");
-        out.get(0).answer(out.get(0).id(), "200", "pages=1", ROWS);
-        Message next = engine.next("PULL");
-        assertEquals("%016x".formatted(21), next.id());
-        next.answer(next.id(), "200", "pages=1", ROWS);
-        assertEquals("SELECT 2", stays.told().get(2));
-    }
+  /**
+   * Its end lies right behind its statement, and both are read at once, however long ago they were
+   * written.
+   */
+  @Test
+  void aStatementWithTheEndRightBehindItIsNotSentOn() throws Exception {
+    start(new Peer(true));
+    Client watch = new Client();
+    Client leaver = new Client();
+    CountDownLatch held = holdUpSockets();
+    leaver.query(leaver.out, look(1, 10_000));
+    leaver.close();
+    held.countDown();
+    await(watch, "clients_closed|1");
+    assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|0"));
+  }
 
-    /** Room comes in the same turn as the end of the client that is next in line. */
-    @Test
-    void roomThatComesWithTheEndOfTheNextInLineGoesToTheOneBehindIt() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        List<Message> out = new ArrayList<>();
-        for (int i = 0; i < ROOM; i++) {
-            new Client(heavy(i));
-            out.add(engine.next("PULL"));
-        }
-        Client watch = new Client();
-        Client leaver = new Client(heavy(20));
-        await(watch, "commands_taken|9");
-        new Client(heavy(21));
-        await(watch, "commands_taken|10");
-        CountDownLatch held = holdUp();
-        out.get(0).answer(out.get(0).id(), "200", "pages=1", ROWS);
-        awaitRead();
-        leaver.close();
-        awaitRead();
-        held.countDown();
-        assertEquals("%016x".formatted(21), engine.next("PULL").id());
-    }
+  /**
+   * The thread that decides is late: by the time it hears the statement, the end has been read as
+   * well.
+   */
+  @Test
+  void aStatementHeardLateFromAClientThatHasGoneIsNotSentOn() throws Exception {
+    start(new Peer(true));
+    Client watch = new Client();
+    Client leaver = new Client();
+    CountDownLatch held = holdUp();
+    leaver.query(leaver.out, look(1, 10_000));
+    awaitRead();
+    leaver.close();
+    awaitRead();
+    held.countDown();
+    await(watch, "clients_closed|1");
+    assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|0"));
+  }
 
-    /** The end of its output alone counts as leaving: nobody is known to read on. */
-    @Test
-    void aClientThatEndsItsOutputHasLeft() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        Client leaver = new Client(heavy(1));
-        engine.next("PULL");
-        leaver.socket.shutdownOutput();
-        engine.next("closed");
-        await(new Client(), "commands_departed|1");
+  /** Held for want of room, and left: when room comes, it goes to who still waits. */
+  @Test
+  void whatIsHeldForAClientThatHasGoneIsNeverSent() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    List<Message> out = new ArrayList<>();
+    List<Client> busy = new ArrayList<>();
+    for (int i = 0; i < ROOM; i++) {
+      busy.add(new Client(heavy(i)));
+      out.add(engine.next("PULL"));
     }
+    Client watch = new Client();
+    Client leaver = new Client(heavy(20));
+    await(watch, "commands_taken|9");
+    Client stays = new Client(heavy(21));
+    await(watch, "commands_taken|10");
+    leaver.close();
+    await(watch, "commands_departed|1");
+    out.get(0).answer(out.get(0).id(), "200", "pages=1", ROWS);
+    Message next = engine.next("PULL");
+    assertEquals("%016x".formatted(21), next.id());
+    next.answer(next.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", stays.told().get(2));
+  }
 
-    @Test
-    void aClientWhoseConnectionIsResetHasLeft() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        Client leaver = new Client(heavy(1));
-        engine.next("PULL");
-        leaver.socket.setSoLinger(true, 0);
-        leaver.socket.close();
-        engine.next("closed");
-        await(new Client(), "commands_departed|1");
+  /** Room comes in the same turn as the end of the client that is next in line. */
+  @Test
+  void roomThatComesWithTheEndOfTheNextInLineGoesToTheOneBehindIt() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    List<Message> out = new ArrayList<>();
+    for (int i = 0; i < ROOM; i++) {
+      new Client(heavy(i));
+      out.add(engine.next("PULL"));
     }
+    Client watch = new Client();
+    Client leaver = new Client(heavy(20));
+    await(watch, "commands_taken|9");
+    new Client(heavy(21));
+    await(watch, "commands_taken|10");
+    CountDownLatch held = holdUp();
+    out.get(0).answer(out.get(0).id(), "200", "pages=1", ROWS);
+    awaitRead();
+    leaver.close();
+    awaitRead();
+    held.countDown();
+    assertEquals("%016x".formatted(21), engine.next("PULL").id());
+  }
 
-    /** Decided on, and not yet written: when the connection comes up, nobody wants it any more. */
-    @Test
-    void whatWaitsForAConnectionWhenItsClientLeavesIsNeverWritten() throws Exception {
-        Crowded crowded = new Crowded();
-        start(ServiceRig::patient, SOCKETS, IDLE_MS, crowded.address());
-        Client watch = new Client();
-        Client leaver = new Client(heavy(1));
-        await(watch, "sends|1");
-        leaver.close();
-        await(watch, "commands_departed|1");
-        assertNoPull(crowded.relieve());
-    }
+  /** The end of its output alone counts as leaving: nobody is known to read on. */
+  @Test
+  void aClientThatEndsItsOutputHasLeft() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    Client leaver = new Client(heavy(1));
+    engine.next("PULL");
+    leaver.socket.shutdownOutput();
+    engine.next("closed");
+    await(new Client(), "commands_departed|1");
+  }
 
-    /** The connection comes up, then the client leaves, and the thread that decides is late: it hears of the connection first. */
-    @Test
-    void aConnectionThatComesUpBeforeTheEndOfItsClientIsHeardBringsNothing() throws Exception {
-        Crowded crowded = new Crowded();
-        start(ServiceRig::patient, SOCKETS, IDLE_MS, crowded.address());
-        Client watch = new Client();
-        Client leaver = new Client(heavy(1));
-        await(watch, "sends|1");
-        CountDownLatch held = holdUp();
-        Peer engine = crowded.relieve();
-        awaitHandedOver();
-        leaver.close();
-        awaitRead();
-        held.countDown();
-        await(watch, "commands_departed|1");
-        assertNoPull(engine);
-    }
+  @Test
+  void aClientWhoseConnectionIsResetHasLeft() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    Client leaver = new Client(heavy(1));
+    engine.next("PULL");
+    leaver.socket.setSoLinger(true, 0);
+    leaver.socket.close();
+    engine.next("closed");
+    await(new Client(), "commands_departed|1");
+  }
 
-    /** The engine fails, then the client leaves, and the thread that decides is late: it hears of the failure first. */
-    @Test
-    void aFailureHeardBeforeTheEndOfItsClientIsNotFollowedByARetry() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        start(one, two);
-        Client watch = new Client();
-        Client leaver = new Client(look(1, 20_000));
-        Message pull = poll(one, two);
-        CountDownLatch held = holdUp();
-        pull.reset();
-        awaitRead();
-        leaver.close();
-        awaitRead();
-        held.countDown();
-        await(watch, "commands_departed|1");
-        assertNoPull(one);
-        assertNoPull(two);
-    }
+  /** Decided on, and not yet written: when the connection comes up, nobody wants it any more. */
+  @Test
+  void whatWaitsForAConnectionWhenItsClientLeavesIsNeverWritten() throws Exception {
+    Crowded crowded = new Crowded();
+    start(ServiceRig::patient, SOCKETS, IDLE_MS, crowded.address());
+    Client watch = new Client();
+    Client leaver = new Client(heavy(1));
+    await(watch, "sends|1");
+    leaver.close();
+    await(watch, "commands_departed|1");
+    assertNoPull(crowded.relieve());
+  }
 
-    /** The same with a cancel request that was read and not heard yet; after it the session goes on. */
-    @Test
-    void aFailureHeardBeforeTheCancelRequestIsNotFollowedByARetry() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        start(one, two);
-        Client client = new Client(look(1, 20_000));
-        Message pull = poll(one, two);
-        try (Socket cancel = new Socket(service.address().getAddress(), service.address().getPort())) {
-            await(new Client(), "clients_opened|3");
-            CountDownLatch held = holdUp();
-            pull.reset();
-            awaitRead();
-            CountDownLatch heldSockets = holdUpSocketsOnceRead(() -> cancel.getOutputStream().write(client.cancelRequest()));
-            held.countDown();
-            Thread.sleep(GONE_FOR_MS);
-            heldSockets.countDown();
-            Client watch = new Client();
-            await(watch, "commands_departed|1");
-            assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|1"), "it was sent again");
-        }
-        client.query(client.out, look(2, 20_000));
-        Message next = poll(one, two);
-        assertEquals("%016x".formatted(2), next.id());
-        next.answer(next.id(), "200", "pages=1", ROWS);
-        assertEquals("SELECT 2", client.told().get(2));
-    }
+  /**
+   * The connection comes up, then the client leaves, and the thread that decides is late: it hears
+   * of the connection first.
+   */
+  @Test
+  void aConnectionThatComesUpBeforeTheEndOfItsClientIsHeardBringsNothing() throws Exception {
+    Crowded crowded = new Crowded();
+    start(ServiceRig::patient, SOCKETS, IDLE_MS, crowded.address());
+    Client watch = new Client();
+    Client leaver = new Client(heavy(1));
+    await(watch, "sends|1");
+    CountDownLatch held = holdUp();
+    Peer engine = crowded.relieve();
+    awaitHandedOver();
+    leaver.close();
+    awaitRead();
+    held.countDown();
+    await(watch, "commands_departed|1");
+    assertNoPull(engine);
+  }
+
+  /**
+   * The engine fails, then the client leaves, and the thread that decides is late: it hears of the
+   * failure first.
+   */
+  @Test
+  void aFailureHeardBeforeTheEndOfItsClientIsNotFollowedByARetry() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    start(one, two);
+    Client watch = new Client();
+    Client leaver = new Client(look(1, 20_000));
+    Message pull = poll(one, two);
+    CountDownLatch held = holdUp();
+    pull.reset();
+    awaitRead();
+    leaver.close();
+    awaitRead();
+    held.countDown();
+    await(watch, "commands_departed|1");
+    assertNoPull(one);
+    assertNoPull(two);
+  }
 
-    /** Refusals of engines and the ends of their clients lie unread together, and the thread that decides goes on between the two. */
-    @Test
-    void refusalsReadTogetherWithTheEndsOfTheirClientsAreNotFollowedByRetries() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        start(one, two);
-        Client watch = new Client();
-        Client stops = new Client();
-        List<Client> leavers = new ArrayList<>();
-        List<Message> out = new ArrayList<>();
-        for (int i = 0; i < PAIRS; i++) {
-            leavers.add(new Client(look(i, 20_000)));
-            out.add(poll(one, two));
-        }
-        CountDownLatch held = holdUpSockets();
-        HoldsInRound round = new HoldsInRound(stops);
-        for (int i = 0; i < PAIRS; i++) {
-            out.get(i).answer(out.get(i).id(), "503", "-", "");
-            leavers.get(i).close();
-        }
-        stops.query(stops.out, "");
-        held.countDown();
-        round.holds.await();
-        Thread.sleep(GONE_FOR_MS);
-        round.held.countDown();
-        await(watch, "commands_departed|" + PAIRS);
-        assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|" + PAIRS), "one was sent again");
+  /**
+   * The same with a cancel request that was read and not heard yet; after it the session goes on.
+   */
+  @Test
+  void aFailureHeardBeforeTheCancelRequestIsNotFollowedByARetry() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    start(one, two);
+    Client client = new Client(look(1, 20_000));
+    Message pull = poll(one, two);
+    try (Socket cancel = new Socket(service.address().getAddress(), service.address().getPort())) {
+      await(new Client(), "clients_opened|3");
+      CountDownLatch held = holdUp();
+      pull.reset();
+      awaitRead();
+      CountDownLatch heldSockets =
+          holdUpSocketsOnceRead(() -> cancel.getOutputStream().write(client.cancelRequest()));
+      held.countDown();
+      Thread.sleep(GONE_FOR_MS);
+      heldSockets.countDown();
+      Client watch = new Client();
+      await(watch, "commands_departed|1");
+      assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|1"), "it was sent again");
     }
+    client.query(client.out, look(2, 20_000));
+    Message next = poll(one, two);
+    assertEquals("%016x".formatted(2), next.id());
+    next.answer(next.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", client.told().get(2));
+  }
 
-    /** A cancel request counts though its connection has closed right behind it, as many clients do. */
-    @Test
-    void aCancelRequestWhoseConnectionClosesRightBehindItIsHeard() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        Client client = new Client(heavy(1));
-        engine.next("PULL");
-        Client watch = new Client();
-        Socket cancel = new Socket(service.address().getAddress(), service.address().getPort());
-        await(watch, "clients_opened|3");
-        CountDownLatch held = holdUpSockets();
-        cancel.getOutputStream().write(client.cancelRequest());
-        cancel.close();
-        held.countDown();
-        engine.next("closed");
-        await(watch, "commands_departed|1");
+  /**
+   * Refusals of engines and the ends of their clients lie unread together, and the thread that
+   * decides goes on between the two.
+   */
+  @Test
+  void refusalsReadTogetherWithTheEndsOfTheirClientsAreNotFollowedByRetries() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    start(one, two);
+    Client watch = new Client();
+    Client stops = new Client();
+    List<Client> leavers = new ArrayList<>();
+    List<Message> out = new ArrayList<>();
+    for (int i = 0; i < PAIRS; i++) {
+      leavers.add(new Client(look(i, 20_000)));
+      out.add(poll(one, two));
     }
+    CountDownLatch held = holdUpSockets();
+    HoldsInRound round = new HoldsInRound(stops);
+    for (int i = 0; i < PAIRS; i++) {
+      out.get(i).answer(out.get(i).id(), "503", "-", "");
+      leavers.get(i).close();
+    }
+    stops.query(stops.out, "");
+    held.countDown();
+    round.holds.await();
+    Thread.sleep(GONE_FOR_MS);
+    round.held.countDown();
+    await(watch, "commands_departed|" + PAIRS);
+    assertTrue(
+        watch.ask("SHOW cobaltseam.counters").contains("sends|" + PAIRS), "one was sent again");
+  }
+
+  /**
+   * A cancel request counts though its connection has closed right behind it, as many clients do.
+   */
+  @Test
+  void aCancelRequestWhoseConnectionClosesRightBehindItIsHeard() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    Client client = new Client(heavy(1));
+    engine.next("PULL");
+    Client watch = new Client();
+    Socket cancel = new Socket(service.address().getAddress(), service.address().getPort());
+    await(watch, "clients_opened|3");
+    CountDownLatch held = holdUpSockets();
+    cancel.getOutputStream().write(client.cancelRequest());
+    cancel.close();
+    held.countDown();
+    engine.next("closed");
+    await(watch, "commands_departed|1");
+  }
 
-    /** The answer comes in the same turn as the end of its client: it goes nowhere, and the next one gets its own. */
-    @Test
-    void anAnswerThatComesWithTheEndOfItsClientGoesNowhere() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        Client leaver = new Client(heavy(1));
-        Message first = engine.next("PULL");
-        Client watch = new Client();
-        CountDownLatch held = holdUp();
-        leaver.close();
-        awaitRead();
-        first.answer(first.id(), "200", "pages=1", ROWS);
-        awaitRead();
-        held.countDown();
-        await(watch, "clients_closed|1");
-        watch.query(watch.out, heavy(2));
-        Message second = engine.next();
-        while (second.items().get(0).equals("closed")) {
-            second = engine.next();
-        }
-        second.answer(second.id(), "200", "pages=1", "c\t3\tz\n");
-        assertEquals(List.of("c|3|z", "SELECT 1"), watch.told());
+  /**
+   * The answer comes in the same turn as the end of its client: it goes nowhere, and the next one
+   * gets its own.
+   */
+  @Test
+  void anAnswerThatComesWithTheEndOfItsClientGoesNowhere() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    Client leaver = new Client(heavy(1));
+    Message first = engine.next("PULL");
+    Client watch = new Client();
+    CountDownLatch held = holdUp();
+    leaver.close();
+    awaitRead();
+    first.answer(first.id(), "200", "pages=1", ROWS);
+    awaitRead();
+    held.countDown();
+    await(watch, "clients_closed|1");
+    watch.query(watch.out, heavy(2));
+    Message second = engine.next();
+    while (second.items().get(0).equals("closed")) {
+      second = engine.next();
     }
+    second.answer(second.id(), "200", "pages=1", "c\t3\tz\n");
+    assertEquals(List.of("c|3|z", "SELECT 1"), watch.told());
+  }
 
-    /** All that are held leave at once: not one of them is sent when room comes, and who stays is not kept waiting. */
-    @Test
-    void aBurstOfLeaversIsPassedOver() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        Client watch = new Client();
-        List<Message> out = new ArrayList<>();
-        for (int i = 0; i < ROOM; i++) {
-            new Client(heavy(i));
-            out.add(engine.next("PULL"));
-        }
-        List<Client> leavers = new ArrayList<>();
-        for (int i = 0; i < LEAVERS; i++) {
-            leavers.add(new Client(heavy(100 + i)));
-        }
-        await(watch, "commands_taken|" + (ROOM + LEAVERS));
-        new Client(heavy(99));
-        await(watch, "commands_taken|" + (ROOM + LEAVERS + 1));
-        CountDownLatch held = holdUp();
-        out.get(0).answer(out.get(0).id(), "200", "pages=1", ROWS);
-        for (Client leaver : leavers) {
-            leaver.close();
-        }
-        awaitRead();
-        held.countDown();
-        assertEquals("%016x".formatted(99), engine.next("PULL").id());
-        await(watch, "commands_departed|" + LEAVERS);
+  /**
+   * All that are held leave at once: not one of them is sent when room comes, and who stays is not
+   * kept waiting.
+   */
+  @Test
+  void aBurstOfLeaversIsPassedOver() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    Client watch = new Client();
+    List<Message> out = new ArrayList<>();
+    for (int i = 0; i < ROOM; i++) {
+      new Client(heavy(i));
+      out.add(engine.next("PULL"));
     }
+    List<Client> leavers = new ArrayList<>();
+    for (int i = 0; i < LEAVERS; i++) {
+      leavers.add(new Client(heavy(100 + i)));
+    }
+    await(watch, "commands_taken|" + (ROOM + LEAVERS));
+    new Client(heavy(99));
+    await(watch, "commands_taken|" + (ROOM + LEAVERS + 1));
+    CountDownLatch held = holdUp();
+    out.get(0).answer(out.get(0).id(), "200", "pages=1", ROWS);
+    for (Client leaver : leavers) {
+      leaver.close();
+    }
+    awaitRead();
+    held.countDown();
+    assertEquals("%016x".formatted(99), engine.next("PULL").id());
+    await(watch, "commands_departed|" + LEAVERS);
+  }
 
-    /** A cancel request read together with its statement, on another connection, is not passed over for coming first. */
-    @Test
-    void aCancelRequestIsHeardAfterTheStatementThatItNames() throws Exception {
-        start(new Peer(true));
-        Client watch = new Client();
-        List<Client> clients = new ArrayList<>();
-        List<Socket> cancels = new ArrayList<>();
-        for (int i = 0; i < PAIRS; i++) {
-            cancels.add(new Socket(service.address().getAddress(), service.address().getPort()));
-            clients.add(new Client());
-        }
-        awaitRead();
-        CountDownLatch held = holdUpSockets();
-        for (int i = 0; i < PAIRS; i++) {
-            Client client = clients.get(i);
-            client.query(client.out, command("once", i, 20_000));
-            cancels.get(i).getOutputStream().write(client.cancelRequest());
-        }
-        held.countDown();
-        await(watch, "commands_departed|" + PAIRS);
-        for (Socket each : cancels) {
-            each.close();
-        }
+  /**
+   * A cancel request read together with its statement, on another connection, is not passed over
+   * for coming first.
+   */
+  @Test
+  void aCancelRequestIsHeardAfterTheStatementThatItNames() throws Exception {
+    start(new Peer(true));
+    Client watch = new Client();
+    List<Client> clients = new ArrayList<>();
+    List<Socket> cancels = new ArrayList<>();
+    for (int i = 0; i < PAIRS; i++) {
+      cancels.add(new Socket(service.address().getAddress(), service.address().getPort()));
+      clients.add(new Client());
+    }
+    awaitRead();
+    CountDownLatch held = holdUpSockets();
+    for (int i = 0; i < PAIRS; i++) {
+      Client client = clients.get(i);
+      client.query(client.out, command("once", i, 20_000));
+      cancels.get(i).getOutputStream().write(client.cancelRequest());
+    }
+    held.countDown();
+    await(watch, "commands_departed|" + PAIRS);
+    for (Socket each : cancels) {
+      each.close();
     }
+  }
 
-    /** It had asked nothing whole yet when it would be closed for silence, but is still writing. */
-    @Test
-    void aClientThatWritesSlowlyIsNotClosedForSilence() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        Client slow = new Client();
-        byte[] statement = message(look(1, 10_000));
-        int pieces = 8;
-        for (int i = 0; i < pieces; i++) {
-            // The pace is the subject: the whole takes longer than a silent client may keep its connection.
-            Thread.sleep(400);
-            int from = statement.length * i / pieces;
-            slow.out.write(statement, from, statement.length * (i + 1) / pieces - from);
-        }
-        Message pull = engine.next("PULL");
-        pull.answer(pull.id(), "200", "pages=1", ROWS);
-        assertEquals("SELECT 2", slow.told().get(2));
+  /** It had asked nothing whole yet when it would be closed for silence, but is still writing. */
+  @Test
+  void aClientThatWritesSlowlyIsNotClosedForSilence() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    Client slow = new Client();
+    byte[] statement = message(look(1, 10_000));
+    int pieces = 8;
+    for (int i = 0; i < pieces; i++) {
+      // The pace is the subject: the whole takes longer than a silent client may keep its
+      // connection.
+      Thread.sleep(400);
+      int from = statement.length * i / pieces;
+      slow.out.write(statement, from, statement.length * (i + 1) / pieces - from);
     }
+    Message pull = engine.next("PULL");
+    pull.answer(pull.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", slow.told().get(2));
+  }
 }
--- a/src/test/java/cobaltseam/service/ListWatchOrderTest.java
+++ b/src/test/java/cobaltseam/service/ListWatchOrderTest.java
@@ -11,230 +11,278 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import sun.misc.Signal;
 
 /** The watch on the list of engines, when it is silent, behind, or told in another order. */
 class ListWatchOrderTest extends ServiceRig {
-    private static final int FEW_SOCKETS = 48;
-    private final String drained = "terminating";
-    @TempDir
-    Path folder;
-
-    private void assertGoesTo(Peer expected, Peer other) throws Exception {
-        Client client = new Client(command("once", 1, 5000));
-        Message pull = expected.next("PULL");
-        assertTrue(other.heard.isEmpty(), "the drained engine was sent to");
-        pull.answer(pull.id(), "200", "pages=1", ROWS);
-        assertEquals("SELECT 2", client.told().get(2));
-    }
+  private static final int FEW_SOCKETS = 48;
+  private final String drained = "terminating";
+  @TempDir Path folder;
 
-    /** Passed over for a number that overtook it, a drain would never be heard of. */
-    @Test
-    void aNumberThatComesBeforeTheEventsThatWereAskedForAnewSkipsNone() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        Peer bus = start(one, two);
-        bus.next("from 7").say("9\n");
-        bus.next("closed");
-        Message anew = bus.next("from 7");
-        anew.say("9\n" + event(8, false, target(2, two.address(), drained)) + "\n" + event(9, false) + "\n");
-        await(new Client(), "bus_events|2");
-        assertGoesTo(one, two);
-    }
+  private void assertGoesTo(Peer expected, Peer other) throws Exception {
+    Client client = new Client(command("once", 1, 5000));
+    Message pull = expected.next("PULL");
+    assertTrue(other.heard.isEmpty(), "the drained engine was sent to");
+    pull.answer(pull.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", client.told().get(2));
+  }
 
-    private void reload(String configuration) throws Exception {
-        Path file = Files.writeString(folder.resolve("configuration.json"), configuration);
-        service.readAnewOnHangUp(Map.of("GW_CONFIG", file.toString()));
-        Signal.raise(new Signal("HUP"));
-    }
+  /** Passed over for a number that overtook it, a drain would never be heard of. */
+  @Test
+  void aNumberThatComesBeforeTheEventsThatWereAskedForAnewSkipsNone() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    Peer bus = start(one, two);
+    bus.next("from 7").say("9\n");
+    bus.next("closed");
+    Message anew = bus.next("from 7");
+    anew.say(
+        "9\n" + event(8, false, target(2, two.address(), drained)) + "\n" + event(9, false) + "\n");
+    await(new Client(), "bus_events|2");
+    assertGoesTo(one, two);
+  }
 
-    private String moved(Peer bus, Peer one, Peer two) {
-        return configuration(bus.address(), SOCKETS, IDLE_MS, target(1, one.address(), "in_service"),
-                target(2, two.address(), "in_service"));
-    }
+  private void reload(String configuration) throws Exception {
+    Path file = Files.writeString(folder.resolve("configuration.json"), configuration);
+    service.readAnewOnHangUp(Map.of("GW_CONFIG", file.toString()));
+    Signal.raise(new Signal("HUP"));
+  }
 
-    /** The drain was told by the former bus, behind the reload that moves to another: it is asked for there. */
-    @Test
-    void aDrainToldRightBehindAReloadThatMovesDiscoveryIsHeard() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        Peer former = start(one, two);
-        Message watch = former.next("from 7");
-        Peer bus = new Peer(false);
-        Client client = new Client();
-        CountDownLatch held = holdUp();
-        reload(moved(bus, one, two));
-        awaitHandedOver();
-        watch.say(event(8, false, target(2, two.address(), drained)) + "\n");
-        awaitRead();
-        held.countDown();
-        bus.next("from 7").say(event(8, false, target(2, two.address(), drained)) + "\n");
-        await(client, "bus_events|1");
-        assertGoesTo(one, two);
-    }
+  private String moved(Peer bus, Peer one, Peer two) {
+    return configuration(
+        bus.address(),
+        SOCKETS,
+        IDLE_MS,
+        target(1, one.address(), "in_service"),
+        target(2, two.address(), "in_service"));
+  }
 
-    /** The reload names a list from before the drain: that undoes nothing. */
-    @Test
-    void aReloadRightBehindADrainDoesNotUndoIt() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        Peer former = start(one, two);
-        Message watch = former.next("from 7");
-        Peer bus = new Peer(false);
-        Client client = new Client();
-        CountDownLatch held = holdUp();
-        watch.say(event(8, false, target(2, two.address(), drained)) + "\n");
-        awaitRead();
-        reload(moved(bus, one, two));
-        held.countDown();
-        bus.next("from 8");
-        await(client, "configurations_read|1");
-        assertGoesTo(one, two);
-    }
+  /**
+   * The drain was told by the former bus, behind the reload that moves to another: it is asked for
+   * there.
+   */
+  @Test
+  void aDrainToldRightBehindAReloadThatMovesDiscoveryIsHeard() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    Peer former = start(one, two);
+    Message watch = former.next("from 7");
+    Peer bus = new Peer(false);
+    Client client = new Client();
+    CountDownLatch held = holdUp();
+    reload(moved(bus, one, two));
+    awaitHandedOver();
+    watch.say(event(8, false, target(2, two.address(), drained)) + "\n");
+    awaitRead();
+    held.countDown();
+    bus.next("from 7").say(event(8, false, target(2, two.address(), drained)) + "\n");
+    await(client, "bus_events|1");
+    assertGoesTo(one, two);
+  }
 
-    /** The reload itself tells of the drain, before any bus does. */
-    @Test
-    void aDrainThatAReloadTellsActsAtOnce() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        start(one, two).next("from 7");
-        Peer bus = new Peer(false);
-        reload(configuration(bus.address(), SOCKETS, IDLE_MS, target(1, one.address(), "in_service"),
-                target(2, two.address(), drained)).replace("\"offset\":7", "\"offset\":8"));
-        bus.next("from 8");
-        assertGoesTo(one, two);
-    }
+  /** The reload names a list from before the drain: that undoes nothing. */
+  @Test
+  void aReloadRightBehindADrainDoesNotUndoIt() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    Peer former = start(one, two);
+    Message watch = former.next("from 7");
+    Peer bus = new Peer(false);
+    Client client = new Client();
+    CountDownLatch held = holdUp();
+    watch.say(event(8, false, target(2, two.address(), drained)) + "\n");
+    awaitRead();
+    reload(moved(bus, one, two));
+    held.countDown();
+    bus.next("from 8");
+    await(client, "configurations_read|1");
+    assertGoesTo(one, two);
+  }
 
-    /** What can't be had is given up all the same, or one event that is lost for good would hold up all others. */
-    @Test
-    void aNumberThatIsRepeatedWithoutItsEventIsTaken() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        Peer bus = start(one, two);
-        bus.next("from 7").say("8\n");
-        bus.next("closed");
-        bus.next("from 7").say("8\n8\n" + event(9, false, target(2, two.address(), drained)) + "\n");
-        await(new Client(), "bus_events|1");
-        assertGoesTo(one, two);
-    }
+  /** The reload itself tells of the drain, before any bus does. */
+  @Test
+  void aDrainThatAReloadTellsActsAtOnce() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    start(one, two).next("from 7");
+    Peer bus = new Peer(false);
+    reload(
+        configuration(
+                bus.address(),
+                SOCKETS,
+                IDLE_MS,
+                target(1, one.address(), "in_service"),
+                target(2, two.address(), drained))
+            .replace("\"offset\":7", "\"offset\":8"));
+    bus.next("from 8");
+    assertGoesTo(one, two);
+  }
 
-    @Test
-    void aWatchThatIsSilentFromTheFirstMomentIsAskedAnew() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        Peer bus = start(one, two);
-        bus.next("from 7");
-        bus.next("closed");
-        bus.next("from 7").say(event(8, false, target(2, two.address(), drained)) + "\n");
-        await(new Client(), "bus_events|1");
-        assertGoesTo(one, two);
-    }
+  /**
+   * What can't be had is given up all the same, or one event that is lost for good would hold up
+   * all others.
+   */
+  @Test
+  void aNumberThatIsRepeatedWithoutItsEventIsTaken() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    Peer bus = start(one, two);
+    bus.next("from 7").say("8\n");
+    bus.next("closed");
+    bus.next("from 7").say("8\n8\n" + event(9, false, target(2, two.address(), drained)) + "\n");
+    await(new Client(), "bus_events|1");
+    assertGoesTo(one, two);
+  }
 
-    /** The beat goes on for a while, and then nothing comes: what drains in that silence is asked for. */
-    @Test
-    void aWatchThatFallsSilentLaterIsAskedAnewFromTheLastEvent() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        Peer bus = start(one, two);
-        bus.next("from 7").say("7\n" + event(8, false) + "\n8\n");
-        bus.next("closed");
-        bus.next("from 8").say(event(9, false, target(2, two.address(), drained)) + "\n");
-        await(new Client(), "bus_events|2");
-        assertGoesTo(one, two);
-    }
+  @Test
+  void aWatchThatIsSilentFromTheFirstMomentIsAskedAnew() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    Peer bus = start(one, two);
+    bus.next("from 7");
+    bus.next("closed");
+    bus.next("from 7").say(event(8, false, target(2, two.address(), drained)) + "\n");
+    await(new Client(), "bus_events|1");
+    assertGoesTo(one, two);
+  }
 
-    /** It holds all that is so: what came before it is not missing. */
-    @Test
-    void aWholeListIsTakenThoughEventsBeforeItNeverCame() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        Peer bus = start(one, two);
-        Message from = bus.next("from 7");
-        from.say(event(12, true, target(1, one.address(), "in_service")) + "\n");
-        Client watch = new Client();
-        await(watch, "bus_events|1");
-        assertTrue(watch.ask("SHOW cobaltseam.counters").contains("bus_gaps|0"));
-        assertGoesTo(one, two);
-    }
+  /**
+   * The beat goes on for a while, and then nothing comes: what drains in that silence is asked for.
+   */
+  @Test
+  void aWatchThatFallsSilentLaterIsAskedAnewFromTheLastEvent() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    Peer bus = start(one, two);
+    bus.next("from 7").say("7\n" + event(8, false) + "\n8\n");
+    bus.next("closed");
+    bus.next("from 8").say(event(9, false, target(2, two.address(), drained)) + "\n");
+    await(new Client(), "bus_events|2");
+    assertGoesTo(one, two);
+  }
 
-    /** Names that differ only before their number: taken for one engine, the drain of one would end the other's work. */
-    @Test
-    void aDrainOfAnEngineIsNotTakenForThatOfOneWithTheSameNumber() throws Exception {
-        Peer one = new Peer(true);
-        Peer namesake = new Peer(true);
-        Peer bus = start(one);
-        bus.next("from 7").say(event(8, false, target(1, namesake.address(), drained).replace("\"s-", "\"t-")) + "\n");
-        await(new Client(), "bus_events|1");
-        assertGoesTo(one, namesake);
-    }
+  /** It holds all that is so: what came before it is not missing. */
+  @Test
+  void aWholeListIsTakenThoughEventsBeforeItNeverCame() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    Peer bus = start(one, two);
+    Message from = bus.next("from 7");
+    from.say(event(12, true, target(1, one.address(), "in_service")) + "\n");
+    Client watch = new Client();
+    await(watch, "bus_events|1");
+    assertTrue(watch.ask("SHOW cobaltseam.counters").contains("bus_gaps|0"));
+    assertGoesTo(one, two);
+  }
+
+  /**
+   * Names that differ only before their number: taken for one engine, the drain of one would end
+   * the other's work.
+   */
+  @Test
+  void aDrainOfAnEngineIsNotTakenForThatOfOneWithTheSameNumber() throws Exception {
+    Peer one = new Peer(true);
+    Peer namesake = new Peer(true);
+    Peer bus = start(one);
+    bus.next("from 7")
+        .say(
+            event(8, false, target(1, namesake.address(), drained).replace("\"s-", "\"t-")) + "\n");
+    await(new Client(), "bus_events|1");
+    assertGoesTo(one, namesake);
+  }
 
-    /** More idle clients than there are descriptors come while discovery is down: its return still finds one. */
-    @Test
-    void aListThatComesBackIsHeardThoughIdleClientsHoldTheDescriptors() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
-        }
-        start(plain -> plain.replaceFirst("\"bus\":\"[^\"]*\"", "\"bus\":\"127.0.0.1:" + port + "\""), FEW_SOCKETS, IDLE_MS,
-                one.address(), two.address());
-        Client watch = new Client();
-        for (int i = 0; i < 2 * FEW_SOCKETS; i++) {
-            Socket idle = new Socket(service.address().getAddress(), service.address().getPort());
-            open.add(idle);
-            assertEquals(List.of("empty"), watch.ask(""));
-        }
-        Peer bus = new Peer(false, port);
-        bus.next("from 7").say(event(8, false, target(2, two.address(), drained)) + "\n");
-        await(watch, "bus_events|1");
-        assertGoesTo(one, two);
+  /**
+   * More idle clients than there are descriptors come while discovery is down: its return still
+   * finds one.
+   */
+  @Test
+  void aListThatComesBackIsHeardThoughIdleClientsHoldTheDescriptors() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    int port;
+    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      port = free.getLocalPort();
     }
+    start(
+        plain -> plain.replaceFirst("\"bus\":\"[^\"]*\"", "\"bus\":\"127.0.0.1:" + port + "\""),
+        FEW_SOCKETS,
+        IDLE_MS,
+        one.address(),
+        two.address());
+    Client watch = new Client();
+    for (int i = 0; i < 2 * FEW_SOCKETS; i++) {
+      Socket idle = new Socket(service.address().getAddress(), service.address().getPort());
+      open.add(idle);
+      assertEquals(List.of("empty"), watch.ask(""));
+    }
+    Peer bus = new Peer(false, port);
+    bus.next("from 7").say(event(8, false, target(2, two.address(), drained)) + "\n");
+    await(watch, "bus_events|1");
+    assertGoesTo(one, two);
+  }
 
-    /** Its configuration was written before it started: a drain told since has to be heard before the first request is sent on. */
-    @Test
-    void aDrainToldDuringTheStartIsHeardBeforeClientsCome() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        Peer bus = new Peer(false);
-        service = new Service(told(bus.address(), SOCKETS, IDLE_MS, target(1, one.address(), "in_service"),
+  /**
+   * Its configuration was written before it started: a drain told since has to be heard before the
+   * first request is sent on.
+   */
+  @Test
+  void aDrainToldDuringTheStartIsHeardBeforeClientsCome() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    Peer bus = new Peer(false);
+    service =
+        new Service(
+            told(
+                bus.address(),
+                SOCKETS,
+                IDLE_MS,
+                target(1, one.address(), "in_service"),
                 target(2, two.address(), "in_service")));
-        Thread tells = new Thread(() -> {
-            try {
-                bus.next("from 7").say(event(8, false, target(2, two.address(), drained)) + "\n8\n");
-            } catch (Exception e) {
+    Thread tells =
+        new Thread(
+            () -> {
+              try {
+                bus.next("from 7")
+                    .say(event(8, false, target(2, two.address(), drained)) + "\n8\n");
+              } catch (Exception e) {
                 throw new IllegalStateException(e);
-            }
-        });
-        tells.start();
-        service.catchUp();
-        serve();
-        assertGoesTo(one, two);
-        tells.join();
-    }
+              }
+            });
+    tells.start();
+    service.catchUp();
+    serve();
+    assertGoesTo(one, two);
+    tells.join();
+  }
 
-    /** Without discovery it starts all the same, by the list that its configuration holds. */
-    @Test
-    void aStartWithoutDiscoveryServesByTheKnownList() throws Exception {
-        Peer one = new Peer(true);
-        service = new Service(told("127.0.0.1:9", SOCKETS, IDLE_MS, target(1, one.address(), "in_service")));
-        service.catchUp();
-        serve();
-        assertGoesTo(one, new Peer(true));
-    }
+  /** Without discovery it starts all the same, by the list that its configuration holds. */
+  @Test
+  void aStartWithoutDiscoveryServesByTheKnownList() throws Exception {
+    Peer one = new Peer(true);
+    service =
+        new Service(told("127.0.0.1:9", SOCKETS, IDLE_MS, target(1, one.address(), "in_service")));
+    service.catchUp();
+    serve();
+    assertGoesTo(one, new Peer(true));
+  }
 
-    /** Told twice or late, an older change does not undo a newer one. */
-    @Test
-    void aChangeOlderThanWhatIsKnownChangesNothing() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        Peer bus = start(one, two);
-        bus.next("from 7").say(event(8, false, target(2, two.address(), drained)) + "\n"
-                + event(6, false, target(2, two.address(), "in_service")) + "\n" + event(9, false) + "\n");
-        await(new Client(), "bus_events|2");
-        assertGoesTo(one, two);
-    }
+  /** Told twice or late, an older change does not undo a newer one. */
+  @Test
+  void aChangeOlderThanWhatIsKnownChangesNothing() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    Peer bus = start(one, two);
+    bus.next("from 7")
+        .say(
+            event(8, false, target(2, two.address(), drained))
+                + "\n"
+                + event(6, false, target(2, two.address(), "in_service"))
+                + "\n"
+                + event(9, false)
+                + "\n");
+    await(new Client(), "bus_events|2");
+    assertGoesTo(one, two);
+  }
 }
--- a/src/test/java/cobaltseam/service/ProcessOrderTest.java
+++ b/src/test/java/cobaltseam/service/ProcessOrderTest.java
@@ -4,6 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cobaltseam.standin.BusStandIn;
+import cobaltseam.standin.ClientStandIn;
+import cobaltseam.standin.DispatcherProcess;
+import cobaltseam.standin.EngineStandIn;
+import cobaltseam.standin.Ledger.End;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -17,12 +22,6 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-
-import cobaltseam.standin.BusStandIn;
-import cobaltseam.standin.ClientStandIn;
-import cobaltseam.standin.DispatcherProcess;
-import cobaltseam.standin.EngineStandIn;
-import cobaltseam.standin.Ledger.End;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -30,122 +29,132 @@
 
 /** Signals and starts of real processes, crossed with requests. */
 class ProcessOrderTest {
-    private static final String HOST = "127.0.0.1";
-    private static final int LONG_MS = 20_000;
-    private static final int RUNS_MS = 1500;
-    private static final int RESTARTED = 10;
-    private static final int READY_WITHIN_MS = 10_000;
-    private static final int READY = 9;
+  private static final String HOST = "127.0.0.1";
+  private static final int LONG_MS = 20_000;
+  private static final int RUNS_MS = 1500;
+  private static final int RESTARTED = 10;
+  private static final int READY_WITHIN_MS = 10_000;
+  private static final int READY = 9;
 
-    @TempDir
-    Path folder;
-    private BusStandIn bus;
-    private EngineStandIn engine;
-    private String known;
-    private final List<DispatcherProcess> processes = new ArrayList<>();
+  @TempDir Path folder;
+  private BusStandIn bus;
+  private EngineStandIn engine;
+  private String known;
+  private final List<DispatcherProcess> processes = new ArrayList<>();
 
-    @BeforeEach
-    void begin() throws Exception {
-        bus = new BusStandIn(HOST);
-        engine = new EngineStandIn(HOST, profile -> RUNS_MS);
-        known = bus.tell(true, BusStandIn.target(1, engine.address(), "in_service"));
-    }
+  @BeforeEach
+  void begin() throws Exception {
+    bus = new BusStandIn(HOST);
+    engine = new EngineStandIn(HOST, profile -> RUNS_MS);
+    known = bus.tell(true, BusStandIn.target(1, engine.address(), "in_service"));
+  }
 
-    @AfterEach
-    void end() throws Exception {
-        processes.forEach(DispatcherProcess::close);
-        engine.close();
-        bus.close();
-    }
+  @AfterEach
+  void end() throws Exception {
+    processes.forEach(DispatcherProcess::close);
+    engine.close();
+    bus.close();
+  }
 
-    private static InetSocketAddress free() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
-            return new InetSocketAddress(HOST, free.getLocalPort());
-        }
+  private static InetSocketAddress free() throws IOException {
+    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
+      return new InetSocketAddress(HOST, free.getLocalPort());
     }
+  }
 
-    private DispatcherProcess dispatcher(int number, InetSocketAddress listen) throws IOException {
-        String configuration = DispatcherProcess.configuration("n" + number, listen, number, RESTARTED, 4 * RESTARTED, bus, known);
-        DispatcherProcess process = new DispatcherProcess(folder.resolve("n" + number), configuration, null);
-        processes.add(process);
-        return process;
-    }
+  private DispatcherProcess dispatcher(int number, InetSocketAddress listen) throws IOException {
+    String configuration =
+        DispatcherProcess.configuration(
+            "n" + number, listen, number, RESTARTED, 4 * RESTARTED, bus, known);
+    DispatcherProcess process =
+        new DispatcherProcess(folder.resolve("n" + number), configuration, null);
+    processes.add(process);
+    return process;
+  }
 
-    /** A second SIGTERM, or a SIGHUP in between, neither ends it sooner nor keeps it. */
-    @Test
-    void signalsDuringAShutdownChangeNothingAndWhatIsOutIsAnswered() throws Exception {
-        InetSocketAddress listen = free();
-        DispatcherProcess process = dispatcher(0, listen);
-        process.start();
-        process.await("serves on", 0, LONG_MS);
-        ExecutorService asks = Executors.newSingleThreadExecutor();
-        try (ClientStandIn client = new ClientStandIn(listen, LONG_MS)) {
-            Future<End> answer = asks.submit(() -> client.command("%016x".formatted(1), "once", 3000, RUNS_MS));
-            while (engine.running() == 0) {
-                assertFalse(answer.isDone(), "it never came to the engine");
-                Thread.onSpinWait();
-            }
-            int from = process.lines();
-            process.signal("TERM");
-            process.signal("HUP");
-            process.signal("TERM");
-            Map<String, Long> counters = process.ended(from);
-            assertEquals(End.ANSWERED, answer.get(LONG_MS, TimeUnit.MILLISECONDS));
-            assertEquals(0, counters.get("faults"));
-        } finally {
-            asks.shutdownNow();
-        }
+  /** A second SIGTERM, or a SIGHUP in between, neither ends it sooner nor keeps it. */
+  @Test
+  void signalsDuringAShutdownChangeNothingAndWhatIsOutIsAnswered() throws Exception {
+    InetSocketAddress listen = free();
+    DispatcherProcess process = dispatcher(0, listen);
+    process.start();
+    process.await("serves on", 0, LONG_MS);
+    ExecutorService asks = Executors.newSingleThreadExecutor();
+    try (ClientStandIn client = new ClientStandIn(listen, LONG_MS)) {
+      Future<End> answer =
+          asks.submit(() -> client.command("%016x".formatted(1), "once", 3000, RUNS_MS));
+      while (engine.running() == 0) {
+        assertFalse(answer.isDone(), "it never came to the engine");
+        Thread.onSpinWait();
+      }
+      int from = process.lines();
+      process.signal("TERM");
+      process.signal("HUP");
+      process.signal("TERM");
+      Map<String, Long> counters = process.ended(from);
+      assertEquals(End.ANSWERED, answer.get(LONG_MS, TimeUnit.MILLISECONDS));
+      assertEquals(0, counters.get("faults"));
+    } finally {
+      asks.shutdownNow();
     }
+  }
 
-    /** Frozen, it is asked and told to end; what lay unread in the kernel when the signal came is still served. */
-    @Test
-    void whatLiesUnreadWhenTheSignalComesIsServed() throws Exception {
-        InetSocketAddress listen = free();
-        DispatcherProcess process = dispatcher(0, listen);
-        process.start();
-        process.await("serves on", 0, LONG_MS);
-        ExecutorService asks = Executors.newSingleThreadExecutor();
-        try (ClientStandIn client = new ClientStandIn(listen, LONG_MS)) {
-            int from = process.lines();
-            process.signal("STOP");
-            client.begin("%016x".formatted(1), "once", 3000, RUNS_MS);
-            process.signal("TERM");
-            Future<End> answer = asks.submit(client::ending);
-            process.signal("CONT");
-            assertEquals(End.ANSWERED, answer.get(LONG_MS, TimeUnit.MILLISECONDS));
-            assertEquals(0, process.ended(from).get("faults"));
-        } finally {
-            asks.shutdownNow();
-        }
+  /**
+   * Frozen, it is asked and told to end; what lay unread in the kernel when the signal came is
+   * still served.
+   */
+  @Test
+  void whatLiesUnreadWhenTheSignalComesIsServed() throws Exception {
+    InetSocketAddress listen = free();
+    DispatcherProcess process = dispatcher(0, listen);
+    process.start();
+    process.await("serves on", 0, LONG_MS);
+    ExecutorService asks = Executors.newSingleThreadExecutor();
+    try (ClientStandIn client = new ClientStandIn(listen, LONG_MS)) {
+      int from = process.lines();
+      process.signal("STOP");
+      client.begin("%016x".formatted(1), "once", 3000, RUNS_MS);
+      process.signal("TERM");
+      Future<End> answer = asks.submit(client::ending);
+      process.signal("CONT");
+      assertEquals(End.ANSWERED, answer.get(LONG_MS, TimeUnit.MILLISECONDS));
+      assertEquals(0, process.ended(from).get("faults"));
+    } finally {
+      asks.shutdownNow();
     }
+  }
 
-    /** All at once, each with its warm-up, they share the machine: the slowest but one still has to be quick. */
-    @Test
-    void nineOfTenRestartedAtOnceAreReadyInTime() throws Exception {
-        List<InetSocketAddress> addresses = new ArrayList<>();
-        for (int i = 0; i < RESTARTED; i++) {
-            addresses.add(free());
-            dispatcher(i, addresses.get(i));
-        }
-        List<Callable<Boolean>> starts = new ArrayList<>();
-        for (int i = 0; i < RESTARTED; i++) {
-            int number = i;
-            starts.add(() -> {
-                long from = System.nanoTime();
-                processes.get(number).start();
-                processes.get(number).await("serves on", 0, LONG_MS);
-                try (ClientStandIn client = new ClientStandIn(addresses.get(number), LONG_MS)) {
-                    client.show("counters");
-                }
-                return System.nanoTime() - from <= TimeUnit.MILLISECONDS.toNanos(READY_WITHIN_MS);
-            });
-        }
-        ExecutorService all = Executors.newFixedThreadPool(RESTARTED);
-        int ready = 0;
-        for (Future<Boolean> each : all.invokeAll(starts)) {
-            ready += each.get() ? 1 : 0;
-        }
-        all.shutdown();
-        assertTrue(ready >= READY, ready + " were ready in time");
+  /**
+   * All at once, each with its warm-up, they share the machine: the slowest but one still has to be
+   * quick.
+   */
+  @Test
+  void nineOfTenRestartedAtOnceAreReadyInTime() throws Exception {
+    List<InetSocketAddress> addresses = new ArrayList<>();
+    for (int i = 0; i < RESTARTED; i++) {
+      addresses.add(free());
+      dispatcher(i, addresses.get(i));
+    }
+    List<Callable<Boolean>> starts = new ArrayList<>();
+    for (int i = 0; i < RESTARTED; i++) {
+      int number = i;
+      starts.add(
+          () -> {
+            long from = System.nanoTime();
+            processes.get(number).start();
+            processes.get(number).await("serves on", 0, LONG_MS);
+            try (ClientStandIn client = new ClientStandIn(addresses.get(number), LONG_MS)) {
+              client.show("counters");
+            }
+            return System.nanoTime() - from <= TimeUnit.MILLISECONDS.toNanos(READY_WITHIN_MS);
+          });
+    }
+    ExecutorService all = Executors.newFixedThreadPool(RESTARTED);
+    int ready = 0;
+    for (Future<Boolean> each : all.invokeAll(starts)) {
+      ready += each.get() ? 1 : 0;
     }
+    all.shutdown();
+    assertTrue(ready >= READY, ready + " were ready in time");
+  }
 }
--- a/src/test/java/cobaltseam/service/SendOrderTest.java
+++ b/src/test/java/cobaltseam/service/SendOrderTest.java
@@ -5,113 +5,130 @@
 
 import java.io.IOException;
 import java.util.List;
-
 import org.junit.jupiter.api.Test;
 
 /** Sends that wait for their connection while the world changes, and answers that are too many. */
 class SendOrderTest extends ServiceRig {
-    /** Decided on before the drain was told, and written after it, it would break the drain. */
-    @Test
-    void aSendThatWaitsForAConnectionToADrainedEngineGoesElsewhere() throws Exception {
-        Peer sound = new Peer(true);
-        Crowded crowded = new Crowded();
-        Peer bus = start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
-        Message watch = bus.next("from 7");
-        Client client = new Client(command("once", 1, 20_000));
-        await(new Client(), "sends|1");
-        watch.say(event(8, false, target(2, crowded.address(), "terminating")) + "\n");
-        await(new Client(), "bus_events|1");
-        Peer drained = crowded.relieve();
-        Message pull = sound.next("PULL");
-        pull.answer(pull.id(), "200", "pages=1", ROWS);
-        assertEquals("SELECT 2", client.told().get(2));
-        assertNoPull(drained);
-    }
+  /** Decided on before the drain was told, and written after it, it would break the drain. */
+  @Test
+  void aSendThatWaitsForAConnectionToADrainedEngineGoesElsewhere() throws Exception {
+    Peer sound = new Peer(true);
+    Crowded crowded = new Crowded();
+    Peer bus = start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
+    Message watch = bus.next("from 7");
+    Client client = new Client(command("once", 1, 20_000));
+    await(new Client(), "sends|1");
+    watch.say(event(8, false, target(2, crowded.address(), "terminating")) + "\n");
+    await(new Client(), "bus_events|1");
+    Peer drained = crowded.relieve();
+    Message pull = sound.next("PULL");
+    pull.answer(pull.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", client.told().get(2));
+    assertNoPull(drained);
+  }
 
-    /** Started anew meanwhile, it is cold: what waits for it goes by what a cold engine may be sent. */
-    @Test
-    void aSendThatWaitsForAConnectionToAnEngineThatStartsAnewIsDecidedAgain() throws Exception {
-        Peer sound = new Peer(true);
-        Crowded crowded = new Crowded();
-        Peer bus = start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
-        Message watch = bus.next("from 7");
-        Client client = new Client(command("once", 1, 20_000));
-        await(new Client(), "sends|1");
-        String anew = target(2, crowded.address(), "in_service").replace("\"boot_ms\":0",
-                "\"boot_ms\":" + System.currentTimeMillis());
-        watch.say(event(8, false, anew) + "\n");
-        await(new Client(), "sends_unreachable|1");
-        Message pull = poll(sound, crowded.relieve());
-        pull.answer(pull.id(), "200", "pages=1", ROWS);
-        assertEquals("SELECT 2", client.told().get(2));
-    }
+  /**
+   * Started anew meanwhile, it is cold: what waits for it goes by what a cold engine may be sent.
+   */
+  @Test
+  void aSendThatWaitsForAConnectionToAnEngineThatStartsAnewIsDecidedAgain() throws Exception {
+    Peer sound = new Peer(true);
+    Crowded crowded = new Crowded();
+    Peer bus = start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
+    Message watch = bus.next("from 7");
+    Client client = new Client(command("once", 1, 20_000));
+    await(new Client(), "sends|1");
+    String anew =
+        target(2, crowded.address(), "in_service")
+            .replace("\"boot_ms\":0", "\"boot_ms\":" + System.currentTimeMillis());
+    watch.say(event(8, false, anew) + "\n");
+    await(new Client(), "sends_unreachable|1");
+    Message pull = poll(sound, crowded.relieve());
+    pull.answer(pull.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", client.told().get(2));
+  }
 
-    /** Begun later than engines remember the send before, a repeat could take effect twice. */
-    @Test
-    void aRepeatThatWaitsForAConnectionBeyondTheWindowIsNeverBegun() throws Exception {
-        Crowded crowded = new Crowded();
-        Peer first = new Peer(true);
-        start(configuration -> patient(configuration).replace("\"repeat\":\"non_idempotent\"",
-                "\"repeat\":\"idempotency_key\",\"key_scope\":\"all\",\"window_us\":800000"),
-                SOCKETS, IDLE_MS, crowded.address(), first.address());
-        Client client = new Client(command("once", 1, 20_000));
-        first.next("PULL").reset();
-        first.next("closed");
-        await(new Client(), "sends|2");
-        Peer late = crowded.relieve();
-        assertEquals(List.of("error 53 pushback"), client.told());
-        assertNoPull(late);
-    }
+  /** Begun later than engines remember the send before, a repeat could take effect twice. */
+  @Test
+  void aRepeatThatWaitsForAConnectionBeyondTheWindowIsNeverBegun() throws Exception {
+    Crowded crowded = new Crowded();
+    Peer first = new Peer(true);
+    start(
+        configuration ->
+            patient(configuration)
+                .replace(
+                    "\"repeat\":\"non_idempotent\"",
+                    "\"repeat\":\"idempotency_key\",\"key_scope\":\"all\",\"window_us\":800000"),
+        SOCKETS,
+        IDLE_MS,
+        crowded.address(),
+        first.address());
+    Client client = new Client(command("once", 1, 20_000));
+    first.next("PULL").reset();
+    first.next("closed");
+    await(new Client(), "sends|2");
+    Peer late = crowded.relieve();
+    assertEquals(List.of("error 53 pushback"), client.told());
+    assertNoPull(late);
+  }
 
-    /** Without it, engines could not tell a repeat of a request that has run from another request. */
-    @Test
-    void theIdempotencyKeyOfARequestGoesWithEachOfItsSends() throws Exception {
-        Peer one = new Peer(true);
-        Peer two = new Peer(true);
-        start(configuration -> configuration.replace("\"repeat\":\"non_idempotent\"",
+  /** Without it, engines could not tell a repeat of a request that has run from another request. */
+  @Test
+  void theIdempotencyKeyOfARequestGoesWithEachOfItsSends() throws Exception {
+    Peer one = new Peer(true);
+    Peer two = new Peer(true);
+    start(
+        configuration ->
+            configuration.replace(
+                "\"repeat\":\"non_idempotent\"",
                 "\"repeat\":\"idempotency_key\",\"key_scope\":\"all\",\"window_us\":10000000"),
-                SOCKETS, IDLE_MS, one.address(), two.address());
-        Client client = new Client(command("once", 1, 20_000).replace("op=", "dedupe=k-7f:01,op="));
-        Message first = poll(one, two);
-        assertTrue(first.items().get(2).endsWith(",dedupe=k-7f:01"), first.items().get(2));
-        first.reset();
-        Message again = poll(one, two);
-        assertTrue(again.items().get(2).endsWith(",dedupe=k-7f:01"), again.items().get(2));
-        again.answer(again.id(), "200", "pages=1", ROWS);
-        assertEquals("SELECT 2", client.told().get(2));
-    }
+        SOCKETS,
+        IDLE_MS,
+        one.address(),
+        two.address());
+    Client client = new Client(command("once", 1, 20_000).replace("op=", "dedupe=k-7f:01,op="));
+    Message first = poll(one, two);
+    assertTrue(first.items().get(2).endsWith(",dedupe=k-7f:01"), first.items().get(2));
+    first.reset();
+    Message again = poll(one, two);
+    assertTrue(again.items().get(2).endsWith(",dedupe=k-7f:01"), again.items().get(2));
+    again.answer(again.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", client.told().get(2));
+  }
 
-    /** One that could not be passed on as it came would be another key, or fields of its own. */
-    @Test
-    void anIdempotencyKeyThatCantBePassedOnIsRefused() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        Client client = new Client();
-        assertEquals(List.of("error 42"), client.ask(look(1, 3000).replace("op=", "dedupe=a b,op=")));
-        assertEquals(List.of("error 42"), client.ask(look(1, 3000).replace("op=", "dedupe=" + "k".repeat(129) + ",op=")));
-        assertTrue(engine.heard.isEmpty());
-    }
+  /** One that could not be passed on as it came would be another key, or fields of its own. */
+  @Test
+  void anIdempotencyKeyThatCantBePassedOnIsRefused() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    Client client = new Client();
+    assertEquals(List.of("error 42"), client.ask(look(1, 3000).replace("op=", "dedupe=a b,op=")));
+    assertEquals(
+        List.of("error 42"),
+        client.ask(look(1, 3000).replace("op=", "dedupe=" + "k".repeat(129) + ",op=")));
+    assertTrue(engine.heard.isEmpty());
+  }
 
-    /** What nobody asked for must not take the processor without end; the others are served on. */
-    @Test
-    void anEngineThatAnswersWithoutEndWhatNobodyAskedLosesItsConnection() throws Exception {
-        Peer engine = new Peer(true);
-        start(engine);
-        Client client = new Client(look(1, 3000));
-        Message pull = engine.next("PULL");
+  /** What nobody asked for must not take the processor without end; the others are served on. */
+  @Test
+  void anEngineThatAnswersWithoutEndWhatNobodyAskedLosesItsConnection() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    Client client = new Client(look(1, 3000));
+    Message pull = engine.next("PULL");
+    pull.answer(pull.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", client.told().get(2));
+    try {
+      for (int i = 0; i < 2000; i++) {
         pull.answer(pull.id(), "200", "pages=1", ROWS);
-        assertEquals("SELECT 2", client.told().get(2));
-        try {
-            for (int i = 0; i < 2000; i++) {
-                pull.answer(pull.id(), "200", "pages=1", ROWS);
-            }
-        } catch (IOException e) {
-            assertTrue(service.answered() > 0, "closed while it was still answering");
-        }
-        engine.next("closed");
-        client.query(client.out, look(2, 3000));
-        Message next = engine.next("PULL");
-        next.answer(next.id(), "200", "pages=1", ROWS);
-        assertEquals("SELECT 2", client.told().get(2));
+      }
+    } catch (IOException e) {
+      assertTrue(service.answered() > 0, "closed while it was still answering");
     }
+    engine.next("closed");
+    client.query(client.out, look(2, 3000));
+    Message next = engine.next("PULL");
+    next.answer(next.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", client.told().get(2));
+  }
 }
--- a/src/test/java/cobaltseam/service/SettingsApartTest.java
+++ b/src/test/java/cobaltseam/service/SettingsApartTest.java
@@ -8,82 +8,93 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import sun.misc.Signal;
 
-/** Settings of two customers: at once in two dispatchers, and one after the other in one, with requests in hand. */
+/**
+ * Settings of two customers: at once in two dispatchers, and one after the other in one, with
+ * requests in hand.
+ */
 class SettingsApartTest extends ServiceRig {
-    private static final int BUSY = 8;
+  private static final int BUSY = 8;
 
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    /** Another customer's file: other classes, tenants and limits on sends. */
-    private static String others(String configuration) {
-        return configuration.replace("\"name\":\"look\"", "\"name\":\"browse\"")
-                .replace("\"name\":\"once\"", "\"name\":\"book\"").replace("\"name\":\"acme\"", "\"name\":\"zeta\"")
-                .replace("\"most_tries\":3", "\"most_tries\":1");
-    }
+  /** Another customer's file: other classes, tenants and limits on sends. */
+  private static String others(String configuration) {
+    return configuration
+        .replace("\"name\":\"look\"", "\"name\":\"browse\"")
+        .replace("\"name\":\"once\"", "\"name\":\"book\"")
+        .replace("\"name\":\"acme\"", "\"name\":\"zeta\"")
+        .replace("\"most_tries\":3", "\"most_tries\":1");
+  }
 
-    private static String for0(String tenant, String command) {
-        return command.replace("op=", "org=" + tenant + ",op=");
-    }
+  private static String for0(String tenant, String command) {
+    return command.replace("op=", "org=" + tenant + ",op=");
+  }
 
-    @Test
-    void twoDispatchersWithDifferentCustomersKnowNothingOfEachOther() throws Exception {
-        Peer mine = new Peer(true);
-        start(mine);
-        Client ours = new Client();
-        Peer theirs = new Peer(true);
-        start(SettingsApartTest::others, SOCKETS, IDLE_MS, theirs.address());
-        Client other = new Client();
-        assertEquals(List.of("error 42"), ours.ask(command("browse", 1, 5000)));
-        assertEquals(List.of("error 42"), ours.ask(for0("zeta", look(2, 5000))));
-        assertEquals(List.of("error 42"), other.ask(look(3, 5000)));
-        assertEquals(List.of("error 42"), other.ask(for0("acme", command("browse", 4, 5000))));
-        // The same call at both, at once: neither takes it for the other's.
-        ours.query(ours.out, for0("acme", look(5, 5000)));
-        other.query(other.out, for0("zeta", command("browse", 5, 5000).replace("work=100", "work=1000")));
-        Message here = mine.next("PULL");
-        Message there = theirs.next("PULL");
-        assertTrue(here.items().get(2).startsWith("lane=look"));
-        assertTrue(there.items().get(2).startsWith("lane=browse"));
-        here.answer(here.id(), "200", "pages=1", "ours\t1\tx\n");
-        there.answer(there.id(), "200", "pages=1", "theirs\t1\tx\n");
-        assertEquals(List.of("ours|1|x", "SELECT 1"), ours.told());
-        assertEquals(List.of("theirs|1|x", "SELECT 1"), other.told());
-    }
+  @Test
+  void twoDispatchersWithDifferentCustomersKnowNothingOfEachOther() throws Exception {
+    Peer mine = new Peer(true);
+    start(mine);
+    Client ours = new Client();
+    Peer theirs = new Peer(true);
+    start(SettingsApartTest::others, SOCKETS, IDLE_MS, theirs.address());
+    Client other = new Client();
+    assertEquals(List.of("error 42"), ours.ask(command("browse", 1, 5000)));
+    assertEquals(List.of("error 42"), ours.ask(for0("zeta", look(2, 5000))));
+    assertEquals(List.of("error 42"), other.ask(look(3, 5000)));
+    assertEquals(List.of("error 42"), other.ask(for0("acme", command("browse", 4, 5000))));
+    // The same call at both, at once: neither takes it for the other's.
+    ours.query(ours.out, for0("acme", look(5, 5000)));
+    other.query(
+        other.out, for0("zeta", command("browse", 5, 5000).replace("work=100", "work=1000")));
+    Message here = mine.next("PULL");
+    Message there = theirs.next("PULL");
+    assertTrue(here.items().get(2).startsWith("lane=look"));
+    assertTrue(there.items().get(2).startsWith("lane=browse"));
+    here.answer(here.id(), "200", "pages=1", "ours\t1\tx\n");
+    there.answer(there.id(), "200", "pages=1", "theirs\t1\tx\n");
+    assertEquals(List.of("ours|1|x", "SELECT 1"), ours.told());
+    assertEquals(List.of("theirs|1|x", "SELECT 1"), other.told());
+  }
 
-    /** What was taken ends under the rules of both; what comes after knows the new ones alone. */
-    @Test
-    void aReloadFromOneCustomerToAnotherUnderLoadLeavesNothingOfTheFirst() throws Exception {
-        Peer engine = new Peer(true);
-        Peer bus = start(engine);
-        bus.next("from 7");
-        Path file = folder.resolve("configuration.json");
-        service.readAnewOnHangUp(Map.of("GW_CONFIG", file.toString()));
-        List<Client> busy = new ArrayList<>();
-        List<Message> out = new ArrayList<>();
-        for (int i = 0; i < BUSY; i++) {
-            busy.add(new Client(for0("acme", command("once", i, 20_000))));
-            out.add(engine.next("PULL"));
-        }
-        Client watch = new Client();
-        Files.writeString(file, others(configuration(bus.address(), SOCKETS, IDLE_MS,
-                target(1, engine.address(), "in_service"))));
-        Signal.raise(new Signal("HUP"));
-        await(watch, "configurations_moved|1");
-        assertEquals(List.of("error 42"), watch.ask(look(20, 5000)));
-        assertEquals(List.of("error 42"), watch.ask(for0("acme", command("browse", 21, 5000))));
-        for (int i = 0; i < BUSY; i++) {
-            out.get(i).answer(out.get(i).id(), "200", "pages=1", "");
-            assertEquals(List.of("SELECT 0"), busy.get(i).told());
-        }
-        watch.query(watch.out, for0("zeta", command("browse", 22, 20_000).replace("work=100", "work=1000")));
-        engine.next("PULL").reset();
-        engine.next("closed");
-        assertEquals(List.of("error 53 pushback"), watch.told(), "one send at most under the new settings, not three");
+  /** What was taken ends under the rules of both; what comes after knows the new ones alone. */
+  @Test
+  void aReloadFromOneCustomerToAnotherUnderLoadLeavesNothingOfTheFirst() throws Exception {
+    Peer engine = new Peer(true);
+    Peer bus = start(engine);
+    bus.next("from 7");
+    Path file = folder.resolve("configuration.json");
+    service.readAnewOnHangUp(Map.of("GW_CONFIG", file.toString()));
+    List<Client> busy = new ArrayList<>();
+    List<Message> out = new ArrayList<>();
+    for (int i = 0; i < BUSY; i++) {
+      busy.add(new Client(for0("acme", command("once", i, 20_000))));
+      out.add(engine.next("PULL"));
+    }
+    Client watch = new Client();
+    Files.writeString(
+        file,
+        others(
+            configuration(
+                bus.address(), SOCKETS, IDLE_MS, target(1, engine.address(), "in_service"))));
+    Signal.raise(new Signal("HUP"));
+    await(watch, "configurations_moved|1");
+    assertEquals(List.of("error 42"), watch.ask(look(20, 5000)));
+    assertEquals(List.of("error 42"), watch.ask(for0("acme", command("browse", 21, 5000))));
+    for (int i = 0; i < BUSY; i++) {
+      out.get(i).answer(out.get(i).id(), "200", "pages=1", "");
+      assertEquals(List.of("SELECT 0"), busy.get(i).told());
     }
+    watch.query(
+        watch.out, for0("zeta", command("browse", 22, 20_000).replace("work=100", "work=1000")));
+    engine.next("PULL").reset();
+    engine.next("closed");
+    assertEquals(
+        List.of("error 53 pushback"),
+        watch.told(),
+        "one send at most under the new settings, not three");
+  }
 }
