--- a/src/test/java/cobaltseam/sharing/SharingTest.java
+++ b/src/test/java/cobaltseam/sharing/SharingTest.java
@@ -6,6 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Span;
+import cobaltseam.membership.Birth;
+import cobaltseam.membership.MemberName;
+import cobaltseam.sharing.Sharing.Send;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -17,285 +22,316 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
-import cobaltseam.membership.Birth;
-import cobaltseam.membership.MemberName;
-import cobaltseam.sharing.Sharing.Send;
-
-/** What members know of each other, in virtual time over a network that loses, delays, doubles and reorders. */
+/**
+ * What members know of each other, in virtual time over a network that loses, delays, doubles and
+ * reorders.
+ */
 class SharingTest {
-    private static final Span SECOND = new Span(1_000_000);
-    private static final Terms TERMS = new Terms(SECOND, 3, SECOND.times(15), 1200, 0.001);
-    private static final String OUT = "out";
+  private static final Span SECOND = new Span(1_000_000);
+  private static final Terms TERMS = new Terms(SECOND, 3, SECOND.times(15), 1200, 0.001);
+  private static final String OUT = "out";
 
-    private record Flight(long at, int order, MemberName to, Told message) {
-    }
+  private record Flight(long at, int order, MemberName to, Told message) {}
 
-    /** One process: its module, and its clock, which runs at a rate of its own from a moment of its own. */
-    private static final class Process {
-        final MemberName name;
-        final Birth birth;
-        final long begun;
-        final double rate;
-        final Sharing module;
-        long said;
-        final Map<MemberName, Version> newest = new HashMap<>();
+  /**
+   * One process: its module, and its clock, which runs at a rate of its own from a moment of its
+   * own.
+   */
+  private static final class Process {
+    final MemberName name;
+    final Birth birth;
+    final long begun;
+    final double rate;
+    final Sharing module;
+    long said;
+    final Map<MemberName, Version> newest = new HashMap<>();
 
-        Process(MemberName name, Birth birth, long at, double rate, SplittableRandom r) {
-            this.name = name;
-            this.birth = birth;
-            begun = at;
-            this.rate = rate;
-            module = new Sharing(name, birth, TERMS, new SplittableRandom(r.nextLong()), clock(at));
-        }
+    Process(MemberName name, Birth birth, long at, double rate, SplittableRandom r) {
+      this.name = name;
+      this.birth = birth;
+      begun = at;
+      this.rate = rate;
+      module = new Sharing(name, birth, TERMS, new SplittableRandom(r.nextLong()), clock(at));
+    }
 
-        Moment clock(long at) {
-            return new Moment(Math.round(7_000_000 + (at - begun) * rate));
-        }
+    Moment clock(long at) {
+      return new Moment(Math.round(7_000_000 + (at - begun) * rate));
     }
+  }
 
-    private final Map<MemberName, Process> running = new TreeMap<>();
-    private final Set<MemberName> view = new TreeSet<>();
-    private final Map<MemberName, Long> silentUntil = new HashMap<>();
-    private final PriorityQueue<Flight> air = new PriorityQueue<>(
-            Comparator.comparingLong(Flight::at).thenComparingInt(Flight::order));
-    /** Until when, in true time, each member last stood by each figure: at every true moment it runs, by its newest. */
-    private final Map<MemberName, TreeMap<Long, Long>> stoodBy = new HashMap<>();
-    private SplittableRandom r = new SplittableRandom(1);
-    private long now = 1_000_000;
-    private int order;
-    private double loss, doubled;
-    private long longest = 2_000;
+  private final Map<MemberName, Process> running = new TreeMap<>();
+  private final Set<MemberName> view = new TreeSet<>();
+  private final Map<MemberName, Long> silentUntil = new HashMap<>();
+  private final PriorityQueue<Flight> air =
+      new PriorityQueue<>(Comparator.comparingLong(Flight::at).thenComparingInt(Flight::order));
 
-    private static MemberName name(int i) {
-        return new MemberName("d" + i);
-    }
+  /**
+   * Until when, in true time, each member last stood by each figure: at every true moment it runs,
+   * by its newest.
+   */
+  private final Map<MemberName, TreeMap<Long, Long>> stoodBy = new HashMap<>();
 
-    private Process start(int i, long birth, double rate) {
-        Process p = new Process(name(i), new Birth(birth), now, rate, r);
-        running.put(p.name, p);
-        view.add(p.name);
-        running.values().forEach(q -> q.module.view(view));
-        return p;
-    }
+  private SplittableRandom r = new SplittableRandom(1);
+  private long now = 1_000_000;
+  private int order;
+  private double loss, doubled;
+  private long longest = 2_000;
 
-    /** What is said is told apart by its value: no two statements of all say the same. */
-    private void say(Process p) {
-        long value = now * 1000 + running.size() + p.said++ % 7;
-        p.module.say(new Figures(Map.of(OUT, value)));
-        stoodBy.computeIfAbsent(p.name, k -> new TreeMap<>()).put(value, now);
-        p.said = value;
-    }
+  private static MemberName name(int i) {
+    return new MemberName("d" + i);
+  }
 
-    private void carry(List<Send> sends) {
-        for (Send s : sends) {
-            for (int copies = r.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
-                if (r.nextDouble() >= loss) {
-                    air.add(new Flight(now + 1 + r.nextLong(longest), order++, s.to(), s.message()));
-                }
-            }
-        }
-    }
+  private Process start(int i, long birth, double rate) {
+    Process p = new Process(name(i), new Birth(birth), now, rate, r);
+    running.put(p.name, p);
+    view.add(p.name);
+    running.values().forEach(q -> q.module.view(view));
+    return p;
+  }
 
-    private void pass(long us) {
-        for (long end = now + us; now < end; now += 20_000) {
-            for (Process p : running.values()) {
-                if (p.said > 0) {
-                    stoodBy.get(p.name).put(p.said, now);
-                }
-                if (silentUntil.getOrDefault(p.name, 0L) <= now) {
-                    carry(p.module.due(p.clock(now)));
-                }
-            }
-            while (!air.isEmpty() && air.peek().at() <= now) {
-                Flight f = air.remove();
-                Process p = running.get(f.to());
-                if (p != null && silentUntil.getOrDefault(p.name, 0L) <= now) {
-                    carry(p.module.heard(f.message(), p.clock(now)));
-                }
-            }
-        }
-    }
+  /** What is said is told apart by its value: no two statements of all say the same. */
+  private void say(Process p) {
+    long value = now * 1000 + running.size() + p.said++ % 7;
+    p.module.say(new Figures(Map.of(OUT, value)));
+    stoodBy.computeIfAbsent(p.name, k -> new TreeMap<>()).put(value, now);
+    p.said = value;
+  }
 
-    /** Every figure known anywhere was said by its member, who stood by it no longer ago than its age says. */
-    private int check() {
-        int known = 0;
-        for (Process p : running.values()) {
-            for (MemberName of : view) {
-                Known k = of.equals(p.name) ? null : p.module.known(of, p.clock(now));
-                if (k == null) {
-                    // Once forgotten, a process started anew under its birth may begin below its former number.
-                    p.newest.remove(of);
-                } else {
-                    known++;
-                    Version before = p.newest.put(of, k.version());
-                    assertTrue(before == null || before.compareTo(k.version()) <= 0, "back to what was said before");
-                    Long stood = stoodBy.get(of).get(k.figures().byName().get(OUT));
-                    assertNotNull(stood, "nobody said that");
-                    double most = k.age().us() * 1.003 + 40_000;
-                    assertTrue(now - stood <= most, of + " at " + p.name + " is " + (now - stood) + " us old and is held for "
-                            + k.age().us());
-                    assertTrue(k.age().compareTo(TERMS.end()) < 0, "past its end and still known");
-                }
-            }
+  private void carry(List<Send> sends) {
+    for (Send s : sends) {
+      for (int copies = r.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
+        if (r.nextDouble() >= loss) {
+          air.add(new Flight(now + 1 + r.nextLong(longest), order++, s.to(), s.message()));
         }
-        return known;
+      }
     }
+  }
 
-    @Test
-    void ofAHundredEachIsKnownToAllWithinTenRounds() {
-        for (int i = 0; i < 100; i++) {
-            say(start(i, 5, 1));
+  private void pass(long us) {
+    for (long end = now + us; now < end; now += 20_000) {
+      for (Process p : running.values()) {
+        if (p.said > 0) {
+          stoodBy.get(p.name).put(p.said, now);
         }
-        pass(10_000_000);
-        assertEquals(100 * 99, check());
-    }
-
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
-    void noFigureIsEverYoungerThanItsAgeWhateverTheNetworkDoes(long seed) {
-        r = new SplittableRandom(seed);
-        loss = 0.3 * r.nextDouble();
-        doubled = 0.2;
-        longest = seed % 3 == 0 ? 12_000_000 : 400_000;
-        int members = 3 + r.nextInt(8);
-        for (int i = 0; i < members; i++) {
-            say(start(i, 5, 1 + TERMS.drift() * (2 * r.nextDouble() - 1)));
+        if (silentUntil.getOrDefault(p.name, 0L) <= now) {
+          carry(p.module.due(p.clock(now)));
         }
-        int known = 0;
-        for (int step = 0; step < 150; step++) {
-            pass(20_000L * (1 + r.nextInt(25)));
-            int i = r.nextInt(members);
-            Process p = running.get(name(i));
-            switch (r.nextInt(8)) {
-                case 0 -> running.remove(name(i));
-                case 1 -> {
-                    if (p == null) {
-                        // Started anew, with or without what made it the same member.
-                        say(start(i, r.nextBoolean() ? 5 : 6 + step, 1));
-                    }
-                }
-                case 2 -> silentUntil.put(name(i), now + r.nextLong(6_000_000));
-                default -> {
-                    if (p != null) {
-                        say(p);
-                    }
-                }
-            }
-            known += check();
+      }
+      while (!air.isEmpty() && air.peek().at() <= now) {
+        Flight f = air.remove();
+        Process p = running.get(f.to());
+        if (p != null && silentUntil.getOrDefault(p.name, 0L) <= now) {
+          carry(p.module.heard(f.message(), p.clock(now)));
         }
-        assertTrue(known > (seed % 3 == 0 ? 0 : 100), "a day on which something was known: " + known);
+      }
     }
+  }
 
-    @Test
-    void whatAMemberStandsByStaysKnownThoughItSaysNothingNew() {
-        for (int i = 0; i < 40; i++) {
-            say(start(i, 5, 1));
+  /**
+   * Every figure known anywhere was said by its member, who stood by it no longer ago than its age
+   * says.
+   */
+  private int check() {
+    int known = 0;
+    for (Process p : running.values()) {
+      for (MemberName of : view) {
+        Known k = of.equals(p.name) ? null : p.module.known(of, p.clock(now));
+        if (k == null) {
+          // Once forgotten, a process started anew under its birth may begin below its former
+          // number.
+          p.newest.remove(of);
+        } else {
+          known++;
+          Version before = p.newest.put(of, k.version());
+          assertTrue(
+              before == null || before.compareTo(k.version()) <= 0, "back to what was said before");
+          Long stood = stoodBy.get(of).get(k.figures().byName().get(OUT));
+          assertNotNull(stood, "nobody said that");
+          double most = k.age().us() * 1.003 + 40_000;
+          assertTrue(
+              now - stood <= most,
+              of
+                  + " at "
+                  + p.name
+                  + " is "
+                  + (now - stood)
+                  + " us old and is held for "
+                  + k.age().us());
+          assertTrue(k.age().compareTo(TERMS.end()) < 0, "past its end and still known");
         }
-        pass(60_000_000);
-        assertEquals(40 * 39, check());
+      }
     }
+    return known;
+  }
 
-    @Test
-    void whatADeadMemberSaidIsUnknownAtItsEndHoweverLongItStayedInTheAir() {
-        longest = 9_000_000;
-        for (int i = 0; i < 12; i++) {
-            say(start(i, 5, 1));
+  @Test
+  void ofAHundredEachIsKnownToAllWithinTenRounds() {
+    for (int i = 0; i < 100; i++) {
+      say(start(i, 5, 1));
+    }
+    pass(10_000_000);
+    assertEquals(100 * 99, check());
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      longs = {
+        1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24
+      })
+  void noFigureIsEverYoungerThanItsAgeWhateverTheNetworkDoes(long seed) {
+    r = new SplittableRandom(seed);
+    loss = 0.3 * r.nextDouble();
+    doubled = 0.2;
+    longest = seed % 3 == 0 ? 12_000_000 : 400_000;
+    int members = 3 + r.nextInt(8);
+    for (int i = 0; i < members; i++) {
+      say(start(i, 5, 1 + TERMS.drift() * (2 * r.nextDouble() - 1)));
+    }
+    int known = 0;
+    for (int step = 0; step < 150; step++) {
+      pass(20_000L * (1 + r.nextInt(25)));
+      int i = r.nextInt(members);
+      Process p = running.get(name(i));
+      switch (r.nextInt(8)) {
+        case 0 -> running.remove(name(i));
+        case 1 -> {
+          if (p == null) {
+            // Started anew, with or without what made it the same member.
+            say(start(i, r.nextBoolean() ? 5 : 6 + step, 1));
+          }
         }
-        pass(12_000_000);
-        running.remove(name(0));
-        pass(TERMS.end().us() + 100_000);
-        for (Process p : running.values()) {
-            assertNull(p.module.known(name(0), p.clock(now)), "told on from one to the next it must not stay young");
+        case 2 -> silentUntil.put(name(i), now + r.nextLong(6_000_000));
+        default -> {
+          if (p != null) {
+            say(p);
+          }
         }
+      }
+      known += check();
     }
+    assertTrue(known > (seed % 3 == 0 ? 0 : 100), "a day on which something was known: " + known);
+  }
 
-    @Test
-    void whoIsNotKnownIsNotCountedAsNothing() {
-        Process p = start(0, 5, 1);
-        start(1, 5, 1);
-        Process third = start(2, 5, 1);
-        p.module.say(new Figures(Map.of(OUT, 4L)));
-        third.module.say(new Figures(Map.of("other", 1L)));
-        pass(5_000_000);
-        assertEquals(new Sharing.Sum(4, 1, 2), p.module.sum(OUT, p.clock(now)), "one silent, one that does not say it");
+  @Test
+  void whatAMemberStandsByStaysKnownThoughItSaysNothingNew() {
+    for (int i = 0; i < 40; i++) {
+      say(start(i, 5, 1));
     }
+    pass(60_000_000);
+    assertEquals(40 * 39, check());
+  }
 
-    @Test
-    void anAnswerThatNobodyAskedForTeachesNothing() {
-        Process p = start(0, 5, 1);
-        start(1, 5, 1);
-        Statement s = new Statement(name(1), new Version(new Birth(5), 9), new Figures(Map.of(OUT, 1L)), Span.ZERO);
-        p.module.heard(new Told.Newer(name(1), 77, List.of(s), List.of()), p.clock(now));
-        assertNull(p.module.known(name(1), p.clock(now)));
+  @Test
+  void whatADeadMemberSaidIsUnknownAtItsEndHoweverLongItStayedInTheAir() {
+    longest = 9_000_000;
+    for (int i = 0; i < 12; i++) {
+      say(start(i, 5, 1));
     }
-
-    @Test
-    void ofOneOutsideTheViewNothingIsKept() {
-        Process p = start(0, 5, 1);
-        say(start(1, 5, 1));
-        say(start(2, 5, 1));
-        pass(5_000_000);
-        assertEquals(2, p.module.size());
-        p.module.view(Set.of(name(0), name(1)));
-        assertEquals(1, p.module.size());
-        running.remove(name(2));
-        pass(3_000_000);
-        assertNull(p.module.known(name(2), p.clock(now)), "told again by one whose view is older, and not kept");
+    pass(12_000_000);
+    running.remove(name(0));
+    pass(TERMS.end().us() + 100_000);
+    for (Process p : running.values()) {
+      assertNull(
+          p.module.known(name(0), p.clock(now)),
+          "told on from one to the next it must not stay young");
     }
+  }
 
-    @Test
-    void oneStartedAnewUnderItsBirthIsBelievedAgain() {
-        Process p = start(0, 5, 1);
-        Process q = start(1, 5, 1);
-        for (int i = 0; i < 20; i++) {
-            say(q);
-        }
-        pass(4_000_000);
-        running.remove(name(1));
-        Process again = start(1, 5, 1);
-        again.module.say(new Figures(Map.of(OUT, -1L)));
-        stoodBy.get(name(1)).put(-1L, now);
-        pass(6_000_000);
-        again.module.say(new Figures(Map.of(OUT, -2L)));
-        pass(3_000_000);
-        assertEquals(-2L, p.module.known(name(1), p.clock(now)).figures().byName().get(OUT));
-    }
+  @Test
+  void whoIsNotKnownIsNotCountedAsNothing() {
+    Process p = start(0, 5, 1);
+    start(1, 5, 1);
+    Process third = start(2, 5, 1);
+    p.module.say(new Figures(Map.of(OUT, 4L)));
+    third.module.say(new Figures(Map.of("other", 1L)));
+    pass(5_000_000);
+    assertEquals(
+        new Sharing.Sum(4, 1, 2),
+        p.module.sum(OUT, p.clock(now)),
+        "one silent, one that does not say it");
+  }
 
-    @Test
-    void anAnswerIsCutIntoPartsThatFitAndEachMemberIsAskedInItsTurn() {
-        for (int i = 0; i < 60; i++) {
-            say(start(i, 5, 1));
-        }
-        pass(10_000_000);
-        Process p = running.get(name(0));
-        List<Send> parts = p.module.heard(new Told.Ask(name(1), 1, Map.of()), p.clock(now));
-        assertTrue(parts.size() > 2, parts.size() + " parts");
-        Set<MemberName> told = new HashSet<>();
-        for (Send s : parts) {
-            assertTrue(((Told.Newer) s.message()).statements().size() <= 16, "a part within its bound");
-            ((Told.Newer) s.message()).statements().forEach(st -> assertTrue(told.add(st.of()), "told twice"));
-        }
-        assertEquals(60, told.size());
-        Sharing fresh = new Sharing(name(0), new Birth(6), TERMS, new SplittableRandom(4), p.clock(now));
-        fresh.view(view);
-        List<MemberName> asked = new ArrayList<>();
-        for (int round = 0; round < 20; round++) {
-            fresh.due(p.clock(now += SECOND.us())).forEach(s -> asked.add(s.to()));
-        }
-        assertEquals(60, asked.size());
-        assertEquals(59, new HashSet<>(asked).size(), "each once before any is asked again");
+  @Test
+  void anAnswerThatNobodyAskedForTeachesNothing() {
+    Process p = start(0, 5, 1);
+    start(1, 5, 1);
+    Statement s =
+        new Statement(
+            name(1), new Version(new Birth(5), 9), new Figures(Map.of(OUT, 1L)), Span.ZERO);
+    p.module.heard(new Told.Newer(name(1), 77, List.of(s), List.of()), p.clock(now));
+    assertNull(p.module.known(name(1), p.clock(now)));
+  }
+
+  @Test
+  void ofOneOutsideTheViewNothingIsKept() {
+    Process p = start(0, 5, 1);
+    say(start(1, 5, 1));
+    say(start(2, 5, 1));
+    pass(5_000_000);
+    assertEquals(2, p.module.size());
+    p.module.view(Set.of(name(0), name(1)));
+    assertEquals(1, p.module.size());
+    running.remove(name(2));
+    pass(3_000_000);
+    assertNull(
+        p.module.known(name(2), p.clock(now)),
+        "told again by one whose view is older, and not kept");
+  }
+
+  @Test
+  void oneStartedAnewUnderItsBirthIsBelievedAgain() {
+    Process p = start(0, 5, 1);
+    Process q = start(1, 5, 1);
+    for (int i = 0; i < 20; i++) {
+      say(q);
     }
+    pass(4_000_000);
+    running.remove(name(1));
+    Process again = start(1, 5, 1);
+    again.module.say(new Figures(Map.of(OUT, -1L)));
+    stoodBy.get(name(1)).put(-1L, now);
+    pass(6_000_000);
+    again.module.say(new Figures(Map.of(OUT, -2L)));
+    pass(3_000_000);
+    assertEquals(-2L, p.module.known(name(1), p.clock(now)).figures().byName().get(OUT));
+  }
 
-    @Test
-    void termsThatContradictThemselvesAreRefused() {
-        assertThrows(IllegalArgumentException.class, () -> new Terms(SECOND, 3, SECOND, 1200, 0.001));
-        assertThrows(IllegalArgumentException.class, () -> new Terms(SECOND, 0, SECOND.times(9), 1200, 0.001));
+  @Test
+  void anAnswerIsCutIntoPartsThatFitAndEachMemberIsAskedInItsTurn() {
+    for (int i = 0; i < 60; i++) {
+      say(start(i, 5, 1));
+    }
+    pass(10_000_000);
+    Process p = running.get(name(0));
+    List<Send> parts = p.module.heard(new Told.Ask(name(1), 1, Map.of()), p.clock(now));
+    assertTrue(parts.size() > 2, parts.size() + " parts");
+    Set<MemberName> told = new HashSet<>();
+    for (Send s : parts) {
+      assertTrue(((Told.Newer) s.message()).statements().size() <= 16, "a part within its bound");
+      ((Told.Newer) s.message())
+          .statements()
+          .forEach(st -> assertTrue(told.add(st.of()), "told twice"));
     }
+    assertEquals(60, told.size());
+    Sharing fresh =
+        new Sharing(name(0), new Birth(6), TERMS, new SplittableRandom(4), p.clock(now));
+    fresh.view(view);
+    List<MemberName> asked = new ArrayList<>();
+    for (int round = 0; round < 20; round++) {
+      fresh.due(p.clock(now += SECOND.us())).forEach(s -> asked.add(s.to()));
+    }
+    assertEquals(60, asked.size());
+    assertEquals(59, new HashSet<>(asked).size(), "each once before any is asked again");
+  }
+
+  @Test
+  void termsThatContradictThemselvesAreRefused() {
+    assertThrows(IllegalArgumentException.class, () -> new Terms(SECOND, 3, SECOND, 1200, 0.001));
+    assertThrows(
+        IllegalArgumentException.class, () -> new Terms(SECOND, 0, SECOND.times(9), 1200, 0.001));
+  }
 }
--- a/src/test/java/cobaltseam/spread/HoldingsTest.java
+++ b/src/test/java/cobaltseam/spread/HoldingsTest.java
@@ -3,13 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.SplittableRandom;
-
 import cobaltseam.dispatch.Moment;
 import cobaltseam.dispatch.Span;
 import cobaltseam.membership.Birth;
@@ -20,243 +13,277 @@
 import cobaltseam.membership.ViewId;
 import cobaltseam.spread.LoanWord.Borrow;
 import cobaltseam.spread.LoanWord.Lent;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
 /** Parts of a whole, one process at a time, against a ground that the test makes. */
 class HoldingsTest {
-    private static final Terms TERMS = new Terms(1000, 0.1, 10, 0.25, new Span(500_000), 16);
-    private static final Span T = new Span(2_000_000);
-    private static final int ALONE = 10;
-    private static final int SETTLED = 900;
-
-    private final Ground ground = new Ground();
-    private final Holdings holdings = new Holdings(TERMS, ground, new SplittableRandom(1));
-
-    private static Member member(int i) {
-        return new Member(new MemberName("n" + i), new Birth(i + 1), new InetSocketAddress("127.0.0.1", 1000 + i));
-    }
-
-    private static View view(long number, int... members) {
-        List<Member> of = new ArrayList<>();
-        for (int m : members) {
-            of.add(member(m));
-        }
-        return new View(new ViewId(7, number), of, null);
-    }
-
-    private static Teller teller(int i) {
-        return new Teller(member(i), 0, ViewId.NONE, true);
-    }
-
-    private static Moment at(double s) {
-        return new Moment(Math.round(s * 1e6));
-    }
-
-    /** What the process is told; it is member 0. */
-    private static final class Ground implements Holdings.Ground {
-        View view;
-        Moment lease;
-        final Map<MemberName, Double> demand = new HashMap<>();
-
-        @Override
-        public View view() {
-            return view;
-        }
-
-        @Override
-        public Member self() {
-            return member(0);
-        }
-
-        @Override
-        public Teller teller() {
-            return HoldingsTest.teller(0);
-        }
-
-        @Override
-        public Moment leaseUntil() {
-            return lease;
-        }
-
-        @Override
-        public Span outlasts() {
-            return T.times(1.002);
-        }
-
-        @Override
-        public double clockRates() {
-            return 0.001;
-        }
-
-        @Override
-        public Double demand(MemberName of) {
-            return demand.get(of);
-        }
-    }
-
-    /** The process holds a view of so many for long enough, and the lease up to a moment. */
-    private void settled(View view, double leaseUntil) {
-        ground.view = view;
-        holdings.follow(at(0));
-        ground.lease = at(leaseUntil);
+  private static final Terms TERMS = new Terms(1000, 0.1, 10, 0.25, new Span(500_000), 16);
+  private static final Span T = new Span(2_000_000);
+  private static final int ALONE = 10;
+  private static final int SETTLED = 900;
+
+  private final Ground ground = new Ground();
+  private final Holdings holdings = new Holdings(TERMS, ground, new SplittableRandom(1));
+
+  private static Member member(int i) {
+    return new Member(
+        new MemberName("n" + i), new Birth(i + 1), new InetSocketAddress("127.0.0.1", 1000 + i));
+  }
+
+  private static View view(long number, int... members) {
+    List<Member> of = new ArrayList<>();
+    for (int m : members) {
+      of.add(member(m));
     }
-
-    @Test
-    void withoutAViewOrALeaseThereIsTheLonePart() {
-        assertEquals(ALONE, holdings.usable(at(0)));
-        ground.view = view(1, 0, 1, 2);
-        holdings.follow(at(0));
-        assertEquals(ALONE, holdings.usable(at(60)), "no majority said that it is the newest");
-        ground.lease = at(61);
-        assertEquals(ALONE + SETTLED / 3, holdings.usable(at(60)));
-        assertEquals(ALONE, holdings.usable(at(61)), "it ends with the lease, whatever is asked in between");
-    }
-
-    @Test
-    void aNewcomerHoldsNothingUntilAllLeasesBeforeHaveEnded() {
-        ground.view = view(4, 0, 1, 2);
-        ground.lease = at(9);
-        holdings.follow(at(1));
-        assertEquals(ALONE, holdings.usable(at(3.003)));
-        assertEquals(ALONE + SETTLED / 3, holdings.usable(at(3.005)));
+    return new View(new ViewId(7, number), of, null);
+  }
+
+  private static Teller teller(int i) {
+    return new Teller(member(i), 0, ViewId.NONE, true);
+  }
+
+  private static Moment at(double s) {
+    return new Moment(Math.round(s * 1e6));
+  }
+
+  /** What the process is told; it is member 0. */
+  private static final class Ground implements Holdings.Ground {
+    View view;
+    Moment lease;
+    final Map<MemberName, Double> demand = new HashMap<>();
+
+    @Override
+    public View view() {
+      return view;
     }
 
-    @Test
-    void aPartShrinksAtOnceAndGrowsOnceAllLeasesBeforeHaveEnded() {
-        settled(view(1, 0, 1, 2), 60);
-        ground.view = view(2, 0, 1, 2, 3, 4);
-        holdings.follow(at(10));
-        assertEquals(ALONE + SETTLED / 5, holdings.usable(at(10)), "others may hold their part of the larger view");
-        ground.view = view(3, 0, 1);
-        holdings.follow(at(20));
-        assertEquals(ALONE + SETTLED / 5, holdings.usable(at(22)), "those taken out may hold theirs yet");
-        assertEquals(ALONE + SETTLED / 2, holdings.usable(at(22.01)));
+    @Override
+    public Member self() {
+      return member(0);
     }
 
-    @Test
-    void oneThatMissedAViewHoldsNothingForAWhile() {
-        settled(view(1, 0, 1, 2), 60);
-        ground.view = view(3, 0, 1, 2);
-        holdings.follow(at(10));
-        assertEquals(ALONE, holdings.usable(at(11)));
-        ground.view = null;
-        holdings.follow(at(20));
-        assertEquals(ALONE, holdings.usable(at(20)));
-        ground.view = view(4, 0, 1, 2);
-        holdings.follow(at(21));
-        assertEquals(ALONE, holdings.usable(at(22)));
+    @Override
+    public Teller teller() {
+      return HoldingsTest.teller(0);
     }
 
-    private Lent asked(int by, long amount, double s) {
-        List<Holdings.Tell> tells = holdings.heard(new Borrow(teller(by), 99, amount), at(s));
-        assertEquals(1, tells.size());
-        return (Lent) tells.get(0).word();
+    @Override
+    public Moment leaseUntil() {
+      return lease;
     }
 
-    @Test
-    void whatIsLentIsGoneUntilItEndsAndEndsBeforeTheLease() {
-        settled(view(1, 0, 1, 2), 11);
-        ground.demand.put(new MemberName("n1"), 9.0);
-        holdings.needs(0);
-        // Its target is a quarter of its even part, as it needs nothing.
-        Lent lent = asked(1, 1000, 10);
-        assertEquals(225, lent.amount());
-        assertTrue(10_000_000 + lent.lastsUs() * 1.001 < 11_000_000, "by a clock that runs slower it ends before the lease");
-        assertEquals(ALONE + 75, holdings.usable(at(10)));
-        ground.lease = at(20);
-        assertEquals(ALONE + 75, holdings.usable(at(10.99)));
-        assertEquals(ALONE + 300, holdings.usable(at(11)), "it comes back by itself");
+    @Override
+    public Span outlasts() {
+      return T.times(1.002);
     }
 
-    @Test
-    void toTwoNoMoreIsLentThanThereIs() {
-        settled(view(1, 0, 1, 2), 60);
-        ground.demand.put(new MemberName("n1"), 9.0);
-        ground.demand.put(new MemberName("n2"), 9.0);
-        assertEquals(150, asked(1, 150, 10).amount());
-        assertEquals(75, asked(2, 150, 10).amount());
-        assertEquals(0, asked(2, 150, 10).amount() - 75, "asked again, the same is said, and not lent once more");
-        assertEquals(0, asked(1, 0, 10).amount());
-        assertEquals(ALONE + 75, holdings.usable(at(10)));
+    @Override
+    public double clockRates() {
+      return 0.001;
     }
 
-    @Test
-    void withoutALeaseNothingIsLent() {
-        settled(view(1, 0, 1, 2), 60);
-        ground.demand.put(new MemberName("n1"), 9.0);
-        ground.lease = at(9);
-        assertEquals(0, asked(1, 100, 10).amount());
-        assertEquals(List.of(), holdings.heard(new Borrow(teller(5), 1, 100), at(10)), "nor anything to one outside the view");
-        Teller former = new Teller(new Member(new MemberName("n1"), new Birth(999), member(1).address()), 0, ViewId.NONE, true);
-        assertEquals(List.of(), holdings.heard(new Borrow(former, 1, 100), at(10)), "nor to another process of its name");
+    @Override
+    public Double demand(MemberName of) {
+      return demand.get(of);
     }
-
-    private Borrow borrows(double s) {
-        List<Holdings.Tell> tells = holdings.follow(at(s));
-        assertEquals(1, tells.size(), tells.toString());
-        return (Borrow) tells.get(0).word();
-    }
-
-    @Test
-    void whatIsBorrowedCountsFromTheAskAndOnce() {
-        settled(view(1, 0, 1), 60);
-        holdings.needs(9);
-        ground.demand.put(new MemberName("n1"), 0.0);
-        Borrow borrow = borrows(10);
-        assertTrue(borrow.amount() > 300, borrow.toString());
-        Lent lent = new Lent(teller(1), borrow.id(), 300, 1_500_000);
-        holdings.heard(lent, at(10.4));
-        assertEquals(ALONE + 450 + 300, holdings.usable(at(10.4)));
-        holdings.heard(lent, at(10.5));
-        assertEquals(ALONE + 450 + 300, holdings.usable(at(10.5)), "a message that comes twice counts once");
-        assertEquals(ALONE + 450, holdings.usable(at(11.5)), "1.5 s from the ask, not from the answer");
-        List<Holdings.Step> steps = holdings.steps(at(10.5));
-        assertEquals(List.of(new Holdings.Step(at(11.5), 760), new Holdings.Step(at(60), 460), new Holdings.Step(null, 10)), steps);
-    }
-
-    @Test
-    void whatNobodyAskedForOrIsTooMuchIsNotBelieved() {
-        settled(view(1, 0, 1), 60);
-        holdings.needs(9);
-        ground.demand.put(new MemberName("n1"), 0.0);
-        Borrow borrow = borrows(10);
-        holdings.heard(new Lent(teller(1), borrow.id() + 1, 300, 1_500_000), at(10.1));
-        holdings.heard(new Lent(teller(1), borrow.id(), 1_000_000, 1_500_000), at(10.1));
-        holdings.heard(new Lent(teller(1), borrow.id(), 300, 60_000_000), at(10.1));
-        holdings.heard(new Lent(teller(1), borrow.id(), -300, 1_500_000), at(10.1));
-        assertEquals(ALONE + 450, holdings.usable(at(10.1)));
-    }
-
-    @Test
-    void ofTheSameLenderTheLaterLoanTakesThePlaceOfTheFormer() {
-        settled(view(1, 0, 1), 60);
-        holdings.needs(9);
-        ground.demand.put(new MemberName("n1"), 0.0);
-        holdings.heard(new Lent(teller(1), borrows(10).id(), 300, 1_500_000), at(10.1));
-        Borrow again = borrows(11);
-        holdings.heard(new Lent(teller(1), again.id(), 100, 1_500_000), at(11.1));
-        assertEquals(ALONE + 450 + 100, holdings.usable(at(11.1)), "never both");
-    }
-
-    @Test
-    void ofWhomNothingIsKnownNothingIsAsked() {
-        settled(view(1, 0, 1, 2), 60);
-        holdings.needs(9);
-        assertEquals(List.of(), holdings.follow(at(10)));
-        ground.demand.put(new MemberName("n2"), 1.0);
-        assertEquals(member(2).address(), holdings.follow(at(11)).get(0).to());
-    }
-
-    @Test
-    void demandIsAMeanThatForgetsByHalves() {
-        Demand demand = new Demand(new Span(1_000_000));
-        assertEquals(0, demand.told(0, at(0)));
-        assertEquals(50, demand.told(50, at(1)), 1e-9, "it knows its rate by the first second alone");
-        for (int s = 2; s < 30; s++) {
-            demand.told(50 * s, at(s));
-        }
-        double sum = 50 * 29;
-        assertEquals(25, demand.told(sum, at(30)), 1e-6);
-        assertEquals(12.5, demand.told(sum, at(31)), 1e-6);
+  }
+
+  /** The process holds a view of so many for long enough, and the lease up to a moment. */
+  private void settled(View view, double leaseUntil) {
+    ground.view = view;
+    holdings.follow(at(0));
+    ground.lease = at(leaseUntil);
+  }
+
+  @Test
+  void withoutAViewOrALeaseThereIsTheLonePart() {
+    assertEquals(ALONE, holdings.usable(at(0)));
+    ground.view = view(1, 0, 1, 2);
+    holdings.follow(at(0));
+    assertEquals(ALONE, holdings.usable(at(60)), "no majority said that it is the newest");
+    ground.lease = at(61);
+    assertEquals(ALONE + SETTLED / 3, holdings.usable(at(60)));
+    assertEquals(
+        ALONE, holdings.usable(at(61)), "it ends with the lease, whatever is asked in between");
+  }
+
+  @Test
+  void aNewcomerHoldsNothingUntilAllLeasesBeforeHaveEnded() {
+    ground.view = view(4, 0, 1, 2);
+    ground.lease = at(9);
+    holdings.follow(at(1));
+    assertEquals(ALONE, holdings.usable(at(3.003)));
+    assertEquals(ALONE + SETTLED / 3, holdings.usable(at(3.005)));
+  }
+
+  @Test
+  void aPartShrinksAtOnceAndGrowsOnceAllLeasesBeforeHaveEnded() {
+    settled(view(1, 0, 1, 2), 60);
+    ground.view = view(2, 0, 1, 2, 3, 4);
+    holdings.follow(at(10));
+    assertEquals(
+        ALONE + SETTLED / 5,
+        holdings.usable(at(10)),
+        "others may hold their part of the larger view");
+    ground.view = view(3, 0, 1);
+    holdings.follow(at(20));
+    assertEquals(
+        ALONE + SETTLED / 5, holdings.usable(at(22)), "those taken out may hold theirs yet");
+    assertEquals(ALONE + SETTLED / 2, holdings.usable(at(22.01)));
+  }
+
+  @Test
+  void oneThatMissedAViewHoldsNothingForAWhile() {
+    settled(view(1, 0, 1, 2), 60);
+    ground.view = view(3, 0, 1, 2);
+    holdings.follow(at(10));
+    assertEquals(ALONE, holdings.usable(at(11)));
+    ground.view = null;
+    holdings.follow(at(20));
+    assertEquals(ALONE, holdings.usable(at(20)));
+    ground.view = view(4, 0, 1, 2);
+    holdings.follow(at(21));
+    assertEquals(ALONE, holdings.usable(at(22)));
+  }
+
+  private Lent asked(int by, long amount, double s) {
+    List<Holdings.Tell> tells = holdings.heard(new Borrow(teller(by), 99, amount), at(s));
+    assertEquals(1, tells.size());
+    return (Lent) tells.get(0).word();
+  }
+
+  @Test
+  void whatIsLentIsGoneUntilItEndsAndEndsBeforeTheLease() {
+    settled(view(1, 0, 1, 2), 11);
+    ground.demand.put(new MemberName("n1"), 9.0);
+    holdings.needs(0);
+    // Its target is a quarter of its even part, as it needs nothing.
+    Lent lent = asked(1, 1000, 10);
+    assertEquals(225, lent.amount());
+    assertTrue(
+        10_000_000 + lent.lastsUs() * 1.001 < 11_000_000,
+        "by a clock that runs slower it ends before the lease");
+    assertEquals(ALONE + 75, holdings.usable(at(10)));
+    ground.lease = at(20);
+    assertEquals(ALONE + 75, holdings.usable(at(10.99)));
+    assertEquals(ALONE + 300, holdings.usable(at(11)), "it comes back by itself");
+  }
+
+  @Test
+  void toTwoNoMoreIsLentThanThereIs() {
+    settled(view(1, 0, 1, 2), 60);
+    ground.demand.put(new MemberName("n1"), 9.0);
+    ground.demand.put(new MemberName("n2"), 9.0);
+    assertEquals(150, asked(1, 150, 10).amount());
+    assertEquals(75, asked(2, 150, 10).amount());
+    assertEquals(
+        0,
+        asked(2, 150, 10).amount() - 75,
+        "asked again, the same is said, and not lent once more");
+    assertEquals(0, asked(1, 0, 10).amount());
+    assertEquals(ALONE + 75, holdings.usable(at(10)));
+  }
+
+  @Test
+  void withoutALeaseNothingIsLent() {
+    settled(view(1, 0, 1, 2), 60);
+    ground.demand.put(new MemberName("n1"), 9.0);
+    ground.lease = at(9);
+    assertEquals(0, asked(1, 100, 10).amount());
+    assertEquals(
+        List.of(),
+        holdings.heard(new Borrow(teller(5), 1, 100), at(10)),
+        "nor anything to one outside the view");
+    Teller former =
+        new Teller(
+            new Member(new MemberName("n1"), new Birth(999), member(1).address()),
+            0,
+            ViewId.NONE,
+            true);
+    assertEquals(
+        List.of(),
+        holdings.heard(new Borrow(former, 1, 100), at(10)),
+        "nor to another process of its name");
+  }
+
+  private Borrow borrows(double s) {
+    List<Holdings.Tell> tells = holdings.follow(at(s));
+    assertEquals(1, tells.size(), tells.toString());
+    return (Borrow) tells.get(0).word();
+  }
+
+  @Test
+  void whatIsBorrowedCountsFromTheAskAndOnce() {
+    settled(view(1, 0, 1), 60);
+    holdings.needs(9);
+    ground.demand.put(new MemberName("n1"), 0.0);
+    Borrow borrow = borrows(10);
+    assertTrue(borrow.amount() > 300, borrow.toString());
+    Lent lent = new Lent(teller(1), borrow.id(), 300, 1_500_000);
+    holdings.heard(lent, at(10.4));
+    assertEquals(ALONE + 450 + 300, holdings.usable(at(10.4)));
+    holdings.heard(lent, at(10.5));
+    assertEquals(
+        ALONE + 450 + 300, holdings.usable(at(10.5)), "a message that comes twice counts once");
+    assertEquals(ALONE + 450, holdings.usable(at(11.5)), "1.5 s from the ask, not from the answer");
+    List<Holdings.Step> steps = holdings.steps(at(10.5));
+    assertEquals(
+        List.of(
+            new Holdings.Step(at(11.5), 760),
+            new Holdings.Step(at(60), 460),
+            new Holdings.Step(null, 10)),
+        steps);
+  }
+
+  @Test
+  void whatNobodyAskedForOrIsTooMuchIsNotBelieved() {
+    settled(view(1, 0, 1), 60);
+    holdings.needs(9);
+    ground.demand.put(new MemberName("n1"), 0.0);
+    Borrow borrow = borrows(10);
+    holdings.heard(new Lent(teller(1), borrow.id() + 1, 300, 1_500_000), at(10.1));
+    holdings.heard(new Lent(teller(1), borrow.id(), 1_000_000, 1_500_000), at(10.1));
+    holdings.heard(new Lent(teller(1), borrow.id(), 300, 60_000_000), at(10.1));
+    holdings.heard(new Lent(teller(1), borrow.id(), -300, 1_500_000), at(10.1));
+    assertEquals(ALONE + 450, holdings.usable(at(10.1)));
+  }
+
+  @Test
+  void ofTheSameLenderTheLaterLoanTakesThePlaceOfTheFormer() {
+    settled(view(1, 0, 1), 60);
+    holdings.needs(9);
+    ground.demand.put(new MemberName("n1"), 0.0);
+    holdings.heard(new Lent(teller(1), borrows(10).id(), 300, 1_500_000), at(10.1));
+    Borrow again = borrows(11);
+    holdings.heard(new Lent(teller(1), again.id(), 100, 1_500_000), at(11.1));
+    assertEquals(ALONE + 450 + 100, holdings.usable(at(11.1)), "never both");
+  }
+
+  @Test
+  void ofWhomNothingIsKnownNothingIsAsked() {
+    settled(view(1, 0, 1, 2), 60);
+    holdings.needs(9);
+    assertEquals(List.of(), holdings.follow(at(10)));
+    ground.demand.put(new MemberName("n2"), 1.0);
+    assertEquals(member(2).address(), holdings.follow(at(11)).get(0).to());
+  }
+
+  @Test
+  void demandIsAMeanThatForgetsByHalves() {
+    Demand demand = new Demand(new Span(1_000_000));
+    assertEquals(0, demand.told(0, at(0)));
+    assertEquals(50, demand.told(50, at(1)), 1e-9, "it knows its rate by the first second alone");
+    for (int s = 2; s < 30; s++) {
+      demand.told(50 * s, at(s));
     }
+    double sum = 50 * 29;
+    assertEquals(25, demand.told(sum, at(30)), 1e-6);
+    assertEquals(12.5, demand.told(sum, at(31)), 1e-6);
+  }
 }
--- a/src/test/java/cobaltseam/spread/ReportsTest.java
+++ b/src/test/java/cobaltseam/spread/ReportsTest.java
@@ -4,14 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.PriorityQueue;
-import java.util.SplittableRandom;
-
 import cobaltseam.dispatch.EngineId;
 import cobaltseam.dispatch.Moment;
 import cobaltseam.dispatch.Span;
@@ -24,144 +16,173 @@
 import cobaltseam.spread.ReportWord.AskReports;
 import cobaltseam.spread.ReportWord.Table;
 import cobaltseam.spread.Reports.Report;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
 /** What engines told, among members that a test joins. */
 class ReportsTest {
-    private static final Reports.Terms TERMS = new Reports.Terms(new Span(100_000), 1, new Span(3_000_000), 0.001);
-    private static final EngineId E = new EngineId(7);
-
-    private static Member member(int i) {
-        return new Member(new MemberName(String.format("n%03d", i)), new Birth(1), new InetSocketAddress("127.0.0.1", 1000 + i));
-    }
-
-    private static Teller teller(int i) {
-        return new Teller(member(i), 0, ViewId.NONE, true);
+  private static final Reports.Terms TERMS =
+      new Reports.Terms(new Span(100_000), 1, new Span(3_000_000), 0.001);
+  private static final EngineId E = new EngineId(7);
+
+  private static Member member(int i) {
+    return new Member(
+        new MemberName(String.format("n%03d", i)),
+        new Birth(1),
+        new InetSocketAddress("127.0.0.1", 1000 + i));
+  }
+
+  private static Teller teller(int i) {
+    return new Teller(member(i), 0, ViewId.NONE, true);
+  }
+
+  private static View view(int members) {
+    List<Member> of = new ArrayList<>();
+    for (int i = 0; i < members; i++) {
+      of.add(member(i));
     }
-
-    private static View view(int members) {
-        List<Member> of = new ArrayList<>();
-        for (int i = 0; i < members; i++) {
-            of.add(member(i));
-        }
-        return new View(new ViewId(1, 1), of, null);
+    return new View(new ViewId(1, 1), of, null);
+  }
+
+  private static Moment at(double s) {
+    return new Moment(Math.round(s * 1e6));
+  }
+
+  /** The id of an ask that member 0 has out. */
+  private static long asked(Reports reports, double s) {
+    for (double t = s; t < s + 5; t += 0.1) {
+      List<Reports.Tell> tells = reports.due(view(2), teller(0), at(t));
+      if (!tells.isEmpty()) {
+        return ((AskReports) tells.get(0).word()).id();
+      }
     }
-
-    private static Moment at(double s) {
-        return new Moment(Math.round(s * 1e6));
+    throw new AssertionError("nothing is asked");
+  }
+
+  private static Table table(int from, long id, int inHand, int ageMs) {
+    return new Table(
+        teller(from), id, new long[] {E.value()}, new int[] {inHand}, new int[] {ageMs});
+  }
+
+  @Test
+  void theYoungestCountsAndIsNewOnce() {
+    Reports reports = new Reports(TERMS, new SplittableRandom(1), at(0));
+    reports.told(new Report(E, 4, at(9.9)));
+    assertEquals(List.of(), reports.news(), "what was told here is no news");
+    long id = asked(reports, 10);
+    reports.heard(table(1, id, 9, 500), view(2), teller(0), at(10.6));
+    assertEquals(List.of(), reports.news(), "older than what is known");
+    id = asked(reports, 11);
+    reports.heard(table(1, id, 9, 1), view(2), teller(0), at(12));
+    List<Report> news = reports.news();
+    assertEquals(9, news.get(0).inHand());
+    assertTrue(news.get(0).at().before(at(12)), "its age counts from the ask, not from the answer");
+    assertEquals(List.of(), reports.news());
+  }
+
+  @Test
+  void whatNobodyAskedForTeachesNothing() {
+    Reports reports = new Reports(TERMS, new SplittableRandom(1), at(0));
+    long id = asked(reports, 10);
+    reports.heard(table(1, id + 1, 9, 1), view(2), teller(0), at(10.1));
+    reports.heard(table(5, id, 9, 1), view(2), teller(0), at(10.1));
+    reports.heard(table(0, id, 9, 1), view(2), teller(0), at(10.1));
+    reports.heard(table(1, id, -1, 1), view(2), teller(0), at(10.1));
+    assertEquals(0, reports.size());
+    reports.heard(table(1, id, 9, 1), view(2), teller(0), at(10.1));
+    assertEquals(0, reports.size(), "an answer counts once, though it was nonsense");
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> new Table(teller(1), 1, new long[2], new int[1], new int[2]));
+    assertThrows(
+        IllegalArgumentException.class,
+        () ->
+            new Table(
+                teller(1),
+                1,
+                new long[Reports.MOST + 1],
+                new int[Reports.MOST + 1],
+                new int[Reports.MOST + 1]));
+  }
+
+  @Test
+  void whatIsTooOldIsNothing() {
+    Reports reports = new Reports(TERMS, new SplittableRandom(1), at(0));
+    long id = asked(reports, 10);
+    reports.heard(table(1, id, 9, 3100), view(2), teller(0), at(10.1));
+    reports.heard(table(1, asked(reports, 11), 9, -4), view(2), teller(0), at(11.1));
+    assertEquals(0, reports.size());
+    reports.told(new Report(E, 4, at(12)));
+    reports.due(view(2), teller(0), at(15.1));
+    assertEquals(0, reports.size());
+  }
+
+  private record Late(double at, int to, ReportWord word) {}
+
+  @Test
+  void aHundredMembersKnowWhatOneWasToldAndNeverAsYoungerThanItIs() {
+    View view = view(100);
+    SplittableRandom chance = new SplittableRandom(3);
+    List<Reports> all = new ArrayList<>();
+    for (int i = 0; i < 100; i++) {
+      all.add(new Reports(TERMS, chance.split(), at(0)));
     }
-
-    /** The id of an ask that member 0 has out. */
-    private static long asked(Reports reports, double s) {
-        for (double t = s; t < s + 5; t += 0.1) {
-            List<Reports.Tell> tells = reports.due(view(2), teller(0), at(t));
-            if (!tells.isEmpty()) {
-                return ((AskReports) tells.get(0).word()).id();
-            }
+    Map<Integer, Double> toldAt = new HashMap<>();
+    PriorityQueue<Late> late = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
+    double ages = 0;
+    int looks = 0;
+    for (int ms = 0; ms < 6000; ms += 10) {
+      double s = 1 + ms / 1000.0;
+      if (ms % 50 == 0) {
+        // Each time another member is told another figure.
+        int figure = ms / 50;
+        toldAt.put(figure, s);
+        all.get(chance.nextInt(100)).told(new Report(E, figure, at(s)));
+      }
+      for (int i = 0; i < 100; i++) {
+        for (Reports.Tell tell : all.get(i).due(view, teller(i), at(s))) {
+          send(late, tell, s, chance);
         }
-        throw new AssertionError("nothing is asked");
-    }
-
-    private static Table table(int from, long id, int inHand, int ageMs) {
-        return new Table(teller(from), id, new long[] {E.value()}, new int[] {inHand}, new int[] {ageMs});
-    }
-
-    @Test
-    void theYoungestCountsAndIsNewOnce() {
-        Reports reports = new Reports(TERMS, new SplittableRandom(1), at(0));
-        reports.told(new Report(E, 4, at(9.9)));
-        assertEquals(List.of(), reports.news(), "what was told here is no news");
-        long id = asked(reports, 10);
-        reports.heard(table(1, id, 9, 500), view(2), teller(0), at(10.6));
-        assertEquals(List.of(), reports.news(), "older than what is known");
-        id = asked(reports, 11);
-        reports.heard(table(1, id, 9, 1), view(2), teller(0), at(12));
-        List<Report> news = reports.news();
-        assertEquals(9, news.get(0).inHand());
-        assertTrue(news.get(0).at().before(at(12)), "its age counts from the ask, not from the answer");
-        assertEquals(List.of(), reports.news());
-    }
-
-    @Test
-    void whatNobodyAskedForTeachesNothing() {
-        Reports reports = new Reports(TERMS, new SplittableRandom(1), at(0));
-        long id = asked(reports, 10);
-        reports.heard(table(1, id + 1, 9, 1), view(2), teller(0), at(10.1));
-        reports.heard(table(5, id, 9, 1), view(2), teller(0), at(10.1));
-        reports.heard(table(0, id, 9, 1), view(2), teller(0), at(10.1));
-        reports.heard(table(1, id, -1, 1), view(2), teller(0), at(10.1));
-        assertEquals(0, reports.size());
-        reports.heard(table(1, id, 9, 1), view(2), teller(0), at(10.1));
-        assertEquals(0, reports.size(), "an answer counts once, though it was nonsense");
-        assertThrows(IllegalArgumentException.class, () -> new Table(teller(1), 1, new long[2], new int[1], new int[2]));
-        assertThrows(IllegalArgumentException.class,
-                () -> new Table(teller(1), 1, new long[Reports.MOST + 1], new int[Reports.MOST + 1], new int[Reports.MOST + 1]));
-    }
-
-    @Test
-    void whatIsTooOldIsNothing() {
-        Reports reports = new Reports(TERMS, new SplittableRandom(1), at(0));
-        long id = asked(reports, 10);
-        reports.heard(table(1, id, 9, 3100), view(2), teller(0), at(10.1));
-        reports.heard(table(1, asked(reports, 11), 9, -4), view(2), teller(0), at(11.1));
-        assertEquals(0, reports.size());
-        reports.told(new Report(E, 4, at(12)));
-        reports.due(view(2), teller(0), at(15.1));
-        assertEquals(0, reports.size());
-    }
-
-    private record Late(double at, int to, ReportWord word) {
-    }
-
-    @Test
-    void aHundredMembersKnowWhatOneWasToldAndNeverAsYoungerThanItIs() {
-        View view = view(100);
-        SplittableRandom chance = new SplittableRandom(3);
-        List<Reports> all = new ArrayList<>();
-        for (int i = 0; i < 100; i++) {
-            all.add(new Reports(TERMS, chance.split(), at(0)));
+      }
+      while (!late.isEmpty() && late.peek().at <= s) {
+        Late l = late.poll();
+        for (Reports.Tell tell : all.get(l.to).heard(l.word, view, teller(l.to), at(s))) {
+          send(late, tell, s, chance);
         }
-        Map<Integer, Double> toldAt = new HashMap<>();
-        PriorityQueue<Late> late = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
-        double ages = 0;
-        int looks = 0;
-        for (int ms = 0; ms < 6000; ms += 10) {
-            double s = 1 + ms / 1000.0;
-            if (ms % 50 == 0) {
-                // Each time another member is told another figure.
-                int figure = ms / 50;
-                toldAt.put(figure, s);
-                all.get(chance.nextInt(100)).told(new Report(E, figure, at(s)));
-            }
-            for (int i = 0; i < 100; i++) {
-                for (Reports.Tell tell : all.get(i).due(view, teller(i), at(s))) {
-                    send(late, tell, s, chance);
-                }
-            }
-            while (!late.isEmpty() && late.peek().at <= s) {
-                Late l = late.poll();
-                for (Reports.Tell tell : all.get(l.to).heard(l.word, view, teller(l.to), at(s))) {
-                    send(late, tell, s, chance);
-                }
-            }
-            for (int i = 0; i < 100; i++) {
-                for (Report news : all.get(i).news()) {
-                    assertTrue(news.at().us() <= toldAt.get((int) news.inHand()) * 1e6, "told as younger than it is");
-                    if (ms > 2000) {
-                        ages += s - news.at().us() / 1e6;
-                        looks++;
-                    }
-                }
-            }
+      }
+      for (int i = 0; i < 100; i++) {
+        for (Report news : all.get(i).news()) {
+          assertTrue(
+              news.at().us() <= toldAt.get((int) news.inHand()) * 1e6,
+              "told as younger than it is");
+          if (ms > 2000) {
+            ages += s - news.at().us() / 1e6;
+            looks++;
+          }
         }
-        assertTrue(looks > 100 * 10, "each hears some a second: " + looks);
-        assertTrue(ages / looks < 1, "in rounds of 0.1 s news is younger than a second at the mean: " + ages / looks);
+      }
     }
-
-    /** A datagram may be lost, late or doubled. */
-    private static void send(PriorityQueue<Late> late, Reports.Tell tell, double s, SplittableRandom chance) {
-        for (int n = chance.nextInt(10) == 0 ? 0 : chance.nextInt(10) == 0 ? 2 : 1; n > 0; n--) {
-            late.add(new Late(s + chance.nextDouble() * chance.nextDouble() * 0.2, tell.to().getPort() - 1000, tell.word()));
-        }
+    assertTrue(looks > 100 * 10, "each hears some a second: " + looks);
+    assertTrue(
+        ages / looks < 1,
+        "in rounds of 0.1 s news is younger than a second at the mean: " + ages / looks);
+  }
+
+  /** A datagram may be lost, late or doubled. */
+  private static void send(
+      PriorityQueue<Late> late, Reports.Tell tell, double s, SplittableRandom chance) {
+    for (int n = chance.nextInt(10) == 0 ? 0 : chance.nextInt(10) == 0 ? 2 : 1; n > 0; n--) {
+      late.add(
+          new Late(
+              s + chance.nextDouble() * chance.nextDouble() * 0.2,
+              tell.to().getPort() - 1000,
+              tell.word()));
     }
+  }
 }
--- a/src/test/java/cobaltseam/standin/AdvertLink.java
+++ b/src/test/java/cobaltseam/standin/AdvertLink.java
@@ -13,95 +13,98 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The way of adverts from one dispatcher to another: loses, doubles, delays and so reorders them by chance from a seed, and
- * can be cut. The sender knows it as its peer's address, the receiver hears all from its address as the sender's.
+ * The way of adverts from one dispatcher to another: loses, doubles, delays and so reorders them by
+ * chance from a seed, and can be cut. The sender knows it as its peer's address, the receiver hears
+ * all from its address as the sender's.
  */
 public final class AdvertLink implements AutoCloseable {
-    /** What goes wrong on a link: shares from 0 to 1, and how late a late one may come. */
-    public record Fault(double lost, double doubled, double late, int lateMs) {
-        public static final Fault NONE = new Fault(0, 0, 0, 0);
+  /** What goes wrong on a link: shares from 0 to 1, and how late a late one may come. */
+  public record Fault(double lost, double doubled, double late, int lateMs) {
+    public static final Fault NONE = new Fault(0, 0, 0, 0);
 
-        public static Fault loss(double share) {
-            return new Fault(share, 0, 0, 0);
-        }
+    public static Fault loss(double share) {
+      return new Fault(share, 0, 0, 0);
     }
+  }
 
-    private final DatagramSocket in;
-    private final DatagramSocket out;
-    private final InetSocketAddress to;
-    private final SplittableRandom chance;
-    private final ScheduledExecutorService late = Executors.newSingleThreadScheduledExecutor(EngineStandIn::thread);
-    private final AtomicLong passed = new AtomicLong();
-    private volatile Fault fault = Fault.NONE;
-    private volatile boolean cut;
+  private final DatagramSocket in;
+  private final DatagramSocket out;
+  private final InetSocketAddress to;
+  private final SplittableRandom chance;
+  private final ScheduledExecutorService late =
+      Executors.newSingleThreadScheduledExecutor(EngineStandIn::thread);
+  private final AtomicLong passed = new AtomicLong();
+  private volatile Fault fault = Fault.NONE;
+  private volatile boolean cut;
 
-    /**
-     * @param hears where the sending dispatcher believes its peer to be
-     * @param speaks the address that the receiving dispatcher believes the sender to have
-     * @param to where the receiving dispatcher listens
-     */
-    public AdvertLink(InetSocketAddress hears, InetAddress speaks, InetSocketAddress to, long seed) throws IOException {
-        in = new DatagramSocket(hears);
-        out = new DatagramSocket(new InetSocketAddress(speaks, 0));
-        this.to = to;
-        chance = new SplittableRandom(seed);
-        EngineStandIn.thread(this::run).start();
-    }
+  /**
+   * @param hears where the sending dispatcher believes its peer to be
+   * @param speaks the address that the receiving dispatcher believes the sender to have
+   * @param to where the receiving dispatcher listens
+   */
+  public AdvertLink(InetSocketAddress hears, InetAddress speaks, InetSocketAddress to, long seed)
+      throws IOException {
+    in = new DatagramSocket(hears);
+    out = new DatagramSocket(new InetSocketAddress(speaks, 0));
+    this.to = to;
+    chance = new SplittableRandom(seed);
+    EngineStandIn.thread(this::run).start();
+  }
 
-    public void fault(Fault now) {
-        fault = now;
-    }
+  public void fault(Fault now) {
+    fault = now;
+  }
 
-    public void cut(boolean now) {
-        cut = now;
-    }
+  public void cut(boolean now) {
+    cut = now;
+  }
 
-    public long passed() {
-        return passed.get();
-    }
+  public long passed() {
+    return passed.get();
+  }
 
-    /** Says something in the sender's name. */
-    public void say(byte[] bytes) throws IOException {
-        out.send(new DatagramPacket(bytes, bytes.length, to));
-    }
+  /** Says something in the sender's name. */
+  public void say(byte[] bytes) throws IOException {
+    out.send(new DatagramPacket(bytes, bytes.length, to));
+  }
 
-    private void run() {
-        byte[] buffer = new byte[65_535];
-        while (!in.isClosed()) {
-            try {
-                DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
-                in.receive(packet);
-                byte[] bytes = Arrays.copyOf(buffer, packet.getLength());
-                Fault now = fault;
-                boolean lost = chance.nextDouble() < now.lost;
-                boolean twice = chance.nextDouble() < now.doubled;
-                int wait = chance.nextDouble() < now.late ? chance.nextInt(now.lateMs + 1) : 0;
-                if (lost || cut) {
-                    continue;
-                }
-                for (int i = 0; i < (twice ? 2 : 1); i++) {
-                    late.schedule(() -> pass(bytes), wait * (i + 1L), TimeUnit.MILLISECONDS);
-                }
-            } catch (IOException e) {
-                return;
-            }
+  private void run() {
+    byte[] buffer = new byte[65_535];
+    while (!in.isClosed()) {
+      try {
+        DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
+        in.receive(packet);
+        byte[] bytes = Arrays.copyOf(buffer, packet.getLength());
+        Fault now = fault;
+        boolean lost = chance.nextDouble() < now.lost;
+        boolean twice = chance.nextDouble() < now.doubled;
+        int wait = chance.nextDouble() < now.late ? chance.nextInt(now.lateMs + 1) : 0;
+        if (lost || cut) {
+          continue;
         }
-    }
-
-    private void pass(byte[] bytes) {
-        try {
-            say(bytes);
-            passed.incrementAndGet();
-        } catch (IOException e) {
-            // The receiver is gone for now; an advert is lost that way too.
-            passed.get();
+        for (int i = 0; i < (twice ? 2 : 1); i++) {
+          late.schedule(() -> pass(bytes), wait * (i + 1L), TimeUnit.MILLISECONDS);
         }
+      } catch (IOException e) {
+        return;
+      }
     }
+  }
 
-    @Override
-    public void close() {
-        in.close();
-        out.close();
-        late.shutdownNow();
+  private void pass(byte[] bytes) {
+    try {
+      say(bytes);
+      passed.incrementAndGet();
+    } catch (IOException e) {
+      // The receiver is gone for now; an advert is lost that way too.
+      passed.get();
     }
+  }
+
+  @Override
+  public void close() {
+    in.close();
+    out.close();
+    late.shutdownNow();
+  }
 }
--- a/src/test/java/cobaltseam/standin/BusStandIn.java
+++ b/src/test/java/cobaltseam/standin/BusStandIn.java
@@ -11,87 +11,91 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The event bus on loopback: tells each listener the events that it lacks, and every 200 ms the last number. */
+/**
+ * The event bus on loopback: tells each listener the events that it lacks, and every 200 ms the
+ * last number.
+ */
 public final class BusStandIn implements AutoCloseable {
-    private static final int BEAT_MS = 200;
+  private static final int BEAT_MS = 200;
 
-    private final ServerSocket server;
-    private final List<String> events = new ArrayList<>();
-    private volatile boolean silent;
+  private final ServerSocket server;
+  private final List<String> events = new ArrayList<>();
+  private volatile boolean silent;
 
-    public BusStandIn(String host) throws IOException {
-        server = new ServerSocket();
-        server.bind(new InetSocketAddress(InetAddress.getByName(host), 0), 64);
-        EngineStandIn.thread(this::accept).start();
-    }
+  public BusStandIn(String host) throws IOException {
+    server = new ServerSocket();
+    server.bind(new InetSocketAddress(InetAddress.getByName(host), 0), 64);
+    EngineStandIn.thread(this::accept).start();
+  }
 
-    public InetSocketAddress address() {
-        return (InetSocketAddress) server.getLocalSocketAddress();
-    }
+  public InetSocketAddress address() {
+    return (InetSocketAddress) server.getLocalSocketAddress();
+  }
 
-    /** One engine's line of an event. */
-    public static String target(int engine, InetSocketAddress at, String state) {
-        return "{\"uid\":\"s-%08x\",\"endpoint\":\"%s:%d\",\"az\":\"z\",\"model\":\"m\",\"state\":\"%s\",\"boot_ms\":0}"
-                .formatted(engine, at.getAddress().getHostAddress(), at.getPort(), state);
-    }
+  /** One engine's line of an event. */
+  public static String target(int engine, InetSocketAddress at, String state) {
+    return "{\"uid\":\"s-%08x\",\"endpoint\":\"%s:%d\",\"az\":\"z\",\"model\":\"m\",\"state\":\"%s\",\"boot_ms\":0}"
+        .formatted(engine, at.getAddress().getHostAddress(), at.getPort(), state);
+  }
 
-    /** Tells an event from now on; its text, for a configuration that knows it already. */
-    public synchronized String tell(boolean whole, String... targets) {
-        events.add("{\"offset\":%d,\"topology\":{\"rev\":%d,\"all\":%b,\"targets\":[%s]}}".formatted(events.size() + 1,
-                events.size() + 1, whole, String.join(",", targets)));
-        notifyAll();
-        return events.get(events.size() - 1);
-    }
+  /** Tells an event from now on; its text, for a configuration that knows it already. */
+  public synchronized String tell(boolean whole, String... targets) {
+    events.add(
+        "{\"offset\":%d,\"topology\":{\"rev\":%d,\"all\":%b,\"targets\":[%s]}}"
+            .formatted(events.size() + 1, events.size() + 1, whole, String.join(",", targets)));
+    notifyAll();
+    return events.get(events.size() - 1);
+  }
 
-    /** From now on it says nothing, or speaks again. */
-    public synchronized void silent(boolean now) {
-        silent = now;
-        notifyAll();
-    }
+  /** From now on it says nothing, or speaks again. */
+  public synchronized void silent(boolean now) {
+    silent = now;
+    notifyAll();
+  }
 
-    private void accept() {
-        while (!server.isClosed()) {
-            try {
-                Socket socket = server.accept();
-                EngineStandIn.thread(() -> serve(socket)).start();
-            } catch (IOException e) {
-                return;
-            }
-        }
+  private void accept() {
+    while (!server.isClosed()) {
+      try {
+        Socket socket = server.accept();
+        EngineStandIn.thread(() -> serve(socket)).start();
+      } catch (IOException e) {
+        return;
+      }
     }
+  }
 
-    private void serve(Socket socket) {
-        try (socket) {
-            String asked = EngineStandIn.line(new DataInputStream(socket.getInputStream()));
-            int told = Integer.parseInt(asked.substring(asked.indexOf(' ') + 1));
-            OutputStream out = socket.getOutputStream();
-            while (true) {
-                StringBuilder text = new StringBuilder();
-                synchronized (this) {
-                    if (told == events.size()) {
-                        wait(BEAT_MS);
-                    }
-                    if (silent) {
-                        continue;
-                    }
-                    for (; told < events.size(); told++) {
-                        text.append(events.get(told)).append('\n');
-                    }
-                    text.append(told).append('\n');
-                }
-                out.write(text.toString().getBytes(StandardCharsets.UTF_8));
-                out.flush();
-            }
-        } catch (IOException e) {
-            // The listener is gone.
-            return;
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
+  private void serve(Socket socket) {
+    try (socket) {
+      String asked = EngineStandIn.line(new DataInputStream(socket.getInputStream()));
+      int told = Integer.parseInt(asked.substring(asked.indexOf(' ') + 1));
+      OutputStream out = socket.getOutputStream();
+      while (true) {
+        StringBuilder text = new StringBuilder();
+        synchronized (this) {
+          if (told == events.size()) {
+            wait(BEAT_MS);
+          }
+          if (silent) {
+            continue;
+          }
+          for (; told < events.size(); told++) {
+            text.append(events.get(told)).append('\n');
+          }
+          text.append(told).append('\n');
         }
+        out.write(text.toString().getBytes(StandardCharsets.UTF_8));
+        out.flush();
+      }
+    } catch (IOException e) {
+      // The listener is gone.
+      return;
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 
-    @Override
-    public void close() throws IOException {
-        server.close();
-    }
+  @Override
+  public void close() throws IOException {
+    server.close();
+  }
 }
--- a/src/test/java/cobaltseam/standin/ClientStandIn.java
+++ b/src/test/java/cobaltseam/standin/ClientStandIn.java
@@ -1,5 +1,6 @@
 package cobaltseam.standin;
 
+import cobaltseam.standin.Ledger.End;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -12,120 +13,126 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-import cobaltseam.standin.Ledger.End;
-
-/** One session of a client: simple queries one at a time, each with one ending that is told apart from all others. */
+/**
+ * One session of a client: simple queries one at a time, each with one ending that is told apart
+ * from all others.
+ */
 public final class ClientStandIn implements AutoCloseable {
-    private static final int CONNECT_MS = 1000;
+  private static final int CONNECT_MS = 1000;
 
-    private final Socket socket = new Socket();
-    private final DataInputStream in;
-    private final DataOutputStream out;
-    private String lastError = "";
+  private final Socket socket = new Socket();
+  private final DataInputStream in;
+  private final DataOutputStream out;
+  private String lastError = "";
 
-    public ClientStandIn(InetSocketAddress to, int waitMs) throws IOException {
-        try {
-            socket.connect(to, CONNECT_MS);
-            socket.setTcpNoDelay(true);
-            socket.setSoTimeout(waitMs);
-            in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
-            out = new DataOutputStream(socket.getOutputStream());
-            out.write(new byte[] {0, 0, 0, 9, 0, 3, 0, 0, 0});
-            read(null);
-        } catch (IOException e) {
-            socket.close();
-            throw e;
-        }
+  public ClientStandIn(InetSocketAddress to, int waitMs) throws IOException {
+    try {
+      socket.connect(to, CONNECT_MS);
+      socket.setTcpNoDelay(true);
+      socket.setSoTimeout(waitMs);
+      in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
+      out = new DataOutputStream(socket.getOutputStream());
+      out.write(new byte[] {0, 0, 0, 9, 0, 3, 0, 0, 0});
+      read(null);
+    } catch (IOException e) {
+      socket.close();
+      throw e;
     }
+  }
 
-    /** Writes a command and waits for its ending. */
-    public End command(String call, String profile, int ttlMs) {
-        return command(call, profile, ttlMs, 50);
-    }
+  /** Writes a command and waits for its ending. */
+  public End command(String call, String profile, int ttlMs) {
+    return command(call, profile, ttlMs, 50);
+  }
 
-    public End command(String call, String profile, int ttlMs, int workMs) {
-        try {
-            begin(call, profile, ttlMs, workMs);
-        } catch (IOException e) {
-            return End.CUT;
-        }
-        return ending();
+  public End command(String call, String profile, int ttlMs, int workMs) {
+    try {
+      begin(call, profile, ttlMs, workMs);
+    } catch (IOException e) {
+      return End.CUT;
     }
+    return ending();
+  }
 
-    /** Writes a command. */
-    public void begin(String call, String profile, int ttlMs, int workMs) throws IOException {
-        write("/* op=%s,call=%s,ttl=%d,org=acme,work=%d.0 */ SELECT a FROM s_1.t".formatted(profile, call, ttlMs, workMs));
-    }
+  /** Writes a command. */
+  public void begin(String call, String profile, int ttlMs, int workMs) throws IOException {
+    write(
+        "/* op=%s,call=%s,ttl=%d,org=acme,work=%d.0 */ SELECT a FROM s_1.t"
+            .formatted(profile, call, ttlMs, workMs));
+  }
 
-    /** Waits for the ending of the command that was written last. */
-    public End ending() {
-        try {
-            return read(null);
-        } catch (SocketTimeoutException e) {
-            return End.SILENT;
-        } catch (IOException e) {
-            return End.CUT;
-        }
+  /** Waits for the ending of the command that was written last. */
+  public End ending() {
+    try {
+      return read(null);
+    } catch (SocketTimeoutException e) {
+      return End.SILENT;
+    } catch (IOException e) {
+      return End.CUT;
     }
+  }
 
-    /** What SHOW cobaltseam.NAME tells. */
-    public Map<String, String> show(String name) throws IOException {
-        write("SHOW cobaltseam." + name);
-        Map<String, String> rows = new LinkedHashMap<>();
-        read(rows);
-        return rows;
-    }
+  /** What SHOW cobaltseam.NAME tells. */
+  public Map<String, String> show(String name) throws IOException {
+    write("SHOW cobaltseam." + name);
+    Map<String, String> rows = new LinkedHashMap<>();
+    read(rows);
+    return rows;
+  }
 
-    /** The SQLSTATE and text of the last error. */
-    public String lastError() {
-        return lastError;
-    }
+  /** The SQLSTATE and text of the last error. */
+  public String lastError() {
+    return lastError;
+  }
 
-    private void write(String text) throws IOException {
-        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        ByteArrayOutputStream whole = new ByteArrayOutputStream();
-        DataOutputStream to = new DataOutputStream(whole);
-        to.write('Q');
-        to.writeInt(bytes.length + 5);
-        to.write(bytes);
-        to.write(0);
-        out.write(whole.toByteArray());
-    }
+  private void write(String text) throws IOException {
+    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    ByteArrayOutputStream whole = new ByteArrayOutputStream();
+    DataOutputStream to = new DataOutputStream(whole);
+    to.write('Q');
+    to.writeInt(bytes.length + 5);
+    to.write(bytes);
+    to.write(0);
+    out.write(whole.toByteArray());
+  }
 
-    private End read(Map<String, String> rows) throws IOException {
-        End end = End.CUT;
-        while (true) {
-            char type = (char) in.readByte();
-            byte[] body = in.readNBytes(in.readInt() - 4);
-            switch (type) {
-                case 'Z' -> {
-                    return end;
-                }
-                case 'C' -> end = End.ANSWERED;
-                case 'D' -> {
-                    if (rows != null) {
-                        DataInputStream row = new DataInputStream(new java.io.ByteArrayInputStream(body));
-                        row.readShort();
-                        String name = new String(row.readNBytes(row.readInt()), StandardCharsets.UTF_8);
-                        rows.put(name, new String(row.readNBytes(row.readInt()), StandardCharsets.UTF_8));
-                    }
-                }
-                case 'E' -> {
-                    String text = new String(body, StandardCharsets.UTF_8);
-                    String state = text.substring(text.indexOf("\0C") + 2, text.indexOf("\0C") + 7);
-                    lastError = state + " " + text.substring(text.indexOf("\0M") + 2).strip();
-                    end = state.equals("57P03") ? End.TURNED_AWAY : state.startsWith("53") ? End.SHED : End.FAILED;
-                    if (text.startsWith("SFATAL")) {
-                        return end;
-                    }
-                }
-                default -> { }
-            }
+  private End read(Map<String, String> rows) throws IOException {
+    End end = End.CUT;
+    while (true) {
+      char type = (char) in.readByte();
+      byte[] body = in.readNBytes(in.readInt() - 4);
+      switch (type) {
+        case 'Z' -> {
+          return end;
         }
+        case 'C' -> end = End.ANSWERED;
+        case 'D' -> {
+          if (rows != null) {
+            DataInputStream row = new DataInputStream(new java.io.ByteArrayInputStream(body));
+            row.readShort();
+            String name = new String(row.readNBytes(row.readInt()), StandardCharsets.UTF_8);
+            rows.put(name, new String(row.readNBytes(row.readInt()), StandardCharsets.UTF_8));
+          }
+        }
+        case 'E' -> {
+          String text = new String(body, StandardCharsets.UTF_8);
+          String state = text.substring(text.indexOf("\0C") + 2, text.indexOf("\0C") + 7);
+          lastError = state + " " + text.substring(text.indexOf("\0M") + 2).strip();
+          end =
+              state.equals("57P03")
+                  ? End.TURNED_AWAY
+                  : state.startsWith("53") ? End.SHED : End.FAILED;
+          if (text.startsWith("SFATAL")) {
+            return end;
+          }
+        }
+        default -> {}
+      }
     }
+  }
 
-    @Override
-    public void close() throws IOException {
-        socket.close();
-    }
+  @Override
+  public void close() throws IOException {
+    socket.close();
+  }
 }
--- a/src/test/java/cobaltseam/standin/DispatcherProcess.java
+++ b/src/test/java/cobaltseam/standin/DispatcherProcess.java
@@ -1,5 +1,6 @@
 package cobaltseam.standin;
 
+import cobaltseam.Main;
 import java.io.BufferedReader;
 import java.io.File;
 import java.io.IOException;
@@ -14,27 +15,33 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-import cobaltseam.Main;
-
 /** A real dispatcher in a process of its own: started, killed, frozen, ended, and started anew. */
 public final class DispatcherProcess implements AutoCloseable {
-    private final Path folder;
-    private final Path own;
-    private final List<String> log = new ArrayList<>();
-    private Process process;
-
-    /** @param own the own file, or null */
-    public DispatcherProcess(Path folder, String configuration, String own) throws IOException {
-        this.folder = folder;
-        Files.createDirectories(folder);
-        Files.writeString(folder.resolve("config.json"), configuration);
-        this.own = own == null ? null : Files.writeString(folder.resolve("cobaltseam.toml"), own);
-    }
-
-    /** The platform's configuration with a replayable, a uniqued and a non-replayable profile. */
-    public static String configuration(String name, InetSocketAddress listen, int position, int dispatchers, int cores,
-                                       BusStandIn bus, String known) {
-        return """
+  private final Path folder;
+  private final Path own;
+  private final List<String> log = new ArrayList<>();
+  private Process process;
+
+  /**
+   * @param own the own file, or null
+   */
+  public DispatcherProcess(Path folder, String configuration, String own) throws IOException {
+    this.folder = folder;
+    Files.createDirectories(folder);
+    Files.writeString(folder.resolve("config.json"), configuration);
+    this.own = own == null ? null : Files.writeString(folder.resolve("cobaltseam.toml"), own);
+  }
+
+  /** The platform's configuration with a replayable, a uniqued and a non-replayable profile. */
+  public static String configuration(
+      String name,
+      InetSocketAddress listen,
+      int position,
+      int dispatchers,
+      int cores,
+      BusStandIn bus,
+      String known) {
+    return """
                 {"name":"%s","listen":"%s:%d","seed":"8c1f30d27a5be96%d","limits":{"sockets":512,"memory_mb":128},
                 "bus":"%s:%d","known":{"offset":1,"batch":[%s]},"settings":{"balancers":%d,"position":%d,"tick_us":5000,
                 "classes":[{"name":"look","aim_us":500000,"hard_limit_us":3000000,"repeat":"read_like","late_value":0.5},
@@ -46,137 +53,165 @@
                 "load_report":{"fields":["pending","busy_reqs"],"how":"answers"},
                 "limits":{"most_tries":3,"cancel":true,"retry_after":true,"max_retry_after_us":500000,
                 "connect_timeout_us":250000,"conn_idle_us":30000000,"streams_per_conn":32}}}
-                """.formatted(name, listen.getAddress().getHostAddress(), listen.getPort(), position,
-                bus.address().getAddress().getHostAddress(), bus.address().getPort(), known, dispatchers, position, cores);
-    }
-
-    /** Starts it, and returns at once. */
-    public void start() throws IOException {
-        start(List.of());
-    }
-
-    /** Starts it as one whose parent ignores SIGHUP does, by nohup for instance. */
-    public void startDeaf() throws IOException {
-        start(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
-    }
-
-    private void start(List<String> before) throws IOException {
-        List<String> line = new ArrayList<>(before);
-        line.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp", System.getProperty("java.class.path"),
-                Main.class.getName(), "serve"));
-        if (own != null) {
-            line.addAll(List.of("--config", own.toString()));
-        }
-        ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true);
-        builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
-        builder.environment().keySet().removeAll(List.of("GW_NAME", "GW_LISTEN", "COBALTSEAM_CONFIG"));
-        process = builder.start();
-        Process started = process;
-        EngineStandIn.thread(() -> {
-            try (BufferedReader reader = new BufferedReader(new InputStreamReader(started.getInputStream(), StandardCharsets.UTF_8))) {
+                """
+        .formatted(
+            name,
+            listen.getAddress().getHostAddress(),
+            listen.getPort(),
+            position,
+            bus.address().getAddress().getHostAddress(),
+            bus.address().getPort(),
+            known,
+            dispatchers,
+            position,
+            cores);
+  }
+
+  /** Starts it, and returns at once. */
+  public void start() throws IOException {
+    start(List.of());
+  }
+
+  /** Starts it as one whose parent ignores SIGHUP does, by nohup for instance. */
+  public void startDeaf() throws IOException {
+    start(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
+  }
+
+  private void start(List<String> before) throws IOException {
+    List<String> line = new ArrayList<>(before);
+    line.addAll(
+        List.of(
+            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-Xmx64m",
+            "-cp",
+            System.getProperty("java.class.path"),
+            Main.class.getName(),
+            "serve"));
+    if (own != null) {
+      line.addAll(List.of("--config", own.toString()));
+    }
+    ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true);
+    builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
+    builder.environment().keySet().removeAll(List.of("GW_NAME", "GW_LISTEN", "COBALTSEAM_CONFIG"));
+    process = builder.start();
+    Process started = process;
+    EngineStandIn.thread(
+            () -> {
+              try (BufferedReader reader =
+                  new BufferedReader(
+                      new InputStreamReader(started.getInputStream(), StandardCharsets.UTF_8))) {
                 for (String text = reader.readLine(); text != null; text = reader.readLine()) {
-                    synchronized (log) {
-                        log.add(text);
-                        log.notifyAll();
-                    }
+                  synchronized (log) {
+                    log.add(text);
+                    log.notifyAll();
+                  }
                 }
-            } catch (IOException e) {
+              } catch (IOException e) {
                 // It was killed; its log ends there.
                 return;
-            }
-        }).start();
-    }
-
-    /** Waits until a line that holds this text has been logged, from a line of the log on; the line after it. */
-    public int await(String text, int from, long withinMs) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
-        synchronized (log) {
-            for (int i = from; ; i++) {
-                while (i >= log.size()) {
-                    long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
-                    if (left <= 0) {
-                        throw new AssertionError("no line with '" + text + "' in:\n" + String.join("\n", log));
-                    }
-                    log.wait(left);
-                }
-                if (log.get(i).contains(text)) {
-                    return i + 1;
-                }
-            }
-        }
-    }
-
-    public int lines() {
-        synchronized (log) {
-            return log.size();
-        }
-    }
-
-    public String log() {
-        synchronized (log) {
-            return String.join("\n", log);
-        }
-    }
-
-    public boolean isAlive() {
-        return process != null && process.isAlive();
-    }
-
-    public void kill() throws InterruptedException {
-        process.destroyForcibly().waitFor();
-    }
-
-    /** SIGTERM; the counters that it prints at its end. */
-    public Map<String, Long> end() throws IOException, InterruptedException {
-        int from = lines();
-        signal("TERM");
-        return ended(from);
-    }
-
-    /** Waits until it has ended; the counters that it printed behind this line of its log. */
-    public Map<String, Long> ended(int from) throws InterruptedException {
-        if (!process.waitFor(20, TimeUnit.SECONDS)) {
-            throw new AssertionError("it does not end:\n" + log());
-        }
-        await("counters ", from, 5000);
-        Map<String, Long> counters = new HashMap<>();
-        String line = log().lines().filter(l -> l.startsWith("counters ")).reduce((a, b) -> b).orElseThrow();
-        for (String pair : line.substring("counters ".length()).split(" ")) {
-            counters.put(pair.substring(0, pair.indexOf('=')), Long.parseLong(pair.substring(pair.indexOf('=') + 1)));
+              }
+            })
+        .start();
+  }
+
+  /**
+   * Waits until a line that holds this text has been logged, from a line of the log on; the line
+   * after it.
+   */
+  public int await(String text, int from, long withinMs) throws InterruptedException {
+    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
+    synchronized (log) {
+      for (int i = from; ; i++) {
+        while (i >= log.size()) {
+          long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
+          if (left <= 0) {
+            throw new AssertionError("no line with '" + text + "' in:\n" + String.join("\n", log));
+          }
+          log.wait(left);
         }
-        return counters;
-    }
-
-    public void signal(String name) throws IOException, InterruptedException {
-        if (new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor() != 0) {
-            throw new AssertionError("no signal " + name);
+        if (log.get(i).contains(text)) {
+          return i + 1;
         }
-    }
-
-    /** Processor time that it has taken, in milliseconds. */
-    public double processorMs() {
-        return process.toHandle().info().totalCpuDuration().orElseThrow().toNanos() / 1e6;
-    }
-
-    /** The platform's configuration from now on; it counts from the next SIGHUP or start. */
-    public void configured(String text) throws IOException {
-        Files.writeString(folder.resolve("config.json"), text);
-    }
-
-    /** The own file from now on; it counts from the next SIGHUP or start. */
-    public void own(String text) throws IOException {
-        Files.writeString(own, text);
-    }
-
-    public File folder() {
-        return folder.toFile();
-    }
-
-    @Override
-    public void close() {
-        if (process != null) {
-            process.destroyForcibly();
-        }
-    }
+      }
+    }
+  }
+
+  public int lines() {
+    synchronized (log) {
+      return log.size();
+    }
+  }
+
+  public String log() {
+    synchronized (log) {
+      return String.join("\n", log);
+    }
+  }
+
+  public boolean isAlive() {
+    return process != null && process.isAlive();
+  }
+
+  public void kill() throws InterruptedException {
+    process.destroyForcibly().waitFor();
+  }
+
+  /** SIGTERM; the counters that it prints at its end. */
+  public Map<String, Long> end() throws IOException, InterruptedException {
+    int from = lines();
+    signal("TERM");
+    return ended(from);
+  }
+
+  /** Waits until it has ended; the counters that it printed behind this line of its log. */
+  public Map<String, Long> ended(int from) throws InterruptedException {
+    if (!process.waitFor(20, TimeUnit.SECONDS)) {
+      throw new AssertionError("it does not end:\n" + log());
+    }
+    await("counters ", from, 5000);
+    Map<String, Long> counters = new HashMap<>();
+    String line =
+        log().lines().filter(l -> l.startsWith("counters ")).reduce((a, b) -> b).orElseThrow();
+    for (String pair : line.substring("counters ".length()).split(" ")) {
+      counters.put(
+          pair.substring(0, pair.indexOf('=')),
+          Long.parseLong(pair.substring(pair.indexOf('=') + 1)));
+    }
+    return counters;
+  }
+
+  public void signal(String name) throws IOException, InterruptedException {
+    if (new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor()
+        != 0) {
+      throw new AssertionError("no signal " + name);
+    }
+  }
+
+  /** Processor time that it has taken, in milliseconds. */
+  public double processorMs() {
+    return process.toHandle().info().totalCpuDuration().orElseThrow().toNanos() / 1e6;
+  }
+
+  /** The platform's configuration from now on; it counts from the next SIGHUP or start. */
+  public void configured(String text) throws IOException {
+    Files.writeString(folder.resolve("config.json"), text);
+  }
+
+  /** The own file from now on; it counts from the next SIGHUP or start. */
+  public void own(String text) throws IOException {
+    Files.writeString(own, text);
+  }
+
+  public File folder() {
+    return folder.toFile();
+  }
+
+  @Override
+  public void close() {
+    if (process != null) {
+      process.destroyForcibly();
+    }
+  }
 }
--- a/src/test/java/cobaltseam/standin/EngineStandIn.java
+++ b/src/test/java/cobaltseam/standin/EngineStandIn.java
@@ -26,183 +26,205 @@
 import java.util.function.ToLongFunction;
 
 /**
- * An engine on loopback: runs every statement for as long as it is told to, answers with one page, gives up what is open
- * on a connection that closes, and keeps a ledger of what ran, how often, and how many ran at once.
+ * An engine on loopback: runs every statement for as long as it is told to, answers with one page,
+ * gives up what is open on a connection that closes, and keeps a ledger of what ran, how often, and
+ * how many ran at once.
  */
 public final class EngineStandIn implements AutoCloseable {
-    /** What an engine saw of one command: how often it began to run it, and how often it ran to the end. */
-    public record Ran(AtomicInteger begun, AtomicInteger done) {
-    }
-
-    private final ServerSocket server;
-    private final ToLongFunction<String> millis;
-    private final ScheduledExecutorService work = Executors.newScheduledThreadPool(2, EngineStandIn::thread);
-    private final Map<String, Ran> ledger = new ConcurrentHashMap<>();
-    private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger running = new AtomicInteger();
-    private final AtomicInteger most = new AtomicInteger();
-    private volatile boolean failing;
-
-    /** @param millis how long a command of a profile runs */
-    public EngineStandIn(String host, ToLongFunction<String> millis) throws IOException {
-        this.millis = millis;
-        server = new ServerSocket();
-        server.bind(new InetSocketAddress(InetAddress.getByName(host), 0), 256);
-        thread(this::accept).start();
-    }
-
-    static Thread thread(Runnable task) {
-        Thread thread = new Thread(task, "stand-in");
-        thread.setDaemon(true);
-        return thread;
-    }
-
-    public InetSocketAddress address() {
-        return (InetSocketAddress) server.getLocalSocketAddress();
-    }
-
-    public Map<String, Ran> ledger() {
-        return ledger;
-    }
-
-    /** The most commands that ran at once since this was last asked. */
-    public int most() {
-        return most.getAndSet(running.get());
-    }
-
-    /** From now on every statement fails at once, after it began; or none does. */
-    public void failing(boolean now) {
-        failing = now;
-    }
-
-    public int running() {
-        return running.get();
-    }
-
-    private void accept() {
-        while (!server.isClosed()) {
-            try {
-                Socket socket = server.accept();
-                socket.setTcpNoDelay(true);
-                sockets.add(socket);
-                thread(() -> serve(socket)).start();
-            } catch (IOException e) {
-                return;
-            }
+  /**
+   * What an engine saw of one command: how often it began to run it, and how often it ran to the
+   * end.
+   */
+  public record Ran(AtomicInteger begun, AtomicInteger done) {}
+
+  private final ServerSocket server;
+  private final ToLongFunction<String> millis;
+  private final ScheduledExecutorService work =
+      Executors.newScheduledThreadPool(2, EngineStandIn::thread);
+  private final Map<String, Ran> ledger = new ConcurrentHashMap<>();
+  private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
+  private final AtomicInteger running = new AtomicInteger();
+  private final AtomicInteger most = new AtomicInteger();
+  private volatile boolean failing;
+
+  /**
+   * @param millis how long a command of a profile runs
+   */
+  public EngineStandIn(String host, ToLongFunction<String> millis) throws IOException {
+    this.millis = millis;
+    server = new ServerSocket();
+    server.bind(new InetSocketAddress(InetAddress.getByName(host), 0), 256);
+    thread(this::accept).start();
+  }
+
+  static Thread thread(Runnable task) {
+    Thread thread = new Thread(task, "stand-in");
+    thread.setDaemon(true);
+    return thread;
+  }
+
+  public InetSocketAddress address() {
+    return (InetSocketAddress) server.getLocalSocketAddress();
+  }
+
+  public Map<String, Ran> ledger() {
+    return ledger;
+  }
+
+  /** The most commands that ran at once since this was last asked. */
+  public int most() {
+    return most.getAndSet(running.get());
+  }
+
+  /** From now on every statement fails at once, after it began; or none does. */
+  public void failing(boolean now) {
+    failing = now;
+  }
+
+  public int running() {
+    return running.get();
+  }
+
+  private void accept() {
+    while (!server.isClosed()) {
+      try {
+        Socket socket = server.accept();
+        socket.setTcpNoDelay(true);
+        sockets.add(socket);
+        thread(() -> serve(socket)).start();
+      } catch (IOException e) {
+        return;
+      }
+    }
+  }
+
+  private void serve(Socket socket) {
+    Map<String, ScheduledFuture<?>> open = new ConcurrentHashMap<>();
+    try (socket) {
+      DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
+      OutputStream out = socket.getOutputStream();
+      while (true) {
+        List<String> items = items(in);
+        String id = items.get(1);
+        switch (items.get(0)) {
+          case "PULL" -> pull(open, out, id, items.get(2));
+          case "KILL" -> giveUp(open.remove(id));
+          case "ECHO" -> say(out, id, "alive", "-", "");
+          default -> {}
         }
-    }
-
-    private void serve(Socket socket) {
-        Map<String, ScheduledFuture<?>> open = new ConcurrentHashMap<>();
-        try (socket) {
-            DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
-            OutputStream out = socket.getOutputStream();
-            while (true) {
-                List<String> items = items(in);
-                String id = items.get(1);
-                switch (items.get(0)) {
-                    case "PULL" -> pull(open, out, id, items.get(2));
-                    case "KILL" -> giveUp(open.remove(id));
-                    case "ECHO" -> say(out, id, "alive", "-", "");
-                    default -> { }
-                }
-            }
-        } catch (IOException e) {
-            // The other side is gone; so is what it had open.
-            open.values().forEach(this::giveUp);
-        } finally {
-            sockets.remove(socket);
-        }
-    }
-
-    private void pull(Map<String, ScheduledFuture<?>> open, OutputStream out, String id, String fields) {
-        Ran ran = ledger.computeIfAbsent(id, i -> new Ran(new AtomicInteger(), new AtomicInteger()));
-        ran.begun.incrementAndGet();
-        if (failing) {
-            try {
-                say(out, id, "500", "-", "");
-            } catch (IOException e) {
-                // Nobody hears it.
-                ran.done.get();
-            }
-            return;
-        }
-        int now = running.incrementAndGet();
-        most.accumulateAndGet(now, Math::max);
-        String profile = Arrays.stream(fields.split(",")).filter(f -> f.startsWith("lane=")).findFirst().orElse("lane=").substring(5);
-        long wait = millis.applyAsLong(profile);
-        open.put(id, work.schedule(() -> {
-            if (open.remove(id) == null) {
+      }
+    } catch (IOException e) {
+      // The other side is gone; so is what it had open.
+      open.values().forEach(this::giveUp);
+    } finally {
+      sockets.remove(socket);
+    }
+  }
+
+  private void pull(
+      Map<String, ScheduledFuture<?>> open, OutputStream out, String id, String fields) {
+    Ran ran = ledger.computeIfAbsent(id, i -> new Ran(new AtomicInteger(), new AtomicInteger()));
+    ran.begun.incrementAndGet();
+    if (failing) {
+      try {
+        say(out, id, "500", "-", "");
+      } catch (IOException e) {
+        // Nobody hears it.
+        ran.done.get();
+      }
+      return;
+    }
+    int now = running.incrementAndGet();
+    most.accumulateAndGet(now, Math::max);
+    String profile =
+        Arrays.stream(fields.split(","))
+            .filter(f -> f.startsWith("lane="))
+            .findFirst()
+            .orElse("lane=")
+            .substring(5);
+    long wait = millis.applyAsLong(profile);
+    open.put(
+        id,
+        work.schedule(
+            () -> {
+              if (open.remove(id) == null) {
                 return;
-            }
-            running.decrementAndGet();
-            ran.done.incrementAndGet();
-            try {
-                say(out, id, "200", "pages=1,rep=pending:0;busy_reqs:" + running.get(), "a\t" + id + "\tx\n");
-            } catch (IOException e) {
+              }
+              running.decrementAndGet();
+              ran.done.incrementAndGet();
+              try {
+                say(
+                    out,
+                    id,
+                    "200",
+                    "pages=1,rep=pending:0;busy_reqs:" + running.get(),
+                    "a\t" + id + "\tx\n");
+              } catch (IOException e) {
                 // Nobody hears the answer; it ran all the same.
                 ran.done.get();
-            }
-        }, wait, TimeUnit.MILLISECONDS));
-    }
-
-    private void giveUp(ScheduledFuture<?> future) {
-        if (future != null && future.cancel(false)) {
-            running.decrementAndGet();
-        }
-    }
-
-    static List<String> items(DataInputStream in) throws IOException {
-        List<String> items = new ArrayList<>();
-        for (int left = Integer.parseInt(line(in).substring(1)); left > 0; left--) {
-            byte[] item = in.readNBytes(Integer.parseInt(line(in).substring(1)));
-            line(in);
-            items.add(new String(item, StandardCharsets.UTF_8));
-        }
-        return items;
-    }
-
-    static String line(DataInputStream in) throws IOException {
-        StringBuilder line = new StringBuilder();
-        for (char c = (char) in.readUnsignedByte(); c != '\n'; c = (char) in.readUnsignedByte()) {
-            line.append(c);
-        }
-        return line.toString().strip();
-    }
-
-    private static void say(OutputStream out, String... items) throws IOException {
-        StringBuilder text = new StringBuilder("*" + items.length + "\r\n");
-        for (String item : items) {
-            text.append('$').append(item.length()).append("\r\n").append(item).append("\r\n");
-        }
-        synchronized (out) {
-            out.write(text.toString().getBytes(StandardCharsets.UTF_8));
-            out.flush();
-        }
-    }
-
-    /** Ends every connection, as a process that dies does. */
-    public void reset() throws IOException {
-        for (Socket socket : new HashSet<>(sockets)) {
-            try {
-                socket.setSoLinger(true, 0);
-                socket.close();
-            } catch (SocketException e) {
-                // The other side closed it just now.
-                sockets.remove(socket);
-            }
-        }
-    }
-
-    /** A time around a mean, shared by all that need one: half to one and a half times as long. */
-    public static long around(long millis) {
-        return millis / 2 + ThreadLocalRandom.current().nextLong(millis + 1);
-    }
-
-    @Override
-    public void close() throws IOException {
-        server.close();
-        reset();
-        work.shutdownNow();
-    }
+              }
+            },
+            wait,
+            TimeUnit.MILLISECONDS));
+  }
+
+  private void giveUp(ScheduledFuture<?> future) {
+    if (future != null && future.cancel(false)) {
+      running.decrementAndGet();
+    }
+  }
+
+  static List<String> items(DataInputStream in) throws IOException {
+    List<String> items = new ArrayList<>();
+    for (int left = Integer.parseInt(line(in).substring(1)); left > 0; left--) {
+      byte[] item = in.readNBytes(Integer.parseInt(line(in).substring(1)));
+      line(in);
+      items.add(new String(item, StandardCharsets.UTF_8));
+    }
+    return items;
+  }
+
+  static String line(DataInputStream in) throws IOException {
+    StringBuilder line = new StringBuilder();
+    for (char c = (char) in.readUnsignedByte(); c != '\n'; c = (char) in.readUnsignedByte()) {
+      line.append(c);
+    }
+    return line.toString().strip();
+  }
+
+  private static void say(OutputStream out, String... items) throws IOException {
+    StringBuilder text = new StringBuilder("*" + items.length + "\r\n");
+    for (String item : items) {
+      text.append('$').append(item.length()).append("\r\n").append(item).append("\r\n");
+    }
+    synchronized (out) {
+      out.write(text.toString().getBytes(StandardCharsets.UTF_8));
+      out.flush();
+    }
+  }
+
+  /** Ends every connection, as a process that dies does. */
+  public void reset() throws IOException {
+    for (Socket socket : new HashSet<>(sockets)) {
+      try {
+        socket.setSoLinger(true, 0);
+        socket.close();
+      } catch (SocketException e) {
+        // The other side closed it just now.
+        sockets.remove(socket);
+      }
+    }
+  }
+
+  /** A time around a mean, shared by all that need one: half to one and a half times as long. */
+  public static long around(long millis) {
+    return millis / 2 + ThreadLocalRandom.current().nextLong(millis + 1);
+  }
+
+  @Override
+  public void close() throws IOException {
+    server.close();
+    reset();
+    work.shutdownNow();
+  }
 }
--- a/src/test/java/cobaltseam/standin/HallRig.java
+++ b/src/test/java/cobaltseam/standin/HallRig.java
@@ -1,5 +1,7 @@
 package cobaltseam.standin;
 
+import cobaltseam.standin.Ledger.End;
+import cobaltseam.standin.Ledger.Entry;
 import java.io.IOException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -12,91 +14,107 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-import cobaltseam.standin.Ledger.End;
-import cobaltseam.standin.Ledger.Entry;
-
 /**
- * A hall on loopback: two real dispatchers with one virtual router, the links of adverts between them, engines, a bus, and
- * clients that go to whichever of the two takes them, as the network would lead them to the virtual address.
+ * A hall on loopback: two real dispatchers with one virtual router, the links of adverts between
+ * them, engines, a bus, and clients that go to whichever of the two takes them, as the network
+ * would lead them to the virtual address.
  */
 public final class HallRig implements AutoCloseable {
-    /** What a hall is made of. */
-    public record Plan(int engines, int cores, long engineMs, int intervalMs, int[] priorities, boolean preempts, String more,
-                       long seed) {
-        public static Plan of(int intervalMs, long seed) {
-            return new Plan(2, 8, 20, intervalMs, new int[] {150, 100}, true, "", seed);
-        }
+  /** What a hall is made of. */
+  public record Plan(
+      int engines,
+      int cores,
+      long engineMs,
+      int intervalMs,
+      int[] priorities,
+      boolean preempts,
+      String more,
+      long seed) {
+    public static Plan of(int intervalMs, long seed) {
+      return new Plan(2, 8, 20, intervalMs, new int[] {150, 100}, true, "", seed);
     }
+  }
 
-    private static final int ROVES_AFTER = 10;
-    private static final String PREFIX = "127.0.77.";
-    private static final AtomicInteger HOSTS = new AtomicInteger(ProcessHandle.current().pid() % 2 == 0 ? 1 : 120);
-
-    public final List<EngineStandIn> engines = new ArrayList<>();
-    public final BusStandIn bus;
-    public final DispatcherProcess[] dispatchers = new DispatcherProcess[2];
-    /** The way of adverts from each to the other. */
-    public final AdvertLink[] links = new AdvertLink[2];
-    public final Ledger ledger = new Ledger();
-    public final InetSocketAddress[] serves = new InetSocketAddress[2];
-    public final InetSocketAddress[] owns = new InetSocketAddress[2];
-    private final InetSocketAddress[] listens = new InetSocketAddress[2];
-    private final InetSocketAddress[] seen = new InetSocketAddress[2];
-    private final Plan plan;
-    private final AtomicLong calls = new AtomicLong();
-    private final AtomicBoolean going = new AtomicBoolean();
-    /** Whether clients come anew after some commands, to either dispatcher, as where a split shows both to the network. */
-    public volatile boolean roving;
-    private final List<Thread> clients = new ArrayList<>();
-
-    public HallRig(Plan plan, Path folder) throws IOException {
-        this.plan = plan;
-        bus = new BusStandIn("127.0.0.1");
-        List<String> targets = new ArrayList<>();
-        for (int i = 0; i < plan.engines; i++) {
-            engines.add(new EngineStandIn("127.0.0.1", profile -> EngineStandIn.around(plan.engineMs)));
-            targets.add(BusStandIn.target(i + 1, engines.get(i).address(), "in_service"));
-        }
-        String known = bus.tell(true, targets.toArray(String[]::new));
-        for (int i = 0; i < 2; i++) {
-            listens[i] = udp(host());
-            serves[i] = tcp(host());
-            owns[i] = tcp(host());
-        }
-        for (int i = 0; i < 2; i++) {
-            seen[i] = udp(host());
-        }
-        for (int i = 0; i < 2; i++) {
-            // What i sends to its peer's seeming address goes out to the peer from i's seeming address.
-            links[i] = new AdvertLink(seen[1 - i], seen[i].getAddress(), listens[1 - i], plan.seed + i);
-            dispatchers[i] = new DispatcherProcess(folder.resolve("n" + i),
-                    DispatcherProcess.configuration("n" + i, owns[i], i, 2, plan.cores, bus, known), own(i, plan.priorities[i]));
-        }
-    }
+  private static final int ROVES_AFTER = 10;
+  private static final String PREFIX = "127.0.77.";
+  private static final AtomicInteger HOSTS =
+      new AtomicInteger(ProcessHandle.current().pid() % 2 == 0 ? 1 : 120);
 
-    private static String host() {
-        return PREFIX + (1 + HOSTS.getAndIncrement() % 250);
-    }
+  public final List<EngineStandIn> engines = new ArrayList<>();
+  public final BusStandIn bus;
+  public final DispatcherProcess[] dispatchers = new DispatcherProcess[2];
 
-    private static InetSocketAddress tcp(String host) throws IOException {
-        try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName(host))) {
-            return (InetSocketAddress) probe.getLocalSocketAddress();
-        }
+  /** The way of adverts from each to the other. */
+  public final AdvertLink[] links = new AdvertLink[2];
+
+  public final Ledger ledger = new Ledger();
+  public final InetSocketAddress[] serves = new InetSocketAddress[2];
+  public final InetSocketAddress[] owns = new InetSocketAddress[2];
+  private final InetSocketAddress[] listens = new InetSocketAddress[2];
+  private final InetSocketAddress[] seen = new InetSocketAddress[2];
+  private final Plan plan;
+  private final AtomicLong calls = new AtomicLong();
+  private final AtomicBoolean going = new AtomicBoolean();
+
+  /**
+   * Whether clients come anew after some commands, to either dispatcher, as where a split shows
+   * both to the network.
+   */
+  public volatile boolean roving;
+
+  private final List<Thread> clients = new ArrayList<>();
+
+  public HallRig(Plan plan, Path folder) throws IOException {
+    this.plan = plan;
+    bus = new BusStandIn("127.0.0.1");
+    List<String> targets = new ArrayList<>();
+    for (int i = 0; i < plan.engines; i++) {
+      engines.add(new EngineStandIn("127.0.0.1", profile -> EngineStandIn.around(plan.engineMs)));
+      targets.add(BusStandIn.target(i + 1, engines.get(i).address(), "in_service"));
+    }
+    String known = bus.tell(true, targets.toArray(String[]::new));
+    for (int i = 0; i < 2; i++) {
+      listens[i] = udp(host());
+      serves[i] = tcp(host());
+      owns[i] = tcp(host());
     }
+    for (int i = 0; i < 2; i++) {
+      seen[i] = udp(host());
+    }
+    for (int i = 0; i < 2; i++) {
+      // What i sends to its peer's seeming address goes out to the peer from i's seeming address.
+      links[i] = new AdvertLink(seen[1 - i], seen[i].getAddress(), listens[1 - i], plan.seed + i);
+      dispatchers[i] =
+          new DispatcherProcess(
+              folder.resolve("n" + i),
+              DispatcherProcess.configuration("n" + i, owns[i], i, 2, plan.cores, bus, known),
+              own(i, plan.priorities[i]));
+    }
+  }
 
-    private static InetSocketAddress udp(String host) throws IOException {
-        try (DatagramSocket probe = new DatagramSocket(new InetSocketAddress(host, 0))) {
-            return (InetSocketAddress) probe.getLocalSocketAddress();
-        }
+  private static String host() {
+    return PREFIX + (1 + HOSTS.getAndIncrement() % 250);
+  }
+
+  private static InetSocketAddress tcp(String host) throws IOException {
+    try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName(host))) {
+      return (InetSocketAddress) probe.getLocalSocketAddress();
     }
+  }
 
-    private static String text(InetSocketAddress address) {
-        return address.getAddress().getHostAddress() + ":" + address.getPort();
+  private static InetSocketAddress udp(String host) throws IOException {
+    try (DatagramSocket probe = new DatagramSocket(new InetSocketAddress(host, 0))) {
+      return (InetSocketAddress) probe.getLocalSocketAddress();
     }
+  }
+
+  private static String text(InetSocketAddress address) {
+    return address.getAddress().getHostAddress() + ":" + address.getPort();
+  }
 
-    /** The own file of one of the two. */
-    public String own(int i, int priority) {
-        return """
+  /** The own file of one of the two. */
+  public String own(int i, int priority) {
+    return """
                 [logging]
                 form = "json"
                 [mastership]
@@ -111,176 +129,218 @@
                 addresses = ["192.0.2.10"]
                 serve = "%s"
                 %s
-                """.formatted(text(listens[i]), text(seen[1 - i]), priority, plan.intervalMs, plan.preempts, text(serves[i]), plan.more);
-    }
+                """
+        .formatted(
+            text(listens[i]),
+            text(seen[1 - i]),
+            priority,
+            plan.intervalMs,
+            plan.preempts,
+            text(serves[i]),
+            plan.more);
+  }
 
-    public void start() throws IOException, InterruptedException {
-        for (DispatcherProcess d : dispatchers) {
-            d.start();
-        }
-        for (DispatcherProcess d : dispatchers) {
-            d.await(" serves on ", 0, 30_000);
-        }
+  public void start() throws IOException, InterruptedException {
+    for (DispatcherProcess d : dispatchers) {
+      d.start();
     }
-
-    public InetSocketAddress listens(int i) {
-        return listens[i];
+    for (DispatcherProcess d : dispatchers) {
+      d.await(" serves on ", 0, 30_000);
     }
+  }
 
-    /** The address from which the other hears dispatcher i. */
-    public InetAddress seenAs(int i) {
-        return seen[i].getAddress();
-    }
+  public InetSocketAddress listens(int i) {
+    return listens[i];
+  }
 
-    // ---- clients
+  /** The address from which the other hears dispatcher i. */
+  public InetAddress seenAs(int i) {
+    return seen[i].getAddress();
+  }
 
-    private String call() {
-        return String.format("%016x", calls.incrementAndGet());
-    }
+  // ---- clients
 
-    /** Starts clients that ask without a pause beyond the one given, until {@link #stopClients}. */
-    public void startClients(int number, int pauseMs, int ttlMs) {
-        going.set(true);
-        String[] profiles = {"look", "look", "marked", "once"};
-        for (int i = 0; i < number; i++) {
-            int mine = i;
-            Thread thread = EngineStandIn.thread(() -> ask(profiles, mine, pauseMs, ttlMs));
-            clients.add(thread);
-            thread.start();
-        }
+  private String call() {
+    return String.format("%016x", calls.incrementAndGet());
+  }
+
+  /** Starts clients that ask without a pause beyond the one given, until {@link #stopClients}. */
+  public void startClients(int number, int pauseMs, int ttlMs) {
+    going.set(true);
+    String[] profiles = {"look", "look", "marked", "once"};
+    for (int i = 0; i < number; i++) {
+      int mine = i;
+      Thread thread = EngineStandIn.thread(() -> ask(profiles, mine, pauseMs, ttlMs));
+      clients.add(thread);
+      thread.start();
     }
+  }
 
-    private void ask(String[] profiles, int from, int pauseMs, int ttlMs) {
-        int at = from % 2;
-        ClientStandIn client = null;
-        for (int i = from; going.get(); i++) {
-            String call = call();
-            String profile = profiles[i % profiles.length];
-            long asked = System.nanoTime();
-            End end = End.UNSENT;
-            try {
-                client = client == null ? new ClientStandIn(serves[at], ttlMs + 500) : client;
-                end = client.command(call, profile, ttlMs);
-            } catch (IOException e) {
-                end = End.UNSENT;
-            }
-            if (end != End.UNSENT) {
-                ledger.add(new Entry(call, profile, at, asked, System.nanoTime(), end));
-            }
-            if (end == End.UNSENT || end == End.CUT || end == End.SILENT || end == End.TURNED_AWAY) {
-                close(client);
-                client = null;
-                at = 1 - at;
-            }
-            if (roving && i % ROVES_AFTER == 0) {
-                close(client);
-                client = null;
-                at = java.util.concurrent.ThreadLocalRandom.current().nextInt(2);
-            }
-            sleep(end == End.UNSENT ? 1 : pauseMs);
-        }
+  private void ask(String[] profiles, int from, int pauseMs, int ttlMs) {
+    int at = from % 2;
+    ClientStandIn client = null;
+    for (int i = from; going.get(); i++) {
+      String call = call();
+      String profile = profiles[i % profiles.length];
+      long asked = System.nanoTime();
+      End end = End.UNSENT;
+      try {
+        client = client == null ? new ClientStandIn(serves[at], ttlMs + 500) : client;
+        end = client.command(call, profile, ttlMs);
+      } catch (IOException e) {
+        end = End.UNSENT;
+      }
+      if (end != End.UNSENT) {
+        ledger.add(new Entry(call, profile, at, asked, System.nanoTime(), end));
+      }
+      if (end == End.UNSENT || end == End.CUT || end == End.SILENT || end == End.TURNED_AWAY) {
         close(client);
+        client = null;
+        at = 1 - at;
+      }
+      if (roving && i % ROVES_AFTER == 0) {
+        close(client);
+        client = null;
+        at = java.util.concurrent.ThreadLocalRandom.current().nextInt(2);
+      }
+      sleep(end == End.UNSENT ? 1 : pauseMs);
     }
+    close(client);
+  }
 
-    private static void close(ClientStandIn client) {
-        try {
-            if (client != null) {
-                client.close();
-            }
-        } catch (IOException e) {
-            throw new AssertionError(e);
-        }
+  private static void close(ClientStandIn client) {
+    try {
+      if (client != null) {
+        client.close();
+      }
+    } catch (IOException e) {
+      throw new AssertionError(e);
     }
+  }
 
-    public static void sleep(long ms) {
-        try {
-            Thread.sleep(ms);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+  public static void sleep(long ms) {
+    try {
+      Thread.sleep(ms);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 
-    public void stopClients() throws InterruptedException {
-        going.set(false);
-        for (Thread client : clients) {
-            client.join(30_000);
-        }
-        clients.clear();
+  public void stopClients() throws InterruptedException {
+    going.set(false);
+    for (Thread client : clients) {
+      client.join(30_000);
     }
+    clients.clear();
+  }
 
-    /** Waits until an answer comes for a command asked after now; its end, in nanoseconds of this process. */
-    public long awaitAnswer(long since, long withinMs) {
-        long until = System.nanoTime() + withinMs * 1_000_000;
-        while (System.nanoTime() < until) {
-            long first = ledger.entries().values().stream().filter(e -> e.end() == End.ANSWERED && e.asked() >= since)
-                    .mapToLong(Entry::ended).min().orElse(-1);
-            if (first >= 0) {
-                return first;
-            }
-            sleep(2);
-        }
-        throw new AssertionError("no answer within " + withinMs + " ms\n" + dispatchers[0].log() + "\n---\n" + dispatchers[1].log());
+  /**
+   * Waits until an answer comes for a command asked after now; its end, in nanoseconds of this
+   * process.
+   */
+  public long awaitAnswer(long since, long withinMs) {
+    long until = System.nanoTime() + withinMs * 1_000_000;
+    while (System.nanoTime() < until) {
+      long first =
+          ledger.entries().values().stream()
+              .filter(e -> e.end() == End.ANSWERED && e.asked() >= since)
+              .mapToLong(Entry::ended)
+              .min()
+              .orElse(-1);
+      if (first >= 0) {
+        return first;
+      }
+      sleep(2);
     }
+    throw new AssertionError(
+        "no answer within "
+            + withinMs
+            + " ms\n"
+            + dispatchers[0].log()
+            + "\n---\n"
+            + dispatchers[1].log());
+  }
 
-    /** Asks one of the two on new sessions without a pause until it answers; when, in nanoseconds of this process. */
-    public long firstAnswer(int dispatcher, long withinMs) {
-        long until = System.nanoTime() + withinMs * 1_000_000;
-        while (System.nanoTime() < until) {
-            try (ClientStandIn client = new ClientStandIn(serves[dispatcher], 2000)) {
-                if (client.command(call(), "look", 1500) == End.ANSWERED) {
-                    return System.nanoTime();
-                }
-            } catch (IOException e) {
-                sleep(1);
-            }
+  /**
+   * Asks one of the two on new sessions without a pause until it answers; when, in nanoseconds of
+   * this process.
+   */
+  public long firstAnswer(int dispatcher, long withinMs) {
+    long until = System.nanoTime() + withinMs * 1_000_000;
+    while (System.nanoTime() < until) {
+      try (ClientStandIn client = new ClientStandIn(serves[dispatcher], 2000)) {
+        if (client.command(call(), "look", 1500) == End.ANSWERED) {
+          return System.nanoTime();
         }
-        throw new AssertionError("no answer of " + dispatcher + "\n" + dispatchers[dispatcher].log());
+      } catch (IOException e) {
+        sleep(1);
+      }
     }
+    throw new AssertionError("no answer of " + dispatcher + "\n" + dispatchers[dispatcher].log());
+  }
 
-    // ---- audits
+  // ---- audits
 
-    /** Commands of a non-replayable profile that an engine began to run more than once. */
-    public long ranTwice() {
-        return ledger.entries().values().stream().filter(e -> e.profile().equals("once"))
-                .filter(e -> engines.stream().mapToInt(g -> begun(g, e.call())).sum() > 1).count();
-    }
+  /** Commands of a non-replayable profile that an engine began to run more than once. */
+  public long ranTwice() {
+    return ledger.entries().values().stream()
+        .filter(e -> e.profile().equals("once"))
+        .filter(e -> engines.stream().mapToInt(g -> begun(g, e.call())).sum() > 1)
+        .count();
+  }
 
-    /** Commands that no engine ran to its end and that were called answered all the same. */
-    public long answeredUnrun() {
-        return ledger.entries().values().stream().filter(e -> e.end() == End.ANSWERED)
-                .filter(e -> engines.stream().noneMatch(g -> g.ledger().containsKey(e.call()) && g.ledger().get(e.call()).done().get() > 0))
-                .count();
-    }
+  /** Commands that no engine ran to its end and that were called answered all the same. */
+  public long answeredUnrun() {
+    return ledger.entries().values().stream()
+        .filter(e -> e.end() == End.ANSWERED)
+        .filter(
+            e ->
+                engines.stream()
+                    .noneMatch(
+                        g ->
+                            g.ledger().containsKey(e.call())
+                                && g.ledger().get(e.call()).done().get() > 0))
+        .count();
+  }
 
-    /** Commands that were turned away and that an engine was sent all the same. */
-    public long turnedAwayRun() {
-        return ledger.entries().values().stream().filter(e -> e.end() == End.TURNED_AWAY)
-                .filter(e -> engines.stream().anyMatch(g -> g.ledger().containsKey(e.call()))).count();
-    }
+  /** Commands that were turned away and that an engine was sent all the same. */
+  public long turnedAwayRun() {
+    return ledger.entries().values().stream()
+        .filter(e -> e.end() == End.TURNED_AWAY)
+        .filter(e -> engines.stream().anyMatch(g -> g.ledger().containsKey(e.call())))
+        .count();
+  }
 
-    /** Shed commands that may have run and are not known to be harmless to repeat. */
-    public long shedThoughRun() {
-        return ledger.entries().values().stream().filter(e -> e.end() == End.SHED && e.profile().equals("once"))
-                .filter(e -> engines.stream().anyMatch(g -> g.ledger().containsKey(e.call()) && g.ledger().get(e.call()).done().get() > 0))
-                .count();
-    }
+  /** Shed commands that may have run and are not known to be harmless to repeat. */
+  public long shedThoughRun() {
+    return ledger.entries().values().stream()
+        .filter(e -> e.end() == End.SHED && e.profile().equals("once"))
+        .filter(
+            e ->
+                engines.stream()
+                    .anyMatch(
+                        g ->
+                            g.ledger().containsKey(e.call())
+                                && g.ledger().get(e.call()).done().get() > 0))
+        .count();
+  }
 
-    private static int begun(EngineStandIn engine, String call) {
-        return engine.ledger().containsKey(call) ? engine.ledger().get(call).begun().get() : 0;
-    }
+  private static int begun(EngineStandIn engine, String call) {
+    return engine.ledger().containsKey(call) ? engine.ledger().get(call).begun().get() : 0;
+  }
 
-    @Override
-    public void close() throws IOException {
-        going.set(false);
-        for (int i = 0; i < 2; i++) {
-            if (dispatchers[i] != null) {
-                dispatchers[i].close();
-            }
-            links[i].close();
-        }
-        for (EngineStandIn engine : engines) {
-            engine.close();
-        }
-        bus.close();
+  @Override
+  public void close() throws IOException {
+    going.set(false);
+    for (int i = 0; i < 2; i++) {
+      if (dispatchers[i] != null) {
+        dispatchers[i].close();
+      }
+      links[i].close();
+    }
+    for (EngineStandIn engine : engines) {
+      engine.close();
     }
+    bus.close();
+  }
 }
--- a/src/test/java/cobaltseam/standin/Ledger.java
+++ b/src/test/java/cobaltseam/standin/Ledger.java
@@ -6,34 +6,43 @@
 
 /** What clients were told of their commands: of each, one ending, and nothing after it. */
 public final class Ledger {
-    /**
-     * How a command ended for its client: with one of the three final answers, turned away before it was taken, cut off with
-     * its connection, not heard of in time, or never written since there was no connection.
-     */
-    public enum End { ANSWERED, SHED, FAILED, TURNED_AWAY, CUT, SILENT, UNSENT }
+  /**
+   * How a command ended for its client: with one of the three final answers, turned away before it
+   * was taken, cut off with its connection, not heard of in time, or never written since there was
+   * no connection.
+   */
+  public enum End {
+    ANSWERED,
+    SHED,
+    FAILED,
+    TURNED_AWAY,
+    CUT,
+    SILENT,
+    UNSENT
+  }
 
-    /** One command as its client saw it; times in nanoseconds of this process. */
-    public record Entry(String call, String profile, int dispatcher, long asked, long ended, End end) {
-    }
+  /** One command as its client saw it; times in nanoseconds of this process. */
+  public record Entry(
+      String call, String profile, int dispatcher, long asked, long ended, End end) {}
 
-    private final Map<String, Entry> entries = new ConcurrentHashMap<>();
+  private final Map<String, Entry> entries = new ConcurrentHashMap<>();
 
-    void add(Entry entry) {
-        if (entries.put(entry.call, entry) != null) {
-            throw new AssertionError("a second ending for " + entry.call);
-        }
+  void add(Entry entry) {
+    if (entries.put(entry.call, entry) != null) {
+      throw new AssertionError("a second ending for " + entry.call);
     }
+  }
 
-    public Map<String, Entry> entries() {
-        return entries;
-    }
+  public Map<String, Entry> entries() {
+    return entries;
+  }
 
-    public Map<End, Integer> counts() {
-        Map<End, Integer> counts = new EnumMap<>(End.class);
-        for (End end : End.values()) {
-            counts.put(end, 0);
-        }
-        entries.values().forEach(e -> counts.merge(e.end, 1, Integer::sum));
-        return counts;
+  public Map<End, Integer> counts() {
+    Map<End, Integer> counts = new EnumMap<>(End.class);
+    for (End end : End.values()) {
+      counts.put(end, 0);
     }
+    entries.values().forEach(e -> counts.merge(e.end, 1, Integer::sum));
+    return counts;
+  }
 }
--- a/src/test/java/cobaltseam/store/WholeFileTest.java
+++ b/src/test/java/cobaltseam/store/WholeFileTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cobaltseam.store.WholeFile.Found;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -17,149 +18,163 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-
-import cobaltseam.store.WholeFile.Found;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is on disk is the old or the new value whole, whatever ends the process or spoils the bytes. */
+/**
+ * What is on disk is the old or the new value whole, whatever ends the process or spoils the bytes.
+ */
 class WholeFileTest {
-    private static final byte[] OLD = {1, 2, 3};
+  private static final byte[] OLD = {1, 2, 3};
 
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    @Test
-    void everySpoiledByteAndEveryShorterFileIsKnown() throws IOException {
-        try (WholeFile file = WholeFile.open(folder, "value", 1)) {
-            assertEquals(Found.NOTHING, file.read().found());
-            file.write(OLD);
-            assertArrayEquals(OLD, file.read().value());
-        }
-        byte[] whole = Files.readAllBytes(folder.resolve("value"));
-        for (int i = 0; i < whole.length; i++) {
-            byte[] spoiled = whole.clone();
-            spoiled[i] ^= 0x10;
-            assertEquals(Found.BROKEN, WholeFile.parse(spoiled, 1).found(), "byte " + i);
-            assertEquals(Found.BROKEN, WholeFile.parse(Arrays.copyOf(whole, i), 1).found(), "cut to " + i);
-        }
-        assertEquals(Found.BROKEN, WholeFile.parse(Arrays.copyOf(whole, whole.length + 1), 1).found());
+  @Test
+  void everySpoiledByteAndEveryShorterFileIsKnown() throws IOException {
+    try (WholeFile file = WholeFile.open(folder, "value", 1)) {
+      assertEquals(Found.NOTHING, file.read().found());
+      file.write(OLD);
+      assertArrayEquals(OLD, file.read().value());
     }
-
-    @Test
-    void whatIsNotWholeIsSetAsideAndWhatWasBeingWrittenIsDropped() throws IOException {
-        Files.write(folder.resolve("value"), new byte[] {9});
-        Files.write(folder.resolve("value.new"), new byte[] {8});
-        try (WholeFile file = WholeFile.open(folder, "value", 1)) {
-            assertEquals(Found.BROKEN, file.read().found());
-            assertEquals(Found.NOTHING, file.read().found());
-            assertArrayEquals(new byte[] {9}, Files.readAllBytes(folder.resolve("value.broken")));
-            assertTrue(Files.notExists(folder.resolve("value.new")));
-        }
+    byte[] whole = Files.readAllBytes(folder.resolve("value"));
+    for (int i = 0; i < whole.length; i++) {
+      byte[] spoiled = whole.clone();
+      spoiled[i] ^= 0x10;
+      assertEquals(Found.BROKEN, WholeFile.parse(spoiled, 1).found(), "byte " + i);
+      assertEquals(
+          Found.BROKEN, WholeFile.parse(Arrays.copyOf(whole, i), 1).found(), "cut to " + i);
     }
+    assertEquals(Found.BROKEN, WholeFile.parse(Arrays.copyOf(whole, whole.length + 1), 1).found());
+  }
 
-    @Test
-    void aLaterProgramsFileIsLeftInPlace() throws IOException {
-        try (WholeFile file = WholeFile.open(folder, "value", 2)) {
-            file.write(OLD);
-        }
-        try (WholeFile file = WholeFile.open(folder, "value", 1)) {
-            assertEquals(Found.LATER, file.read().found());
-            assertNull(file.read().value());
-        }
-        try (WholeFile file = WholeFile.open(folder, "value", 2)) {
-            assertArrayEquals(OLD, file.read().value());
-        }
+  @Test
+  void whatIsNotWholeIsSetAsideAndWhatWasBeingWrittenIsDropped() throws IOException {
+    Files.write(folder.resolve("value"), new byte[] {9});
+    Files.write(folder.resolve("value.new"), new byte[] {8});
+    try (WholeFile file = WholeFile.open(folder, "value", 1)) {
+      assertEquals(Found.BROKEN, file.read().found());
+      assertEquals(Found.NOTHING, file.read().found());
+      assertArrayEquals(new byte[] {9}, Files.readAllBytes(folder.resolve("value.broken")));
+      assertTrue(Files.notExists(folder.resolve("value.new")));
     }
+  }
 
-    @Test
-    void oneAtATimeHasTheFolder() throws IOException {
-        WholeFile first = WholeFile.open(folder, "value", 1);
-        assertThrows(IOException.class, () -> WholeFile.open(folder, "value", 1));
-        first.close();
-        WholeFile.open(folder, "value", 1).close();
+  @Test
+  void aLaterProgramsFileIsLeftInPlace() throws IOException {
+    try (WholeFile file = WholeFile.open(folder, "value", 2)) {
+      file.write(OLD);
+    }
+    try (WholeFile file = WholeFile.open(folder, "value", 1)) {
+      assertEquals(Found.LATER, file.read().found());
+      assertNull(file.read().value());
     }
+    try (WholeFile file = WholeFile.open(folder, "value", 2)) {
+      assertArrayEquals(OLD, file.read().value());
+    }
+  }
+
+  @Test
+  void oneAtATimeHasTheFolder() throws IOException {
+    WholeFile first = WholeFile.open(folder, "value", 1);
+    assertThrows(IOException.class, () -> WholeFile.open(folder, "value", 1));
+    first.close();
+    WholeFile.open(folder, "value", 1).close();
+  }
 
-    @Test
-    void theWriterTellsTheNewestItWroteAndWhyItCannot() throws Exception {
-        AtomicLong newest = new AtomicLong();
-        CountDownLatch last = new CountDownLatch(1);
-        CountDownLatch failed = new CountDownLatch(1);
-        WholeFile file = WholeFile.open(folder, "value", 1);
-        try (Writer writer = new Writer(file, n -> {
-            assertTrue(n > newest.getAndSet(n), "numbers rise");
-            if (n == 500) {
+  @Test
+  void theWriterTellsTheNewestItWroteAndWhyItCannot() throws Exception {
+    AtomicLong newest = new AtomicLong();
+    CountDownLatch last = new CountDownLatch(1);
+    CountDownLatch failed = new CountDownLatch(1);
+    WholeFile file = WholeFile.open(folder, "value", 1);
+    try (Writer writer =
+        new Writer(
+            file,
+            n -> {
+              assertTrue(n > newest.getAndSet(n), "numbers rise");
+              if (n == 500) {
                 last.countDown();
-            }
-        }, why -> failed.countDown())) {
-            for (long n = 1; n <= 500; n++) {
-                long number = n;
-                writer.give(n, () -> ByteBuffer.allocate(8).putLong(number).array());
-            }
-            assertTrue(last.await(60, TimeUnit.SECONDS));
-            assertEquals(500, ByteBuffer.wrap(file.read().value()).getLong());
-            writer.give(501, () -> new byte[WholeFile.LARGEST + 1]);
-            assertTrue(failed.await(60, TimeUnit.SECONDS));
-        }
+              }
+            },
+            why -> failed.countDown())) {
+      for (long n = 1; n <= 500; n++) {
+        long number = n;
+        writer.give(n, () -> ByteBuffer.allocate(8).putLong(number).array());
+      }
+      assertTrue(last.await(60, TimeUnit.SECONDS));
+      assertEquals(500, ByteBuffer.wrap(file.read().value()).getLong());
+      writer.give(501, () -> new byte[WholeFile.LARGEST + 1]);
+      assertTrue(failed.await(60, TimeUnit.SECONDS));
     }
+  }
 
-    /** Writes ever higher numbers, and says each once it is written. */
-    public static final class Writes {
-        public static void main(String[] args) throws IOException {
-            try (WholeFile file = WholeFile.open(Path.of(args[0]), "value", 1)) {
-                WholeFile.Reading before = file.read();
-                System.out.println(before.found());
-                long number = before.value() == null ? 0 : ByteBuffer.wrap(before.value()).getLong();
-                while (true) {
-                    byte[] value = new byte[8 + (int) (number % 5000)];
-                    ByteBuffer.wrap(value).putLong(++number);
-                    Arrays.fill(value, 8, value.length, (byte) number);
-                    file.write(value);
-                    System.out.println(number);
-                }
-            }
+  /** Writes ever higher numbers, and says each once it is written. */
+  public static final class Writes {
+    public static void main(String[] args) throws IOException {
+      try (WholeFile file = WholeFile.open(Path.of(args[0]), "value", 1)) {
+        WholeFile.Reading before = file.read();
+        System.out.println(before.found());
+        long number = before.value() == null ? 0 : ByteBuffer.wrap(before.value()).getLong();
+        while (true) {
+          byte[] value = new byte[8 + (int) (number % 5000)];
+          ByteBuffer.wrap(value).putLong(++number);
+          Arrays.fill(value, 8, value.length, (byte) number);
+          file.write(value);
+          System.out.println(number);
         }
+      }
     }
+  }
 
-    /** Kills a writing process so often; the last number that was said, over all of them. */
-    static long kills(Path folder, int times, long seed) throws IOException, InterruptedException {
-        SplittableRandom chance = new SplittableRandom(seed);
-        long said = 0;
-        for (int kill = 0; kill < times; kill++) {
-            Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                    "-Xshare:auto", "-cp", System.getProperty("java.class.path"), Writes.class.getName(), folder.toString())
-                    .redirectError(ProcessBuilder.Redirect.INHERIT).start();
-            try (BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream()))) {
-                assertEquals(kill == 0 ? "NOTHING" : "VALUE", out.readLine(), "kill " + kill);
-                for (int lines = 1 + chance.nextInt(40); lines > 0; lines--) {
-                    said = Long.parseLong(out.readLine());
-                }
-                process.toHandle().destroyForcibly();
-                for (String line = out.readLine(); line != null && !line.isEmpty(); line = out.readLine()) {
-                    // A line may be cut by the kill: what it says then is less.
-                    said = Math.max(said, Long.parseLong(line));
-                }
-            }
-            process.waitFor();
-            try (WholeFile file = WholeFile.open(folder, "value", 1)) {
-                WholeFile.Reading reading = file.read();
-                assertEquals(Found.VALUE, reading.found(), "kill " + kill);
-                long held = ByteBuffer.wrap(reading.value()).getLong();
-                assertTrue(held == said || held == said + 1, "held " + held + ", said " + said);
-                said = held;
-            }
+  /** Kills a writing process so often; the last number that was said, over all of them. */
+  static long kills(Path folder, int times, long seed) throws IOException, InterruptedException {
+    SplittableRandom chance = new SplittableRandom(seed);
+    long said = 0;
+    for (int kill = 0; kill < times; kill++) {
+      Process process =
+          new ProcessBuilder(
+                  Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                  "-XX:TieredStopAtLevel=1",
+                  "-Xshare:auto",
+                  "-cp",
+                  System.getProperty("java.class.path"),
+                  Writes.class.getName(),
+                  folder.toString())
+              .redirectError(ProcessBuilder.Redirect.INHERIT)
+              .start();
+      try (BufferedReader out =
+          new BufferedReader(new InputStreamReader(process.getInputStream()))) {
+        assertEquals(kill == 0 ? "NOTHING" : "VALUE", out.readLine(), "kill " + kill);
+        for (int lines = 1 + chance.nextInt(40); lines > 0; lines--) {
+          said = Long.parseLong(out.readLine());
+        }
+        process.toHandle().destroyForcibly();
+        for (String line = out.readLine(); line != null && !line.isEmpty(); line = out.readLine()) {
+          // A line may be cut by the kill: what it says then is less.
+          said = Math.max(said, Long.parseLong(line));
         }
-        return said;
+      }
+      process.waitFor();
+      try (WholeFile file = WholeFile.open(folder, "value", 1)) {
+        WholeFile.Reading reading = file.read();
+        assertEquals(Found.VALUE, reading.found(), "kill " + kill);
+        long held = ByteBuffer.wrap(reading.value()).getLong();
+        assertTrue(held == said || held == said + 1, "held " + held + ", said " + said);
+        said = held;
+      }
     }
+    return said;
+  }
 
-    @Test
-    void aProcessKilledWhileItWritesLeavesTheOldOrTheNew() throws Exception {
-        assertTrue(kills(folder, 8, 1) > 0);
-    }
+  @Test
+  void aProcessKilledWhileItWritesLeavesTheOldOrTheNew() throws Exception {
+    assertTrue(kills(folder, 8, 1) > 0);
+  }
 
-    /** A figure of docs/measures-membership.md: so many kills. */
-    public static void main(String[] args) throws Exception {
-        Path folder = Files.createTempDirectory("kills");
-        System.out.println(args[0] + " kills, last number " + kills(folder, Integer.parseInt(args[0]), 1));
-    }
+  /** A figure of docs/measures-membership.md: so many kills. */
+  public static void main(String[] args) throws Exception {
+    Path folder = Files.createTempDirectory("kills");
+    System.out.println(
+        args[0] + " kills, last number " + kills(folder, Integer.parseInt(args[0]), 1));
+  }
 }
--- a/src/test/java/cobaltseam/vrrp/AdvertCodecTest.java
+++ b/src/test/java/cobaltseam/vrrp/AdvertCodecTest.java
@@ -5,6 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cobaltseam.seal.Seal;
+import cobaltseam.seal.SealKeys;
+import cobaltseam.vrrp.Reading.Covers;
 import java.net.InetAddress;
 import java.util.Arrays;
 import java.util.EnumSet;
@@ -12,148 +15,187 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-
-import cobaltseam.seal.Seal;
-import cobaltseam.seal.SealKeys;
-import cobaltseam.vrrp.Reading.Covers;
 import org.junit.jupiter.api.Test;
 
 /** Adverts as bytes. The known ones were worked out by hand from RFC 9568, their sums included. */
 class AdvertCodecTest {
-    private static final InetAddress FROM = ip("192.0.2.1");
-    private static final InetAddress TO = ip("224.0.0.18");
-    private static final InetAddress FROM6 = ip("fe80::1");
-    private static final InetAddress TO6 = ip("ff02::12");
-    private static final SealKeys KEYS = SealKeys.read("1 00112233445566778899aabbccddeeff\n# next\n2 " + "ab".repeat(32));
+  private static final InetAddress FROM = ip("192.0.2.1");
+  private static final InetAddress TO = ip("224.0.0.18");
+  private static final InetAddress FROM6 = ip("fe80::1");
+  private static final InetAddress TO6 = ip("ff02::12");
+  private static final SealKeys KEYS =
+      SealKeys.read("1 00112233445566778899aabbccddeeff\n# next\n2 " + "ab".repeat(32));
 
-    private static InetAddress ip(String text) {
-        return Addresses.read(text).orElseThrow();
-    }
+  private static InetAddress ip(String text) {
+    return Addresses.read(text).orElseThrow();
+  }
 
-    private static byte[] hex(String text) {
-        return HexFormat.of().parseHex(text.replace(" ", ""));
-    }
+  private static byte[] hex(String text) {
+    return HexFormat.of().parseHex(text.replace(" ", ""));
+  }
 
-    private static Refusal refusal(byte[] bytes) {
-        return ((Reading.Refused) AdvertCodec.read(bytes, FROM, TO)).refusal();
-    }
+  private static Refusal refusal(byte[] bytes) {
+    return ((Reading.Refused) AdvertCodec.read(bytes, FROM, TO)).refusal();
+  }
 
-    @Test
-    void knownIpv4WithEitherChecksum() {
-        Advert advert = new Advert(51, 100, 100, List.of(ip("192.0.2.10")));
-        byte[] message = hex("31 33 64 01 00 64 a8 5c c0 00 02 0a");
-        byte[] pseudo = hex("31 33 64 01 00 64 05 cc c0 00 02 0a");
-        assertArrayEquals(message, AdvertCodec.write(advert, FROM, TO, Covers.MESSAGE));
-        assertArrayEquals(pseudo, AdvertCodec.write(advert, FROM, TO, Covers.PSEUDO_HEADER));
-        assertEquals(new Reading.Whole(advert, Covers.MESSAGE, 12, false), AdvertCodec.read(message, FROM, TO));
-        assertEquals(new Reading.Whole(advert, Covers.PSEUDO_HEADER, 12, false), AdvertCodec.read(pseudo, FROM, TO));
-    }
+  @Test
+  void knownIpv4WithEitherChecksum() {
+    Advert advert = new Advert(51, 100, 100, List.of(ip("192.0.2.10")));
+    byte[] message = hex("31 33 64 01 00 64 a8 5c c0 00 02 0a");
+    byte[] pseudo = hex("31 33 64 01 00 64 05 cc c0 00 02 0a");
+    assertArrayEquals(message, AdvertCodec.write(advert, FROM, TO, Covers.MESSAGE));
+    assertArrayEquals(pseudo, AdvertCodec.write(advert, FROM, TO, Covers.PSEUDO_HEADER));
+    assertEquals(
+        new Reading.Whole(advert, Covers.MESSAGE, 12, false), AdvertCodec.read(message, FROM, TO));
+    assertEquals(
+        new Reading.Whole(advert, Covers.PSEUDO_HEADER, 12, false),
+        AdvertCodec.read(pseudo, FROM, TO));
+  }
 
-    @Test
-    void knownIpv6NeedsThePseudoHeader() {
-        Advert advert = new Advert(1, 200, 4095, List.of(ip("fe80::a")));
-        byte[] known = hex("31 01 c8 01 0f ff fa 53 fe80 0000 0000 0000 0000 0000 0000 000a");
-        assertArrayEquals(known, AdvertCodec.write(advert, FROM6, TO6, Covers.MESSAGE));
-        assertEquals(new Reading.Whole(advert, Covers.PSEUDO_HEADER, 24, false), AdvertCodec.read(known, FROM6, TO6));
-        assertEquals(new Reading.Refused(Refusal.CHECKSUM), AdvertCodec.read(known, FROM6, FROM6));
-    }
+  @Test
+  void knownIpv6NeedsThePseudoHeader() {
+    Advert advert = new Advert(1, 200, 4095, List.of(ip("fe80::a")));
+    byte[] known = hex("31 01 c8 01 0f ff fa 53 fe80 0000 0000 0000 0000 0000 0000 000a");
+    assertArrayEquals(known, AdvertCodec.write(advert, FROM6, TO6, Covers.MESSAGE));
+    assertEquals(
+        new Reading.Whole(advert, Covers.PSEUDO_HEADER, 24, false),
+        AdvertCodec.read(known, FROM6, TO6));
+    assertEquals(new Reading.Refused(Refusal.CHECKSUM), AdvertCodec.read(known, FROM6, FROM6));
+  }
 
-    @Test
-    void eachWrongAdvertHasItsOwnReason() {
-        assertEquals(Refusal.TOO_SHORT, refusal(new byte[7]));
-        assertEquals(Refusal.VERSION, refusal(hex("21 33 64 01 00 64 a8 5c c0 00 02 0a")));
-        assertEquals(Refusal.VERSION, refusal(hex("f1 33 64 01 00 64 a8 5c c0 00 02 0a")));
-        assertEquals(Refusal.TYPE, refusal(hex("32 33 64 01 00 64 a8 5c c0 00 02 0a")));
-        assertEquals(Refusal.NO_ADDRESS, refusal(hex("31 33 64 00 00 64 6a 68")));
-        assertEquals(Refusal.LENGTH, refusal(hex("31 33 64 02 00 64 a8 5b c0 00 02 0a")));
-        assertEquals(Refusal.LENGTH, refusal(hex("31 33 64 01 00 64 a8 5c c0 00 02 0a 00 00")));
-        assertEquals(Refusal.CHECKSUM, refusal(hex("31 33 64 01 00 64 a8 5d c0 00 02 0a")));
-        assertEquals(Refusal.ROUTER_ZERO, refusal(hex("31 00 64 01 00 64 a8 8f c0 00 02 0a")));
-        assertEquals(Refusal.INTERVAL_ZERO, refusal(hex("31 33 64 01 00 00 a8 c0 c0 00 02 0a")));
-        assertEquals(new Reading.Refused(Refusal.FAMILY), AdvertCodec.read(hex("31 33 64 01 00 64 a8 5c c0 00 02 0a"), FROM, TO6));
-    }
+  @Test
+  void eachWrongAdvertHasItsOwnReason() {
+    assertEquals(Refusal.TOO_SHORT, refusal(new byte[7]));
+    assertEquals(Refusal.VERSION, refusal(hex("21 33 64 01 00 64 a8 5c c0 00 02 0a")));
+    assertEquals(Refusal.VERSION, refusal(hex("f1 33 64 01 00 64 a8 5c c0 00 02 0a")));
+    assertEquals(Refusal.TYPE, refusal(hex("32 33 64 01 00 64 a8 5c c0 00 02 0a")));
+    assertEquals(Refusal.NO_ADDRESS, refusal(hex("31 33 64 00 00 64 6a 68")));
+    assertEquals(Refusal.LENGTH, refusal(hex("31 33 64 02 00 64 a8 5b c0 00 02 0a")));
+    assertEquals(Refusal.LENGTH, refusal(hex("31 33 64 01 00 64 a8 5c c0 00 02 0a 00 00")));
+    assertEquals(Refusal.CHECKSUM, refusal(hex("31 33 64 01 00 64 a8 5d c0 00 02 0a")));
+    assertEquals(Refusal.ROUTER_ZERO, refusal(hex("31 00 64 01 00 64 a8 8f c0 00 02 0a")));
+    assertEquals(Refusal.INTERVAL_ZERO, refusal(hex("31 33 64 01 00 00 a8 c0 c0 00 02 0a")));
+    assertEquals(
+        new Reading.Refused(Refusal.FAMILY),
+        AdvertCodec.read(hex("31 33 64 01 00 64 a8 5c c0 00 02 0a"), FROM, TO6));
+  }
 
-    @Test
-    void reservedBitsAreIgnoredAndBoundsHold() {
-        Reading.Whole read = (Reading.Whole) AdvertCodec.read(hex("31 33 64 01 f0 64 b8 5b c0 00 02 0a"), FROM, TO);
-        assertEquals(100, read.advert().maxAdvertiseIntervalCentiseconds());
-        InetAddress[] most = new InetAddress[255];
-        Arrays.fill(most, ip("192.0.2.10"));
-        Advert full = new Advert(255, 255, 4095, List.of(most));
-        assertEquals(full, ((Reading.Whole) AdvertCodec.read(AdvertCodec.write(full, FROM, TO, Covers.MESSAGE), FROM, TO)).advert());
-        assertThrows(IllegalArgumentException.class, () -> new Advert(0, 1, 1, List.of(FROM)));
-        assertThrows(IllegalArgumentException.class, () -> new Advert(1, 256, 1, List.of(FROM)));
-        assertThrows(IllegalArgumentException.class, () -> new Advert(1, 1, 4096, List.of(FROM)));
-        assertThrows(IllegalArgumentException.class, () -> new Advert(1, 1, 1, List.of()));
-        assertThrows(IllegalArgumentException.class, () -> new Advert(1, 1, 1, List.of(FROM, FROM6)));
-    }
+  @Test
+  void reservedBitsAreIgnoredAndBoundsHold() {
+    Reading.Whole read =
+        (Reading.Whole) AdvertCodec.read(hex("31 33 64 01 f0 64 b8 5b c0 00 02 0a"), FROM, TO);
+    assertEquals(100, read.advert().maxAdvertiseIntervalCentiseconds());
+    InetAddress[] most = new InetAddress[255];
+    Arrays.fill(most, ip("192.0.2.10"));
+    Advert full = new Advert(255, 255, 4095, List.of(most));
+    assertEquals(
+        full,
+        ((Reading.Whole)
+                AdvertCodec.read(AdvertCodec.write(full, FROM, TO, Covers.MESSAGE), FROM, TO))
+            .advert());
+    assertThrows(IllegalArgumentException.class, () -> new Advert(0, 1, 1, List.of(FROM)));
+    assertThrows(IllegalArgumentException.class, () -> new Advert(1, 256, 1, List.of(FROM)));
+    assertThrows(IllegalArgumentException.class, () -> new Advert(1, 1, 4096, List.of(FROM)));
+    assertThrows(IllegalArgumentException.class, () -> new Advert(1, 1, 1, List.of()));
+    assertThrows(IllegalArgumentException.class, () -> new Advert(1, 1, 1, List.of(FROM, FROM6)));
+  }
 
-    /** Whole adverts with bytes changed, cut and added, and plain noise: never an exception, and all reasons occur. */
-    @Test
-    void anyBytesAreReadOrRefused() {
-        SplittableRandom chance = new SplittableRandom(9568);
-        byte[] whole = AdvertCodec.write(new Advert(7, 100, 10, List.of(ip("192.0.2.10"), ip("192.0.2.11"))), FROM, TO, Covers.MESSAGE);
-        byte[] sealed = AdvertSeal.write(whole, FROM, TO, KEYS, 2, 42);
-        Set<Refusal> seen = EnumSet.noneOf(Refusal.class);
-        int read = 0;
-        for (int i = 0; i < 1_000_000; i++) {
-            byte[] bytes = Arrays.copyOf(chance.nextBoolean() ? whole : sealed, chance.nextInt(80));
-            for (int changes = chance.nextInt(3); changes > 0 && bytes.length > 0; changes--) {
-                bytes[chance.nextInt(Math.min(bytes.length, 10))] ^= (byte) (1 << chance.nextInt(8));
-            }
-            if (i % 4 == 0) {
-                chance.nextBytes(bytes);
-            }
-            if (AdvertCodec.read(bytes, FROM, TO) instanceof Reading.Refused no) {
-                seen.add(no.refusal());
-            } else {
-                read++;
-            }
-        }
-        assertTrue(read > 0);
-        assertTrue(seen.containsAll(Set.of(Refusal.TOO_SHORT, Refusal.VERSION, Refusal.TYPE, Refusal.NO_ADDRESS,
-                Refusal.LENGTH, Refusal.CHECKSUM)), seen.toString());
+  /**
+   * Whole adverts with bytes changed, cut and added, and plain noise: never an exception, and all
+   * reasons occur.
+   */
+  @Test
+  void anyBytesAreReadOrRefused() {
+    SplittableRandom chance = new SplittableRandom(9568);
+    byte[] whole =
+        AdvertCodec.write(
+            new Advert(7, 100, 10, List.of(ip("192.0.2.10"), ip("192.0.2.11"))),
+            FROM,
+            TO,
+            Covers.MESSAGE);
+    byte[] sealed = AdvertSeal.write(whole, FROM, TO, KEYS, 2, 42);
+    Set<Refusal> seen = EnumSet.noneOf(Refusal.class);
+    int read = 0;
+    for (int i = 0; i < 1_000_000; i++) {
+      byte[] bytes = Arrays.copyOf(chance.nextBoolean() ? whole : sealed, chance.nextInt(80));
+      for (int changes = chance.nextInt(3); changes > 0 && bytes.length > 0; changes--) {
+        bytes[chance.nextInt(Math.min(bytes.length, 10))] ^= (byte) (1 << chance.nextInt(8));
+      }
+      if (i % 4 == 0) {
+        chance.nextBytes(bytes);
+      }
+      if (AdvertCodec.read(bytes, FROM, TO) instanceof Reading.Refused no) {
+        seen.add(no.refusal());
+      } else {
+        read++;
+      }
     }
+    assertTrue(read > 0);
+    assertTrue(
+        seen.containsAll(
+            Set.of(
+                Refusal.TOO_SHORT,
+                Refusal.VERSION,
+                Refusal.TYPE,
+                Refusal.NO_ADDRESS,
+                Refusal.LENGTH,
+                Refusal.CHECKSUM)),
+        seen.toString());
+  }
 
-    @Test
-    void aSealHoldsForItsBytesAddressesAndKeysOnly() {
-        byte[] whole = AdvertCodec.write(new Advert(7, 100, 10, List.of(FROM)), FROM, TO, Covers.MESSAGE);
-        byte[] sealed = AdvertSeal.write(whole, FROM, TO, KEYS, 2, 42);
-        Reading.Whole read = (Reading.Whole) AdvertCodec.read(sealed, FROM, TO);
-        assertTrue(read.sealed());
-        assertEquals(new Seal.Told(2, 42), Seal.told(sealed, read.length()));
-        assertTrue(AdvertSeal.check(sealed, read.length(), FROM, TO, KEYS).isEmpty());
-        assertEquals(Refusal.FORGED, AdvertSeal.check(sealed, read.length(), FROM, FROM, KEYS).orElseThrow());
-        assertEquals(Refusal.KEY_UNKNOWN, AdvertSeal.check(sealed, read.length(), FROM, TO,
-                SealKeys.read("1 " + "ab".repeat(32))).orElseThrow());
-        for (int i = 0; i < sealed.length; i++) {
-            byte[] changed = sealed.clone();
-            changed[i] ^= 1;
-            Reading now = AdvertCodec.read(changed, FROM, TO);
-            assertTrue(now instanceof Reading.Refused
-                    || AdvertSeal.check(changed, read.length(), FROM, TO, KEYS).isPresent(), "byte " + i);
-        }
+  @Test
+  void aSealHoldsForItsBytesAddressesAndKeysOnly() {
+    byte[] whole =
+        AdvertCodec.write(new Advert(7, 100, 10, List.of(FROM)), FROM, TO, Covers.MESSAGE);
+    byte[] sealed = AdvertSeal.write(whole, FROM, TO, KEYS, 2, 42);
+    Reading.Whole read = (Reading.Whole) AdvertCodec.read(sealed, FROM, TO);
+    assertTrue(read.sealed());
+    assertEquals(new Seal.Told(2, 42), Seal.told(sealed, read.length()));
+    assertTrue(AdvertSeal.check(sealed, read.length(), FROM, TO, KEYS).isEmpty());
+    assertEquals(
+        Refusal.FORGED, AdvertSeal.check(sealed, read.length(), FROM, FROM, KEYS).orElseThrow());
+    assertEquals(
+        Refusal.KEY_UNKNOWN,
+        AdvertSeal.check(sealed, read.length(), FROM, TO, SealKeys.read("1 " + "ab".repeat(32)))
+            .orElseThrow());
+    for (int i = 0; i < sealed.length; i++) {
+      byte[] changed = sealed.clone();
+      changed[i] ^= 1;
+      Reading now = AdvertCodec.read(changed, FROM, TO);
+      assertTrue(
+          now instanceof Reading.Refused
+              || AdvertSeal.check(changed, read.length(), FROM, TO, KEYS).isPresent(),
+          "byte " + i);
     }
+  }
 
-    @Test
-    void keyFilesThatCantBeUsedAreRefusedWithoutShowingKeys() {
-        for (String bad : List.of("", "1 00", "0 " + "ab".repeat(16), "256 " + "ab".repeat(16), "1 " + "xy".repeat(16),
-                "1 " + "ab".repeat(16) + "\n1 " + "cd".repeat(16))) {
-            String why = assertThrows(IllegalArgumentException.class, () -> SealKeys.read(bad)).getMessage();
-            assertTrue(!why.contains("abab") && !why.contains("xyxy"), why);
-        }
+  @Test
+  void keyFilesThatCantBeUsedAreRefusedWithoutShowingKeys() {
+    for (String bad :
+        List.of(
+            "",
+            "1 00",
+            "0 " + "ab".repeat(16),
+            "256 " + "ab".repeat(16),
+            "1 " + "xy".repeat(16),
+            "1 " + "ab".repeat(16) + "\n1 " + "cd".repeat(16))) {
+      String why =
+          assertThrows(IllegalArgumentException.class, () -> SealKeys.read(bad)).getMessage();
+      assertTrue(!why.contains("abab") && !why.contains("xyxy"), why);
     }
+  }
 
-    @Test
-    void addressesAreReadAndWrittenWithoutLookups() {
-        assertEquals("2001:db8::1", Addresses.text(ip("2001:DB8:0:0:0:0:0:1")));
-        assertEquals("2001:db8:0:1:1:1:1:1", Addresses.text(ip("2001:db8:0:1:1:1:1:1")));
-        assertEquals("::", Addresses.text(ip("::")));
-        assertEquals("1::", Addresses.text(ip("1:0:0:0:0:0:0:0")));
-        assertEquals("::ffff:c000:201", Addresses.text(ip("::ffff:192.0.2.1")));
-        for (String bad : List.of("localhost", "127.1", "256.0.0.1", "01.2.3.4", "fe80::1%lo", "1:2:3", "", "::g")) {
-            assertTrue(Addresses.read(bad).isEmpty(), bad);
-        }
-        assertTrue(Addresses.compare(ip("10.0.0.200"), ip("10.0.0.3")) > 0);
+  @Test
+  void addressesAreReadAndWrittenWithoutLookups() {
+    assertEquals("2001:db8::1", Addresses.text(ip("2001:DB8:0:0:0:0:0:1")));
+    assertEquals("2001:db8:0:1:1:1:1:1", Addresses.text(ip("2001:db8:0:1:1:1:1:1")));
+    assertEquals("::", Addresses.text(ip("::")));
+    assertEquals("1::", Addresses.text(ip("1:0:0:0:0:0:0:0")));
+    assertEquals("::ffff:c000:201", Addresses.text(ip("::ffff:192.0.2.1")));
+    for (String bad :
+        List.of("localhost", "127.1", "256.0.0.1", "01.2.3.4", "fe80::1%lo", "1:2:3", "", "::g")) {
+      assertTrue(Addresses.read(bad).isEmpty(), bad);
     }
+    assertTrue(Addresses.compare(ip("10.0.0.200"), ip("10.0.0.3")) > 0);
+  }
 }
