--- a/src/main/java/cobaltseam/hall/MessageCodec.java
+++ b/src/main/java/cobaltseam/hall/MessageCodec.java
@@ -1,21 +1,15 @@
 package cobaltseam.hall;
 
-import cobaltseam.agreement.Word;
 import cobaltseam.membership.Birth;
-import cobaltseam.membership.LeaseWord;
 import cobaltseam.membership.MemberName;
-import cobaltseam.membership.Message;
 import cobaltseam.membership.Spoken;
-import cobaltseam.repeats.PurseWord;
 import cobaltseam.seal.Seal;
 import cobaltseam.seal.SealKeys;
-import cobaltseam.sharing.Shared;
-import cobaltseam.spread.LoanWord;
-import cobaltseam.spread.ReportWord;
 import cobaltseam.vrrp.Addresses;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.AnnotationIntrospector;
 import com.fasterxml.jackson.databind.DeserializationContext;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -23,6 +17,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializerProvider;
 import com.fasterxml.jackson.databind.deser.std.StdDeserializer;
+import com.fasterxml.jackson.databind.introspect.JacksonAnnotationIntrospector;
 import com.fasterxml.jackson.databind.module.SimpleModule;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.databind.ser.std.StdSerializer;
@@ -31,11 +26,8 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
-import java.util.stream.Collectors;
-import java.util.stream.Stream;
 
 /**
  * What members tell each other, as bytes: CBOR (RFC 8949) of a version, the fleet's name, the kind
@@ -48,39 +40,6 @@
   public static final int LARGEST = 1 << 14;
 
   private static final int VERSION = 1;
-  private static final Map<String, Class<? extends Spoken>> KINDS =
-      Stream.<Class<? extends Spoken>>of(
-              Message.Probe.class,
-              Message.Relay.class,
-              Message.Answer.class,
-              Message.Ask.class,
-              Message.Part.class,
-              Message.NameTaken.class,
-              Message.Found.class,
-              Message.Consent.class,
-              Message.Prepare.class,
-              Message.Promise.class,
-              Message.Refuse.class,
-              Message.Accept.class,
-              Message.Accepted.class,
-              Message.Decided.class,
-              Message.AskView.class,
-              Message.ViewPart.class,
-              LeaseWord.Renew.class,
-              LeaseWord.Granted.class,
-              Word.Offer.class,
-              Word.Checked.class,
-              Word.Want.class,
-              Word.Piece.class,
-              Shared.ShareAsk.class,
-              Shared.ShareNewer.class,
-              LoanWord.Borrow.class,
-              LoanWord.Lent.class,
-              ReportWord.AskReports.class,
-              ReportWord.Table.class,
-              PurseWord.Beg.class,
-              PurseWord.Give.class)
-          .collect(Collectors.toMap(Class::getSimpleName, Function.identity()));
 
   /** Why bytes are not taken for a message that counts. */
   public enum Refusal {
@@ -126,6 +85,8 @@
         .enable(
             DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES,
             DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+        .annotationIntrospector(
+            AnnotationIntrospector.pair(new WireNames(), new JacksonAnnotationIntrospector()))
         .addModule(plain())
         .build();
   }
@@ -200,7 +161,7 @@
   /** The bytes of a message; null if it is too long to be sent. */
   public byte[] write(Spoken message) {
     ObjectNode whole = mapper.createObjectNode();
-    whole.put("v", VERSION).put("f", fleet).put("k", message.getClass().getSimpleName());
+    whole.put("v", VERSION).put("f", fleet).put("k", WireNames.kindOf(message));
     whole.set("m", mapper.valueToTree(message));
     byte[] bytes;
     try {
@@ -238,7 +199,7 @@
       if (!fleet.equals(whole.path("f").asText())) {
         return refused(Refusal.OTHER_FLEET);
       }
-      Class<? extends Spoken> kind = KINDS.get(whole.path("k").asText());
+      Class<? extends Spoken> kind = WireNames.classOf(whole.path("k").asText());
       if (kind == null) {
         return refused(Refusal.KIND);
       }
--- a/src/main/java/cobaltseam/service/Agreed.java
+++ b/src/main/java/cobaltseam/service/Agreed.java
@@ -17,6 +17,7 @@
 import cobaltseam.setup.Setup;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.type.TypeReference;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
 import com.fasterxml.jackson.databind.json.JsonMapper;
@@ -113,7 +114,8 @@
       return known;
     }
     try {
-      Map<Object, Object> all = new HashMap<>(JSON.readValue(content, Map.class));
+      Map<Object, Object> all =
+          JSON.readValue(content, new TypeReference<HashMap<Object, Object>>() {});
       all.put(POSITION, position);
       try (JsonParser parser = new JsonFactory().createParser(JSON.writeValueAsBytes(all))) {
         Deployment d = DeploymentReader.read(Fields.of(parser));
--- a/src/test/java/cobaltseam/service/ServiceTest.java
+++ b/src/test/java/cobaltseam/service/ServiceTest.java
@@ -128,10 +128,11 @@
 
   @Test
   void refusedConnectionsProveThatNothingRan() throws Exception {
-    try (ServerSocket closed = new ServerSocket(0)) {
-      closed.close();
-      start(SOCKETS, IDLE_MS, "127.0.0.1:" + closed.getLocalPort());
+    int closedPort;
+    try (ServerSocket listener = new ServerSocket(0)) {
+      closedPort = listener.getLocalPort();
     }
+    start(SOCKETS, IDLE_MS, "127.0.0.1:" + closedPort);
     Client client = new Client(command("once", 1, 1000));
     assertEquals(List.of("error 53 pushback"), client.told());
   }
