--- a/src/main/java/cobaltseam/adapter/Adapter.java
+++ b/src/main/java/cobaltseam/adapter/Adapter.java
@@ -2,12 +2,12 @@
 
 import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.Fields;
+import cobaltseam.dispatch.EndpointStatus;
 import cobaltseam.dispatch.EngineId;
 import cobaltseam.dispatch.GroupId;
-import cobaltseam.dispatch.KindId;
-import cobaltseam.dispatch.Listing;
 import cobaltseam.dispatch.LocationId;
-import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.MachineTypeId;
+import cobaltseam.dispatch.Timestamp;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -28,7 +28,7 @@
 public final class Adapter {
   private final JsonFactory json = new JsonFactory();
   private final Map<Long, Instance> instances = new HashMap<>();
-  private final Map<Long, List<Listing>> rosters = new HashMap<>();
+  private final Map<Long, List<EndpointStatus>> rosters = new HashMap<>();
 
   /** Answers batches until the input ends; throws {@link BadInput} on what it can't take. */
   public void run(InputStream in, OutputStream out) throws IOException {
@@ -52,7 +52,7 @@
   }
 
   private void answer(Fields batch, JsonGenerator out) throws IOException {
-    Moment now = new Moment(batch.whole("time_us"));
+    Timestamp now = new Timestamp(batch.whole("time_us"));
     Map<Long, List<Instance.Message>> replies = new LinkedHashMap<>();
     for (Fields group : batch.objects("groups")) {
       long number = group.whole("dispatcher");
@@ -80,7 +80,8 @@
     out.writeEndObject();
   }
 
-  private void take(long number, String name, Fields f, List<Instance.Message> reply, Moment now) {
+  private void take(
+      long number, String name, Fields f, List<Instance.Message> reply, Timestamp now) {
     if (name.equals("roster")) {
       rosters.put(f.whole("ref"), roster(f));
       return;
@@ -119,23 +120,23 @@
     }
   }
 
-  private static List<Listing> roster(Fields f) {
-    List<Listing> list = new ArrayList<>();
+  private static List<EndpointStatus> roster(Fields f) {
+    List<EndpointStatus> list = new ArrayList<>();
     for (Fields entry : f.objects("nodes_list")) {
       String standing = entry.text("lifecycle");
       list.add(
-          new Listing(
+          new EndpointStatus(
               new EngineId(entry.whole("node")),
               new LocationId(entry.text("failure_domain", "")),
-              new KindId(entry.text("model", "")),
+              new MachineTypeId(entry.text("model", "")),
               new GroupId(entry.whole("block", 0)),
               switch (standing) {
-                case "up" -> Listing.Standing.UP;
-                case "draining" -> Listing.Standing.DRAINING;
-                case "removed" -> Listing.Standing.GONE;
+                case "up" -> EndpointStatus.EndpointState.UP;
+                case "draining" -> EndpointStatus.EndpointState.DRAINING;
+                case "removed" -> EndpointStatus.EndpointState.GONE;
                 default -> throw new BadInput("roster: unknown 'lifecycle' " + standing);
               },
-              new Moment(entry.whole("launched_us", 0))));
+              new Timestamp(entry.whole("launched_us", 0))));
     }
     return list;
   }
--- a/src/main/java/cobaltseam/adapter/Instance.java
+++ b/src/main/java/cobaltseam/adapter/Instance.java
@@ -3,22 +3,22 @@
 import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.DeploymentReader;
 import cobaltseam.deployment.Fields;
-import cobaltseam.dispatch.Command;
-import cobaltseam.dispatch.CommandId;
+import cobaltseam.dispatch.AttemptOutcome;
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
 import cobaltseam.dispatch.DataSetId;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.Dispatcher;
+import cobaltseam.dispatch.EndpointStatus;
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Listing;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.OrderKey;
-import cobaltseam.dispatch.Outcome;
-import cobaltseam.dispatch.Outcome.Ending;
-import cobaltseam.dispatch.Pause;
+import cobaltseam.dispatch.NextStep;
 import cobaltseam.dispatch.Placement;
-import cobaltseam.dispatch.ProfileId;
-import cobaltseam.dispatch.ShareId;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.Request;
+import cobaltseam.dispatch.RequestClassId;
+import cobaltseam.dispatch.RequestId;
+import cobaltseam.dispatch.SequenceKey;
+import cobaltseam.dispatch.TenantId;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.util.List;
@@ -48,7 +48,7 @@
   private final int inHandAt;
   private List<Message> reply;
   private long timers;
-  private Moment wake;
+  private Timestamp wake;
 
   Instance(Fields born, List<Message> reply) {
     Fields told = born.object("settings");
@@ -76,40 +76,40 @@
     add("track", out -> out.writeBooleanField("enable", true));
   }
 
-  void accepted(Fields f, Moment now) {
+  void accepted(Fields f, Timestamp now) {
     boolean hint = (f.whole("attrs", 0) & HINT_VALID) != 0;
     String share = f.text("project", null);
-    Command command =
-        new Command(
-            new CommandId(f.text("op_id")),
-            new ProfileId(f.text("kind")),
-            share == null || share.equals("0") ? null : new ShareId(share),
-            f.has("order_key") ? new OrderKey(f.text("order_key")) : null,
-            new Moment(f.whole("due_us")),
-            new Span(hint ? f.whole("guess_us", 0) : 0),
+    Request command =
+        new Request(
+            new RequestId(f.text("op_id")),
+            new RequestClassId(f.text("kind")),
+            share == null || share.equals("0") ? null : new TenantId(share),
+            f.has("order_key") ? new SequenceKey(f.text("order_key")) : null,
+            new Timestamp(f.whole("due_us")),
+            new TimeSpan(hint ? f.whole("guess_us", 0) : 0),
             f.has("table_group") ? new DataSetId((long) f.number("table_group")) : null,
             f.number("mem_mb", 0));
     write(command.id(), dispatcher.place(command, now));
   }
 
-  void ended(Fields f, Moment now) {
+  void ended(Fields f, Timestamp now) {
     long note = f.whole("note", 0);
-    Ending ending = ending(f.text("verdict"));
-    boolean told = ending == Ending.ANSWERED && note > 0;
-    CommandId id = new CommandId(f.text("op_id"));
-    Outcome outcome =
-        new Outcome(
+    AttemptResult ending = ending(f.text("verdict"));
+    boolean told = ending == AttemptResult.COMPLETED && note > 0;
+    RequestId id = new RequestId(f.text("op_id"));
+    AttemptOutcome outcome =
+        new AttemptOutcome(
             id,
             (int) f.whole("copy"),
             new EngineId(f.whole("node")),
             ending,
-            new Span(f.whole("duration_us", 0)),
+            new TimeSpan(f.whole("duration_us", 0)),
             f.flag("settled"),
-            new Span(told ? note / NOTE_MEMORY_STEPS * 1000 : -1),
+            new TimeSpan(told ? note / NOTE_MEMORY_STEPS * 1000 : -1),
             told ? note % NOTE_MEMORY_STEPS * NOTE_MEMORY_MB : -1,
             reported(f, queueAt),
             reported(f, inHandAt));
-    write(id, dispatcher.after(outcome, now));
+    write(id, dispatcher.completeAttempt(outcome, now));
   }
 
   private static double reported(Fields f, int at) {
@@ -117,24 +117,24 @@
     return at >= 0 && at < row.size() ? row.get(at) : -1;
   }
 
-  private static Ending ending(String verdict) {
+  private static AttemptResult ending(String verdict) {
     return switch (verdict) {
-      case "pass" -> Ending.ANSWERED;
-      case "fault" -> Ending.ERROR;
-      case "no_room" -> Ending.NO_ROOM;
-      case "too_slow" -> Ending.TIMED_OUT;
-      case "no_route" -> Ending.UNREACHABLE;
-      case "cut" -> Ending.CUT;
-      case "undone" -> Ending.CANCELLED;
-      case "stale_send" -> Ending.NEVER_SENT;
+      case "pass" -> AttemptResult.COMPLETED;
+      case "fault" -> AttemptResult.ERROR;
+      case "no_room" -> AttemptResult.CAPACITY_EXCEEDED;
+      case "too_slow" -> AttemptResult.TIMED_OUT;
+      case "no_route" -> AttemptResult.UNREACHABLE;
+      case "cut" -> AttemptResult.CONNECTION_LOST;
+      case "undone" -> AttemptResult.CANCELLED;
+      case "stale_send" -> AttemptResult.NEVER_SENT;
       default -> throw new BadInput("verdict: unknown 'verdict' " + verdict);
     };
   }
 
-  void listed(Fields f, List<Listing> list, Moment now) {
+  void listed(Fields f, List<EndpointStatus> list, Timestamp now) {
     switch (f.text("kind")) {
-      case "incr" -> dispatcher.listed(list, false, now);
-      case "total", "warm_copy" -> dispatcher.listed(list, true, now);
+      case "incr" -> dispatcher.updateEndpoints(list, false, now);
+      case "total", "warm_copy" -> dispatcher.updateEndpoints(list, true, now);
       case "lost" -> {
         if (subscribes) {
           subscribe();
@@ -144,21 +144,21 @@
     }
   }
 
-  void departed(Fields f, Moment now) {
-    dispatcher.departed(new CommandId(f.text("op_id")), now);
+  void departed(Fields f, Timestamp now) {
+    dispatcher.clientLeft(new RequestId(f.text("op_id")), now);
   }
 
   /** A note of a send that is out. */
-  void noted(Fields f, Moment now) {
-    CommandId id = new CommandId(f.text("op_id"));
+  void noted(Fields f, Timestamp now) {
+    RequestId id = new RequestId(f.text("op_id"));
     int send = (int) f.whole("copy", 0);
     double amount = f.number("amount", 0);
     switch ((int) f.whole("what")) {
-      case SHARE_DONE -> dispatcher.progressed(id, send, amount, now);
-      case SPILLS -> dispatcher.spills(id, send, amount);
+      case SHARE_DONE -> dispatcher.updateProgress(id, send, amount, now);
+      case SPILLS -> dispatcher.updateMemoryShortfall(id, send, amount);
       case WAITS -> {
         if (amount == FOR_A_LOAD) {
-          dispatcher.blocked(id, send, now);
+          dispatcher.markBlocked(id, send, now);
         }
       }
       default -> {}
@@ -172,30 +172,30 @@
   }
 
   /** Follows the module until it names a span to wait, and sets the timer to it. */
-  void follow(Moment now) {
-    Pause pause = dispatcher.pause(now);
-    while (pause.span() != null && !pause.span().isPositive()) {
-      if (pause.callOff() >= 0) {
-        String id = pause.command().id().value();
-        int send = pause.callOff();
+  void follow(Timestamp now) {
+    NextStep pause = dispatcher.next(now);
+    while (pause.delay() != null && !pause.delay().isPositive()) {
+      if (pause.cancelAttempt() >= 0) {
+        String id = pause.request().id().value();
+        int send = pause.cancelAttempt();
         add(
             "recall",
             out -> {
               out.writeStringField("op_id", id);
               out.writeNumberField("copy", send);
             });
-      } else if (pause.command() != null) {
-        write(pause.command().id(), dispatcher.place(pause.command(), now));
-      } else if (pause.probe() != null) {
-        long engine = pause.probe().value();
+      } else if (pause.request() != null) {
+        write(pause.request().id(), dispatcher.place(pause.request(), now));
+      } else if (pause.healthCheck() != null) {
+        long engine = pause.healthCheck().value();
         add("ping", out -> out.writeNumberField("node", engine));
       }
-      pause = dispatcher.pause(now);
+      pause = dispatcher.next(now);
     }
-    if (pause.span() != null && (wake == null || now.plus(pause.span()).before(wake))) {
-      wake = now.plus(pause.span());
+    if (pause.delay() != null && (wake == null || now.plus(pause.delay()).isBefore(wake))) {
+      wake = now.plus(pause.delay());
       long name = ++timers;
-      long us = pause.span().us();
+      long us = pause.delay().us();
       add(
           "schedule",
           out -> {
@@ -209,15 +209,15 @@
     add("exception", out -> out.writeStringField("reason_text", e.toString()));
   }
 
-  private void write(CommandId id, Placement p) {
-    switch (p.verdict()) {
+  private void write(RequestId id, Placement p) {
+    switch (p.decision()) {
       case SEND -> {
-        if (p.priority() >= 0 || p.grantMb() > 0) {
+        if (p.priority() >= 0 || p.memoryGrantMb() > 0) {
           add(
               "provide",
               out -> {
                 out.writeStringField("op_id", id.value());
-                out.writeNumberField("grant_mb", Math.round(p.grantMb()));
+                out.writeNumberField("grant_mb", Math.round(p.memoryGrantMb()));
                 out.writeNumberField("rank", p.priority() >= 0 ? p.priority() : UNHEEDED_RANK);
               });
         }
@@ -226,7 +226,7 @@
             out -> {
               out.writeStringField("op_id", id.value());
               out.writeNumberField("node", p.engine().value());
-              out.writeNumberField("max_wait_us", p.sendTimeout().us());
+              out.writeNumberField("max_wait_us", p.attemptTimeout().us());
             });
       }
       case SHED ->
@@ -234,8 +234,8 @@
               "bounce",
               out -> {
                 out.writeStringField("op_id", id.value());
-                if (p.comeBack().isPositive()) {
-                  out.writeNumberField("come_back_us", p.comeBack().us());
+                if (p.retryAfter().isPositive()) {
+                  out.writeNumberField("come_back_us", p.retryAfter().us());
                 }
               });
       case FAIL -> add("error", out -> out.writeStringField("op_id", id.value()));
--- a/src/main/java/cobaltseam/agreement/Agreement.java
+++ b/src/main/java/cobaltseam/agreement/Agreement.java
@@ -6,8 +6,8 @@
 import cobaltseam.agreement.Word.Offer;
 import cobaltseam.agreement.Word.Piece;
 import cobaltseam.agreement.Word.Want;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Edition;
 import cobaltseam.membership.Lease;
 import cobaltseam.membership.Member;
@@ -46,7 +46,7 @@
    * @param clockRates by which part the rates of two clocks differ at most
    * @param largest bytes of a document
    */
-  public record Terms(Span contradiction, double clockRates, int largest) {}
+  public record Terms(TimeSpan contradiction, double clockRates, int largest) {}
 
   /** What documents mean; no state, the same answer every time. */
   public interface Documents {
@@ -81,11 +81,11 @@
   /** Documents of no edition here that are held yet: others may ask for them. */
   private static final int MOST_SPARE = 4;
 
-  private record Earlier(Edition edition, Moment until) {}
+  private record Earlier(Edition edition, Timestamp until) {}
 
   private static final class Proposal {
     Edition edition;
-    Moment since, toldAt;
+    Timestamp since, toldAt;
     boolean offered;
     final Map<MemberName, String> answers = new HashMap<>();
   }
@@ -94,7 +94,7 @@
   private static final class Coming {
     String hash;
     ByteBuffer bytes;
-    Moment asked;
+    Timestamp asked;
     Member of;
   }
 
@@ -114,10 +114,10 @@
   private View held;
 
   /** Until then others may act on editions that are not known here, or were taken out with one. */
-  private Moment freshUntil, removedUntil;
+  private Timestamp freshUntil, removedUntil;
 
   private Acting acting = new Acting(Mode.BACK, List.of());
-  private Moment actingSince;
+  private Timestamp actingSince;
   private Proposal proposal;
   private Coming coming;
 
@@ -173,12 +173,12 @@
   }
 
   /** Null before it first acted on anything. */
-  public Moment actingSince() {
+  public Timestamp actingSince() {
     return actingSince;
   }
 
   /** How long this process may yet act without hearing from a majority. */
-  public Span leaseLeft(Moment now) {
+  public TimeSpan leaseLeft(Timestamp now) {
     return lease.left(now);
   }
 
@@ -193,16 +193,16 @@
   }
 
   /** After so long all leases that were given before have ended, whichever clock is the slower. */
-  private Span outlasts() {
+  private TimeSpan outlasts() {
     return lease.outlasts();
   }
 
   /** When {@link #follow} is to be asked again. */
-  public Moment wake(Moment now) {
+  public Timestamp wake(Timestamp now) {
     // What could not be done by now is tried again then; what comes sooner, such as a lease's end,
     // is not passed over for it.
     boolean pending = proposal != null || coming != null || acting.mode() == Mode.BACK;
-    Moment wake = now.plus(terms.contradiction.times(pending ? AGAIN : 2 * AGAIN));
+    Timestamp wake = now.plus(terms.contradiction.times(pending ? AGAIN : 2 * AGAIN));
     wake = acting.mode() == Mode.BACK ? wake : soonest(wake, lease.until(), now);
     wake = soonest(wake, freshUntil, now);
     for (Earlier e : earlier) {
@@ -211,8 +211,8 @@
     return wake;
   }
 
-  private static Moment soonest(Moment wake, Moment other, Moment now) {
-    return other == null || other.before(now) || !other.before(wake) ? wake : other;
+  private static Timestamp soonest(Timestamp wake, Timestamp other, Timestamp now) {
+    return other == null || other.isBefore(now) || !other.isBefore(wake) ? wake : other;
   }
 
   private List<Doing> done() {
@@ -235,7 +235,7 @@
    * What follows from the view and from time; to be asked before anything is taken or sent after a
    * pause.
    */
-  public List<Doing> follow(Moment now) {
+  public List<Doing> follow(Timestamp now) {
     View view = membership.view();
     if (view != held) {
       viewed(view, now);
@@ -249,7 +249,7 @@
     return done();
   }
 
-  private void viewed(View view, Moment now) {
+  private void viewed(View view, Timestamp now) {
     Edition was = held == null ? null : held.edition();
     boolean sameLine = view != null && held != null && view.id().line() == held.id().line();
     long ahead = view == null ? 0 : Edition.number(view.edition()) - Edition.number(was);
@@ -279,7 +279,7 @@
     contents.put(hash(content), content);
   }
 
-  private void fetch(View view, Moment now) {
+  private void fetch(View view, Timestamp now) {
     Edition edition = view.edition();
     String lacks =
         edition != null && !contents.containsKey(edition.hash()) ? edition.hash() : lacking;
@@ -303,7 +303,7 @@
     }
   }
 
-  private void comes(String hash, Member of, Moment now) {
+  private void comes(String hash, Member of, Timestamp now) {
     coming = new Coming();
     coming.hash = hash;
     coming.of = of;
@@ -311,7 +311,7 @@
     want(now);
   }
 
-  private void want(Moment now) {
+  private void want(Timestamp now) {
     coming.asked = now;
     if (coming.of != null) {
       tell(
@@ -323,7 +323,7 @@
     }
   }
 
-  private void came(Piece piece, Moment now) {
+  private void came(Piece piece, Timestamp now) {
     if (coming == null
         || !coming.hash.equals(piece.hash())
         || piece.size() < 0
@@ -390,7 +390,7 @@
     contents.put(ownHash, content);
   }
 
-  private void first(View view, Moment now) {
+  private void first(View view, Timestamp now) {
     if (view.edition() == null
         && own != null
         && proposal == null
@@ -406,7 +406,7 @@
    * @param expect the number of that edition, or below zero for whichever
    * @return why not, or null: then a note tells what became of it
    */
-  public String propose(byte[] content, long expect, Moment now) {
+  public String propose(byte[] content, long expect, Timestamp now) {
     View view = membership.view();
     long number = view == null ? 0 : Edition.number(view.edition());
     if (view == null || !leaseLeft(now).isPositive()) {
@@ -432,7 +432,7 @@
     return null;
   }
 
-  private void begin(byte[] content, Moment now) {
+  private void begin(byte[] content, Timestamp now) {
     View view = membership.view();
     Proposal p = new Proposal();
     p.edition =
@@ -444,7 +444,7 @@
     note(Event.PROPOSED, p.edition.toString());
   }
 
-  private void proposes(View view, Moment now) {
+  private void proposes(View view, Timestamp now) {
     Proposal p = proposal;
     if (p == null) {
       return;
@@ -467,7 +467,7 @@
     }
     List<Member> missing =
         view.members().stream().filter(m -> !p.answers.containsKey(m.name())).toList();
-    Span age = now.since(p.since);
+    TimeSpan age = now.since(p.since);
     if (age.compareTo(terms.contradiction.times(GIVES_UP)) >= 0) {
       note(
           Event.NOT_CHOSEN,
@@ -504,7 +504,7 @@
   }
 
   /** Answers the offer, once its document is here. */
-  private void answer(Moment now) {
+  private void answer(Timestamp now) {
     byte[] content = candidate == null ? null : contents.get(candidate.hash());
     if (content != null && offeredBy != null) {
       tell(offeredBy, new Checked(membership.teller(), candidate, documents.check(content)));
@@ -514,7 +514,7 @@
   // ---- what comes
 
   /** A word that its carrier found whole, of this fleet and sealed as it should be. */
-  public List<Doing> heard(Word word, Moment now) {
+  public List<Doing> heard(Word word, Timestamp now) {
     View view = membership.view();
     Member from = word.from().member();
     if (!membership.spoke(word, now) || view == null || !view.holds(from.name(), from.birth())) {
@@ -553,14 +553,14 @@
 
   // ---- what is acted on
 
-  private void act(View view, Moment now) {
-    earlier.removeIf(e -> !now.before(e.until));
-    boolean quiet = removedUntil == null || !now.before(removedUntil);
+  private void act(View view, Timestamp now) {
+    earlier.removeIf(e -> !now.isBefore(e.until));
+    boolean quiet = removedUntil == null || !now.isBefore(removedUntil);
     if (!earlier.isEmpty() && quiet && membership.isHeldByAll()) {
       earlier.clear();
     }
     Edition edition = view == null ? null : view.edition();
-    boolean unknown = freshUntil != null && now.before(freshUntil);
+    boolean unknown = freshUntil != null && now.isBefore(freshUntil);
     String why =
         edition == null
             ? "no edition is agreed"
--- a/src/main/java/cobaltseam/agreement/Caution.java
+++ b/src/main/java/cobaltseam/agreement/Caution.java
@@ -1,13 +1,13 @@
 package cobaltseam.agreement;
 
 import cobaltseam.dispatch.Deployment;
-import cobaltseam.dispatch.Deployment.Kind;
-import cobaltseam.dispatch.Deployment.Means;
-import cobaltseam.dispatch.Deployment.Profile;
-import cobaltseam.dispatch.Deployment.Repeat;
+import cobaltseam.dispatch.Deployment.Capabilities;
+import cobaltseam.dispatch.Deployment.MachineType;
+import cobaltseam.dispatch.Deployment.Quota;
+import cobaltseam.dispatch.Deployment.RequestClass;
+import cobaltseam.dispatch.Deployment.RetrySafety;
 import cobaltseam.dispatch.Deployment.Rules;
-import cobaltseam.dispatch.Deployment.Share;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -88,24 +88,24 @@
   /** What breaks neither. */
   public static Deployment between(Deployment earlier, Deployment later) {
     return new Deployment(
-        later.number(),
-        Math.max(earlier.dispatchers(), later.dispatchers()),
-        both(earlier.profiles(), later.profiles(), Profile::id, Caution::profile),
+        later.dispatcherIndex(),
+        Math.max(earlier.dispatcherCount(), later.dispatcherCount()),
+        both(earlier.requestClasses(), later.requestClasses(), RequestClass::id, Caution::profile),
         both(
-            earlier.kinds(),
-            later.kinds(),
-            Kind::id,
+            earlier.machineTypes(),
+            later.machineTypes(),
+            MachineType::id,
             (a, b) ->
-                new Kind(
+                new MachineType(
                     b.id(), Math.min(a.cores(), b.cores()), Math.min(a.memoryMb(), b.memoryMb()))),
         both(
-            earlier.shares(),
-            later.shares(),
-            Share::id,
-            (a, b) -> new Share(b.id(), Math.min(a.perSecond(), b.perSecond()))),
-        Math.min(earlier.overShareWorth(), later.overShareWorth()),
+            earlier.quotas(),
+            later.quotas(),
+            Quota::tenant,
+            (a, b) -> new Quota(b.tenant(), Math.min(a.perSecond(), b.perSecond()))),
+        Math.min(earlier.overQuotaWeight(), later.overQuotaWeight()),
         rules(earlier.rules(), later.rules()),
-        means(earlier.means(), later.means()),
+        means(earlier.capabilities(), later.capabilities()),
         later.place());
   }
 
@@ -115,45 +115,45 @@
    * would break no other one: they stay as they are.
    */
   public static Deployment alone(Deployment d) {
-    List<Profile> profiles =
-        d.profiles().stream()
+    List<RequestClass> profiles =
+        d.requestClasses().stream()
             .map(
                 p ->
-                    new Profile(
+                    new RequestClass(
                         p.id(),
                         p.threads(),
-                        p.benefit(),
-                        p.lateBenefit(),
-                        p.latencyTarget(),
-                        p.stretch(),
-                        p.clientTimeout(),
-                        Repeat.NON_REPLAYABLE,
-                        p.scope(),
-                        p.remembered(),
+                        p.priorityWeight(),
+                        p.latePriorityWeight(),
+                        p.latencyObjective(),
+                        p.objectivePerWork(),
+                        p.deadline(),
+                        RetrySafety.NOT_IDEMPOTENT,
+                        p.deduplicationScope(),
+                        p.deduplicationWindow(),
                         p.inOrder(),
                         p.locations(),
-                        p.onKinds(),
-                        p.load(),
-                        p.waits()))
+                        p.machineTypes(),
+                        p.loadsDataSet(),
+                        p.waitsForLoads()))
             .toList();
-    Means m = d.means();
+    Capabilities m = d.capabilities();
     return new Deployment(
-        d.number(),
-        d.dispatchers(),
+        d.dispatcherIndex(),
+        d.dispatcherCount(),
         profiles,
-        d.kinds(),
-        d.shares(),
-        d.overShareWorth(),
+        d.machineTypes(),
+        d.quotas(),
+        d.overQuotaWeight(),
         d.rules(),
-        new Means(
-            m.tick(),
+        new Capabilities(
+            m.clockTick(),
             1,
             false,
-            m.priorities(),
-            m.comeBack(),
-            m.longestComeBack(),
-            m.noteEvery(),
-            m.grants()),
+            m.hasEnginePriorities(),
+            m.allowsRetryAfter(),
+            m.maxRetryAfter(),
+            m.progressInterval(),
+            m.hasMemoryGrants()),
         d.place());
   }
 
@@ -174,51 +174,49 @@
     return List.copyOf(all);
   }
 
-  private static Profile profile(Profile a, Profile b) {
-    return new Profile(
+  private static RequestClass profile(RequestClass a, RequestClass b) {
+    return new RequestClass(
         b.id(),
         Math.max(a.threads(), b.threads()),
-        b.benefit(),
-        b.lateBenefit(),
-        b.latencyTarget(),
-        b.stretch(),
-        smaller(a.clientTimeout(), b.clientTimeout()),
-        later(a.repeat(), b.repeat()),
-        later(a.scope(), b.scope()),
-        smaller(a.remembered(), b.remembered()),
+        b.priorityWeight(),
+        b.latePriorityWeight(),
+        b.latencyObjective(),
+        b.objectivePerWork(),
+        smaller(a.deadline(), b.deadline()),
+        later(a.retrySafety(), b.retrySafety()),
+        later(a.deduplicationScope(), b.deduplicationScope()),
+        smaller(a.deduplicationWindow(), b.deduplicationWindow()),
         a.inOrder() || b.inOrder(),
         allowed(a.locations(), b.locations()),
-        allowed(a.onKinds(), b.onKinds()),
-        b.load(),
-        b.waits());
+        allowed(a.machineTypes(), b.machineTypes()),
+        b.loadsDataSet(),
+        b.waitsForLoads());
   }
 
   private static Rules rules(Rules a, Rules b) {
     return new Rules(
-        Math.min(a.coldFrom(), b.coldFrom()),
-        larger(a.warmWithin(), b.warmWithin()),
-        Math.min(a.fallMultiple(), b.fallMultiple()),
-        larger(a.fallWindow(), b.fallWindow()),
-        larger(a.keyRest(), b.keyRest()),
-        bounded(a.furtherFree(), b.furtherFree()),
-        bounded(a.furtherRatio(), b.furtherRatio()),
-        a.furtherWindow() == null
-            ? b.furtherWindow()
-            : b.furtherWindow() == null
-                ? a.furtherWindow()
-                : larger(a.furtherWindow(), b.furtherWindow()));
+        Math.min(a.slowStartFraction(), b.slowStartFraction()),
+        larger(a.slowStartDuration(), b.slowStartDuration()),
+        Math.min(a.slowStartLimitFactor(), b.slowStartLimitFactor()),
+        larger(a.slowStartWindow(), b.slowStartWindow()),
+        larger(a.sequenceKeyRest(), b.sequenceKeyRest()),
+        bounded(a.freeRetries(), b.freeRetries()),
+        bounded(a.retryRatio(), b.retryRatio()),
+        a.retryWindow() == null
+            ? b.retryWindow()
+            : b.retryWindow() == null ? a.retryWindow() : larger(a.retryWindow(), b.retryWindow()));
   }
 
-  private static Means means(Means a, Means b) {
-    return new Means(
-        b.tick(),
-        Math.min(a.mostSends(), b.mostSends()),
-        a.cancels() && b.cancels(),
-        a.priorities() && b.priorities(),
-        a.comeBack() && b.comeBack(),
-        smaller(a.longestComeBack(), b.longestComeBack()),
-        b.noteEvery(),
-        a.grants() && b.grants());
+  private static Capabilities means(Capabilities a, Capabilities b) {
+    return new Capabilities(
+        b.clockTick(),
+        Math.min(a.maxAttempts(), b.maxAttempts()),
+        a.canCancel() && b.canCancel(),
+        a.hasEnginePriorities() && b.hasEnginePriorities(),
+        a.allowsRetryAfter() && b.allowsRetryAfter(),
+        smaller(a.maxRetryAfter(), b.maxRetryAfter()),
+        b.progressInterval(),
+        a.hasMemoryGrants() && b.hasMemoryGrants());
   }
 
   private static Double bounded(Double a, Double b) {
@@ -230,11 +228,11 @@
     return a.compareTo(b) > 0 ? a : b;
   }
 
-  private static Span smaller(Span a, Span b) {
+  private static TimeSpan smaller(TimeSpan a, TimeSpan b) {
     return a.compareTo(b) < 0 ? a : b;
   }
 
-  private static Span larger(Span a, Span b) {
+  private static TimeSpan larger(TimeSpan a, TimeSpan b) {
     return a.compareTo(b) > 0 ? a : b;
   }
 
--- a/src/main/java/cobaltseam/cli/Vrrp.java
+++ b/src/main/java/cobaltseam/cli/Vrrp.java
@@ -1,8 +1,8 @@
 package cobaltseam.cli;
 
 import cobaltseam.deployment.BadInput;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.hall.AdvertSocket;
 import cobaltseam.mastership.Freshness;
 import cobaltseam.mastership.Intake;
@@ -283,11 +283,12 @@
       }
       InetAddress self = hall.listen().getAddress();
       Set<InetAddress> peers = hall.peerAddresses();
-      Moment start = now();
-      Span difference = hall.sealing() == null ? Span.ZERO : hall.sealing().clockDifference();
+      Timestamp start = now();
+      TimeSpan difference =
+          hall.sealing() == null ? TimeSpan.ZERO : hall.sealing().clockDifference();
       Mastership never =
           new Mastership(
-              self, hall.terms(), peers, 0, Span.ZERO, Span.ZERO, hall.followsIntervals());
+              self, hall.terms(), peers, 0, TimeSpan.ZERO, TimeSpan.ZERO, hall.followsIntervals());
       Intake intake =
           new Intake(
               self,
@@ -301,11 +302,12 @@
           new AdvertSocket(
               hall.listen(), peers, (bytes, source) -> waiting.offer(new Came(bytes, source)));
       socket.open();
-      Moment end = seconds == null ? null : start.plus(new Span(seconds * US_PER_SECOND));
+      Timestamp end = seconds == null ? null : start.plus(new TimeSpan(seconds * US_PER_SECOND));
       PrintWriter out = spec.commandLine().getOut();
-      for (Moment now = start; end == null || now.before(end); now = now()) {
-        Moment wake = observer.wake();
-        Span wait = wake == null ? new Span(US_PER_SECOND) : wake.since(now).max(Span.ZERO);
+      for (Timestamp now = start; end == null || now.isBefore(end); now = now()) {
+        Timestamp wake = observer.wake();
+        TimeSpan wait =
+            wake == null ? new TimeSpan(US_PER_SECOND) : wake.since(now).max(TimeSpan.ZERO);
         wait = end == null ? wait : wait.min(end.since(now));
         Came came = waiting.poll(wait.us() + 1, TimeUnit.MICROSECONDS);
         List<Observer.Seen> seen = new ArrayList<>();
@@ -326,8 +328,8 @@
       return 0;
     }
 
-    private static Moment now() {
-      return new Moment(
+    private static Timestamp now() {
+      return new Timestamp(
           java.time.temporal.ChronoUnit.MICROS.between(
               java.time.Instant.EPOCH, java.time.Instant.now()));
     }
--- a/src/main/java/cobaltseam/deployment/DeploymentReader.java
+++ b/src/main/java/cobaltseam/deployment/DeploymentReader.java
@@ -1,11 +1,11 @@
 package cobaltseam.deployment;
 
 import cobaltseam.dispatch.Deployment;
-import cobaltseam.dispatch.KindId;
 import cobaltseam.dispatch.LocationId;
-import cobaltseam.dispatch.ProfileId;
-import cobaltseam.dispatch.ShareId;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.MachineTypeId;
+import cobaltseam.dispatch.RequestClassId;
+import cobaltseam.dispatch.TenantId;
+import cobaltseam.dispatch.TimeSpan;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -25,7 +25,7 @@
     List<Double> threads = family.numbers("width_by_class");
     List<Boolean> loads = family.flags("writes_tables");
     List<Boolean> waits = family.flags("waits_for_loads");
-    List<Deployment.Profile> profiles = new ArrayList<>();
+    List<Deployment.RequestClass> profiles = new ArrayList<>();
     for (Fields f : told.objects("classes")) {
       int index = profiles.size();
       profiles.add(
@@ -37,24 +37,27 @@
     }
     List<Double> cores = family.numbers("cores_by_kind");
     List<Double> memory = family.numbers("ram_of_kind_mb");
-    List<Deployment.Kind> kinds = new ArrayList<>();
+    List<Deployment.MachineType> kinds = new ArrayList<>();
     for (String kind : told.texts("machine_types")) {
       int index = kinds.size();
       kinds.add(
-          new Deployment.Kind(
-              new KindId(kind),
+          new Deployment.MachineType(
+              new MachineTypeId(kind),
               index < cores.size() ? cores.get(index) : 1,
               index < memory.size() ? memory.get(index) : 0));
     }
-    List<Deployment.Share> shares = new ArrayList<>();
+    List<Deployment.Quota> shares = new ArrayList<>();
     if (told.has("projects")) {
       for (Fields f : told.objects("projects")) {
-        shares.add(new Deployment.Share(new ShareId(f.text("name")), f.number("quota_rps", 0)));
+        shares.add(new Deployment.Quota(new TenantId(f.text("name")), f.number("quota_rps", 0)));
       }
     }
-    for (Deployment.Profile p : profiles) {
-      if (p.onKinds() != null
-          && !kinds.stream().map(Deployment.Kind::id).toList().containsAll(p.onKinds())) {
+    for (Deployment.RequestClass p : profiles) {
+      if (p.machineTypes() != null
+          && !kinds.stream()
+              .map(Deployment.MachineType::id)
+              .toList()
+              .containsAll(p.machineTypes())) {
         throw new BadInput(
             "classes: 'runs_on' of " + p.id().value() + " names a kind not in 'machine_types'");
       }
@@ -75,15 +78,16 @@
     String zone = told.text("zone", null);
     boolean costs = told.has("prices") && told.object("prices").number("cross_zone", 0) > 0;
     return zone == null
-        ? Deployment.Place.UNTOLD
+        ? Deployment.Place.UNKNOWN
         : new Deployment.Place(new LocationId(zone), costs);
   }
 
-  private static Deployment.Profile profile(Fields f, int threads, boolean load, boolean waits) {
+  private static Deployment.RequestClass profile(
+      Fields f, int threads, boolean load, boolean waits) {
     String repeat = f.text("repeat");
     String scope = f.text("key_scope", "all");
-    return new Deployment.Profile(
-        new ProfileId(f.text("name")),
+    return new Deployment.RequestClass(
+        new RequestClassId(f.text("name")),
         threads,
         f.number("importance", 1),
         f.number("late_value", 0),
@@ -91,21 +95,21 @@
         f.number("aim_stretch", 0),
         span(f, "hard_limit_us"),
         switch (repeat) {
-          case "read_like" -> Deployment.Repeat.REPLAYABLE;
-          case "idempotency_key" -> Deployment.Repeat.UNIQUED;
-          case "non_idempotent" -> Deployment.Repeat.NON_REPLAYABLE;
+          case "read_like" -> Deployment.RetrySafety.IDEMPOTENT;
+          case "idempotency_key" -> Deployment.RetrySafety.IDEMPOTENT_WITH_KEY;
+          case "non_idempotent" -> Deployment.RetrySafety.NOT_IDEMPOTENT;
           default -> throw new BadInput("classes: unknown 'repeat' " + repeat);
         },
         switch (scope) {
-          case "all" -> Deployment.Scope.ALL;
-          case "zone" -> Deployment.Scope.LOCATION;
-          case "cell" -> Deployment.Scope.GROUP;
+          case "all" -> Deployment.DeduplicationScope.ALL;
+          case "zone" -> Deployment.DeduplicationScope.LOCATION;
+          case "cell" -> Deployment.DeduplicationScope.GROUP;
           default -> throw new BadInput("classes: unknown 'key_scope' " + scope);
         },
-        new Span(f.whole("window_us", 0)),
+        new TimeSpan(f.whole("window_us", 0)),
         f.flag("in_order"),
         f.has("confined_to") ? f.texts("confined_to").stream().map(LocationId::new).toList() : null,
-        f.has("runs_on") ? f.texts("runs_on").stream().map(KindId::new).toList() : null,
+        f.has("runs_on") ? f.texts("runs_on").stream().map(MachineTypeId::new).toList() : null,
         load,
         waits);
   }
@@ -121,16 +125,16 @@
     }
     return new Deployment.Rules(
         f.number("cold_from", 1),
-        new Span(f.whole("warm_within_us", 0)),
+        new TimeSpan(f.whole("warm_within_us", 0)),
         f.number("fall_multiple", 1),
-        new Span(f.whole("overload_for_us", 0)),
-        new Span(f.whole("key_rest_us", 0)),
+        new TimeSpan(f.whole("overload_for_us", 0)),
+        new TimeSpan(f.whole("key_rest_us", 0)),
         f.has("counted_over_us") ? f.number("spare_attempts", 0) : null,
         f.has("counted_over_us") ? f.number("repeat_ratio", 0) : null,
         f.has("counted_over_us") ? span(f, "counted_over_us") : null);
   }
 
-  private static Deployment.Means means(Fields told, Fields limits, Fields family) {
+  private static Deployment.Capabilities means(Fields told, Fields limits, Fields family) {
     String whenShort = family.text("out_of_memory", "shrink");
     if (!List.of("wait", "shrink", "page").contains(whenShort)) {
       throw new BadInput("family_info: unknown 'out_of_memory' " + whenShort);
@@ -138,18 +142,18 @@
     if (limits.whole("most_tries", 1) < 1 || limits.whole("max_retry_after_us", 0) < 0) {
       throw new BadInput("limits: 'most_tries' at least 1, 'max_retry_after_us' not below 0");
     }
-    return new Deployment.Means(
+    return new Deployment.Capabilities(
         span(told, "tick_us"),
         (int) limits.whole("most_tries", 1),
         limits.flag("cancel"),
         family.flag("ranks_heeded"),
         limits.flag("retry_after"),
-        new Span(limits.whole("max_retry_after_us", 0)),
-        new Span(family.whole("tells_every_us", 0)),
+        new TimeSpan(limits.whole("max_retry_after_us", 0)),
+        new TimeSpan(family.whole("tells_every_us", 0)),
         family.flag("takes_grants"));
   }
 
-  private static Span span(Fields f, String name) {
-    return new Span(f.whole(name));
+  private static TimeSpan span(Fields f, String name) {
+    return new TimeSpan(f.whole(name));
   }
 }
--- a/src/main/java/cobaltseam/dispatch/Outcome.java
+++ b/src/main/java/cobaltseam/dispatch/AttemptOutcome.java
@@ -5,31 +5,31 @@
  * memory that an answer needed, and the engine's queue and commands in hand, are below zero where
  * they are not told.
  */
-public record Outcome(
-    CommandId command,
-    int send,
+public record AttemptOutcome(
+    RequestId request,
+    int attempt,
     EngineId engine,
-    Ending ending,
-    Span latency,
-    boolean over,
-    Span workDone,
-    double memoryMb,
-    double queue,
-    double inHand) {
+    AttemptResult result,
+    TimeSpan latency,
+    boolean isLast,
+    TimeSpan workDone,
+    double memoryUsedMb,
+    double queuedAtEngine,
+    double inFlightAtEngine) {
   /** What became of a send, and whether that proves that it never ran. */
-  public enum Ending {
-    ANSWERED(false),
+  public enum AttemptResult {
+    COMPLETED(false),
     ERROR(false),
-    NO_ROOM(true),
+    CAPACITY_EXCEEDED(true),
     TIMED_OUT(false),
     UNREACHABLE(true),
-    CUT(false),
+    CONNECTION_LOST(false),
     CANCELLED(false),
     NEVER_SENT(true);
 
     private final boolean neverRan;
 
-    Ending(boolean neverRan) {
+    AttemptResult(boolean neverRan) {
       this.neverRan = neverRan;
     }
 
--- a/src/main/java/cobaltseam/dispatch/Deployment.java
+++ b/src/main/java/cobaltseam/dispatch/Deployment.java
@@ -4,25 +4,25 @@
 
 /** What a dispatcher is told of its deployment when it starts; absent figures are null. */
 public record Deployment(
-    int number,
-    int dispatchers,
-    List<Profile> profiles,
-    List<Kind> kinds,
-    List<Share> shares,
-    double overShareWorth,
+    int dispatcherIndex,
+    int dispatcherCount,
+    List<RequestClass> requestClasses,
+    List<MachineType> machineTypes,
+    List<Quota> quotas,
+    double overQuotaWeight,
     Rules rules,
-    Means means,
+    Capabilities capabilities,
     Place place) {
   public Deployment(
       int number,
       int dispatchers,
-      List<Profile> profiles,
-      List<Kind> kinds,
-      List<Share> shares,
+      List<RequestClass> profiles,
+      List<MachineType> kinds,
+      List<Quota> shares,
       double overShareWorth,
       Rules rules,
-      Means means) {
-    this(number, dispatchers, profiles, kinds, shares, overShareWorth, rules, means, Place.UNTOLD);
+      Capabilities means) {
+    this(number, dispatchers, profiles, kinds, shares, overShareWorth, rules, means, Place.UNKNOWN);
   }
 
   /**
@@ -30,18 +30,18 @@
    * something.
    */
   public record Place(LocationId location, boolean crossingCosts) {
-    public static final Place UNTOLD = new Place(null, false);
+    public static final Place UNKNOWN = new Place(null, false);
   }
 
   /** How often a command may run. */
-  public enum Repeat {
-    REPLAYABLE,
-    UNIQUED,
-    NON_REPLAYABLE
+  public enum RetrySafety {
+    IDEMPOTENT,
+    IDEMPOTENT_WITH_KEY,
+    NOT_IDEMPOTENT
   }
 
   /** The engines that drop repeats of a uniqued command. */
-  public enum Scope {
+  public enum DeduplicationScope {
     ALL,
     LOCATION,
     GROUP
@@ -52,36 +52,36 @@
    * threads. Null locations or kinds mean any. A load holds its data set on its engine until it
    * ends; commands of profiles that wait, and read that set there, stand still meanwhile.
    */
-  public record Profile(
-      ProfileId id,
+  public record RequestClass(
+      RequestClassId id,
       int threads,
-      double benefit,
-      double lateBenefit,
-      Span latencyTarget,
-      double stretch,
-      Span clientTimeout,
-      Repeat repeat,
-      Scope scope,
-      Span remembered,
+      double priorityWeight,
+      double latePriorityWeight,
+      TimeSpan latencyObjective,
+      double objectivePerWork,
+      TimeSpan deadline,
+      RetrySafety retrySafety,
+      DeduplicationScope deduplicationScope,
+      TimeSpan deduplicationWindow,
       boolean inOrder,
       List<LocationId> locations,
-      List<KindId> onKinds,
-      boolean load,
-      boolean waits) {
-    public Profile(
-        ProfileId id,
+      List<MachineTypeId> machineTypes,
+      boolean loadsDataSet,
+      boolean waitsForLoads) {
+    public RequestClass(
+        RequestClassId id,
         int threads,
         double benefit,
         double lateBenefit,
-        Span latencyTarget,
+        TimeSpan latencyTarget,
         double stretch,
-        Span clientTimeout,
-        Repeat repeat,
-        Scope scope,
-        Span remembered,
+        TimeSpan clientTimeout,
+        RetrySafety repeat,
+        DeduplicationScope scope,
+        TimeSpan remembered,
         boolean inOrder,
         List<LocationId> locations,
-        List<KindId> onKinds) {
+        List<MachineTypeId> onKinds) {
       this(
           id,
           threads,
@@ -102,43 +102,43 @@
   }
 
   /** A kind of machine; a memory of zero is not told. */
-  public record Kind(KindId id, double cores, double memoryMb) {}
+  public record MachineType(MachineTypeId id, double cores, double memoryMb) {}
 
   /** One holder's part of the service; the rate counts all dispatchers. */
-  public record Share(ShareId id, double perSecond) {}
+  public record Quota(TenantId tenant, double perSecond) {}
 
   /** The figures of the rules. */
   public record Rules(
-      double coldFrom,
-      Span warmWithin,
-      double fallMultiple,
-      Span fallWindow,
-      Span keyRest,
-      Double furtherFree,
-      Double furtherRatio,
-      Span furtherWindow) {}
+      double slowStartFraction,
+      TimeSpan slowStartDuration,
+      double slowStartLimitFactor,
+      TimeSpan slowStartWindow,
+      TimeSpan sequenceKeyRest,
+      Double freeRetries,
+      Double retryRatio,
+      TimeSpan retryWindow) {}
 
   /**
    * What a dispatcher may do here, how fine its clock is, how often progress, spills and waits are
    * told (zero: never), and whether engines heed a grant of memory.
    */
-  public record Means(
-      Span tick,
-      int mostSends,
-      boolean cancels,
-      boolean priorities,
-      boolean comeBack,
-      Span longestComeBack,
-      Span noteEvery,
-      boolean grants) {
-    public Means(
-        Span tick,
+  public record Capabilities(
+      TimeSpan clockTick,
+      int maxAttempts,
+      boolean canCancel,
+      boolean hasEnginePriorities,
+      boolean allowsRetryAfter,
+      TimeSpan maxRetryAfter,
+      TimeSpan progressInterval,
+      boolean hasMemoryGrants) {
+    public Capabilities(
+        TimeSpan tick,
         int mostSends,
         boolean cancels,
         boolean priorities,
         boolean comeBack,
-        Span longestComeBack,
-        Span noteEvery) {
+        TimeSpan longestComeBack,
+        TimeSpan noteEvery) {
       this(tick, mostSends, cancels, priorities, comeBack, longestComeBack, noteEvery, true);
     }
   }
--- a/src/main/java/cobaltseam/dispatch/Dispatcher.java
+++ b/src/main/java/cobaltseam/dispatch/Dispatcher.java
@@ -1,10 +1,10 @@
 package cobaltseam.dispatch;
 
-import cobaltseam.dispatch.Deployment.Profile;
-import cobaltseam.dispatch.Deployment.Repeat;
-import cobaltseam.dispatch.Deployment.Scope;
-import cobaltseam.dispatch.Listing.Standing;
-import cobaltseam.dispatch.Outcome.Ending;
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
+import cobaltseam.dispatch.Deployment.DeduplicationScope;
+import cobaltseam.dispatch.Deployment.RequestClass;
+import cobaltseam.dispatch.Deployment.RetrySafety;
+import cobaltseam.dispatch.EndpointStatus.EndpointState;
 import cobaltseam.dispatch.State.*;
 import java.util.*;
 import java.util.random.RandomGenerator;
@@ -12,9 +12,10 @@
 
 /**
  * All decisions of one dispatcher. Callers hand a new command to {@link #place}, each outcome to
- * {@link #after}, and after every call follow {@link #pause} until it names a span to wait; other
- * news comes by {@link #listed}, {@link #progressed} and {@link #departed}. The values that pass
- * are the records beside this file. An instance knows its own traffic, and shares nothing.
+ * {@link #completeAttempt}, and after every call follow {@link #next} until it names a span to
+ * wait; other news comes by {@link #updateEndpoints}, {@link #updateProgress} and {@link
+ * #clientLeft}. The values that pass are the records beside this file. An instance knows its own
+ * traffic, and shares nothing.
  *
  * <p>The ordinary path: each engine has a thread budget of two threads a core, split evenly over
  * the dispatchers. A command goes where most budget is left per core and waits, first come first
@@ -99,7 +100,7 @@
   private double sharers, overShareWorth;
 
   private boolean cancels, tellsProgress, tellsSpills, priorities;
-  private Span margin, shortestTarget, longestComeBack, noteEvery;
+  private TimeSpan margin, shortestTarget, longestComeBack, noteEvery;
   private Cold cold;
 
   /** The location whose engines go first of those with as much left; null if untold or unpriced. */
@@ -110,21 +111,21 @@
    */
   private final List<Ration> rations = new ArrayList<>();
 
-  private final Map<ProfileId, Way> ways = new HashMap<>();
-  private final Map<KindId, Deployment.Kind> kinds = new HashMap<>();
-  private final Map<ShareId, Holder> holders = new HashMap<>();
+  private final Map<RequestClassId, Way> ways = new HashMap<>();
+  private final Map<MachineTypeId, Deployment.MachineType> kinds = new HashMap<>();
+  private final Map<TenantId, Holder> holders = new HashMap<>();
   private final RandomGenerator chance;
   private final TreeMap<EngineId, Engine> engines = new TreeMap<>();
   private List<Engine> sorted = List.of();
-  private final Map<CommandId, Cmd> open = new HashMap<>();
+  private final Map<RequestId, Cmd> open = new HashMap<>();
 
   /** Held commands, in the order taken. */
   private final TreeSet<Cmd> held = new TreeSet<>(Comparator.comparingLong(c -> c.turn));
 
-  private Moment refreshed, judged, born;
+  private Timestamp refreshed, judged, born;
 
   /** When it asked to be called again, and whether this moment came long after that. */
-  private Moment promised;
+  private Timestamp promised;
 
   private boolean readLate;
 
@@ -146,17 +147,17 @@
       new TreeSet<>(
           Comparator.comparingLong((Sent s) -> s.cutAt.us()).thenComparingLong(s -> s.cmd.turn));
 
-  private final Map<OrderKey, Line> lines = new HashMap<>();
+  private final Map<SequenceKey, Line> lines = new HashMap<>();
 
   /** Keys whose last command has ended, to be forgotten once they have rested. */
-  private final Deque<OrderKey> emptied = new ArrayDeque<>();
+  private final Deque<SequenceKey> emptied = new ArrayDeque<>();
 
-  private final Deque<Moment> taken = new ArrayDeque<>(), further = new ArrayDeque<>();
+  private final Deque<Timestamp> taken = new ArrayDeque<>(), further = new ArrayDeque<>();
 
   /** Threads of a command on its engine, and how long it stays, both by time spent there. */
   private double meanThreads = 1;
 
-  private Span meanStay;
+  private TimeSpan meanStay;
   private long arrivals, furtherLeft = Long.MAX_VALUE;
   private double offered;
 
@@ -165,23 +166,23 @@
 
   /** What the rules ask of a command, fixed when it is taken; of two settings it keeps to both. */
   record Bounds(
-      Repeat repeat,
-      Set<Scope> scopes,
-      Span remembered,
+      RetrySafety repeat,
+      Set<DeduplicationScope> scopes,
+      TimeSpan remembered,
       boolean inOrder,
       int mostSends,
-      Span keyRest,
+      TimeSpan keyRest,
       Set<LocationId> locations,
-      Set<KindId> kinds) {
+      Set<MachineTypeId> kinds) {
     Bounds and(Bounds o) {
-      Set<Scope> both =
+      Set<DeduplicationScope> both =
           Stream.of(scopes, o.scopes).flatMap(Set::stream).collect(Collectors.toSet());
       // Replayable, uniqued, non-replayable: the later, the stricter; remembered counts if uniqued.
-      Repeat stricter = repeat.compareTo(o.repeat) < 0 ? o.repeat : repeat;
-      Span kept =
-          repeat == Repeat.REPLAYABLE
+      RetrySafety stricter = repeat.compareTo(o.repeat) < 0 ? o.repeat : repeat;
+      TimeSpan kept =
+          repeat == RetrySafety.IDEMPOTENT
               ? o.remembered
-              : o.repeat == Repeat.REPLAYABLE ? remembered : remembered.min(o.remembered);
+              : o.repeat == RetrySafety.IDEMPOTENT ? remembered : remembered.min(o.remembered);
       return new Bounds(
           stricter,
           both,
@@ -207,7 +208,7 @@
   /**
    * How cold an engine starts, for how long, and how many times what it can do it may be sent here.
    */
-  record Cold(double from, Span within, double multiple) {
+  record Cold(double from, TimeSpan within, double multiple) {
     Cold and(Cold o) {
       return new Cold(Math.min(from, o.from), within.max(o.within), Math.min(multiple, o.multiple));
     }
@@ -245,103 +246,111 @@
   }
 
   private void read(Deployment told) {
-    number = Math.max(0, told.number());
-    dispatchers = Math.max(1, told.dispatchers());
-    cancels = told.means().cancels();
-    noteEvery = told.means().noteEvery();
+    number = Math.max(0, told.dispatcherIndex());
+    dispatchers = Math.max(1, told.dispatcherCount());
+    cancels = told.capabilities().canCancel();
+    noteEvery = told.capabilities().progressInterval();
     tellsProgress = noteEvery.isPositive() && cancels;
-    tellsSpills = noteEvery.isPositive() && told.means().grants();
-    priorities = told.means().priorities();
-    margin = told.means().tick().times(2);
-    longestComeBack = told.means().comeBack() ? told.means().longestComeBack() : Span.ZERO;
-    overShareWorth = told.overShareWorth();
+    tellsSpills = noteEvery.isPositive() && told.capabilities().hasMemoryGrants();
+    priorities = told.capabilities().hasEnginePriorities();
+    margin = told.capabilities().clockTick().times(2);
+    longestComeBack =
+        told.capabilities().allowsRetryAfter()
+            ? told.capabilities().maxRetryAfter()
+            : TimeSpan.ZERO;
+    overShareWorth = told.overQuotaWeight();
     home = told.place().crossingCosts() ? told.place().location() : null;
     Deployment.Rules rules = told.rules();
-    double multiple = rules.fallMultiple() * COLD_CAUTION / dispatchers;
-    cold = new Cold(rules.coldFrom(), rules.warmWithin(), multiple);
-    if (rules.furtherWindow() != null) {
+    double multiple = rules.slowStartLimitFactor() * COLD_CAUTION / dispatchers;
+    cold = new Cold(rules.slowStartFraction(), rules.slowStartDuration(), multiple);
+    if (rules.retryWindow() != null) {
       rations.removeIf(r -> r.same(rules));
-      rations.add(
-          new Ration(rules.furtherFree(), rules.furtherRatio(), rules.furtherWindow(), null));
+      rations.add(new Ration(rules.freeRetries(), rules.retryRatio(), rules.retryWindow(), null));
     }
     shortestTarget =
-        told.profiles().stream().map(Profile::latencyTarget).min(Span::compareTo).orElse(margin);
-    told.profiles().forEach(p -> ways.put(p.id(), way(p, told)));
-    told.kinds().forEach(k -> kinds.put(k.id(), k));
-    double all = told.shares().stream().mapToDouble(Deployment.Share::perSecond).sum();
-    for (Deployment.Share s : told.shares()) {
+        told.requestClasses().stream()
+            .map(RequestClass::latencyObjective)
+            .min(TimeSpan::compareTo)
+            .orElse(margin);
+    told.requestClasses().forEach(p -> ways.put(p.id(), way(p, told)));
+    told.machineTypes().forEach(k -> kinds.put(k.id(), k));
+    double all = told.quotas().stream().mapToDouble(Deployment.Quota::perSecond).sum();
+    for (Deployment.Quota s : told.quotas()) {
       Holder holder = new Holder();
       holder.perSecond = s.perSecond() / dispatchers;
       holder.portion = all > 0 ? s.perSecond() / all : 1;
-      holders.put(s.id(), holder);
+      holders.put(s.tenant(), holder);
     }
   }
 
-  private Way way(Profile p, Deployment told) {
+  private Way way(RequestClass p, Deployment told) {
     Way w = new Way();
     w.index = ways.size();
     w.threads = Math.max(1, p.threads());
-    w.benefit = p.benefit();
-    w.lateBenefit = p.lateBenefit();
-    w.target = p.latencyTarget();
-    w.clientTimeout = p.clientTimeout();
-    w.stretch = p.stretch();
+    w.benefit = p.priorityWeight();
+    w.lateBenefit = p.latePriorityWeight();
+    w.target = p.latencyObjective();
+    w.clientTimeout = p.deadline();
+    w.stretch = p.objectivePerWork();
     w.usualWork = w.threads * w.target.us() / PATIENCE;
     w.need = NEAR;
     w.bounds =
         new Bounds(
-            p.repeat(),
-            p.scope() == null ? Set.of() : Set.of(p.scope()),
-            p.remembered(),
+            p.retrySafety(),
+            p.deduplicationScope() == null ? Set.of() : Set.of(p.deduplicationScope()),
+            p.deduplicationWindow(),
             p.inOrder(),
-            told.means().mostSends(),
-            told.rules().keyRest(),
+            told.capabilities().maxAttempts(),
+            told.rules().sequenceKeyRest(),
             p.locations() == null ? null : Set.copyOf(p.locations()),
-            p.onKinds() == null ? null : Set.copyOf(p.onKinds()));
+            p.machineTypes() == null ? null : Set.copyOf(p.machineTypes()));
     // What holds a data set goes first where others wait for that: the sooner it ends, the fewer
     // stand.
-    boolean holds = p.load() && told.profiles().stream().anyMatch(Profile::waits);
+    boolean holds =
+        p.loadsDataSet() && told.requestClasses().stream().anyMatch(RequestClass::waitsForLoads);
     w.priority = holds || w.target.compareTo(shortestTarget) <= 0 ? 3 : 1;
     return w;
   }
 
   // ---- the three calls
   /** Where to send a command, new or held; a new one that has to wait is held from here on. */
-  public Placement place(Command command, Moment now) {
+  public Placement place(Request request, Timestamp now) {
     refresh(now);
-    Cmd cmd = open.get(command.id());
+    Cmd cmd = open.get(request.id());
     if (cmd == null) {
-      cmd = take(command, now);
+      cmd = take(request, now);
     }
     if (cmd.out != null || cmd.over) {
-      return Placement.hold();
+      return Placement.queue();
     }
     if (lost(cmd, now)) {
       return giveUp(cmd);
     }
     Engine best = choose(cmd, now);
-    return best == null ? Placement.hold() : send(cmd, best, now);
+    return best == null ? Placement.queue() : send(cmd, best, now);
   }
 
   /** What to do after an outcome: write nothing, or a final answer. */
-  public Placement after(Outcome outcome, Moment now) {
-    Sent sent = out(outcome.command(), outcome.send());
+  public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
+    Sent sent = out(outcome.request(), outcome.attempt());
     if (sent == null) {
-      return Placement.hold();
+      return Placement.queue();
     }
     Cmd cmd = sent.cmd;
     cmd.out = null;
     settle(sent, outcome, now);
     refreshed = null;
-    Ending ending = outcome.ending();
+    AttemptResult ending = outcome.result();
     boolean unsure =
-        ending == Ending.TIMED_OUT || ending == Ending.CUT || ending == Ending.CANCELLED;
-    if (unsure && cmd.bounds.inOrder && cmd.command.key() != null) {
-      lines.get(cmd.command.key()).restUntil = now.plus(cmd.bounds.keyRest);
+        ending == AttemptResult.TIMED_OUT
+            || ending == AttemptResult.CONNECTION_LOST
+            || ending == AttemptResult.CANCELLED;
+    if (unsure && cmd.bounds.inOrder && cmd.command.sequenceKey() != null) {
+      lines.get(cmd.command.sequenceKey()).restUntil = now.plus(cmd.bounds.keyRest);
     }
-    if (outcome.over() || cmd.over || ending == Ending.ANSWERED) {
+    if (outcome.isLast() || cmd.over || ending == AttemptResult.COMPLETED) {
       end(cmd);
-      return Placement.hold();
+      return Placement.queue();
     }
     if (!ending.neverRan() && cmd.mayHaveRunSince == null) {
       cmd.mayHaveRunSince = sent.at;
@@ -349,51 +358,51 @@
       cmd.location = sent.engine.location;
     }
     cmd.giveUpAt = giveUpAt(cmd);
-    cmd.late = cmd.targetAt.before(now.plus(expected(cmd)));
-    if (cmd.sends >= cmd.bounds.mostSends || ending == Ending.NEVER_SENT || lost(cmd, now)) {
+    cmd.late = cmd.targetAt.isBefore(now.plus(expected(cmd)));
+    if (cmd.sends >= cmd.bounds.mostSends || ending == AttemptResult.NEVER_SENT || lost(cmd, now)) {
       return giveUp(cmd);
     }
     hold(cmd);
-    return Placement.hold();
+    return Placement.queue();
   }
 
   /** The held command to place next, or how long to wait before asking again. */
-  public Pause pause(Moment now) {
+  public NextStep next(Timestamp now) {
     refresh(now);
-    Span next = redraw();
+    TimeSpan next = redraw();
     if (!cuts.isEmpty()) {
       Sent first = cuts.first();
-      if (!now.before(first.cutAt) && !readLate) {
+      if (!now.isBefore(first.cutAt) && !readLate) {
         cuts.remove(first);
-        return Pause.callOff(first.cmd.command, first.number);
+        return NextStep.cancelAttempt(first.cmd.command, first.number);
       }
       next = first.cutAt.since(now).max(margin);
     }
     promised = now.plus(redraw());
     if (held.isEmpty()) {
-      return Pause.until(open.isEmpty() ? null : next.min(redraw()));
+      return NextStep.waitFor(open.isEmpty() ? null : next.min(redraw()));
     }
     for (Cmd cmd : held) {
       if (lost(cmd, now)) {
-        return Pause.ask(cmd.command);
+        return NextStep.placeAgain(cmd.command);
       }
       next = next.min(cmd.giveUpAt.since(now));
     }
     Cmd victim = victim(now);
     if (victim != null) {
       victim.drop = true;
-      return Pause.ask(victim.command);
+      return NextStep.placeAgain(victim.command);
     }
     boolean[] full = new boolean[ways.size()];
     for (Cmd cmd : held) {
       boolean plain = cmd.sends == 0 && cmd.bounds == cmd.way.bounds && !cmd.bounds.inOrder;
       boolean skipped = plain && full[cmd.way.index];
       if (!skipped && choose(cmd, now) != null) {
-        return Pause.ask(cmd.command);
+        return NextStep.placeAgain(cmd.command);
       }
       full[cmd.way.index] |= plain;
     }
-    return Pause.until(next.min(redraw()));
+    return NextStep.waitFor(next.min(redraw()));
   }
 
   // ---- news
@@ -405,9 +414,9 @@
    * of further sends for the earlier one's window. An engine that is cold by either keeps to both
    * until it is warm by both.
    */
-  public void moveTo(Deployment told, Moment now) {
-    Map<ProfileId, Way> before = new HashMap<>(ways);
-    Map<ShareId, Holder> holdersBefore = new HashMap<>(holders);
+  public void applySettings(Deployment told, Timestamp now) {
+    Map<RequestClassId, Way> before = new HashMap<>(ways);
+    Map<TenantId, Holder> holdersBefore = new HashMap<>(holders);
     double sharing = sharers < dispatchers ? sharers : 0;
     rations.replaceAll(r -> r.until() != null ? r : r.until(now.plus(r.window())));
     ways.clear();
@@ -416,7 +425,7 @@
     read(told);
     holders.forEach((id, h) -> h.spent(holdersBefore.get(id)));
     sharers = dispatchers;
-    sharedOver(sharing > 0 ? sharing : dispatchers);
+    setSharingDispatchers(sharing > 0 ? sharing : dispatchers);
     Set<Way> used = new HashSet<>();
     open.values().forEach(c -> used.add(c.way));
     before.forEach(
@@ -445,7 +454,7 @@
         .sorted(Comparator.comparingLong((Cmd c) -> c.turn))
         .forEach(
             c -> {
-              c.way = ways.get(c.command.profile());
+              c.way = ways.get(c.command.requestClass());
               Bounds both = c.bounds.and(c.way.bounds);
               c.bounds = both.equals(c.way.bounds) ? c.way.bounds : both;
               c.drop |= c.bounds.nowhere();
@@ -462,21 +471,22 @@
   /**
    * The list of engines, whole or changes only. Within one list, not being up overrules being up.
    */
-  public void listed(List<Listing> list, boolean whole, Moment now) {
+  public void updateEndpoints(List<EndpointStatus> list, boolean whole, Timestamp now) {
     refreshed = null;
     if (whole) {
-      engines.values().forEach(e -> e.standing = Standing.GONE);
+      engines.values().forEach(e -> e.standing = EndpointState.GONE);
     }
-    for (Listing line : list.stream().sorted(Comparator.comparing(Listing::standing)).toList()) {
+    for (EndpointStatus line :
+        list.stream().sorted(Comparator.comparing(EndpointStatus::state)).toList()) {
       Engine e = engines.computeIfAbsent(line.engine(), id -> fresh(id, now));
-      boolean restarted = e.started != null && e.started.before(line.started());
+      boolean restarted = e.started != null && e.started.isBefore(line.startedAt());
       e.location = line.location();
-      e.kind = line.kind();
+      e.kind = line.machineType();
       e.group = line.group();
       sized(e);
-      e.standing = line.standing();
+      e.standing = line.state();
       if (e.started == null || restarted) {
-        e.started = line.started();
+        e.started = line.startedAt();
         e.cold = cold;
         e.coldWork = 0;
         e.drawn = now;
@@ -489,12 +499,14 @@
       }
     }
     // One that started lately may be named again, and what it was sent still counts.
-    engines.values().removeIf(e -> e.standing == Standing.GONE && e.threads == 0 && !cold(e, now));
+    engines
+        .values()
+        .removeIf(e -> e.standing == EndpointState.GONE && e.threads == 0 && !cold(e, now));
     sorted = new ArrayList<>(engines.values());
   }
 
   private void sized(Engine e) {
-    Deployment.Kind kind = kinds.get(e.kind);
+    Deployment.MachineType kind = kinds.get(e.kind);
     e.cores = kind == null ? 1 : kind.cores();
     e.whole = e.cores * THREADS_PER_CORE;
     e.memoryPerThread = kind == null ? 0 : kind.memoryMb() / e.whole;
@@ -503,9 +515,9 @@
   /**
    * What an engine told another dispatcher of the commands in hand there, at this moment or later.
    */
-  public void reported(EngineId id, double inHand, Moment at) {
+  public void updateEngineLoad(EngineId id, double inHand, Timestamp at) {
     Engine e = engines.get(id);
-    if (e != null && (e.reported == null || e.reported.before(at)) && e.started.before(at)) {
+    if (e != null && (e.reported == null || e.reported.isBefore(at)) && e.started.isBefore(at)) {
       e.inHand = inHand;
       e.reported = at;
       load.add(inHand / e.cores, NEWS);
@@ -516,7 +528,7 @@
    * Of what all dispatchers may send again together so much is left here; else what failed is given
    * up.
    */
-  public void furtherLeft(long sends) {
+  public void setRemainingRetries(long sends) {
     furtherLeft = sends;
   }
 
@@ -524,7 +536,7 @@
    * The work of all commands taken so far, in microseconds of one thread: what this dispatcher
    * needs.
    */
-  public double offered() {
+  public double offeredLoad() {
     return offered;
   }
 
@@ -533,7 +545,7 @@
     return open.isEmpty() && held.isEmpty() && sorted.stream().allMatch(e -> e.threads == 0);
   }
 
-  private Engine fresh(EngineId id, Moment now) {
+  private Engine fresh(EngineId id, Timestamp now) {
     Engine e = new Engine();
     e.id = id;
     e.borrowed = new double[ways.size()];
@@ -548,14 +560,14 @@
    * and else given the time that it still needs. Harm: a rough note that is far too low costs the
    * work done.
    */
-  public void progressed(CommandId id, int send, double share, Moment now) {
+  public void updateProgress(RequestId id, int send, double share, Timestamp now) {
     Sent sent = out(id, send);
     if (sent == null || !(share > 0)) {
       return;
     }
     Cmd cmd = sent.cmd;
-    Span spent = now.since(sent.at);
-    Span rest = spent.times((1 - Math.min(1, share)) / share);
+    TimeSpan spent = now.since(sent.at);
+    TimeSpan rest = spent.times((1 - Math.min(1, share)) / share);
     double pace = Math.max(pace(cmd.way), Math.exp(sent.engine.slowness));
     boolean bad = spent.plus(rest).compareTo(usually(cmd).times(WORST * pace)) > 0;
     // Near its end a rough note tells too little rest: what is all but done was cut for it.
@@ -563,12 +575,12 @@
   }
 
   /** The send of this number, if it is out. */
-  private Sent out(CommandId id, int send) {
+  private Sent out(RequestId id, int send) {
     Cmd cmd = open.get(id);
     return cmd == null || cmd.out == null || cmd.out.number != send ? null : cmd.out;
   }
 
-  private void cutAt(Sent sent, Moment when) {
+  private void cutAt(Sent sent, Timestamp when) {
     if (sent.cutAt != null && cuts.remove(sent)) {
       sent.cutAt = when;
       cuts.add(sent);
@@ -576,7 +588,7 @@
   }
 
   /** A send spills for want of so much memory: tells its profile's need where answers don't. */
-  public void spills(CommandId id, int send, double missingMb) {
+  public void updateMemoryShortfall(RequestId id, int send, double missingMb) {
     Sent sent = out(id, send);
     if (sent != null && sent.missingMb == 0 && missingMb > 0 && tellsSpills) {
       sent.missingMb = missingMb;
@@ -590,7 +602,7 @@
    * last longer than a quick command's target. Harm: the load was all but done, or no other engine
    * gets room in time.
    */
-  public void blocked(CommandId id, int send, Moment now) {
+  public void markBlocked(RequestId id, int send, Timestamp now) {
     Sent sent = out(id, send);
     if (sent == null) {
       return;
@@ -605,8 +617,8 @@
   }
 
   /** Whether a load holds what the command reads there, as far as known. */
-  private static boolean heldThere(Cmd cmd, Engine e, Moment now) {
-    Moment since = cmd.blockedAt == null ? null : cmd.blockedAt.get(e);
+  private static boolean heldThere(Cmd cmd, Engine e, Timestamp now) {
+    Timestamp since = cmd.blockedAt == null ? null : cmd.blockedAt.get(e);
     return since != null && now.since(since).compareTo(cmd.way.target.times(LEAST_PATIENCE)) < 0;
   }
 
@@ -615,7 +627,7 @@
    * by; at least 1. What all together may send a cold engine stays split over all that were told,
    * so that no split and no take-over can push one over.
    */
-  public void sharedOver(double carrying) {
+  public void setSharingDispatchers(double carrying) {
     double before = sharers;
     sharers = Math.max(1, carrying);
     holders.values().forEach(h -> h.perSecond *= before / sharers);
@@ -627,7 +639,7 @@
    * is out may take this span from now, as no other follows that it would leave time for; null if
    * none is out.
    */
-  public Span withdrawn(CommandId id, Moment now) {
+  public TimeSpan withdraw(RequestId id, Timestamp now) {
     Cmd cmd = open.get(id);
     if (cmd != null) {
       cmd.drop = true;
@@ -639,7 +651,7 @@
   }
 
   /** The client has left: nothing more is owed for the command. */
-  public void departed(CommandId id, Moment now) {
+  public void clientLeft(RequestId id, Timestamp now) {
     Cmd cmd = open.get(id);
     if (cmd != null) {
       cmd.over = true;
@@ -651,7 +663,7 @@
 
   // ---- the ordinary path: budgets, borrowing, the choice of engine
   /** The engine with most budget left per core that this command may go to now, or null. */
-  private Engine choose(Cmd cmd, Moment now) {
+  private Engine choose(Cmd cmd, Timestamp now) {
     if (!myTurn(cmd, now) || cmd.sends > 0 && !furtherAllowed(now)) {
       return null;
     }
@@ -687,7 +699,7 @@
   }
 
   /** Room for the profile's threads, or, where the budget is below them, the draw of the moment. */
-  private boolean fits(Engine e, Cmd cmd, Moment now) {
+  private boolean fits(Engine e, Cmd cmd, Timestamp now) {
     double threads = threads(cmd, e);
     double budget = share(e, now);
     // What is over its share may borrow only where reports tell of room beyond it: a flood finds
@@ -730,7 +742,7 @@
    * Guards against all dispatchers borrowing the same room; where nothing is reported, answers
    * alone tell.
    */
-  private boolean roomForAll(Engine e, double threads, Moment now) {
+  private boolean roomForAll(Engine e, double threads, Timestamp now) {
     if (load.weight == 0) {
       return true;
     }
@@ -741,19 +753,19 @@
   }
 
   /** This dispatcher's even share of an engine's figure, as far as the engine is well and warm. */
-  private double share(Engine e, Moment now) {
+  private double share(Engine e, Timestamp now) {
     return e.whole / sharers * e.health * warmth(e, now);
   }
 
   /** The part of its work that an engine started a while ago is taken to do. */
-  private double warmth(Engine e, Moment now) {
+  private double warmth(Engine e, Timestamp now) {
     if (!cold(e, now)) {
       return 1;
     }
     return e.cold.from + (1 - e.cold.from) * Math.max(0, now.since(e.started).over(e.cold.within));
   }
 
-  private boolean cold(Engine e, Moment now) {
+  private boolean cold(Engine e, Timestamp now) {
     return e.started.us() > 0 && now.since(e.started).compareTo(e.cold.within) < 0;
   }
 
@@ -763,7 +775,7 @@
    * beyond it by that chance; none is saved up, what was sent ahead is owed. Growth is taken to be
    * as late as it may be.
    */
-  private void draw(Engine e, Moment now) {
+  private void draw(Engine e, Timestamp now) {
     if (cold(e, now)) {
       double come = e.cores * e.cold.multiple * warmth(e, now) * now.since(e.drawn).us();
       e.coldWork = Math.min(0, e.coldWork) + come;
@@ -772,7 +784,7 @@
     e.drawn = now;
   }
 
-  private Span redraw() {
+  private TimeSpan redraw() {
     return shortestTarget.times(1 / DRAWS_PER_TARGET);
   }
 
@@ -783,13 +795,13 @@
   }
 
   /** Latency to expect at usual speed. */
-  private static Span usually(Cmd cmd) {
+  private static TimeSpan usually(Cmd cmd) {
     double ratio = cmd.way.usual * Math.exp(cmd.way.scatter);
-    return new Span(1 + Math.round(work(cmd) / cmd.way.threads * ratio));
+    return new TimeSpan(1 + Math.round(work(cmd) / cmd.way.threads * ratio));
   }
 
   /** Latency to expect at the pace at which the engines answer now. */
-  private Span expected(Cmd cmd) {
+  private TimeSpan expected(Cmd cmd) {
     return usually(cmd).times(pace(cmd.way));
   }
 
@@ -799,22 +811,22 @@
   }
 
   /** From when on a held command is given up: it could not be answered in time to be of use. */
-  private Moment giveUpAt(Cmd cmd) {
-    Moment last = cmd.command.clientTimeout().minus(margin);
-    Span expected = expected(cmd);
+  private Timestamp giveUpAt(Cmd cmd) {
+    Timestamp last = cmd.command.deadline().minus(margin);
+    TimeSpan expected = expected(cmd);
     if (cmd.way.lateBenefit > 0) {
-      Moment late = last.minus(expected);
-      return late.before(cmd.takenAt) ? last : late;
+      Timestamp late = last.minus(expected);
+      return late.isBefore(cmd.takenAt) ? last : late;
     }
-    Moment inTime = cmd.targetAt.minus(expected);
-    return inTime.before(last) ? inTime : last;
+    Timestamp inTime = cmd.targetAt.minus(expected);
+    return inTime.isBefore(last) ? inTime : last;
   }
 
-  private boolean lost(Cmd cmd, Moment now) {
+  private boolean lost(Cmd cmd, Timestamp now) {
     return cmd.drop
         || cmd.sends > 0 && furtherLeft < 1
         || !repeatable(cmd, now)
-        || !now.before(cmd.giveUpAt);
+        || !now.isBefore(cmd.giveUpAt);
   }
 
   /**
@@ -822,8 +834,8 @@
    * another may follow: those hold threads, and the sooner they go the sooner a better one is out.
    * Harm: a slow but sound send is cut and its work lost; hence the pace of its profile or engine.
    */
-  private Span sendTimeout(Cmd cmd, Engine e, Moment now) {
-    Span timeout = longest(cmd, now);
+  private TimeSpan sendTimeout(Cmd cmd, Engine e, Timestamp now) {
+    TimeSpan timeout = longest(cmd, now);
     // Where a time-out stops no work, a second send only adds its work to the first's, which runs
     // on.
     if (mayFollow(cmd) && cancels) {
@@ -834,19 +846,19 @@
   }
 
   private static boolean mayFollow(Cmd cmd) {
-    return cmd.sends < cmd.bounds.mostSends && cmd.bounds.repeat == Repeat.REPLAYABLE;
+    return cmd.sends < cmd.bounds.mostSends && cmd.bounds.repeat == RetrySafety.IDEMPOTENT;
   }
 
   /** How long a send can be of use. */
-  private Span longest(Cmd cmd, Moment now) {
-    Span left = cmd.command.clientTimeout().minus(margin).since(now);
+  private TimeSpan longest(Cmd cmd, Timestamp now) {
+    TimeSpan left = cmd.command.deadline().minus(margin).since(now);
     if (cmd.way.lateBenefit == 0) {
       left = left.min(cmd.targetAt.since(now).times(NEAR));
     }
     return left.max(margin);
   }
 
-  private Placement send(Cmd cmd, Engine e, Moment now) {
+  private Placement send(Cmd cmd, Engine e, Timestamp now) {
     held.remove(cmd);
     Sent sent = new Sent();
     sent.cmd = cmd;
@@ -858,10 +870,10 @@
       further.addLast(now);
     }
     cmd.out = sent;
-    Span timeout = sendTimeout(cmd, e, now);
+    TimeSpan timeout = sendTimeout(cmd, e, now);
     if (tellsProgress && mayFollow(cmd)) {
       // Without a note due by then, slow work is not told from a bad plan.
-      Span note = noteEvery.times(NEAR);
+      TimeSpan note = noteEvery.times(NEAR);
       sent.cutAt =
           now.plus(note.compareTo(cmd.targetAt.since(now)) < 0 ? timeout.max(note) : timeout);
       cuts.add(sent);
@@ -874,8 +886,8 @@
       e.coldWork -= Math.max(cmd.way.usualWork, work(cmd));
     }
     sent.grantMb = grant(cmd);
-    Span startWithin =
-        cmd.mayHaveRunSince == null || cmd.bounds.repeat != Repeat.UNIQUED
+    TimeSpan startWithin =
+        cmd.mayHaveRunSince == null || cmd.bounds.repeat != RetrySafety.IDEMPOTENT_WITH_KEY
             ? null
             : cmd.bounds.remembered.minus(now.since(cmd.mayHaveRunSince));
     return Placement.send(
@@ -909,7 +921,7 @@
   }
 
   /** A send is over: its threads are free, and its latency tells how its engine does. */
-  private void settle(Sent sent, Outcome outcome, Moment now) {
+  private void settle(Sent sent, AttemptOutcome outcome, Timestamp now) {
     Engine e = sent.engine;
     Way way = sent.cmd.way;
     e.out.remove(sent);
@@ -918,10 +930,10 @@
     }
     draw(e, now);
     fade(now);
-    Span took = now.since(sent.at);
+    TimeSpan took = now.since(sent.at);
     e.threads = e.out.isEmpty() ? 0 : e.threads - sent.threads;
-    if (outcome.inHand() >= 0) {
-      e.inHand = Math.max(0, outcome.inHand() - Math.max(0, outcome.queue()));
+    if (outcome.inFlightAtEngine() >= 0) {
+      e.inHand = Math.max(0, outcome.inFlightAtEngine() - Math.max(0, outcome.queuedAtEngine()));
       e.reported = now;
       load.add(e.inHand / e.cores, NEWS);
     }
@@ -929,16 +941,16 @@
     meanThreads += (sent.threads - meanThreads) * part;
     meanStay = meanStay.plus(took.minus(meanStay).times(part));
     double ratio = Math.max(1 / WORST, Math.min(WORST, took.over(sent.expected)));
-    boolean answered = outcome.ending() == Ending.ANSWERED;
+    boolean answered = outcome.result() == AttemptResult.COMPLETED;
     // Late is no news of one that stood behind a load, or that this dispatcher read late.
     if (ratio > NEAR
         && (answered && readLate
-            || sent.blocked && (answered || outcome.ending() == Ending.CANCELLED))) {
+            || sent.blocked && (answered || outcome.result() == AttemptResult.CANCELLED))) {
       e.heard = answered ? now : e.heard;
       return;
     }
-    switch (outcome.ending()) {
-      case ANSWERED -> {
+    switch (outcome.result()) {
+      case COMPLETED -> {
         e.heard = now;
         fails(e, 0);
         if (!sent.cmd.command.work().isPositive()) {
@@ -948,8 +960,8 @@
                   ? outcome.workDone().us()
                   : (double) way.threads * took.us());
         }
-        if (outcome.memoryMb() > 0 || tellsSpills && sent.missingMb == 0) {
-          learnNeed(sent, outcome.memoryMb());
+        if (outcome.memoryUsedMb() > 0 || tellsSpills && sent.missingMb == 0) {
+          learnNeed(sent, outcome.memoryUsedMb());
         }
         slows(e, way, Math.log(ratio));
         if (ratio <= NEAR) {
@@ -974,13 +986,13 @@
       case TIMED_OUT, CANCELLED -> {
         slows(e, way, Math.max(e.slowness, Math.log(ratio)));
         fallBack(sent);
-        if (ratio > SLOW && (e.heard == null || e.heard.before(sent.at))) {
+        if (ratio > SLOW && (e.heard == null || e.heard.isBefore(sent.at))) {
           // Guards against an engine that hangs: cut sends free its budget, and it would draw
           // more. A bad plan does not count, where others were answered meanwhile.
           fails(e, 1);
         }
       }
-      case ERROR, CUT, UNREACHABLE, NO_ROOM -> fails(e, 1);
+      case ERROR, CONNECTION_LOST, UNREACHABLE, CAPACITY_EXCEEDED -> fails(e, 1);
       default -> {}
     }
   }
@@ -1020,7 +1032,7 @@
     failing.add(news, NEWS);
   }
 
-  private void fade(Moment now) {
+  private void fade(Timestamp now) {
     if (now.equals(judged)) {
       return;
     }
@@ -1048,7 +1060,7 @@
    * fades. By its lag behind the middle engine, which guards against engines that slow down alone.
    * A send cut while its engine answered nothing counts as failed.
    */
-  private void refresh(Moment now) {
+  private void refresh(Timestamp now) {
     if (now.equals(refreshed)) {
       return;
     }
@@ -1064,7 +1076,7 @@
     // Reports come with answers alone: what fails or stays silent tells of no room.
     full += Math.max(0, 1 - full) * allFailing;
     boolean unusual = pace > NEAR && full > LEAST_SHARE || load.weight > 0 && full > 1 / NEAR;
-    Span renewal = unusual ? meanStay : meanStay.min(redraw());
+    TimeSpan renewal = unusual ? meanStay : meanStay.min(redraw());
     double[] slowness = new double[sorted.size()];
     for (int i = 0; i < slowness.length; i++) {
       Engine e = sorted.get(i);
@@ -1089,26 +1101,26 @@
 
   // ---- overload
   /** Takes a command in: its latency target, and whether its holder is over its share. */
-  private Cmd take(Command command, Moment now) {
+  private Cmd take(Request request, Timestamp now) {
     Cmd cmd = new Cmd();
-    cmd.command = command;
-    cmd.way = ways.get(command.profile());
+    cmd.command = request;
+    cmd.way = ways.get(request.requestClass());
     if (cmd.way == null || cmd.way.gone) {
-      throw new IllegalArgumentException("unknown profile " + command.profile().value());
+      throw new IllegalArgumentException("unknown profile " + request.requestClass().value());
     }
     cmd.bounds = cmd.way.bounds;
     cmd.turn = arrivals++;
     cmd.takenAt = now;
     // An estimate beyond all that its client waits for is no guide to what is usual.
-    if (command.work().isPositive()) {
+    if (request.work().isPositive()) {
       double most = (double) cmd.way.threads * cmd.way.clientTimeout.us();
-      learnWork(cmd.way, Math.min(command.work().us(), most));
+      learnWork(cmd.way, Math.min(request.work().us(), most));
     }
     cmd.targetAt =
         now.plus(cmd.way.target)
-            .plus(new Span(Math.round(cmd.way.stretch * work(cmd) / cmd.way.threads)));
-    cmd.late = cmd.targetAt.before(now.plus(expected(cmd)));
-    Holder holder = holders.get(command.share());
+            .plus(new TimeSpan(Math.round(cmd.way.stretch * work(cmd) / cmd.way.threads)));
+    cmd.late = cmd.targetAt.isBefore(now.plus(expected(cmd)));
+    Holder holder = holders.get(request.tenant());
     if (holder != null) {
       // Its even part of the share, or, where this dispatcher carries more than most, its portion
       // of
@@ -1132,15 +1144,15 @@
       lines.computeIfPresent(
           emptied.removeFirst(), (key, line) -> line.queue.isEmpty() ? null : line);
     }
-    open.put(command.id(), cmd);
+    open.put(request.id(), cmd);
     hold(cmd);
     line(cmd);
     return cmd;
   }
 
   private void line(Cmd cmd) {
-    if (cmd.bounds.inOrder && cmd.command.key() != null) {
-      lines.computeIfAbsent(cmd.command.key(), k -> new Line()).queue.addLast(cmd);
+    if (cmd.bounds.inOrder && cmd.command.sequenceKey() != null) {
+      lines.computeIfAbsent(cmd.command.sequenceKey(), k -> new Line()).queue.addLast(cmd);
     }
   }
 
@@ -1191,10 +1203,10 @@
    * against overload, whatever its cause; harm: a burst of free threads would have cleared the
    * queue.
    */
-  private Cmd victim(Moment now) {
+  private Cmd victim(Timestamp now) {
     double[] threads = new double[ways.size()];
     for (Engine e : sorted) {
-      for (Way way : e.standing == Standing.UP ? ways.values() : List.<Way>of()) {
+      for (Way way : e.standing == EndpointState.UP ? ways.values() : List.<Way>of()) {
         threads[way.index] += share(e, now) * (1 + (sharers - 1) * borrowed(e, way));
       }
     }
@@ -1220,17 +1232,17 @@
 
   // ---- the rules
   /** Whether the rules let this command go to this engine now: list, placement, repeats, warmth. */
-  private boolean allowed(Cmd cmd, Engine e, Moment now) {
+  private boolean allowed(Cmd cmd, Engine e, Timestamp now) {
     Bounds w = cmd.bounds;
-    if (e.standing != Standing.UP
+    if (e.standing != EndpointState.UP
         || w.locations != null && !w.locations.contains(e.location)
         || w.kinds != null && !w.kinds.contains(e.kind)) {
       return false;
     }
     if (cmd.mayHaveRunSince != null
-        && w.repeat == Repeat.UNIQUED
-        && (w.scopes.contains(Scope.LOCATION) && !e.location.equals(cmd.location)
-            || w.scopes.contains(Scope.GROUP) && !e.group.equals(cmd.group))) {
+        && w.repeat == RetrySafety.IDEMPOTENT_WITH_KEY
+        && (w.scopes.contains(DeduplicationScope.LOCATION) && !e.location.equals(cmd.location)
+            || w.scopes.contains(DeduplicationScope.GROUP) && !e.group.equals(cmd.group))) {
       return false;
     }
     return !cold(e, now)
@@ -1238,46 +1250,47 @@
   }
 
   /** Whether what is known of a command's sends lets it be sent once more. */
-  private boolean repeatable(Cmd cmd, Moment now) {
+  private boolean repeatable(Cmd cmd, Timestamp now) {
     return cmd.mayHaveRunSince == null
-        || cmd.bounds.repeat == Repeat.REPLAYABLE
-        || cmd.bounds.repeat == Repeat.UNIQUED
+        || cmd.bounds.repeat == RetrySafety.IDEMPOTENT
+        || cmd.bounds.repeat == RetrySafety.IDEMPOTENT_WITH_KEY
             && now.since(cmd.mayHaveRunSince).compareTo(cmd.bounds.remembered) < 0;
   }
 
   /** Whether a command with a key has its turn: first in line, and the key rested. */
-  private boolean myTurn(Cmd cmd, Moment now) {
-    if (!cmd.bounds.inOrder || cmd.command.key() == null) {
+  private boolean myTurn(Cmd cmd, Timestamp now) {
+    if (!cmd.bounds.inOrder || cmd.command.sequenceKey() == null) {
       return true;
     }
-    Line line = lines.get(cmd.command.key());
+    Line line = lines.get(cmd.command.sequenceKey());
     return line.queue.peekFirst() == cmd && (cmd.sends > 0 || rested(line, now));
   }
 
-  private static boolean rested(Line line, Moment now) {
-    return line == null || line.restUntil == null || !now.before(line.restUntil);
+  private static boolean rested(Line line, Timestamp now) {
+    return line == null || line.restUntil == null || !now.isBefore(line.restUntil);
   }
 
-  private boolean furtherAllowed(Moment now) {
+  private boolean furtherAllowed(Timestamp now) {
     forget(now);
     return rations.stream()
         .allMatch(
             r -> {
-              Moment from = now.minus(r.window());
-              return further.stream().filter(m -> !m.before(from)).count() + 1
-                  <= r.free() + r.ratio() * taken.stream().filter(from::before).count();
+              Timestamp from = now.minus(r.window());
+              return further.stream().filter(m -> !m.isBefore(from)).count() + 1
+                  <= r.free() + r.ratio() * taken.stream().filter(from::isBefore).count();
             });
   }
 
   /** Drops from both counts what lies outside every window; on its edge, whatever is stricter. */
-  private void forget(Moment now) {
-    rations.removeIf(r -> r.until() != null && !now.before(r.until()));
-    Moment from =
-        now.minus(rations.stream().map(Ration::window).max(Span::compareTo).orElse(Span.ZERO));
-    while (!taken.isEmpty() && !from.before(taken.peekFirst())) {
+  private void forget(Timestamp now) {
+    rations.removeIf(r -> r.until() != null && !now.isBefore(r.until()));
+    Timestamp from =
+        now.minus(
+            rations.stream().map(Ration::window).max(TimeSpan::compareTo).orElse(TimeSpan.ZERO));
+    while (!taken.isEmpty() && !from.isBefore(taken.peekFirst())) {
       taken.removeFirst();
     }
-    while (!further.isEmpty() && further.peekFirst().before(from)) {
+    while (!further.isEmpty() && further.peekFirst().isBefore(from)) {
       further.removeFirst();
     }
   }
@@ -1286,8 +1299,9 @@
   private Placement giveUp(Cmd cmd) {
     boolean harmless =
         cmd.mayHaveRunSince == null
-            || cmd.bounds.repeat == Repeat.REPLAYABLE
-            || cmd.bounds.repeat == Repeat.UNIQUED && cmd.bounds.scopes.equals(Set.of(Scope.ALL));
+            || cmd.bounds.repeat == RetrySafety.IDEMPOTENT
+            || cmd.bounds.repeat == RetrySafety.IDEMPOTENT_WITH_KEY
+                && cmd.bounds.scopes.equals(Set.of(DeduplicationScope.ALL));
     end(cmd);
     return harmless ? Placement.shed(longestComeBack) : Placement.fail();
   }
@@ -1297,11 +1311,11 @@
     cmd.over = true;
     held.remove(cmd);
     open.remove(cmd.command.id());
-    if (cmd.bounds.inOrder && cmd.command.key() != null) {
-      Line line = lines.get(cmd.command.key());
+    if (cmd.bounds.inOrder && cmd.command.sequenceKey() != null) {
+      Line line = lines.get(cmd.command.sequenceKey());
       line.queue.remove(cmd);
       if (line.queue.isEmpty()) {
-        emptied.addLast(cmd.command.key());
+        emptied.addLast(cmd.command.sequenceKey());
       }
     }
   }
--- a/src/main/java/cobaltseam/dispatch/Listing.java
+++ b/src/main/java/cobaltseam/dispatch/EndpointStatus.java
@@ -1,15 +1,15 @@
 package cobaltseam.dispatch;
 
 /** One line of the list of engines. A start of zero means long ago. */
-public record Listing(
+public record EndpointStatus(
     EngineId engine,
     LocationId location,
-    KindId kind,
+    MachineTypeId machineType,
     GroupId group,
-    Standing standing,
-    Moment started) {
+    EndpointState state,
+    Timestamp startedAt) {
   /** What the list says of an engine. */
-  public enum Standing {
+  public enum EndpointState {
     UP,
     DRAINING,
     GONE
--- a/src/main/java/cobaltseam/dispatch/KindId.java
+++ b/src/main/java/cobaltseam/dispatch/MachineTypeId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
 /** Names one kind of machine. */
-public record KindId(String value) {}
+public record MachineTypeId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/Placement.java
+++ b/src/main/java/cobaltseam/dispatch/Placement.java
@@ -7,39 +7,40 @@
  * null sets no bound.
  */
 public record Placement(
-    Verdict verdict,
+    Decision decision,
     EngineId engine,
-    Span sendTimeout,
+    TimeSpan attemptTimeout,
     int priority,
-    Span comeBack,
-    double grantMb,
-    Span startWithin) {
+    TimeSpan retryAfter,
+    double memoryGrantMb,
+    TimeSpan startWithin) {
   /** Send it there, write nothing for now, or give it one of the two final answers. */
-  public enum Verdict {
+  public enum Decision {
     SEND,
-    HOLD,
+    QUEUE,
     SHED,
     FAIL
   }
 
-  public static Placement send(EngineId engine, Span timeout, int priority) {
+  public static Placement send(EngineId engine, TimeSpan timeout, int priority) {
     return send(engine, timeout, priority, 0, null);
   }
 
   public static Placement send(
-      EngineId engine, Span timeout, int priority, double grantMb, Span startWithin) {
-    return new Placement(Verdict.SEND, engine, timeout, priority, Span.ZERO, grantMb, startWithin);
+      EngineId engine, TimeSpan timeout, int priority, double memoryGrantMb, TimeSpan startWithin) {
+    return new Placement(
+        Decision.SEND, engine, timeout, priority, TimeSpan.ZERO, memoryGrantMb, startWithin);
   }
 
-  public static Placement hold() {
-    return new Placement(Verdict.HOLD, null, Span.ZERO, -1, Span.ZERO, 0, null);
+  public static Placement queue() {
+    return new Placement(Decision.QUEUE, null, TimeSpan.ZERO, -1, TimeSpan.ZERO, 0, null);
   }
 
-  public static Placement shed(Span comeBack) {
-    return new Placement(Verdict.SHED, null, Span.ZERO, -1, comeBack, 0, null);
+  public static Placement shed(TimeSpan retryAfter) {
+    return new Placement(Decision.SHED, null, TimeSpan.ZERO, -1, retryAfter, 0, null);
   }
 
   public static Placement fail() {
-    return new Placement(Verdict.FAIL, null, Span.ZERO, -1, Span.ZERO, 0, null);
+    return new Placement(Decision.FAIL, null, TimeSpan.ZERO, -1, TimeSpan.ZERO, 0, null);
   }
 }
--- a/src/main/java/cobaltseam/dispatch/Command.java
+++ b/src/main/java/cobaltseam/dispatch/Request.java
@@ -5,12 +5,12 @@
  * given, and so its memory. The key and the data set are null where the command has none, the share
  * where the deployment has none.
  */
-public record Command(
-    CommandId id,
-    ProfileId profile,
-    ShareId share,
-    OrderKey key,
-    Moment clientTimeout,
-    Span work,
+public record Request(
+    RequestId id,
+    RequestClassId requestClass,
+    TenantId tenant,
+    SequenceKey sequenceKey,
+    Timestamp deadline,
+    TimeSpan work,
     DataSetId dataSet,
     double memoryMb) {}
--- a/src/main/java/cobaltseam/dispatch/ProfileId.java
+++ b/src/main/java/cobaltseam/dispatch/RequestClassId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
 /** Names one profile of commands. */
-public record ProfileId(String value) {}
+public record RequestClassId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/CommandId.java
+++ b/src/main/java/cobaltseam/dispatch/RequestId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
 /** Names the caller's name for one command. */
-public record CommandId(String value) {}
+public record RequestId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/OrderKey.java
+++ b/src/main/java/cobaltseam/dispatch/SequenceKey.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
 /** Names what commands that run in turn have in common. */
-public record OrderKey(String value) {}
+public record SequenceKey(String value) {}
--- a/src/main/java/cobaltseam/dispatch/State.java
+++ b/src/main/java/cobaltseam/dispatch/State.java
@@ -3,7 +3,7 @@
 import cobaltseam.dispatch.Dispatcher.Bounds;
 import cobaltseam.dispatch.Dispatcher.Cold;
 import cobaltseam.dispatch.Dispatcher.Evidence;
-import cobaltseam.dispatch.Listing.Standing;
+import cobaltseam.dispatch.EndpointStatus.EndpointState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -21,7 +21,7 @@
   static final class Way {
     int index, threads, priority;
     double benefit, lateBenefit, stretch;
-    Span target, clientTimeout;
+    TimeSpan target, clientTimeout;
     Bounds bounds;
 
     /** Of earlier settings: what was taken goes on, nothing new is. */
@@ -68,22 +68,22 @@
   }
 
   /** A budget of further sends; one of earlier settings ends once its window has passed. */
-  record Ration(double free, double ratio, Span window, Moment until) {
-    Ration until(Moment ends) {
+  record Ration(double free, double ratio, TimeSpan window, Timestamp until) {
+    Ration until(Timestamp ends) {
       return new Ration(free, ratio, window, ends);
     }
 
     boolean same(Deployment.Rules as) {
-      return free == as.furtherFree()
-          && ratio == as.furtherRatio()
-          && window.equals(as.furtherWindow());
+      return free == as.freeRetries()
+          && ratio == as.retryRatio()
+          && window.equals(as.retryWindow());
     }
   }
 
   /** One holder of a share: what it may send before it counts as over its share. */
   static final class Holder {
     double perSecond, portion, tokens;
-    Moment filled;
+    Timestamp filled;
 
     /** What the same holder has left of earlier settings' part; null where it had none. */
     void spent(Holder old) {
@@ -98,10 +98,10 @@
   static final class Engine {
     EngineId id;
     LocationId location;
-    KindId kind;
+    MachineTypeId kind;
     GroupId group;
-    Standing standing;
-    Moment started, drawn, heard, reported;
+    EndpointState standing;
+    Timestamp started, drawn, heard, reported;
     Cold cold;
     double cores, whole, memoryPerThread;
 
@@ -133,11 +133,11 @@
 
   /** One command, until its final answer and the outcome of its last send. */
   static final class Cmd {
-    Command command;
+    Request command;
     Way way;
     Bounds bounds;
     long turn;
-    Moment takenAt, targetAt, giveUpAt;
+    Timestamp takenAt, targetAt, giveUpAt;
     boolean overShare, drop, late, over;
 
     /** While held: its benefit for its threads' time, and that time. */
@@ -147,10 +147,10 @@
     Sent out;
 
     /** Where sends of it stood still behind a load, and when; null if none did. */
-    Map<Engine, Moment> blockedAt;
+    Map<Engine, Timestamp> blockedAt;
 
     /** The first send that may have run: its engine's group and location, and when it left. */
-    Moment mayHaveRunSince;
+    Timestamp mayHaveRunSince;
 
     GroupId group;
     LocationId location;
@@ -161,12 +161,12 @@
     Cmd cmd;
     Engine engine;
     int number;
-    Moment at;
+    Timestamp at;
 
     /** When it is called off, if its progress may still change that. */
-    Moment cutAt;
+    Timestamp cutAt;
 
-    Span expected;
+    TimeSpan expected;
     double threads;
 
     /**
@@ -181,6 +181,6 @@
   /** Commands with one key, in the order taken, and until when the key rests. */
   static final class Line {
     final Deque<Cmd> queue = new ArrayDeque<>();
-    Moment restUntil;
+    Timestamp restUntil;
   }
 }
--- a/src/main/java/cobaltseam/dispatch/ShareId.java
+++ b/src/main/java/cobaltseam/dispatch/TenantId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
 /** Names one holder of a share of the service. */
-public record ShareId(String value) {}
+public record TenantId(String value) {}
--- a/src/main/java/cobaltseam/emulator/Baseline.java
+++ b/src/main/java/cobaltseam/emulator/Baseline.java
@@ -1,16 +1,16 @@
 package cobaltseam.emulator;
 
-import cobaltseam.dispatch.Command;
-import cobaltseam.dispatch.CommandId;
+import cobaltseam.dispatch.AttemptOutcome;
 import cobaltseam.dispatch.Deployment;
+import cobaltseam.dispatch.EndpointStatus;
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Listing;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.OrderKey;
-import cobaltseam.dispatch.Outcome;
-import cobaltseam.dispatch.Pause;
+import cobaltseam.dispatch.NextStep;
 import cobaltseam.dispatch.Placement;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.Request;
+import cobaltseam.dispatch.RequestId;
+import cobaltseam.dispatch.SequenceKey;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -45,13 +45,13 @@
   /** And sends only what would be in time were it that much slower. */
   private static final double SLACK = 1.3;
 
-  private static final Span LOOK = new Span(5000);
+  private static final TimeSpan LOOK = new TimeSpan(5000);
 
   private static final class Open {
-    Command command;
-    Moment taken;
+    Request command;
+    Timestamp taken;
     double density;
-    Deployment.Profile profile;
+    Deployment.RequestClass profile;
     int sends;
     EngineId out;
     boolean mayHaveRun;
@@ -60,23 +60,23 @@
   private final Choice choice;
   private final RandomGenerator chance;
   private final Deployment told;
-  private final Map<String, Deployment.Profile> profiles = new HashMap<>();
-  private final TreeMap<EngineId, Listing> up = new TreeMap<>();
+  private final Map<String, Deployment.RequestClass> profiles = new HashMap<>();
+  private final TreeMap<EngineId, EndpointStatus> up = new TreeMap<>();
   private final Map<EngineId, Integer> inHand = new HashMap<>();
 
   /** What engines reported in hand with their last answer. */
   private final Map<EngineId, Double> reported = new HashMap<>();
 
-  private final Map<CommandId, Open> open = new HashMap<>();
+  private final Map<RequestId, Open> open = new HashMap<>();
   private final Deque<Open> again = new ArrayDeque<>();
 
   /**
    * By key of an order profile: commands not over, in the order taken; until when a key rests; and
    * who waits for that.
    */
-  private final Map<OrderKey, Deque<Open>> lines = new HashMap<>();
+  private final Map<SequenceKey, Deque<Open>> lines = new HashMap<>();
 
-  private final Map<OrderKey, Moment> rests = new HashMap<>();
+  private final Map<SequenceKey, Timestamp> rests = new HashMap<>();
   private final List<Open> resting = new ArrayList<>();
 
   /**
@@ -89,9 +89,9 @@
               .thenComparing(o -> o.command.id().value()));
 
   private final Truth truth;
-  private List<Listing> list = List.of();
+  private List<EndpointStatus> list = List.of();
   private int turn;
-  private Moment looked;
+  private Timestamp looked;
 
   /** What is so at engines at this moment, which no dispatcher can know. */
   interface Truth {
@@ -113,47 +113,47 @@
     this.told = told;
     this.chance = chance;
     this.truth = truth;
-    told.profiles().forEach(p -> profiles.put(p.id().value(), p));
-    turn = told.number();
+    told.requestClasses().forEach(p -> profiles.put(p.id().value(), p));
+    turn = told.dispatcherIndex();
   }
 
   @Override
-  public Placement place(Command command, Moment now) {
+  public Placement place(Request command, Timestamp now) {
     Open o = open.get(command.id());
     if (o == null) {
       o = new Open();
       o.command = command;
-      o.profile = profiles.get(command.profile().value());
+      o.profile = profiles.get(command.requestClass().value());
       o.taken = now;
       open.put(command.id(), o);
-      if (o.profile.inOrder() && command.key() != null) {
-        lines.computeIfAbsent(command.key(), k -> new ArrayDeque<>()).add(o);
+      if (o.profile.inOrder() && command.sequenceKey() != null) {
+        lines.computeIfAbsent(command.sequenceKey(), k -> new ArrayDeque<>()).add(o);
       }
     }
     if (o.out != null) {
-      return Placement.hold();
+      return Placement.queue();
     }
-    Span left = command.clientTimeout().since(now).minus(told.means().tick().times(2));
+    TimeSpan left = command.deadline().since(now).minus(told.capabilities().clockTick().times(2));
     if (left.isPositive() && waits(o, now)) {
-      return Placement.hold();
+      return Placement.queue();
     }
     EngineId engine = left.isPositive() ? pick(o) : null;
     double us = 0;
     if (engine != null && choice == Choice.CLAIRVOYANT) {
       boolean room = truth.hasRoom(engine, o.profile.threads());
       us = truth.pace(engine) * command.work().us() / o.profile.threads();
-      Moment target =
+      Timestamp target =
           o.taken
-              .plus(o.profile.latencyTarget())
-              .plus(command.work().times(o.profile.stretch() / o.profile.threads()));
+              .plus(o.profile.latencyObjective())
+              .plus(command.work().times(o.profile.objectivePerWork() / o.profile.threads()));
       double least = command.work().us() / (double) o.profile.threads();
-      if (!now.plus(new Span(Math.round(Math.min(least, 1e12)))).before(target)) {
+      if (!now.plus(new TimeSpan(Math.round(Math.min(least, 1e12)))).isBefore(target)) {
         return giveUp(o);
       }
       if (!room || !(us * SLACK < target.since(now).us())) {
-        o.density = o.profile.benefit() / Math.max(1, command.work().us());
+        o.density = o.profile.priorityWeight() / Math.max(1, command.work().us());
         held.add(o);
-        return Placement.hold();
+        return Placement.queue();
       }
     }
     if (engine == null) {
@@ -163,7 +163,7 @@
     // The clairvoyant one would also see that an engine has gone, and not wait for it.
     left =
         choice == Choice.CLAIRVOYANT
-            ? left.min(new Span(Math.round(SEEN_AFTER * us)).max(o.profile.latencyTarget()))
+            ? left.min(new TimeSpan(Math.round(SEEN_AFTER * us)).max(o.profile.latencyObjective()))
             : left;
     o.out = engine;
     o.sends++;
@@ -173,18 +173,18 @@
 
   private Placement giveUp(Open o) {
     remove(o);
-    return o.mayHaveRun && o.profile.repeat() != Deployment.Repeat.REPLAYABLE
+    return o.mayHaveRun && o.profile.retrySafety() != Deployment.RetrySafety.IDEMPOTENT
         ? Placement.fail()
-        : Placement.shed(told.means().longestComeBack());
+        : Placement.shed(told.capabilities().maxRetryAfter());
   }
 
   private void remove(Open o) {
     open.remove(o.command.id());
     again.remove(o);
     held.remove(o);
-    Deque<Open> line = o.command.key() == null ? null : lines.get(o.command.key());
+    Deque<Open> line = o.command.sequenceKey() == null ? null : lines.get(o.command.sequenceKey());
     if (line != null && line.remove(o) && line.isEmpty()) {
-      lines.remove(o.command.key());
+      lines.remove(o.command.sequenceKey());
     } else if (line != null
         && !line.isEmpty()
         && line.peek().out == null
@@ -194,15 +194,17 @@
   }
 
   /** Whether one in order has to wait for an earlier one of its key, or for the key to rest. */
-  private boolean waits(Open o, Moment now) {
+  private boolean waits(Open o, Timestamp now) {
     Deque<Open> line =
-        o.profile.inOrder() && o.command.key() != null ? lines.get(o.command.key()) : null;
+        o.profile.inOrder() && o.command.sequenceKey() != null
+            ? lines.get(o.command.sequenceKey())
+            : null;
     if (line == null) {
       return false;
     }
-    Moment rest = rests.get(o.command.key());
-    if (rest != null && !now.before(rest)) {
-      rests.remove(o.command.key());
+    Timestamp rest = rests.get(o.command.sequenceKey());
+    if (rest != null && !now.isBefore(rest)) {
+      rests.remove(o.command.sequenceKey());
       rest = null;
     }
     if (line.peek() == o && rest != null && !resting.contains(o)) {
@@ -212,7 +214,7 @@
   }
 
   private EngineId pick(Open o) {
-    List<Listing> to =
+    List<EndpointStatus> to =
         o.profile.locations() == null
             ? list
             : list.stream().filter(l -> o.profile.locations().contains(l.location())).toList();
@@ -240,7 +242,7 @@
     return inHand.getOrDefault(engine, 0);
   }
 
-  private EngineId least(List<Listing> of, ToDoubleFunction<EngineId> figure) {
+  private EngineId least(List<EndpointStatus> of, ToDoubleFunction<EngineId> figure) {
     EngineId best = null;
     double least = Double.POSITIVE_INFINITY;
     int from = chance.nextInt(of.size());
@@ -256,74 +258,76 @@
   }
 
   @Override
-  public Placement after(Outcome outcome, Moment now) {
-    Open o = open.get(outcome.command());
+  public Placement after(AttemptOutcome outcome, Timestamp now) {
+    Open o = open.get(outcome.request());
     if (o == null || o.out == null) {
-      return Placement.hold();
+      return Placement.queue();
     }
     inHand.merge(o.out, -1, Integer::sum);
-    if (outcome.inHand() >= 0) {
-      reported.put(o.out, outcome.inHand());
+    if (outcome.inFlightAtEngine() >= 0) {
+      reported.put(o.out, outcome.inFlightAtEngine());
     }
     o.out = null;
-    Outcome.Ending ending = outcome.ending();
+    AttemptOutcome.AttemptResult ending = outcome.result();
     o.mayHaveRun |= !ending.neverRan();
     if (o.profile.inOrder()
-        && o.command.key() != null
-        && (ending == Outcome.Ending.TIMED_OUT
-            || ending == Outcome.Ending.CUT
-            || ending == Outcome.Ending.CANCELLED)) {
-      rests.put(o.command.key(), now.plus(told.rules().keyRest()).plus(told.means().tick()));
+        && o.command.sequenceKey() != null
+        && (ending == AttemptOutcome.AttemptResult.TIMED_OUT
+            || ending == AttemptOutcome.AttemptResult.CONNECTION_LOST
+            || ending == AttemptOutcome.AttemptResult.CANCELLED)) {
+      rests.put(
+          o.command.sequenceKey(),
+          now.plus(told.rules().sequenceKeyRest()).plus(told.capabilities().clockTick()));
     }
-    if (outcome.over() || ending == Outcome.Ending.ANSWERED) {
+    if (outcome.isLast() || ending == AttemptOutcome.AttemptResult.COMPLETED) {
       remove(o);
-      return Placement.hold();
+      return Placement.queue();
     }
-    boolean repeats = o.profile.repeat() == Deployment.Repeat.REPLAYABLE || !o.mayHaveRun;
+    boolean repeats = o.profile.retrySafety() == Deployment.RetrySafety.IDEMPOTENT || !o.mayHaveRun;
     if (!repeats
-        || o.sends >= told.means().mostSends()
-        || told.rules().furtherFree() != null
+        || o.sends >= told.capabilities().maxAttempts()
+        || told.rules().freeRetries() != null
         || o.profile.inOrder()) {
       return giveUp(o);
     }
     again.add(o);
-    return Placement.hold();
+    return Placement.queue();
   }
 
   @Override
-  public Pause pause(Moment now) {
+  public NextStep pause(Timestamp now) {
     Open o = again.poll();
     if (o != null) {
-      return Pause.ask(o.command);
+      return NextStep.placeAgain(o.command);
     }
-    Span wait = null;
+    TimeSpan wait = null;
     for (Open r : List.copyOf(resting)) {
-      Moment until = rests.get(r.command.key());
-      if (!open.containsKey(r.command.id()) || until == null || !now.before(until)) {
+      Timestamp until = rests.get(r.command.sequenceKey());
+      if (!open.containsKey(r.command.id()) || until == null || !now.isBefore(until)) {
         resting.remove(r);
         if (open.containsKey(r.command.id())) {
-          return Pause.ask(r.command);
+          return NextStep.placeAgain(r.command);
         }
       } else {
         wait = wait == null ? until.since(now) : wait.min(until.since(now));
       }
     }
     // Held ones are looked at once each tick.
-    if (!held.isEmpty() && (looked == null || !now.before(looked.plus(LOOK)))) {
+    if (!held.isEmpty() && (looked == null || !now.isBefore(looked.plus(LOOK)))) {
       looked = now;
       again.addAll(held);
-      return Pause.ask(again.poll().command);
+      return NextStep.placeAgain(again.poll().command);
     }
-    return Pause.until(held.isEmpty() ? wait : wait == null ? LOOK : wait.min(LOOK));
+    return NextStep.waitFor(held.isEmpty() ? wait : wait == null ? LOOK : wait.min(LOOK));
   }
 
   @Override
-  public void listed(List<Listing> lines, boolean whole, Moment now) {
+  public void listed(List<EndpointStatus> lines, boolean whole, Timestamp now) {
     if (whole) {
       up.clear();
     }
-    for (Listing line : lines) {
-      if (line.standing() == Listing.Standing.UP) {
+    for (EndpointStatus line : lines) {
+      if (line.state() == EndpointStatus.EndpointState.UP) {
         up.put(line.engine(), line);
       } else {
         up.remove(line.engine());
@@ -333,13 +337,13 @@
   }
 
   @Override
-  public void progressed(CommandId command, int send, double share, Moment now) {
+  public void progressed(RequestId command, int send, double share, Timestamp now) {
     // None of them listens.
     return;
   }
 
   @Override
-  public void departed(CommandId command, Moment now) {
+  public void departed(RequestId command, Timestamp now) {
     Open o = open.get(command);
     if (o != null && o.out == null) {
       remove(o);
--- a/src/main/java/cobaltseam/emulator/Emulate.java
+++ b/src/main/java/cobaltseam/emulator/Emulate.java
@@ -55,7 +55,7 @@
     if (name.equals("fleet-true")) {
       return (told, seed, sim) -> {
         Dispatcher d = new Dispatcher(told, seed);
-        d.sharedOver(1 / sim.trafficOf(told.number()));
+        d.setSharingDispatchers(1 / sim.trafficOf(told.dispatcherIndex()));
         return Policy.module(d);
       };
     }
--- a/src/main/java/cobaltseam/emulator/Fellowship.java
+++ b/src/main/java/cobaltseam/emulator/Fellowship.java
@@ -1,11 +1,11 @@
 package cobaltseam.emulator;
 
+import cobaltseam.dispatch.AttemptOutcome;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.Dispatcher;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Outcome;
 import cobaltseam.dispatch.Placement;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.ground.Ground;
 import cobaltseam.membership.Birth;
 import cobaltseam.membership.Member;
@@ -36,15 +36,15 @@
  */
 final class Fellowship {
   private static final long WHOLE = 1_000_000_000L;
-  private static final Span LEASE = new Span(2_000_000);
-  private static final Span ROUND = new Span(1_000_000);
-  private static final Span WINDOW = new Span(8_000_000);
+  private static final TimeSpan LEASE = new TimeSpan(2_000_000);
+  private static final TimeSpan ROUND = new TimeSpan(1_000_000);
+  private static final TimeSpan WINDOW = new TimeSpan(8_000_000);
   private static final double CLOCKS = 0.001;
   private static final double ONE_WAY_US = 1000;
   private static final int MOST_BYTES = 8192;
   private static final int ASKED = 3;
   private static final int ASKS_NEWS = 1;
-  private static final Span NEWS_END = new Span(3_000_000);
+  private static final TimeSpan NEWS_END = new TimeSpan(3_000_000);
 
   private static final class One {
     Dispatcher dispatcher;
@@ -60,7 +60,7 @@
   private final View view;
   private final One[] all;
   private final boolean spreads;
-  private final Span news;
+  private final TimeSpan news;
 
   /**
    * @param spreads whether parts follow demand
@@ -95,7 +95,7 @@
 
   /** A dispatcher starts, or starts anew as the same member. */
   Policy joins(Deployment told, Dispatcher dispatcher, long seed) {
-    int i = told.number();
+    int i = told.dispatcherIndex();
     One one = all[i];
     one.life++;
     one.dispatcher = dispatcher;
@@ -125,7 +125,7 @@
       // The fleet was formed long before the run begins.
       one.holdings.follow(time.now().minus(LEASE.times(2)));
     }
-    dispatcher.sharedOver((double) WHOLE / one.holdings.usable(time.now()));
+    dispatcher.setSharingDispatchers((double) WHOLE / one.holdings.usable(time.now()));
     turn(i, one.life);
     return heeds(one, Policy.module(dispatcher));
   }
@@ -137,12 +137,12 @@
     }
     return new Policy.Passing(policy) {
       @Override
-      public Placement after(Outcome outcome, Moment now) {
-        if (outcome.inHand() >= 0) {
+      public Placement after(AttemptOutcome outcome, Timestamp now) {
+        if (outcome.inFlightAtEngine() >= 0) {
           one.reports.told(
               new Reports.Report(
                   outcome.engine(),
-                  Math.max(0, outcome.inHand() - Math.max(0, outcome.queue())),
+                  Math.max(0, outcome.inFlightAtEngine() - Math.max(0, outcome.queuedAtEngine())),
                   now));
         }
         return super.after(outcome, now);
@@ -171,7 +171,7 @@
             all[to]
                 .reports
                 .news()
-                .forEach(r -> all[to].dispatcher.reported(r.engine(), r.inHand(), r.at()));
+                .forEach(r -> all[to].dispatcher.updateEngineLoad(r.engine(), r.inHand(), r.at()));
           });
     }
   }
@@ -199,12 +199,12 @@
       }
 
       @Override
-      public Moment leaseUntil() {
+      public Timestamp leaseUntil() {
         return time.now().plus(LEASE.times(0.75));
       }
 
       @Override
-      public Span outlasts() {
+      public TimeSpan outlasts() {
         return LEASE.times(1 + 2 * CLOCKS);
       }
 
@@ -228,8 +228,8 @@
     if (one.life != life) {
       return;
     }
-    Moment now = time.now();
-    double rate = one.demand.told(one.dispatcher.offered(), now);
+    Timestamp now = time.now();
+    double rate = one.demand.told(one.dispatcher.offeredLoad(), now);
     one.holdings.needs(rate);
     one.sharing.say(new Figures(Map.of(Ground.DEMAND, Ground.figure(rate))));
     shares(i, one.sharing.due(now));
@@ -239,7 +239,8 @@
   }
 
   private void tells(One one) {
-    one.dispatcher.sharedOver((double) WHOLE / Math.max(1, one.holdings.usable(time.now())));
+    one.dispatcher.setSharingDispatchers(
+        (double) WHOLE / Math.max(1, one.holdings.usable(time.now())));
   }
 
   private void shares(int from, List<Sharing.Send> sends) {
@@ -262,7 +263,7 @@
   private void after(int to, Runnable what) {
     int life = all[to].life;
     time.after(
-        new Span(Math.round(ONE_WAY_US * chance.nextDouble(0.5, 1.5))),
+        new TimeSpan(Math.round(ONE_WAY_US * chance.nextDouble(0.5, 1.5))),
         () -> {
           if (all[to].life == life) {
             what.run();
--- a/src/main/java/cobaltseam/emulator/Host.java
+++ b/src/main/java/cobaltseam/emulator/Host.java
@@ -1,13 +1,13 @@
 package cobaltseam.emulator;
 
-import cobaltseam.dispatch.Command;
-import cobaltseam.dispatch.CommandId;
-import cobaltseam.dispatch.Listing;
-import cobaltseam.dispatch.Outcome;
-import cobaltseam.dispatch.Outcome.Ending;
-import cobaltseam.dispatch.Pause;
+import cobaltseam.dispatch.AttemptOutcome;
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
+import cobaltseam.dispatch.EndpointStatus;
+import cobaltseam.dispatch.NextStep;
 import cobaltseam.dispatch.Placement;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.Request;
+import cobaltseam.dispatch.RequestId;
+import cobaltseam.dispatch.TimeSpan;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -21,7 +21,7 @@
 final class Host {
   /** Who waits for the final answer. */
   interface Asker {
-    void told(Referee.Final what, Span comeBack);
+    void told(Referee.Final what, TimeSpan comeBack);
 
     /** Whether its client has left before it was taken. */
     boolean gone();
@@ -29,7 +29,7 @@
 
   /** A command in hand. */
   private static final class InHand {
-    Command command;
+    Request command;
     Asker asker;
     EngineLink.Order order;
     int sends;
@@ -48,7 +48,7 @@
     boolean over;
   }
 
-  private static final Span NOT_TOLD = new Span(-1);
+  private static final TimeSpan NOT_TOLD = new TimeSpan(-1);
   private static final int MOST_ASKED = 1_000_000;
 
   final int number;
@@ -56,7 +56,7 @@
   private final EngineLink link;
   private final Referee referee;
   private final Tally tally;
-  private final Map<CommandId, InHand> inHand = new HashMap<>();
+  private final Map<RequestId, InHand> inHand = new HashMap<>();
   private Policy policy;
   private Timeline.Entry wake;
   private Timeline.Entry soon;
@@ -138,17 +138,17 @@
     }
   }
 
-  void listed(List<Listing> list, boolean whole) {
+  void listed(List<EndpointStatus> list, boolean whole) {
     hear(
         () -> {
-          list.forEach(l -> referee.listed(number, l.engine(), l.standing()));
+          list.forEach(l -> referee.listed(number, l.engine(), l.state()));
           policy.listed(list, whole, time.now());
           follow();
         });
   }
 
   /** Takes a command in. */
-  void take(Command command, EngineLink.Order order, String key, Asker asker) {
+  void take(Request command, EngineLink.Order order, String key, Asker asker) {
     hear(
         () -> {
           if (asker.gone()) {
@@ -160,14 +160,14 @@
           c.order = order;
           inHand.put(command.id(), c);
           tally.taken++;
-          referee.taken(number, command.id(), order.profile(), key, command.clientTimeout().us());
+          referee.taken(number, command.id(), order.profile(), key, command.deadline().us());
           carryOut(c, policy.place(command, time.now()));
           follow();
         });
   }
 
   /** Its client waits no longer. */
-  void departed(CommandId id) {
+  void departed(RequestId id) {
     InHand c = inHand.get(id);
     if (c == null || c.asker == null) {
       return;
@@ -178,7 +178,7 @@
         () -> {
           policy.departed(id, time.now());
           if (c.out != null) {
-            giveUp(c.out, Ending.CANCELLED);
+            giveUp(c.out, AttemptResult.CANCELLED);
           } else {
             inHand.remove(id);
           }
@@ -190,15 +190,15 @@
     if (c.asker == null) {
       return;
     }
-    switch (p.verdict()) {
+    switch (p.decision()) {
       case SEND -> send(c, p);
-      case SHED -> end(c, Referee.Final.SHED, p.comeBack());
-      case FAIL -> end(c, Referee.Final.FAILED, Span.ZERO);
+      case SHED -> end(c, Referee.Final.SHED, p.retryAfter());
+      case FAIL -> end(c, Referee.Final.FAILED, TimeSpan.ZERO);
       default -> {}
     }
   }
 
-  private void end(InHand c, Referee.Final what, Span comeBack) {
+  private void end(InHand c, Referee.Final what, TimeSpan comeBack) {
     Asker asker = c.asker;
     c.asker = null;
     referee.answered(number, c.command.id(), what);
@@ -220,17 +220,17 @@
     c.out = out;
     out.timeout =
         time.at(
-            out.sentUs + Math.max(1, p.sendTimeout().us()),
-            () -> hear(() -> giveUp(out, Ending.TIMED_OUT)));
+            out.sentUs + Math.max(1, p.attemptTimeout().us()),
+            () -> hear(() -> giveUp(out, AttemptResult.TIMED_OUT)));
     link.send(this, out, c.order);
   }
 
-  CommandId command(Out out) {
+  RequestId command(Out out) {
     return out.of.command.id();
   }
 
   /** What an engine, or the network, says of a send. */
-  void ended(Out out, Ending ending, double reportedInHand) {
+  void ended(Out out, AttemptResult ending, double reportedInHand) {
     hear(() -> outcome(out, ending, reportedInHand));
   }
 
@@ -244,14 +244,14 @@
         });
   }
 
-  private void giveUp(Out out, Ending ending) {
+  private void giveUp(Out out, AttemptResult ending) {
     if (!out.over) {
       link.giveUp(this, out);
       outcome(out, ending, -1);
     }
   }
 
-  private void outcome(Out out, Ending ending, double reportedInHand) {
+  private void outcome(Out out, AttemptResult ending, double reportedInHand) {
     if (out.over) {
       return;
     }
@@ -260,22 +260,22 @@
     InHand c = out.of;
     c.out = null;
     referee.outcome(number, c.command.id(), out.seen, ending);
-    Asker answered = ending == Ending.ANSWERED ? c.asker : null;
-    boolean over = ending == Ending.ANSWERED || c.asker == null;
-    Outcome outcome =
-        new Outcome(
+    Asker answered = ending == AttemptResult.COMPLETED ? c.asker : null;
+    boolean over = ending == AttemptResult.COMPLETED || c.asker == null;
+    AttemptOutcome outcome =
+        new AttemptOutcome(
             c.command.id(),
             out.number,
             out.engine.id,
             ending,
-            new Span(time.nowUs() - out.sentUs),
+            new TimeSpan(time.nowUs() - out.sentUs),
             over,
             NOT_TOLD,
             -1,
             reportedInHand < 0 ? -1 : 0,
             reportedInHand);
     if (answered != null) {
-      end(c, Referee.Final.ANSWERED, Span.ZERO);
+      end(c, Referee.Final.ANSWERED, TimeSpan.ZERO);
     }
     carryOut(c, policy.after(outcome, time.now()));
     if (c.asker == null) {
@@ -308,15 +308,15 @@
     Timeline.cancel(wake);
     wake = null;
     for (int asked = 0; asked < MOST_ASKED; asked++) {
-      Pause pause = policy.pause(time.now());
-      if (pause.span() == null) {
+      NextStep pause = policy.pause(time.now());
+      if (pause.delay() == null) {
         return;
       }
-      if (pause.span().isPositive()) {
+      if (pause.delay().isPositive()) {
         int mine = life;
         wake =
             time.after(
-                pause.span(),
+                pause.delay(),
                 () -> {
                   if (mine == life) {
                     followed();
@@ -324,15 +324,15 @@
                 });
         return;
       }
-      InHand c = pause.command() == null ? null : inHand.get(pause.command().id());
-      if (pause.command() != null && c == null) {
-        policy.departed(pause.command().id(), time.now());
-      } else if (pause.callOff() >= 0) {
-        if (c.out != null && c.out.number == pause.callOff()) {
-          giveUp(c.out, Ending.CANCELLED);
+      InHand c = pause.request() == null ? null : inHand.get(pause.request().id());
+      if (pause.request() != null && c == null) {
+        policy.departed(pause.request().id(), time.now());
+      } else if (pause.cancelAttempt() >= 0) {
+        if (c.out != null && c.out.number == pause.cancelAttempt()) {
+          giveUp(c.out, AttemptResult.CANCELLED);
         }
       } else if (c != null) {
-        carryOut(c, policy.place(pause.command(), time.now()));
+        carryOut(c, policy.place(pause.request(), time.now()));
       }
     }
     throw new IllegalStateException("the policy names the same thing without end");
--- a/src/main/java/cobaltseam/emulator/Policy.java
+++ b/src/main/java/cobaltseam/emulator/Policy.java
@@ -1,28 +1,28 @@
 package cobaltseam.emulator;
 
-import cobaltseam.dispatch.Command;
-import cobaltseam.dispatch.CommandId;
+import cobaltseam.dispatch.AttemptOutcome;
 import cobaltseam.dispatch.Dispatcher;
-import cobaltseam.dispatch.Listing;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Outcome;
-import cobaltseam.dispatch.Pause;
+import cobaltseam.dispatch.EndpointStatus;
+import cobaltseam.dispatch.NextStep;
 import cobaltseam.dispatch.Placement;
+import cobaltseam.dispatch.Request;
+import cobaltseam.dispatch.RequestId;
+import cobaltseam.dispatch.Timestamp;
 import java.util.List;
 
 /** The module's own calls, so that others can be put in its place. */
 interface Policy {
-  Placement place(Command command, Moment now);
+  Placement place(Request command, Timestamp now);
 
-  Placement after(Outcome outcome, Moment now);
+  Placement after(AttemptOutcome outcome, Timestamp now);
 
-  Pause pause(Moment now);
+  NextStep pause(Timestamp now);
 
-  void listed(List<Listing> list, boolean whole, Moment now);
+  void listed(List<EndpointStatus> list, boolean whole, Timestamp now);
 
-  void progressed(CommandId command, int send, double share, Moment now);
+  void progressed(RequestId command, int send, double share, Timestamp now);
 
-  void departed(CommandId command, Moment now);
+  void departed(RequestId command, Timestamp now);
 
   /** Another one, and what is done beside it. */
   class Passing implements Policy {
@@ -33,32 +33,32 @@
     }
 
     @Override
-    public Placement place(Command command, Moment now) {
+    public Placement place(Request command, Timestamp now) {
       return to.place(command, now);
     }
 
     @Override
-    public Placement after(Outcome outcome, Moment now) {
+    public Placement after(AttemptOutcome outcome, Timestamp now) {
       return to.after(outcome, now);
     }
 
     @Override
-    public Pause pause(Moment now) {
+    public NextStep pause(Timestamp now) {
       return to.pause(now);
     }
 
     @Override
-    public void listed(List<Listing> list, boolean whole, Moment now) {
+    public void listed(List<EndpointStatus> list, boolean whole, Timestamp now) {
       to.listed(list, whole, now);
     }
 
     @Override
-    public void progressed(CommandId command, int send, double share, Moment now) {
+    public void progressed(RequestId command, int send, double share, Timestamp now) {
       to.progressed(command, send, share, now);
     }
 
     @Override
-    public void departed(CommandId command, Moment now) {
+    public void departed(RequestId command, Timestamp now) {
       to.departed(command, now);
     }
   }
@@ -67,33 +67,33 @@
   static Policy module(Dispatcher d) {
     return new Policy() {
       @Override
-      public Placement place(Command command, Moment now) {
+      public Placement place(Request command, Timestamp now) {
         return d.place(command, now);
       }
 
       @Override
-      public Placement after(Outcome outcome, Moment now) {
-        return d.after(outcome, now);
+      public Placement after(AttemptOutcome outcome, Timestamp now) {
+        return d.completeAttempt(outcome, now);
       }
 
       @Override
-      public Pause pause(Moment now) {
-        return d.pause(now);
+      public NextStep pause(Timestamp now) {
+        return d.next(now);
       }
 
       @Override
-      public void listed(List<Listing> list, boolean whole, Moment now) {
-        d.listed(list, whole, now);
+      public void listed(List<EndpointStatus> list, boolean whole, Timestamp now) {
+        d.updateEndpoints(list, whole, now);
       }
 
       @Override
-      public void progressed(CommandId command, int send, double share, Moment now) {
-        d.progressed(command, send, share, now);
+      public void progressed(RequestId command, int send, double share, Timestamp now) {
+        d.updateProgress(command, send, share, now);
       }
 
       @Override
-      public void departed(CommandId command, Moment now) {
-        d.departed(command, now);
+      public void departed(RequestId command, Timestamp now) {
+        d.clientLeft(command, now);
       }
     };
   }
--- a/src/main/java/cobaltseam/emulator/Referee.java
+++ b/src/main/java/cobaltseam/emulator/Referee.java
@@ -1,11 +1,11 @@
 package cobaltseam.emulator;
 
-import cobaltseam.dispatch.CommandId;
-import cobaltseam.dispatch.Deployment.Repeat;
-import cobaltseam.dispatch.Deployment.Scope;
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
+import cobaltseam.dispatch.Deployment.DeduplicationScope;
+import cobaltseam.dispatch.Deployment.RetrySafety;
+import cobaltseam.dispatch.EndpointStatus.EndpointState;
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Listing.Standing;
-import cobaltseam.dispatch.Outcome.Ending;
+import cobaltseam.dispatch.RequestId;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -56,24 +56,24 @@
     EngineModel engine;
     long atUs;
     long ranUs = -1;
-    Ending ending;
+    AttemptResult ending;
     long endedUs;
   }
 
-  private record Told(Standing standing, long atUs) {}
+  private record Told(EndpointState standing, long atUs) {}
 
   private static final int MOST_KEPT = 100;
   private static final long SLACK_US = 50_000;
 
   private final World world;
   private final Timeline time;
-  private final List<Map<CommandId, Seen>> seen = new ArrayList<>();
+  private final List<Map<RequestId, Seen>> seen = new ArrayList<>();
   private final List<Map<EngineId, Told>> told = new ArrayList<>();
   private final List<Deque<Long>> taken = new ArrayList<>();
   private final List<Deque<Long>> further = new ArrayList<>();
 
   /** By dispatcher and key: commands not over, in the order taken; and until when the key rests. */
-  private final List<Map<String, Deque<CommandId>>> lines = new ArrayList<>();
+  private final List<Map<String, Deque<RequestId>>> lines = new ArrayList<>();
 
   private final List<Map<String, Long>> rests = new ArrayList<>();
   private final Map<EngineId, Deque<double[]>> cold = new HashMap<>();
@@ -93,7 +93,7 @@
     }
   }
 
-  private void broken(Rule rule, int dispatcher, CommandId command, String what) {
+  private void broken(Rule rule, int dispatcher, RequestId command, String what) {
     counts.merge(rule, 1L, Long::sum);
     if (broken.size() < MOST_KEPT) {
       broken.add(
@@ -114,17 +114,17 @@
     return counts.values().stream().mapToLong(Long::longValue).sum();
   }
 
-  void listed(int dispatcher, EngineId engine, Standing standing) {
+  void listed(int dispatcher, EngineId engine, EndpointState standing) {
     Told before = told.get(dispatcher).get(engine);
     // A drain counts from when it was first told, however often it is told again.
     if (before == null
         || before.standing != standing
-            && (before.standing == Standing.UP || standing == Standing.UP)) {
+            && (before.standing == EndpointState.UP || standing == EndpointState.UP)) {
       told.get(dispatcher).put(engine, new Told(standing, time.nowUs()));
     }
   }
 
-  void taken(int dispatcher, CommandId id, World.Profile profile, String key, long timeoutUs) {
+  void taken(int dispatcher, RequestId id, World.Profile profile, String key, long timeoutUs) {
     Seen s = new Seen();
     s.profile = profile;
     s.key = key;
@@ -138,7 +138,7 @@
   }
 
   /** A send leaves; the number under which its outcome is told, or -1. */
-  int sent(int dispatcher, CommandId id, EngineModel engine) {
+  int sent(int dispatcher, RequestId id, EngineModel engine) {
     long now = time.nowUs();
     Seen s = seen.get(dispatcher).get(id);
     if (s == null) {
@@ -154,7 +154,7 @@
     Told standing = told.get(dispatcher).get(engine.id);
     if (standing == null) {
       broken(Rule.DRAIN, dispatcher, id, "a send to an engine that was never listed");
-    } else if (standing.standing != Standing.UP
+    } else if (standing.standing != EndpointState.UP
         && now - standing.atUs > World.ms(world.limits().drainGraceMs()).us()) {
       broken(
           Rule.DRAIN,
@@ -182,20 +182,21 @@
     return s.sends.size() - 1;
   }
 
-  private void repeated(int dispatcher, CommandId id, Seen s, EngineModel engine, long now) {
+  private void repeated(int dispatcher, RequestId id, Seen s, EngineModel engine, long now) {
     Sent first =
         s.sends.stream()
             .filter(x -> x.ending == null || !x.ending.neverRan())
             .findFirst()
             .orElse(null);
-    if (first != null && s.profile.repeat() == Repeat.NON_REPLAYABLE) {
+    if (first != null && s.profile.repeat() == RetrySafety.NOT_IDEMPOTENT) {
       broken(
           Rule.TWICE, dispatcher, id, "another send of a non-replayable command that may have run");
-    } else if (first != null && s.profile.repeat() == Repeat.UNIQUED) {
+    } else if (first != null && s.profile.repeat() == RetrySafety.IDEMPOTENT_WITH_KEY) {
       boolean same =
-          s.profile.scope() == Scope.ALL
-              || s.profile.scope() == Scope.GROUP && first.engine.group.equals(engine.group)
-              || s.profile.scope() == Scope.LOCATION
+          s.profile.scope() == DeduplicationScope.ALL
+              || s.profile.scope() == DeduplicationScope.GROUP
+                  && first.engine.group.equals(engine.group)
+              || s.profile.scope() == DeduplicationScope.LOCATION
                   && first.engine.location.equals(engine.location);
       if (!same || now - first.atUs > World.ms(s.profile.rememberedMs()).us()) {
         broken(
@@ -223,8 +224,8 @@
     }
   }
 
-  private void ordered(int dispatcher, CommandId id, Seen s, long now) {
-    for (CommandId other : lines.get(dispatcher).getOrDefault(s.key, new ArrayDeque<>())) {
+  private void ordered(int dispatcher, RequestId id, Seen s, long now) {
+    for (RequestId other : lines.get(dispatcher).getOrDefault(s.key, new ArrayDeque<>())) {
       if (other.equals(id)) {
         break;
       }
@@ -274,18 +275,18 @@
   }
 
   /** A send ran to its end. */
-  void ran(int dispatcher, CommandId id, int send) {
+  void ran(int dispatcher, RequestId id, int send) {
     Seen s = seen.get(dispatcher).get(id);
     if (s != null && send >= 0) {
       s.sends.get(send).ranUs = time.nowUs();
       long runs = s.sends.stream().filter(x -> x.ranUs >= 0).count();
-      if (runs > 1 && s.profile.repeat() == Repeat.NON_REPLAYABLE) {
+      if (runs > 1 && s.profile.repeat() == RetrySafety.NOT_IDEMPOTENT) {
         broken(Rule.TWICE, dispatcher, id, "it ran twice");
       }
     }
   }
 
-  void outcome(int dispatcher, CommandId id, int send, Ending ending) {
+  void outcome(int dispatcher, RequestId id, int send, AttemptResult ending) {
     Seen s = seen.get(dispatcher).get(id);
     if (s == null || send < 0) {
       return;
@@ -296,13 +297,15 @@
     s.out--;
     if (s.profile.inOrder()
         && s.key != null
-        && (ending == Ending.TIMED_OUT || ending == Ending.CUT || ending == Ending.CANCELLED)) {
+        && (ending == AttemptResult.TIMED_OUT
+            || ending == AttemptResult.CONNECTION_LOST
+            || ending == AttemptResult.CANCELLED)) {
       rests.get(dispatcher).put(s.key, time.nowUs() + World.ms(world.limits().keyRestMs()).us());
     }
     over(dispatcher, id, s);
   }
 
-  void answered(int dispatcher, CommandId id, Final told) {
+  void answered(int dispatcher, RequestId id, Final told) {
     Seen s = seen.get(dispatcher).get(id);
     if (s == null || s.told != null) {
       broken(Rule.LOST, dispatcher, id, "a second final answer, " + told);
@@ -317,8 +320,9 @@
           "a final answer " + (time.nowUs() - s.timeoutUs) / 1000 + " ms after the client timeout");
     }
     if (told == Final.SHED
-        && s.profile.repeat() != Repeat.REPLAYABLE
-        && !(s.profile.repeat() == Repeat.UNIQUED && s.profile.scope() == Scope.ALL)
+        && s.profile.repeat() != RetrySafety.IDEMPOTENT
+        && !(s.profile.repeat() == RetrySafety.IDEMPOTENT_WITH_KEY
+            && s.profile.scope() == DeduplicationScope.ALL)
         && s.sends.stream().anyMatch(x -> x.ending == null || !x.ending.neverRan())) {
       broken(Rule.TWICE, dispatcher, id, "shed though it may have run");
     }
@@ -329,7 +333,7 @@
   }
 
   /** Its client has waited for its whole timeout. */
-  void departed(int dispatcher, CommandId id, boolean stoodStill) {
+  void departed(int dispatcher, RequestId id, boolean stoodStill) {
     Seen s = seen.get(dispatcher).get(id);
     if (s != null && s.told == null) {
       if (!stoodStill) {
@@ -340,11 +344,11 @@
     }
   }
 
-  private void over(int dispatcher, CommandId id, Seen s) {
+  private void over(int dispatcher, RequestId id, Seen s) {
     if ((s.told != null || s.gone) && s.out == 0) {
       seen.get(dispatcher).remove(id);
       if (s.profile.inOrder() && s.key != null) {
-        Deque<CommandId> line = lines.get(dispatcher).get(s.key);
+        Deque<RequestId> line = lines.get(dispatcher).get(s.key);
         if (line != null) {
           line.remove(id);
           if (line.isEmpty()) {
--- a/src/main/java/cobaltseam/emulator/Simulation.java
+++ b/src/main/java/cobaltseam/emulator/Simulation.java
@@ -1,21 +1,21 @@
 package cobaltseam.emulator;
 
-import cobaltseam.dispatch.Command;
-import cobaltseam.dispatch.CommandId;
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
 import cobaltseam.dispatch.DataSetId;
 import cobaltseam.dispatch.Deployment;
+import cobaltseam.dispatch.EndpointStatus;
+import cobaltseam.dispatch.EndpointStatus.EndpointState;
 import cobaltseam.dispatch.EngineId;
 import cobaltseam.dispatch.GroupId;
-import cobaltseam.dispatch.KindId;
-import cobaltseam.dispatch.Listing;
-import cobaltseam.dispatch.Listing.Standing;
 import cobaltseam.dispatch.LocationId;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.OrderKey;
-import cobaltseam.dispatch.Outcome.Ending;
-import cobaltseam.dispatch.ProfileId;
-import cobaltseam.dispatch.ShareId;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.MachineTypeId;
+import cobaltseam.dispatch.Request;
+import cobaltseam.dispatch.RequestClassId;
+import cobaltseam.dispatch.RequestId;
+import cobaltseam.dispatch.SequenceKey;
+import cobaltseam.dispatch.TenantId;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -73,12 +73,12 @@
   private static final long FNV_PRIME = 0x100000001b3L;
 
   private final World world;
-  private final Timeline time = new Timeline(new Moment(START_US));
+  private final Timeline time = new Timeline(new Timestamp(START_US));
   private final Referee referee;
   private final Tally tally;
   private final Policies policies;
   private final List<EngineModel> engines = new ArrayList<>();
-  private final List<Standing> standings = new ArrayList<>();
+  private final List<EndpointState> standings = new ArrayList<>();
   private final List<Host> hosts = new ArrayList<>();
   private final List<Set<Integer>> partitioned = new ArrayList<>();
   private final long[] heardUntil;
@@ -133,7 +133,7 @@
               speed,
               world.engines(),
               time));
-      standings.add(Standing.UP);
+      standings.add(EndpointState.UP);
     }
     for (int i = 0; i < world.dispatchers(); i++) {
       hosts.add(new Host(i, time, this, referee, tally));
@@ -212,11 +212,11 @@
   /** Runs it: clients come until the end, and all that was asked gets the time it may take. */
   Result run() {
     long started = System.nanoTime();
-    time.run(new Moment(at(endS)));
+    time.run(new Timestamp(at(endS)));
     coming = false;
     double longest =
         world.profiles().stream().mapToDouble(World.Profile::timeoutMs).max().orElse(0) / 1000;
-    time.run(new Moment(at(endS + longest * 2 + 1)));
+    time.run(new Timestamp(at(endS + longest * 2 + 1)));
     return new Result(
         tally,
         referee.broken().stream().map(Referee.Broken::toString).toList(),
@@ -334,15 +334,15 @@
                 : draw(hostParts, arrivals.nextDouble()));
     long there = time.nowUs() + Math.round(world.net().clientMs() * 1000);
     long until = time.nowUs() + p.timeout().us();
-    CommandId id = new CommandId("c" + asked++);
-    Command command =
-        new Command(
+    RequestId id = new RequestId("c" + asked++);
+    Request command =
+        new Request(
             id,
-            new ProfileId(p.name()),
-            ask.holder < 0 ? null : new ShareId(world.holders().get(ask.holder).name()),
-            ask.key == null ? null : new OrderKey(ask.key),
-            new Moment(until),
-            new Span(Math.round(ask.estimateUs)),
+            new RequestClassId(p.name()),
+            ask.holder < 0 ? null : new TenantId(world.holders().get(ask.holder).name()),
+            ask.key == null ? null : new SequenceKey(ask.key),
+            new Timestamp(until),
+            new TimeSpan(Math.round(ask.estimateUs)),
             ask.order.data(),
             ask.order.memoryMb());
     boolean[] told = {false};
@@ -351,7 +351,7 @@
         () -> {
           if (!host.isUp()) {
             told[0] = true;
-            again(ask, Span.ZERO, () -> tally.row(ask.profile).failed++);
+            again(ask, TimeSpan.ZERO, () -> tally.row(ask.profile).failed++);
             return;
           }
           host.take(
@@ -360,7 +360,7 @@
               ask.key,
               new Host.Asker() {
                 @Override
-                public void told(Referee.Final what, Span comeBack) {
+                public void told(Referee.Final what, TimeSpan comeBack) {
                   time.after(
                       World.ms(world.net().clientMs()),
                       () -> {
@@ -389,7 +389,7 @@
         });
   }
 
-  private void told(Ask ask, Referee.Final what, Span comeBack) {
+  private void told(Ask ask, Referee.Final what, TimeSpan comeBack) {
     World.Profile p = ask.order.profile();
     note(what.ordinal() + 31L * time.nowUs());
     switch (what) {
@@ -413,8 +413,9 @@
     }
   }
 
-  private void again(Ask ask, Span comeBack, Runnable otherwise) {
-    Span wait = comeBack.max(World.ms(LONGEST_RETRY_S * 1000)).times(0.5 + arrivals.nextDouble());
+  private void again(Ask ask, TimeSpan comeBack, Runnable otherwise) {
+    TimeSpan wait =
+        comeBack.max(World.ms(LONGEST_RETRY_S * 1000)).times(0.5 + arrivals.nextDouble());
     boolean inTime = time.nowUs() + wait.us() < ask.firstUs + ask.order.profile().timeout().us();
     if (ask.retriesLeft > 0 && inTime) {
       ask.retriesLeft--;
@@ -433,7 +434,7 @@
 
   // ---- the network and engines
 
-  private Span delay() {
+  private TimeSpan delay() {
     World.Net net = world.net();
     return World.ms(net.oneWayMs() * (1 + net.jitter() * (2 * network.nextDouble() - 1)));
   }
@@ -463,16 +464,16 @@
       return;
     }
     if (engine.life == EngineModel.Life.DIED) {
-      back(from, out, Ending.UNREACHABLE, -1);
+      back(from, out, AttemptResult.UNREACHABLE, -1);
       return;
     }
     if (fails) {
-      back(from, out, Ending.ERROR, engine.running());
+      back(from, out, AttemptResult.ERROR, engine.running());
       return;
     }
     if (referee.pushesOver(engine, order.profile().workMs() * 1000)) {
       die(engine, false);
-      back(from, out, Ending.UNREACHABLE, -1);
+      back(from, out, AttemptResult.UNREACHABLE, -1);
       return;
     }
     int threads = order.profile().threads();
@@ -484,12 +485,12 @@
             () -> {
               referee.ran(from.number, from.command(out), out.seen);
               if (!(engine.losing > 0 && plans.nextDouble() < engine.losing)) {
-                back(from, out, Ending.ANSWERED, engine.running());
+                back(from, out, AttemptResult.COMPLETED, engine.running());
               }
             },
-            () -> back(from, out, Ending.CUT, -1));
+            () -> back(from, out, AttemptResult.CONNECTION_LOST, -1));
     if (!engine.begin(job, order.data())) {
-      back(from, out, Ending.NO_ROOM, engine.running());
+      back(from, out, AttemptResult.CAPACITY_EXCEEDED, engine.running());
       return;
     }
     out.job = job;
@@ -509,7 +510,7 @@
   }
 
   /** Word of a send goes back to its dispatcher, unless the way is cut. */
-  private void back(Host to, Host.Out out, Ending ending, double inHand) {
+  private void back(Host to, Host.Out out, AttemptResult ending, double inHand) {
     if (!cut(to, out.engine)) {
       time.after(delay(), () -> to.ended(out, ending, inHand));
     }
@@ -534,26 +535,26 @@
     lives[dispatcher]++;
     Host host = hosts.get(dispatcher);
     host.start(policies.of(world.deployment(dispatcher), seeds.nextLong(), this));
-    List<Listing> all = new ArrayList<>();
+    List<EndpointStatus> all = new ArrayList<>();
     for (int i = 0; i < engines.size(); i++) {
       all.add(listing(i));
     }
     host.listed(all, true);
   }
 
-  private Listing listing(int engine) {
+  private EndpointStatus listing(int engine) {
     EngineModel e = engines.get(engine);
-    return new Listing(
+    return new EndpointStatus(
         e.id,
         e.location,
-        new KindId(World.KIND),
+        new MachineTypeId(World.KIND),
         e.group,
         standings.get(engine),
-        new Moment(Math.max(0, e.startedUs)));
+        new Timestamp(Math.max(0, e.startedUs)));
   }
 
   /** An engine's line has changed: each dispatcher hears of it late, and in order. */
-  private void changed(int engine, Standing to) {
+  private void changed(int engine, EndpointState to) {
     standings.set(engine, to);
     if (rosterStops > 0) {
       untold.add(engine);
@@ -563,7 +564,7 @@
   }
 
   private void tell(int engine) {
-    Listing line = listing(engine);
+    EndpointStatus line = listing(engine);
     for (Host host : hosts) {
       double late = world.roster().lagMs() + network.nextDouble() * world.roster().spreadMs();
       long when = Math.max(heardUntil[host.number] + 1, time.nowUs() + Math.round(late * 1000));
@@ -591,7 +592,7 @@
         World.ms(silent ? world.roster().lagMs() * 2 : 0),
         () -> {
           if (engine.life != EngineModel.Life.RUNS) {
-            changed(number, Standing.GONE);
+            changed(number, EndpointState.GONE);
           }
         });
   }
@@ -602,7 +603,7 @@
       engine.life = EngineModel.Life.RUNS;
       engine.startedUs = time.nowUs();
       engine.advance();
-      changed(number, Standing.UP);
+      changed(number, EndpointState.UP);
     }
   }
 
@@ -641,7 +642,7 @@
               .forEach(
                   e -> {
                     if (engines.get(e).life == EngineModel.Life.RUNS) {
-                      changed(e, Standing.DRAINING);
+                      changed(e, EndpointState.DRAINING);
                       time.at(
                           end,
                           () -> {
--- a/src/main/java/cobaltseam/emulator/Timeline.java
+++ b/src/main/java/cobaltseam/emulator/Timeline.java
@@ -1,7 +1,7 @@
 package cobaltseam.emulator;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import java.util.PriorityQueue;
 
 /**
@@ -32,12 +32,12 @@
   private long numbers;
   private long happened;
 
-  Timeline(Moment start) {
+  Timeline(Timestamp start) {
     now = start.us();
   }
 
-  Moment now() {
-    return new Moment(now);
+  Timestamp now() {
+    return new Timestamp(now);
   }
 
   long nowUs() {
@@ -55,7 +55,7 @@
     return entry;
   }
 
-  Entry after(Span span, Runnable what) {
+  Entry after(TimeSpan span, Runnable what) {
     return at(now + span.us(), what);
   }
 
@@ -70,7 +70,7 @@
   }
 
   /** Lets everything up to a moment happen. */
-  void run(Moment until) {
+  void run(Timestamp until) {
     for (Entry next = entries.peek();
         next != null && next.at <= until.us();
         next = entries.peek()) {
--- a/src/main/java/cobaltseam/emulator/World.java
+++ b/src/main/java/cobaltseam/emulator/World.java
@@ -1,16 +1,16 @@
 package cobaltseam.emulator;
 
 import cobaltseam.dispatch.Deployment;
-import cobaltseam.dispatch.Deployment.Kind;
-import cobaltseam.dispatch.Deployment.Means;
-import cobaltseam.dispatch.Deployment.Repeat;
+import cobaltseam.dispatch.Deployment.Capabilities;
+import cobaltseam.dispatch.Deployment.DeduplicationScope;
+import cobaltseam.dispatch.Deployment.MachineType;
+import cobaltseam.dispatch.Deployment.Quota;
+import cobaltseam.dispatch.Deployment.RetrySafety;
 import cobaltseam.dispatch.Deployment.Rules;
-import cobaltseam.dispatch.Deployment.Scope;
-import cobaltseam.dispatch.Deployment.Share;
-import cobaltseam.dispatch.KindId;
-import cobaltseam.dispatch.ProfileId;
-import cobaltseam.dispatch.ShareId;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.MachineTypeId;
+import cobaltseam.dispatch.RequestClassId;
+import cobaltseam.dispatch.TenantId;
+import cobaltseam.dispatch.TimeSpan;
 import java.util.List;
 
 /** What an emulated deployment is made of; every figure is the world's own. */
@@ -60,19 +60,19 @@
       double targetMs,
       double timeoutMs,
       double stretch,
-      Repeat repeat,
-      Scope scope,
+      RetrySafety repeat,
+      DeduplicationScope scope,
       double rememberedMs,
       double memoryMb,
       boolean inOrder,
       double badPlans,
       double badTimes,
       List<String> locations) {
-    Span target() {
+    TimeSpan target() {
       return ms(targetMs);
     }
 
-    Span timeout() {
+    TimeSpan timeout() {
       return ms(timeoutMs);
     }
   }
@@ -126,8 +126,8 @@
 
   static final String KIND = "emulated";
 
-  static Span ms(double ms) {
-    return new Span(Math.round(ms * 1000));
+  static TimeSpan ms(double ms) {
+    return new TimeSpan(Math.round(ms * 1000));
   }
 
   /** What the module is told of this world, as the dispatcher of a number. */
@@ -138,8 +138,8 @@
         profiles.stream()
             .map(
                 p ->
-                    new Deployment.Profile(
-                        new ProfileId(p.name()),
+                    new Deployment.RequestClass(
+                        new RequestClassId(p.name()),
                         p.threads(),
                         p.benefit(),
                         p.lateBenefit(),
@@ -157,8 +157,8 @@
                                 .toList(),
                         null))
             .toList(),
-        List.of(new Kind(new KindId(KIND), engines.cores(), engines.memoryMb())),
-        holders.stream().map(h -> new Share(new ShareId(h.name()), h.perSecond())).toList(),
+        List.of(new MachineType(new MachineTypeId(KIND), engines.cores(), engines.memoryMb())),
+        holders.stream().map(h -> new Quota(new TenantId(h.name()), h.perSecond())).toList(),
         0.05,
         new Rules(
             engines.coldFrom(),
@@ -169,8 +169,8 @@
             limits.furtherFree(),
             limits.furtherRatio(),
             limits.furtherFree() == null ? null : ms(limits.furtherWindowMs())),
-        new Means(
-            new Span(1000),
+        new Capabilities(
+            new TimeSpan(1000),
             limits.mostSends(),
             limits.cancels(),
             false,
--- a/src/main/java/cobaltseam/emulator/Worlds.java
+++ b/src/main/java/cobaltseam/emulator/Worlds.java
@@ -1,6 +1,8 @@
 package cobaltseam.emulator;
 
 import cobaltseam.deployment.BadInput;
+import cobaltseam.dispatch.Deployment.RetrySafety;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
@@ -19,7 +21,18 @@
 final class Worlds {
   private static final TomlMapper TOML = new TomlMapper();
 
+  /** The names that files of sites have for the classes of {@link RetrySafety}. */
+  private enum RetrySafetyNames {
+    @JsonProperty("REPLAYABLE")
+    IDEMPOTENT,
+    @JsonProperty("UNIQUED")
+    IDEMPOTENT_WITH_KEY,
+    @JsonProperty("NON_REPLAYABLE")
+    NOT_IDEMPOTENT
+  }
+
   static {
+    TOML.addMixIn(RetrySafety.class, RetrySafetyNames.class);
     TOML.enable(
         DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES,
         DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
--- a/src/main/java/cobaltseam/fleet/AgreeHunt.java
+++ b/src/main/java/cobaltseam/fleet/AgreeHunt.java
@@ -2,7 +2,7 @@
 
 import cobaltseam.agreement.Acting;
 import cobaltseam.agreement.Agreement;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.membership.Edition;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
@@ -32,7 +32,8 @@
   /** Of the members' clocks, as a part. */
   static final double CLOCKS = 0.001;
 
-  static final Agreement.Terms TERMS = new Agreement.Terms(new Span(2_000_000), CLOCKS, 1 << 20);
+  static final Agreement.Terms TERMS =
+      new Agreement.Terms(new TimeSpan(2_000_000), CLOCKS, 1 << 20);
   private static final double SETTLES_WITHIN = 340;
   private static final double LAST_WITHIN = 60;
   @CommandLine.Mixin Fleet.Common common;
--- a/src/main/java/cobaltseam/fleet/VirtualFleet.java
+++ b/src/main/java/cobaltseam/fleet/VirtualFleet.java
@@ -3,8 +3,8 @@
 import cobaltseam.agreement.Acting;
 import cobaltseam.agreement.Agreement;
 import cobaltseam.agreement.Doing;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.ground.Ground;
 import cobaltseam.membership.Act;
 import cobaltseam.membership.Birth;
@@ -121,7 +121,7 @@
       };
 
   private static final cobaltseam.sharing.Terms SHARING =
-      new cobaltseam.sharing.Terms(new Span(500_000), 3, new Span(10_000_000), 8192, 0.001);
+      new cobaltseam.sharing.Terms(new TimeSpan(500_000), 3, new TimeSpan(10_000_000), 8192, 0.001);
   private static final long TROUBLED = -1;
   private static final long COPIES = -2;
   private static final double SLOWEST_WRITE = 0.02;
@@ -197,8 +197,8 @@
   }
 
   /** What a process's own clock says; each may run at a rate of its own. */
-  private Moment moment(int i) {
-    return new Moment(Math.round(now * 1e6 * processes[i].rate));
+  private Timestamp moment(int i) {
+    return new Timestamp(Math.round(now * 1e6 * processes[i].rate));
   }
 
   // ---- what is asked
@@ -375,12 +375,12 @@
     }
     Terms terms =
         new Terms(
-            new Span(Math.round(plan.periodS * 1e6)),
+            new TimeSpan(Math.round(plan.periodS * 1e6)),
             plan.patience,
             3,
             founders,
             seeds,
-            new Span(Math.round(plan.longestSendS * 1e6)));
+            new TimeSpan(Math.round(plan.longestSendS * 1e6)));
     Member self = new Member(name(i), new Birth(++births), addresses.get(i));
     p.membership =
         plan.folders
@@ -560,7 +560,7 @@
     if (divided != null) {
       weigh();
     }
-    Moment wake = p.ground.wake(moment(i));
+    Timestamp wake = p.ground.wake(moment(i));
     if (wake == null) {
       return;
     }
--- a/src/main/java/cobaltseam/ground/Ground.java
+++ b/src/main/java/cobaltseam/ground/Ground.java
@@ -3,8 +3,8 @@
 import cobaltseam.agreement.Agreement;
 import cobaltseam.agreement.Doing;
 import cobaltseam.agreement.Word;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Act;
 import cobaltseam.membership.Lease;
 import cobaltseam.membership.LeaseWord;
@@ -83,7 +83,7 @@
   private final Out out;
   private View shared;
   private boolean following;
-  private Moment seen;
+  private Timestamp seen;
 
   /**
    * @param lease null if nothing of this needs one
@@ -132,12 +132,12 @@
       }
 
       @Override
-      public Moment leaseUntil() {
+      public Timestamp leaseUntil() {
         return lease.until();
       }
 
       @Override
-      public Span outlasts() {
+      public TimeSpan outlasts() {
         return lease.outlasts();
       }
 
@@ -167,33 +167,33 @@
 
   // ---- what happens
 
-  public void start(Moment now) {
+  public void start(Timestamp now) {
     acts(membership.start(now), now);
   }
 
-  public void leave(Moment now) {
+  public void leave(Timestamp now) {
     acts(membership.leave(now), now);
   }
 
-  public void kept(long number, Moment now) {
+  public void kept(long number, Timestamp now) {
     acts(membership.kept(number), now);
   }
 
-  public void notKept(String why, Moment now) {
+  public void notKept(String why, Timestamp now) {
     acts(membership.notKept(why, now), now);
   }
 
-  public void foundAnew(ViewId said, Moment now) {
+  public void foundAnew(ViewId said, Timestamp now) {
     acts(membership.foundAnew(said, now), now);
   }
 
   /** Time has passed. */
-  public void due(Moment now) {
+  public void due(Timestamp now) {
     acts(membership.due(now), now);
   }
 
   /** A message that its carrier found whole, of this fleet and sealed as it should be. */
-  public void heard(Spoken message, Moment now) {
+  public void heard(Spoken message, Timestamp now) {
     if (message instanceof Message m) {
       acts(membership.heard(m, now), now);
     } else if (message instanceof Word word) {
@@ -222,8 +222,8 @@
   }
 
   /** When {@link #due} is to be asked next; null once this process has left. */
-  public Moment wake(Moment now) {
-    Moment wake = membership.wake(now);
+  public Timestamp wake(Timestamp now) {
+    Timestamp wake = membership.wake(now);
     if (wake == null) {
       return null;
     }
@@ -235,13 +235,13 @@
     return holdings == null ? wake : sooner(wake, holdings.wake(now));
   }
 
-  private static Moment sooner(Moment one, Moment other) {
-    return other == null || one.before(other) ? one : other;
+  private static Timestamp sooner(Timestamp one, Timestamp other) {
+    return other == null || one.isBefore(other) ? one : other;
   }
 
   // ---- what follows
 
-  private void acts(List<Act> acts, Moment now) {
+  private void acts(List<Act> acts, Timestamp now) {
     for (Act act : acts) {
       if (act instanceof Act.Tell tell) {
         out.tell(tell.to(), tell.message());
@@ -252,7 +252,7 @@
     follow(now);
   }
 
-  private void doings(List<Doing> doings, Moment now) {
+  private void doings(List<Doing> doings, Timestamp now) {
     List<Act> acts = new ArrayList<>();
     for (Doing doing : doings) {
       if (doing instanceof Doing.Tell tell) {
@@ -268,7 +268,7 @@
     }
   }
 
-  private Map<MemberName, Long> spares(Moment now) {
+  private Map<MemberName, Long> spares(Timestamp now) {
     Map<MemberName, Long> spares = new HashMap<>();
     for (Member m : membership.view() == null ? List.<Member>of() : membership.view().members()) {
       Known known = sharing.known(m.name(), now);
@@ -293,7 +293,7 @@
   /**
    * Each in turn hears of what it hangs on, before anything else is done with what is known now.
    */
-  public void follow(Moment now) {
+  public void follow(Timestamp now) {
     if (following) {
       return;
     }
--- a/src/main/java/cobaltseam/hall/WireNames.java
+++ b/src/main/java/cobaltseam/hall/WireNames.java
@@ -1,7 +1,7 @@
 package cobaltseam.hall;
 
 import cobaltseam.agreement.Word;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.membership.Ballot;
 import cobaltseam.membership.Birth;
 import cobaltseam.membership.Change;
@@ -110,7 +110,7 @@
     fields(Statement.class, "of", "version", "figures", "age");
     fields(Version.class, "birth", "number");
     fields(Figures.class, "byName");
-    fields(Span.class, "us");
+    fields(TimeSpan.class, "us");
   }
 
   private static void nameCapacityAndBudgetMessages() {
--- a/src/main/java/cobaltseam/mastership/Fitness.java
+++ b/src/main/java/cobaltseam/mastership/Fitness.java
@@ -1,7 +1,7 @@
 package cobaltseam.mastership;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
@@ -38,7 +38,8 @@
    * The bounds of each sign watched, how long it must be bad, how long well, and how often that may
    * double.
    */
-  public record Watched(Map<Sign, Bounds> bounds, Span sustained, Span calm, int mostDoubled) {
+  public record Watched(
+      Map<Sign, Bounds> bounds, TimeSpan sustained, TimeSpan calm, int mostDoubled) {
     public Watched {
       bounds = Map.copyOf(bounds);
     }
@@ -46,7 +47,7 @@
 
   private static final class Sighting {
     boolean counts;
-    Moment badSince, wellSince, cleared;
+    Timestamp badSince, wellSince, cleared;
     int doubled;
   }
 
@@ -66,7 +67,7 @@
   /**
    * The steps to give up by what is seen at this moment; a sign not told is neither bad nor well.
    */
-  public int told(Map<Sign, Double> values, Moment now) {
+  public int told(Map<Sign, Double> values, Timestamp now) {
     int steps = 0;
     for (Map.Entry<Sign, Bounds> entry : watched.bounds().entrySet()) {
       Sighting s = seen.computeIfAbsent(entry.getKey(), k -> new Sighting());
@@ -79,12 +80,12 @@
     return steps;
   }
 
-  private void look(Sighting s, Bounds bounds, double value, Moment now) {
+  private void look(Sighting s, Bounds bounds, double value, Timestamp now) {
     boolean bad = value >= bounds.badFrom();
     boolean well = value < bounds.wellBelow();
     s.badSince = !bad ? null : s.badSince == null ? now : s.badSince;
     s.wellSince = !well ? null : s.wellSince == null ? now : s.wellSince;
-    Span calm = watched.calm().times(1 << s.doubled);
+    TimeSpan calm = watched.calm().times(1 << s.doubled);
     if (!s.counts && bad && now.since(s.badSince).compareTo(watched.sustained()) >= 0) {
       s.counts = true;
       boolean soon = s.cleared != null && now.since(s.cleared).compareTo(calm.times(2)) < 0;
--- a/src/main/java/cobaltseam/mastership/Freshness.java
+++ b/src/main/java/cobaltseam/mastership/Freshness.java
@@ -1,7 +1,7 @@
 package cobaltseam.mastership;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.vrrp.Refusal;
 import java.net.InetAddress;
 import java.util.HashMap;
@@ -19,28 +19,28 @@
 public final class Freshness {
   private record Speaker(InetAddress sender, VirtualRouterId router) {}
 
-  private final Moment started;
-  private final Span difference;
+  private final Timestamp started;
+  private final TimeSpan difference;
   private final Map<Speaker, Long> last = new HashMap<>();
 
-  public Freshness(Moment started, Span difference) {
+  public Freshness(Timestamp started, TimeSpan difference) {
     this.started = started;
     this.difference = difference;
   }
 
   /** How long to listen after the start before a silence tells anything. */
-  public Span listen() {
+  public TimeSpan listen() {
     return difference.times(2);
   }
 
   /** Judges an advert whose seal holds; one that is new is remembered. */
   public Optional<Refusal> judge(
-      InetAddress sender, VirtualRouterId router, long sequence, Moment now) {
-    Moment sent = new Moment(sequence);
-    if (!started.plus(difference).before(sent) || sent.before(now.minus(difference.times(2)))) {
+      InetAddress sender, VirtualRouterId router, long sequence, Timestamp now) {
+    Timestamp sent = new Timestamp(sequence);
+    if (!started.plus(difference).isBefore(sent) || sent.isBefore(now.minus(difference.times(2)))) {
       return Optional.of(Refusal.STALE);
     }
-    if (now.plus(difference).before(sent)) {
+    if (now.plus(difference).isBefore(sent)) {
       return Optional.of(Refusal.EARLY);
     }
     Speaker speaker = new Speaker(sender, router);
--- a/src/main/java/cobaltseam/mastership/Intake.java
+++ b/src/main/java/cobaltseam/mastership/Intake.java
@@ -1,6 +1,6 @@
 package cobaltseam.mastership;
 
-import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.seal.Seal;
 import cobaltseam.seal.SealKeys;
 import cobaltseam.vrrp.Advert;
@@ -55,7 +55,7 @@
   }
 
   /** Judges one datagram as it came between two addresses. */
-  public Verdict judge(byte[] bytes, InetAddress source, InetAddress destination, Moment now) {
+  public Verdict judge(byte[] bytes, InetAddress source, InetAddress destination, Timestamp now) {
     if (source.equals(self)) {
       return refuse(Refusal.OUR_OWN);
     }
--- a/src/main/java/cobaltseam/mastership/Mastership.java
+++ b/src/main/java/cobaltseam/mastership/Mastership.java
@@ -1,7 +1,7 @@
 package cobaltseam.mastership;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.mastership.VirtualRouter.Change;
 import cobaltseam.vrrp.Advert;
 import cobaltseam.vrrp.Refusal;
@@ -37,7 +37,7 @@
   private static final int MOST_DOUBLED = 5;
 
   /** A moment at which a router is to be looked at. */
-  private record Alarm(Moment at, VirtualRouterId router) implements Comparable<Alarm> {
+  private record Alarm(Timestamp at, VirtualRouterId router) implements Comparable<Alarm> {
     @Override
     public int compareTo(Alarm other) {
       int order = at.compareTo(other.at);
@@ -49,16 +49,16 @@
   private static final class Seat {
     Terms terms;
     Standing standing;
-    Moment wake, fence;
+    Timestamp wake, fence;
 
     /** How often in a row it was unable to serve. */
     int unable;
   }
 
   /** What a peer last said of a virtual router. */
-  public record Claim(int priority, Moment heard, Span interval) {
+  public record Claim(int priority, Timestamp heard, TimeSpan interval) {
     /** Until when its sender counts as active without another. */
-    Moment until() {
+    Timestamp until() {
       return priority == Advert.RESIGNS
           ? heard
           : heard.plus(interval.times(VirtualRouter.MISSED + 1));
@@ -70,13 +70,13 @@
   private final TreeSet<Alarm> wakes = new TreeSet<>();
   private final TreeSet<Alarm> fences = new TreeSet<>();
   private final Map<InetAddress, Map<VirtualRouterId, Claim>> claims = new HashMap<>();
-  private final Span longestSend;
-  private final Span listen;
+  private final TimeSpan longestSend;
+  private final TimeSpan listen;
   private final boolean followsIntervals;
   private Set<InetAddress> peers;
   private double elsewhere;
   private int reduction;
-  private Moment started;
+  private Timestamp started;
 
   /**
    * @param self the address that adverts come from
@@ -91,8 +91,8 @@
       Collection<Terms> routers,
       Set<InetAddress> peers,
       double elsewhere,
-      Span longestSend,
-      Span listen,
+      TimeSpan longestSend,
+      TimeSpan listen,
       boolean followsIntervals) {
     this.self = self;
     this.peers = Set.copyOf(peers);
@@ -109,7 +109,7 @@
 
   // ---- what happens
 
-  public List<Act> start(Moment now) {
+  public List<Act> start(Timestamp now) {
     started = now;
     List<Act> acts = new ArrayList<>();
     seats
@@ -120,7 +120,7 @@
   }
 
   /** Ends every router; active ones resign first. */
-  public List<Act> stop(Reason why, Moment now) {
+  public List<Act> stop(Reason why, Timestamp now) {
     List<Act> acts = new ArrayList<>();
     for (Seat s : seats.values()) {
       if (s.standing != null && s.standing.role() != Role.INITIALIZE) {
@@ -146,7 +146,7 @@
   /**
    * An advert that counts has come: see {@link #refusal}, and {@link Intake} for who may send one.
    */
-  public List<Act> heard(InetAddress sender, Advert advert, Moment now) {
+  public List<Act> heard(InetAddress sender, Advert advert, Timestamp now) {
     List<Act> acts = fence(now);
     Seat seat = seats.get(router(advert));
     if (seat == null || seat.standing == null || !peers.contains(sender)) {
@@ -161,7 +161,7 @@
   }
 
   /** Whatever is due by now. */
-  public List<Act> due(Moment now) {
+  public List<Act> due(Timestamp now) {
     List<Act> acts = fence(now);
     List<Alarm> reached =
         new ArrayList<>(
@@ -174,9 +174,9 @@
   }
 
   /** Steps back from every router whose peers may have claimed meanwhile. */
-  public List<Act> fence(Moment now) {
+  public List<Act> fence(Timestamp now) {
     List<Act> acts = new ArrayList<>();
-    while (!fences.isEmpty() && fences.first().at.before(now)) {
+    while (!fences.isEmpty() && fences.first().at.isBefore(now)) {
       Seat seat = seats.get(fences.first().router);
       follow(seat, VirtualRouter.fenced(seat.terms, seat.standing, now), acts);
     }
@@ -184,7 +184,7 @@
   }
 
   /** This dispatcher is less able to serve by this many steps of priority; none is ever below 1. */
-  public List<Act> fitness(int steps, Moment now) {
+  public List<Act> fitness(int steps, Timestamp now) {
     List<Act> acts = fence(now);
     if (steps != reduction) {
       reduction = steps;
@@ -204,11 +204,11 @@
    * It can't serve for a router that it is active for: another is to try, and it stays back for a
    * while.
    */
-  public List<Act> unable(VirtualRouterId router, Moment now) {
+  public List<Act> unable(VirtualRouterId router, Timestamp now) {
     List<Act> acts = fence(now);
     Seat seat = seats.get(router);
     if (seat != null && seat.standing != null) {
-      Span back =
+      TimeSpan back =
           VirtualRouter.downInterval(seat.standing)
               .times(STAYS_BACK * Math.pow(2, Math.min(seat.unable, MOST_DOUBLED)));
       seat.unable++;
@@ -226,7 +226,7 @@
 
   /** New terms: of routers that stay, that go, and that come. */
   public List<Act> renewed(
-      Collection<Terms> routers, Set<InetAddress> newPeers, double newElsewhere, Moment now) {
+      Collection<Terms> routers, Set<InetAddress> newPeers, double newElsewhere, Timestamp now) {
     List<Act> acts = fence(now);
     peers = Set.copyOf(newPeers);
     claims.keySet().retainAll(peers);
@@ -257,25 +257,25 @@
   // ---- what is asked
 
   /** When to ask {@link #due} next, or null. */
-  public Moment wake() {
+  public Timestamp wake() {
     return wakes.isEmpty() ? null : wakes.first().at;
   }
 
   /** Whether traffic of this virtual router may be taken and sent on at this moment. */
-  public boolean admits(VirtualRouterId router, Moment now) {
+  public boolean admits(VirtualRouterId router, Timestamp now) {
     Seat seat = seats.get(router);
     return seat != null
         && seat.standing != null
         && seat.standing.role() == Role.ACTIVE
-        && !VirtualRouter.fence(seat.terms, seat.standing).before(now);
+        && !VirtualRouter.fence(seat.terms, seat.standing).isBefore(now);
   }
 
   /**
    * Whether any mastership may have passed unnoticed: {@link #fence} is to be asked before anything
    * else.
    */
-  public boolean overtaken(Moment now) {
-    return !fences.isEmpty() && fences.first().at.before(now);
+  public boolean overtaken(Timestamp now) {
+    return !fences.isEmpty() && fences.first().at.isBefore(now);
   }
 
   /** Whether it is active for any virtual router. */
@@ -290,12 +290,12 @@
    * never heard. In a split each claimant that hears the other leaves it its part; one that hears
    * nothing takes all, so that an engine is given at most its whole figure by each claimant.
    */
-  public double dispatchers(Moment now) {
+  public double dispatchers(Timestamp now) {
     double others = 0;
     for (Map<VirtualRouterId, Claim> said : claims.values()) {
       double most = 0;
       for (Claim claim : said.values()) {
-        most = Math.max(most, now.before(claim.until()) ? 1 : left(claim.heard(), now));
+        most = Math.max(most, now.isBefore(claim.until()) ? 1 : left(claim.heard(), now));
       }
       others += most;
     }
@@ -303,7 +303,7 @@
     return elsewhere + 1 + (alone ? others : left(started, now));
   }
 
-  private double left(Moment from, Moment now) {
+  private double left(Timestamp from, Timestamp now) {
     return longestSend.isPositive() ? Math.max(0, 1 - now.since(from).over(longestSend)) : 0;
   }
 
@@ -356,8 +356,8 @@
     acts.addAll(change.acts());
   }
 
-  private static Moment moved(
-      TreeSet<Alarm> alarms, VirtualRouterId router, Moment from, Moment to) {
+  private static Timestamp moved(
+      TreeSet<Alarm> alarms, VirtualRouterId router, Timestamp from, Timestamp to) {
     if (from != null) {
       alarms.remove(new Alarm(from, router));
     }
--- a/src/main/java/cobaltseam/mastership/Observer.java
+++ b/src/main/java/cobaltseam/mastership/Observer.java
@@ -1,6 +1,6 @@
 package cobaltseam.mastership;
 
-import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.mastership.Mastership.Claim;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Advert;
@@ -18,13 +18,13 @@
   /**
    * The claimants of a router as they are from now on: none in a silence, two and more in a split.
    */
-  public record Seen(VirtualRouterId router, List<InetAddress> active, Moment since) {}
+  public record Seen(VirtualRouterId router, List<InetAddress> active, Timestamp since) {}
 
   private final Map<VirtualRouterId, Map<InetAddress, Claim>> claims = new TreeMap<>();
   private final Map<VirtualRouterId, List<InetAddress>> told = new HashMap<>();
 
   /** An advert that counts; what has changed by it. */
-  public List<Seen> heard(InetAddress sender, Advert advert, Moment now) {
+  public List<Seen> heard(InetAddress sender, Advert advert, Timestamp now) {
     VirtualRouterId router = new VirtualRouterId(advert.virtualRouterId(), advert.isIpv6());
     claims
         .computeIfAbsent(router, r -> new HashMap<>())
@@ -33,11 +33,11 @@
   }
 
   /** What has changed by now, claims that ran out included. */
-  public List<Seen> due(Moment now) {
+  public List<Seen> due(Timestamp now) {
     List<Seen> changed = new ArrayList<>();
     claims.forEach(
         (router, said) -> {
-          said.values().removeIf(c -> !now.before(c.until()));
+          said.values().removeIf(c -> !now.isBefore(c.until()));
           TreeSet<InetAddress> active = new TreeSet<>(Addresses::compare);
           active.addAll(said.keySet());
           List<InetAddress> list = List.copyOf(active);
@@ -49,7 +49,7 @@
   }
 
   /** When a claim runs out next, or null. */
-  public Moment wake() {
+  public Timestamp wake() {
     return claims.values().stream()
         .flatMap(m -> m.values().stream())
         .map(Claim::until)
--- a/src/main/java/cobaltseam/mastership/Standing.java
+++ b/src/main/java/cobaltseam/mastership/Standing.java
@@ -1,7 +1,7 @@
 package cobaltseam.mastership;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 
 /**
  * Where one virtual router stands: its role and since when and why, the priority it now has, the
@@ -11,31 +11,31 @@
  */
 public record Standing(
     Role role,
-    Moment since,
+    Timestamp since,
     Reason reason,
     int priority,
-    Span heardInterval,
-    Moment wake,
-    Moment advertised,
-    Moment preemptsFrom) {
-  Standing wakesAt(Moment at) {
+    TimeSpan heardInterval,
+    Timestamp wake,
+    Timestamp advertised,
+    Timestamp preemptsFrom) {
+  Standing wakesAt(Timestamp at) {
     return new Standing(role, since, reason, priority, heardInterval, at, advertised, preemptsFrom);
   }
 
-  Standing of(int newPriority, Moment newPreemptsFrom) {
+  Standing of(int newPriority, Timestamp newPreemptsFrom) {
     return new Standing(
         role, since, reason, newPriority, heardInterval, wake, advertised, newPreemptsFrom);
   }
 
-  Standing heard(Span interval) {
+  Standing heard(TimeSpan interval) {
     return new Standing(role, since, reason, priority, interval, wake, advertised, preemptsFrom);
   }
 
-  Standing advertisedAt(Moment at, Moment next) {
+  Standing advertisedAt(Timestamp at, Timestamp next) {
     return new Standing(role, since, reason, priority, heardInterval, next, at, preemptsFrom);
   }
 
-  Standing as(Role newRole, Reason why, Moment at) {
+  Standing as(Role newRole, Reason why, Timestamp at) {
     return new Standing(
         newRole,
         at,
--- a/src/main/java/cobaltseam/mastership/Terms.java
+++ b/src/main/java/cobaltseam/mastership/Terms.java
@@ -1,6 +1,6 @@
 package cobaltseam.mastership;
 
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import java.net.InetAddress;
 import java.util.List;
 
@@ -12,9 +12,9 @@
 public record Terms(
     VirtualRouterId router,
     int priority,
-    Span interval,
+    TimeSpan interval,
     boolean preempts,
-    Span preemptDelay,
+    TimeSpan preemptDelay,
     List<InetAddress> addresses) {
   public Terms {
     addresses = List.copyOf(addresses);
--- a/src/main/java/cobaltseam/mastership/VirtualRouter.java
+++ b/src/main/java/cobaltseam/mastership/VirtualRouter.java
@@ -1,7 +1,7 @@
 package cobaltseam.mastership;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Advert;
 import java.net.InetAddress;
@@ -41,12 +41,12 @@
   }
 
   /** The span that a backup adds to its wait, shorter the higher its priority. */
-  static Span skew(Standing s) {
+  static TimeSpan skew(Standing s) {
     return s.heardInterval().times((double) (PRIORITIES - s.priority()) / PRIORITIES);
   }
 
   /** How long a backup hears nothing before it claims. */
-  static Span downInterval(Standing s) {
+  static TimeSpan downInterval(Standing s) {
     return s.heardInterval().times(MISSED).plus(skew(s));
   }
 
@@ -55,11 +55,11 @@
    * interval claims sooner, since each waits for its skew as well, and counts from when the advert
    * came.
    */
-  static Moment fence(Terms t, Standing s) {
+  static Timestamp fence(Terms t, Standing s) {
     return s.role() == Role.ACTIVE ? s.advertised().plus(t.interval().times(MISSED)) : null;
   }
 
-  static Standing initial(Terms t, int priority, Moment now) {
+  static Standing initial(Terms t, int priority, Timestamp now) {
     return new Standing(
         Role.INITIALIZE, now, Reason.STARTED, priority, t.interval(), null, null, now);
   }
@@ -68,7 +68,7 @@
    * Startup. It listens for at least the span given before it claims, also where it owns the
    * addresses.
    */
-  static Change start(Terms t, int priority, Span listen, Moment now) {
+  static Change start(Terms t, int priority, TimeSpan listen, Timestamp now) {
     Standing s = initial(t, priority, now);
     if (priority == Advert.OWNER && !listen.isPositive()) {
       return claim(t, s, Reason.OWNER, now);
@@ -78,7 +78,7 @@
   }
 
   /** Shutdown: an active one resigns, so that a peer takes over within its skew. */
-  static Change stop(Terms t, Standing s, Reason why, Moment now) {
+  static Change stop(Terms t, Standing s, Reason why, Timestamp now) {
     Standing next = s.as(Role.INITIALIZE, why, now).wakesAt(null);
     return s.role() == Role.ACTIVE
         ? new Change(
@@ -87,7 +87,7 @@
   }
 
   /** Its moment to be asked has come. */
-  static Change due(Terms t, Standing s, Moment now) {
+  static Change due(Terms t, Standing s, Timestamp now) {
     if (s.role() == Role.ACTIVE) {
       return new Change(
           s.advertisedAt(now, now.plus(t.interval())), new Act.Advertise(t.router(), s.priority()));
@@ -104,7 +104,7 @@
     return claim(t, s, Reason.NONE_HEARD, now);
   }
 
-  private static Change claim(Terms t, Standing s, Reason why, Moment now) {
+  private static Change claim(Terms t, Standing s, Reason why, Timestamp now) {
     Standing next =
         s.as(Role.ACTIVE, why, now).heard(t.interval()).advertisedAt(now, now.plus(t.interval()));
     return new Change(
@@ -113,7 +113,7 @@
 
   /** An advert that counts has come from a peer. */
   static Change heard(
-      Terms t, Standing s, InetAddress self, InetAddress sender, Advert advert, Moment now) {
+      Terms t, Standing s, InetAddress self, InetAddress sender, Advert advert, Timestamp now) {
     return switch (s.role()) {
       case INITIALIZE -> new Change(s);
       case BACKUP -> heardAsBackup(t, s, advert, now);
@@ -121,15 +121,15 @@
     };
   }
 
-  private static Change heardAsBackup(Terms t, Standing s, Advert advert, Moment now) {
+  private static Change heardAsBackup(Terms t, Standing s, Advert advert, Timestamp now) {
     if (advert.priority() == Advert.RESIGNS) {
       // Not later than it would be without: a resigned claim proves that its sender is gone, no
       // more.
-      Moment soon = now.plus(skew(s));
-      return new Change(s.wake() != null && s.wake().before(soon) ? s : s.wakesAt(soon));
+      Timestamp soon = now.plus(skew(s));
+      return new Change(s.wake() != null && s.wake().isBefore(soon) ? s : s.wakesAt(soon));
     }
     boolean takesOver =
-        t.preempts() && advert.priority() < s.priority() && !now.before(s.preemptsFrom());
+        t.preempts() && advert.priority() < s.priority() && !now.isBefore(s.preemptsFrom());
     if (takesOver) {
       return new Change(s);
     }
@@ -138,7 +138,7 @@
   }
 
   private static Change heardAsActive(
-      Terms t, Standing s, InetAddress self, InetAddress sender, Advert advert, Moment now) {
+      Terms t, Standing s, InetAddress self, InetAddress sender, Advert advert, Timestamp now) {
     boolean higher = advert.priority() > s.priority();
     boolean tied = advert.priority() == s.priority() && Addresses.compare(sender, self) > 0;
     if (advert.priority() != Advert.RESIGNS && (higher || tied)) {
@@ -158,9 +158,9 @@
    * Was it held up for so long that a peer may have claimed? Then it steps back, and listens before
    * it claims.
    */
-  static Change fenced(Terms t, Standing s, Moment now) {
-    Moment fence = fence(t, s);
-    if (fence == null || !fence.before(now)) {
+  static Change fenced(Terms t, Standing s, Timestamp now) {
+    Timestamp fence = fence(t, s);
+    if (fence == null || !fence.isBefore(now)) {
       return new Change(s);
     }
     Standing next = s.as(Role.BACKUP, Reason.FENCED, now).heard(t.interval());
@@ -171,7 +171,7 @@
   /**
    * It is active and can't serve: it resigns, and claims again no sooner than after the span given.
    */
-  static Change unable(Terms t, Standing s, Span stayBack, Moment now) {
+  static Change unable(Terms t, Standing s, TimeSpan stayBack, Timestamp now) {
     if (s.role() != Role.ACTIVE) {
       return new Change(s);
     }
@@ -185,13 +185,13 @@
   /**
    * Its priority is another from now on; one that rose waits for the delay before it takes over.
    */
-  static Change priority(Terms t, Standing s, int priority, Moment now) {
+  static Change priority(Terms t, Standing s, int priority, Timestamp now) {
     boolean rose = priority > s.priority();
     return new Change(s.of(priority, rose ? now.plus(t.preemptDelay()) : s.preemptsFrom()));
   }
 
   /** Its terms are others from now on. */
-  static Change renewed(Terms t, Standing s, int priority, Moment now) {
+  static Change renewed(Terms t, Standing s, int priority, Timestamp now) {
     List<Act> acts = new ArrayList<>();
     Standing next = priority(t, s, priority, now).standing();
     if (s.role() == Role.ACTIVE) {
@@ -199,15 +199,15 @@
       next = next.heard(t.interval()).advertisedAt(now, now.plus(t.interval()));
       acts.add(new Act.Advertise(t.router(), priority));
     } else if (s.role() == Role.BACKUP) {
-      Moment wake = now.plus(downInterval(next.heard(t.interval())));
+      Timestamp wake = now.plus(downInterval(next.heard(t.interval())));
       next =
           next.heard(t.interval())
-              .wakesAt(s.wake() != null && wake.before(s.wake()) ? s.wake() : wake);
+              .wakesAt(s.wake() != null && wake.isBefore(s.wake()) ? s.wake() : wake);
     }
     return new Change(next, acts);
   }
 
-  static Span interval(Advert advert) {
-    return new Span((long) advert.maxAdvertiseIntervalCentiseconds() * US_PER_CENTISECOND);
+  static TimeSpan interval(Advert advert) {
+    return new TimeSpan((long) advert.maxAdvertiseIntervalCentiseconds() * US_PER_CENTISECOND);
   }
 }
--- a/src/main/java/cobaltseam/membership/Lease.java
+++ b/src/main/java/cobaltseam/membership/Lease.java
@@ -1,7 +1,7 @@
 package cobaltseam.membership;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.LeaseWord.Granted;
 import cobaltseam.membership.LeaseWord.Renew;
 import java.net.InetSocketAddress;
@@ -28,7 +28,7 @@
    * @param lasts for so long after it was asked for
    * @param clockRates by which part the rates of two clocks differ at most
    */
-  public record Terms(Span lasts, double clockRates) {
+  public record Terms(TimeSpan lasts, double clockRates) {
     public Terms {
       if (!lasts.isPositive()) {
         throw new IllegalArgumentException("a lease lasts longer than no time");
@@ -46,7 +46,7 @@
 
   private static final class Round {
     ViewId view;
-    Moment sent;
+    Timestamp sent;
     final Set<MemberName> grants = new HashSet<>();
   }
 
@@ -55,7 +55,7 @@
   private final RandomGenerator chance;
   private final Map<Long, Round> rounds = new LinkedHashMap<>();
   private View held;
-  private Moment until, renewAt;
+  private Timestamp until, renewAt;
 
   public Lease(Terms terms, Membership membership, RandomGenerator chance) {
     this.terms = terms;
@@ -64,16 +64,16 @@
   }
 
   /** Until when this process may act without hearing from a majority; null if it may not. */
-  public Moment until() {
+  public Timestamp until() {
     return until;
   }
 
-  public Span left(Moment now) {
-    return until == null || !now.before(until) ? Span.ZERO : until.since(now);
+  public TimeSpan left(Timestamp now) {
+    return until == null || !now.isBefore(until) ? TimeSpan.ZERO : until.since(now);
   }
 
   /** After so long all leases that were given before have ended, whichever clock is the slower. */
-  public Span outlasts() {
+  public TimeSpan outlasts() {
     return terms.lasts().times(1 + 2 * terms.clockRates());
   }
 
@@ -82,14 +82,14 @@
   }
 
   /** When {@link #follow} is to be asked again; null where there is no view. */
-  public Moment wake(Moment now) {
+  public Timestamp wake(Timestamp now) {
     return renewAt == null
         ? null
-        : now.before(renewAt) ? renewAt : now.plus(terms.lasts().times(RENEW / 2));
+        : now.isBefore(renewAt) ? renewAt : now.plus(terms.lasts().times(RENEW / 2));
   }
 
   /** What follows from the view and from time. */
-  public List<Tell> follow(Moment now) {
+  public List<Tell> follow(Timestamp now) {
     View view = membership.view();
     if (view != held) {
       boolean sameLine = view != null && held != null && view.id().line() == held.id().line();
@@ -98,7 +98,7 @@
       renewAt = view == null ? null : now;
     }
     List<Tell> tells = new ArrayList<>();
-    if (view == null || now.before(renewAt) || !membership.isNewest()) {
+    if (view == null || now.isBefore(renewAt) || !membership.isNewest()) {
       return tells;
     }
     renewAt = now.plus(terms.lasts().times(RENEW));
@@ -123,8 +123,8 @@
   private void granted(Round round, Member by, View view) {
     round.grants.add(by.name());
     if (round.grants.size() >= view.majority()) {
-      Moment ends = round.sent.plus(terms.lasts());
-      until = until == null || until.before(ends) ? ends : until;
+      Timestamp ends = round.sent.plus(terms.lasts());
+      until = until == null || until.isBefore(ends) ? ends : until;
     }
   }
 
@@ -132,7 +132,7 @@
    * What to tell after a word that its carrier found whole; the caller has asked {@link
    * Membership#spoke}.
    */
-  public List<Tell> heard(LeaseWord word, Moment now) {
+  public List<Tell> heard(LeaseWord word, Timestamp now) {
     View view = membership.view();
     Member from = word.from().member();
     if (view == null || !view.holds(from.name(), from.birth())) {
