--- a/src/main/java/cobaltseam/membership/Membership.java
+++ b/src/main/java/cobaltseam/membership/Membership.java
@@ -1,7 +1,7 @@
 package cobaltseam.membership;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Act.Event;
 import cobaltseam.membership.Message.Accept;
 import cobaltseam.membership.Message.Accepted;
@@ -100,7 +100,7 @@
    */
   private static final double SILENT_FOR = 3;
 
-  private record Removal(int times, Moment at) {}
+  private record Removal(int times, Timestamp at) {}
 
   /** A view that comes in parts. */
   private static final class Coming {
@@ -122,10 +122,10 @@
   private final Map<Member, Removal> removals = new LinkedHashMap<>();
 
   /** Processes taken out whose sends may still hold engines, until when. */
-  private final Map<Member, Moment> lingering = new HashMap<>();
+  private final Map<Member, Timestamp> lingering = new HashMap<>();
 
   private Change wanted = Change.NONE;
-  private Moment wantedSince,
+  private Timestamp wantedSince,
       settledFrom,
       triedAt,
       confirmFrom,
@@ -136,10 +136,10 @@
       againAt;
 
   /** After a higher ballot or a round that came to nothing, it rests until then. */
-  private Moment restsUntil = new Moment(0);
+  private Timestamp restsUntil = new Timestamp(0);
 
   /** Not before then does it call the whole view again. */
-  private Moment callsFrom = new Moment(0);
+  private Timestamp callsFrom = new Timestamp(0);
 
   private Coming coming;
 
@@ -172,7 +172,7 @@
    */
   private boolean unheard;
 
-  private Moment minoritySince, healedAt;
+  private Timestamp minoritySince, healedAt;
   private boolean leaving;
   private long highestRound;
   // founding
@@ -313,14 +313,14 @@
    * of it whose sends may still hold engines. It goes up at once, and down only then. Zero where
    * there is no view.
    */
-  public int carriers(Moment now) {
-    lingering.values().removeIf(until -> !now.before(until));
+  public int carriers(Timestamp now) {
+    lingering.values().removeIf(until -> !now.isBefore(until));
     return seat.view() == null ? 0 : seat.view().members().size() + lingering.size();
   }
 
   /** When {@link #carriers} may next go down; null if not by itself. */
-  public Moment carriersFallAt() {
-    return lingering.values().stream().min(Moment::compareTo).orElse(null);
+  public Timestamp carriersFallAt() {
+    return lingering.values().stream().min(Timestamp::compareTo).orElse(null);
   }
 
   /** How a member seems from here, for operators. */
@@ -328,9 +328,9 @@
       Member member,
       long incarnation,
       Condition condition,
-      Moment since,
-      Moment heard,
-      Span roundTrip,
+      Timestamp since,
+      Timestamp heard,
+      TimeSpan roundTrip,
       List<MemberName> by) {}
 
   public List<Seen> seen() {
@@ -353,12 +353,12 @@
     return suspicion.health();
   }
 
-  public Moment viewSince() {
+  public Timestamp viewSince() {
     return viewSince;
   }
 
   /** A pause below this takes nobody out. */
-  public Span bears() {
+  public TimeSpan bears() {
     return suspicion.refutesWithin();
   }
 
@@ -373,7 +373,7 @@
 
   // ---- from the start to the end
 
-  public List<Act> start(Moment now) {
+  public List<Act> start(Timestamp now) {
     started = now;
     suspicion.start(now);
     if (seat.view() != null) {
@@ -389,7 +389,7 @@
   }
 
   /** Tells others that it leaves; from then on it takes part in nothing. */
-  public List<Act> leave(Moment now) {
+  public List<Act> leave(Timestamp now) {
     if (!leaving) {
       suspicion.leave();
       leaving = true;
@@ -398,15 +398,15 @@
   }
 
   /** When it is to be asked again; null once it has left. */
-  public Moment wake(Moment now) {
+  public Timestamp wake(Timestamp now) {
     if (leaving) {
       return null;
     }
-    Moment next = suspicion.wake(now);
-    Moment soon = now.plus(terms.period().times(0.125));
+    Timestamp next = suspicion.wake(now);
+    Timestamp soon = now.plus(terms.period().times(0.125));
     boolean pending =
         seat.round() != null || wantedSince != null || ahead != null || decided != null;
-    return pending && soon.before(next) ? soon : next;
+    return pending && soon.isBefore(next) ? soon : next;
   }
 
   private List<Act> done() {
@@ -493,7 +493,7 @@
    * another member that has none, and the folder holds all that was ever told by the one that it
    * was.
    */
-  public List<Act> notKept(String why, Moment now) {
+  public List<Act> notKept(String why, Timestamp now) {
     if (lasting) {
       lasting = false;
       withheld.clear();
@@ -508,12 +508,12 @@
 
   // ---- time
 
-  public List<Act> due(Moment now) {
+  public List<Act> due(Timestamp now) {
     if (leaving) {
       return done();
     }
     Member before = suspicion.self();
-    Span late = suspicion.due(now);
+    TimeSpan late = suspicion.due(now);
     if (late.isPositive() && seat.view() != null) {
       // Whoever stood still may have been taken out meanwhile: it hears from a majority before it
       // acts as a member.
@@ -526,7 +526,7 @@
   }
 
   /** What follows from what is known now. */
-  private void follow(Moment now) {
+  private void follow(Timestamp now) {
     if (offered != null && seat.view() != null && !isNext(offered)) {
       offered = null;
     }
@@ -551,7 +551,7 @@
       if (ahead != null && now.since(asked).compareTo(terms.period().times(AGAIN)) >= 0) {
         askAhead(now);
       }
-      if (seat.round() != null && !now.before(againAt)) {
+      if (seat.round() != null && !now.isBefore(againAt)) {
         againAt = now.plus(terms.period().times(AGAIN));
         boolean late = now.since(roundSince).compareTo(patience()) >= 0;
         take(Succession.proceed(seat, teller(), late), now);
@@ -559,14 +559,14 @@
           take(Succession.again(seat, teller()), now);
         }
       }
-      if (decided != null && !now.before(againAt)) {
+      if (decided != null && !now.isBefore(againAt)) {
         // Twice more, ever later, to all: a datagram may be lost, and whoever lacks it acts on an
         // older view.
         decided.forEach(t -> acts.add(new Act.Tell(t.to().address(), t.message())));
         againAt = now.plus(terms.period().times(SETTLE));
         decided = --decidedLeft > 0 ? decided : null;
       }
-      if (suspicion.suspects() > 0 && !now.before(callsFrom) && rank() == 0) {
+      if (suspicion.suspects() > 0 && !now.isBefore(callsFrom) && rank() == 0) {
         // What fell silent together is found together: one change for a rack, not one for each of
         // it.
         callsFrom = now.plus(terms.period().times(SETTLE_MOST));
@@ -576,11 +576,11 @@
     }
   }
 
-  private Span patience() {
+  private TimeSpan patience() {
     return terms.period().times(TRY_FOR);
   }
 
-  private void confirm(Moment now) {
+  private void confirm(Timestamp now) {
     if (confirmFrom == null || seat.view() == null) {
       confirmFrom = null;
       return;
@@ -591,7 +591,7 @@
       boolean spoke =
           p != null
               && p.heard != null
-              && !p.heard.before(confirmFrom)
+              && !p.heard.isBefore(confirmFrom)
               && p.member.birth().equals(m.birth());
       heard += spoke && !p.view.after(seat.view().id()) ? 1 : 0;
     }
@@ -610,7 +610,7 @@
   /**
    * Proposes the next view, where this process is the one to do so and what it wants has settled.
    */
-  private void consider(Moment now) {
+  private void consider(Timestamp now) {
     Change change = standing() == Standing.MAJORITY ? change(now) : Change.NONE;
     // What was accepted here may have been chosen by a process that could tell nobody: it has to be
     // brought to its end.
@@ -620,7 +620,7 @@
       wantedSince = null;
       return;
     }
-    Span period = terms.period();
+    TimeSpan period = terms.period();
     if (wantedSince == null) {
       wantedSince = now;
       settledFrom = now.plus(period.times(SETTLE));
@@ -633,13 +633,13 @@
     // together.
     boolean more = seat.view().members().stream().anyMatch(this::isConfirmedSuspect);
     boolean edits = isNext(offered) && !unfinished;
-    boolean unsettled = now.before(settledFrom) || more;
-    Moment turn = wantedSince.plus(period.times(NEXT_AFTER * rank()));
+    boolean unsettled = now.isBefore(settledFrom) || more;
+    Timestamp turn = wantedSince.plus(period.times(NEXT_AFTER * rank()));
     boolean waits =
-        now.before(turn) || unsettled && now.before(turn.plus(period.times(SETTLE_MOST)));
+        now.isBefore(turn) || unsettled && now.isBefore(turn.plus(period.times(SETTLE_MOST)));
     boolean tries =
         seat.round() != null && now.since(roundSince).compareTo(period.times(GIVES_UP)) < 0;
-    if ((!waits || edits) && !tries && !now.before(restsUntil)) {
+    if ((!waits || edits) && !tries && !now.isBefore(restsUntil)) {
       roundSince = now;
       againAt = now.plus(period.times(AGAIN));
       // An edition waits for no turn: whoever has one proposes it, and takes along what it would
@@ -680,7 +680,7 @@
   }
 
   /** Has this process propose an edition, until it or another one under its number is held. */
-  public List<Act> offer(Edition edition, Moment now) {
+  public List<Act> offer(Edition edition, Timestamp now) {
     offered = edition;
     if (!leaving && seat.view() != null) {
       consider(now);
@@ -716,7 +716,7 @@
   }
 
   /** A process of another part has spoken: false if what it says does not count. */
-  public boolean spoke(Spoken spoken, Moment now) {
+  public boolean spoke(Spoken spoken, Timestamp now) {
     if (leaving || suspicion.isQuiet(now) || !suspicion.spoke(spoken.from(), now)) {
       return false;
     }
@@ -746,7 +746,7 @@
     return rank;
   }
 
-  private Change change(Moment now) {
+  private Change change(Timestamp now) {
     if (isWhole()) {
       return Change.NONE;
     }
@@ -785,13 +785,13 @@
     return new Change(out, in);
   }
 
-  private boolean mayComeIn(Peer p, Moment now) {
+  private boolean mayComeIn(Peer p, Timestamp now) {
     // Who holds a view of another line does not follow ours until it has left that.
     if (p.view.line() != 0 && p.view.line() != seat.view().id().line()) {
       return false;
     }
     Removal removal = removals.get(p.member);
-    Span waits =
+    TimeSpan waits =
         removal == null
             ? terms.period().times(STABLE)
             : terms.period().times(BACK_AFTER * (1 << Math.min(MOST_DOUBLED, removal.times - 1)));
@@ -799,7 +799,7 @@
   }
 
   /** Of those named, whom this process would not take out. */
-  private List<MemberName> stay(List<MemberName> named, Moment now) {
+  private List<MemberName> stay(List<MemberName> named, Timestamp now) {
     List<MemberName> stay = new ArrayList<>();
     for (MemberName name : named) {
       Member m = seat.view().of(name);
@@ -825,7 +825,7 @@
   }
 
   /** The seat is what a step made of it, and what it says is told; to itself at once. */
-  private void take(Step step, Moment now) {
+  private void take(Step step, Timestamp now) {
     View before = seat.view();
     seat = step.seat();
     boolean out = seat.view() != before && !seat.view().holds(self().name(), self().birth());
@@ -854,7 +854,7 @@
     }
   }
 
-  private void installed(View before, Moment now) {
+  private void installed(View before, Timestamp now) {
     View view = seat.view();
     wanted = Change.NONE;
     wantedSince = null;
@@ -889,7 +889,7 @@
     acts.add(new Act.Installed(view));
   }
 
-  private void leaveLine(Event why, String detail, Moment now) {
+  private void leaveLine(Event why, String detail, Timestamp now) {
     acts.add(new Act.Noted(why, self().name(), detail));
     View before = seat.view();
     left.merge(before.id().line(), before.id().number(), Math::max);
@@ -901,7 +901,7 @@
    * A view whose majority has started anew can never have a successor: what they promised is
    * forgotten.
    */
-  private void abandonDead(Moment now) {
+  private void abandonDead(Timestamp now) {
     View view = seat.view();
     if (view == null) {
       if (takenOutBy != null && isDead(takenOutBy)) {
@@ -956,7 +956,7 @@
    * Guards against one that was not told of the last views of its line and waits for members that
    * have left it.
    */
-  private void leaveEnded(Moment now) {
+  private void leaveEnded(Timestamp now) {
     View view = seat.view();
     if (view != null
         && hasEnded(view.id())
@@ -981,7 +981,7 @@
    * founded one anew. A process leaves its own for the elder of two that both have their majority,
    * and for any that has one where its own has none.
    */
-  private void otherLine(Teller from, Moment now) {
+  private void otherLine(Teller from, Timestamp now) {
     if (seat.view() != null
         && from.majority()
         && from.view().line() != 0
@@ -999,7 +999,7 @@
    * processes, and each consents to one attempt of one process. So a line begins once, or with
    * nobody left who held it.
    */
-  private void found(Moment now) {
+  private void found(Timestamp now) {
     List<MemberName> founders = terms.founders();
     if (founders.isEmpty()
         || !founders.get(0).equals(self().name())
@@ -1041,7 +1041,7 @@
     founded(now);
   }
 
-  private void founded(Moment now) {
+  private void founded(Timestamp now) {
     if (founding == null || consents.size() < founding.size()) {
       return;
     }
@@ -1069,9 +1069,9 @@
    *
    * @return what follows; among it why not, if the old majority may live
    */
-  public List<Act> foundAnew(ViewId said, Moment now) {
+  public List<Act> foundAnew(ViewId said, Timestamp now) {
     View view = seat.view();
-    Span silent = bears().times(SILENT_FOR);
+    TimeSpan silent = bears().times(SILENT_FOR);
     String no =
         view == null || !view.id().equals(said)
             ? "it holds view " + (view == null ? "none" : view.id())
@@ -1094,7 +1094,7 @@
   }
 
   /** One that is missing from the view and may live yet, in words; null if there is none. */
-  private String missing(View view, Span silent, Moment now) {
+  private String missing(View view, TimeSpan silent, Timestamp now) {
     for (Member m : view.members()) {
       Peer p = suspicion.peer(m.name());
       boolean here = m.name().equals(self().name()) || suspicion.alive(m);
@@ -1132,7 +1132,7 @@
   // ---- what comes
 
   /** A message that its carrier found whole, of this fleet and sealed as it should be. */
-  public List<Act> heard(Message message, Moment now) {
+  public List<Act> heard(Message message, Timestamp now) {
     if (leaving) {
       return done();
     }
@@ -1172,7 +1172,7 @@
   }
 
   /** Whoever tells of a later view, or of any where none is known here, is asked for it. */
-  private void behind(Teller from, Moment now) {
+  private void behind(Teller from, Timestamp now) {
     boolean none = seat.view() == null;
     boolean later = none ? mayTake(from.view()) : from.view().after(seat.view().id());
     boolean rests =
@@ -1185,12 +1185,12 @@
     }
   }
 
-  private void askAhead(Moment now) {
+  private void askAhead(Timestamp now) {
     asked = now;
     acts.add(new Act.Tell(ahead.member().address(), new AskView(teller(), ahead.view(), 0)));
   }
 
-  private void choice(Message message, Moment now) {
+  private void choice(Message message, Timestamp now) {
     Teller from = message.from();
     if (message instanceof Prepare m && counted(m.of(), from, m.ballot())) {
       take(Succession.prepare(seat, teller(), m, stay(m.out(), now)), now);
@@ -1234,7 +1234,7 @@
         && seat.view().holds(self().name(), self().birth());
   }
 
-  private void decided(Decided m, Moment now) {
+  private void decided(Decided m, Timestamp now) {
     if (seat.view() != null && seat.view().id().equals(m.of())) {
       follows(seat.view().with(m.value()), now);
     } else if (seat.view() == null && m.value().in().contains(self())) {
@@ -1243,7 +1243,7 @@
   }
 
   /** A later view of our line, or the first one here. */
-  private void follows(View next, Moment now) {
+  private void follows(View next, Timestamp now) {
     View before = seat.view();
     if (next.holds(self().name(), self().birth())) {
       seat = Seat.of(next);
@@ -1270,7 +1270,7 @@
                 view.edition())));
   }
 
-  private void parts(ViewPart m, Moment now) {
+  private void parts(ViewPart m, Timestamp now) {
     boolean known = seat.view() != null ? !m.of().after(seat.view().id()) : !mayTake(m.of());
     if (known || m.size() > MOST_VIEW || m.members().isEmpty()) {
       return;
--- a/src/main/java/cobaltseam/membership/Suspicion.java
+++ b/src/main/java/cobaltseam/membership/Suspicion.java
@@ -1,7 +1,7 @@
 package cobaltseam.membership;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Act.Event;
 import cobaltseam.membership.Message.Answer;
 import cobaltseam.membership.Message.Ask;
@@ -36,16 +36,16 @@
     Member member;
     long incarnation;
     Condition condition;
-    Moment since;
+    Timestamp since;
 
     /** When it last spoke to us itself; null if never. */
-    Moment heard;
+    Timestamp heard;
 
     /** While suspected: from when, until when it may refute, and who suspects it. */
-    Moment suspected, expires;
+    Timestamp suspected, expires;
 
     final Set<MemberName> by = new HashSet<>();
-    Span roundTrip;
+    TimeSpan roundTrip;
     ViewId view = ViewId.NONE;
     boolean majority;
 
@@ -56,13 +56,13 @@
 
   private static final class Probing {
     Peer target;
-    Moment sent, again;
+    Timestamp sent, again;
     boolean indirect, answered, favour;
     int helpers, helped;
   }
 
   /** A probe for another: who asked, and under which id. */
-  private record Favour(Member asker, long id, Moment until) {}
+  private record Favour(Member asker, long id, Timestamp until) {}
 
   /** Guards against a peer that invents names without end. */
   private static final int MOST_PEERS = 4096;
@@ -119,7 +119,7 @@
   private long incarnation;
   private ViewId view = ViewId.NONE;
   private boolean majority;
-  private Moment roundEnds, quietUntil, promised, lastHeard;
+  private Timestamp roundEnds, quietUntil, promised, lastHeard;
   private int width = 1;
   private long rounds;
   private int suspects;
@@ -181,8 +181,8 @@
     return p != null && p.condition == Condition.ALIVE && p.member.birth().equals(m.birth());
   }
 
-  boolean isQuiet(Moment now) {
-    return quietUntil != null && now.before(quietUntil);
+  boolean isQuiet(Timestamp now) {
+    return quietUntil != null && now.isBefore(quietUntil);
   }
 
   int suspects() {
@@ -190,13 +190,13 @@
   }
 
   /** The time that one suspected by several has to refute, at least. */
-  Span refutesWithin() {
+  TimeSpan refutesWithin() {
     return terms.period().times(terms.patience() + Math.log10(2 + peers.size()));
   }
 
   // ---- rounds
 
-  void start(Moment now) {
+  void start(Timestamp now) {
     roundEnds = now;
     promised = now;
   }
@@ -219,10 +219,10 @@
   }
 
   /** When it is to be asked again. */
-  Moment wake(Moment now) {
+  Timestamp wake(Timestamp now) {
     boolean pending = suspects > 0 || probing.values().stream().anyMatch(p -> !p.answered);
-    Moment soon = now.plus(terms.period().times(0.125));
-    promised = pending && soon.before(roundEnds) ? soon : roundEnds;
+    Timestamp soon = now.plus(terms.period().times(0.125));
+    promised = pending && soon.isBefore(roundEnds) ? soon : roundEnds;
     return promised;
   }
 
@@ -232,8 +232,8 @@
    * @return how much later than promised it was asked, if that is more than half a period; else
    *     zero
    */
-  Span due(Moment now) {
-    Span late = promised == null ? Span.ZERO : now.since(promised);
+  TimeSpan due(Timestamp now) {
+    TimeSpan late = promised == null ? TimeSpan.ZERO : now.since(promised);
     boolean held = late.compareTo(terms.period().times(0.5)) > 0;
     if (held) {
       // Guards against a process that stood still: what it did not hear, it could not hear.
@@ -246,34 +246,34 @@
     }
     if (isQuiet(now)) {
       roundEnds = now.plus(terms.period());
-      return held ? late : Span.ZERO;
+      return held ? late : TimeSpan.ZERO;
     }
     askHelpers(now);
-    if (!now.before(roundEnds)) {
+    if (!now.isBefore(roundEnds)) {
       endRound(now);
       round(now);
     }
     if (suspects > 0) {
       expire(now);
     }
-    return held ? late : Span.ZERO;
+    return held ? late : TimeSpan.ZERO;
   }
 
-  private Span roundLength() {
+  private TimeSpan roundLength() {
     return terms.period().times(Math.min(SLOWEST_ROUND, health.slower()));
   }
 
   /** Whether nobody at all spoke for longer than two rounds, though some were asked. */
-  boolean hearsNobody(Moment now) {
+  boolean hearsNobody(Timestamp now) {
     return lastHeard != null
         && now.since(lastHeard).compareTo(roundLength().times(2).plus(terms.period())) > 0;
   }
 
-  private void askHelpers(Moment now) {
-    Span direct = terms.period().times(DIRECT * health.slower());
+  private void askHelpers(Timestamp now) {
+    TimeSpan direct = terms.period().times(DIRECT * health.slower());
     probing.forEach(
         (id, p) -> {
-          if (p.answered || now.before(p.again)) {
+          if (p.answered || now.isBefore(p.again)) {
             return;
           }
           // Once more itself too: where datagrams are lost at random, the next may come through.
@@ -291,11 +291,11 @@
         });
   }
 
-  private void endRound(Moment now) {
+  private void endRound(Timestamp now) {
     int failed = 0;
     int judged = 0;
     boolean own = false;
-    Span least = terms.period().times(JUDGED_FROM * health.slower());
+    TimeSpan least = terms.period().times(JUDGED_FROM * health.slower());
     for (Iterator<Probing> all = probing.values().iterator(); all.hasNext(); ) {
       Probing p = all.next();
       if (!p.answered && now.since(p.sent).compareTo(least) < 0) {
@@ -304,7 +304,7 @@
       }
       all.remove();
       judged++;
-      if (p.answered || p.target.heard != null && !p.target.heard.before(p.sent)) {
+      if (p.answered || p.target.heard != null && !p.target.heard.isBefore(p.sent)) {
         continue;
       }
       failed++;
@@ -320,10 +320,10 @@
     // Guards against learning of a split one silent member a round: the fewer answer, the more are
     // asked.
     width = 2 * failed > judged ? Math.min(2 * width, Math.max(1, peers.size())) : 1;
-    favours.values().removeIf(f -> f.until.before(now));
+    favours.values().removeIf(f -> f.until.isBefore(now));
   }
 
-  private void round(Moment now) {
+  private void round(Timestamp now) {
     rounds++;
     roundEnds = now.plus(roundLength());
     for (int i = 0; i < width; i++) {
@@ -411,7 +411,7 @@
     return some;
   }
 
-  long probe(Peer target, Moment now) {
+  long probe(Peer target, Timestamp now) {
     Probing p = new Probing();
     p.target = target;
     p.sent = now;
@@ -423,7 +423,7 @@
   }
 
   /** Asks all these at once: after standing still, or to find all that fell silent together. */
-  void rollCall(Collection<Member> members, Moment now) {
+  void rollCall(Collection<Member> members, Timestamp now) {
     for (Member m : members) {
       Peer p = peers.get(m.name());
       if (p != null && p.condition.compareTo(Condition.DEAD) < 0) {
@@ -447,19 +447,19 @@
 
   // ---- judging
 
-  private void suspect(Peer p, MemberName by, Moment now) {
+  private void suspect(Peer p, MemberName by, Timestamp now) {
     told(new News(p.member, p.incarnation, Condition.SUSPECT, by), now);
   }
 
-  private void expire(Moment now) {
+  private void expire(Timestamp now) {
     for (Peer p : new ArrayList<>(peers.values())) {
-      if (p.condition == Condition.SUSPECT && !now.before(p.expires)) {
+      if (p.condition == Condition.SUSPECT && !now.isBefore(p.expires)) {
         told(new News(p.member, p.incarnation, Condition.DEAD, self.name()), now);
       }
     }
   }
 
-  private void set(Peer p, Condition to, Moment now) {
+  private void set(Peer p, Condition to, Timestamp now) {
     suspects += (to == Condition.SUSPECT ? 1 : 0) - (p.condition == Condition.SUSPECT ? 1 : 0);
     if (p.condition != to) {
       p.since = now;
@@ -477,11 +477,11 @@
     int needed = Math.max(1, Math.min(CONFIRMATIONS, peers.size() - 1));
     double confirmed = Math.log(p.by.size()) / Math.log(needed + 1);
     double span = least * (ALONE - (ALONE - 1) * Math.min(1, confirmed));
-    p.expires = p.suspected.plus(new Span(Math.round(span)));
+    p.expires = p.suspected.plus(new TimeSpan(Math.round(span)));
   }
 
   /** News of anybody, from anybody. */
-  void told(News news, Moment now) {
+  void told(News news, Timestamp now) {
     Member m = news.member();
     if (m.name().equals(self.name())) {
       ofUs(news, now);
@@ -554,7 +554,7 @@
   }
 
   /** A later process of a known name. */
-  private void replaced(Peer p, Member m, News news, Moment now) {
+  private void replaced(Peer p, Member m, News news, Timestamp now) {
     out.note(
         Event.RESTARTED,
         m.name(),
@@ -569,7 +569,7 @@
     updates.add(new News(m, p.incarnation, Condition.ALIVE, news.by()));
   }
 
-  private void ofUs(News news, Moment now) {
+  private void ofUs(News news, Timestamp now) {
     Member m = news.member();
     int birth = m.birth().compareTo(self.birth());
     if (birth < 0) {
@@ -610,7 +610,7 @@
     }
   }
 
-  private void taken(Member holder, Moment now) {
+  private void taken(Member holder, Timestamp now) {
     if (!isQuiet(now)) {
       out.note(Event.NAME_TAKEN, self.name(), "held by the process at " + holder.address());
     }
@@ -623,7 +623,7 @@
    * A process has spoken. False if what it says does not count: it is a former one, or its name is
    * another's.
    */
-  boolean spoke(Teller t, Moment now) {
+  boolean spoke(Teller t, Timestamp now) {
     Member m = t.member();
     if (m.name().equals(self.name())) {
       if (!m.birth().equals(self.birth()) && !m.address().equals(self.address()) && !isQuiet(now)) {
@@ -665,7 +665,7 @@
   }
 
   /** A message of this layer, from a teller that counts. */
-  void heard(Message message, Moment now) {
+  void heard(Message message, Timestamp now) {
     Peer from = peers.get(message.from().member().name());
     if (message instanceof Probe probe) {
       probe.news().forEach(n -> told(n, now));
@@ -701,7 +701,7 @@
     }
   }
 
-  private void answered(Answer answer, Peer from, Moment now) {
+  private void answered(Answer answer, Peer from, Timestamp now) {
     Favour favour = favours.get(answer.id());
     if (favour != null && answer.reached()) {
       favours.remove(answer.id());
@@ -743,7 +743,7 @@
   }
 
   /** Members of a view that were not known here count as alive until they do not answer. */
-  void learn(Collection<Member> members, Moment now) {
+  void learn(Collection<Member> members, Timestamp now) {
     for (Member m : members) {
       if (!m.name().equals(self.name()) && !peers.containsKey(m.name())) {
         told(new News(m, 0, Condition.ALIVE, self.name()), now);
--- a/src/main/java/cobaltseam/membership/Terms.java
+++ b/src/main/java/cobaltseam/membership/Terms.java
@@ -1,6 +1,6 @@
 package cobaltseam.membership;
 
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import java.net.InetSocketAddress;
 import java.util.List;
 
@@ -16,12 +16,12 @@
  * @param longestSend after which nothing that a process had sent to engines can still hold them
  */
 public record Terms(
-    Span period,
+    TimeSpan period,
     double patience,
     int helpers,
     List<MemberName> founders,
     List<InetSocketAddress> seeds,
-    Span longestSend) {
+    TimeSpan longestSend) {
   public Terms {
     founders = founders.stream().sorted().toList();
     seeds = List.copyOf(seeds);
--- a/src/main/java/cobaltseam/repeats/Purse.java
+++ b/src/main/java/cobaltseam/repeats/Purse.java
@@ -1,7 +1,7 @@
 package cobaltseam.repeats;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
 import cobaltseam.membership.Message.Teller;
@@ -63,15 +63,15 @@
 
   private static final class Cell {
     long amount;
-    final Moment until;
+    final Timestamp until;
 
-    Cell(long amount, Moment until) {
+    Cell(long amount, Timestamp until) {
       this.amount = amount;
       this.until = until;
     }
   }
 
-  private record Open(Member of, Moment at) {}
+  private record Open(Member of, Timestamp at) {}
 
   private final Terms terms;
   private final Left left;
@@ -84,7 +84,7 @@
   private final List<Cell> cells = new ArrayList<>();
 
   private final Map<Long, Open> open = new HashMap<>();
-  private Moment at, next;
+  private Timestamp at, next;
   private long firsts, wanted;
   private double earned;
 
@@ -114,12 +114,12 @@
   }
 
   /** Whether it is to be asked what follows. */
-  public boolean isDue(Moment now) {
-    return next == null || !now.before(next);
+  public boolean isDue(Timestamp now) {
+    return next == null || !now.isBefore(next);
   }
 
-  public Moment wake(Moment now) {
-    return next == null || !now.before(next) ? now.plus(terms.round()) : next;
+  public Timestamp wake(Timestamp now) {
+    return next == null || !now.isBefore(next) ? now.plus(terms.round()) : next;
   }
 
   // ---- what follows
@@ -138,13 +138,13 @@
       Map<MemberName, Long> spares,
       View view,
       Teller self,
-      Moment now) {
+      Timestamp now) {
     if (at == null) {
       at = now;
       firsts = firstsSent;
       wanted = furtherWanted;
     }
-    Span since = now.since(at);
+    TimeSpan since = now.since(at);
     if (since.isPositive()) {
       settle(now);
       earn(firstsSent - firsts, since, now);
@@ -154,7 +154,7 @@
       wanted = furtherWanted;
       at = now;
     }
-    if (next != null && now.before(next)) {
+    if (next != null && now.isBefore(next)) {
       return List.of();
     }
     next = now.plus(terms.round());
@@ -164,7 +164,7 @@
   }
 
   /** Takes from the cells what was spent since, and from what is left what has ended. */
-  private void settle(Moment now) {
+  private void settle(Timestamp now) {
     while (true) {
       long is = left.get();
       long spent = cells.stream().mapToLong(c -> c.amount).sum() - is;
@@ -174,9 +174,9 @@
         cell.amount -= part;
         spent -= part;
       }
-      long ends = cells.stream().filter(c -> !now.before(c.until)).mapToLong(c -> c.amount).sum();
+      long ends = cells.stream().filter(c -> !now.isBefore(c.until)).mapToLong(c -> c.amount).sum();
       if (left.change(is, is - ends)) {
-        cells.removeIf(c -> c.amount == 0 || !now.before(c.until));
+        cells.removeIf(c -> c.amount == 0 || !now.isBefore(c.until));
         return;
       }
     }
@@ -186,7 +186,7 @@
    * What was sent since the last look is taken to have been sent right after it: it may be spent
    * for no longer than a window.
    */
-  private void earn(long newFirsts, Span since, Moment now) {
+  private void earn(long newFirsts, TimeSpan since, Timestamp now) {
     earned +=
         (newFirsts * terms.ratio() + terms.alone() * Math.min(1, since.over(terms.window()))) * ONE;
     long whole = (long) earned;
@@ -194,15 +194,15 @@
     add(whole, at.plus(terms.window()), now);
   }
 
-  private void add(long amount, Moment until, Moment now) {
-    if (amount <= 0 || !now.before(until)) {
+  private void add(long amount, Timestamp until, Timestamp now) {
+    if (amount <= 0 || !now.isBefore(until)) {
       return;
     }
     // Cells are few: one that ends a little sooner takes what is added.
-    Span near = terms.window().times(1.0 / (MOST_CELLS / 2));
+    TimeSpan near = terms.window().times(1.0 / (MOST_CELLS / 2));
     Cell into = null;
     for (Cell cell : cells) {
-      if (!until.before(cell.until) && until.since(cell.until).compareTo(near) < 0) {
+      if (!until.isBefore(cell.until) && until.since(cell.until).compareTo(near) < 0) {
         into = cell;
       }
     }
@@ -222,7 +222,7 @@
   }
 
   private List<Tell> beg(
-      long missing, Map<MemberName, Long> spares, View view, Teller self, Moment now) {
+      long missing, Map<MemberName, Long> spares, View view, Teller self, Timestamp now) {
     Member best = null;
     double most = 0;
     for (Member m : view.members()) {
@@ -250,7 +250,7 @@
   // ---- what comes
 
   /** What to tell after a word that its carrier found whole, of one that counts. */
-  public List<Tell> heard(PurseWord word, View view, Teller self, Moment now) {
+  public List<Tell> heard(PurseWord word, View view, Teller self, Timestamp now) {
     Member from = word.from().member();
     if (view == null || !view.holds(from.name(), from.birth())) {
       return List.of();
@@ -266,7 +266,7 @@
       for (int i = 0; i < give.amounts().length; i++) {
         long lasts = Math.min(give.lastsUs()[i], terms.window().us());
         if (give.amounts()[i] > 0 && give.amounts()[i] < Integer.MAX_VALUE * ONE && lasts > 0) {
-          add(give.amounts()[i], asked.at.plus(new Span(lasts)), now);
+          add(give.amounts()[i], asked.at.plus(new TimeSpan(lasts)), now);
         }
       }
     }
@@ -277,7 +277,7 @@
    * Half of what it can do without at the most, so that two that need it both get some; what lasts
    * longest, as that is of use there.
    */
-  private Give give(Beg beg, Teller self, Moment now) {
+  private Give give(Beg beg, Teller self, Timestamp now) {
     settle(now);
     List<Long> amounts = new ArrayList<>();
     List<Long> lasts = new ArrayList<>();
--- a/src/main/java/cobaltseam/repeats/Terms.java
+++ b/src/main/java/cobaltseam/repeats/Terms.java
@@ -1,6 +1,6 @@
 package cobaltseam.repeats;
 
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 
 /**
  * How further sends are capped over a fleet.
@@ -11,7 +11,8 @@
  * @param round between two looks at whom to ask
  * @param clockRates by which part the rates of two clocks differ at most
  */
-public record Terms(double ratio, double alone, Span window, Span round, double clockRates) {
+public record Terms(
+    double ratio, double alone, TimeSpan window, TimeSpan round, double clockRates) {
   public Terms {
     if (!(ratio >= 0)
         || !(alone >= 0)
--- a/src/main/java/cobaltseam/service/Agreed.java
+++ b/src/main/java/cobaltseam/service/Agreed.java
@@ -8,7 +8,7 @@
 import cobaltseam.deployment.DeploymentReader;
 import cobaltseam.deployment.Fields;
 import cobaltseam.dispatch.Deployment;
-import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.log.Field;
 import cobaltseam.membership.Edition;
 import cobaltseam.membership.Lease;
@@ -67,7 +67,7 @@
     // file.
     back = Caution.alone(own);
     acts = back;
-    position = own.number();
+    position = own.dispatcherIndex();
     agreement =
         new Agreement(
             new Agreement.Terms(told.contradiction(), CLOCKS, LARGEST),
@@ -143,7 +143,7 @@
   }
 
   /** SIGHUP: what the own file says now is proposed. */
-  void propose(byte[] document, Moment now) {
+  void propose(byte[] document, Timestamp now) {
     String why = agreement.propose(document, -1, now);
     if (why != null) {
       last = "not proposed: " + why;
@@ -162,7 +162,7 @@
   /**
    * Until when the module may act on {@link #acts} if nothing more is heard; null if it may not.
    */
-  Moment until(Moment now) {
+  Timestamp until(Timestamp now) {
     boolean may =
         agreement.acting().mode() != Acting.Mode.BACK && agreement.leaseLeft(now).isPositive();
     return may ? now.plus(agreement.leaseLeft(now)) : null;
@@ -214,7 +214,7 @@
   }
 
   /** SHOW cobaltseam.agreement. */
-  List<String[]> rows(Moment now) {
+  List<String[]> rows(Timestamp now) {
     List<String[]> rows = new ArrayList<>();
     Acting on = agreement.acting();
     rows.add(new String[] {"acts", on.mode().label() + " on " + on.editions()});
--- a/src/main/java/cobaltseam/service/BoundedLog.java
+++ b/src/main/java/cobaltseam/service/BoundedLog.java
@@ -1,18 +1,18 @@
 package cobaltseam.service;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 
 /** Warnings about peers, a few a second: a peer could else have any number of lines written. */
 final class BoundedLog {
-  private static final Span SECOND = new Span(1_000_000);
+  private static final TimeSpan SECOND = new TimeSpan(1_000_000);
   private static final int LINES = 5;
 
   private final Logger to;
   private final Clock clock;
-  private Moment since;
+  private Timestamp since;
   private int lines;
   private long leftOut;
 
@@ -25,7 +25,7 @@
    * Whether a line was written; else it is counted, and the number told with the next one that is.
    */
   boolean warn(String format, Object... what) {
-    Moment now = clock.now();
+    Timestamp now = clock.now();
     if (since == null || now.since(since).compareTo(SECOND) >= 0) {
       since = now;
       lines = 0;
--- a/src/main/java/cobaltseam/service/Clients.java
+++ b/src/main/java/cobaltseam/service/Clients.java
@@ -1,7 +1,7 @@
 package cobaltseam.service;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.log.Field;
 import cobaltseam.postgres.ClientMessage;
 import cobaltseam.postgres.ClientParser;
@@ -56,13 +56,13 @@
   private static final int LITTLE = 4096;
 
   /** A client rests after a statement that can't be used, twice as long after each in a row. */
-  private static final Span REST = new Span(50_000);
+  private static final TimeSpan REST = new TimeSpan(50_000);
 
   private static final int MOST_DOUBLED = 4;
   private static final int COLUMNS = 3;
 
   /** What is written last gets this long to be read before its connection is closed. */
-  private static final Span CLOSE_WITHIN = new Span(1_000_000);
+  private static final TimeSpan CLOSE_WITHIN = new TimeSpan(1_000_000);
 
   /**
    * A connection whose output has ended is closed at once when more than this still comes on it.
@@ -78,7 +78,7 @@
       "this dispatcher shuts down, trying again elsewhere is harmless";
 
   /** A client that has asked nothing whole by then holds a connection for nothing. */
-  private static final Span ASK_WITHIN = new Span(2_000_000);
+  private static final TimeSpan ASK_WITHIN = new TimeSpan(2_000_000);
 
   private static final String SHOW = "show cobaltseam.";
   private static final String COUNTERS = "counters";
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void shed(Span comeBack) {
+    public void shed(TimeSpan comeBack) {
       finish(
           this,
           new Replies()
@@ -182,7 +182,7 @@
   }
 
   /** One message, and when its last byte was read. */
-  private record Heard(ClientMessage message, Moment read) {
+  private record Heard(ClientMessage message, Timestamp read) {
     int size() {
       return message instanceof ClientMessage.Query query ? query.text().length : 0;
     }
@@ -198,7 +198,7 @@
     /** Whether sessions at this address may stay open. */
     boolean stays(SocketAddress at);
 
-    Span comeBack(SocketAddress at);
+    TimeSpan comeBack(SocketAddress at);
   }
 
   private final Inbox inbox;
@@ -306,7 +306,7 @@
       discard(client, ((IoBuffer) message).remaining());
       return;
     }
-    Moment read = clock.now();
+    Timestamp read = clock.now();
     client.received += ((IoBuffer) message).remaining();
     client.parser.take(((IoBuffer) message).buf(), m -> handOver(client, m, read));
     holds(client, client.parser.held());
@@ -329,7 +329,7 @@
   }
 
   /** Hands over no more than may wait behind a statement: beyond that it is no client's way. */
-  private void handOver(Client client, ClientMessage message, Moment read) {
+  private void handOver(Client client, ClientMessage message, Timestamp read) {
     client.flooding |= client.unheard.incrementAndGet() > MOST_WAITING;
     if (client.flooding && !(message instanceof ClientMessage.Malformed)) {
       client.unheard.decrementAndGet();
@@ -359,7 +359,7 @@
   }
 
   /** Takes nothing more from a client: its connection is closed once this is heard. */
-  private void refuse(Client client, String reason, Moment read) {
+  private void refuse(Client client, String reason, Timestamp read) {
     client.parser.refuse(reason, m -> handOver(client, m, read));
     holds(client, client.parser.held());
   }
@@ -655,7 +655,7 @@
 
   // ---- statements and answers
 
-  private void query(Client client, byte[] text, Moment read) {
+  private void query(Client client, byte[] text, Timestamp read) {
     if (StatementScanner.isEmpty(text)) {
       write(client, new Replies().emptyStatement().ready());
       return;
@@ -720,7 +720,7 @@
         : "";
   }
 
-  private static String advice(Span comeBack) {
+  private static String advice(TimeSpan comeBack) {
     return comeBack.isPositive() ? ", pushback=" + comeBack.us() / US_PER_MS : "";
   }
 
@@ -808,7 +808,7 @@
     int before = client.unusable++;
     if (before > 0 && slots.get(client.key) == client) {
       client.busy = true;
-      Span rest = REST.times(1 << Math.min(before - 1, MOST_DOUBLED));
+      TimeSpan rest = REST.times(1 << Math.min(before - 1, MOST_DOUBLED));
       client.rest =
           deadlines.set(
               clock.now().plus(rest),
--- a/src/main/java/cobaltseam/service/Clock.java
+++ b/src/main/java/cobaltseam/service/Clock.java
@@ -1,6 +1,6 @@
 package cobaltseam.service;
 
-import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Timestamp;
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
@@ -11,8 +11,8 @@
   private final long startUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
   private final long startNanos = System.nanoTime();
 
-  Moment now() {
-    return new Moment(us());
+  Timestamp now() {
+    return new Timestamp(us());
   }
 
   /** The same as a number, for a path that allocates nothing. */
--- a/src/main/java/cobaltseam/service/Commands.java
+++ b/src/main/java/cobaltseam/service/Commands.java
@@ -1,19 +1,19 @@
 package cobaltseam.service;
 
-import cobaltseam.dispatch.Command;
-import cobaltseam.dispatch.CommandId;
+import cobaltseam.dispatch.AttemptOutcome;
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
 import cobaltseam.dispatch.DataSetId;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.Dispatcher;
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Outcome;
-import cobaltseam.dispatch.Outcome.Ending;
-import cobaltseam.dispatch.Pause;
+import cobaltseam.dispatch.NextStep;
 import cobaltseam.dispatch.Placement;
-import cobaltseam.dispatch.ProfileId;
-import cobaltseam.dispatch.ShareId;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.Request;
+import cobaltseam.dispatch.RequestClassId;
+import cobaltseam.dispatch.RequestId;
+import cobaltseam.dispatch.TenantId;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.postgres.Statement;
 import cobaltseam.resp.Result;
 import cobaltseam.service.Counters.Count;
@@ -32,7 +32,7 @@
   interface ResponseHandle {
     void answered(Result result);
 
-    void shed(Span comeBack);
+    void shed(TimeSpan comeBack);
 
     void failed();
 
@@ -51,12 +51,12 @@
    * After a fault of the module it is asked again after this, not at once, or one fault would
    * repeat.
    */
-  private static final Span AFTER_FAULT = new Span(100_000);
+  private static final TimeSpan AFTER_FAULT = new TimeSpan(100_000);
 
   /** One command: while it is open someone waits, and beyond that a send may be out. */
   private static final class InHand {
     long key;
-    CommandId id;
+    RequestId id;
     Statement statement;
     ResponseHandle responseHandle;
     int sends;
@@ -71,7 +71,7 @@
   private final Set<String> profiles = new HashSet<>();
   private final Set<String> shares = new HashSet<>();
   private final Slots<InHand> slots = new Slots<>(MOST_OPEN);
-  private final Map<CommandId, InHand> byId = new HashMap<>();
+  private final Map<RequestId, InHand> byId = new HashMap<>();
   private Deadlines.Deadline wake;
 
   /** Whether this dispatcher may send at this moment; by default always. */
@@ -105,16 +105,16 @@
   private void known(Deployment deployment) {
     profiles.clear();
     shares.clear();
-    deployment.profiles().forEach(p -> profiles.add(p.id().value()));
-    deployment.shares().forEach(s -> shares.add(s.id().value()));
+    deployment.requestClasses().forEach(p -> profiles.add(p.id().value()));
+    deployment.quotas().forEach(s -> shares.add(s.tenant().value()));
   }
 
   /**
    * Moves to other settings of decisions at once, between two turns of the loop, whatever is in
-   * hand: {@link Dispatcher#moveTo} says which of them then count for what.
+   * hand: {@link Dispatcher#applySettings} says which of them then count for what.
    */
   void moveTo(Deployment deployment) {
-    dispatcher.moveTo(deployment, clock.now());
+    dispatcher.applySettings(deployment, clock.now());
     known(deployment);
     counters.add(Count.CONFIGURATIONS_MOVED);
     news = true;
@@ -132,13 +132,13 @@
 
   /** The engines are shared over so many dispatchers from now on. */
   void sharedOver(double dispatchers) {
-    dispatcher.sharedOver(dispatchers);
+    dispatcher.setSharingDispatchers(dispatchers);
     news = true;
   }
 
   /** The work of all commands taken so far, in microseconds of one thread. */
   double offered() {
-    return dispatcher.offered();
+    return dispatcher.offeredLoad();
   }
 
   /** Has the fleet hear what engines tell of the commands that they hold. */
@@ -153,15 +153,15 @@
 
   private void capped() {
     if (caps != null) {
-      dispatcher.furtherLeft(caps.furtherLeft());
+      dispatcher.setRemainingRetries(caps.furtherLeft());
     }
   }
 
   /**
    * What an engine told another dispatcher of the commands that it holds, at this moment or later.
    */
-  void reported(EngineId engine, double inHand, Moment at) {
-    dispatcher.reported(engine, inHand, at);
+  void reported(EngineId engine, double inHand, Timestamp at) {
+    dispatcher.updateEngineLoad(engine, inHand, at);
     news = true;
   }
 
@@ -172,7 +172,7 @@
     InHand c = slots.get(key);
     if (c != null && c.responseHandle != null) {
       counters.add(Count.MASTERSHIP_COMMANDS_WITHDRAWN);
-      Span left = dispatcher.withdrawn(c.id, clock.now());
+      TimeSpan left = dispatcher.withdraw(c.id, clock.now());
       if (c.out != null && left != null) {
         engines.letTake(c.out, clock.now().plus(left));
       }
@@ -186,7 +186,7 @@
    */
   void giveUp() {
     for (InHand c : List.copyOf(byId.values())) {
-      dispatcher.withdrawn(c.id, clock.now());
+      dispatcher.withdraw(c.id, clock.now());
       if (c.out != null) {
         engines.callOff(c.out);
       }
@@ -201,8 +201,8 @@
 
   void listed(TopologyEvent event) {
     engines.listed(event);
-    Moment now = clock.now();
-    dispatcher.listed(event.list(), event.whole(), now);
+    Timestamp now = clock.now();
+    dispatcher.updateEndpoints(event.list(), event.whole(), now);
     news = true;
   }
 
@@ -214,7 +214,7 @@
     if (s.share() != null && !shares.isEmpty() && !shares.contains(s.share())) {
       return "an unknown holder of a share";
     }
-    return byId.containsKey(new CommandId(s.call())) ? "a call that is in hand already" : null;
+    return byId.containsKey(new RequestId(s.call())) ? "a call that is in hand already" : null;
   }
 
   /**
@@ -223,7 +223,7 @@
    */
   long take(Statement s, ResponseHandle responseHandle) {
     InHand c = new InHand();
-    c.id = new CommandId(s.call());
+    c.id = new RequestId(s.call());
     c.statement = s;
     c.responseHandle = responseHandle;
     c.key = slots.take(c);
@@ -238,17 +238,17 @@
    * Asks the module for a command that was read whole at this moment; its response handle may hear
    * at once.
    */
-  void start(long key, Moment read) {
+  void start(long key, Timestamp read) {
     InHand c = slots.get(key);
     Statement s = c.statement;
-    Command command =
-        new Command(
+    Request command =
+        new Request(
             c.id,
-            new ProfileId(s.profile()),
-            s.share() != null && shares.contains(s.share()) ? new ShareId(s.share()) : null,
+            new RequestClassId(s.profile()),
+            s.share() != null && shares.contains(s.share()) ? new TenantId(s.share()) : null,
             null,
-            read.plus(new Span(s.timeToLiveMs() * US_PER_MS)),
-            new Span(Math.round(s.workMs() * US_PER_MS)),
+            read.plus(new TimeSpan(s.timeToLiveMs() * US_PER_MS)),
+            new TimeSpan(Math.round(s.workMs() * US_PER_MS)),
             s.dataSet() < 0 ? null : new DataSetId(s.dataSet()),
             s.memoryMb());
     place(c, command);
@@ -259,7 +259,7 @@
    * Asks the module where a command goes, unless its client has left: nothing is begun for one that
    * is gone.
    */
-  private void place(InHand c, Command command) {
+  private void place(InHand c, Request command) {
     if (isLeft(c)) {
       departed(c.key);
     } else {
@@ -275,7 +275,7 @@
     }
     counters.add(Count.COMMANDS_DEPARTED);
     c.responseHandle = null;
-    dispatcher.departed(c.id, clock.now());
+    dispatcher.clientLeft(c.id, clock.now());
     if (c.out != null) {
       engines.callOff(c.out);
     } else {
@@ -296,26 +296,26 @@
   }
 
   @Override
-  public void progressed(Send send, double share, Moment now) {
+  public void progressed(Send send, double share, Timestamp now) {
     if (share >= 0) {
-      dispatcher.progressed(send.command, send.number, share, now);
+      dispatcher.updateProgress(send.command, send.number, share, now);
       news = true;
     }
   }
 
   @Override
   public void spills(Send send, double missingMb) {
-    dispatcher.spills(send.command, send.number, missingMb);
+    dispatcher.updateMemoryShortfall(send.command, send.number, missingMb);
   }
 
   @Override
-  public void blocked(Send send, Moment now) {
-    dispatcher.blocked(send.command, send.number, now);
+  public void blocked(Send send, Timestamp now) {
+    dispatcher.markBlocked(send.command, send.number, now);
     news = true;
   }
 
   @Override
-  public void ended(Send send, Ending ending, Moment now) {
+  public void ended(Send send, AttemptResult ending, Timestamp now) {
     InHand c = byId.get(send.command);
     if (c == null || c.out != send) {
       return;
@@ -324,22 +324,22 @@
     if (reports != null && send.inHand >= 0) {
       reports.heard(send.engine, Math.max(0, send.inHand - Math.max(0, send.queue)), now);
     }
-    ResponseHandle answered = ending == Ending.ANSWERED ? c.responseHandle : null;
-    c.responseHandle = ending == Ending.ANSWERED ? null : c.responseHandle;
+    ResponseHandle answered = ending == AttemptResult.COMPLETED ? c.responseHandle : null;
+    c.responseHandle = ending == AttemptResult.COMPLETED ? null : c.responseHandle;
     boolean over = c.responseHandle == null;
-    Outcome outcome =
-        new Outcome(
+    AttemptOutcome outcome =
+        new AttemptOutcome(
             c.id,
             send.number,
             send.engine,
             ending,
             now.since(send.at),
             over,
-            new Span(-1),
+            new TimeSpan(-1),
             -1,
             send.queue,
             send.inHand);
-    carryOut(c, () -> dispatcher.after(outcome, now));
+    carryOut(c, () -> dispatcher.completeAttempt(outcome, now));
     if (over) {
       forget(c);
     }
@@ -364,7 +364,7 @@
       return;
     }
     news = false;
-    Span wait;
+    TimeSpan wait;
     try {
       wait = followed(counters.of(Count.FAULTS));
     } catch (RuntimeException e) {
@@ -375,29 +375,32 @@
     wake = wait == null ? null : deadlines.set(clock.now().plus(wait), () -> news = true);
   }
 
-  private Span followed(long faults) {
-    Moment now = clock.now();
+  private TimeSpan followed(long faults) {
+    Timestamp now = clock.now();
     capped();
-    Pause pause = dispatcher.pause(now);
-    while (pause.span() != null && !pause.span().isPositive()) {
+    NextStep pause = dispatcher.next(now);
+    while (pause.delay() != null && !pause.delay().isPositive()) {
       if (counters.of(Count.FAULTS) > faults) {
         return AFTER_FAULT;
       }
-      InHand c = pause.command() == null ? null : byId.get(pause.command().id());
-      if (pause.callOff() >= 0 && c != null && c.out != null && c.out.number == pause.callOff()) {
+      InHand c = pause.request() == null ? null : byId.get(pause.request().id());
+      if (pause.cancelAttempt() >= 0
+          && c != null
+          && c.out != null
+          && c.out.number == pause.cancelAttempt()) {
         engines.callOff(c.out);
-      } else if (pause.command() != null && c == null) {
-        dispatcher.departed(pause.command().id(), now);
-      } else if (pause.command() != null) {
-        place(c, pause.command());
-      } else if (pause.probe() != null) {
-        engines.probe(pause.probe(), now);
+      } else if (pause.request() != null && c == null) {
+        dispatcher.clientLeft(pause.request().id(), now);
+      } else if (pause.request() != null) {
+        place(c, pause.request());
+      } else if (pause.healthCheck() != null) {
+        engines.probe(pause.healthCheck(), now);
       }
       now = clock.now();
       capped();
-      pause = dispatcher.pause(now);
+      pause = dispatcher.next(now);
     }
-    return pause.span();
+    return pause.delay();
   }
 
   private void fault(RuntimeException e) {
@@ -414,12 +417,12 @@
     } catch (RuntimeException e) {
       fault(e);
       p = Placement.fail();
-      deadlines.set(clock.now(), () -> dispatcher.departed(c.id, clock.now()));
+      deadlines.set(clock.now(), () -> dispatcher.clientLeft(c.id, clock.now()));
     }
     if (c == null || c.responseHandle == null) {
       return;
     }
-    switch (p.verdict()) {
+    switch (p.decision()) {
       case SEND ->
           c.out =
               maySend.getAsBoolean() && isWithinCap(c)
@@ -430,7 +433,7 @@
         counters.add(Count.COMMANDS_SHED);
         ResponseHandle responseHandle = c.responseHandle;
         forget(c);
-        responseHandle.shed(p.comeBack());
+        responseHandle.shed(p.retryAfter());
       }
       case FAIL -> {
         denied(c);
--- a/src/main/java/cobaltseam/service/Deadlines.java
+++ b/src/main/java/cobaltseam/service/Deadlines.java
@@ -1,7 +1,7 @@
 package cobaltseam.service;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import java.util.Comparator;
 import java.util.TreeSet;
 
@@ -9,11 +9,11 @@
 final class Deadlines {
   /** One deadline, to be cancelled by who set it. */
   static final class Deadline {
-    private final Moment at;
+    private final Timestamp at;
     private final long number;
     private final Runnable due;
 
-    private Deadline(Moment at, long number, Runnable due) {
+    private Deadline(Timestamp at, long number, Runnable due) {
       this.at = at;
       this.number = number;
       this.due = due;
@@ -24,7 +24,7 @@
       new TreeSet<>(Comparator.comparing((Deadline d) -> d.at).thenComparingLong(d -> d.number));
   private long numbers;
 
-  Deadline set(Moment at, Runnable due) {
+  Deadline set(Timestamp at, Runnable due) {
     Deadline deadline = new Deadline(at, numbers++, due);
     set.add(deadline);
     return deadline;
@@ -38,18 +38,18 @@
   }
 
   /** The first one that is due, taken out, or null. */
-  Runnable due(Moment now) {
-    return set.isEmpty() || now.before(set.first().at) ? null : set.pollFirst().due;
+  Runnable due(Timestamp now) {
+    return set.isEmpty() || now.isBefore(set.first().at) ? null : set.pollFirst().due;
   }
 
   /** How long ago the first one was due; zero if none is. */
-  Span overdue(Moment now) {
-    return set.isEmpty() ? Span.ZERO : now.since(set.first().at).max(Span.ZERO);
+  TimeSpan overdue(Timestamp now) {
+    return set.isEmpty() ? TimeSpan.ZERO : now.since(set.first().at).max(TimeSpan.ZERO);
   }
 
   /** How long until the next one, or the span given where that is shorter. */
-  Span untilNext(Moment now, Span most) {
-    return set.isEmpty() ? most : set.first().at.since(now).max(Span.ZERO).min(most);
+  TimeSpan untilNext(Timestamp now, TimeSpan most) {
+    return set.isEmpty() ? most : set.first().at.since(now).max(TimeSpan.ZERO).min(most);
   }
 
   int size() {
--- a/src/main/java/cobaltseam/service/EngineConnection.java
+++ b/src/main/java/cobaltseam/service/EngineConnection.java
@@ -1,7 +1,7 @@
 package cobaltseam.service;
 
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Timestamp;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -23,7 +23,7 @@
   private static final int MOST_WAITING = 1 << 18;
 
   final EngineId engine;
-  final Moment opened;
+  final Timestamp opened;
   final Map<String, Send> sends = new HashMap<>();
   private final Map<String, Boolean> ended =
       new LinkedHashMap<>() {
@@ -41,12 +41,12 @@
   /** Null until it is up. */
   IoSession session;
 
-  Moment heard;
-  Moment idleSince;
+  Timestamp heard;
+  Timestamp idleSince;
   private long written;
   private int unasked;
 
-  EngineConnection(EngineId engine, Moment opened) {
+  EngineConnection(EngineId engine, Timestamp opened) {
     this.engine = engine;
     this.opened = opened;
     heard = opened;
--- a/src/main/java/cobaltseam/service/Engines.java
+++ b/src/main/java/cobaltseam/service/Engines.java
@@ -1,13 +1,13 @@
 package cobaltseam.service;
 
 import cobaltseam.deployment.DeploymentReader;
-import cobaltseam.dispatch.CommandId;
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
+import cobaltseam.dispatch.EndpointStatus;
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Listing;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Outcome.Ending;
 import cobaltseam.dispatch.Placement;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.RequestId;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.log.Field;
 import cobaltseam.postgres.Statement;
 import cobaltseam.resp.EngineAnswer;
@@ -34,18 +34,18 @@
 final class Engines {
   /** Who hears of a send: its progress, and its one outcome. */
   interface Listener {
-    void progressed(Send send, double share, Moment now);
+    void progressed(Send send, double share, Timestamp now);
 
     /** It spills to disk, for want of so many megabytes. */
     void spills(Send send, double missingMb);
 
     /** It stands still while a load holds what it reads. */
-    void blocked(Send send, Moment now);
+    void blocked(Send send, Timestamp now);
 
     /** Whether anybody still waits for its answer, as far as the I/O thread has read. */
     boolean isWanted(Send send);
 
-    void ended(Send send, Ending ending, Moment now);
+    void ended(Send send, AttemptResult ending, Timestamp now);
   }
 
   private static final String PARSER = "parser";
@@ -66,10 +66,10 @@
   /** One engine of the list. */
   private static final class EngineState {
     InetSocketAddress address;
-    Listing.Standing standing;
+    EndpointStatus.EndpointState standing;
 
     /** When its process started, as the list has it. */
-    Moment started;
+    Timestamp started;
 
     /** Whether the last connection to it, or send on one, did not come to anything. */
     boolean failed;
@@ -84,8 +84,8 @@
   private final Deadlines deadlines;
   private final Counters counters;
   private final BoundedLog log;
-  private Span connectTimeout;
-  private Span idle;
+  private TimeSpan connectTimeout;
+  private TimeSpan idle;
   private int sendsPerConnection;
   private final Map<EngineId, EngineState> states = new HashMap<>();
   private final Slots<EngineConnection> connections;
@@ -179,23 +179,26 @@
 
   void listed(TopologyEvent event) {
     if (event.whole()) {
-      Set<EngineId> named = event.list().stream().map(Listing::engine).collect(Collectors.toSet());
+      Set<EngineId> named =
+          event.list().stream().map(EndpointStatus::engine).collect(Collectors.toSet());
       states.forEach(
           (engine, state) ->
-              state.standing = named.contains(engine) ? state.standing : Listing.Standing.GONE);
+              state.standing =
+                  named.contains(engine) ? state.standing : EndpointStatus.EndpointState.GONE);
     }
-    for (Listing line : event.list()) {
+    for (EndpointStatus line : event.list()) {
       EngineState state = states.computeIfAbsent(line.engine(), e -> new EngineState());
-      boolean changed = line.standing() != state.standing || !line.started().equals(state.started);
-      state.standing = line.standing();
-      state.started = line.started();
+      boolean changed = line.state() != state.standing || !line.startedAt().equals(state.started);
+      state.standing = line.state();
+      state.started = line.startedAt();
       InetSocketAddress address = event.addresses().get(line.engine());
       if (address != null) {
         state.address = address;
       }
       // Connections to an earlier life of the process may stay open and silent.
       for (EngineConnection c : List.copyOf(state.connections)) {
-        if (line.standing() == Listing.Standing.UP && c.opened.before(line.started())) {
+        if (line.state() == EndpointStatus.EndpointState.UP
+            && c.opened.isBefore(line.startedAt())) {
           drop(c);
         } else if (changed && c.session == null) {
           // What waits for it was decided on when the engine was not draining, or not cold.
@@ -204,32 +207,35 @@
       }
     }
     for (EngineState state : List.copyOf(states.values())) {
-      if (state.standing == Listing.Standing.GONE) {
+      if (state.standing == EndpointStatus.EndpointState.GONE) {
         List.copyOf(state.connections).stream()
             .filter(c -> c.sends.isEmpty() || c.session == null)
             .forEach(this::drop);
       }
     }
-    states.values().removeIf(m -> m.standing == Listing.Standing.GONE && m.connections.isEmpty());
+    states
+        .values()
+        .removeIf(m -> m.standing == EndpointStatus.EndpointState.GONE && m.connections.isEmpty());
   }
 
   // ---- sends
 
   /** Hands a command to an engine; the listener hears of its one outcome later, never at once. */
-  Send send(CommandId command, int number, Placement placement, Statement statement, Moment now) {
+  Send send(
+      RequestId command, int number, Placement placement, Statement statement, Timestamp now) {
     EngineId engine = placement.engine();
     Send send =
-        new Send(command, number, engine, statement, now, now.plus(placement.sendTimeout()));
+        new Send(command, number, engine, statement, now, now.plus(placement.attemptTimeout()));
     send.startBy = placement.startWithin() == null ? null : now.plus(placement.startWithin());
     counters.add(Count.SENDS);
     EngineState state = states.get(engine);
     EngineConnection connection =
         state == null || state.address == null ? null : pick(state, engine, send.call(), now);
     if (connection == null) {
-      send.timeout = deadlines.set(now, () -> end(send, Ending.UNREACHABLE));
+      send.timeout = deadlines.set(now, () -> end(send, AttemptResult.UNREACHABLE));
       return send;
     }
-    send.timeout = deadlines.set(send.until, () -> giveUp(send, Ending.TIMED_OUT));
+    send.timeout = deadlines.set(send.until, () -> giveUp(send, AttemptResult.TIMED_OUT));
     send.connection = connection;
     connection.sends.put(send.call(), send);
     if (connection.session != null) {
@@ -239,24 +245,26 @@
   }
 
   /** A send that is not to leave after all: its outcome is that it was never sent. */
-  Send neverSend(CommandId command, int number, EngineId engine, Statement statement, Moment now) {
+  Send neverSend(
+      RequestId command, int number, EngineId engine, Statement statement, Timestamp now) {
     Send send = new Send(command, number, engine, statement, now, now);
     counters.add(Count.SENDS);
-    send.timeout = deadlines.set(now, () -> end(send, Ending.NEVER_SENT));
+    send.timeout = deadlines.set(now, () -> end(send, AttemptResult.NEVER_SENT));
     return send;
   }
 
   /** A send may take until this moment, if that is later than what it was given before. */
-  void letTake(Send send, Moment until) {
-    if (!send.over && send.until.before(until) && send.connection != null) {
+  void letTake(Send send, Timestamp until) {
+    if (!send.over && send.until.isBefore(until) && send.connection != null) {
       deadlines.cancel(send.timeout);
-      send.timeout = deadlines.set(until, () -> giveUp(send, Ending.TIMED_OUT));
+      send.timeout = deadlines.set(until, () -> giveUp(send, AttemptResult.TIMED_OUT));
     }
   }
 
   /** Engines that may be sent to, as the list has them. */
   int inService() {
-    return (int) states.values().stream().filter(m -> m.standing == Listing.Standing.UP).count();
+    return (int)
+        states.values().stream().filter(m -> m.standing == EndpointStatus.EndpointState.UP).count();
   }
 
   /** The share of those to which the last connection or send failed, from 0 to 1. */
@@ -266,7 +274,7 @@
         ? 0
         : (double)
                 states.values().stream()
-                    .filter(m -> m.standing == Listing.Standing.UP && m.failed)
+                    .filter(m -> m.standing == EndpointStatus.EndpointState.UP && m.failed)
                     .count()
             / up;
   }
@@ -280,14 +288,14 @@
    * no more can be had is one shared. A send that is alone is given up by closing its connection,
    * which holds also where an engine has gone silent, and cuts no other.
    */
-  private EngineConnection pick(EngineState state, EngineId engine, String id, Moment now) {
+  private EngineConnection pick(EngineState state, EngineId engine, String id, Timestamp now) {
     EngineConnection unused = null;
     for (EngineConnection c : List.copyOf(state.connections)) {
       if (c.sends.isEmpty() && idle.isPositive() && now.since(c.idleSince).compareTo(idle) > 0) {
         drop(c);
       } else if (c.sends.isEmpty()
           && c.takes(id, sendsPerConnection)
-          && (unused == null || unused.idleSince.before(c.idleSince))) {
+          && (unused == null || unused.idleSince.isBefore(c.idleSince))) {
         unused = c;
       }
     }
@@ -300,7 +308,7 @@
             .orElse(null);
   }
 
-  private EngineConnection open(EngineState state, EngineId engine, Moment now) {
+  private EngineConnection open(EngineState state, EngineId engine, Timestamp now) {
     EngineConnection c = new EngineConnection(engine, now);
     c.key = connections.take(c);
     if (c.key == Slots.NONE) {
@@ -331,16 +339,16 @@
       counters.add(Count.ENGINE_CONNECTIONS);
       deadlines.cancel(c.connectTimeout);
       c.session = c.future.getSession();
-      Moment now = clock.now();
+      Timestamp now = clock.now();
       c.heard = now;
       for (Send send : List.copyOf(c.sends.values())) {
         // It may have waited too long for this connection: what engines remember of the send before
         // may be gone.
-        boolean inTime = send.startBy == null || now.before(send.startBy);
+        boolean inTime = send.startBy == null || now.isBefore(send.startBy);
         if (inTime && listener.isWanted(send)) {
           write(send, now);
         } else {
-          end(send, Ending.UNREACHABLE);
+          end(send, AttemptResult.UNREACHABLE);
         }
       }
     }
@@ -391,11 +399,11 @@
     }
     for (Send send : List.copyOf(c.sends.values())) {
       boolean neverRan = send.position == 0 || send.position > written;
-      end(send, neverRan ? Ending.UNREACHABLE : Ending.CUT);
+      end(send, neverRan ? AttemptResult.UNREACHABLE : AttemptResult.CONNECTION_LOST);
     }
   }
 
-  private void write(Send send, Moment now) {
+  private void write(Send send, Timestamp now) {
     long ms = Math.max(1, (send.until.since(now).us() + 999) / 1000);
     send.position =
         send.connection.write(
@@ -409,16 +417,16 @@
 
   /** Calls a send off: its outcome is told at once, and its engine told to stop. */
   void callOff(Send send) {
-    giveUp(send, Ending.CANCELLED);
+    giveUp(send, AttemptResult.CANCELLED);
   }
 
-  private void giveUp(Send send, Ending ending) {
+  private void giveUp(Send send, AttemptResult ending) {
     if (send.over) {
       return;
     }
     EngineConnection c = send.connection;
     if (c == null || send.position == 0) {
-      end(send, Ending.UNREACHABLE);
+      end(send, AttemptResult.UNREACHABLE);
       return;
     }
     if (c.sends.size() == 1) {
@@ -434,33 +442,34 @@
     end(send, ending);
   }
 
-  private void end(Send send, Ending ending) {
+  private void end(Send send, AttemptResult ending) {
     if (send.over) {
       return;
     }
     send.over = true;
     deadlines.cancel(send.timeout);
     EngineConnection c = send.connection;
-    Moment now = clock.now();
+    Timestamp now = clock.now();
     if (c != null) {
       c.sends.remove(send.call());
       if (c.sends.isEmpty()) {
         c.idleSince = now;
         EngineState state = states.get(c.engine);
-        if (state != null && state.standing == Listing.Standing.GONE) {
+        if (state != null && state.standing == EndpointStatus.EndpointState.GONE) {
           drop(c);
         }
       }
     }
-    counters.add(Count.valueOf("SENDS_" + ending));
-    if (c != null && (ending == Ending.TIMED_OUT || ending == Ending.CUT)) {
+    counters.add(counterOf(ending));
+    if (c != null
+        && (ending == AttemptResult.TIMED_OUT || ending == AttemptResult.CONNECTION_LOST)) {
       mark(c, true);
     }
     listener.ended(send, ending, now);
   }
 
   /** Asks an engine whether its connection works. */
-  void probe(EngineId engine, Moment now) {
+  void probe(EngineId engine, Timestamp now) {
     EngineState state = states.get(engine);
     if (state != null && state.address != null) {
       EngineConnection c = pick(state, engine, "", now);
@@ -528,8 +537,8 @@
       }
       case EngineAnswer.OK -> firstPage(c, send, answer);
       case EngineAnswer.CHUNK -> page(c, send, answer.whole("page"), answer.body());
-      case EngineAnswer.FULL, EngineAnswer.OVER -> end(send, Ending.NO_ROOM);
-      case EngineAnswer.ERROR -> end(send, Ending.ERROR);
+      case EngineAnswer.FULL, EngineAnswer.OVER -> end(send, AttemptResult.CAPACITY_EXCEEDED);
+      case EngineAnswer.ERROR -> end(send, AttemptResult.ERROR);
       default -> protocolError(c, "an answer '" + answer.word() + "'");
     }
   }
@@ -580,7 +589,7 @@
     if (wrong != null) {
       spoiled(c, send, wrong);
     } else if (send.result.isWhole()) {
-      end(send, Ending.ANSWERED);
+      end(send, AttemptResult.COMPLETED);
     }
   }
 
@@ -598,6 +607,19 @@
         Field.event("engine.bad_result"));
     c.sends.remove(send.call());
     drop(c);
-    end(send, Ending.ERROR);
+    end(send, AttemptResult.ERROR);
+  }
+
+  private static Count counterOf(AttemptResult result) {
+    return switch (result) {
+      case COMPLETED -> Count.SENDS_ANSWERED;
+      case ERROR -> Count.SENDS_ERROR;
+      case CAPACITY_EXCEEDED -> Count.SENDS_NO_ROOM;
+      case TIMED_OUT -> Count.SENDS_TIMED_OUT;
+      case UNREACHABLE -> Count.SENDS_UNREACHABLE;
+      case CONNECTION_LOST -> Count.SENDS_CUT;
+      case CANCELLED -> Count.SENDS_CANCELLED;
+      case NEVER_SENT -> Count.SENDS_NEVER_SENT;
+    };
   }
 }
--- a/src/main/java/cobaltseam/service/EventBus.java
+++ b/src/main/java/cobaltseam/service/EventBus.java
@@ -2,8 +2,8 @@
 
 import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.Fields;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.log.Field;
 import cobaltseam.service.Counters.Count;
 import com.fasterxml.jackson.core.JsonFactory;
@@ -29,10 +29,10 @@
   private static final int LONGEST_LINE = 1 << 20;
 
   /** The bus writes at least this often. */
-  private static final Span BEAT = new Span(1_000_000);
+  private static final TimeSpan BEAT = new TimeSpan(1_000_000);
 
-  private static final Span SILENCE = BEAT.times(2.5);
-  private static final Span RETRY = BEAT.times(0.25);
+  private static final TimeSpan SILENCE = BEAT.times(2.5);
+  private static final TimeSpan RETRY = BEAT.times(0.25);
 
   private InetSocketAddress address;
   private final SocketConnector connector;
@@ -54,10 +54,10 @@
 
   private ConnectFuture future;
   private Deadlines.Deadline next;
-  private Moment heard;
+  private Timestamp heard;
 
   /** When it was first asked; null until then. */
-  private Moment askedAt;
+  private Timestamp askedAt;
 
   private boolean numberHeard;
 
@@ -148,12 +148,12 @@
    * Whether what the bus had when it was first asked has come: its number has, or there was time
    * enough for it.
    */
-  boolean isCaughtUp(Moment now) {
+  boolean isCaughtUp(Timestamp now) {
     return numberHeard || askedAt != null && now.since(askedAt).compareTo(RETRY) >= 0;
   }
 
   /** How long the bus has said nothing; since the start, if it never did. */
-  Span silent(Moment now) {
+  TimeSpan silent(Timestamp now) {
     return now.since(heard);
   }
 
--- a/src/main/java/cobaltseam/service/FleetBridge.java
+++ b/src/main/java/cobaltseam/service/FleetBridge.java
@@ -2,7 +2,7 @@
 
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.ground.Ground;
 import cobaltseam.log.Field;
 import cobaltseam.repeats.Purse;
@@ -80,7 +80,7 @@
     this.commands = commands;
     this.inbox = inbox;
     this.clock = clock;
-    dispatchersTold = told.dispatchers();
+    dispatchersTold = told.dispatcherCount();
     this.masteredElsewhere = masteredElsewhere;
     over = dispatchersTold;
   }
@@ -207,7 +207,7 @@
   }
 
   /** An engine told that it holds so many commands that do not wait for memory. */
-  void heard(EngineId engine, double inHand, Moment now) {
+  void heard(EngineId engine, double inHand, Timestamp now) {
     if (heard.size() < Reports.MOST || heard.containsKey(engine)) {
       heard.put(engine, new Report(engine, inHand, now));
       heardAnew = true;
--- a/src/main/java/cobaltseam/service/FleetNode.java
+++ b/src/main/java/cobaltseam/service/FleetNode.java
@@ -2,8 +2,8 @@
 
 import cobaltseam.agreement.Doing;
 import cobaltseam.dispatch.Deployment;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.ground.Ground;
 import cobaltseam.hall.KeptCodec;
 import cobaltseam.hall.MessageCodec;
@@ -56,13 +56,13 @@
   private static final System.Logger LOG = System.getLogger(FleetNode.class.getName());
   private static final int US_PER_MS = 1000;
   private static final double SECOND_US = 1e6;
-  private static final Span LONGEST_WAIT = new Span(1_000_000);
+  private static final TimeSpan LONGEST_WAIT = new TimeSpan(1_000_000);
   private static final int MOST_AT_ONCE = 1024;
 
   /** What SHOW tells is no older than this. */
-  private static final Span SHOWN_EVERY = new Span(100_000);
+  private static final TimeSpan SHOWN_EVERY = new TimeSpan(100_000);
 
-  private static final Span SAYS_EVERY = new Span(250_000);
+  private static final TimeSpan SAYS_EVERY = new TimeSpan(250_000);
 
   /** By which part the rates of two clocks differ at most. */
   private static final double CLOCKS = 0.001;
@@ -108,7 +108,7 @@
   private final AtomicReference<Map<String, List<String[]>>> shown =
       new AtomicReference<>(Map.of());
   private Deadlines.Deadline wake, falls, shows;
-  private Moment dueAt, saidAt;
+  private Timestamp dueAt, saidAt;
   private Standing standing = Standing.NONE;
   private FleetSnapshot snapshot = FleetSnapshot.NONE;
 
@@ -148,11 +148,11 @@
     inbox = new Inbox(counters);
     log = new BoundedLog(LOG, clock);
     Deployment own = configuration.deployment();
-    Span longest =
-        own.profiles().stream()
-            .map(Deployment.Profile::clientTimeout)
-            .max(Span::compareTo)
-            .orElse(Span.ZERO);
+    TimeSpan longest =
+        own.requestClasses().stream()
+            .map(Deployment.RequestClass::deadline)
+            .max(TimeSpan::compareTo)
+            .orElse(TimeSpan.ZERO);
     codec =
         new MessageCodec(
             told.fleet(),
@@ -179,7 +179,7 @@
         writer == null
             ? new Membership(terms, self, chance.split())
             : Membership.lasting(terms, self, former, chance.split());
-    Span lasts =
+    TimeSpan lasts =
         setup.agreed() != null ? setup.agreed().contradiction() : divides() ? spread.lease() : null;
     lease =
         lasts == null
@@ -201,7 +201,7 @@
     holdings =
         !divides()
             ? null
-            : new Holdings(spread.terms(own.dispatchers()), ground.under(), chance.split());
+            : new Holdings(spread.terms(own.dispatcherCount()), ground.under(), chance.split());
     demand = !divides() ? null : new Demand(spread.window());
     reports =
         spread == null || !spread.news().isPositive()
@@ -345,7 +345,7 @@
         Runnable task = inbox.next(deadlines.untilNext(clock.now(), LONGEST_WAIT));
         for (int heard = 1;
             task != null;
-            task = heard++ < MOST_AT_ONCE ? inbox.next(Span.ZERO) : null) {
+            task = heard++ < MOST_AT_ONCE ? inbox.next(TimeSpan.ZERO) : null) {
           look();
           task.run();
         }
@@ -488,13 +488,13 @@
           bridge.toldElsewhere(news);
         }
       }
-      Moment now = clock.now();
+      Timestamp now = clock.now();
       deadlines.cancel(wake);
       dueAt = ground.wake(now);
       wake = dueAt == null ? null : deadlines.set(dueAt, this::due);
       stands();
       deadlines.cancel(falls);
-      Moment at = membership.carriersFallAt();
+      Timestamp at = membership.carriersFallAt();
       falls = at == null ? null : deadlines.set(at, () -> act(() -> {}));
       // Whoever is told of a loan may use it at once: by then this process must not.
       publish();
@@ -510,7 +510,7 @@
 
   /** Says what this dispatcher needs, and what it can do without. */
   private void needs() {
-    Moment now = clock.now();
+    Timestamp now = clock.now();
     if (sharing != null && (saidAt == null || now.since(saidAt).compareTo(SAYS_EVERY) >= 0)) {
       saidAt = now;
       Map<String, Long> figures = new HashMap<>();
@@ -614,9 +614,9 @@
 
   /** Publishes what the module of commands is to go by, where that has changed. */
   private void publish() {
-    Moment now = clock.now();
+    Timestamp now = clock.now();
     int carriers = membership.carriers(now);
-    Moment until = agreed == null ? null : agreed.until(now);
+    Timestamp until = agreed == null ? null : agreed.until(now);
     FleetSnapshot then =
         agreed == null
             ? new FleetSnapshot(carriers, null, null, Long.MAX_VALUE, null, null)
@@ -676,7 +676,7 @@
 
   /** SHOW cobaltseam.spread. */
   private List<String[]> spreadRows() {
-    Moment now = clock.now();
+    Timestamp now = clock.now();
     List<String[]> told = new ArrayList<>();
     if (!divides()) {
       told.add(
@@ -741,7 +741,7 @@
 
   /** SHOW cobaltseam.members. */
   private List<String[]> rows() {
-    Moment now = clock.now();
+    Timestamp now = clock.now();
     List<String[]> rows = new ArrayList<>();
     View view = membership.view();
     rows.add(new String[] {"membership", broken ? "ended by a fault" : "on"});
@@ -816,7 +816,7 @@
     return broken || over == 0 ? Integer.toString(bridge.dispatchers()) : Integer.toString(over);
   }
 
-  private static long ms(Moment now, Moment then) {
+  private static long ms(Timestamp now, Timestamp then) {
     return then == null ? 0 : now.since(then).us() / US_PER_MS;
   }
 }
--- a/src/main/java/cobaltseam/service/Hall.java
+++ b/src/main/java/cobaltseam/service/Hall.java
@@ -1,8 +1,8 @@
 package cobaltseam.service;
 
 import cobaltseam.dispatch.Deployment;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.hall.AdvertSocket;
 import cobaltseam.log.Field;
 import cobaltseam.mastership.Act;
@@ -51,10 +51,10 @@
  */
 final class Hall implements Clients.Gate {
   /** What fitness is judged by, beside what is measured here. */
-  record Report(Span busSilent, int engines, double failing, double descriptors) {}
+  record Report(TimeSpan busSilent, int engines, double failing, double descriptors) {}
 
   private static final System.Logger LOG = System.getLogger(Hall.class.getName());
-  private static final Span BEAT = new Span(100_000);
+  private static final TimeSpan BEAT = new TimeSpan(100_000);
   private static final double SECOND_US = 1e6;
   private static final int US_PER_CENTISECOND = 10_000;
 
@@ -76,7 +76,7 @@
     /** Whether it is to be open; and whether it is, or about to be, as far as is known here. */
     boolean wanted, open, busy;
 
-    Moment wantedSince;
+    Timestamp wantedSince;
   }
 
   private final Supplier<Report> report;
@@ -98,10 +98,10 @@
   private final ExecutorService listening = Executors.newSingleThreadExecutor(Hall::thread);
   private final Map<VirtualRouterId, Listener> listeners = new HashMap<>();
   private final Map<SocketAddress, VirtualRouterId> routers = new HashMap<>();
-  private final Map<VirtualRouterId, Moment> noted = new HashMap<>();
+  private final Map<VirtualRouterId, Timestamp> noted = new HashMap<>();
   private Setup.Hall told;
   private Deadlines.Deadline wake;
-  private Moment beat;
+  private Timestamp beat;
   private long sequence;
   private double sharedOver;
   private boolean broken;
@@ -128,15 +128,15 @@
     this.counters = counters;
     log = new BoundedLog(LOG, clock);
     self = told.listen().getAddress();
-    dispatchersTold = configuration.deployment().dispatchers();
+    dispatchersTold = configuration.deployment().dispatcherCount();
     sharedOver = dispatchersTold;
-    Span difference = told.sealing() == null ? Span.ZERO : told.sealing().clockDifference();
+    TimeSpan difference = told.sealing() == null ? TimeSpan.ZERO : told.sealing().clockDifference();
     freshness = new Freshness(clock.now(), difference);
-    Span longest =
-        configuration.deployment().profiles().stream()
-            .map(Deployment.Profile::clientTimeout)
-            .max(Span::compareTo)
-            .orElse(Span.ZERO);
+    TimeSpan longest =
+        configuration.deployment().requestClasses().stream()
+            .map(Deployment.RequestClass::deadline)
+            .max(TimeSpan::compareTo)
+            .orElse(TimeSpan.ZERO);
     mastership =
         new Mastership(
             self,
@@ -270,7 +270,7 @@
     if (broken) {
       return;
     }
-    Moment now = clock.now();
+    Timestamp now = clock.now();
     Intake.Verdict verdict;
     try {
       verdict = intake.judge(bytes, source, self, now);
@@ -308,8 +308,8 @@
 
   /** Looks at its own fitness, and at how many dispatchers carry traffic. */
   private void beat() {
-    Moment now = clock.now();
-    Span late = now.since(beat);
+    Timestamp now = clock.now();
+    TimeSpan late = now.since(beat);
     beat = now.plus(BEAT);
     deadlines.set(beat, this::beat);
     intake.refusedTo(Refusal.UNKNOWN_SENDER, counted(socket.strangers()));
@@ -335,7 +335,7 @@
     return refused;
   }
 
-  private Map<Sign, Double> signs(Span late) {
+  private Map<Sign, Double> signs(TimeSpan late) {
     Report seen = report.get();
     Map<Sign, Double> values = new EnumMap<>(Sign.class);
     values.put(Sign.BUS_SILENT, seen.busSilent().us() / SECOND_US);
@@ -373,7 +373,7 @@
       for (Act act : asked.get()) {
         carryOut(act);
       }
-      Moment now = clock.now();
+      Timestamp now = clock.now();
       double over = mastership.dispatchers(now);
       if (Math.abs(over - sharedOver) > NOTABLE * sharedOver) {
         sharedOver = over;
@@ -520,7 +520,7 @@
     if (!l.wanted || listeners.get(router) != l) {
       return;
     }
-    Span interval = mastership.terms(router).interval();
+    TimeSpan interval = mastership.terms(router).interval();
     if (clock.now().since(l.wantedSince).compareTo(interval.times(TRY_FOR)) > 0) {
       act(() -> mastership.unable(router, clock.now()));
     } else {
@@ -561,7 +561,7 @@
 
   @Override
   public boolean admits(SocketAddress at) {
-    Moment now = clock.now();
+    Timestamp now = clock.now();
     if (broken) {
       return false;
     }
@@ -578,14 +578,14 @@
 
   /** After a down interval another has taken over. */
   @Override
-  public Span comeBack(SocketAddress at) {
+  public TimeSpan comeBack(SocketAddress at) {
     VirtualRouterId router = routers.getOrDefault(at, mastership.routers().get(0));
     return mastership.terms(router).interval().times(TRY_FOR);
   }
 
   /** SHOW cobaltseam.mastership. */
   private List<String[]> rows() {
-    Moment now = clock.now();
+    Timestamp now = clock.now();
     List<String[]> rows = new ArrayList<>();
     rows.add(new String[] {"mastership", broken ? "ended by a fault" : "on"});
     rows.add(
--- a/src/main/java/cobaltseam/service/Inbox.java
+++ b/src/main/java/cobaltseam/service/Inbox.java
@@ -1,6 +1,6 @@
 package cobaltseam.service;
 
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.service.Counters.Count;
 import java.lang.System.Logger.Level;
 import java.util.concurrent.BlockingQueue;
@@ -45,7 +45,7 @@
   }
 
   /** The next task, or null if none comes within this span. */
-  Runnable next(Span most) throws InterruptedException {
+  Runnable next(TimeSpan most) throws InterruptedException {
     Runnable task = tasks.poll();
     return task != null || !most.isPositive() ? task : tasks.poll(most.us(), TimeUnit.MICROSECONDS);
   }
--- a/src/main/java/cobaltseam/service/Send.java
+++ b/src/main/java/cobaltseam/service/Send.java
@@ -1,22 +1,22 @@
 package cobaltseam.service;
 
-import cobaltseam.dispatch.CommandId;
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.RequestId;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.postgres.Statement;
 import cobaltseam.resp.Result;
 
 /** One send of a command, from its hand-over to the engines until its one outcome. */
 final class Send {
-  final CommandId command;
+  final RequestId command;
   final int number;
   final EngineId engine;
   final Statement statement;
-  final Moment at;
-  final Moment until;
+  final Timestamp at;
+  final Timestamp until;
 
   /** It must not begin later than this; null if it may begin at any time. */
-  Moment startBy;
+  Timestamp startBy;
 
   Deadlines.Deadline timeout;
   EngineConnection connection;
@@ -35,12 +35,12 @@
   double inHand = -1;
 
   Send(
-      CommandId command,
+      RequestId command,
       int number,
       EngineId engine,
       Statement statement,
-      Moment at,
-      Moment until) {
+      Timestamp at,
+      Timestamp until) {
     this.command = command;
     this.number = number;
     this.engine = engine;
--- a/src/main/java/cobaltseam/service/Service.java
+++ b/src/main/java/cobaltseam/service/Service.java
@@ -1,7 +1,7 @@
 package cobaltseam.service;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.log.Field;
 import cobaltseam.log.JsonLines;
 import cobaltseam.service.Counters.Count;
@@ -34,31 +34,31 @@
   private static final System.Logger LOG = System.getLogger(Service.class.getName());
 
   /** New connections and commands may still come for this long after a stop is asked for. */
-  private static final Span STOP_AFTER = new Span(700_000);
+  private static final TimeSpan STOP_AFTER = new TimeSpan(700_000);
 
   /**
    * What is still in hand this long after nothing more is taken is given up while there is time to
    * say so: the platform may kill a process 3 s after {@link #STOP_AFTER}.
    */
-  private static final Span GIVE_UP_AFTER = new Span(2_700_000);
+  private static final TimeSpan GIVE_UP_AFTER = new TimeSpan(2_700_000);
 
   /**
    * A start waits this long at most for what the event bus has to tell; without it, it serves by
    * the configuration's list.
    */
-  private static final Span CATCH_UP_WITHIN = new Span(1_000_000);
+  private static final TimeSpan CATCH_UP_WITHIN = new TimeSpan(1_000_000);
 
   /** A shutdown waits this long at most for clients to close, once nothing is owed to any. */
-  private static final Span LEAVE_WITHIN = new Span(2_500_000);
+  private static final TimeSpan LEAVE_WITHIN = new TimeSpan(2_500_000);
 
-  private static final Span LONGEST_WAIT = new Span(1_000_000);
+  private static final TimeSpan LONGEST_WAIT = new TimeSpan(1_000_000);
 
   /**
    * A deadline that passed this long ago tells that the process was held up. Nothing may begin
    * later than 0.1 s after its client has gone, so a client's end must not lie unread for longer
    * than this.
    */
-  private static final Span HELD_UP = new Span(50_000);
+  private static final TimeSpan HELD_UP = new TimeSpan(50_000);
 
   private static final String HANG_UP = "HUP";
   static final int MOST_AT_ONCE = 1024;
@@ -106,7 +106,7 @@
   private boolean leaves;
 
   /** When it ends at the latest; null until it takes nothing more and nothing is open. */
-  private Moment leaveBy;
+  private Timestamp leaveBy;
 
   Service(ServiceConfiguration told) {
     this.told = told;
@@ -230,9 +230,9 @@
    */
   void catchUp() throws InterruptedException {
     follow();
-    Moment by = clock.now().plus(CATCH_UP_WITHIN);
+    Timestamp by = clock.now().plus(CATCH_UP_WITHIN);
     deadlines.set(by, () -> {});
-    while (!bus.isCaughtUp(clock.now()) && clock.now().before(by)) {
+    while (!bus.isCaughtUp(clock.now()) && clock.now().isBefore(by)) {
       turn();
     }
   }
@@ -360,9 +360,9 @@
         + ", event bus "
         + told.bus()
         + ", "
-        + told.deployment().dispatchers()
+        + told.deployment().dispatcherCount()
         + " dispatchers, "
-        + told.deployment().profiles().size()
+        + told.deployment().requestClasses().size()
         + " profiles, limits "
         + told.sockets()
         + " descriptors and "
@@ -432,11 +432,11 @@
   }
 
   /** Hears what was handed over, waiting this long at most for the first of it. */
-  private void hear(Span most) throws InterruptedException {
+  private void hear(TimeSpan most) throws InterruptedException {
     Runnable task = inbox.next(most);
     for (int heard = 1;
         task != null;
-        task = heard++ < MOST_AT_ONCE ? inbox.next(Span.ZERO) : null) {
+        task = heard++ < MOST_AT_ONCE ? inbox.next(TimeSpan.ZERO) : null) {
       look();
       task.run();
     }
@@ -454,8 +454,8 @@
   private void hearUnread() throws InterruptedException {
     AtomicBoolean allHeard = new AtomicBoolean();
     processor.afterReading(() -> inbox.post(null, () -> allHeard.set(true)));
-    Moment by = clock.now().plus(LONGEST_WAIT);
-    for (Moment now = clock.now(); !allHeard.get() && now.before(by); now = clock.now()) {
+    Timestamp by = clock.now().plus(LONGEST_WAIT);
+    for (Timestamp now = clock.now(); !allHeard.get() && now.isBefore(by); now = clock.now()) {
       hear(by.since(now));
     }
   }
@@ -486,7 +486,7 @@
       leaveBy = clock.now().plus(LEAVE_WITHIN);
       deadlines.set(leaveBy, () -> {});
     }
-    return acceptor.open() == 0 || !clock.now().before(leaveBy);
+    return acceptor.open() == 0 || !clock.now().isBefore(leaveBy);
   }
 
   /** Before anything is heard or decided: what a process that stood still has to know first. */
@@ -506,11 +506,11 @@
 
   /** Asks the loop to end once nothing is open. */
   void end() {
-    inbox.post(null, () -> leave(Span.ZERO));
+    inbox.post(null, () -> leave(TimeSpan.ZERO));
   }
 
   /** Takes nothing more after this span, and ends once nothing is open. */
-  private void leave(Span after) {
+  private void leave(TimeSpan after) {
     deadlines.set(
         clock.now().plus(after),
         () -> {
--- a/src/main/java/cobaltseam/service/ServiceConfiguration.java
+++ b/src/main/java/cobaltseam/service/ServiceConfiguration.java
@@ -4,7 +4,7 @@
 import cobaltseam.deployment.DeploymentReader;
 import cobaltseam.deployment.Fields;
 import cobaltseam.dispatch.Deployment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -29,8 +29,8 @@
     long knownOffset,
     List<TopologyEvent> known,
     Deployment deployment,
-    Span connectTimeout,
-    Span connectionIdle,
+    TimeSpan connectTimeout,
+    TimeSpan connectionIdle,
     int sendsPerConnection) {
   private static final int HEX = 16;
 
@@ -90,8 +90,8 @@
         known.whole("offset"),
         events,
         DeploymentReader.read(settings),
-        new Span(limits.whole("connect_timeout_us")),
-        new Span(limits.whole("conn_idle_us", 0)),
+        new TimeSpan(limits.whole("connect_timeout_us")),
+        new TimeSpan(limits.whole("conn_idle_us", 0)),
         (int) Math.max(1, limits.whole("streams_per_conn", 1)));
   }
 
--- a/src/main/java/cobaltseam/service/TopologyEvent.java
+++ b/src/main/java/cobaltseam/service/TopologyEvent.java
@@ -2,12 +2,12 @@
 
 import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.Fields;
+import cobaltseam.dispatch.EndpointStatus;
 import cobaltseam.dispatch.EngineId;
 import cobaltseam.dispatch.GroupId;
-import cobaltseam.dispatch.KindId;
-import cobaltseam.dispatch.Listing;
 import cobaltseam.dispatch.LocationId;
-import cobaltseam.dispatch.Moment;
+import cobaltseam.dispatch.MachineTypeId;
+import cobaltseam.dispatch.Timestamp;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -20,7 +20,10 @@
  * addresses.
  */
 record TopologyEvent(
-    long offset, boolean whole, List<Listing> list, Map<EngineId, InetSocketAddress> addresses) {
+    long offset,
+    boolean whole,
+    List<EndpointStatus> list,
+    Map<EngineId, InetSocketAddress> addresses) {
   static final String EVENT = "topology";
   static final String OFFSET = "offset";
   static final String WHOLE = "all";
@@ -35,18 +38,18 @@
 
   static TopologyEvent of(Fields event) {
     Fields told = event.object(EVENT);
-    List<Listing> list = new ArrayList<>();
+    List<EndpointStatus> list = new ArrayList<>();
     Map<EngineId, InetSocketAddress> addresses = new HashMap<>();
     for (Fields target : told.objects("targets")) {
       EngineId engine = engine(target.text("uid"));
       list.add(
-          new Listing(
+          new EndpointStatus(
               engine,
               new LocationId(target.text("az", "")),
-              new KindId(target.text("model", "")),
+              new MachineTypeId(target.text("model", "")),
               new GroupId(target.whole("pod_group", 0)),
               standing(target.text("state")),
-              new Moment(target.whole("boot_ms", 0) * US_PER_MS)));
+              new Timestamp(target.whole("boot_ms", 0) * US_PER_MS)));
       if (target.has("endpoint")) {
         addresses.put(engine, ServiceConfiguration.address(target.text("endpoint")));
       }
@@ -54,11 +57,11 @@
     return new TopologyEvent(event.whole(OFFSET, 0), told.flag(WHOLE), list, addresses);
   }
 
-  private static Listing.Standing standing(String state) {
+  private static EndpointStatus.EndpointState standing(String state) {
     return switch (state) {
-      case "in_service" -> Listing.Standing.UP;
-      case "terminating" -> Listing.Standing.DRAINING;
-      case "terminated" -> Listing.Standing.GONE;
+      case "in_service" -> EndpointStatus.EndpointState.UP;
+      case "terminating" -> EndpointStatus.EndpointState.DRAINING;
+      case "terminated" -> EndpointStatus.EndpointState.GONE;
       default -> throw new BadInput("targets: unknown 'state' " + state);
     };
   }
--- a/src/main/java/cobaltseam/service/Warmup.java
+++ b/src/main/java/cobaltseam/service/Warmup.java
@@ -2,8 +2,8 @@
 
 import cobaltseam.deployment.BadInput;
 import cobaltseam.dispatch.Deployment;
+import cobaltseam.dispatch.EndpointStatus;
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Listing;
 import cobaltseam.log.Field;
 import cobaltseam.resp.RespParser;
 import java.io.DataInputStream;
@@ -44,11 +44,11 @@
 
   private final ServerSocket engine = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
   private final ServerSocket bus = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
-  private final List<Deployment.Profile> profiles;
+  private final List<Deployment.RequestClass> profiles;
   private final Service service;
 
   private Warmup(ServiceConfiguration told) throws IOException {
-    profiles = told.deployment().profiles();
+    profiles = told.deployment().requestClasses();
     InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     service =
         new Service(
@@ -87,7 +87,7 @@
   /** The list as told, but each engine is the toy. */
   private TopologyEvent played(TopologyEvent told) {
     Map<EngineId, InetSocketAddress> addresses = new HashMap<>();
-    for (Listing line : told.list()) {
+    for (EndpointStatus line : told.list()) {
       addresses.put(line.engine(), address(engine));
     }
     return new TopologyEvent(told.offset(), told.whole(), told.list(), addresses);
@@ -189,7 +189,7 @@
         readUntilReady(in);
         for (int j = 0; j < COMMANDS; j++) {
           int number = (client * CONNECTIONS + i) * COMMANDS + j;
-          Deployment.Profile profile = profiles.get(number % profiles.size());
+          Deployment.RequestClass profile = profiles.get(number % profiles.size());
           String call = Long.toHexString(Long.MIN_VALUE | number);
           byte[] text =
               ("/* op="
@@ -197,7 +197,7 @@
                       + ",call="
                       + call
                       + ",ttl="
-                      + profile.clientTimeout().us() / US_PER_MS
+                      + profile.deadline().us() / US_PER_MS
                       + ",work=100.5,space=2 */ SELECT 'x', "
                       + "count(*) FROM s_1.t WHERE a = 'b' GROUP BY c")
                   .getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/cobaltseam/setup/Setup.java
+++ b/src/main/java/cobaltseam/setup/Setup.java
@@ -1,6 +1,6 @@
 package cobaltseam.setup;
 
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.mastership.Fitness;
 import cobaltseam.mastership.Terms;
 import cobaltseam.seal.SealKeys;
@@ -18,13 +18,13 @@
   /** Without a file: everything is off. */
   public static final Setup OFF = new Setup(false, null, null, null, null, null);
 
-  private static final Span SHARING_ROUND = new Span(1_000_000);
+  private static final TimeSpan SHARING_ROUND = new TimeSpan(1_000_000);
   private static final int SHARING_ASKED = 3;
   private static final int SHARING_ROUNDS = 10;
 
   /** How members tell each other their figures. */
   public cobaltseam.sharing.Terms sharing(int mostBytes, double clocks) {
-    Span round = spread != null ? spread.round() : SHARING_ROUND;
+    TimeSpan round = spread != null ? spread.round() : SHARING_ROUND;
     return new cobaltseam.sharing.Terms(
         round,
         SHARING_ASKED,
@@ -72,7 +72,7 @@
       InetSocketAddress advertise,
       List<InetSocketAddress> seeds,
       List<String> founders,
-      Span period,
+      TimeSpan period,
       double patience,
       int helpers,
       Path folder,
@@ -89,7 +89,7 @@
    * That the fleet agrees on the settings of decisions: for how long two members may contradict
    * each other.
    */
-  public record Agreed(Span contradiction) {}
+  public record Agreed(TimeSpan contradiction) {}
 
   /**
    * What the fleet knows together of engines and of what its members need.
@@ -108,11 +108,11 @@
       boolean byDemand,
       double alone,
       double floor,
-      Span lease,
-      Span window,
-      Span round,
-      Span end,
-      Span news,
+      TimeSpan lease,
+      TimeSpan window,
+      TimeSpan round,
+      TimeSpan end,
+      TimeSpan news,
       boolean audit) {
     private static final long WHOLE = 1_000_000_000L;
     private static final int LOANS = 16;
@@ -142,12 +142,12 @@
    * @param window for which what first sends earn may be spent
    * @param round between two looks at whom to ask for more
    */
-  public record Repeats(double ratio, double alone, Span window, Span round) {
+  public record Repeats(double ratio, double alone, TimeSpan window, TimeSpan round) {
     public cobaltseam.repeats.Terms terms(double clocks) {
       return new cobaltseam.repeats.Terms(ratio, alone, window, round, clocks);
     }
   }
 
   /** The keys of seals, the one to write with, and how much clocks may differ. */
-  public record Sealing(SealKeys keys, int writeKey, Span clockDifference) {}
+  public record Sealing(SealKeys keys, int writeKey, TimeSpan clockDifference) {}
 }
--- a/src/main/java/cobaltseam/setup/SetupReader.java
+++ b/src/main/java/cobaltseam/setup/SetupReader.java
@@ -1,7 +1,7 @@
 package cobaltseam.setup;
 
 import cobaltseam.deployment.BadInput;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.mastership.Fitness;
 import cobaltseam.mastership.Fitness.Sign;
 import cobaltseam.mastership.Terms;
@@ -270,7 +270,7 @@
       wrong("agreement", told, "it needs [membership]: views carry what is agreed.");
     }
     return new Setup.Agreed(
-        new Span(
+        new TimeSpan(
             value(told, schema.at("/properties/agreement/properties"), "contradiction_ms").asLong()
                 * US_PER_MS));
   }
@@ -289,8 +289,8 @@
           told.path("lease_ms"),
           "agreement.contradiction_ms says for how long a lease lasts; one of the two is allowed.");
     }
-    Span round = new Span(value(told, keys, "round_ms").asLong() * US_PER_MS);
-    Span end = new Span(value(told, keys, "unknown_after_ms").asLong() * US_PER_MS);
+    TimeSpan round = new TimeSpan(value(told, keys, "round_ms").asLong() * US_PER_MS);
+    TimeSpan end = new TimeSpan(value(told, keys, "unknown_after_ms").asLong() * US_PER_MS);
     if (end.compareTo(round) <= 0) {
       wrong(
           "spread.unknown_after_ms",
@@ -301,11 +301,11 @@
         value(told, keys, "by").asText().equals("demand"),
         value(told, keys, "alone").asDouble(),
         value(told, keys, "floor").asDouble(),
-        new Span(value(told, keys, "lease_ms").asLong() * US_PER_MS),
-        new Span(value(told, keys, "window_ms").asLong() * US_PER_MS),
+        new TimeSpan(value(told, keys, "lease_ms").asLong() * US_PER_MS),
+        new TimeSpan(value(told, keys, "window_ms").asLong() * US_PER_MS),
         round,
         end,
-        new Span(value(told, keys, "news_ms").asLong() * US_PER_MS),
+        new TimeSpan(value(told, keys, "news_ms").asLong() * US_PER_MS),
         value(told, keys, "audit").asBoolean());
   }
 
@@ -317,8 +317,8 @@
     if (membership.isMissingNode()) {
       wrong("repeats", told, "it needs [membership]: what is left is moved between members.");
     }
-    Span window = new Span(value(told, keys, "window_ms").asLong() * US_PER_MS);
-    Span round = new Span(value(told, keys, "round_ms").asLong() * US_PER_MS);
+    TimeSpan window = new TimeSpan(value(told, keys, "window_ms").asLong() * US_PER_MS);
+    TimeSpan round = new TimeSpan(value(told, keys, "round_ms").asLong() * US_PER_MS);
     if (round.compareTo(window) >= 0) {
       wrong(
           "repeats.round_ms", told.path("round_ms"), "it must be shorter than repeats.window_ms.");
@@ -350,7 +350,7 @@
         advertise,
         List.copyOf(seeds),
         List.copyOf(founders),
-        new Span(value(told, keys, "period_ms").asLong() * US_PER_MS),
+        new TimeSpan(value(told, keys, "period_ms").asLong() * US_PER_MS),
         value(told, keys, "patience").asDouble(),
         value(told, keys, "helpers").asInt(),
         told.has("folder") ? beside(told.path("folder").asText()) : null,
@@ -391,8 +391,8 @@
     return new Setup.Seat(terms, address(key + ".serve", told.path("serve")));
   }
 
-  private static Span ms(JsonNode told, long otherwise) {
-    return new Span(told.asLong(otherwise) * US_PER_MS);
+  private static TimeSpan ms(JsonNode told, long otherwise) {
+    return new TimeSpan(told.asLong(otherwise) * US_PER_MS);
   }
 
   /** A path in the file counts from the file's own folder. */
@@ -451,8 +451,8 @@
     }
     return new Fitness.Watched(
         bounds,
-        new Span(value(told, keys, "sustained_ms").asLong() * US_PER_MS),
-        new Span(value(told, keys, "calm_ms").asLong() * US_PER_MS),
+        new TimeSpan(value(told, keys, "sustained_ms").asLong() * US_PER_MS),
+        new TimeSpan(value(told, keys, "calm_ms").asLong() * US_PER_MS),
         value(told, keys, "most_doubled").asInt());
   }
 
--- a/src/main/java/cobaltseam/sharing/Known.java
+++ b/src/main/java/cobaltseam/sharing/Known.java
@@ -1,6 +1,6 @@
 package cobaltseam.sharing;
 
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 
 /** What is known of a member now: its figures, and how old they are at the most. */
-public record Known(Version version, Figures figures, Span age) {}
+public record Known(Version version, Figures figures, TimeSpan age) {}
--- a/src/main/java/cobaltseam/sharing/Sharing.java
+++ b/src/main/java/cobaltseam/sharing/Sharing.java
@@ -1,7 +1,7 @@
 package cobaltseam.sharing;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Birth;
 import cobaltseam.membership.MemberName;
 import java.util.ArrayList;
@@ -52,10 +52,10 @@
     /**
      * The earliest moment, by this process's clock, at which its member can have stood by it last.
      */
-    Moment saidFrom;
+    Timestamp saidFrom;
   }
 
-  private record Open(MemberName of, Moment at) {}
+  private record Open(MemberName of, Timestamp at) {}
 
   /** One message and whom it is for. */
   public record Send(MemberName to, Told message) {}
@@ -73,9 +73,9 @@
 
   private long number;
   private Figures own;
-  private Moment next;
+  private Timestamp next;
 
-  public Sharing(MemberName self, Birth birth, Terms terms, RandomGenerator chance, Moment now) {
+  public Sharing(MemberName self, Birth birth, Terms terms, RandomGenerator chance, Timestamp now) {
     this.self = self;
     this.birth = birth;
     this.terms = terms;
@@ -111,13 +111,13 @@
   }
 
   /** When to ask {@link #due} next. */
-  public Moment wake() {
+  public Timestamp wake() {
     return next;
   }
 
   /** What to send now. */
-  public List<Send> due(Moment now) {
-    if (now.before(next)) {
+  public List<Send> due(Timestamp now) {
+    if (now.isBefore(next)) {
       return List.of();
     }
     // After a pause there is one round, not all those that were missed.
@@ -141,10 +141,10 @@
    * What is held, as much as a message holds; what is left out is drawn, so that nothing is for
    * good.
    */
-  private Map<MemberName, Told.Have> has(Moment now) {
+  private Map<MemberName, Told.Have> has(Timestamp now) {
     List<MemberName> names = new ArrayList<>(held.keySet());
     Map<MemberName, Told.Have> known = new HashMap<>();
-    known.put(self, new Told.Have(new Version(birth, number), Span.ZERO));
+    known.put(self, new Told.Have(new Version(birth, number), TimeSpan.ZERO));
     int bytes = 0;
     while (!names.isEmpty()) {
       MemberName name = names.remove(chance.nextInt(names.size()));
@@ -159,7 +159,7 @@
   }
 
   /** What to send after a message. */
-  public List<Send> heard(Told message, Moment now) {
+  public List<Send> heard(Told message, Timestamp now) {
     if (!others.contains(message.from())) {
       return List.of();
     }
@@ -170,10 +170,10 @@
     return List.of();
   }
 
-  private List<Send> answer(Told.Ask ask, Moment now) {
+  private List<Send> answer(Told.Ask ask, Timestamp now) {
     List<Statement> mine = new ArrayList<>();
     if (own != null) {
-      mine.add(new Statement(self, new Version(birth, number), own, Span.ZERO));
+      mine.add(new Statement(self, new Version(birth, number), own, TimeSpan.ZERO));
     }
     held.forEach((name, h) -> mine.add(new Statement(name, h.version, h.figures, age(h, now))));
     List<Send> sends = new ArrayList<>();
@@ -214,7 +214,7 @@
         + s.figures().byName().keySet().stream().mapToInt(n -> n.length() + FIGURE_BYTES).sum();
   }
 
-  private void learn(Told.Newer newer, Moment now) {
+  private void learn(Told.Newer newer, Timestamp now) {
     Open asked = open.get(newer.id());
     if (asked == null || !asked.of().equals(newer.from())) {
       return;
@@ -233,7 +233,7 @@
           || h != null && h.version.compareTo(s.version()) >= 0) {
         continue;
       }
-      Moment from = from(asked, s.age());
+      Timestamp from = from(asked, s.age());
       if (now.since(from).compareTo(terms.end()) < 0) {
         Held fresh = new Held();
         fresh.version = s.version();
@@ -247,7 +247,7 @@
       if (h != null
           && s.age().us() >= 0
           && h.version.equals(s.version())
-          && h.saidFrom.before(from(asked, s.age()))) {
+          && h.saidFrom.isBefore(from(asked, s.age()))) {
         h.saidFrom = from(asked, s.age());
       }
     }
@@ -257,16 +257,16 @@
    * It left its teller after it was asked for: by then it was as old as told at the most, by a
    * clock of another rate.
    */
-  private Moment from(Open asked, Span age) {
+  private Timestamp from(Open asked, TimeSpan age) {
     return asked.at().minus(age.times(1 + 2 * terms.drift()));
   }
 
-  private Span age(Held h, Moment now) {
+  private TimeSpan age(Held h, Timestamp now) {
     return now.since(h.saidFrom);
   }
 
   /** What is known of a member now; null if nothing is, or it has reached its end. */
-  public Known known(MemberName of, Moment now) {
+  public Known known(MemberName of, Timestamp now) {
     Held h = held.get(of);
     return h == null || age(h, now).compareTo(terms.end()) >= 0
         ? null
@@ -277,7 +277,7 @@
    * The sum of one figure over those of whom it is known, how many that are, and of how many it is
    * not: of a sum that leaves some out nobody may believe that they have nothing.
    */
-  public Sum sum(String figure, Moment now) {
+  public Sum sum(String figure, Timestamp now) {
     long sum = own == null ? 0 : own.byName().getOrDefault(figure, 0L);
     int counted = own != null && own.byName().containsKey(figure) ? 1 : 0;
     for (MemberName m : others) {
--- a/src/main/java/cobaltseam/sharing/Statement.java
+++ b/src/main/java/cobaltseam/sharing/Statement.java
@@ -1,11 +1,11 @@
 package cobaltseam.sharing;
 
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.membership.MemberName;
 import java.util.Objects;
 
 /** What a member said of itself, and how long ago at least that was when this left its teller. */
-public record Statement(MemberName of, Version version, Figures figures, Span age) {
+public record Statement(MemberName of, Version version, Figures figures, TimeSpan age) {
   public Statement {
     Objects.requireNonNull(of);
     Objects.requireNonNull(version);
--- a/src/main/java/cobaltseam/sharing/Terms.java
+++ b/src/main/java/cobaltseam/sharing/Terms.java
@@ -1,13 +1,13 @@
 package cobaltseam.sharing;
 
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 
 /**
  * How knowledge is spread: between two rounds of one member, how many it asks in one, how old a
  * figure may be before it is unknown, the bytes of one message, and by how much clocks' rates may
  * differ (0.001 is one part in a thousand).
  */
-public record Terms(Span round, int asked, Span end, int mostBytes, double drift) {
+public record Terms(TimeSpan round, int asked, TimeSpan end, int mostBytes, double drift) {
   public Terms {
     if (!round.isPositive()
         || asked < 1
--- a/src/main/java/cobaltseam/sharing/Told.java
+++ b/src/main/java/cobaltseam/sharing/Told.java
@@ -1,6 +1,6 @@
 package cobaltseam.sharing;
 
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.membership.MemberName;
 import java.util.List;
 import java.util.Map;
@@ -11,7 +11,7 @@
   MemberName from();
 
   /** Which statement of a member the one that asks has, and how old it is there at the most. */
-  record Have(Version version, Span age) {
+  record Have(Version version, TimeSpan age) {
     public Have {
       Objects.requireNonNull(version);
       Objects.requireNonNull(age);
@@ -33,7 +33,7 @@
    * The member stood by this statement no longer ago than that: the figures are those that the one
    * that asked has.
    */
-  record Stands(MemberName of, Version version, Span age) {
+  record Stands(MemberName of, Version version, TimeSpan age) {
     public Stands {
       Objects.requireNonNull(of);
       Objects.requireNonNull(version);
--- a/src/main/java/cobaltseam/spread/Demand.java
+++ b/src/main/java/cobaltseam/spread/Demand.java
@@ -1,7 +1,7 @@
 package cobaltseam.spread;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 
 /**
  * What a process needs, from a running sum of what it was asked for: its mean rate, of which news
@@ -9,8 +9,8 @@
  * commands, or parts would follow chance.
  */
 public final class Demand {
-  private final Span half;
-  private Moment at;
+  private final TimeSpan half;
+  private Timestamp at;
   private double total;
   private double rate;
 
@@ -20,14 +20,14 @@
    */
   private double known;
 
-  public Demand(Span half) {
+  public Demand(TimeSpan half) {
     this.half = half;
   }
 
   /** The rate a second, after the sum has come to this. */
-  public double told(double sum, Moment now) {
-    if (at != null && at.before(now)) {
-      Span since = now.since(at);
+  public double told(double sum, Timestamp now) {
+    if (at != null && at.isBefore(now)) {
+      TimeSpan since = now.since(at);
       double keep = Math.pow(0.5, since.over(half));
       rate = rate * keep + (sum - total) / since.us() * 1e6 * (1 - keep);
       known = known * keep + 1 - keep;
--- a/src/main/java/cobaltseam/spread/Holdings.java
+++ b/src/main/java/cobaltseam/spread/Holdings.java
@@ -1,7 +1,7 @@
 package cobaltseam.spread;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
 import cobaltseam.membership.Message.Teller;
@@ -45,10 +45,10 @@
     Teller teller();
 
     /** Until when a majority's word counts that the view is the newest; null if it does not. */
-    Moment leaseUntil();
+    Timestamp leaseUntil();
 
     /** After so long all leases on earlier views have ended, by any clock. */
-    Span outlasts();
+    TimeSpan outlasts();
 
     /** By which part the rates of two clocks differ at most. */
     double clockRates();
@@ -64,7 +64,7 @@
   public record Tell(InetSocketAddress to, LoanWord word) {}
 
   /** Up to this moment so much may be used; an end that is null never comes. */
-  public record Step(Moment until, long amount) {}
+  public record Step(Timestamp until, long amount) {}
 
   /** So many asks wait for their answer at the most. */
   private static final int MOST_OPEN = 64;
@@ -78,13 +78,13 @@
   /** Whoever lent less than it was asked for is asked for no more for so many rounds. */
   private static final int SPARES = 4;
 
-  private record Earlier(long base, Moment until) {}
+  private record Earlier(long base, Timestamp until) {}
 
-  private record Out(long amount, Moment until) {}
+  private record Out(long amount, Timestamp until) {}
 
-  private record In(Member of, long amount, Moment until) {}
+  private record In(Member of, long amount, Timestamp until) {}
 
-  private record Open(Member of, long amount, Moment at) {}
+  private record Open(Member of, long amount, Timestamp at) {}
 
   private final Terms terms;
   private final Ground ground;
@@ -96,14 +96,14 @@
   private final List<Earlier> earlier = new ArrayList<>();
 
   /** Until then what others use is not known here, and nothing is held of the view. */
-  private Moment freshUntil;
+  private Timestamp freshUntil;
 
   private final Map<Member, List<Out>> lent = new HashMap<>();
   private final Map<MemberName, In> borrowed = new TreeMap<>();
   private final Map<Long, Open> open = new HashMap<>();
-  private final Map<MemberName, Moment> dry = new HashMap<>();
+  private final Map<MemberName, Timestamp> dry = new HashMap<>();
   private double demand;
-  private Moment next;
+  private Timestamp next;
 
   public Holdings(Terms terms, Ground ground, RandomGenerator chance) {
     this.terms = terms;
@@ -119,10 +119,10 @@
   }
 
   /** What may be used at this moment. */
-  public long usable(Moment now) {
+  public long usable(Timestamp now) {
     long all = terms.alonePart() + (leased(now) ? own(now) : 0);
     for (In in : borrowed.values()) {
-      all += now.before(in.until) ? in.amount : 0;
+      all += now.isBefore(in.until) ? in.amount : 0;
     }
     return all;
   }
@@ -131,23 +131,25 @@
    * What may be used from now on if nothing more is heard, in steps down: for a reader that must
    * not ask this process's thread.
    */
-  public List<Step> steps(Moment now) {
-    List<Moment> ends = new ArrayList<>();
+  public List<Step> steps(Timestamp now) {
+    List<Timestamp> ends = new ArrayList<>();
     if (leased(now)) {
       ends.add(ground.leaseUntil());
     }
-    borrowed.values().stream().filter(in -> now.before(in.until)).forEach(in -> ends.add(in.until));
+    borrowed.values().stream()
+        .filter(in -> now.isBefore(in.until))
+        .forEach(in -> ends.add(in.until));
     ends.sort(Comparator.naturalOrder());
     List<Step> steps = new ArrayList<>();
     long own = own(now);
     for (int i = 0; i < ends.size(); i++) {
-      Moment end = ends.get(i);
+      Timestamp end = ends.get(i);
       if (i > 0 && end.equals(ends.get(i - 1))) {
         continue;
       }
-      long all = terms.alonePart() + (leased(now) && !ground.leaseUntil().before(end) ? own : 0);
+      long all = terms.alonePart() + (leased(now) && !ground.leaseUntil().isBefore(end) ? own : 0);
       for (In in : borrowed.values()) {
-        all += !in.until.before(end) ? in.amount : 0;
+        all += !in.until.isBefore(end) ? in.amount : 0;
       }
       steps.add(new Step(end, all));
     }
@@ -156,76 +158,76 @@
   }
 
   /** The even part of the view that this process may divide between itself and others. */
-  public long even(Moment now) {
-    if (held == null || freshUntil != null && now.before(freshUntil)) {
+  public long even(Timestamp now) {
+    if (held == null || freshUntil != null && now.isBefore(freshUntil)) {
       return 0;
     }
     long least = base;
     for (Earlier e : earlier) {
-      least = now.before(e.until) ? Math.min(least, e.base) : least;
+      least = now.isBefore(e.until) ? Math.min(least, e.base) : least;
     }
     return least;
   }
 
   /** What is lent out. */
-  public long lentOut(Moment now) {
+  public long lentOut(Timestamp now) {
     return lent.values().stream().mapToLong(outs -> reserved(outs, now)).sum();
   }
 
   /** What is borrowed. */
-  public long borrowed(Moment now) {
+  public long borrowed(Timestamp now) {
     return borrowed.values().stream()
-        .filter(in -> now.before(in.until))
+        .filter(in -> now.isBefore(in.until))
         .mapToLong(In::amount)
         .sum();
   }
 
   /** When {@link #follow} is to be asked again. */
-  public Moment wake(Moment now) {
-    return next == null || !now.before(next) ? now.plus(terms.round()) : next;
+  public Timestamp wake(Timestamp now) {
+    return next == null || !now.isBefore(next) ? now.plus(terms.round()) : next;
   }
 
-  private boolean leased(Moment now) {
-    return ground.leaseUntil() != null && now.before(ground.leaseUntil());
+  private boolean leased(Timestamp now) {
+    return ground.leaseUntil() != null && now.isBefore(ground.leaseUntil());
   }
 
-  private long own(Moment now) {
+  private long own(Timestamp now) {
     return Math.max(0, even(now) - lentOut(now));
   }
 
   /** The borrower uses one of these at a time, and never two. */
-  private static long reserved(List<Out> outs, Moment now) {
-    return outs.stream().filter(o -> now.before(o.until)).mapToLong(Out::amount).max().orElse(0);
+  private static long reserved(List<Out> outs, Timestamp now) {
+    return outs.stream().filter(o -> now.isBefore(o.until)).mapToLong(Out::amount).max().orElse(0);
   }
 
   // ---- what follows
 
   /** What follows from the view, from time and from what is needed. */
-  public List<Tell> follow(Moment now) {
+  public List<Tell> follow(Timestamp now) {
     View view = ground.view();
     if (view != held) {
       viewed(view, now);
     }
-    earlier.removeIf(e -> !now.before(e.until));
-    borrowed.values().removeIf(in -> !now.before(in.until));
+    earlier.removeIf(e -> !now.isBefore(e.until));
+    borrowed.values().removeIf(in -> !now.isBefore(in.until));
     for (Iterator<List<Out>> each = lent.values().iterator(); each.hasNext(); ) {
       List<Out> outs = each.next();
-      outs.removeIf(o -> !now.before(o.until));
+      outs.removeIf(o -> !now.isBefore(o.until));
       if (outs.isEmpty()) {
         each.remove();
       }
     }
-    if (held == null || next != null && now.before(next)) {
+    if (held == null || next != null && now.isBefore(next)) {
       return List.of();
     }
     // After a pause there is one round, not all those that were missed.
     next = now.plus(terms.round());
     open.values().removeIf(o -> now.since(o.at).compareTo(ground.outlasts()) >= 0);
-    dry.values().removeIf(until -> !now.before(until));
+    dry.values().removeIf(until -> !now.isBefore(until));
     return asks(now);
   }
 
-  private void viewed(View view, Moment now) {
+  private void viewed(View view, Timestamp now) {
     boolean follows =
         view != null
             && held != null
@@ -276,13 +278,13 @@
     return new Needs(of, of.size() + 1, sum);
   }
 
-  private List<Tell> asks(Moment now) {
+  private List<Tell> asks(Timestamp now) {
     Needs needs = needs();
     // Of whom how much is to be lent in all: as before, as far as that is needed yet, and as what
     // is on its way says.
     double missing = target(demand, needs.known, needs.sum) - own(now);
     Map<Member, Double> wanted = new HashMap<>();
-    Span soon = ground.outlasts().times(RENEW_AT);
+    TimeSpan soon = ground.outlasts().times(RENEW_AT);
     for (In in : borrowed.values()) {
       double keeps = Math.max(0, Math.min(missing, in.amount));
       missing -= keeps;
@@ -336,11 +338,11 @@
    * An answer is not given up before its message is too late to count, but after two rounds it is
    * asked again.
    */
-  private boolean isWaitedFor(Open o, Moment now) {
+  private boolean isWaitedFor(Open o, Timestamp now) {
     return now.since(o.at).compareTo(terms.round().times(1.5)) < 0;
   }
 
-  private boolean isAsked(Member of, Moment now) {
+  private boolean isAsked(Member of, Timestamp now) {
     return open.values().stream().anyMatch(o -> o.of.equals(of) && isWaitedFor(o, now));
   }
 
@@ -359,7 +361,7 @@
     return members.get(members.size() - 1);
   }
 
-  private Tell ask(Member of, long amount, Moment now) {
+  private Tell ask(Member of, long amount, Timestamp now) {
     long id = chance.nextLong();
     open.put(id, new Open(of, amount, now));
     return new Tell(of.address(), new Borrow(ground.teller(), id, amount));
@@ -368,7 +370,7 @@
   // ---- what comes
 
   /** What to tell after a word that its carrier found whole, of one that counts. */
-  public List<Tell> heard(LoanWord word, Moment now) {
+  public List<Tell> heard(LoanWord word, Timestamp now) {
     follow0(now);
     Member from = word.from().member();
     if (held == null
@@ -390,14 +392,14 @@
       return List.of();
     }
     open.remove(l.id());
-    Moment until = asked.at.plus(new Span(l.lastsUs()));
+    Timestamp until = asked.at.plus(new TimeSpan(l.lastsUs()));
     In before = borrowed.get(from.name());
     if (l.amount() < asked.amount) {
       dry.put(from.name(), now.plus(terms.round().times(SPARES)));
     }
     if (l.amount() > 0
-        && now.before(until)
-        && (before == null || !before.of.equals(from) || before.until.before(until))) {
+        && now.isBefore(until)
+        && (before == null || !before.of.equals(from) || before.until.isBefore(until))) {
       // In place of what it lent before: it holds only the larger one back for this process.
       borrowed.put(from.name(), new In(from, l.amount(), until));
     }
@@ -405,13 +407,13 @@
   }
 
   /** Brings the view up to now without asking for anything. */
-  private void follow0(Moment now) {
+  private void follow0(Timestamp now) {
     if (ground.view() != held) {
       viewed(ground.view(), now);
     }
   }
 
-  private Tell lend(Member to, Borrow asked, Moment now) {
+  private Tell lend(Member to, Borrow asked, Timestamp now) {
     Needs needs = needs();
     long others = 0;
     for (Map.Entry<Member, List<Out>> e : lent.entrySet()) {
@@ -420,10 +422,10 @@
     long before = lent.containsKey(to) ? reserved(lent.get(to), now) : 0;
     double free = even(now) - others - Math.ceil(target(demand, needs.known, needs.sum));
     // The loan ends before the lease under which it is given, by whichever clock.
-    Span lasts =
+    TimeSpan lasts =
         leased(now)
             ? ground.leaseUntil().since(now).times(1 / (1 + 2 * ground.clockRates()))
-            : Span.ZERO;
+            : TimeSpan.ZERO;
     long amount =
         lasts.isPositive() ? Math.max(0, Math.min(asked.amount(), (long) Math.floor(free))) : 0;
     // What it holds back for this one already is no more than its even part.
--- a/src/main/java/cobaltseam/spread/Reports.java
+++ b/src/main/java/cobaltseam/spread/Reports.java
@@ -1,8 +1,8 @@
 package cobaltseam.spread;
 
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.Message.Teller;
 import cobaltseam.membership.View;
@@ -39,7 +39,7 @@
    * @param end after which a report is nothing
    * @param clockRates by which part the rates of two clocks differ at most
    */
-  public record Terms(Span round, int asked, Span end, double clockRates) {
+  public record Terms(TimeSpan round, int asked, TimeSpan end, double clockRates) {
     public Terms {
       if (!round.isPositive() || asked < 1 || end.compareTo(round) <= 0) {
         throw new IllegalArgumentException(
@@ -52,7 +52,7 @@
    * An engine told at this moment, or later, that it holds so many commands that do not wait for
    * memory.
    */
-  public record Report(EngineId engine, double inHand, Moment at) {}
+  public record Report(EngineId engine, double inHand, Timestamp at) {}
 
   /** A datagram to an address; it may be lost. */
   public record Tell(InetSocketAddress to, ReportWord word) {}
@@ -66,16 +66,16 @@
   private static final long US_PER_MS = 1000;
   private static final int LARGEST = 1 << 20;
 
-  private record Open(Member of, Moment at) {}
+  private record Open(Member of, Timestamp at) {}
 
   private final Terms terms;
   private final RandomGenerator chance;
   private final TreeMap<EngineId, Report> youngest = new TreeMap<>();
   private final Map<Long, Open> open = new HashMap<>();
   private List<Report> news = new ArrayList<>();
-  private Moment next;
+  private Timestamp next;
 
-  public Reports(Terms terms, RandomGenerator chance, Moment now) {
+  public Reports(Terms terms, RandomGenerator chance, Timestamp now) {
     this.terms = terms;
     this.chance = chance;
     next = now.plus(terms.round().times(chance.nextDouble()));
@@ -90,7 +90,7 @@
 
   private boolean isYounger(Report r) {
     Report held = youngest.get(r.engine());
-    return held == null ? youngest.size() < MOST : held.at().before(r.at());
+    return held == null ? youngest.size() < MOST : held.at().isBefore(r.at());
   }
 
   /** What others were told that is younger than what was known here; each once. */
@@ -101,13 +101,13 @@
   }
 
   /** When to ask {@link #due} next. */
-  public Moment wake() {
+  public Timestamp wake() {
     return next;
   }
 
   /** What to send now. */
-  public List<Tell> due(View view, Teller self, Moment now) {
-    if (now.before(next)) {
+  public List<Tell> due(View view, Teller self, Timestamp now) {
+    if (now.isBefore(next)) {
       return List.of();
     }
     // After a pause there is one round, not all those that were missed.
@@ -128,7 +128,7 @@
   }
 
   /** What to tell after a word that its carrier found whole, of one that counts. */
-  public List<Tell> heard(ReportWord word, View view, Teller self, Moment now) {
+  public List<Tell> heard(ReportWord word, View view, Teller self, Timestamp now) {
     Member from = word.from().member();
     if (view == null || !view.holds(from.name(), from.birth())) {
       return List.of();
@@ -147,7 +147,7 @@
     return List.of();
   }
 
-  private Table table(Teller self, long id, Moment now) {
+  private Table table(Teller self, long id, Timestamp now) {
     List<Report> fresh =
         youngest.values().stream()
             .filter(r -> now.since(r.at()).compareTo(terms.end()) < 0)
@@ -170,8 +170,8 @@
     if (age < 0 || inHand < 0 || inHand > LARGEST) {
       return;
     }
-    Moment at =
-        asked.at.minus(new Span(Math.round(age * US_PER_MS * (1 + 2 * terms.clockRates()))));
+    Timestamp at =
+        asked.at.minus(new TimeSpan(Math.round(age * US_PER_MS * (1 + 2 * terms.clockRates()))));
     Report report = new Report(new EngineId(table.engines()[i]), inHand, at);
     if (asked.at.since(at).compareTo(terms.end()) < 0 && isYounger(report)) {
       youngest.put(report.engine(), report);
--- a/src/main/java/cobaltseam/spread/Terms.java
+++ b/src/main/java/cobaltseam/spread/Terms.java
@@ -1,6 +1,6 @@
 package cobaltseam.spread;
 
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 
 /**
  * How a whole is divided.
@@ -13,7 +13,8 @@
  * @param round between two looks at what to ask for
  * @param asks how many are asked in one at the most
  */
-public record Terms(long whole, double alone, int processes, double floor, Span round, int asks) {
+public record Terms(
+    long whole, double alone, int processes, double floor, TimeSpan round, int asks) {
   public Terms {
     if (whole < 1
         || !(alone >= 0 && alone <= 1)
--- a/src/test/java/cobaltseam/agreement/CautionTest.java
+++ b/src/test/java/cobaltseam/agreement/CautionTest.java
@@ -45,11 +45,11 @@
     for (Class<?> type :
         new Class<?>[] {
           Deployment.class,
-          Deployment.Profile.class,
-          Deployment.Kind.class,
-          Deployment.Share.class,
+          Deployment.RequestClass.class,
+          Deployment.MachineType.class,
+          Deployment.Quota.class,
           Deployment.Rules.class,
-          Deployment.Means.class
+          Deployment.Capabilities.class
         }) {
       Arrays.stream(type.getRecordComponents())
           .forEach(c -> parts.add(type.getSimpleName() + "." + c.getName()));
@@ -104,16 +104,17 @@
   @Test
   void whatOnlyOneHasStays() {
     Deployment other = read("\"name\":\"look\"", "\"name\":\"load\"");
-    assertEquals(2, Caution.between(BASE, other).profiles().size());
+    assertEquals(2, Caution.between(BASE, other).requestClasses().size());
     assertTrue(Caution.contradict(BASE, other));
   }
 
   @Test
   void aloneNothingIsSentTwice() {
     Deployment alone = Caution.alone(BASE);
-    assertEquals(1, alone.means().mostSends());
-    assertEquals(Deployment.Repeat.NON_REPLAYABLE, alone.profiles().get(0).repeat());
-    assertFalse(alone.means().cancels());
+    assertEquals(1, alone.capabilities().maxAttempts());
+    assertEquals(
+        Deployment.RetrySafety.NOT_IDEMPOTENT, alone.requestClasses().get(0).retrySafety());
+    assertFalse(alone.capabilities().canCancel());
   }
 
   @Test
@@ -126,8 +127,8 @@
     assertFalse(Caution.contradict(BASE, loads));
     assertEquals(loads, Caution.between(BASE, loads));
     assertTrue(
-        Caution.alone(loads).profiles().get(0).load()
-            && Caution.alone(loads).profiles().get(0).waits());
+        Caution.alone(loads).requestClasses().get(0).loadsDataSet()
+            && Caution.alone(loads).requestClasses().get(0).waitsForLoads());
     assertEquals(loads.place(), Caution.alone(loads).place());
   }
 }
--- a/src/test/java/cobaltseam/deployment/DeploymentReaderTest.java
+++ b/src/test/java/cobaltseam/deployment/DeploymentReaderTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import cobaltseam.dispatch.Deployment;
-import cobaltseam.dispatch.KindId;
+import cobaltseam.dispatch.MachineTypeId;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
@@ -44,10 +44,10 @@
   @Test
   void withoutTheNewKeysAllStaysAsBefore() {
     Deployment d = read("", "", "", "");
-    assertNull(d.rules().furtherWindow(), "no budget of further sends");
-    assertNull(d.profiles().get(1).onKinds(), "any kind");
-    assertFalse(d.means().comeBack());
-    assertEquals(1, d.means().mostSends());
+    assertNull(d.rules().retryWindow(), "no budget of further sends");
+    assertNull(d.requestClasses().get(1).machineTypes(), "any kind");
+    assertFalse(d.capabilities().allowsRetryAfter());
+    assertEquals(1, d.capabilities().maxAttempts());
   }
 
   @Test
@@ -58,12 +58,12 @@
             ", \"spare_attempts\": 2, \"repeat_ratio\": 0.2, \"counted_over_us\": 10000000",
             ", \"most_tries\": 5, \"retry_after\": false, \"max_retry_after_us\": 2000000",
             "");
-    assertEquals(2.0, d.rules().furtherFree());
-    assertEquals(0.2, d.rules().furtherRatio());
-    assertEquals(10_000_000, d.rules().furtherWindow().us());
-    assertEquals(List.of(new KindId("c8")), d.profiles().get(1).onKinds());
-    assertFalse(d.means().comeBack(), "clients are not told when to come back");
-    assertEquals(5, d.means().mostSends());
+    assertEquals(2.0, d.rules().freeRetries());
+    assertEquals(0.2, d.rules().retryRatio());
+    assertEquals(10_000_000, d.rules().retryWindow().us());
+    assertEquals(List.of(new MachineTypeId("c8")), d.requestClasses().get(1).machineTypes());
+    assertFalse(d.capabilities().allowsRetryAfter(), "clients are not told when to come back");
+    assertEquals(5, d.capabilities().maxAttempts());
   }
 
   @Test
--- a/src/test/java/cobaltseam/dispatch/DesignTest.java
+++ b/src/test/java/cobaltseam/dispatch/DesignTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.dispatch.Outcome.Ending;
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -22,7 +22,7 @@
                 World.profile("p", 1),
                 World.profile("wide", threads)),
             7);
-    Listing[] list = new Listing[engines.length];
+    EndpointStatus[] list = new EndpointStatus[engines.length];
     for (int i = 0; i < list.length; i++) {
       list[i] = World.up(engines[i]);
     }
@@ -68,11 +68,11 @@
     answer(w, 30, WORK);
     burst(w);
     assertEquals(16, w.out.size(), "the whole figure");
-    w.pass(new Span(WORK * 6));
+    w.pass(new TimeSpan(WORK * 6));
     for (World.Out o : List.copyOf(w.out.values())) {
-      w.end(o, Ending.ANSWERED, true);
+      w.end(o, AttemptResult.COMPLETED, true);
     }
-    List.copyOf(w.out.values()).forEach(o -> w.end(o, Ending.ANSWERED, true));
+    List.copyOf(w.out.values()).forEach(o -> w.end(o, AttemptResult.COMPLETED, true));
     burst(w);
     assertTrue(w.out.size() <= 4, "back to the share, not " + w.out.size());
   }
@@ -80,13 +80,13 @@
   @Test
   void enginesAreSharedOverThoseThatCarryTraffic() {
     World w = world(0, 4, 1, 4);
-    w.dispatcher.sharedOver(2);
+    w.dispatcher.setSharingDispatchers(2);
     burst(w);
     assertEquals(8, w.out.size(), "16 threads over 2 dispatchers");
-    w.dispatcher.sharedOver(1);
+    w.dispatcher.setSharingDispatchers(1);
     w.follow();
     assertEquals(16, w.out.size(), "all of it for the only one");
-    w.dispatcher.sharedOver(0);
+    w.dispatcher.setSharingDispatchers(0);
     w.follow();
     assertEquals(16, w.out.size(), "never more than an engine's whole figure");
   }
@@ -95,32 +95,32 @@
   void whatIsWithdrawnIsGivenUpAndNeverSentAgain() {
     World w = world(0, 4, 1, 4);
     burst(w);
-    List<Command> out = w.out.values().stream().map(World.Out::command).toList();
+    List<Request> out = w.out.values().stream().map(World.Out::command).toList();
     assertEquals(4, out.size());
     for (int i = 0; i < 18; i++) {
-      w.dispatcher.withdrawn(new CommandId("c" + i), w.now);
+      w.dispatcher.withdraw(new RequestId("c" + i), w.now);
     }
     w.follow();
     assertEquals(14, w.finals.size(), "what was held has its answer");
-    assertTrue(w.finals.values().stream().allMatch(p -> p.verdict() == Placement.Verdict.SHED));
-    w.end(w.out.get(out.get(0).id()), Ending.ERROR, false);
-    assertEquals(Placement.Verdict.SHED, w.finals.get(out.get(0).id()).verdict());
-    w.end(w.out.get(out.get(1).id()), Ending.ANSWERED, true);
+    assertTrue(w.finals.values().stream().allMatch(p -> p.decision() == Placement.Decision.SHED));
+    w.end(w.out.get(out.get(0).id()), AttemptResult.ERROR, false);
+    assertEquals(Placement.Decision.SHED, w.finals.get(out.get(0).id()).decision());
+    w.end(w.out.get(out.get(1).id()), AttemptResult.COMPLETED, true);
     assertEquals(18, w.sends.size() + w.finals.size() - 1, "nothing was sent again");
   }
 
   @Test
   void withNothingLeftToSendAgainWhatFailsIsGivenUpAtOnce() {
     World w = world(0, 4, 1, 4);
-    w.dispatcher.furtherLeft(1);
-    Command first = w.take("p", WORK);
-    w.end(w.out.get(first.id()), Ending.ERROR, false);
+    w.dispatcher.setRemainingRetries(1);
+    Request first = w.take("p", WORK);
+    w.end(w.out.get(first.id()), AttemptResult.ERROR, false);
     assertEquals(2, w.sends.size(), "one was left");
-    w.dispatcher.furtherLeft(0);
-    w.end(w.out.get(first.id()), Ending.ERROR, false);
-    assertEquals(Placement.Verdict.SHED, w.finals.get(first.id()).verdict());
+    w.dispatcher.setRemainingRetries(0);
+    w.end(w.out.get(first.id()), AttemptResult.ERROR, false);
+    assertEquals(Placement.Decision.SHED, w.finals.get(first.id()).decision());
     w.take("p", WORK);
-    w.pass(new Span(1_000_000));
+    w.pass(new TimeSpan(1_000_000));
     assertEquals(3, w.sends.size(), "first sends go on");
   }
 
@@ -135,13 +135,13 @@
     w = world(0, 4, 1, 4);
     w.inHand = 1;
     answer(w, 30, WORK);
-    w.dispatcher.reported(new EngineId(4), 16, w.now.plus(new Span(1)));
+    w.dispatcher.updateEngineLoad(new EngineId(4), 16, w.now.plus(new TimeSpan(1)));
     burst(w);
     assertTrue(w.out.size() < borrowed, "others fill it: " + w.out.size());
     w = world(0, 4, 1, 4);
     w.inHand = 1;
     answer(w, 30, WORK);
-    w.dispatcher.reported(new EngineId(4), 16, w.now.minus(new Span(1_000_000)));
+    w.dispatcher.updateEngineLoad(new EngineId(4), 16, w.now.minus(new TimeSpan(1_000_000)));
     burst(w);
     assertEquals(borrowed, w.out.size(), "older than what it told here");
   }
@@ -149,8 +149,8 @@
   private static void answer(World w, int times, long latency) {
     for (int i = 0; i < times; i++) {
       w.take("p", WORK);
-      w.pass(new Span(latency));
-      List.copyOf(w.out.values()).forEach(o -> w.end(o, Ending.ANSWERED, true));
+      w.pass(new TimeSpan(latency));
+      List.copyOf(w.out.values()).forEach(o -> w.end(o, AttemptResult.COMPLETED, true));
     }
   }
 
@@ -174,14 +174,14 @@
   void aClientThatWaitsLessThanOthersIsServed() {
     World w = world(0, 2, 1, 4);
     answer(w, 20, WORK);
-    Command hasty =
-        new Command(
-            new CommandId("hasty"),
-            new ProfileId("p"),
+    Request hasty =
+        new Request(
+            new RequestId("hasty"),
+            new RequestClassId("p"),
             null,
             null,
-            w.now.plus(new Span(1_000_000)),
-            new Span(WORK),
+            w.now.plus(new TimeSpan(1_000_000)),
+            new TimeSpan(WORK),
             null,
             0);
     w.take(hasty);
@@ -193,10 +193,10 @@
     World w = world(0, 8, 2, 4);
     w.take("p", WORK);
     w.take("p", WORK);
-    Command wide = w.take("wide", WORK);
-    Command old = w.take("p", WORK);
+    Request wide = w.take("wide", WORK);
+    Request old = w.take("p", WORK);
     w.take("p", WORK);
-    w.end(w.out.values().iterator().next(), Ending.CANCELLED, true);
+    w.end(w.out.values().iterator().next(), AttemptResult.CANCELLED, true);
     assertTrue(w.out.containsKey(old.id()), "the wide one fits nowhere and blocks none behind it");
     assertTrue(!w.out.containsKey(wide.id()));
     assertEquals(2, w.out.size());
@@ -211,10 +211,10 @@
       w.take("p", 10 * WORK);
       assertTrue(w.out.size() <= 1);
       busy += w.out.size();
-      w.pass(new Span(WORK));
+      w.pass(new TimeSpan(WORK));
       List.copyOf(w.out.values()).stream()
           .filter(o -> w.now.since(o.at()).us() >= 10 * WORK)
-          .forEach(o -> w.end(o, Ending.CANCELLED, true));
+          .forEach(o -> w.end(o, AttemptResult.CANCELLED, true));
     }
     assertTrue(
         busy > 250 && busy < 800,
@@ -224,10 +224,10 @@
   @Test
   void withNoEngineACommandIsHeldAndGivenUpInTime() {
     World w = world(0, 3, 1);
-    Command c = w.take("p", WORK);
+    Request c = w.take("p", WORK);
     assertTrue(w.finals.isEmpty());
-    w.pass(new Span(4_500_000));
-    assertEquals(Placement.Verdict.SHED, w.finals.get(c.id()).verdict());
+    w.pass(new TimeSpan(4_500_000));
+    assertEquals(Placement.Decision.SHED, w.finals.get(c.id()).decision());
   }
 
   @Test
@@ -237,9 +237,9 @@
       w.take("p", WORK);
       List.copyOf(w.out.values()).stream()
           .filter(o -> o.engine().value() == 4)
-          .forEach(o -> w.end(o, Ending.ERROR, false));
-      w.pass(new Span(WORK));
-      List.copyOf(w.out.values()).forEach(o -> w.end(o, Ending.ANSWERED, true));
+          .forEach(o -> w.end(o, AttemptResult.ERROR, false));
+      w.pass(new TimeSpan(WORK));
+      List.copyOf(w.out.values()).forEach(o -> w.end(o, AttemptResult.COMPLETED, true));
     }
     assertTrue(
         engines(w).stream().filter(e -> e == 4).count() < 60, "a fifth of an even split and less");
@@ -251,10 +251,10 @@
     answer(w, 30, WORK);
     for (int i = 0; i < 100; i++) {
       w.take("p", WORK);
-      w.pass(new Span(WORK));
+      w.pass(new TimeSpan(WORK));
       List.copyOf(w.out.values()).stream()
           .filter(o -> o.engine().value() != 4)
-          .forEach(o -> w.end(o, Ending.ANSWERED, true));
+          .forEach(o -> w.end(o, AttemptResult.COMPLETED, true));
     }
     assertTrue(w.out.values().stream().filter(o -> o.engine().value() == 4).count() <= 8);
     assertTrue(engines(w).stream().skip(60).noneMatch(e -> e == 4));
@@ -267,13 +267,13 @@
     int at = w.sends.size();
     for (int i = 0; i < 300; i++) {
       w.take("p", WORK);
-      w.pass(new Span(WORK));
+      w.pass(new TimeSpan(WORK));
       List.copyOf(w.out.values())
           .forEach(
               o -> {
                 boolean hangs = o.engine().value() == 4;
                 if (!hangs || w.now.since(o.at()).us() > 3 * WORK) {
-                  w.end(o, hangs ? Ending.TIMED_OUT : Ending.ANSWERED, !hangs);
+                  w.end(o, hangs ? AttemptResult.TIMED_OUT : AttemptResult.COMPLETED, !hangs);
                 }
               });
     }
@@ -287,7 +287,7 @@
     for (int i = 0; i < 4; i++) {
       w.take("p", WORK);
     }
-    Command heavy = w.take("wide", 20 * WORK);
+    Request heavy = w.take("wide", 20 * WORK);
     assertTrue(w.finals.isEmpty(), "one alone is no queue");
     for (int i = 0; i < 60; i++) {
       w.take("wide", WORK);
@@ -296,7 +296,7 @@
         heavy.id(),
         w.finals.keySet().iterator().next(),
         "least benefit for its threads goes first");
-    assertTrue(w.finals.get(heavy.id()).comeBack().isPositive());
+    assertTrue(w.finals.get(heavy.id()).retryAfter().isPositive());
     assertTrue(w.finals.size() < 60);
   }
 
@@ -309,8 +309,8 @@
       w.take("p", WORK);
     }
     assertTrue(w.sends.size() - before > 4, "what is within its share borrows");
-    w.pass(new Span(8 * WORK));
-    List.copyOf(w.out.values()).forEach(o -> w.end(o, Ending.ANSWERED, true));
+    w.pass(new TimeSpan(8 * WORK));
+    List.copyOf(w.out.values()).forEach(o -> w.end(o, AttemptResult.COMPLETED, true));
     int finals = w.finals.size();
     for (int i = 0; i < 400; i++) {
       w.take("p", WORK);
@@ -337,7 +337,7 @@
     answer(w, 60, WORK);
     for (int i = 0; i < 100; i++) {
       w.take("p", WORK);
-      List.copyOf(w.out.values()).forEach(o -> w.end(o, Ending.ANSWERED, true));
+      List.copyOf(w.out.values()).forEach(o -> w.end(o, AttemptResult.COMPLETED, true));
     }
     for (int i = 0; i < 30; i++) {
       w.take("p", WORK);
@@ -351,9 +351,9 @@
     answer(w, 30, WORK);
     burst(w);
     assertEquals(16, w.out.size());
-    w.now = w.now.plus(new Span(20 * WORK));
+    w.now = w.now.plus(new TimeSpan(20 * WORK));
     for (World.Out o : List.copyOf(w.out.values())) {
-      w.end(o, Ending.ANSWERED, true);
+      w.end(o, AttemptResult.COMPLETED, true);
     }
     burst(w);
     assertEquals(16, w.out.size(), "it stood still; nothing is given back");
@@ -364,9 +364,9 @@
     World w = world(0, 100, 1, 4, 5, 6, 8, 9, 10);
     for (int i = 0; i < 60; i++) {
       w.take("p", WORK);
-      w.pass(new Span(WORK));
-      List.copyOf(w.out.values()).forEach(o -> w.end(o, Ending.ANSWERED, true));
-      w.pass(new Span(3 * WORK));
+      w.pass(new TimeSpan(WORK));
+      List.copyOf(w.out.values()).forEach(o -> w.end(o, AttemptResult.COMPLETED, true));
+      w.pass(new TimeSpan(3 * WORK));
     }
     assertTrue(w.finals.size() < 6, "a few a second of two holders are served: " + w.finals.size());
   }
@@ -401,14 +401,14 @@
   void aBadPlanIsCalledOffAndSlowWorkIsNot() {
     World w = world(0, 2, 1, 4, 5);
     answer(w, 30, WORK);
-    Command bad = w.take("p", WORK);
-    Command slow = w.take("p", WORK);
-    w.pass(new Span(WORK));
-    w.dispatcher.progressed(bad.id(), 0, 0.05, w.now);
-    w.dispatcher.progressed(slow.id(), 0, 0.4, w.now);
+    Request bad = w.take("p", WORK);
+    Request slow = w.take("p", WORK);
+    w.pass(new TimeSpan(WORK));
+    w.dispatcher.updateProgress(bad.id(), 0, 0.05, w.now);
+    w.dispatcher.updateProgress(slow.id(), 0, 0.4, w.now);
     w.follow();
     assertEquals(List.of(bad.id()), w.callOffs);
-    w.end(w.out.get(bad.id()), Ending.CANCELLED, false);
+    w.end(w.out.get(bad.id()), AttemptResult.CANCELLED, false);
     assertTrue(w.out.containsKey(bad.id()), "and sent again");
   }
 
@@ -416,14 +416,14 @@
   @Test
   void whatIsAllButDoneIsNotCutForARoughNote() {
     World w = world(0, 1, 1, 4);
-    Command command = w.take("p", WORK);
-    w.pass(new Span(WORK));
-    w.dispatcher.progressed(command.id(), 0, 0.99, w.now);
+    Request command = w.take("p", WORK);
+    w.pass(new TimeSpan(WORK));
+    w.dispatcher.updateProgress(command.id(), 0, 0.99, w.now);
     w.follow();
-    w.pass(new Span(WORK / 5));
+    w.pass(new TimeSpan(WORK / 5));
     assertTrue(w.callOffs.isEmpty());
     for (int i = 0; i < 10; i++) {
-      w.pass(new Span(WORK / 50));
+      w.pass(new TimeSpan(WORK / 50));
     }
     assertEquals(List.of(command.id()), w.callOffs, "but neither is it waited for without end");
   }
@@ -432,14 +432,14 @@
   void aReturnedEngineIsNotFlooded() {
     World w = world(0, 2, 1, 5);
     answer(w, 30, WORK);
-    w.list(false, World.listing(4, Listing.Standing.UP, w.now.us()));
+    w.list(false, World.listing(4, EndpointStatus.EndpointState.UP, w.now.us()));
     int at = w.sends.size();
     for (int i = 0; i < 20; i++) {
       w.take("p", WORK);
     }
     assertTrue(
         engines(w).stream().skip(at).noneMatch(e -> e == 4), "nothing is saved up at the start");
-    w.pass(new Span(1_000_000));
+    w.pass(new TimeSpan(1_000_000));
     answer(w, 30, WORK);
     assertTrue(engines(w).stream().skip(at).anyMatch(e -> e == 4), "and it is used as it warms");
   }
--- a/src/test/java/cobaltseam/dispatch/MoreTest.java
+++ b/src/test/java/cobaltseam/dispatch/MoreTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.dispatch.Deployment.Means;
-import cobaltseam.dispatch.Deployment.Profile;
-import cobaltseam.dispatch.Outcome.Ending;
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
+import cobaltseam.dispatch.Deployment.Capabilities;
+import cobaltseam.dispatch.Deployment.RequestClass;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
@@ -14,13 +14,15 @@
 /** What deployments with loads that hold data sets, told spills and rough estimates need. */
 class MoreTest {
   private static final long WORK = 100_000;
-  private static final Means NOTES =
-      new Means(World.TICK, 5, true, true, true, new Span(500_000), new Span(1_000_000), true);
+  private static final Capabilities NOTES =
+      new Capabilities(
+          World.TICK, 5, true, true, true, new TimeSpan(500_000), new TimeSpan(1_000_000), true);
 
-  private static World world(Means means, int dispatchers, long... engines) {
-    Profile p = World.profile("p", 1);
+  private static World world(Capabilities means, int dispatchers, long... engines) {
+    RequestClass p = World.profile("p", 1);
     World w = new World(World.deployment(0, dispatchers, World.RULES, means, p), 7);
-    w.list(true, java.util.Arrays.stream(engines).mapToObj(World::up).toArray(Listing[]::new));
+    w.list(
+        true, java.util.Arrays.stream(engines).mapToObj(World::up).toArray(EndpointStatus[]::new));
     return w;
   }
 
@@ -38,13 +40,13 @@
     double grant = 0;
     for (int i = 0; i < commands; i++) {
       World.Out o = sendOne(w);
-      grant = o.how().grantMb();
+      grant = o.how().memoryGrantMb();
       double granted = grant > 0 ? grant : w.memoryMb;
       if (granted < needMb) {
-        w.dispatcher.spills(o.command().id(), o.number(), needMb - granted);
+        w.dispatcher.updateMemoryShortfall(o.command().id(), o.number(), needMb - granted);
       }
-      w.pass(new Span(100_000));
-      w.end(o, Ending.ANSWERED, true);
+      w.pass(new TimeSpan(100_000));
+      w.end(o, AttemptResult.COMPLETED, true);
     }
     return grant;
   }
@@ -60,8 +62,15 @@
   void whereGrantsAreNotHeededNoneIsLearntFromSpills() {
     World w =
         world(
-            new Means(
-                World.TICK, 5, true, true, true, new Span(500_000), new Span(1_000_000), false),
+            new Capabilities(
+                World.TICK,
+                5,
+                true,
+                true,
+                true,
+                new TimeSpan(500_000),
+                new TimeSpan(1_000_000),
+                false),
             1,
             1,
             2);
@@ -72,10 +81,10 @@
   void aSendThatStandsBehindALoadIsCalledOffForAnotherEngine() {
     World w = world(NOTES, 1, 1, 2);
     World.Out o = sendOne(w);
-    w.dispatcher.blocked(o.command().id(), o.number(), w.now);
+    w.dispatcher.markBlocked(o.command().id(), o.number(), w.now);
     w.follow();
     assertEquals(List.of(o.command().id()), w.callOffs, "called off at once");
-    w.end(o, Ending.CANCELLED, false);
+    w.end(o, AttemptResult.CANCELLED, false);
     World.Out next = w.sends.get(w.sends.size() - 1);
     assertEquals(o.command().id(), next.command().id());
     assertNotEquals(o.engine(), next.engine(), "not behind the same load again");
@@ -89,10 +98,10 @@
     World.Out o = sendOne(w);
     for (int i = 0; i < 4; i++) {
       World.Out out = w.out.get(o.command().id());
-      w.dispatcher.blocked(out.command().id(), out.number(), w.now);
+      w.dispatcher.markBlocked(out.command().id(), out.number(), w.now);
       w.follow();
       if (w.callOffs.remove(out.command().id())) {
-        w.end(out, Ending.CANCELLED, false);
+        w.end(out, AttemptResult.CANCELLED, false);
       }
       w.pass(World.TICK);
     }
@@ -104,14 +113,14 @@
     Deployment told = World.deployment(1, 1, World.RULES, NOTES, World.profile("p", 1));
     Deployment at =
         new Deployment(
-            told.number(),
-            told.dispatchers(),
-            told.profiles(),
-            told.kinds(),
-            told.shares(),
-            told.overShareWorth(),
+            told.dispatcherIndex(),
+            told.dispatcherCount(),
+            told.requestClasses(),
+            told.machineTypes(),
+            told.quotas(),
+            told.overQuotaWeight(),
             told.rules(),
-            told.means(),
+            told.capabilities(),
             new Deployment.Place(new LocationId("l1"), true));
     World w = new World(at, 7);
     w.list(true, World.up(1), World.up(2), World.up(4), World.up(5));
@@ -124,15 +133,21 @@
   @Test
   void whatMustNotRunTwiceStaysBehindALoad() {
     // It has no call-off that could be brought forward: asking for one ended the dispatcher.
-    Profile once =
+    RequestClass once =
         World.profile(
-            "p", 1, Deployment.Repeat.NON_REPLAYABLE, Deployment.Scope.ALL, false, null, null);
+            "p",
+            1,
+            Deployment.RetrySafety.NOT_IDEMPOTENT,
+            Deployment.DeduplicationScope.ALL,
+            false,
+            null,
+            null);
     World w = new World(World.deployment(0, 1, World.RULES, NOTES, once), 7);
     w.list(true, World.up(1), World.up(2));
     sendOne(w);
     World.Out second = sendOne(w);
-    w.dispatcher.blocked(second.command().id(), second.number(), w.now);
-    w.dispatcher.progressed(second.command().id(), second.number(), 0.5, w.now);
+    w.dispatcher.markBlocked(second.command().id(), second.number(), w.now);
+    w.dispatcher.updateProgress(second.command().id(), second.number(), 0.5, w.now);
     w.follow();
     assertTrue(w.callOffs.isEmpty());
   }
@@ -141,7 +156,7 @@
   void aSendBehindALoadStaysWhereThereIsNoOtherEngine() {
     World w = world(NOTES, 1, 1);
     World.Out o = sendOne(w);
-    w.dispatcher.blocked(o.command().id(), o.number(), w.now);
+    w.dispatcher.markBlocked(o.command().id(), o.number(), w.now);
     w.follow();
     assertTrue(w.callOffs.isEmpty(), "the only engine: the load ends sooner or later");
   }
@@ -166,8 +181,8 @@
       w.take("p", WORK);
       if (w.sends.size() > sent) {
         World.Out o = w.sends.get(sent);
-        w.pass(new Span(4 * WORK - r.nextLong(WORK / 4)));
-        w.end(o, Ending.ANSWERED, true);
+        w.pass(new TimeSpan(4 * WORK - r.nextLong(WORK / 4)));
+        w.end(o, AttemptResult.COMPLETED, true);
       }
     }
     return w.finals.size() - before;
@@ -182,22 +197,22 @@
     w.inHand = 1;
     for (int i = 0; i < 60; i++) {
       World.Out o = sendOne(w);
-      w.pass(new Span(WORK));
-      w.end(o, Ending.ANSWERED, true);
+      w.pass(new TimeSpan(WORK));
+      w.end(o, AttemptResult.COMPLETED, true);
     }
     long before = 0;
     for (int i = 0; i < 100; i++) {
       int sent = w.sends.size();
       long shed = w.finals.size();
-      Command c = w.take("p", WORK);
+      Request c = w.take("p", WORK);
       before += w.finals.size() - shed;
       if (w.sends.size() == sent) {
         continue;
       }
       boolean fails = failing && i % 4 != 0;
-      w.pass(new Span(fails ? WORK / 10 : 3 * WORK));
+      w.pass(new TimeSpan(fails ? WORK / 10 : 3 * WORK));
       if (w.out.containsKey(c.id())) {
-        w.end(w.out.get(c.id()), fails ? Ending.ERROR : Ending.ANSWERED, true);
+        w.end(w.out.get(c.id()), fails ? AttemptResult.ERROR : AttemptResult.COMPLETED, true);
       }
     }
     return before;
--- a/src/test/java/cobaltseam/dispatch/MoveTest.java
+++ b/src/test/java/cobaltseam/dispatch/MoveTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.dispatch.Deployment.Means;
-import cobaltseam.dispatch.Deployment.Profile;
-import cobaltseam.dispatch.Deployment.Repeat;
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
+import cobaltseam.dispatch.Deployment.Capabilities;
+import cobaltseam.dispatch.Deployment.DeduplicationScope;
+import cobaltseam.dispatch.Deployment.RequestClass;
+import cobaltseam.dispatch.Deployment.RetrySafety;
 import cobaltseam.dispatch.Deployment.Rules;
-import cobaltseam.dispatch.Deployment.Scope;
-import cobaltseam.dispatch.Outcome.Ending;
 import java.util.List;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
@@ -17,12 +17,13 @@
 /** What the deployments of the move need that the earlier ones never asked for. */
 class MoveTest {
   private static final long WORK = 100_000;
-  private static final Means NO_CANCEL =
-      new Means(World.TICK, 5, false, false, false, Span.ZERO, new Span(2_000_000));
+  private static final Capabilities NO_CANCEL =
+      new Capabilities(World.TICK, 5, false, false, false, TimeSpan.ZERO, new TimeSpan(2_000_000));
 
-  private static World world(Means means, long... engines) {
+  private static World world(Capabilities means, long... engines) {
     World w = new World(World.deployment(0, 2, World.RULES, means, World.profile("p", 1)), 7);
-    w.list(true, java.util.Arrays.stream(engines).mapToObj(World::up).toArray(Listing[]::new));
+    w.list(
+        true, java.util.Arrays.stream(engines).mapToObj(World::up).toArray(EndpointStatus[]::new));
     return w;
   }
 
@@ -35,13 +36,17 @@
     // The target is 1 s plus twice the work, 1.2 s, and it has no late benefit: of use until 1.25
     // times that.
     assertEquals(1_500_000, first.timeout().us(), 10_000, "timeout " + first.timeout());
-    w.pass(new Span(1_400_000));
+    w.pass(new TimeSpan(1_400_000));
     assertEquals(1, w.sends.size(), "nothing sent again while the first may still answer");
   }
 
   @Test
   void whereATimeOutStopsWorkASlowSendIsCutForAnother() {
-    World w = world(new Means(World.TICK, 5, true, false, false, Span.ZERO, Span.ZERO), 1, 2);
+    World w =
+        world(
+            new Capabilities(World.TICK, 5, true, false, false, TimeSpan.ZERO, TimeSpan.ZERO),
+            1,
+            2);
     w.take("p", WORK);
     assertTrue(w.sends.get(0).timeout().us() < 1_000_000, "timeout " + w.sends.get(0).timeout());
   }
@@ -52,14 +57,14 @@
     w.take("p", WORK);
     // Every send is turned away unseen until the sends are spent; then it is given up.
     while (!w.out.isEmpty()) {
-      w.end(w.out.values().iterator().next(), Ending.NO_ROOM, false);
-      w.pass(new Span(20_000));
+      w.end(w.out.values().iterator().next(), AttemptResult.CAPACITY_EXCEEDED, false);
+      w.pass(new TimeSpan(20_000));
     }
     // Turned away unseen, it never ran: the one answer is a shed, and it names no time.
     assertEquals(1, w.finals.size(), "one final answer");
     Placement said = w.finals.values().iterator().next();
-    assertEquals(Placement.Verdict.SHED, said.verdict());
-    assertEquals(Span.ZERO, said.comeBack());
+    assertEquals(Placement.Decision.SHED, said.decision());
+    assertEquals(TimeSpan.ZERO, said.retryAfter());
   }
 
   @Test
@@ -67,7 +72,7 @@
     World w = world(World.MEANS, 1, 2);
     w.memoryMb = 0.01;
     answerNeeding(w, 4096);
-    double grant = w.dispatcher.place(w.command("p", null, WORK), w.now).grantMb();
+    double grant = w.dispatcher.place(w.command("p", null, WORK), w.now).memoryGrantMb();
     assertTrue(grant > 0 && grant <= 5 * w.memoryMb, "grant " + grant);
   }
 
@@ -77,15 +82,15 @@
       w.take("p", WORK);
       World.Out o = List.copyOf(w.out.values()).get(0);
       w.out.remove(o.command().id());
-      w.dispatcher.after(
-          new Outcome(
+      w.dispatcher.completeAttempt(
+          new AttemptOutcome(
               o.command().id(),
               o.number(),
               o.engine(),
-              Ending.ANSWERED,
-              new Span(WORK),
+              AttemptResult.COMPLETED,
+              new TimeSpan(WORK),
               true,
-              new Span(WORK),
+              new TimeSpan(WORK),
               needMb,
               -1,
               -1),
@@ -99,28 +104,33 @@
     // spills.
     World w = world(World.MEANS, 1, 2);
     assertEquals(
-        0, w.dispatcher.place(w.command("p", null, WORK), w.now).grantMb(), "none before answers");
+        0,
+        w.dispatcher.place(w.command("p", null, WORK), w.now).memoryGrantMb(),
+        "none before answers");
     answerNeeding(w, 2 * w.memoryMb);
-    double grant = w.dispatcher.place(w.command("p", null, WORK), w.now).grantMb();
+    double grant = w.dispatcher.place(w.command("p", null, WORK), w.now).memoryGrantMb();
     assertTrue(grant >= 1.8 * w.memoryMb && grant <= 2.5 * w.memoryMb, "grant " + grant);
   }
 
   @Test
   void whatWasLearntOfTheEnginesGoesAlongInTheFirstSecondsAfterAMove() {
     World before = world(World.MEANS, 1, 2);
-    Listing cold = World.listing(5, Listing.Standing.UP, before.now.us() - 1_000_000);
+    EndpointStatus cold =
+        World.listing(5, EndpointStatus.EndpointState.UP, before.now.us() - 1_000_000);
     before.list(false, cold);
     for (int i = 0; i < 30; i++) {
       before.take("p", WORK);
       for (World.Out o : List.copyOf(before.out.values())) {
         before.end(
-            o, o.engine().value() == 1 ? Ending.ERROR : Ending.ANSWERED, o.engine().value() != 1);
+            o,
+            o.engine().value() == 1 ? AttemptResult.ERROR : AttemptResult.COMPLETED,
+            o.engine().value() != 1);
       }
     }
     World anew = new World(fifty(), 9);
     anew.now = before.now;
     anew.list(true, World.up(1), World.up(2), cold);
-    before.dispatcher.moveTo(fifty(), before.now);
+    before.dispatcher.applySettings(fifty(), before.now);
     int[] learnt = firstSeconds(before);
     int[] afresh = firstSeconds(anew);
     assertTrue(
@@ -138,13 +148,13 @@
   private static Rules rationed(double free, double ratio) {
     return new Rules(
         0.3,
-        new Span(15_000_000),
+        new TimeSpan(15_000_000),
         2,
-        new Span(3_000_000),
-        Span.ZERO,
+        new TimeSpan(3_000_000),
+        TimeSpan.ZERO,
         free,
         ratio,
-        new Span(10_000_000));
+        new TimeSpan(10_000_000));
   }
 
   /** Sends to each engine in the first second, while engine 1 still fails. */
@@ -154,9 +164,12 @@
       w.take("p", WORK);
       for (World.Out o : List.copyOf(w.out.values())) {
         sentTo[(int) o.engine().value()]++;
-        w.end(o, o.engine().value() == 1 ? Ending.ERROR : Ending.ANSWERED, o.engine().value() != 1);
+        w.end(
+            o,
+            o.engine().value() == 1 ? AttemptResult.ERROR : AttemptResult.COMPLETED,
+            o.engine().value() != 1);
       }
-      w.pass(new Span(50_000));
+      w.pass(new TimeSpan(50_000));
     }
     return sentTo;
   }
@@ -166,23 +179,25 @@
   private static final LocationId HERE = new LocationId("l1");
   private static final LocationId THERE = new LocationId("l2");
 
-  private static Deployment with(Rules rules, Means means, Profile... profiles) {
+  private static Deployment with(Rules rules, Capabilities means, RequestClass... profiles) {
     return World.deployment(0, 1, rules, means, profiles);
   }
 
-  private static Profile placed(LocationId... at) {
-    return World.profile("p", 1, Repeat.REPLAYABLE, Scope.ALL, false, List.of(at), null);
+  private static RequestClass placed(LocationId... at) {
+    return World.profile(
+        "p", 1, RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, false, List.of(at), null);
   }
 
-  private static Profile repeated(Repeat repeat) {
-    return World.profile("p", 1, repeat, Scope.ALL, false, null, null);
+  private static RequestClass repeated(RetrySafety repeat) {
+    return World.profile("p", 1, repeat, DeduplicationScope.ALL, false, null, null);
   }
 
-  private static Means tries(int most) {
-    return new Means(World.TICK, most, true, false, true, new Span(500_000), Span.ZERO);
+  private static Capabilities tries(int most) {
+    return new Capabilities(
+        World.TICK, most, true, false, true, new TimeSpan(500_000), TimeSpan.ZERO);
   }
 
-  private static World busy(Deployment told, int commands, Listing... engines) {
+  private static World busy(Deployment told, int commands, EndpointStatus... engines) {
     World w = new World(told, 7);
     w.list(true, engines);
     for (int i = 0; i < commands; i++) {
@@ -192,7 +207,7 @@
   }
 
   private static void move(World w, Deployment to) {
-    w.dispatcher.moveTo(to, w.now);
+    w.dispatcher.applySettings(to, w.now);
     w.follow();
   }
 
@@ -202,10 +217,10 @@
     assertEquals(12, w.out.size());
     move(w, with(World.RULES, World.MEANS, World.profile("p", 1)));
     move(w, with(World.RULES, tries(2), World.profile("p", 2)));
-    w.pass(new Span(10_000));
+    w.pass(new TimeSpan(10_000));
     move(w, with(World.RULES, World.MEANS, World.profile("p", 1)));
-    List.copyOf(w.out.values()).forEach(o -> w.end(o, Ending.ANSWERED, true));
-    w.pass(new Span(10_000_000));
+    List.copyOf(w.out.values()).forEach(o -> w.end(o, AttemptResult.COMPLETED, true));
+    w.pass(new TimeSpan(10_000_000));
     assertTrue(w.dispatcher.idle(), "nothing is held, out or counted");
     assertTrue(w.finals.isEmpty(), "every one was answered: " + w.finals);
   }
@@ -215,9 +230,9 @@
     World w = busy(with(World.RULES, World.MEANS, World.profile("p", 8)), 5, World.up(1));
     assertEquals(2, w.sends.size(), "sixteen threads");
     move(w, with(World.RULES, World.MEANS, World.profile("p", 16)));
-    w.end(w.sends.get(0), Ending.ANSWERED, true);
+    w.end(w.sends.get(0), AttemptResult.COMPLETED, true);
     assertEquals(2, w.sends.size(), "the other one still holds eight of them");
-    w.end(w.sends.get(1), Ending.ANSWERED, true);
+    w.end(w.sends.get(1), AttemptResult.COMPLETED, true);
     assertEquals(3, w.sends.size(), "sixteen wide now, and alone there");
     assertEquals("c2", w.sends.get(2).command().id().value(), "the oldest that was held");
   }
@@ -231,9 +246,16 @@
         with(
             World.RULES,
             World.MEANS,
-            World.profile("p", 16, Repeat.REPLAYABLE, Scope.ALL, false, List.of(THERE), null)));
-    w.end(w.sends.get(0), Ending.ANSWERED, true);
-    w.pass(new Span(100_000));
+            World.profile(
+                "p",
+                16,
+                RetrySafety.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                false,
+                List.of(THERE),
+                null)));
+    w.end(w.sends.get(0), AttemptResult.COMPLETED, true);
+    w.pass(new TimeSpan(100_000));
     assertEquals(1, w.sends.size(), "engine 1 is free, and the new placement forbids it");
     w.list(false, World.up(2));
     assertEquals(2, w.sends.get(1).engine().value());
@@ -245,11 +267,11 @@
     assertEquals(16, w.out.size());
     move(w, with(World.RULES, World.MEANS, placed(THERE)));
     assertEquals(1, w.finals.size(), "told at once");
-    assertEquals(Placement.Verdict.SHED, w.finals.values().iterator().next().verdict());
+    assertEquals(Placement.Decision.SHED, w.finals.values().iterator().next().decision());
     assertTrue(
-        w.finals.values().iterator().next().comeBack().isPositive(), "with a time to come back");
-    w.end(w.sends.get(0), Ending.ANSWERED, true);
-    w.end(w.sends.get(1), Ending.NO_ROOM, false);
+        w.finals.values().iterator().next().retryAfter().isPositive(), "with a time to come back");
+    w.end(w.sends.get(0), AttemptResult.COMPLETED, true);
+    w.end(w.sends.get(1), AttemptResult.CAPACITY_EXCEEDED, false);
     assertEquals(
         2, w.finals.size(), "its placements have no engine in common: given up, not sent there");
     w.take("p", WORK);
@@ -263,16 +285,16 @@
         busy(with(World.RULES, World.MEANS, World.profile("p", 8)), 5, World.up(1), World.up(2));
     move(w, with(World.RULES, World.MEANS, World.profile("q", 1), World.profile("r", 3)));
     w.take("q", WORK);
-    w.end(w.sends.get(0), Ending.NO_ROOM, false);
-    w.end(w.sends.get(1), Ending.ANSWERED, true);
-    w.end(w.sends.get(2), Ending.ANSWERED, true);
-    w.end(w.sends.get(3), Ending.ANSWERED, true);
-    long ofP = w.sends.stream().filter(s -> s.command().profile().value().equals("p")).count();
+    w.end(w.sends.get(0), AttemptResult.CAPACITY_EXCEEDED, false);
+    w.end(w.sends.get(1), AttemptResult.COMPLETED, true);
+    w.end(w.sends.get(2), AttemptResult.COMPLETED, true);
+    w.end(w.sends.get(3), AttemptResult.COMPLETED, true);
+    long ofP = w.sends.stream().filter(s -> s.command().requestClass().value().equals("p")).count();
     assertEquals(6, ofP, "the held one and the one that found no room were sent as they began");
     assertThrows(
         IllegalArgumentException.class,
         () -> w.dispatcher.place(w.command("p", null, WORK), w.now));
-    List.copyOf(w.out.values()).forEach(o -> w.end(o, Ending.ANSWERED, true));
+    List.copyOf(w.out.values()).forEach(o -> w.end(o, AttemptResult.COMPLETED, true));
     move(w, with(World.RULES, World.MEANS, World.profile("q", 1)));
     w.take("q", WORK);
     assertEquals(1, w.out.size());
@@ -280,14 +302,14 @@
 
   @Test
   void aRepeatKindIsTheStricterOfBothForWhatBeganBefore() {
-    for (Repeat first : Repeat.values()) {
-      for (Repeat second : Repeat.values()) {
+    for (RetrySafety first : RetrySafety.values()) {
+      for (RetrySafety second : RetrySafety.values()) {
         World w =
             busy(with(World.RULES, World.MEANS, repeated(first)), 1, World.up(1), World.up(2));
         move(w, with(World.RULES, World.MEANS, repeated(second)));
-        w.pass(new Span(300_000));
-        w.end(w.sends.get(0), Ending.CUT, false);
-        boolean replayable = first == Repeat.REPLAYABLE && second == Repeat.REPLAYABLE;
+        w.pass(new TimeSpan(300_000));
+        w.end(w.sends.get(0), AttemptResult.CONNECTION_LOST, false);
+        boolean replayable = first == RetrySafety.IDEMPOTENT && second == RetrySafety.IDEMPOTENT;
         assertEquals(
             replayable ? 2 : 1,
             w.sends.size(),
@@ -301,16 +323,16 @@
 
   @Test
   void aChangeBackLeavesTheStricterKindToWhatWasTakenMeanwhileOnly() {
-    Deployment strict = with(World.RULES, World.MEANS, repeated(Repeat.NON_REPLAYABLE));
-    Deployment loose = with(World.RULES, World.MEANS, repeated(Repeat.REPLAYABLE));
+    Deployment strict = with(World.RULES, World.MEANS, repeated(RetrySafety.NOT_IDEMPOTENT));
+    Deployment loose = with(World.RULES, World.MEANS, repeated(RetrySafety.IDEMPOTENT));
     World w = busy(loose, 1, World.up(1), World.up(2));
     move(w, strict);
-    w.pass(new Span(10_000));
+    w.pass(new TimeSpan(10_000));
     move(w, loose);
     w.take("p", WORK);
-    w.end(w.sends.get(0), Ending.CUT, false);
+    w.end(w.sends.get(0), AttemptResult.CONNECTION_LOST, false);
     assertEquals(2, w.sends.size(), "it stood under the strict kind for 10 ms: no repeat");
-    w.end(w.sends.get(1), Ending.CUT, false);
+    w.end(w.sends.get(1), AttemptResult.CONNECTION_LOST, false);
     assertEquals(3, w.sends.size(), "taken after the change back: replayable");
   }
 
@@ -318,14 +340,14 @@
   void theFewerSendsOfBothCountForWhatBeganBefore() {
     World w = busy(with(World.RULES, tries(4), World.profile("p", 1)), 1, World.up(1), World.up(2));
     move(w, with(World.RULES, tries(2), World.profile("p", 1)));
-    w.end(w.sends.get(0), Ending.NO_ROOM, false);
-    w.end(w.sends.get(1), Ending.NO_ROOM, false);
+    w.end(w.sends.get(0), AttemptResult.CAPACITY_EXCEEDED, false);
+    w.end(w.sends.get(1), AttemptResult.CAPACITY_EXCEEDED, false);
     assertEquals(2, w.sends.size());
     assertEquals(1, w.finals.size(), "given up at once");
     w.take("p", WORK);
     move(w, with(World.RULES, tries(4), World.profile("p", 1)));
     for (int i = 2; i < 4; i++) {
-      w.end(w.sends.get(i), Ending.NO_ROOM, false);
+      w.end(w.sends.get(i), AttemptResult.CAPACITY_EXCEEDED, false);
     }
     assertEquals(4, w.sends.size(), "taken under two sends: no third after more are allowed");
   }
@@ -336,37 +358,38 @@
         busy(
             with(rationed(4, 0), World.MEANS, World.profile("p", 1)),
             10,
-            LongStream.rangeClosed(1, 10).mapToObj(World::up).toArray(Listing[]::new));
+            LongStream.rangeClosed(1, 10).mapToObj(World::up).toArray(EndpointStatus[]::new));
     for (int i = 0; i < 4; i++) {
-      w.end(w.out.values().iterator().next(), Ending.NO_ROOM, false);
+      w.end(w.out.values().iterator().next(), AttemptResult.CAPACITY_EXCEEDED, false);
     }
     assertEquals(14, w.sends.size(), "four further sends");
     move(w, with(rationed(2, 0), World.MEANS, World.profile("p", 1)));
-    w.end(w.out.values().iterator().next(), Ending.NO_ROOM, false);
+    w.end(w.out.values().iterator().next(), AttemptResult.CAPACITY_EXCEEDED, false);
     assertEquals(14, w.sends.size(), "none while four lie in the window");
     move(w, with(rationed(40, 0), World.MEANS, World.profile("p", 1)));
     assertEquals(14, w.sends.size(), "the smaller ones hold for their window");
     World later =
         busy(with(rationed(0, 0), World.MEANS, World.profile("p", 1)), 1, World.up(1), World.up(2));
     move(later, with(rationed(40, 0), World.MEANS, World.profile("p", 1)));
-    later.end(later.sends.get(0), Ending.ANSWERED, true);
-    later.pass(new Span(10_000_000));
+    later.end(later.sends.get(0), AttemptResult.COMPLETED, true);
+    later.pass(new TimeSpan(10_000_000));
     later.take("p", WORK);
-    later.end(later.sends.get(1), Ending.NO_ROOM, false);
+    later.end(later.sends.get(1), AttemptResult.CAPACITY_EXCEEDED, false);
     assertEquals(3, later.sends.size(), "the window of the smaller one has passed");
   }
 
   @Test
   void keysThatAreInOrderByEitherStayInOrder() {
-    Profile loose = World.profile("p", 1);
-    Profile ordered = World.profile("p", 1, Repeat.REPLAYABLE, Scope.ALL, true, null, null);
+    RequestClass loose = World.profile("p", 1);
+    RequestClass ordered =
+        World.profile("p", 1, RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, true, null, null);
     World w = busy(with(World.RULES, World.MEANS, ordered), 0, World.up(1));
     w.take(w.command("p", "key", WORK));
     w.take(w.command("p", "key", WORK));
     assertEquals(1, w.sends.size());
     move(w, with(World.RULES, World.MEANS, loose));
     assertEquals(1, w.sends.size(), "the second began in order");
-    w.end(w.sends.get(0), Ending.ANSWERED, true);
+    w.end(w.sends.get(0), AttemptResult.COMPLETED, true);
     assertEquals(2, w.sends.size());
     World anew = busy(with(World.RULES, World.MEANS, World.profile("p", 16)), 0, World.up(1));
     anew.take(anew.command("p", "key", WORK));
@@ -374,9 +397,9 @@
     move(anew, with(World.RULES, World.MEANS, ordered));
     assertEquals(
         1, anew.sends.size(), "one thread fits now beside none, but the first is still out");
-    anew.end(anew.sends.get(0), Ending.ANSWERED, true);
+    anew.end(anew.sends.get(0), AttemptResult.COMPLETED, true);
     assertEquals(2, anew.sends.size());
-    anew.end(anew.sends.get(1), Ending.ANSWERED, true);
+    anew.end(anew.sends.get(1), AttemptResult.COMPLETED, true);
     assertTrue(anew.dispatcher.idle());
   }
 
@@ -389,36 +412,39 @@
 
   private static Rules slow() {
     return new Rules(
-        0.1, new Span(15_000_000), 2, new Span(3_000_000), Span.ZERO, null, null, null);
+        0.1, new TimeSpan(15_000_000), 2, new TimeSpan(3_000_000), TimeSpan.ZERO, null, null, null);
   }
 
   private static Rules fast() {
-    return new Rules(0.5, new Span(2_000_000), 1, new Span(3_000_000), Span.ZERO, null, null, null);
+    return new Rules(
+        0.5, new TimeSpan(2_000_000), 1, new TimeSpan(3_000_000), TimeSpan.ZERO, null, null, null);
   }
 
   /** Seconds of work sent to an engine that started with the move, within the next two seconds. */
   private static double coldWork(Rules before, Rules after) {
     World w = new World(with(before, World.MEANS, World.profile("p", 1)), 3);
-    w.list(true, World.listing(1, Listing.Standing.UP, w.now.us()));
-    w.pass(new Span(500_000));
+    w.list(true, World.listing(1, EndpointStatus.EndpointState.UP, w.now.us()));
+    w.pass(new TimeSpan(500_000));
     move(w, with(after, World.MEANS, World.profile("p", 1)));
     for (int i = 0; i < 200; i++) {
       w.take("p", WORK);
-      List.copyOf(w.out.values()).forEach(o -> w.end(o, Ending.ANSWERED, true));
-      w.pass(new Span(10_000));
+      List.copyOf(w.out.values()).forEach(o -> w.end(o, AttemptResult.COMPLETED, true));
+      w.pass(new TimeSpan(10_000));
     }
     return w.sends.size() * WORK / 1e6;
   }
 
   @Test
   void whereCallOffsAreGoneNothingIsCalledOffAfterTheMove() {
-    Means noted = new Means(World.TICK, 4, true, false, true, new Span(500_000), new Span(200_000));
+    Capabilities noted =
+        new Capabilities(
+            World.TICK, 4, true, false, true, new TimeSpan(500_000), new TimeSpan(200_000));
     World w = busy(with(World.RULES, noted, World.profile("p", 1)), 1, World.up(1));
     move(w, with(World.RULES, NO_CANCEL, World.profile("p", 1)));
-    w.pass(new Span(3_000_000));
+    w.pass(new TimeSpan(3_000_000));
     assertTrue(w.callOffs.isEmpty(), "called off: " + w.callOffs);
     World as = busy(with(World.RULES, noted, World.profile("p", 1)), 1, World.up(1));
-    as.pass(new Span(3_000_000));
+    as.pass(new TimeSpan(3_000_000));
     assertEquals(1, as.callOffs.size(), "without the move it is");
   }
 
@@ -429,7 +455,7 @@
             World.deployment(0, 4, World.RULES, World.MEANS, World.profile("p", 8)),
             0,
             World.up(1));
-    w.dispatcher.sharedOver(1);
+    w.dispatcher.setSharingDispatchers(1);
     move(w, World.deployment(0, 8, World.RULES, World.MEANS, World.profile("p", 8)));
     w.take("p", WORK);
     w.take("p", WORK);
--- a/src/test/java/cobaltseam/emulator/RefereeTest.java
+++ b/src/test/java/cobaltseam/emulator/RefereeTest.java
@@ -5,18 +5,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.deployment.BadInput;
-import cobaltseam.dispatch.Command;
-import cobaltseam.dispatch.CommandId;
+import cobaltseam.dispatch.AttemptOutcome;
 import cobaltseam.dispatch.Dispatcher;
+import cobaltseam.dispatch.EndpointStatus;
+import cobaltseam.dispatch.EndpointStatus.EndpointState;
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Listing;
-import cobaltseam.dispatch.Listing.Standing;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Outcome;
-import cobaltseam.dispatch.Pause;
+import cobaltseam.dispatch.NextStep;
 import cobaltseam.dispatch.Placement;
-import cobaltseam.dispatch.Placement.Verdict;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.Placement.Decision;
+import cobaltseam.dispatch.Request;
+import cobaltseam.dispatch.RequestId;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.emulator.Referee.Rule;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -35,40 +35,40 @@
   /** The module with something broken. */
   private static class Mutant implements Policy {
     final Policy module;
-    final Map<CommandId, Command> commands = new HashMap<>();
+    final Map<RequestId, Request> commands = new HashMap<>();
 
     Mutant(Policy module) {
       this.module = module;
     }
 
     @Override
-    public Placement place(Command command, Moment now) {
+    public Placement place(Request command, Timestamp now) {
       commands.put(command.id(), command);
       return module.place(command, now);
     }
 
     @Override
-    public Placement after(Outcome outcome, Moment now) {
+    public Placement after(AttemptOutcome outcome, Timestamp now) {
       return module.after(outcome, now);
     }
 
     @Override
-    public Pause pause(Moment now) {
+    public NextStep pause(Timestamp now) {
       return module.pause(now);
     }
 
     @Override
-    public void listed(List<Listing> list, boolean whole, Moment now) {
+    public void listed(List<EndpointStatus> list, boolean whole, Timestamp now) {
       module.listed(list, whole, now);
     }
 
     @Override
-    public void progressed(CommandId command, int send, double share, Moment now) {
+    public void progressed(RequestId command, int send, double share, Timestamp now) {
       module.progressed(command, send, share, now);
     }
 
     @Override
-    public void departed(CommandId command, Moment now) {
+    public void departed(RequestId command, Timestamp now) {
       module.departed(command, now);
     }
   }
@@ -166,18 +166,18 @@
             m ->
                 new Mutant(m) {
                   @Override
-                  public void listed(List<Listing> list, boolean whole, Moment now) {
+                  public void listed(List<EndpointStatus> list, boolean whole, Timestamp now) {
                     module.listed(
                         list.stream()
                             .map(
                                 l ->
-                                    new Listing(
+                                    new EndpointStatus(
                                         l.engine(),
                                         l.location(),
-                                        l.kind(),
+                                        l.machineType(),
                                         l.group(),
-                                        Standing.UP,
-                                        l.started()))
+                                        EndpointState.UP,
+                                        l.startedAt()))
                             .toList(),
                         whole,
                         now);
@@ -197,22 +197,22 @@
             m ->
                 new Mutant(m) {
                   private int placed;
-                  private Command twice;
+                  private Request twice;
 
                   @Override
-                  public Placement place(Command command, Moment now) {
+                  public Placement place(Request command, Timestamp now) {
                     if (command.equals(twice)) {
                       twice = null;
-                      return Placement.send(new EngineId(2), new Span(1_000_000), -1);
+                      return Placement.send(new EngineId(2), new TimeSpan(1_000_000), -1);
                     }
                     Placement p = super.place(command, now);
-                    twice = p.verdict() == Verdict.SEND && ++placed % 50 == 0 ? command : twice;
+                    twice = p.decision() == Decision.SEND && ++placed % 50 == 0 ? command : twice;
                     return p;
                   }
 
                   @Override
-                  public Pause pause(Moment now) {
-                    return twice != null ? Pause.ask(twice) : module.pause(now);
+                  public NextStep pause(Timestamp now) {
+                    return twice != null ? NextStep.placeAgain(twice) : module.pause(now);
                   }
                 },
             1);
@@ -230,15 +230,15 @@
                   private int after;
 
                   @Override
-                  public Placement after(Outcome outcome, Moment now) {
+                  public Placement after(AttemptOutcome outcome, Timestamp now) {
                     Placement p = module.after(outcome, now);
-                    return p.verdict() == Verdict.SHED && ++after > 0 ? Placement.hold() : p;
+                    return p.decision() == Decision.SHED && ++after > 0 ? Placement.queue() : p;
                   }
 
                   @Override
-                  public Placement place(Command command, Moment now) {
+                  public Placement place(Request command, Timestamp now) {
                     Placement p = module.place(command, now);
-                    return p.verdict() == Verdict.SHED ? Placement.hold() : p;
+                    return p.decision() == Decision.SHED ? Placement.queue() : p;
                   }
                 },
             1);
@@ -253,28 +253,29 @@
     Mutation repeats =
         m ->
             new Mutant(m) {
-              private final List<Command> again = new ArrayList<>();
+              private final List<Request> again = new ArrayList<>();
 
               @Override
-              public Placement after(Outcome outcome, Moment now) {
+              public Placement after(AttemptOutcome outcome, Timestamp now) {
                 Placement p = module.after(outcome, now);
-                if (outcome.ending() == Outcome.Ending.ERROR && p.verdict() != Verdict.HOLD) {
-                  again.add(commands.get(outcome.command()));
-                  return Placement.hold();
+                if (outcome.result() == AttemptOutcome.AttemptResult.ERROR
+                    && p.decision() != Decision.QUEUE) {
+                  again.add(commands.get(outcome.request()));
+                  return Placement.queue();
                 }
                 return p;
               }
 
               @Override
-              public Pause pause(Moment now) {
-                return again.isEmpty() ? module.pause(now) : Pause.ask(again.get(0));
+              public NextStep pause(Timestamp now) {
+                return again.isEmpty() ? module.pause(now) : NextStep.placeAgain(again.get(0));
               }
 
               @Override
-              public Placement place(Command command, Moment now) {
+              public Placement place(Request command, Timestamp now) {
                 if (!again.isEmpty() && again.get(0).equals(command)) {
                   again.remove(0);
-                  return Placement.send(new EngineId(7), new Span(1_000_000), -1);
+                  return Placement.send(new EngineId(7), new TimeSpan(1_000_000), -1);
                 }
                 return super.place(command, now);
               }
@@ -284,9 +285,9 @@
         m ->
             new Mutant(m) {
               @Override
-              public Placement after(Outcome outcome, Moment now) {
+              public Placement after(AttemptOutcome outcome, Timestamp now) {
                 Placement p = module.after(outcome, now);
-                return p.verdict() == Verdict.FAIL ? Placement.shed(Span.ZERO) : p;
+                return p.decision() == Decision.FAIL ? Placement.shed(TimeSpan.ZERO) : p;
               }
             };
     assertTrue(play(hall(), failing, sheds, 2).count(Rule.TWICE) > 0);
@@ -294,13 +295,13 @@
         m ->
             new Mutant(m) {
               @Override
-              public Placement place(Command command, Moment now) {
+              public Placement place(Request command, Timestamp now) {
                 Placement p = super.place(command, now);
-                return p.verdict() == Verdict.HOLD
-                        && command.key() != null
-                        && !commands.containsKey(new CommandId("x" + command.id().value()))
-                        && commands.put(new CommandId("x" + command.id().value()), command) == null
-                    ? Placement.send(new EngineId(3), new Span(1_000_000), -1)
+                return p.decision() == Decision.QUEUE
+                        && command.sequenceKey() != null
+                        && !commands.containsKey(new RequestId("x" + command.id().value()))
+                        && commands.put(new RequestId("x" + command.id().value()), command) == null
+                    ? Placement.send(new EngineId(3), new TimeSpan(1_000_000), -1)
                     : p;
               }
             };
@@ -341,10 +342,10 @@
         m ->
             new Mutant(m) {
               @Override
-              public Placement place(Command command, Moment now) {
+              public Placement place(Request command, Timestamp now) {
                 Placement p = super.place(command, now);
-                return p.verdict() == Verdict.SEND
-                    ? Placement.send(new EngineId(1), p.sendTimeout(), -1)
+                return p.decision() == Decision.SEND
+                    ? Placement.send(new EngineId(1), p.attemptTimeout(), -1)
                     : p;
               }
             };
--- a/src/test/java/cobaltseam/emulator/TheoryTest.java
+++ b/src/test/java/cobaltseam/emulator/TheoryTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.dispatch.Deployment.Repeat;
-import cobaltseam.dispatch.Deployment.Scope;
+import cobaltseam.dispatch.Deployment.DeduplicationScope;
+import cobaltseam.dispatch.Deployment.RetrySafety;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -38,8 +38,8 @@
                 1e6,
                 1e6,
                 0,
-                Repeat.NON_REPLAYABLE,
-                Scope.ALL,
+                RetrySafety.NOT_IDEMPOTENT,
+                DeduplicationScope.ALL,
                 0,
                 0,
                 false,
--- a/src/test/java/cobaltseam/fleet/SpreadFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/SpreadFleetTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.fleet.Trouble.Kind;
 import cobaltseam.membership.Lease;
 import java.util.ArrayList;
@@ -145,8 +145,8 @@
   void partsThatGrowTooSoonAndClocksFurtherApartThanStatedAreFound() {
     // Mutants of the rule: growing as soon as a view is held, and clocks at half and one and a half
     // the rate under a bound of 0.1%.
-    assertTrue(most(new Lease.Terms(new Span(20_000_000), -0.5), 0) > 1, "no wait");
-    assertTrue(most(new Lease.Terms(new Span(10_000_000), 0.001), 1) > 1, "clocks");
+    assertTrue(most(new Lease.Terms(new TimeSpan(20_000_000), -0.5), 0) > 1, "no wait");
+    assertTrue(most(new Lease.Terms(new TimeSpan(10_000_000), 0.001), 1) > 1, "clocks");
     assertTrue(most(SpreadHunt.LEASE, SpreadHunt.CLOCKS) <= 1);
   }
 }
--- a/src/test/java/cobaltseam/hall/MessageCodecTest.java
+++ b/src/test/java/cobaltseam/hall/MessageCodecTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.agreement.Word;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.hall.MessageCodec.Refusal;
 import cobaltseam.membership.Ballot;
 import cobaltseam.membership.Birth;
@@ -130,15 +130,15 @@
   void whatOtherPartsSayComesBackAsItWas() {
     Version version = new Version(new Birth(4), 1L << 41);
     Told.Ask ask =
-        new Told.Ask(A.name(), -5, Map.of(B.name(), new Told.Have(version, new Span(7))));
+        new Told.Ask(A.name(), -5, Map.of(B.name(), new Told.Have(version, new TimeSpan(7))));
     Told.Newer newer =
         new Told.Newer(
             A.name(),
             9,
             List.of(
                 new Statement(
-                    B.name(), version, new Figures(Map.of("spread.demand", 3L)), Span.ZERO)),
-            List.of(new Told.Stands(A.name(), version, new Span(1))));
+                    B.name(), version, new Figures(Map.of("spread.demand", 3L)), TimeSpan.ZERO)),
+            List.of(new Told.Stands(A.name(), version, new TimeSpan(1))));
     for (Spoken said :
         List.of(
             new LeaseWord.Renew(FROM, -1),
--- a/src/test/java/cobaltseam/hall/WireSamples.java
+++ b/src/test/java/cobaltseam/hall/WireSamples.java
@@ -1,7 +1,7 @@
 package cobaltseam.hall;
 
 import cobaltseam.agreement.Word;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.membership.Ballot;
 import cobaltseam.membership.Birth;
 import cobaltseam.membership.Change;
@@ -96,12 +96,13 @@
     samples.put("Checked", new Word.Checked(HEADER, EDITION, "no"));
     samples.put("Want", new Word.Want(HEADER, EDITION.hash(), 4));
     samples.put("Piece", new Word.Piece(HEADER, EDITION.hash(), 1, 3, new byte[] {7, -8}));
-    Map<MemberName, Told.Have> known = Map.of(SECOND.name(), new Told.Have(VERSION, new Span(7)));
+    Map<MemberName, Told.Have> known =
+        Map.of(SECOND.name(), new Told.Have(VERSION, new TimeSpan(7)));
     samples.put("ShareAsk", new Shared.ShareAsk(HEADER, new Told.Ask(FIRST.name(), -5, known)));
     Statement statement =
         new Statement(
-            SECOND.name(), VERSION, new Figures(Map.of("spread.demand", 3L)), new Span(11));
-    Told.Stands standing = new Told.Stands(FIRST.name(), VERSION, new Span(1));
+            SECOND.name(), VERSION, new Figures(Map.of("spread.demand", 3L)), new TimeSpan(11));
+    Told.Stands standing = new Told.Stands(FIRST.name(), VERSION, new TimeSpan(1));
     samples.put(
         "ShareNewer",
         new Shared.ShareNewer(
