--- a/src/test/java/cobaltseam/mastership/Exploration.java
+++ b/src/test/java/cobaltseam/mastership/Exploration.java
@@ -1,7 +1,7 @@
 package cobaltseam.mastership;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.mastership.VirtualRouter.Change;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Advert;
@@ -20,12 +20,12 @@
  * place. From every state on, with no more of that, exactly one must become active and stay so.
  */
 final class Exploration {
-  static final Span INTERVAL = new Span(100_000);
-  private static final Span LATENCY = new Span(1_000);
-  private static final Span LATE = INTERVAL.times(1.5);
-  private static final List<Span> FREEZES =
+  static final TimeSpan INTERVAL = new TimeSpan(100_000);
+  private static final TimeSpan LATENCY = new TimeSpan(1_000);
+  private static final TimeSpan LATE = INTERVAL.times(1.5);
+  private static final List<TimeSpan> FREEZES =
       List.of(INTERVAL.times(0.5), INTERVAL.times(3.2), INTERVAL.times(10));
-  private static final Moment ZERO = new Moment(0);
+  private static final Timestamp ZERO = new Timestamp(0);
 
   /** How often each thing may go wrong. */
   record Faults(int lost, int doubled, int late, int freezes, int restarts) {
@@ -34,23 +34,23 @@
     }
   }
 
-  private record Flying(int from, int to, int priority, Moment at) {}
+  private record Flying(int from, int to, int priority, Timestamp at) {}
 
   /** All moments count from now. */
   private record World(
       List<Standing> routers,
-      List<Moment> frozen,
+      List<Timestamp> frozen,
       List<Flying> flying,
       Faults left,
-      Moment overlapSince) {}
+      Timestamp overlapSince) {}
 
   private final List<Terms> terms;
   private final List<InetAddress> selves = new ArrayList<>();
   private final Set<World> seen = new HashSet<>();
-  private final Span settle;
+  private final TimeSpan settle;
   private final boolean fencesHold;
   private long steps;
-  private Span longestOverlap = Span.ZERO;
+  private TimeSpan longestOverlap = TimeSpan.ZERO;
 
   Exploration(List<Terms> terms, Faults faults) {
     this.terms = terms;
@@ -71,7 +71,7 @@
     return steps;
   }
 
-  Span longestOverlap() {
+  TimeSpan longestOverlap() {
     return longestOverlap;
   }
 
@@ -79,7 +79,7 @@
   void run(Faults faults) {
     List<Standing> start =
         terms.stream()
-            .map(t -> VirtualRouter.start(t, t.priority(), Span.ZERO, ZERO).standing())
+            .map(t -> VirtualRouter.start(t, t.priority(), TimeSpan.ZERO, ZERO).standing())
             .toList();
     Deque<World> open = new ArrayDeque<>();
     add(open, new World(start, Collections.nCopies(terms.size(), ZERO), List.of(), faults, null));
@@ -101,10 +101,10 @@
     World world =
         new World(
             from.routers, from.frozen, from.flying, new Faults(0, 0, 0, 0, 0), from.overlapSince);
-    Span spent = Span.ZERO;
+    TimeSpan spent = TimeSpan.ZERO;
     int active = -1;
     while (spent.compareTo(settle.plus(INTERVAL.times(5))) < 0) {
-      Span wait = next(world).since(ZERO);
+      TimeSpan wait = next(world).since(ZERO);
       spent = spent.plus(wait);
       world = step(world, false).get(0);
       if (spent.compareTo(settle) >= 0) {
@@ -128,24 +128,24 @@
     return active;
   }
 
-  private Moment wakeOf(World w, int i) {
-    Moment wake = w.routers.get(i).wake();
+  private Timestamp wakeOf(World w, int i) {
+    Timestamp wake = w.routers.get(i).wake();
     return wake == null ? null : later(wake, w.frozen.get(i));
   }
 
-  private static Moment later(Moment one, Moment other) {
-    return one.before(other) ? other : one;
+  private static Timestamp later(Timestamp one, Timestamp other) {
+    return one.isBefore(other) ? other : one;
   }
 
-  private Moment next(World w) {
-    Moment next = null;
+  private Timestamp next(World w) {
+    Timestamp next = null;
     for (int i = 0; i < w.routers.size(); i++) {
-      Moment at = wakeOf(w, i);
-      next = at != null && (next == null || at.before(next)) ? at : next;
+      Timestamp at = wakeOf(w, i);
+      next = at != null && (next == null || at.isBefore(next)) ? at : next;
     }
     for (Flying f : w.flying) {
-      Moment at = later(f.at, w.frozen.get(f.to));
-      next = next == null || at.before(next) ? at : next;
+      Timestamp at = later(f.at, w.frozen.get(f.to));
+      next = next == null || at.isBefore(next) ? at : next;
     }
     return later(next, ZERO);
   }
@@ -153,11 +153,11 @@
   /** Every world that the next event can lead to; what has flown is heard before what is due. */
   private List<World> step(World w, boolean faulty) {
     steps++;
-    Moment now = next(w);
+    Timestamp now = next(w);
     List<World> worlds = new ArrayList<>();
     Flying come =
         w.flying.stream()
-            .filter(f -> !now.before(later(f.at, w.frozen.get(f.to))))
+            .filter(f -> !now.isBefore(later(f.at, w.frozen.get(f.to))))
             .findFirst()
             .orElse(null);
     if (come != null) {
@@ -176,13 +176,13 @@
       return worlds;
     }
     for (int i = 0; i < w.routers.size(); i++) {
-      Moment at = wakeOf(w, i);
-      if (at == null || now.before(at)) {
+      Timestamp at = wakeOf(w, i);
+      if (at == null || now.isBefore(at)) {
         continue;
       }
       if (faulty && w.left.freezes > 0) {
-        for (Span freeze : FREEZES) {
-          List<Moment> frozen = new ArrayList<>(w.frozen);
+        for (TimeSpan freeze : FREEZES) {
+          List<Timestamp> frozen = new ArrayList<>(w.frozen);
           frozen.set(i, now.plus(freeze));
           Faults left =
               new Faults(
@@ -207,7 +207,7 @@
           faulty,
           worlds,
           (t, s) ->
-              s.wake() != null && !now.before(s.wake())
+              s.wake() != null && !now.isBefore(s.wake())
                   ? VirtualRouter.due(t, s, now)
                   : new Change(s));
       return worlds;
@@ -220,7 +220,8 @@
   }
 
   /** The fence first, as in service; then the event; then each way that its adverts can go. */
-  private void follow(World w, int i, Moment now, boolean faulty, List<World> worlds, Event event) {
+  private void follow(
+      World w, int i, Timestamp now, boolean faulty, List<World> worlds, Event event) {
     Standing before = w.routers.get(i);
     Change fenced = VirtualRouter.fenced(terms.get(i), before, now);
     Change change = event.on(terms.get(i), fenced.standing());
@@ -284,16 +285,16 @@
   }
 
   /** Two that may both take traffic at this moment: for how long by now. */
-  private World overlap(World w, Moment now) {
+  private World overlap(World w, Timestamp now) {
     int admitted = 0;
     for (int i = 0; i < w.routers.size(); i++) {
-      Moment fence = VirtualRouter.fence(terms.get(i), w.routers.get(i));
+      Timestamp fence = VirtualRouter.fence(terms.get(i), w.routers.get(i));
       // One that stands still takes nothing; when it goes on, its fence or the adverts that wait
       // for it decide.
-      boolean frozen = now.before(w.frozen.get(i));
-      admitted += fence != null && !fence.before(now) && !frozen ? 1 : 0;
+      boolean frozen = now.isBefore(w.frozen.get(i));
+      admitted += fence != null && !fence.isBefore(now) && !frozen ? 1 : 0;
     }
-    Moment since = admitted < 2 ? null : w.overlapSince == null ? now : w.overlapSince;
+    Timestamp since = admitted < 2 ? null : w.overlapSince == null ? now : w.overlapSince;
     if (since != null) {
       longestOverlap = longestOverlap.max(now.since(since));
       if (fencesHold && now.since(since).compareTo(LATENCY) > 0) {
@@ -304,8 +305,8 @@
   }
 
   /** The same world with now as the moment zero; what is long past is all the same. */
-  private World shifted(World w, Moment now) {
-    Span past = now.since(ZERO);
+  private World shifted(World w, Timestamp now) {
+    TimeSpan past = now.since(ZERO);
     List<Standing> routers = new ArrayList<>();
     for (Standing s : w.routers) {
       routers.add(
@@ -327,9 +328,9 @@
         moved(w.overlapSince, past, false));
   }
 
-  private static Moment moved(Moment moment, Span by, boolean onlyAhead) {
-    Moment to = moment == null ? null : moment.minus(by);
-    return to != null && onlyAhead && to.before(ZERO) ? ZERO : to;
+  private static Timestamp moved(Timestamp moment, TimeSpan by, boolean onlyAhead) {
+    Timestamp to = moment == null ? null : moment.minus(by);
+    return to != null && onlyAhead && to.isBefore(ZERO) ? ZERO : to;
   }
 
   static Terms terms(int priority, boolean preempts) {
@@ -338,7 +339,7 @@
         priority,
         INTERVAL,
         preempts,
-        Span.ZERO,
+        TimeSpan.ZERO,
         List.of(Addresses.read("192.0.2.10").orElseThrow()));
   }
 
--- a/src/test/java/cobaltseam/mastership/MastershipTest.java
+++ b/src/test/java/cobaltseam/mastership/MastershipTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.mastership.Fitness.Sign;
 import cobaltseam.seal.SealKeys;
 import cobaltseam.vrrp.Addresses;
@@ -24,29 +24,29 @@
 
 /** Mastership of one dispatcher in time that the tests set. */
 class MastershipTest {
-  private static final Span SECOND = new Span(1_000_000);
-  private static final Span LONGEST_SEND = SECOND.times(10);
-  private static final Moment START = new Moment(1_000_000_000_000L);
+  private static final TimeSpan SECOND = new TimeSpan(1_000_000);
+  private static final TimeSpan LONGEST_SEND = SECOND.times(10);
+  private static final Timestamp START = new Timestamp(1_000_000_000_000L);
   private static final InetAddress SELF = ip("10.0.0.5");
   private static final InetAddress LOWER = ip("10.0.0.4");
   private static final InetAddress HIGHER = ip("10.0.0.6");
   private static final List<InetAddress> ADDRESSES = List.of(ip("192.0.2.10"));
   private static final VirtualRouterId R1 = new VirtualRouterId(1, false);
 
-  private Moment now = START;
+  private Timestamp now = START;
 
   private static InetAddress ip(String text) {
     return Addresses.read(text).orElseThrow();
   }
 
-  private static Terms terms(int router, int priority, boolean preempts, Span delay) {
+  private static Terms terms(int router, int priority, boolean preempts, TimeSpan delay) {
     return new Terms(
         new VirtualRouterId(router, false), priority, SECOND, preempts, delay, ADDRESSES);
   }
 
   private static Mastership of(Terms... terms) {
     return new Mastership(
-        SELF, List.of(terms), Set.of(LOWER, HIGHER), 3, LONGEST_SEND, Span.ZERO, true);
+        SELF, List.of(terms), Set.of(LOWER, HIGHER), 3, LONGEST_SEND, TimeSpan.ZERO, true);
   }
 
   private static Advert advert(int priority) {
@@ -59,9 +59,9 @@
 
   /** Lets time pass, asking whenever it wants to be asked. */
   private List<Act> pass(Mastership m, double seconds) {
-    Moment until = now.plus(SECOND.times(seconds));
+    Timestamp until = now.plus(SECOND.times(seconds));
     List<Act> acts = new ArrayList<>();
-    while (m.wake() != null && !until.before(m.wake())) {
+    while (m.wake() != null && !until.isBefore(m.wake())) {
       now = m.wake();
       acts.addAll(m.due(now));
     }
@@ -78,7 +78,7 @@
   }
 
   private Mastership active() {
-    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
     pass(m, 4);
     assertEquals(Role.ACTIVE, role(m));
@@ -87,10 +87,10 @@
 
   @Test
   void claimsAfterTheDownIntervalOfSilence() {
-    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     assertEquals(List.of(), m.start(now));
     // Three intervals and a skew of 156/256 of one.
-    assertEquals(START.plus(new Span(3_609_375)), m.wake());
+    assertEquals(START.plus(new TimeSpan(3_609_375)), m.wake());
     assertFalse(m.admits(R1, now));
     assertEquals(taken(Reason.NONE_HEARD), pass(m, 3.7));
     assertTrue(m.admits(R1, now));
@@ -98,31 +98,37 @@
 
   @Test
   void anOwnerClaimsAtOnceButNotBeforeItHasListened() {
-    Mastership m = of(terms(1, 255, true, Span.ZERO));
+    Mastership m = of(terms(1, 255, true, TimeSpan.ZERO));
     assertEquals(List.of(new Act.Advertise(R1, 255), new Act.Take(R1, Reason.OWNER)), m.start(now));
     Mastership listens =
         new Mastership(
-            SELF, List.of(terms(1, 255, true, Span.ZERO)), Set.of(LOWER), 0, SECOND, SECOND, true);
+            SELF,
+            List.of(terms(1, 255, true, TimeSpan.ZERO)),
+            Set.of(LOWER),
+            0,
+            SECOND,
+            SECOND,
+            true);
     assertEquals(List.of(), listens.start(now));
   }
 
   @Test
   void aBackupFollowsTheIntervalOfTheAdvertAndAnotherResignation() {
-    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
     m.heard(HIGHER, advert(200, 200), now);
-    assertEquals(now.plus(new Span(2 * 3_609_375)), m.wake());
+    assertEquals(now.plus(new TimeSpan(2 * 3_609_375)), m.wake());
     m.heard(HIGHER, advert(0, 200), now);
-    assertEquals(now.plus(new Span(2 * 609_375)), m.wake());
+    assertEquals(now.plus(new TimeSpan(2 * 609_375)), m.wake());
     assertEquals(taken(Reason.NONE_HEARD), pass(m, 1.3));
   }
 
   @Test
   void aResignationNeverPutsAClaimOff() {
-    Mastership m = of(terms(1, 1, true, Span.ZERO));
+    Mastership m = of(terms(1, 1, true, TimeSpan.ZERO));
     m.start(now);
     pass(m, 3.9);
-    Moment before = m.wake();
+    Timestamp before = m.wake();
     m.heard(HIGHER, advert(0), now);
     assertEquals(before, m.wake());
   }
@@ -130,7 +136,7 @@
   @Test
   void preemptionIsOnOffOrDelayed() {
     for (boolean preempts : new boolean[] {true, false}) {
-      Mastership m = of(terms(1, 100, preempts, Span.ZERO));
+      Mastership m = of(terms(1, 100, preempts, TimeSpan.ZERO));
       m.start(now);
       for (int i = 0; i < 6; i++) {
         m.heard(LOWER, advert(50), now);
@@ -140,7 +146,7 @@
     }
     Mastership delayed = of(terms(1, 100, true, SECOND.times(10)));
     delayed.start(now);
-    Moment from = now;
+    Timestamp from = now;
     while (role(delayed) == Role.BACKUP && now.since(from).compareTo(SECOND.times(20)) < 0) {
       delayed.heard(LOWER, advert(50), now);
       pass(delayed, 1);
@@ -176,21 +182,21 @@
   @Test
   void afterAGapItStepsBackBeforeAnythingElse() {
     Mastership m = active();
-    Moment advertised = m.standing(R1).advertised();
-    Moment last = advertised.plus(SECOND.times(3));
+    Timestamp advertised = m.standing(R1).advertised();
+    Timestamp last = advertised.plus(SECOND.times(3));
     assertTrue(m.admits(R1, last));
     assertFalse(m.overtaken(last));
-    Moment after = last.plus(new Span(1));
+    Timestamp after = last.plus(new TimeSpan(1));
     assertFalse(m.admits(R1, after));
     assertTrue(m.overtaken(after));
     // What comes first after the gap, its own alarm included, finds it stepping back.
     assertEquals(List.of(new Act.Leave(R1, Reason.FENCED)), m.due(after));
-    assertEquals(after.plus(new Span(3_609_375)), m.wake());
+    assertEquals(after.plus(new TimeSpan(3_609_375)), m.wake());
   }
 
   @Test
   void aBackupThatWasHeldUpListensAnewBeforeItClaims() {
-    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
     now = now.plus(SECOND.times(60));
     assertEquals(List.of(), m.due(now));
@@ -249,14 +255,14 @@
     Mastership m = active();
     List<Act> acts =
         m.renewed(
-            List.of(terms(1, 180, true, Span.ZERO), terms(2, 90, true, Span.ZERO)),
+            List.of(terms(1, 180, true, TimeSpan.ZERO), terms(2, 90, true, TimeSpan.ZERO)),
             Set.of(LOWER),
             3,
             now);
     assertEquals(List.of(new Act.Advertise(R1, 180)), acts);
     assertEquals(List.of(R1, new VirtualRouterId(2, false)), m.routers());
     assertEquals(List.of(), m.heard(HIGHER, advert(255), now), "no peer any more");
-    acts = m.renewed(List.of(terms(2, 90, true, Span.ZERO)), Set.of(LOWER), 3, now);
+    acts = m.renewed(List.of(terms(2, 90, true, TimeSpan.ZERO)), Set.of(LOWER), 3, now);
     assertEquals(List.of(new Act.Advertise(R1, 0), new Act.Leave(R1, Reason.REMOVED)), acts);
     assertFalse(m.admits(R1, now));
   }
@@ -265,7 +271,7 @@
   void manyRoutersAreEachAskedInTheirTime() {
     Terms[] all = new Terms[255];
     for (int i = 0; i < all.length; i++) {
-      all[i] = terms(i + 1, 1 + i % 254, true, Span.ZERO);
+      all[i] = terms(i + 1, 1 + i % 254, true, TimeSpan.ZERO);
     }
     Mastership m = of(all);
     m.start(now);
@@ -278,7 +284,7 @@
 
   @Test
   void enginesAreSharedWithWhoIsHeardAndWithWhatAFormerOneLeft() {
-    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
     // One that was there before the start may have left sends, and fades.
     assertEquals(5, m.dispatchers(now), 0.001);
@@ -300,7 +306,7 @@
 
   @Test
   void differingAddressesRoutersAndIntervalsAreRefused() {
-    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
     assertEquals(Refusal.UNKNOWN_ROUTER, m.refusal(new Advert(9, 1, 100, ADDRESSES)).orElseThrow());
     assertEquals(
@@ -309,11 +315,11 @@
     Mastership strict =
         new Mastership(
             SELF,
-            List.of(terms(1, 100, true, Span.ZERO)),
+            List.of(terms(1, 100, true, TimeSpan.ZERO)),
             Set.of(LOWER),
             0,
             SECOND,
-            Span.ZERO,
+            TimeSpan.ZERO,
             false);
     assertEquals(Refusal.INTERVAL_DIFFERS, strict.refusal(advert(1, 200)).orElseThrow());
   }
@@ -322,9 +328,9 @@
 
   private static final SealKeys KEYS =
       SealKeys.read("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
-  private static final Span DIFFERENCE = SECOND.times(0.5);
+  private static final TimeSpan DIFFERENCE = SECOND.times(0.5);
 
-  private byte[] sealed(Moment sent, SealKeys keys, int key) {
+  private byte[] sealed(Timestamp sent, SealKeys keys, int key) {
     return AdvertSeal.write(
         AdvertCodec.write(advert(200), LOWER, SELF, Covers.MESSAGE),
         LOWER,
@@ -336,7 +342,7 @@
 
   @Test
   void forgedReplayedAndStaleAdvertsNeverCount() {
-    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
     Intake intake = new Intake(SELF, m, new Freshness(START, DIFFERENCE), Set.of(LOWER), KEYS);
     byte[] recorded = sealed(START.plus(DIFFERENCE), KEYS, 1);
@@ -350,8 +356,8 @@
     assertEquals(Refusal.REPLAYED, intake.judge(good, LOWER, SELF, now).refusal());
     assertEquals(
         Refusal.REPLAYED,
-        intake.judge(sealed(now.minus(new Span(1)), KEYS, 1), LOWER, SELF, now).refusal());
-    byte[] late = sealed(now.plus(new Span(1)), KEYS, 2);
+        intake.judge(sealed(now.minus(new TimeSpan(1)), KEYS, 1), LOWER, SELF, now).refusal());
+    byte[] late = sealed(now.plus(new TimeSpan(1)), KEYS, 2);
     now = now.plus(SECOND.times(2));
     assertEquals(Refusal.STALE, intake.judge(late, LOWER, SELF, now).refusal());
     assertEquals(
@@ -389,9 +395,9 @@
 
   @Test
   void withoutSealsEitherChecksumCountsAndIsCounted() {
-    Mastership m = of(terms(1, 100, true, Span.ZERO));
+    Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
-    Intake intake = new Intake(SELF, m, new Freshness(START, Span.ZERO), Set.of(LOWER), null);
+    Intake intake = new Intake(SELF, m, new Freshness(START, TimeSpan.ZERO), Set.of(LOWER), null);
     for (Covers covers : Covers.values()) {
       assertEquals(
           200,
@@ -427,7 +433,7 @@
     assertTrue(counted > 30_000, "counted in " + counted + " of 36000 looks");
     assertEquals(List.of(Sign.LATE), fitness.counting());
     // Between the bounds it stays as it is; well for long enough it ends.
-    Moment later = START.plus(SECOND.times(4000));
+    Timestamp later = START.plus(SECOND.times(4000));
     fitness.told(Map.of(Sign.LATE, 0.0), later);
     assertEquals(0, fitness.told(Map.of(Sign.LATE, 0.0), later.plus(SECOND.times(160))));
     assertEquals(0, fitness.told(Map.of(Sign.LATE, 0.4), later.plus(SECOND.times(170))));
--- a/src/test/java/cobaltseam/membership/MembershipTest.java
+++ b/src/test/java/cobaltseam/membership/MembershipTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -17,11 +17,11 @@
 
 /** Names, births and bounds, between a few members that hear each other at once. */
 class MembershipTest {
-  private static final Span PERIOD = new Span(1_000_000);
+  private static final TimeSpan PERIOD = new TimeSpan(1_000_000);
 
   private final Map<InetSocketAddress, Membership> at = new HashMap<>();
   private final List<Act.Noted> noted = new ArrayList<>();
-  private Moment now = new Moment(1_000_000);
+  private Timestamp now = new Timestamp(1_000_000);
 
   private static InetSocketAddress address(int port) {
     return new InetSocketAddress("127.0.0.1", port);
@@ -30,7 +30,8 @@
   private Membership member(String name, long birth, int port, int... seeds) {
     List<InetSocketAddress> of =
         java.util.Arrays.stream(seeds).mapToObj(MembershipTest::address).toList();
-    Terms terms = new Terms(PERIOD, 2, 3, List.of(new MemberName("a")), of, new Span(3_000_000));
+    Terms terms =
+        new Terms(PERIOD, 2, 3, List.of(new MemberName("a")), of, new TimeSpan(3_000_000));
     Membership m =
         new Membership(
             terms,
@@ -53,11 +54,11 @@
   }
 
   private void pass(double periods) {
-    Moment until = now.plus(PERIOD.times(periods));
-    while (now.before(until)) {
+    Timestamp until = now.plus(PERIOD.times(periods));
+    while (now.isBefore(until)) {
       now = now.plus(PERIOD.times(0.125));
       for (Membership m : List.copyOf(at.values())) {
-        if (m.wake(now) != null && !now.before(m.wake(now.minus(PERIOD.times(0.125))))) {
+        if (m.wake(now) != null && !now.isBefore(m.wake(now.minus(PERIOD.times(0.125))))) {
           carry(m.due(now));
         }
       }
--- a/src/test/java/cobaltseam/repeats/PurseTest.java
+++ b/src/test/java/cobaltseam/repeats/PurseTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Birth;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
@@ -30,7 +30,7 @@
  */
 class PurseTest {
   private static final Terms TERMS =
-      new Terms(0.1, 0, new Span(10_000_000), new Span(100_000), 0.001);
+      new Terms(0.1, 0, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001);
 
   private static Member member(int i, long birth) {
     return new Member(
@@ -49,8 +49,8 @@
     return new Teller(member(i, 1), 0, ViewId.NONE, true);
   }
 
-  private static Moment at(double s) {
-    return new Moment(Math.round(s * 1e6));
+  private static Timestamp at(double s) {
+    return new Timestamp(Math.round(s * 1e6));
   }
 
   /** A purse and whoever spends from it. */
@@ -109,7 +109,7 @@
 
   @Test
   void aloneAProcessEarnsItsStatedPartAndNoMoreIsSavedUp() {
-    One one = new One(new Terms(0, 2, new Span(10_000_000), new Span(100_000), 0.001), 1);
+    One one = new One(new Terms(0, 2, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001), 1);
     for (int ds = 0; ds <= 1000; ds++) {
       one.follow(Map.of(), 0, ds / 10.0);
       assertTrue(one.left.get() <= 2 * Purse.ONE, "at " + ds);
@@ -119,7 +119,7 @@
 
   @Test
   void aPauseEarnsNoMoreThanAWindow() {
-    One one = new One(new Terms(0, 2, new Span(10_000_000), new Span(100_000), 0.001), 1);
+    One one = new One(new Terms(0, 2, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001), 1);
     one.follow(Map.of(), 0, 0);
     one.follow(Map.of(), 0, 500);
     assertTrue(one.left.get() <= 2 * Purse.ONE);
@@ -276,7 +276,11 @@
       double over = day(seed, TERMS, false, true);
       assertTrue(over <= 1e-6, "seed " + seed + ": " + over + " over the bound");
       over =
-          day(seed, new Terms(0.05, 1, new Span(5_000_000), new Span(100_000), 0.001), false, true);
+          day(
+              seed,
+              new Terms(0.05, 1, new TimeSpan(5_000_000), new TimeSpan(100_000), 0.001),
+              false,
+              true);
       assertTrue(
           over <= 1e-6, "seed " + seed + " with parts of their own: " + over + " over the bound");
     }
@@ -292,7 +296,7 @@
       stays +=
           day(
               seed,
-              new Terms(0.1, 0, new Span(10_000_000), new Span(9_999_999), 0.001),
+              new Terms(0.1, 0, new TimeSpan(10_000_000), new TimeSpan(9_999_999), 0.001),
               true,
               false);
     }
--- a/src/test/java/cobaltseam/service/HallTest.java
+++ b/src/test/java/cobaltseam/service/HallTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.deployment.Fields;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.seal.SealKeys;
 import cobaltseam.setup.SetupReader;
 import cobaltseam.standin.AdvertLink.Fault;
@@ -436,7 +436,7 @@
             if (broken.get()) {
               throw new IllegalStateException("for the test");
             }
-            return new Hall.Report(Span.ZERO, 1, 0, 0);
+            return new Hall.Report(TimeSpan.ZERO, 1, 0, 0);
           });
       service.open();
       Thread loop =
--- a/src/test/java/cobaltseam/service/ServiceTest.java
+++ b/src/test/java/cobaltseam/service/ServiceTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.deployment.BadInput;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -649,19 +649,19 @@
         "null b c 2", slots.get(a) + " " + slots.get(b) + " " + slots.get(c) + " " + slots.size());
     assertEquals(null, slots.get(Slots.NONE));
     Deadlines deadlines = new Deadlines();
-    Moment now = new Moment(50);
+    Timestamp now = new Timestamp(50);
     List<Integer> run = new ArrayList<>();
     deadlines.set(now, () -> run.add(2));
     deadlines.set(now, () -> run.add(3));
     Deadlines.Deadline not = deadlines.set(now, () -> run.add(4));
-    deadlines.set(new Moment(40), () -> run.add(1));
-    deadlines.set(new Moment(51), () -> run.add(5));
+    deadlines.set(new Timestamp(40), () -> run.add(1));
+    deadlines.set(new Timestamp(51), () -> run.add(5));
     deadlines.cancel(not);
     deadlines.cancel(null);
     for (Runnable due = deadlines.due(now); due != null; due = deadlines.due(now)) {
       due.run();
     }
     assertEquals(List.of(1, 2, 3), run);
-    assertEquals(1, deadlines.untilNext(now, new Span(9)).us());
+    assertEquals(1, deadlines.untilNext(now, new TimeSpan(9)).us());
   }
 }
--- a/src/test/java/cobaltseam/setup/SetupReaderTest.java
+++ b/src/test/java/cobaltseam/setup/SetupReaderTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.deployment.BadInput;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.mastership.Fitness.Sign;
 import cobaltseam.vrrp.Reading.Covers;
 import java.io.IOException;
@@ -65,21 +65,21 @@
   @Test
   void whatHangsOnMembershipNeedsItAndHasDefaults() throws IOException {
     Setup setup = SetupReader.read(write(MEMBER + "[agreement]\n[spread]\nwindow_ms = 500\n"));
-    assertEquals(new Span(2_000_000), setup.agreed().contradiction());
+    assertEquals(new TimeSpan(2_000_000), setup.agreed().contradiction());
     assertEquals(
         new Setup.Spread(
             false,
             0.1,
             0.25,
-            new Span(2_000_000),
-            new Span(500_000),
-            new Span(1_000_000),
-            new Span(10_000_000),
-            new Span(100_000),
+            new TimeSpan(2_000_000),
+            new TimeSpan(500_000),
+            new TimeSpan(1_000_000),
+            new TimeSpan(10_000_000),
+            new TimeSpan(100_000),
             false),
         setup.spread());
     assertEquals(
-        new Setup.Repeats(0.3, 1, new Span(10_000_000), new Span(100_000)),
+        new Setup.Repeats(0.3, 1, new TimeSpan(10_000_000), new TimeSpan(100_000)),
         SetupReader.read(write(MEMBER + "[repeats]\nratio = 0.3\n")).repeats());
     assertTrue(wrong("[repeats]\n").contains("it needs [membership]"));
     assertTrue(
@@ -107,7 +107,7 @@
     assertTrue(setup.jsonLog());
     assertEquals(Covers.PSEUDO_HEADER, setup.hall().covers());
     assertEquals(150, setup.hall().terms().get(0).priority());
-    assertEquals(new Span(250_000), setup.hall().terms().get(0).interval());
+    assertEquals(new TimeSpan(250_000), setup.hall().terms().get(0).interval());
     assertTrue(setup.hall().terms().get(0).preempts());
     assertEquals(2, setup.hall().sealing().writeKey());
     assertEquals(-1, setup.hall().elsewhere());
--- a/src/test/java/cobaltseam/sharing/SharingTest.java
+++ b/src/test/java/cobaltseam/sharing/SharingTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Birth;
 import cobaltseam.membership.MemberName;
 import cobaltseam.sharing.Sharing.Send;
@@ -31,7 +31,7 @@
  * reorders.
  */
 class SharingTest {
-  private static final Span SECOND = new Span(1_000_000);
+  private static final TimeSpan SECOND = new TimeSpan(1_000_000);
   private static final Terms TERMS = new Terms(SECOND, 3, SECOND.times(15), 1200, 0.001);
   private static final String OUT = "out";
 
@@ -58,8 +58,8 @@
       module = new Sharing(name, birth, TERMS, new SplittableRandom(r.nextLong()), clock(at));
     }
 
-    Moment clock(long at) {
-      return new Moment(Math.round(7_000_000 + (at - begun) * rate));
+    Timestamp clock(long at) {
+      return new Timestamp(Math.round(7_000_000 + (at - begun) * rate));
     }
   }
 
@@ -261,7 +261,7 @@
     start(1, 5, 1);
     Statement s =
         new Statement(
-            name(1), new Version(new Birth(5), 9), new Figures(Map.of(OUT, 1L)), Span.ZERO);
+            name(1), new Version(new Birth(5), 9), new Figures(Map.of(OUT, 1L)), TimeSpan.ZERO);
     p.module.heard(new Told.Newer(name(1), 77, List.of(s), List.of()), p.clock(now));
     assertNull(p.module.known(name(1), p.clock(now)));
   }
--- a/src/test/java/cobaltseam/spread/HoldingsTest.java
+++ b/src/test/java/cobaltseam/spread/HoldingsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Birth;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
@@ -23,8 +23,8 @@
 
 /** Parts of a whole, one process at a time, against a ground that the test makes. */
 class HoldingsTest {
-  private static final Terms TERMS = new Terms(1000, 0.1, 10, 0.25, new Span(500_000), 16);
-  private static final Span T = new Span(2_000_000);
+  private static final Terms TERMS = new Terms(1000, 0.1, 10, 0.25, new TimeSpan(500_000), 16);
+  private static final TimeSpan T = new TimeSpan(2_000_000);
   private static final int ALONE = 10;
   private static final int SETTLED = 900;
 
@@ -48,14 +48,14 @@
     return new Teller(member(i), 0, ViewId.NONE, true);
   }
 
-  private static Moment at(double s) {
-    return new Moment(Math.round(s * 1e6));
+  private static Timestamp at(double s) {
+    return new Timestamp(Math.round(s * 1e6));
   }
 
   /** What the process is told; it is member 0. */
   private static final class Ground implements Holdings.Ground {
     View view;
-    Moment lease;
+    Timestamp lease;
     final Map<MemberName, Double> demand = new HashMap<>();
 
     @Override
@@ -74,12 +74,12 @@
     }
 
     @Override
-    public Moment leaseUntil() {
+    public Timestamp leaseUntil() {
       return lease;
     }
 
     @Override
-    public Span outlasts() {
+    public TimeSpan outlasts() {
       return T.times(1.002);
     }
 
@@ -276,7 +276,7 @@
 
   @Test
   void demandIsAMeanThatForgetsByHalves() {
-    Demand demand = new Demand(new Span(1_000_000));
+    Demand demand = new Demand(new TimeSpan(1_000_000));
     assertEquals(0, demand.told(0, at(0)));
     assertEquals(50, demand.told(50, at(1)), 1e-9, "it knows its rate by the first second alone");
     for (int s = 2; s < 30; s++) {
--- a/src/test/java/cobaltseam/spread/ReportsTest.java
+++ b/src/test/java/cobaltseam/spread/ReportsTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.dispatch.Moment;
-import cobaltseam.dispatch.Span;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Birth;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
@@ -28,7 +28,7 @@
 /** What engines told, among members that a test joins. */
 class ReportsTest {
   private static final Reports.Terms TERMS =
-      new Reports.Terms(new Span(100_000), 1, new Span(3_000_000), 0.001);
+      new Reports.Terms(new TimeSpan(100_000), 1, new TimeSpan(3_000_000), 0.001);
   private static final EngineId E = new EngineId(7);
 
   private static Member member(int i) {
@@ -50,8 +50,8 @@
     return new View(new ViewId(1, 1), of, null);
   }
 
-  private static Moment at(double s) {
-    return new Moment(Math.round(s * 1e6));
+  private static Timestamp at(double s) {
+    return new Timestamp(Math.round(s * 1e6));
   }
 
   /** The id of an ask that member 0 has out. */
@@ -82,7 +82,8 @@
     reports.heard(table(1, id, 9, 1), view(2), teller(0), at(12));
     List<Report> news = reports.news();
     assertEquals(9, news.get(0).inHand());
-    assertTrue(news.get(0).at().before(at(12)), "its age counts from the ask, not from the answer");
+    assertTrue(
+        news.get(0).at().isBefore(at(12)), "its age counts from the ask, not from the answer");
     assertEquals(List.of(), reports.news());
   }
 
