--- a/src/main/java/cobaltseam/agreement/Acting.java
+++ b/src/main/java/cobaltseam/agreement/ActiveConfiguration.java
@@ -1,15 +1,15 @@
 package cobaltseam.agreement;
 
-import cobaltseam.membership.Edition;
+import cobaltseam.membership.ConfigurationVersion;
 import java.util.List;
 
 /**
  * What a process acts on from a moment on.
  *
- * @param editions oldest first: one, or all that any process may still act on; of a process that
+ * @param versions oldest first: one, or all that any process may still act on; of a process that
  *     stepped back the one that it holds, or none
  */
-public record Acting(Mode mode, List<Edition> editions) {
+public record ActiveConfiguration(Mode mode, List<ConfigurationVersion> versions) {
   /** How. */
   public enum Mode {
     /** On the one edition. */
@@ -24,12 +24,12 @@
     }
   }
 
-  public Acting {
-    editions = List.copyOf(editions);
+  public ActiveConfiguration {
+    versions = List.copyOf(versions);
   }
 
   /** The edition that it is on the way to, or null. */
-  public Edition newest() {
-    return editions.isEmpty() ? null : editions.get(editions.size() - 1);
+  public ConfigurationVersion newest() {
+    return versions.isEmpty() ? null : versions.get(versions.size() - 1);
   }
 }
--- a/src/main/java/cobaltseam/agreement/Doing.java
+++ b/src/main/java/cobaltseam/agreement/AgreementEffect.java
@@ -1,24 +1,24 @@
 package cobaltseam.agreement;
 
-import cobaltseam.membership.Act;
+import cobaltseam.membership.MembershipAction;
 import java.net.InetSocketAddress;
 
 /** What the agreement wants done. */
-public sealed interface Doing {
+public sealed interface AgreementEffect {
   /** A datagram to an address; it may be lost. */
-  record Tell(InetSocketAddress to, Word word) implements Doing {}
+  record Send(InetSocketAddress to, AgreementMessage word) implements AgreementEffect {}
 
   /** What membership wants done because of it. */
-  record Of(Act act) implements Doing {}
+  record MembershipEffect(MembershipAction act) implements AgreementEffect {}
 
   /** From now on the process acts on this, for all keys at once. */
-  record Acts(Acting on) implements Doing {}
+  record Activate(ActiveConfiguration on) implements AgreementEffect {}
 
   /** Something for the log. */
-  record Noted(Event event, String detail) implements Doing {}
+  record EventRecorded(AgreementEvent event, String detail) implements AgreementEffect {}
 
   /** What is noted. */
-  enum Event {
+  enum AgreementEvent {
     PROPOSED,
     REFUSED,
     CHOSEN,
--- a/src/main/java/cobaltseam/agreement/Agreement.java
+++ b/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
@@ -1,14 +1,14 @@
 package cobaltseam.agreement;
 
-import cobaltseam.agreement.Acting.Mode;
-import cobaltseam.agreement.Doing.Event;
-import cobaltseam.agreement.Word.Checked;
-import cobaltseam.agreement.Word.Offer;
-import cobaltseam.agreement.Word.Piece;
-import cobaltseam.agreement.Word.Want;
+import cobaltseam.agreement.ActiveConfiguration.Mode;
+import cobaltseam.agreement.AgreementEffect.AgreementEvent;
+import cobaltseam.agreement.AgreementMessage.ContentPart;
+import cobaltseam.agreement.AgreementMessage.ContentRequest;
+import cobaltseam.agreement.AgreementMessage.VersionCheck;
+import cobaltseam.agreement.AgreementMessage.VersionOffer;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.membership.Edition;
+import cobaltseam.membership.ConfigurationVersion;
 import cobaltseam.membership.Lease;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
@@ -38,7 +38,7 @@
  * was chosen. Whoever learns of an edition acts on a cautious reading between it and those before,
  * until all members have told that they hold it, or every lease on one before must have ended.
  */
-public final class Agreement {
+public final class ConfigurationAgreement {
   /**
    * What it is set to.
    *
@@ -46,10 +46,10 @@
    * @param clockRates by which part the rates of two clocks differ at most
    * @param largest bytes of a document
    */
-  public record Terms(TimeSpan contradiction, double clockRates, int largest) {}
+  public record AgreementOptions(TimeSpan contradiction, double clockRates, int largest) {}
 
   /** What documents mean; no state, the same answer every time. */
-  public interface Documents {
+  public interface ConfigurationValidator {
     /** Why one can't be acted on here, or null. */
     String check(byte[] content);
 
@@ -81,31 +81,31 @@
   /** Documents of no edition here that are held yet: others may ask for them. */
   private static final int MOST_SPARE = 4;
 
-  private record Earlier(Edition edition, Timestamp until) {}
+  private record SupersededVersion(ConfigurationVersion edition, Timestamp until) {}
 
   private static final class Proposal {
-    Edition edition;
+    ConfigurationVersion edition;
     Timestamp since, toldAt;
     boolean offered;
     final Map<MemberName, String> answers = new HashMap<>();
   }
 
   /** A document that comes in pieces. */
-  private static final class Coming {
+  private static final class IncomingContent {
     String hash;
     ByteBuffer bytes;
     Timestamp asked;
     Member of;
   }
 
-  private final Terms terms;
+  private final AgreementOptions terms;
   private final Membership membership;
   private final Lease lease;
-  private final Documents documents;
+  private final ConfigurationValidator documents;
   private final RandomGenerator chance;
-  private final List<Doing> doings = new ArrayList<>();
+  private final List<AgreementEffect> doings = new ArrayList<>();
   private final Map<String, byte[]> contents = new HashMap<>();
-  private final List<Earlier> earlier = new ArrayList<>();
+  private final List<SupersededVersion> earlier = new ArrayList<>();
 
   /** What a first edition is made of, where the view has none. */
   private byte[] own;
@@ -116,27 +116,27 @@
   /** Until then others may act on editions that are not known here, or were taken out with one. */
   private Timestamp freshUntil, removedUntil;
 
-  private Acting acting = new Acting(Mode.BACK, List.of());
+  private ActiveConfiguration acting = new ActiveConfiguration(Mode.BACK, List.of());
   private Timestamp actingSince;
   private Proposal proposal;
-  private Coming coming;
+  private IncomingContent coming;
 
   /** The document of an edition that was to be accepted and is not here, or null. */
   private String lacking;
 
   /** The offer that is being fetched or was answered last, and whom to answer. */
-  private Edition candidate;
+  private ConfigurationVersion candidate;
 
   private Member offeredBy;
 
   /**
    * @param lease on the view, for as long as {@code contradiction}
    */
-  public Agreement(
-      Terms terms,
+  public ConfigurationAgreement(
+      AgreementOptions terms,
       Membership membership,
       Lease lease,
-      Documents documents,
+      ConfigurationValidator documents,
       RandomGenerator chance) {
     this.terms = terms;
     this.membership = membership;
@@ -150,7 +150,7 @@
    * Whether a document is here that is to be voted for; if not, it is fetched, and the vote is
    * asked for again.
    */
-  private boolean has(Edition edition) {
+  private boolean has(ConfigurationVersion edition) {
     boolean has = contents.containsKey(edition.hash());
     if (!has) {
       lacking = edition.hash();
@@ -168,7 +168,7 @@
 
   // ---- what is asked
 
-  public Acting acting() {
+  public ActiveConfiguration acting() {
     return acting;
   }
 
@@ -183,7 +183,7 @@
   }
 
   /** The content of an edition, or null if it is not here. */
-  public byte[] content(Edition edition) {
+  public byte[] content(ConfigurationVersion edition) {
     return edition == null ? null : contents.get(edition.hash());
   }
 
@@ -205,7 +205,7 @@
     Timestamp wake = now.plus(terms.contradiction.times(pending ? AGAIN : 2 * AGAIN));
     wake = acting.mode() == Mode.BACK ? wake : soonest(wake, lease.until(), now);
     wake = soonest(wake, freshUntil, now);
-    for (Earlier e : earlier) {
+    for (SupersededVersion e : earlier) {
       wake = soonest(wake, e.until, now);
     }
     return wake;
@@ -215,18 +215,18 @@
     return other == null || other.isBefore(now) || !other.isBefore(wake) ? wake : other;
   }
 
-  private List<Doing> done() {
-    List<Doing> what = List.copyOf(doings);
+  private List<AgreementEffect> done() {
+    List<AgreementEffect> what = List.copyOf(doings);
     doings.clear();
     return what;
   }
 
-  private void tell(Member to, Word word) {
-    doings.add(new Doing.Tell(to.address(), word));
+  private void tell(Member to, AgreementMessage word) {
+    doings.add(new AgreementEffect.Send(to.peerAddress(), word));
   }
 
-  private void note(Event event, String detail) {
-    doings.add(new Doing.Noted(event, detail));
+  private void note(AgreementEvent event, String detail) {
+    doings.add(new AgreementEffect.EventRecorded(event, detail));
   }
 
   // ---- what follows
@@ -235,7 +235,7 @@
    * What follows from the view and from time; to be asked before anything is taken or sent after a
    * pause.
    */
-  public List<Doing> follow(Timestamp now) {
+  public List<AgreementEffect> follow(Timestamp now) {
     View view = membership.view();
     if (view != held) {
       viewed(view, now);
@@ -250,19 +250,23 @@
   }
 
   private void viewed(View view, Timestamp now) {
-    Edition was = held == null ? null : held.edition();
-    boolean sameLine = view != null && held != null && view.id().line() == held.id().line();
-    long ahead = view == null ? 0 : Edition.number(view.edition()) - Edition.number(was);
+    ConfigurationVersion was = held == null ? null : held.configuration();
+    boolean sameLine = view != null && held != null && view.id().lineage() == held.id().lineage();
+    long ahead =
+        view == null
+            ? 0
+            : ConfigurationVersion.number(view.configuration()) - ConfigurationVersion.number(was);
     if (view != null && (!sameLine || ahead > 1)) {
       // What others may act on is not all known here.
       freshUntil = now.plus(outlasts());
     }
     if (sameLine && ahead > 0 && was != null) {
-      earlier.add(new Earlier(was, now.plus(outlasts())));
+      earlier.add(new SupersededVersion(was, now.plus(outlasts())));
     }
     boolean jumped = sameLine && view.id().number() > held.id().number() + 1;
     if (jumped
-        || sameLine && held.members().stream().anyMatch(m -> !view.holds(m.name(), m.birth()))) {
+        || sameLine
+            && held.members().stream().anyMatch(m -> !view.contains(m.name(), m.incarnation()))) {
       // Whoever was taken out may act under its lease yet, and tells nothing any more.
       removedUntil = now.plus(outlasts());
     }
@@ -280,7 +284,7 @@
   }
 
   private void fetch(View view, Timestamp now) {
-    Edition edition = view.edition();
+    ConfigurationVersion edition = view.configuration();
     String lacks =
         edition != null && !contents.containsKey(edition.hash()) ? edition.hash() : lacking;
     if (lacks != null
@@ -304,7 +308,7 @@
   }
 
   private void comes(String hash, Member of, Timestamp now) {
-    coming = new Coming();
+    coming = new IncomingContent();
     coming.hash = hash;
     coming.of = of;
     coming.asked = now;
@@ -316,22 +320,22 @@
     if (coming.of != null) {
       tell(
           coming.of,
-          new Want(
+          new ContentRequest(
               membership.teller(),
               coming.hash,
               coming.bytes == null ? 0 : coming.bytes.position()));
     }
   }
 
-  private void came(Piece piece, Timestamp now) {
+  private void came(ContentPart piece, Timestamp now) {
     if (coming == null
         || !coming.hash.equals(piece.hash())
-        || piece.size() < 0
-        || piece.size() > terms.largest) {
+        || piece.contentLength() < 0
+        || piece.contentLength() > terms.largest) {
       return;
     }
-    if (coming.bytes == null || coming.bytes.capacity() != piece.size()) {
-      coming.bytes = ByteBuffer.allocate(piece.size());
+    if (coming.bytes == null || coming.bytes.capacity() != piece.contentLength()) {
+      coming.bytes = ByteBuffer.allocate(piece.contentLength());
     }
     if (piece.index() != coming.bytes.position()
         || piece.bytes().length > coming.bytes.remaining()) {
@@ -357,9 +361,9 @@
   private void prune(View view) {
     Set<String> used = new HashSet<>();
     earlier.forEach(e -> used.add(e.edition.hash()));
-    acting.editions().forEach(e -> used.add(e.hash()));
-    if (view.edition() != null) {
-      used.add(view.edition().hash());
+    acting.versions().forEach(e -> used.add(e.hash()));
+    if (view.configuration() != null) {
+      used.add(view.configuration().hash());
     }
     if (candidate != null) {
       used.add(candidate.hash());
@@ -391,7 +395,7 @@
   }
 
   private void first(View view, Timestamp now) {
-    if (view.edition() == null
+    if (view.configuration() == null
         && own != null
         && proposal == null
         && leaseLeft(now).isPositive()
@@ -408,7 +412,7 @@
    */
   public String propose(byte[] content, long expect, Timestamp now) {
     View view = membership.view();
-    long number = view == null ? 0 : Edition.number(view.edition());
+    long number = view == null ? 0 : ConfigurationVersion.number(view.configuration());
     if (view == null || !leaseLeft(now).isPositive()) {
       return "no majority is heard";
     }
@@ -425,7 +429,7 @@
     if (why != null) {
       return why;
     }
-    if (number > 0 && view.edition().hash().equals(hash(content))) {
+    if (number > 0 && view.configuration().hash().equals(hash(content))) {
       return "it is what edition " + number + " holds";
     }
     begin(content, now);
@@ -436,12 +440,15 @@
     View view = membership.view();
     Proposal p = new Proposal();
     p.edition =
-        new Edition(Edition.number(view.edition()) + 1, hash(content), membership.self().name());
+        new ConfigurationVersion(
+            ConfigurationVersion.number(view.configuration()) + 1,
+            hash(content),
+            membership.self().name());
     p.since = now;
     contents.put(p.edition.hash(), content);
     p.answers.put(membership.self().name(), "");
     proposal = p;
-    note(Event.PROPOSED, p.edition.toString());
+    note(AgreementEvent.PROPOSED, p.edition.toString());
   }
 
   private void proposes(View view, Timestamp now) {
@@ -449,18 +456,20 @@
     if (p == null) {
       return;
     }
-    long number = Edition.number(view.edition());
+    long number = ConfigurationVersion.number(view.configuration());
     if (number >= p.edition.number()) {
-      boolean won = p.edition.equals(view.edition());
+      boolean won = p.edition.equals(view.configuration());
       note(
-          won ? Event.CHOSEN : Event.CAME_SECOND,
-          won ? p.edition.toString() : p.edition + ", held is " + view.edition());
+          won ? AgreementEvent.CHOSEN : AgreementEvent.CAME_SECOND,
+          won ? p.edition.toString() : p.edition + ", held is " + view.configuration());
       ends();
       return;
     }
     for (Map.Entry<MemberName, String> answer : p.answers.entrySet()) {
       if (!answer.getValue().isEmpty() && !p.offered) {
-        note(Event.REFUSED, p.edition + " by " + answer.getKey() + ": " + answer.getValue());
+        note(
+            AgreementEvent.REFUSED,
+            p.edition + " by " + answer.getKey() + ": " + answer.getValue());
         ends();
         return;
       }
@@ -470,7 +479,7 @@
     TimeSpan age = now.since(p.since);
     if (age.compareTo(terms.contradiction.times(GIVES_UP)) >= 0) {
       note(
-          Event.NOT_CHOSEN,
+          AgreementEvent.NOT_CHOSEN,
           p.edition
               + (p.offered
                   ? ", it may be yet"
@@ -483,7 +492,9 @@
         && enough
         && (missing.isEmpty() || age.compareTo(terms.contradiction.times(WAITS)) >= 0)) {
       p.offered = true;
-      membership.offer(p.edition, now).forEach(a -> doings.add(new Doing.Of(a)));
+      membership
+          .offer(p.edition, now)
+          .forEach(a -> doings.add(new AgreementEffect.MembershipEffect(a)));
     }
     if (!p.offered
         && (p.toldAt == null
@@ -493,7 +504,7 @@
           m ->
               tell(
                   m,
-                  new Offer(
+                  new VersionOffer(
                       membership.teller(), p.edition, contents.get(p.edition.hash()).length)));
     }
   }
@@ -507,45 +518,47 @@
   private void answer(Timestamp now) {
     byte[] content = candidate == null ? null : contents.get(candidate.hash());
     if (content != null && offeredBy != null) {
-      tell(offeredBy, new Checked(membership.teller(), candidate, documents.check(content)));
+      tell(offeredBy, new VersionCheck(membership.teller(), candidate, documents.check(content)));
     }
   }
 
   // ---- what comes
 
   /** A word that its carrier found whole, of this fleet and sealed as it should be. */
-  public List<Doing> heard(Word word, Timestamp now) {
+  public List<AgreementEffect> heard(AgreementMessage word, Timestamp now) {
     View view = membership.view();
     Member from = word.from().member();
-    if (!membership.spoke(word, now) || view == null || !view.holds(from.name(), from.birth())) {
+    if (!membership.spoke(word, now)
+        || view == null
+        || !view.contains(from.name(), from.incarnation())) {
       return follow(now);
     }
-    if (word instanceof Offer o
-        && o.edition().number() == Edition.number(view.edition()) + 1
-        && o.size() <= terms.largest) {
-      candidate = o.edition();
+    if (word instanceof VersionOffer o
+        && o.version().number() == ConfigurationVersion.number(view.configuration()) + 1
+        && o.contentLength() <= terms.largest) {
+      candidate = o.version();
       offeredBy = from;
       if (contents.containsKey(candidate.hash())) {
         answer(now);
       } else if (coming == null || !coming.hash.equals(candidate.hash())) {
         comes(candidate.hash(), from, now);
       }
-    } else if (word instanceof Checked c
+    } else if (word instanceof VersionCheck c
         && proposal != null
-        && c.edition().equals(proposal.edition)) {
-      proposal.answers.put(from.name(), c.why() == null ? "" : c.why());
-    } else if (word instanceof Want w && contents.containsKey(w.hash())) {
+        && c.version().equals(proposal.edition)) {
+      proposal.answers.put(from.name(), c.rejection() == null ? "" : c.rejection());
+    } else if (word instanceof ContentRequest w && contents.containsKey(w.hash())) {
       byte[] whole = contents.get(w.hash());
       int index = Math.max(0, Math.min(w.index(), whole.length));
       tell(
           from,
-          new Piece(
+          new ContentPart(
               membership.teller(),
               w.hash(),
               index,
               whole.length,
               Arrays.copyOfRange(whole, index, Math.min(whole.length, index + PIECE))));
-    } else if (word instanceof Piece p) {
+    } else if (word instanceof ContentPart p) {
       came(p, now);
     }
     return follow(now);
@@ -559,7 +572,7 @@
     if (!earlier.isEmpty() && quiet && membership.isHeldByAll()) {
       earlier.clear();
     }
-    Edition edition = view == null ? null : view.edition();
+    ConfigurationVersion edition = view == null ? null : view.configuration();
     boolean unknown = freshUntil != null && now.isBefore(freshUntil);
     String why =
         edition == null
@@ -569,9 +582,9 @@
                 : !leaseLeft(now).isPositive()
                     ? "no majority said in time that the view is the newest"
                     : unknown ? "others may act on editions that are not known here" : null;
-    List<Edition> all = new ArrayList<>();
+    List<ConfigurationVersion> all = new ArrayList<>();
     if (why == null) {
-      for (Earlier e : earlier) {
+      for (SupersededVersion e : earlier) {
         byte[] content = contents.get(e.edition.hash());
         if (content == null || earlier.size() > MOST_BETWEEN) {
           why = "an edition before it is not known here";
@@ -583,21 +596,21 @@
     if (edition != null) {
       all.add(edition);
     }
-    Acting then =
+    ActiveConfiguration then =
         why != null
-            ? new Acting(
+            ? new ActiveConfiguration(
                 Mode.BACK,
                 edition == null || !contents.containsKey(edition.hash())
                     ? List.of()
                     : List.of(edition))
-            : new Acting(all.size() > 1 ? Mode.BETWEEN : Mode.PLAIN, all);
+            : new ActiveConfiguration(all.size() > 1 ? Mode.BETWEEN : Mode.PLAIN, all);
     if (!then.equals(acting)) {
       if (then.mode() == Mode.BACK && acting.mode() != Mode.BACK) {
-        note(Event.STEPPED_BACK, why);
+        note(AgreementEvent.STEPPED_BACK, why);
       }
       acting = then;
       actingSince = now;
-      doings.add(new Doing.Acts(then));
+      doings.add(new AgreementEffect.Activate(then));
     }
     if (view != null) {
       prune(view);
--- a/src/main/java/cobaltseam/agreement/Caution.java
+++ b/src/main/java/cobaltseam/agreement/ConservativeMerge.java
@@ -20,63 +20,63 @@
  * dispatchers promise together, or an engine bears, contradicts; what one decides for itself alone
  * does not, and is read as in the later one.
  */
-public final class Caution {
+public final class ConservativeMerge {
   /**
    * Of each part of what a dispatcher is told, what is read between two values; "never" does not
    * contradict.
    */
   static final Map<String, String> TABLE = table();
 
-  private Caution() {}
+  private ConservativeMerge() {}
 
   private static Map<String, String> table() {
     Map<String, String> t = new LinkedHashMap<>();
-    t.put("Deployment.number", "never: each has its own");
-    t.put("Deployment.dispatchers", "the larger: each takes a smaller part of an engine");
-    t.put("Deployment.profiles", "those of both");
-    t.put("Deployment.kinds", "those of both");
-    t.put("Deployment.shares", "those of both");
-    t.put("Deployment.overShareWorth", "the smaller");
+    t.put("Deployment.dispatcherIndex", "never: each has its own");
+    t.put("Deployment.dispatcherCount", "the larger: each takes a smaller part of an engine");
+    t.put("Deployment.requestClasses", "those of both");
+    t.put("Deployment.machineTypes", "those of both");
+    t.put("Deployment.quotas", "those of both");
+    t.put("Deployment.overQuotaWeight", "the smaller");
     t.put("Deployment.rules", "part by part");
-    t.put("Deployment.means", "part by part");
+    t.put("Deployment.capabilities", "part by part");
     t.put("Deployment.place", "never: each stands somewhere");
-    t.put("Profile.id", "never");
-    t.put("Profile.threads", "the larger: an engine is filled less");
-    t.put("Profile.benefit", "never");
-    t.put("Profile.lateBenefit", "never");
-    t.put("Profile.latencyTarget", "never");
-    t.put("Profile.stretch", "never");
+    t.put("RequestClass.id", "never");
+    t.put("RequestClass.threads", "the larger: an engine is filled less");
+    t.put("RequestClass.priorityWeight", "never");
+    t.put("RequestClass.latePriorityWeight", "never");
+    t.put("RequestClass.latencyObjective", "never");
+    t.put("RequestClass.objectivePerWork", "never");
     t.put(
-        "Profile.clientTimeout", "the smaller: nothing runs on where the other takes it for ended");
-    t.put("Profile.repeat", "the stricter");
-    t.put("Profile.scope", "the narrower");
-    t.put("Profile.remembered", "the shorter");
-    t.put("Profile.inOrder", "in order if either says so");
-    t.put("Profile.locations", "those that both allow");
-    t.put("Profile.onKinds", "those that both allow");
-    t.put("Profile.load", "never: it guides the choice of an engine alone");
-    t.put("Profile.waits", "never: it guides the choice of an engine alone");
-    t.put("Kind.id", "never");
-    t.put("Kind.cores", "the smaller");
-    t.put("Kind.memoryMb", "the smaller");
-    t.put("Share.id", "never");
-    t.put("Share.perSecond", "the smaller");
-    t.put("Rules.coldFrom", "the smaller");
-    t.put("Rules.warmWithin", "the longer");
-    t.put("Rules.fallMultiple", "the smaller");
-    t.put("Rules.fallWindow", "the longer");
-    t.put("Rules.keyRest", "the longer");
-    t.put("Rules.furtherFree", "the smaller; none is without bound");
-    t.put("Rules.furtherRatio", "the smaller; none is without bound");
-    t.put("Rules.furtherWindow", "the longer");
-    t.put("Means.tick", "never");
-    t.put("Means.mostSends", "the smaller");
-    t.put("Means.cancels", "only if both say so");
-    t.put("Means.priorities", "only if both say so");
-    t.put("Means.comeBack", "only if both say so");
-    t.put("Means.longestComeBack", "the smaller");
-    t.put("Means.noteEvery", "never");
-    t.put("Means.grants", "only if both say so");
+        "RequestClass.deadline", "the smaller: nothing runs on where the other takes it for ended");
+    t.put("RequestClass.retrySafety", "the stricter");
+    t.put("RequestClass.deduplicationScope", "the narrower");
+    t.put("RequestClass.deduplicationWindow", "the shorter");
+    t.put("RequestClass.inOrder", "in order if either says so");
+    t.put("RequestClass.locations", "those that both allow");
+    t.put("RequestClass.machineTypes", "those that both allow");
+    t.put("RequestClass.loadsDataSet", "never: it guides the choice of an engine alone");
+    t.put("RequestClass.waitsForLoads", "never: it guides the choice of an engine alone");
+    t.put("MachineType.id", "never");
+    t.put("MachineType.cores", "the smaller");
+    t.put("MachineType.memoryMb", "the smaller");
+    t.put("Quota.tenant", "never");
+    t.put("Quota.perSecond", "the smaller");
+    t.put("Rules.slowStartFraction", "the smaller");
+    t.put("Rules.slowStartDuration", "the longer");
+    t.put("Rules.slowStartLimitFactor", "the smaller");
+    t.put("Rules.slowStartWindow", "the longer");
+    t.put("Rules.sequenceKeyRest", "the longer");
+    t.put("Rules.freeRetries", "the smaller; none is without bound");
+    t.put("Rules.retryRatio", "the smaller; none is without bound");
+    t.put("Rules.retryWindow", "the longer");
+    t.put("Capabilities.clockTick", "never");
+    t.put("Capabilities.maxAttempts", "the smaller");
+    t.put("Capabilities.canCancel", "only if both say so");
+    t.put("Capabilities.hasEnginePriorities", "only if both say so");
+    t.put("Capabilities.allowsRetryAfter", "only if both say so");
+    t.put("Capabilities.maxRetryAfter", "the smaller");
+    t.put("Capabilities.progressInterval", "never");
+    t.put("Capabilities.hasMemoryGrants", "only if both say so");
     return Map.copyOf(t);
   }
 
@@ -90,7 +90,11 @@
     return new Deployment(
         later.dispatcherIndex(),
         Math.max(earlier.dispatcherCount(), later.dispatcherCount()),
-        both(earlier.requestClasses(), later.requestClasses(), RequestClass::id, Caution::profile),
+        both(
+            earlier.requestClasses(),
+            later.requestClasses(),
+            RequestClass::id,
+            ConservativeMerge::profile),
         both(
             earlier.machineTypes(),
             later.machineTypes(),
--- a/src/main/java/cobaltseam/seal/SealKeys.java
+++ b/src/main/java/cobaltseam/authentication/KeyRing.java
@@ -1,4 +1,4 @@
-package cobaltseam.seal;
+package cobaltseam.authentication;
 
 import java.util.HexFormat;
 import java.util.Map;
@@ -8,13 +8,13 @@
  * The keys of seals by their ids, 1 to 255; two and more are valid at once, so that they can be
  * changed one by one.
  */
-public final class SealKeys {
+public final class KeyRing {
   private static final int SHORTEST = 16;
   private static final int MOST = 16;
 
   private final Map<Integer, byte[]> keys;
 
-  private SealKeys(Map<Integer, byte[]> keys) {
+  private KeyRing(Map<Integer, byte[]> keys) {
     this.keys = keys;
   }
 
@@ -24,7 +24,7 @@
    *
    * @throws IllegalArgumentException with the line that can't be used, never with what stands there
    */
-  public static SealKeys read(String text) {
+  public static KeyRing read(String text) {
     Map<Integer, byte[]> keys = new TreeMap<>();
     int number = 0;
     for (String line : text.split("\\R")) {
@@ -52,7 +52,7 @@
     if (keys.isEmpty() || keys.size() > MOST) {
       throw new IllegalArgumentException("there are not 1 to " + MOST + " keys");
     }
-    return new SealKeys(keys);
+    return new KeyRing(keys);
   }
 
   public boolean has(int id) {
--- a/src/main/java/cobaltseam/seal/Seal.java
+++ b/src/main/java/cobaltseam/authentication/MessageAuthenticator.java
@@ -1,4 +1,4 @@
-package cobaltseam.seal;
+package cobaltseam.authentication;
 
 import java.nio.ByteBuffer;
 import java.security.GeneralSecurityException;
@@ -14,7 +14,7 @@
  * and the seal up to there. What goes without saying is known to both sides and not sent: both
  * addresses of an advert's datagram, the name of a fleet.
  */
-public final class Seal {
+public final class MessageAuthenticator {
   /** Bytes of a seal. */
   public static final int LENGTH = 44;
 
@@ -23,19 +23,19 @@
   private static final byte FORM = 1;
   private static final String ALGORITHM = "HmacSHA256";
 
-  private Seal() {}
+  private MessageAuthenticator() {}
 
   /** Why a seal does not hold. */
-  public enum Broken {
+  public enum Rejection {
     KEY_UNKNOWN,
     FORGED
   }
 
   /** The sequence and the key that a seal tells of; believed only once it is checked. */
-  public record Told(int key, long sequence) {}
+  public record Trailer(int key, long sequence) {}
 
   /** Whether a seal stands from this index on, as far as its form tells. */
-  public static boolean isAt(byte[] bytes, int at) {
+  public static boolean hasTrailer(byte[] bytes, int at) {
     if (at < 0 || bytes.length - at != LENGTH) {
       return false;
     }
@@ -44,40 +44,42 @@
   }
 
   /** A message with its seal behind it. */
-  public static byte[] write(byte[] message, byte[] unsaid, SealKeys keys, int key, long sequence) {
+  public static byte[] sign(
+      byte[] message, byte[] associatedData, KeyRing keys, int key, long sequence) {
     byte[] bytes = Arrays.copyOf(message, message.length + LENGTH);
     ByteBuffer.wrap(bytes, message.length, LENGTH)
         .putShort(MARK)
         .put(FORM)
         .put((byte) key)
         .putLong(sequence)
-        .put(code(bytes, message.length + HEAD, unsaid, keys.of(key)));
+        .put(code(bytes, message.length + HEAD, associatedData, keys.of(key)));
     return bytes;
   }
 
   /** What the seal behind a message of this length tells. */
-  public static Told told(byte[] bytes, int length) {
+  public static Trailer readTrailer(byte[] bytes, int length) {
     ByteBuffer seal = ByteBuffer.wrap(bytes, length, LENGTH);
     seal.position(length + 3);
-    return new Told(seal.get() & 0xff, seal.getLong());
+    return new Trailer(seal.get() & 0xff, seal.getLong());
   }
 
   /** Why the seal behind a message of this length does not hold, or nothing if it does. */
-  public static Optional<Broken> check(byte[] bytes, int length, byte[] unsaid, SealKeys keys) {
-    byte[] key = keys.of(told(bytes, length).key());
+  public static Optional<Rejection> verify(
+      byte[] bytes, int length, byte[] associatedData, KeyRing keys) {
+    byte[] key = keys.of(readTrailer(bytes, length).key());
     if (key == null) {
-      return Optional.of(Broken.KEY_UNKNOWN);
+      return Optional.of(Rejection.KEY_UNKNOWN);
     }
-    byte[] right = code(bytes, length + HEAD, unsaid, key);
+    byte[] right = code(bytes, length + HEAD, associatedData, key);
     byte[] there = Arrays.copyOfRange(bytes, length + HEAD, bytes.length);
-    return MessageDigest.isEqual(right, there) ? Optional.empty() : Optional.of(Broken.FORGED);
+    return MessageDigest.isEqual(right, there) ? Optional.empty() : Optional.of(Rejection.FORGED);
   }
 
-  private static byte[] code(byte[] bytes, int length, byte[] unsaid, byte[] key) {
+  private static byte[] code(byte[] bytes, int length, byte[] associatedData, byte[] key) {
     try {
       Mac mac = Mac.getInstance(ALGORITHM);
       mac.init(new SecretKeySpec(key, ALGORITHM));
-      mac.update(unsaid);
+      mac.update(associatedData);
       mac.update(bytes, 0, length);
       return mac.doFinal();
     } catch (GeneralSecurityException e) {
--- a/src/main/java/cobaltseam/spread/Holdings.java
+++ b/src/main/java/cobaltseam/capacity/CapacityLeases.java
@@ -1,13 +1,13 @@
-package cobaltseam.spread;
+package cobaltseam.capacity;
 
+import cobaltseam.capacity.CapacityLeaseMessage.LeaseGrant;
+import cobaltseam.capacity.CapacityLeaseMessage.LeaseRequest;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
-import cobaltseam.membership.Message.Teller;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
 import cobaltseam.membership.View;
-import cobaltseam.spread.LoanWord.Borrow;
-import cobaltseam.spread.LoanWord.Lent;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -34,15 +34,15 @@
  * <p>Who needs more: parts follow demand, as far as it is known; of whom it is not known keeps an
  * even part.
  */
-public final class Holdings {
+public final class CapacityLeases {
   /** What this hangs on: the agreed view, and whether it may be acted on. */
-  public interface Ground {
+  public interface LeaseContext {
     /** The view that is held, or null. */
     View view();
 
     Member self();
 
-    Teller teller();
+    MessageHeader teller();
 
     /** Until when a majority's word counts that the view is the newest; null if it does not. */
     Timestamp leaseUntil();
@@ -61,10 +61,10 @@
   }
 
   /** A datagram to an address; it may be lost. */
-  public record Tell(InetSocketAddress to, LoanWord word) {}
+  public record OutgoingMessage(InetSocketAddress to, CapacityLeaseMessage word) {}
 
   /** Up to this moment so much may be used; an end that is null never comes. */
-  public record Step(Timestamp until, long amount) {}
+  public record CapacityStep(Timestamp until, long amount) {}
 
   /** So many asks wait for their answer at the most. */
   private static final int MOST_OPEN = 64;
@@ -78,34 +78,34 @@
   /** Whoever lent less than it was asked for is asked for no more for so many rounds. */
   private static final int SPARES = 4;
 
-  private record Earlier(long base, Timestamp until) {}
+  private record PreviousView(long base, Timestamp until) {}
 
-  private record Out(long amount, Timestamp until) {}
+  private record LentLease(long amount, Timestamp until) {}
 
-  private record In(Member of, long amount, Timestamp until) {}
+  private record BorrowedLease(Member of, long amount, Timestamp until) {}
 
-  private record Open(Member of, long amount, Timestamp at) {}
+  private record PendingRequest(Member of, long amount, Timestamp at) {}
 
-  private final Terms terms;
-  private final Ground ground;
+  private final CapacityOptions terms;
+  private final LeaseContext ground;
   private final RandomGenerator chance;
   private View held;
   private long base;
 
   /** Even parts of views before, which others may use yet. */
-  private final List<Earlier> earlier = new ArrayList<>();
+  private final List<PreviousView> earlier = new ArrayList<>();
 
   /** Until then what others use is not known here, and nothing is held of the view. */
   private Timestamp freshUntil;
 
-  private final Map<Member, List<Out>> lent = new HashMap<>();
-  private final Map<MemberName, In> borrowed = new TreeMap<>();
-  private final Map<Long, Open> open = new HashMap<>();
+  private final Map<Member, List<LentLease>> lent = new HashMap<>();
+  private final Map<MemberName, BorrowedLease> borrowed = new TreeMap<>();
+  private final Map<Long, PendingRequest> open = new HashMap<>();
   private final Map<MemberName, Timestamp> dry = new HashMap<>();
   private double demand;
   private Timestamp next;
 
-  public Holdings(Terms terms, Ground ground, RandomGenerator chance) {
+  public CapacityLeases(CapacityOptions terms, LeaseContext ground, RandomGenerator chance) {
     this.terms = terms;
     this.ground = ground;
     this.chance = chance;
@@ -121,7 +121,7 @@
   /** What may be used at this moment. */
   public long usable(Timestamp now) {
     long all = terms.alonePart() + (leased(now) ? own(now) : 0);
-    for (In in : borrowed.values()) {
+    for (BorrowedLease in : borrowed.values()) {
       all += now.isBefore(in.until) ? in.amount : 0;
     }
     return all;
@@ -131,7 +131,7 @@
    * What may be used from now on if nothing more is heard, in steps down: for a reader that must
    * not ask this process's thread.
    */
-  public List<Step> steps(Timestamp now) {
+  public List<CapacityStep> steps(Timestamp now) {
     List<Timestamp> ends = new ArrayList<>();
     if (leased(now)) {
       ends.add(ground.leaseUntil());
@@ -140,7 +140,7 @@
         .filter(in -> now.isBefore(in.until))
         .forEach(in -> ends.add(in.until));
     ends.sort(Comparator.naturalOrder());
-    List<Step> steps = new ArrayList<>();
+    List<CapacityStep> steps = new ArrayList<>();
     long own = own(now);
     for (int i = 0; i < ends.size(); i++) {
       Timestamp end = ends.get(i);
@@ -148,12 +148,12 @@
         continue;
       }
       long all = terms.alonePart() + (leased(now) && !ground.leaseUntil().isBefore(end) ? own : 0);
-      for (In in : borrowed.values()) {
+      for (BorrowedLease in : borrowed.values()) {
         all += !in.until.isBefore(end) ? in.amount : 0;
       }
-      steps.add(new Step(end, all));
+      steps.add(new CapacityStep(end, all));
     }
-    steps.add(new Step(null, terms.alonePart()));
+    steps.add(new CapacityStep(null, terms.alonePart()));
     return steps;
   }
 
@@ -163,7 +163,7 @@
       return 0;
     }
     long least = base;
-    for (Earlier e : earlier) {
+    for (PreviousView e : earlier) {
       least = now.isBefore(e.until) ? Math.min(least, e.base) : least;
     }
     return least;
@@ -178,7 +178,7 @@
   public long borrowed(Timestamp now) {
     return borrowed.values().stream()
         .filter(in -> now.isBefore(in.until))
-        .mapToLong(In::amount)
+        .mapToLong(BorrowedLease::amount)
         .sum();
   }
 
@@ -196,22 +196,26 @@
   }
 
   /** The borrower uses one of these at a time, and never two. */
-  private static long reserved(List<Out> outs, Timestamp now) {
-    return outs.stream().filter(o -> now.isBefore(o.until)).mapToLong(Out::amount).max().orElse(0);
+  private static long reserved(List<LentLease> outs, Timestamp now) {
+    return outs.stream()
+        .filter(o -> now.isBefore(o.until))
+        .mapToLong(LentLease::amount)
+        .max()
+        .orElse(0);
   }
 
   // ---- what follows
 
   /** What follows from the view, from time and from what is needed. */
-  public List<Tell> follow(Timestamp now) {
+  public List<OutgoingMessage> follow(Timestamp now) {
     View view = ground.view();
     if (view != held) {
       viewed(view, now);
     }
     earlier.removeIf(e -> !now.isBefore(e.until));
     borrowed.values().removeIf(in -> !now.isBefore(in.until));
-    for (Iterator<List<Out>> each = lent.values().iterator(); each.hasNext(); ) {
-      List<Out> outs = each.next();
+    for (Iterator<List<LentLease>> each = lent.values().iterator(); each.hasNext(); ) {
+      List<LentLease> outs = each.next();
       outs.removeIf(o -> !now.isBefore(o.until));
       if (outs.isEmpty()) {
         each.remove();
@@ -231,10 +235,10 @@
     boolean follows =
         view != null
             && held != null
-            && view.id().line() == held.id().line()
+            && view.id().lineage() == held.id().lineage()
             && view.id().number() == held.id().number() + 1;
     if (follows) {
-      earlier.add(new Earlier(base, now.plus(ground.outlasts())));
+      earlier.add(new PreviousView(base, now.plus(ground.outlasts())));
     } else {
       // A newcomer, one that started anew, or one that missed a view: what others use is not known
       // here.
@@ -263,9 +267,9 @@
    * What is known of needs: of those of the view, how many they are with this process, and their
    * sum.
    */
-  private record Needs(Map<Member, Double> of, double known, double sum) {}
+  private record DemandSummary(Map<Member, Double> of, double known, double sum) {}
 
-  private Needs needs() {
+  private DemandSummary needs() {
     Map<Member, Double> of = new HashMap<>();
     double sum = demand;
     for (Member m : held.members()) {
@@ -275,24 +279,24 @@
         sum += needs;
       }
     }
-    return new Needs(of, of.size() + 1, sum);
+    return new DemandSummary(of, of.size() + 1, sum);
   }
 
-  private List<Tell> asks(Timestamp now) {
-    Needs needs = needs();
+  private List<OutgoingMessage> asks(Timestamp now) {
+    DemandSummary needs = needs();
     // Of whom how much is to be lent in all: as before, as far as that is needed yet, and as what
     // is on its way says.
     double missing = target(demand, needs.known, needs.sum) - own(now);
     Map<Member, Double> wanted = new HashMap<>();
     TimeSpan soon = ground.outlasts().times(RENEW_AT);
-    for (In in : borrowed.values()) {
+    for (BorrowedLease in : borrowed.values()) {
       double keeps = Math.max(0, Math.min(missing, in.amount));
       missing -= keeps;
       wanted.put(in.of, keeps);
     }
-    for (Open o : open.values()) {
+    for (PendingRequest o : open.values()) {
       double more = Math.max(0, Math.min(missing, o.amount - wanted.getOrDefault(o.of, 0.0)));
-      if (isWaitedFor(o, now) && held.holds(o.of.name(), o.of.birth())) {
+      if (isWaitedFor(o, now) && held.contains(o.of.name(), o.of.incarnation())) {
         missing -= more;
         wanted.merge(o.of, more, Double::sum);
       }
@@ -317,7 +321,7 @@
     Map<Member, Double> brings = new HashMap<>();
     wanted.forEach(
         (m, amount) -> {
-          In in = borrowed.get(m.name());
+          BorrowedLease in = borrowed.get(m.name());
           boolean lasts = in != null && in.of.equals(m) && in.until.since(now).compareTo(soon) >= 0;
           double more = lasts ? amount - in.amount : amount;
           if (more >= Math.max(1, base * NOTABLE) && !isAsked(m, now)) {
@@ -338,7 +342,7 @@
    * An answer is not given up before its message is too late to count, but after two rounds it is
    * asked again.
    */
-  private boolean isWaitedFor(Open o, Timestamp now) {
+  private boolean isWaitedFor(PendingRequest o, Timestamp now) {
     return now.since(o.at).compareTo(terms.round().times(1.5)) < 0;
   }
 
@@ -361,39 +365,39 @@
     return members.get(members.size() - 1);
   }
 
-  private Tell ask(Member of, long amount, Timestamp now) {
+  private OutgoingMessage ask(Member of, long amount, Timestamp now) {
     long id = chance.nextLong();
-    open.put(id, new Open(of, amount, now));
-    return new Tell(of.address(), new Borrow(ground.teller(), id, amount));
+    open.put(id, new PendingRequest(of, amount, now));
+    return new OutgoingMessage(of.peerAddress(), new LeaseRequest(ground.teller(), id, amount));
   }
 
   // ---- what comes
 
   /** What to tell after a word that its carrier found whole, of one that counts. */
-  public List<Tell> heard(LoanWord word, Timestamp now) {
+  public List<OutgoingMessage> heard(CapacityLeaseMessage word, Timestamp now) {
     follow0(now);
     Member from = word.from().member();
     if (held == null
-        || !held.holds(from.name(), from.birth())
+        || !held.contains(from.name(), from.incarnation())
         || from.name().equals(ground.self().name())) {
       return List.of();
     }
-    if (word instanceof Borrow b) {
+    if (word instanceof LeaseRequest b) {
       return List.of(lend(from, b, now));
     }
-    Lent l = (Lent) word;
-    Open asked = open.get(l.id());
+    LeaseGrant l = (LeaseGrant) word;
+    PendingRequest asked = open.get(l.id());
     if (asked == null
         || !asked.of.equals(from)
         || l.amount() < 0
         || l.amount() > terms.whole()
-        || l.lastsUs() < 0
-        || l.lastsUs() > ground.outlasts().us()) {
+        || l.durationUs() < 0
+        || l.durationUs() > ground.outlasts().us()) {
       return List.of();
     }
     open.remove(l.id());
-    Timestamp until = asked.at.plus(new TimeSpan(l.lastsUs()));
-    In before = borrowed.get(from.name());
+    Timestamp until = asked.at.plus(new TimeSpan(l.durationUs()));
+    BorrowedLease before = borrowed.get(from.name());
     if (l.amount() < asked.amount) {
       dry.put(from.name(), now.plus(terms.round().times(SPARES)));
     }
@@ -401,7 +405,7 @@
         && now.isBefore(until)
         && (before == null || !before.of.equals(from) || before.until.isBefore(until))) {
       // In place of what it lent before: it holds only the larger one back for this process.
-      borrowed.put(from.name(), new In(from, l.amount(), until));
+      borrowed.put(from.name(), new BorrowedLease(from, l.amount(), until));
     }
     return List.of();
   }
@@ -413,10 +417,10 @@
     }
   }
 
-  private Tell lend(Member to, Borrow asked, Timestamp now) {
-    Needs needs = needs();
+  private OutgoingMessage lend(Member to, LeaseRequest asked, Timestamp now) {
+    DemandSummary needs = needs();
     long others = 0;
-    for (Map.Entry<Member, List<Out>> e : lent.entrySet()) {
+    for (Map.Entry<Member, List<LentLease>> e : lent.entrySet()) {
       others += e.getKey().equals(to) ? 0 : reserved(e.getValue(), now);
     }
     long before = lent.containsKey(to) ? reserved(lent.get(to), now) : 0;
@@ -431,11 +435,12 @@
     // What it holds back for this one already is no more than its even part.
     if (amount > 0 && others + Math.max(before, amount) <= even(now)) {
       lent.computeIfAbsent(to, m -> new ArrayList<>())
-          .add(new Out(amount, now.plus(lasts.times(1 + 2 * ground.clockRates()))));
+          .add(new LentLease(amount, now.plus(lasts.times(1 + 2 * ground.clockRates()))));
     } else {
       amount = 0;
     }
-    return new Tell(
-        to.address(), new Lent(ground.teller(), asked.id(), amount, amount == 0 ? 0 : lasts.us()));
+    return new OutgoingMessage(
+        to.peerAddress(),
+        new LeaseGrant(ground.teller(), asked.id(), amount, amount == 0 ? 0 : lasts.us()));
   }
 }
--- a/src/main/java/cobaltseam/spread/Terms.java
+++ b/src/main/java/cobaltseam/capacity/CapacityOptions.java
@@ -1,4 +1,4 @@
-package cobaltseam.spread;
+package cobaltseam.capacity;
 
 import cobaltseam.dispatch.TimeSpan;
 
@@ -13,9 +13,9 @@
  * @param round between two looks at what to ask for
  * @param asks how many are asked in one at the most
  */
-public record Terms(
+public record CapacityOptions(
     long whole, double alone, int processes, double floor, TimeSpan round, int asks) {
-  public Terms {
+  public CapacityOptions {
     if (whole < 1
         || !(alone >= 0 && alone <= 1)
         || processes < 1
--- a/src/main/java/cobaltseam/spread/Demand.java
+++ b/src/main/java/cobaltseam/capacity/DemandEstimate.java
@@ -1,4 +1,4 @@
-package cobaltseam.spread;
+package cobaltseam.capacity;
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
@@ -8,7 +8,7 @@
  * counts by half after a stated span. Thin traffic comes in clumps; the span is to hold several
  * commands, or parts would follow chance.
  */
-public final class Demand {
+public final class DemandEstimate {
   private final TimeSpan half;
   private Timestamp at;
   private double total;
@@ -20,7 +20,7 @@
    */
   private double known;
 
-  public Demand(TimeSpan half) {
+  public DemandEstimate(TimeSpan half) {
     this.half = half;
   }
 
--- a/src/main/java/cobaltseam/spread/Reports.java
+++ b/src/main/java/cobaltseam/capacity/LoadReports.java
@@ -1,13 +1,13 @@
-package cobaltseam.spread;
+package cobaltseam.capacity;
 
+import cobaltseam.capacity.LoadReportMessage.ReportsReply;
+import cobaltseam.capacity.LoadReportMessage.ReportsRequest;
 import cobaltseam.dispatch.EngineId;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Member;
-import cobaltseam.membership.Message.Teller;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
 import cobaltseam.membership.View;
-import cobaltseam.spread.ReportWord.AskReports;
-import cobaltseam.spread.ReportWord.Table;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -30,7 +30,7 @@
  * nor do engines that this dispatcher does not list, figures below zero, or more engines than one
  * answer may hold.
  */
-public final class Reports {
+public final class LoadReports {
   /**
    * How they are spread.
    *
@@ -39,8 +39,8 @@
    * @param end after which a report is nothing
    * @param clockRates by which part the rates of two clocks differ at most
    */
-  public record Terms(TimeSpan round, int asked, TimeSpan end, double clockRates) {
-    public Terms {
+  public record LoadReportOptions(TimeSpan round, int asked, TimeSpan end, double clockRates) {
+    public LoadReportOptions {
       if (!round.isPositive() || asked < 1 || end.compareTo(round) <= 0) {
         throw new IllegalArgumentException(
             "a round above 0, one or more asked, an end above the round");
@@ -52,10 +52,10 @@
    * An engine told at this moment, or later, that it holds so many commands that do not wait for
    * memory.
    */
-  public record Report(EngineId engine, double inHand, Timestamp at) {}
+  public record LoadReport(EngineId engine, double inFlight, Timestamp at) {}
 
   /** A datagram to an address; it may be lost. */
-  public record Tell(InetSocketAddress to, ReportWord word) {}
+  public record OutgoingMessage(InetSocketAddress to, LoadReportMessage word) {}
 
   /**
    * Engines in one answer: what a peer makes this process hold is bounded, and it fits a datagram.
@@ -66,36 +66,36 @@
   private static final long US_PER_MS = 1000;
   private static final int LARGEST = 1 << 20;
 
-  private record Open(Member of, Timestamp at) {}
+  private record PendingRequest(Member of, Timestamp at) {}
 
-  private final Terms terms;
+  private final LoadReportOptions terms;
   private final RandomGenerator chance;
-  private final TreeMap<EngineId, Report> youngest = new TreeMap<>();
-  private final Map<Long, Open> open = new HashMap<>();
-  private List<Report> news = new ArrayList<>();
+  private final TreeMap<EngineId, LoadReport> youngest = new TreeMap<>();
+  private final Map<Long, PendingRequest> open = new HashMap<>();
+  private List<LoadReport> news = new ArrayList<>();
   private Timestamp next;
 
-  public Reports(Terms terms, RandomGenerator chance, Timestamp now) {
+  public LoadReports(LoadReportOptions terms, RandomGenerator chance, Timestamp now) {
     this.terms = terms;
     this.chance = chance;
     next = now.plus(terms.round().times(chance.nextDouble()));
   }
 
   /** What an engine told this dispatcher itself. */
-  public void told(Report report) {
+  public void told(LoadReport report) {
     if (isYounger(report)) {
       youngest.put(report.engine(), report);
     }
   }
 
-  private boolean isYounger(Report r) {
-    Report held = youngest.get(r.engine());
+  private boolean isYounger(LoadReport r) {
+    LoadReport held = youngest.get(r.engine());
     return held == null ? youngest.size() < MOST : held.at().isBefore(r.at());
   }
 
   /** What others were told that is younger than what was known here; each once. */
-  public List<Report> news() {
-    List<Report> all = news;
+  public List<LoadReport> news() {
+    List<LoadReport> all = news;
     news = new ArrayList<>();
     return all;
   }
@@ -106,7 +106,7 @@
   }
 
   /** What to send now. */
-  public List<Tell> due(View view, Teller self, Timestamp now) {
+  public List<OutgoingMessage> due(View view, MessageHeader self, Timestamp now) {
     if (now.isBefore(next)) {
       return List.of();
     }
@@ -114,30 +114,31 @@
     next = now.plus(terms.round());
     youngest.values().removeIf(r -> now.since(r.at()).compareTo(terms.end()) >= 0);
     open.values().removeIf(o -> now.since(o.at).compareTo(terms.end()) >= 0);
-    List<Tell> tells = new ArrayList<>();
+    List<OutgoingMessage> tells = new ArrayList<>();
     int others = view == null ? 0 : view.members().size() - 1;
     for (int i = 0; i < Math.min(terms.asked(), others) && open.size() < MOST_OPEN; i++) {
       Member of = view.members().get(chance.nextInt(view.members().size()));
       if (!of.name().equals(self.member().name())) {
         long id = chance.nextLong();
-        open.put(id, new Open(of, now));
-        tells.add(new Tell(of.address(), new AskReports(self, id)));
+        open.put(id, new PendingRequest(of, now));
+        tells.add(new OutgoingMessage(of.peerAddress(), new ReportsRequest(self, id)));
       }
     }
     return tells;
   }
 
   /** What to tell after a word that its carrier found whole, of one that counts. */
-  public List<Tell> heard(ReportWord word, View view, Teller self, Timestamp now) {
+  public List<OutgoingMessage> heard(
+      LoadReportMessage word, View view, MessageHeader self, Timestamp now) {
     Member from = word.from().member();
-    if (view == null || !view.holds(from.name(), from.birth())) {
+    if (view == null || !view.contains(from.name(), from.incarnation())) {
       return List.of();
     }
-    if (word instanceof AskReports ask) {
-      return List.of(new Tell(from.address(), table(self, ask.id(), now)));
+    if (word instanceof ReportsRequest ask) {
+      return List.of(new OutgoingMessage(from.peerAddress(), table(self, ask.id(), now)));
     }
-    Table table = (Table) word;
-    Open asked = open.get(table.id());
+    ReportsReply table = (ReportsReply) word;
+    PendingRequest asked = open.get(table.id());
     if (asked != null && asked.of.equals(from)) {
       open.remove(table.id());
       for (int i = 0; i < table.engines().length; i++) {
@@ -147,8 +148,8 @@
     return List.of();
   }
 
-  private Table table(Teller self, long id, Timestamp now) {
-    List<Report> fresh =
+  private ReportsReply table(MessageHeader self, long id, Timestamp now) {
+    List<LoadReport> fresh =
         youngest.values().stream()
             .filter(r -> now.since(r.at()).compareTo(terms.end()) < 0)
             .toList();
@@ -157,22 +158,22 @@
     int[] ages = new int[engines.length];
     for (int i = 0; i < engines.length; i++) {
       engines[i] = fresh.get(i).engine().value();
-      inHand[i] = (int) Math.min(LARGEST, Math.round(fresh.get(i).inHand()));
+      inHand[i] = (int) Math.min(LARGEST, Math.round(fresh.get(i).inFlight()));
       // Rounded up: never told younger than it is.
       ages[i] = (int) (now.since(fresh.get(i).at()).us() / US_PER_MS + 1);
     }
-    return new Table(self, id, engines, inHand, ages);
+    return new ReportsReply(self, id, engines, inHand, ages);
   }
 
-  private void learn(Table table, int i, Open asked) {
+  private void learn(ReportsReply table, int i, PendingRequest asked) {
     int age = table.agesMs()[i];
-    int inHand = table.inHand()[i];
+    int inHand = table.inFlight()[i];
     if (age < 0 || inHand < 0 || inHand > LARGEST) {
       return;
     }
     Timestamp at =
         asked.at.minus(new TimeSpan(Math.round(age * US_PER_MS * (1 + 2 * terms.clockRates()))));
-    Report report = new Report(new EngineId(table.engines()[i]), inHand, at);
+    LoadReport report = new LoadReport(new EngineId(table.engines()[i]), inHand, at);
     if (asked.at.since(at).compareTo(terms.end()) < 0 && isYounger(report)) {
       youngest.put(report.engine(), report);
       news.add(report);
--- a/src/main/java/cobaltseam/cli/Cobaltseam.java
+++ b/src/main/java/cobaltseam/cli/Cobaltseam.java
@@ -3,8 +3,8 @@
 import cobaltseam.adapter.Adapter;
 import cobaltseam.deployment.BadInput;
 import cobaltseam.service.Service;
-import cobaltseam.setup.Setup;
-import cobaltseam.setup.SetupReader;
+import cobaltseam.settings.Settings;
+import cobaltseam.settings.SettingsReader;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
@@ -172,7 +172,7 @@
         wrong.append(e.getMessage()).append('\n');
       }
       try {
-        Setup setup = own.file == null ? Setup.OFF : SetupReader.read(own.file);
+        Settings setup = own.file == null ? Settings.OFF : SettingsReader.read(own.file);
         out.println("own file: " + (own.file == null ? "none" : own.file));
         out.println("logging: " + (setup.jsonLog() ? "json" : "text"));
         out.println(
--- a/src/main/java/cobaltseam/cli/Vrrp.java
+++ b/src/main/java/cobaltseam/cli/Vrrp.java
@@ -1,16 +1,16 @@
 package cobaltseam.cli;
 
+import cobaltseam.authentication.MessageAuthenticator;
 import cobaltseam.deployment.BadInput;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.hall.AdvertSocket;
-import cobaltseam.mastership.Freshness;
-import cobaltseam.mastership.Intake;
+import cobaltseam.mastership.AdvertFilter;
+import cobaltseam.mastership.AdvertObserver;
 import cobaltseam.mastership.Mastership;
-import cobaltseam.mastership.Observer;
-import cobaltseam.seal.Seal;
-import cobaltseam.setup.Setup;
-import cobaltseam.setup.SetupReader;
+import cobaltseam.mastership.ReplayGuard;
+import cobaltseam.settings.Settings;
+import cobaltseam.settings.SettingsReader;
+import cobaltseam.transport.AdvertDatagramSocket;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Advert;
 import cobaltseam.vrrp.AdvertCodec;
@@ -135,7 +135,8 @@
         json.writeEndArray();
         json.writeStringField("checksumCovers", label(whole.covers()));
         if (whole.sealed()) {
-          Seal.Told told = Seal.told(bytes, whole.length());
+          MessageAuthenticator.Trailer told =
+              MessageAuthenticator.readTrailer(bytes, whole.length());
           json.writeObjectFieldStart("seal");
           json.writeNumberField("keyId", told.key());
           json.writeNumberField("sequence", told.sequence());
@@ -277,7 +278,8 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-      Setup.Hall hall = own.file == null ? null : SetupReader.read(own.file).hall();
+      Settings.VirtualAddressSettings hall =
+          own.file == null ? null : SettingsReader.read(own.file).hall();
       if (hall == null) {
         throw new BadInput("the own file, by --config or COBALTSEAM_CONFIG, names no [mastership]");
       }
@@ -289,17 +291,17 @@
       Mastership never =
           new Mastership(
               self, hall.terms(), peers, 0, TimeSpan.ZERO, TimeSpan.ZERO, hall.followsIntervals());
-      Intake intake =
-          new Intake(
+      AdvertFilter intake =
+          new AdvertFilter(
               self,
               never,
-              new Freshness(start, difference),
+              new ReplayGuard(start, difference),
               peers,
               hall.sealing() == null ? null : hall.sealing().keys());
-      Observer observer = new Observer();
+      AdvertObserver observer = new AdvertObserver();
       BlockingQueue<Came> waiting = new LinkedBlockingQueue<>(MOST_WAITING);
-      AdvertSocket socket =
-          new AdvertSocket(
+      AdvertDatagramSocket socket =
+          new AdvertDatagramSocket(
               hall.listen(), peers, (bytes, source) -> waiting.offer(new Came(bytes, source)));
       socket.open();
       Timestamp end = seconds == null ? null : start.plus(new TimeSpan(seconds * US_PER_SECOND));
@@ -310,16 +312,16 @@
             wake == null ? new TimeSpan(US_PER_SECOND) : wake.since(now).max(TimeSpan.ZERO);
         wait = end == null ? wait : wait.min(end.since(now));
         Came came = waiting.poll(wait.us() + 1, TimeUnit.MICROSECONDS);
-        List<Observer.Seen> seen = new ArrayList<>();
+        List<AdvertObserver.ActiveRouterObserved> seen = new ArrayList<>();
         if (came != null) {
           socket.heard(came.bytes, came.source);
-          Intake.Verdict verdict = intake.judge(came.bytes, came.source, self, now());
+          AdvertFilter.Verdict verdict = intake.judge(came.bytes, came.source, self, now());
           if (verdict.advert() != null) {
             seen.addAll(observer.heard(came.source, verdict.advert(), now()));
           }
         }
         seen.addAll(observer.due(now()));
-        for (Observer.Seen s : seen) {
+        for (AdvertObserver.ActiveRouterObserved s : seen) {
           out.println(line(s));
           out.flush();
         }
@@ -334,7 +336,7 @@
               java.time.Instant.EPOCH, java.time.Instant.now()));
     }
 
-    private static String line(Observer.Seen seen) throws IOException {
+    private static String line(AdvertObserver.ActiveRouterObserved seen) throws IOException {
       StringWriter text = new StringWriter();
       try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
         json.writeStartObject();
--- a/src/main/java/cobaltseam/ground/Ground.java
+++ b/src/main/java/cobaltseam/coordination/FleetCoordinator.java
@@ -1,29 +1,29 @@
-package cobaltseam.ground;
-
-import cobaltseam.agreement.Agreement;
-import cobaltseam.agreement.Doing;
-import cobaltseam.agreement.Word;
+package cobaltseam.coordination;
+
+import cobaltseam.agreement.AgreementEffect;
+import cobaltseam.agreement.AgreementMessage;
+import cobaltseam.agreement.ConfigurationAgreement;
+import cobaltseam.capacity.CapacityLeaseMessage;
+import cobaltseam.capacity.CapacityLeases;
+import cobaltseam.capacity.LoadReportMessage;
+import cobaltseam.capacity.LoadReports;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.membership.Act;
 import cobaltseam.membership.Lease;
-import cobaltseam.membership.LeaseWord;
+import cobaltseam.membership.LeaseMessage;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
 import cobaltseam.membership.Membership;
-import cobaltseam.membership.Message;
-import cobaltseam.membership.Spoken;
+import cobaltseam.membership.MembershipAction;
+import cobaltseam.membership.MembershipMessage;
+import cobaltseam.membership.PeerMessage;
 import cobaltseam.membership.View;
 import cobaltseam.membership.ViewId;
-import cobaltseam.repeats.Purse;
-import cobaltseam.repeats.PurseWord;
-import cobaltseam.sharing.Known;
-import cobaltseam.sharing.Shared;
-import cobaltseam.sharing.Sharing;
-import cobaltseam.spread.Holdings;
-import cobaltseam.spread.LoanWord;
-import cobaltseam.spread.ReportWord;
-import cobaltseam.spread.Reports;
+import cobaltseam.retrybudget.RetryBudget;
+import cobaltseam.retrybudget.RetryBudgetMessage;
+import cobaltseam.sharing.KnownFigures;
+import cobaltseam.sharing.SharingPeerMessage;
+import cobaltseam.sharing.StateGossip;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -39,25 +39,25 @@
  * service and the fleets in virtual time can't differ in how modules are joined. Parts that are
  * null are off.
  */
-public final class Ground {
+public final class FleetCoordinator {
   /** What is to be done. */
-  public interface Out {
+  public interface EffectSink {
     /** A datagram; it may be lost. */
-    void tell(InetSocketAddress to, Spoken message);
+    void tell(InetSocketAddress to, PeerMessage message);
 
     /** Of membership, all but datagrams. */
-    void act(Act act);
+    void act(MembershipAction act);
 
     /** Of the agreement, what is acted on and what is noted. */
-    void doing(Doing doing);
+    void doing(AgreementEffect doing);
   }
 
   /** What was sent so far by this process. */
-  public interface Sends {
-    long firsts();
+  public interface AttemptCounts {
+    long firstAttempts();
 
     /** Further ones, and those that it would have made. */
-    long furtherWanted();
+    long wantedRetries();
   }
 
   /**
@@ -74,13 +74,13 @@
 
   private final Membership membership;
   private final Lease lease;
-  private final Agreement agreement;
-  private final Sharing sharing;
-  private Holdings holdings;
-  private Reports reports;
-  private Purse purse;
-  private Sends sends;
-  private final Out out;
+  private final ConfigurationAgreement agreement;
+  private final StateGossip sharing;
+  private CapacityLeases holdings;
+  private LoadReports reports;
+  private RetryBudget purse;
+  private AttemptCounts sends;
+  private final EffectSink out;
   private View shared;
   private boolean following;
   private Timestamp seen;
@@ -89,7 +89,12 @@
    * @param lease null if nothing of this needs one
    * @param sharing null if members tell no figures
    */
-  public Ground(Membership membership, Lease lease, Agreement agreement, Sharing sharing, Out out) {
+  public FleetCoordinator(
+      Membership membership,
+      Lease lease,
+      ConfigurationAgreement agreement,
+      StateGossip sharing,
+      EffectSink out) {
     this.membership = membership;
     this.lease = lease;
     this.agreement = agreement;
@@ -98,24 +103,24 @@
   }
 
   /** Has this process hold a part of a whole; needs a lease and sharing. */
-  public void holds(Holdings of) {
+  public void holds(CapacityLeases of) {
     holdings = of;
   }
 
   /** Has members tell each other what engines told them. */
-  public void hears(Reports of) {
+  public void hears(LoadReports of) {
     reports = of;
   }
 
   /** Has members cap further sends together; needs sharing. */
-  public void caps(Purse with, Sends by) {
+  public void caps(RetryBudget with, AttemptCounts by) {
     purse = with;
     sends = by;
   }
 
   /** What holdings hang on. */
-  public Holdings.Ground under() {
-    return new Holdings.Ground() {
+  public CapacityLeases.LeaseContext under() {
+    return new CapacityLeases.LeaseContext() {
       @Override
       public View view() {
         return membership.view();
@@ -127,7 +132,7 @@
       }
 
       @Override
-      public Message.Teller teller() {
+      public MembershipMessage.MessageHeader teller() {
         return membership.teller();
       }
 
@@ -143,14 +148,14 @@
 
       @Override
       public double clockRates() {
-        return lease.terms().clockRates();
+        return lease.terms().maxClockRateRatio();
       }
 
       @Override
       public Double demand(MemberName of) {
-        Known known = sharing.known(of, seen);
+        KnownFigures known = sharing.known(of, seen);
         Long said = known == null ? null : known.figures().byName().get(DEMAND);
-        return said == null || said < 0 ? null : Ground.demand(said.longValue());
+        return said == null || said < 0 ? null : FleetCoordinator.demand(said.longValue());
       }
     };
   }
@@ -193,26 +198,26 @@
   }
 
   /** A message that its carrier found whole, of this fleet and sealed as it should be. */
-  public void heard(Spoken message, Timestamp now) {
-    if (message instanceof Message m) {
+  public void heard(PeerMessage message, Timestamp now) {
+    if (message instanceof MembershipMessage m) {
       acts(membership.heard(m, now), now);
-    } else if (message instanceof Word word) {
+    } else if (message instanceof AgreementMessage word) {
       if (agreement != null) {
         doings(agreement.heard(word, now), now);
       }
     } else if (membership.spoke(message, now)) {
       seen = now;
-      if (message instanceof LeaseWord word && lease != null) {
+      if (message instanceof LeaseMessage word && lease != null) {
         lease.heard(word, now).forEach(t -> out.tell(t.to(), t.word()));
-      } else if (message instanceof Shared said && sharing != null) {
-        shares(sharing.heard(said.told(), now));
-      } else if (message instanceof LoanWord word && holdings != null) {
+      } else if (message instanceof SharingPeerMessage said && sharing != null) {
+        shares(sharing.heard(said.body(), now));
+      } else if (message instanceof CapacityLeaseMessage word && holdings != null) {
         holdings.heard(word, now).forEach(t -> out.tell(t.to(), t.word()));
-      } else if (message instanceof PurseWord word && purse != null) {
+      } else if (message instanceof RetryBudgetMessage word && purse != null) {
         purse
             .heard(word, membership.view(), membership.teller(), now)
             .forEach(t -> out.tell(t.to(), t.word()));
-      } else if (message instanceof ReportWord word && reports != null) {
+      } else if (message instanceof LoadReportMessage word && reports != null) {
         reports
             .heard(word, membership.view(), membership.teller(), now)
             .forEach(t -> out.tell(t.to(), t.word()));
@@ -241,9 +246,9 @@
 
   // ---- what follows
 
-  private void acts(List<Act> acts, Timestamp now) {
-    for (Act act : acts) {
-      if (act instanceof Act.Tell tell) {
+  private void acts(List<MembershipAction> acts, Timestamp now) {
+    for (MembershipAction act : acts) {
+      if (act instanceof MembershipAction.Send tell) {
         out.tell(tell.to(), tell.message());
       } else {
         out.act(act);
@@ -252,12 +257,12 @@
     follow(now);
   }
 
-  private void doings(List<Doing> doings, Timestamp now) {
-    List<Act> acts = new ArrayList<>();
-    for (Doing doing : doings) {
-      if (doing instanceof Doing.Tell tell) {
+  private void doings(List<AgreementEffect> doings, Timestamp now) {
+    List<MembershipAction> acts = new ArrayList<>();
+    for (AgreementEffect doing : doings) {
+      if (doing instanceof AgreementEffect.Send tell) {
         out.tell(tell.to(), tell.word());
-      } else if (doing instanceof Doing.Of of) {
+      } else if (doing instanceof AgreementEffect.MembershipEffect of) {
         acts.add(of.act());
       } else {
         out.doing(doing);
@@ -271,7 +276,7 @@
   private Map<MemberName, Long> spares(Timestamp now) {
     Map<MemberName, Long> spares = new HashMap<>();
     for (Member m : membership.view() == null ? List.<Member>of() : membership.view().members()) {
-      Known known = sharing.known(m.name(), now);
+      KnownFigures known = sharing.known(m.name(), now);
       Long said = known == null ? null : known.figures().byName().get(SPARE);
       if (said != null) {
         spares.put(m.name(), said);
@@ -280,12 +285,12 @@
     return spares;
   }
 
-  private void shares(List<Sharing.Send> sends) {
+  private void shares(List<StateGossip.Send> sends) {
     View view = membership.view();
-    for (Sharing.Send send : sends) {
+    for (StateGossip.Send send : sends) {
       Member to = view == null ? null : view.of(send.to());
       if (to != null) {
-        out.tell(to.address(), Shared.of(membership.teller(), send.message()));
+        out.tell(to.peerAddress(), SharingPeerMessage.of(membership.teller(), send.message()));
       }
     }
   }
@@ -306,7 +311,7 @@
       doings(agreement.follow(now), now);
     }
     if (sharing != null) {
-      sharing.born(membership.self().birth());
+      sharing.born(membership.self().incarnation());
       if (membership.view() != shared) {
         shared = membership.view();
         Set<MemberName> names =
@@ -323,8 +328,8 @@
     if (purse != null && purse.isDue(now)) {
       purse
           .follow(
-              sends.firsts(),
-              sends.furtherWanted(),
+              sends.firstAttempts(),
+              sends.wantedRetries(),
               spares(now),
               membership.view(),
               membership.teller(),
--- a/src/main/java/cobaltseam/emulator/Fellowship.java
+++ b/src/main/java/cobaltseam/emulator/Fellowship.java
@@ -1,26 +1,26 @@
 package cobaltseam.emulator;
 
+import cobaltseam.capacity.CapacityLeaseMessage;
+import cobaltseam.capacity.CapacityLeases;
+import cobaltseam.capacity.CapacityOptions;
+import cobaltseam.capacity.DemandEstimate;
+import cobaltseam.capacity.LoadReports;
+import cobaltseam.coordination.FleetCoordinator;
 import cobaltseam.dispatch.AttemptOutcome;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.Dispatcher;
 import cobaltseam.dispatch.Placement;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.ground.Ground;
-import cobaltseam.membership.Birth;
+import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
-import cobaltseam.membership.Message.Teller;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
 import cobaltseam.membership.View;
 import cobaltseam.membership.ViewId;
-import cobaltseam.sharing.Figures;
-import cobaltseam.sharing.Known;
-import cobaltseam.sharing.Sharing;
-import cobaltseam.spread.Demand;
-import cobaltseam.spread.Holdings;
-import cobaltseam.spread.LoanWord;
-import cobaltseam.spread.Reports;
-import cobaltseam.spread.Terms;
+import cobaltseam.sharing.KnownFigures;
+import cobaltseam.sharing.MemberFigures;
+import cobaltseam.sharing.StateGossip;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -48,10 +48,10 @@
 
   private static final class One {
     Dispatcher dispatcher;
-    Sharing sharing;
-    Holdings holdings;
-    Demand demand = new Demand(WINDOW);
-    Reports reports;
+    StateGossip sharing;
+    CapacityLeases holdings;
+    DemandEstimate demand = new DemandEstimate(WINDOW);
+    LoadReports reports;
     int life;
   }
 
@@ -74,7 +74,7 @@
     all = new One[world.dispatchers()];
     for (int i = 0; i < all.length; i++) {
       all[i] = new One();
-      members.add(new Member(name(i), new Birth(1), address(i)));
+      members.add(new Member(name(i), new Incarnation(1), address(i)));
     }
     view = new View(new ViewId(1, 1), members, null);
   }
@@ -99,28 +99,32 @@
     One one = all[i];
     one.life++;
     one.dispatcher = dispatcher;
-    one.demand = new Demand(WINDOW);
+    one.demand = new DemandEstimate(WINDOW);
     SplittableRandom own = new SplittableRandom(seed);
     if (news != null) {
       one.reports =
-          new Reports(
-              new Reports.Terms(news, ASKS_NEWS, NEWS_END, CLOCKS), own.split(), time.now());
+          new LoadReports(
+              new LoadReports.LoadReportOptions(news, ASKS_NEWS, NEWS_END, CLOCKS),
+              own.split(),
+              time.now());
       asks(i, one.life);
     }
     if (!spreads) {
       return heeds(one, Policy.module(dispatcher));
     }
     one.sharing =
-        new Sharing(
+        new StateGossip(
             name(i),
-            new Birth(1),
-            new cobaltseam.sharing.Terms(ROUND, ASKED, ROUND.times(10), MOST_BYTES, CLOCKS),
+            new Incarnation(1),
+            new cobaltseam.sharing.GossipOptions(ROUND, ASKED, ROUND.times(10), MOST_BYTES, CLOCKS),
             own.split(),
             time.now());
     one.sharing.view(new java.util.HashSet<>(view.members().stream().map(Member::name).toList()));
     one.holdings =
-        new Holdings(
-            new Terms(WHOLE, 0.1, all.length, 0.25, LEASE.times(0.25), 16), under(i), own.split());
+        new CapacityLeases(
+            new CapacityOptions(WHOLE, 0.1, all.length, 0.25, LEASE.times(0.25), 16),
+            under(i),
+            own.split());
     if (one.life == 1) {
       // The fleet was formed long before the run begins.
       one.holdings.follow(time.now().minus(LEASE.times(2)));
@@ -140,7 +144,7 @@
       public Placement after(AttemptOutcome outcome, Timestamp now) {
         if (outcome.inFlightAtEngine() >= 0) {
           one.reports.told(
-              new Reports.Report(
+              new LoadReports.LoadReport(
                   outcome.engine(),
                   Math.max(0, outcome.inFlightAtEngine() - Math.max(0, outcome.queuedAtEngine())),
                   now));
@@ -157,12 +161,12 @@
     }
   }
 
-  private Teller teller(int i) {
-    return new Teller(view.members().get(i), 0, view.id(), true);
+  private MessageHeader teller(int i) {
+    return new MessageHeader(view.members().get(i), 0, view.id(), true);
   }
 
-  private void says(List<Reports.Tell> tells) {
-    for (Reports.Tell tell : tells) {
+  private void says(List<LoadReports.OutgoingMessage> tells) {
+    for (LoadReports.OutgoingMessage tell : tells) {
       int to = number(tell.to());
       after(
           to,
@@ -171,7 +175,8 @@
             all[to]
                 .reports
                 .news()
-                .forEach(r -> all[to].dispatcher.updateEngineLoad(r.engine(), r.inHand(), r.at()));
+                .forEach(
+                    r -> all[to].dispatcher.updateEngineLoad(r.engine(), r.inFlight(), r.at()));
           });
     }
   }
@@ -181,8 +186,8 @@
     return (a[1] & 0xff) << 16 | (a[2] & 0xff) << 8 | a[3] & 0xff;
   }
 
-  private Holdings.Ground under(int i) {
-    return new Holdings.Ground() {
+  private CapacityLeases.LeaseContext under(int i) {
+    return new CapacityLeases.LeaseContext() {
       @Override
       public View view() {
         return view;
@@ -194,7 +199,7 @@
       }
 
       @Override
-      public Teller teller() {
+      public MessageHeader teller() {
         return Fellowship.this.teller(i);
       }
 
@@ -215,9 +220,9 @@
 
       @Override
       public Double demand(MemberName of) {
-        Known known = all[i].sharing.known(of, time.now());
-        Long said = known == null ? null : known.figures().byName().get(Ground.DEMAND);
-        return said == null ? null : Double.valueOf(Ground.demand(said));
+        KnownFigures known = all[i].sharing.known(of, time.now());
+        Long said = known == null ? null : known.figures().byName().get(FleetCoordinator.DEMAND);
+        return said == null ? null : Double.valueOf(FleetCoordinator.demand(said));
       }
     };
   }
@@ -231,7 +236,8 @@
     Timestamp now = time.now();
     double rate = one.demand.told(one.dispatcher.offeredLoad(), now);
     one.holdings.needs(rate);
-    one.sharing.say(new Figures(Map.of(Ground.DEMAND, Ground.figure(rate))));
+    one.sharing.say(
+        new MemberFigures(Map.of(FleetCoordinator.DEMAND, FleetCoordinator.figure(rate))));
     shares(i, one.sharing.due(now));
     one.holdings.follow(now).forEach(t -> says(t.to(), t.word()));
     tells(one);
@@ -243,14 +249,14 @@
         (double) WHOLE / Math.max(1, one.holdings.usable(time.now())));
   }
 
-  private void shares(int from, List<Sharing.Send> sends) {
-    for (Sharing.Send send : sends) {
+  private void shares(int from, List<StateGossip.Send> sends) {
+    for (StateGossip.Send send : sends) {
       int to = Integer.parseInt(send.to().value().substring(1));
       after(to, () -> shares(to, all[to].sharing.heard(send.message(), time.now())));
     }
   }
 
-  private void says(InetSocketAddress address, LoanWord word) {
+  private void says(InetSocketAddress address, CapacityLeaseMessage word) {
     int to = number(address);
     after(
         to,
--- a/src/main/java/cobaltseam/fleet/AgreeHunt.java
+++ b/src/main/java/cobaltseam/fleet/AgreeHunt.java
@@ -1,9 +1,9 @@
 package cobaltseam.fleet;
 
-import cobaltseam.agreement.Acting;
-import cobaltseam.agreement.Agreement;
+import cobaltseam.agreement.ActiveConfiguration;
+import cobaltseam.agreement.ConfigurationAgreement;
 import cobaltseam.dispatch.TimeSpan;
-import cobaltseam.membership.Edition;
+import cobaltseam.membership.ConfigurationVersion;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -32,8 +32,8 @@
   /** Of the members' clocks, as a part. */
   static final double CLOCKS = 0.001;
 
-  static final Agreement.Terms TERMS =
-      new Agreement.Terms(new TimeSpan(2_000_000), CLOCKS, 1 << 20);
+  static final ConfigurationAgreement.AgreementOptions TERMS =
+      new ConfigurationAgreement.AgreementOptions(new TimeSpan(2_000_000), CLOCKS, 1 << 20);
   private static final double SETTLES_WITHIN = 340;
   private static final double LAST_WITHIN = 60;
   @CommandLine.Mixin Fleet.Common common;
@@ -77,7 +77,7 @@
         boolean harms = chance.nextInt(4) > 0;
         byte[] content = text((harms ? "rule" : "log") + proposals++);
         if (!harms) {
-          harmless.add(Agreement.hash(content));
+          harmless.add(ConfigurationAgreement.hash(content));
         }
         fleet.propose(chance.nextInt(plan.processes()), content, -1);
       }
@@ -93,7 +93,8 @@
       // Messages flow again: a proposal gets through, and all act on it.
       byte[] content = text("the last");
       String why = null;
-      while (last < LAST_WITHIN && !actOn(fleet, plan.processes(), Agreement.hash(content))) {
+      while (last < LAST_WITHIN
+          && !actOn(fleet, plan.processes(), ConfigurationAgreement.hash(content))) {
         for (int i = 0; i < plan.processes(); i++) {
           if (fleet.isAlive(i)) {
             why = fleet.propose(i, content, -1);
@@ -137,11 +138,11 @@
 
   private static boolean actOn(VirtualFleet fleet, int processes, String hash) {
     for (int i = 0; i < processes; i++) {
-      Edition newest = fleet.isAlive(i) ? fleet.acting(i).newest() : null;
+      ConfigurationVersion newest = fleet.isAlive(i) ? fleet.acting(i).newest() : null;
       if (fleet.isAlive(i)
           && (newest == null
               || !newest.hash().equals(hash)
-              || fleet.acting(i).mode() != Acting.Mode.PLAIN)) {
+              || fleet.acting(i).mode() != ActiveConfiguration.Mode.PLAIN)) {
         return false;
       }
     }
--- a/src/main/java/cobaltseam/fleet/Fleet.java
+++ b/src/main/java/cobaltseam/fleet/Fleet.java
@@ -478,7 +478,7 @@
       for (double s = FORMED; s < FORMED + common.seconds; s += 5) {
         fleet.run(s);
         for (int i = 0; i < common.processes; i += Math.max(1, common.processes / 10)) {
-          majority += fleet.standing(i) == cobaltseam.membership.Standing.MAJORITY ? 1 : 0;
+          majority += fleet.standing(i) == cobaltseam.membership.QuorumState.MAJORITY ? 1 : 0;
           looks++;
         }
       }
--- a/src/main/java/cobaltseam/fleet/RealFleet.java
+++ b/src/main/java/cobaltseam/fleet/RealFleet.java
@@ -1,7 +1,7 @@
 package cobaltseam.fleet;
 
 import cobaltseam.Main;
-import cobaltseam.hall.KeptCodec;
+import cobaltseam.transport.PersistentStateCodec;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
@@ -610,7 +610,9 @@
       }
       case KILL, GONE, TERM, LOSE, STALE -> {
         if (t.kind() == Trouble.Kind.STALE && now() >= t.atS() / 2 && done.add(key + "copy")) {
-          copy(kept(p).resolve(KeptCodec.NAME), folder.resolve(name(p)).resolve("earlier"));
+          copy(
+              kept(p).resolve(PersistentStateCodec.FILE_NAME),
+              folder.resolve(name(p)).resolve("earlier"));
         }
         if (during && done.add(key + "end") && isAlive(p)) {
           if (t.kind() == Trouble.Kind.TERM) {
@@ -628,9 +630,11 @@
           }
           if (!isAlive(p)) {
             if (t.kind() == Trouble.Kind.LOSE) {
-              Files.deleteIfExists(kept(p).resolve(KeptCodec.NAME));
+              Files.deleteIfExists(kept(p).resolve(PersistentStateCodec.FILE_NAME));
             } else if (t.kind() == Trouble.Kind.STALE) {
-              copy(folder.resolve(name(p)).resolve("earlier"), kept(p).resolve(KeptCodec.NAME));
+              copy(
+                  folder.resolve(name(p)).resolve("earlier"),
+                  kept(p).resolve(PersistentStateCodec.FILE_NAME));
             }
             start(p);
           }
--- a/src/main/java/cobaltseam/fleet/SpreadHunt.java
+++ b/src/main/java/cobaltseam/fleet/SpreadHunt.java
@@ -1,8 +1,8 @@
 package cobaltseam.fleet;
 
+import cobaltseam.capacity.CapacityOptions;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.membership.Lease;
-import cobaltseam.spread.Terms;
 import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -25,7 +25,7 @@
   /** Of the members' clocks, as a part. */
   static final double CLOCKS = 0.001;
 
-  static final Lease.Terms LEASE = new Lease.Terms(new TimeSpan(2_000_000), CLOCKS);
+  static final Lease.LeaseOptions LEASE = new Lease.LeaseOptions(new TimeSpan(2_000_000), CLOCKS);
   static final long WHOLE = 1_000_000_000L;
   private static final double SETTLES_WITHIN = 340;
 
@@ -53,8 +53,8 @@
   record Verdict(
       List<String> broken, boolean lostMajority, boolean twoLines, double most, double missed) {}
 
-  static Terms terms(int processes) {
-    return new Terms(WHOLE, 0.1, processes, 0.25, new TimeSpan(500_000), 16);
+  static CapacityOptions terms(int processes) {
+    return new CapacityOptions(WHOLE, 0.1, processes, 0.25, new TimeSpan(500_000), 16);
   }
 
   static Verdict play(VirtualFleet.Plan plan, List<Trouble> troubles, double seconds, long seed) {
--- a/src/main/java/cobaltseam/fleet/VirtualFleet.java
+++ b/src/main/java/cobaltseam/fleet/VirtualFleet.java
@@ -1,26 +1,26 @@
 package cobaltseam.fleet;
 
-import cobaltseam.agreement.Acting;
-import cobaltseam.agreement.Agreement;
-import cobaltseam.agreement.Doing;
+import cobaltseam.agreement.ActiveConfiguration;
+import cobaltseam.agreement.AgreementEffect;
+import cobaltseam.agreement.ConfigurationAgreement;
+import cobaltseam.capacity.CapacityLeases;
+import cobaltseam.coordination.FleetCoordinator;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.ground.Ground;
-import cobaltseam.membership.Act;
-import cobaltseam.membership.Birth;
-import cobaltseam.membership.Kept;
+import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.Lease;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
 import cobaltseam.membership.Membership;
-import cobaltseam.membership.Spoken;
-import cobaltseam.membership.Standing;
-import cobaltseam.membership.Terms;
+import cobaltseam.membership.MembershipAction;
+import cobaltseam.membership.MembershipOptions;
+import cobaltseam.membership.PeerMessage;
+import cobaltseam.membership.PersistentState;
+import cobaltseam.membership.QuorumState;
 import cobaltseam.membership.View;
 import cobaltseam.membership.ViewId;
-import cobaltseam.sharing.Figures;
-import cobaltseam.sharing.Sharing;
-import cobaltseam.spread.Holdings;
+import cobaltseam.sharing.MemberFigures;
+import cobaltseam.sharing.StateGossip;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -60,7 +60,13 @@
     }
   }
 
-  private record Event(double at, long turn, int process, long life, Spoken message, Act.Keep keep)
+  private record Event(
+      double at,
+      long turn,
+      int process,
+      long life,
+      PeerMessage message,
+      MembershipAction.Persist keep)
       implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
@@ -71,10 +77,10 @@
 
   private static final class Process {
     Membership membership;
-    Agreement agreement;
-    Sharing sharing;
-    Holdings holdings;
-    Ground ground;
+    ConfigurationAgreement agreement;
+    StateGossip sharing;
+    CapacityLeases holdings;
+    FleetCoordinator ground;
 
     /** Of its clock, over that of the world. */
     double rate = 1;
@@ -90,12 +96,12 @@
     double wake = Double.MAX_VALUE;
 
     /** What its folder holds, held half a run before, and is being written. */
-    Kept kept, earlier;
+    PersistentState kept, earlier;
 
-    Act.Keep writing;
+    MembershipAction.Persist writing;
 
     /** What came while it stood still. */
-    final Deque<Spoken> unread = new ArrayDeque<>();
+    final Deque<PeerMessage> unread = new ArrayDeque<>();
   }
 
   private static final int PORT = 7946;
@@ -104,8 +110,8 @@
    * Documents in virtual time are texts: what begins with "no" is refused, and two contradict
    * unless both begin with "log".
    */
-  private static final Agreement.Documents TEXTS =
-      new Agreement.Documents() {
+  private static final ConfigurationAgreement.ConfigurationValidator TEXTS =
+      new ConfigurationAgreement.ConfigurationValidator() {
         @Override
         public String check(byte[] content) {
           return new String(content, StandardCharsets.UTF_8).startsWith("no")
@@ -120,8 +126,9 @@
         }
       };
 
-  private static final cobaltseam.sharing.Terms SHARING =
-      new cobaltseam.sharing.Terms(new TimeSpan(500_000), 3, new TimeSpan(10_000_000), 8192, 0.001);
+  private static final cobaltseam.sharing.GossipOptions SHARING =
+      new cobaltseam.sharing.GossipOptions(
+          new TimeSpan(500_000), 3, new TimeSpan(10_000_000), 8192, 0.001);
   private static final long TROUBLED = -1;
   private static final long COPIES = -2;
   private static final double SLOWEST_WRITE = 0.02;
@@ -144,9 +151,9 @@
   private final Map<Long, View> newest = new LinkedHashMap<>();
 
   private boolean lostMajority;
-  private Agreement.Terms agreed;
-  private Lease.Terms leases;
-  private cobaltseam.spread.Terms divided;
+  private ConfigurationAgreement.AgreementOptions agreed;
+  private Lease.LeaseOptions leases;
+  private cobaltseam.capacity.CapacityOptions divided;
   private double[] demands;
   private Most most = new Most(0, 0, false);
   private final List<Acted> acted = new ArrayList<>();
@@ -192,7 +199,7 @@
     return new MemberName(String.format("n%04d", i));
   }
 
-  private void at(double when, int process, long life, Spoken message) {
+  private void at(double when, int process, long life, PeerMessage message) {
     events.add(new Event(when, turns++, process, life, message, null));
   }
 
@@ -224,7 +231,7 @@
     return processes[i].alive;
   }
 
-  public Standing standing(int i) {
+  public QuorumState standing(int i) {
     return processes[i].membership.standing();
   }
 
@@ -247,7 +254,7 @@
     for (int i = 0; i < processes.length; i++) {
       if (processes[i].alive) {
         Member self = processes[i].membership.self();
-        live.add(new Checker.Live(i, self.name().value(), self.birth().value()));
+        live.add(new Checker.Live(i, self.name().value(), self.incarnation().value()));
       }
     }
     return live;
@@ -267,7 +274,7 @@
       first = view;
     }
     for (Member m : first == null ? List.<Member>of() : first.members()) {
-      int i = byAddress.get(m.address());
+      int i = byAddress.get(m.peerAddress());
       if (!processes[i].alive || !processes[i].membership.self().equals(m)) {
         return false;
       }
@@ -338,7 +345,7 @@
     return false;
   }
 
-  private void hears(int i, Spoken message) {
+  private void hears(int i, PeerMessage message) {
     Process p = processes[i];
     if (stands(i)) {
       if (p.unread.size() < MOST_UNREAD) {
@@ -373,24 +380,24 @@
         founders.add(name(f));
       }
     }
-    Terms terms =
-        new Terms(
+    MembershipOptions terms =
+        new MembershipOptions(
             new TimeSpan(Math.round(plan.periodS * 1e6)),
             plan.patience,
             3,
             founders,
             seeds,
             new TimeSpan(Math.round(plan.longestSendS * 1e6)));
-    Member self = new Member(name(i), new Birth(++births), addresses.get(i));
+    Member self = new Member(name(i), new Incarnation(++births), addresses.get(i));
     p.membership =
         plan.folders
             ? Membership.lasting(terms, self, p.kept, chance.split())
             : new Membership(terms, self, chance.split());
     happenings.add(
-        new Happening(now, i, p.membership.self().birth().value(), null, List.of(), true));
+        new Happening(now, i, p.membership.self().incarnation().value(), null, List.of(), true));
     Lease lease = leases == null ? null : new Lease(leases, p.membership, chance.split());
     if (agreed != null) {
-      p.agreement = new Agreement(agreed, p.membership, lease, TEXTS, chance.split());
+      p.agreement = new ConfigurationAgreement(agreed, p.membership, lease, TEXTS, chance.split());
       p.agreement.own("first".getBytes(StandardCharsets.UTF_8));
       if (p.kept != null) {
         p.kept.documents().forEach(p.agreement::knows);
@@ -399,16 +406,16 @@
     }
     if (divided != null) {
       p.sharing =
-          new Sharing(
+          new StateGossip(
               p.membership.self().name(),
-              p.membership.self().birth(),
+              p.membership.self().incarnation(),
               SHARING,
               chance.split(),
               moment(i));
     }
-    p.ground = new Ground(p.membership, lease, p.agreement, p.sharing, out(i, p));
+    p.ground = new FleetCoordinator(p.membership, lease, p.agreement, p.sharing, out(i, p));
     if (divided != null) {
-      p.holdings = new Holdings(divided, p.ground.under(), chance.split());
+      p.holdings = new CapacityLeases(divided, p.ground.under(), chance.split());
       p.ground.holds(p.holdings);
       needs(i, demands[i]);
     }
@@ -487,7 +494,7 @@
         view.members().stream()
             .filter(
                 m -> {
-                  Process p = processes[byAddress.get(m.address())];
+                  Process p = processes[byAddress.get(m.peerAddress())];
                   return (p.alive || p.resumes) && p.membership.self().equals(m);
                 })
             .count();
@@ -509,46 +516,48 @@
         new Happening(
             now,
             i,
-            p.membership.self().birth().value(),
+            p.membership.self().incarnation().value(),
             view == null ? null : view.id().toString(),
             view == null
                 ? List.of()
-                : view.members().stream().map(m -> m.name() + "#" + m.birth()).toList()));
+                : view.members().stream().map(m -> m.name() + "#" + m.incarnation()).toList()));
   }
 
-  private Ground.Out out(int i, Process p) {
+  private FleetCoordinator.EffectSink out(int i, Process p) {
     long life = p.life;
-    return new Ground.Out() {
+    return new FleetCoordinator.EffectSink() {
       @Override
-      public void tell(InetSocketAddress to, Spoken message) {
+      public void tell(InetSocketAddress to, PeerMessage message) {
         VirtualFleet.this.tell(i, to, message);
       }
 
       @Override
-      public void act(Act act) {
-        if (act instanceof Act.Keep keep) {
+      public void act(MembershipAction act) {
+        if (act instanceof MembershipAction.Persist keep) {
           p.writing = keep;
           events.add(
               new Event(now + SLOWEST_WRITE * chance.nextDouble(), turns++, i, life, null, keep));
-        } else if (act instanceof Act.Installed installed) {
+        } else if (act instanceof MembershipAction.ViewInstalled installed) {
           note(i, installed.view());
           View view = installed.view();
           if (view != null
               && newest.merge(
-                      view.id().line(), view, (a, b) -> a.id().number() < b.id().number() ? b : a)
+                      view.id().lineage(),
+                      view,
+                      (a, b) -> a.id().number() < b.id().number() ? b : a)
                   == view) {
             lost(view);
           }
-        } else if (act instanceof Act.Noted noted) {
+        } else if (act instanceof MembershipAction.EventRecorded noted) {
           notes.merge(noted.event().label(), 1, Integer::sum);
         }
       }
 
       @Override
-      public void doing(Doing doing) {
-        if (doing instanceof Doing.Acts on) {
+      public void doing(AgreementEffect doing) {
+        if (doing instanceof AgreementEffect.Activate on) {
           acts(i, on.on());
-        } else if (doing instanceof Doing.Noted noted) {
+        } else if (doing instanceof AgreementEffect.EventRecorded noted) {
           notes.merge(noted.event().label(), 1, Integer::sum);
         }
       }
@@ -577,7 +586,8 @@
    * From the next start of each process on, all hold parts of a whole; clocks run up to this part
    * apart.
    */
-  public void divides(cobaltseam.spread.Terms terms, Lease.Terms under, double clocksApart) {
+  public void divides(
+      cobaltseam.capacity.CapacityOptions terms, Lease.LeaseOptions under, double clocksApart) {
     divided = terms;
     leases = under;
     demands = new double[processes.length];
@@ -591,7 +601,8 @@
     demands[i] = demand;
     if (processes[i].holdings != null) {
       processes[i].holdings.needs(demand);
-      processes[i].sharing.say(new Figures(Map.of(Ground.DEMAND, Ground.figure(demand))));
+      processes[i].sharing.say(
+          new MemberFigures(Map.of(FleetCoordinator.DEMAND, FleetCoordinator.figure(demand))));
     }
   }
 
@@ -644,8 +655,8 @@
     for (int i = 0; i < processes.length; i++) {
       all += usable(i);
       View view = processes[i].alive ? processes[i].membership.view() : null;
-      two |= view != null && line != 0 && line != view.id().line();
-      line = view == null ? line : view.id().line();
+      two |= view != null && line != 0 && line != view.id().lineage();
+      line = view == null ? line : view.id().lineage();
     }
     boolean more = all > most.amount && !two;
     most = new Most(more ? all : most.amount, more ? now : most.atS, two);
@@ -657,9 +668,9 @@
    * From the next start of each process on, all agree on a document; clocks run up to this part
    * apart.
    */
-  public void agrees(Agreement.Terms terms, double clocksApart) {
+  public void agrees(ConfigurationAgreement.AgreementOptions terms, double clocksApart) {
     agreed = terms;
-    leases = new Lease.Terms(terms.contradiction(), terms.clockRates());
+    leases = new Lease.LeaseOptions(terms.contradiction(), terms.clockRates());
     for (Process p : processes) {
       p.rate = 1 + clocksApart * (chance.nextDouble() - 0.5);
     }
@@ -676,7 +687,7 @@
     return why;
   }
 
-  public Acting acting(int i) {
+  public ActiveConfiguration acting(int i) {
     return processes[i].agreement.acting();
   }
 
@@ -685,22 +696,22 @@
     return acted;
   }
 
-  private void acts(int i, Acting on) {
+  private void acts(int i, ActiveConfiguration on) {
     long line =
-        processes[i].membership.view() == null ? 0 : processes[i].membership.view().id().line();
-    boolean back = on == null || on.mode() == Acting.Mode.BACK;
+        processes[i].membership.view() == null ? 0 : processes[i].membership.view().id().lineage();
+    boolean back = on == null || on.mode() == ActiveConfiguration.Mode.BACK;
     acted.add(
         new Acted(
             now,
             i,
             back
                 ? List.of()
-                : on.editions().stream()
+                : on.versions().stream()
                     .map(e -> line + "/" + e.number() + ":" + e.hash())
                     .toList()));
   }
 
-  private void tell(int from, InetSocketAddress address, Spoken message) {
+  private void tell(int from, InetSocketAddress address, PeerMessage message) {
     Integer to = byAddress.get(address);
     sent++;
     if (to == null) {
--- a/src/main/java/cobaltseam/log/Field.java
+++ b/src/main/java/cobaltseam/logging/Field.java
@@ -1,4 +1,4 @@
-package cobaltseam.log;
+package cobaltseam.logging;
 
 /**
  * A value in a log line that has a name of its own where lines are written as JSON; as text only
--- a/src/main/java/cobaltseam/log/JsonLines.java
+++ b/src/main/java/cobaltseam/logging/JsonLines.java
@@ -1,4 +1,4 @@
-package cobaltseam.log;
+package cobaltseam.logging;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/cobaltseam/mastership/Intake.java
+++ b/src/main/java/cobaltseam/mastership/AdvertFilter.java
@@ -1,8 +1,8 @@
 package cobaltseam.mastership;
 
+import cobaltseam.authentication.KeyRing;
+import cobaltseam.authentication.MessageAuthenticator;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.seal.Seal;
-import cobaltseam.seal.SealKeys;
 import cobaltseam.vrrp.Advert;
 import cobaltseam.vrrp.AdvertCodec;
 import cobaltseam.vrrp.AdvertSeal;
@@ -19,28 +19,28 @@
  * Decides which datagrams count as adverts, and counts what does not by its reason. What is refused
  * changes nothing.
  */
-public final class Intake {
+public final class AdvertFilter {
   /** What a datagram came to: the advert that counts, or why none does. */
   public record Verdict(Advert advert, Refusal refusal) {}
 
   private final InetAddress self;
   private final Mastership mastership;
-  private final Freshness freshness;
+  private final ReplayGuard freshness;
   private final Map<Refusal, Long> refused = new EnumMap<>(Refusal.class);
   private final Map<Covers, Long> covers = new EnumMap<>(Covers.class);
   private Set<InetAddress> peers;
-  private SealKeys keys;
+  private KeyRing keys;
   private long taken;
 
   /**
    * @param keys the keys of seals, or null where adverts have none
    */
-  public Intake(
+  public AdvertFilter(
       InetAddress self,
       Mastership mastership,
-      Freshness freshness,
+      ReplayGuard freshness,
       Set<InetAddress> peers,
-      SealKeys keys) {
+      KeyRing keys) {
     this.self = self;
     this.mastership = mastership;
     this.freshness = freshness;
@@ -48,7 +48,7 @@
   }
 
   /** Other peers and keys count from now on. */
-  public void renewed(Set<InetAddress> newPeers, SealKeys newKeys) {
+  public void renewed(Set<InetAddress> newPeers, KeyRing newKeys) {
     peers = Set.copyOf(newPeers);
     keys = newKeys;
     freshness.keep(peers, Set.copyOf(mastership.routers()));
@@ -83,7 +83,7 @@
           freshness.judge(
               source,
               new VirtualRouterId(advert.virtualRouterId(), advert.isIpv6()),
-              Seal.told(bytes, whole.length()).sequence(),
+              MessageAuthenticator.readTrailer(bytes, whole.length()).sequence(),
               now);
     }
     if (other.isPresent()) {
--- a/src/main/java/cobaltseam/mastership/Fitness.java
+++ b/src/main/java/cobaltseam/mastership/HealthScore.java
@@ -14,9 +14,9 @@
  * sign that comes back soon has to stay well twice as long each time, so that one that flaps does
  * not flap the address. No sign gets better by shedding commands.
  */
-public final class Fitness {
+public final class HealthScore {
   /** What is watched; the unit of each value is told with its bounds. */
-  public enum Sign {
+  public enum HealthSignal {
     BUS_SILENT,
     NO_ENGINE,
     ENGINES_FAILING,
@@ -32,34 +32,34 @@
   /**
    * A sign is bad from one value on, well below another, and costs this many steps while it counts.
    */
-  public record Bounds(double badFrom, double wellBelow, int steps) {}
+  public record SignalBounds(double badFrom, double wellBelow, int steps) {}
 
   /**
    * The bounds of each sign watched, how long it must be bad, how long well, and how often that may
    * double.
    */
-  public record Watched(
-      Map<Sign, Bounds> bounds, TimeSpan sustained, TimeSpan calm, int mostDoubled) {
-    public Watched {
+  public record HealthScoreOptions(
+      Map<HealthSignal, SignalBounds> bounds, TimeSpan sustained, TimeSpan calm, int mostDoubled) {
+    public HealthScoreOptions {
       bounds = Map.copyOf(bounds);
     }
   }
 
-  private static final class Sighting {
+  private static final class SignalState {
     boolean counts;
     Timestamp badSince, wellSince, cleared;
     int doubled;
   }
 
-  private final Map<Sign, Sighting> seen = new EnumMap<>(Sign.class);
-  private Watched watched;
+  private final Map<HealthSignal, SignalState> seen = new EnumMap<>(HealthSignal.class);
+  private HealthScoreOptions watched;
 
-  public Fitness(Watched watched) {
+  public HealthScore(HealthScoreOptions watched) {
     this.watched = watched;
   }
 
   /** Other bounds from now on; what counts goes on counting until it is well by them. */
-  public void renewed(Watched anew) {
+  public void renewed(HealthScoreOptions anew) {
     watched = anew;
     seen.keySet().retainAll(anew.bounds().keySet());
   }
@@ -67,10 +67,10 @@
   /**
    * The steps to give up by what is seen at this moment; a sign not told is neither bad nor well.
    */
-  public int told(Map<Sign, Double> values, Timestamp now) {
+  public int told(Map<HealthSignal, Double> values, Timestamp now) {
     int steps = 0;
-    for (Map.Entry<Sign, Bounds> entry : watched.bounds().entrySet()) {
-      Sighting s = seen.computeIfAbsent(entry.getKey(), k -> new Sighting());
+    for (Map.Entry<HealthSignal, SignalBounds> entry : watched.bounds().entrySet()) {
+      SignalState s = seen.computeIfAbsent(entry.getKey(), k -> new SignalState());
       Double value = values.get(entry.getKey());
       if (value != null) {
         look(s, entry.getValue(), value, now);
@@ -80,7 +80,7 @@
     return steps;
   }
 
-  private void look(Sighting s, Bounds bounds, double value, Timestamp now) {
+  private void look(SignalState s, SignalBounds bounds, double value, Timestamp now) {
     boolean bad = value >= bounds.badFrom();
     boolean well = value < bounds.wellBelow();
     s.badSince = !bad ? null : s.badSince == null ? now : s.badSince;
@@ -97,8 +97,8 @@
   }
 
   /** The signs that count now. */
-  public List<Sign> counting() {
-    List<Sign> counting = new ArrayList<>();
+  public List<HealthSignal> counting() {
+    List<HealthSignal> counting = new ArrayList<>();
     seen.forEach(
         (sign, s) -> {
           if (s.counts) {
--- a/src/main/java/cobaltseam/mastership/Mastership.java
+++ b/src/main/java/cobaltseam/mastership/Mastership.java
@@ -21,7 +21,7 @@
  * Every virtual router of one dispatcher: which it is active for, what follows from adverts, from
  * time, from its fitness and from new terms, and over how many dispatchers the engines are to be
  * shared. It does no I/O: moments come from the caller, and what it is to do goes back as {@link
- * Act}s.
+ * MastershipAction}s.
  *
  * <p>Callers ask {@link #due} no later than {@link #wake}, and {@link #admits} before each thing
  * that only an active dispatcher may do; whatever comes after a gap that lets a peer claim is
@@ -46,9 +46,9 @@
   }
 
   /** One virtual router, for as long as it is set. */
-  private static final class Seat {
-    Terms terms;
-    Standing standing;
+  private static final class RouterSlot {
+    RouterOptions terms;
+    RouterState standing;
     Timestamp wake, fence;
 
     /** How often in a row it was unable to serve. */
@@ -56,7 +56,7 @@
   }
 
   /** What a peer last said of a virtual router. */
-  public record Claim(int priority, Timestamp heard, TimeSpan interval) {
+  public record ObservedClaim(int priority, Timestamp heard, TimeSpan interval) {
     /** Until when its sender counts as active without another. */
     Timestamp until() {
       return priority == Advert.RESIGNS
@@ -66,10 +66,10 @@
   }
 
   private final InetAddress self;
-  private final TreeMap<VirtualRouterId, Seat> seats = new TreeMap<>();
+  private final TreeMap<VirtualRouterId, RouterSlot> seats = new TreeMap<>();
   private final TreeSet<Alarm> wakes = new TreeSet<>();
   private final TreeSet<Alarm> fences = new TreeSet<>();
-  private final Map<InetAddress, Map<VirtualRouterId, Claim>> claims = new HashMap<>();
+  private final Map<InetAddress, Map<VirtualRouterId, ObservedClaim>> claims = new HashMap<>();
   private final TimeSpan longestSend;
   private final TimeSpan listen;
   private final boolean followsIntervals;
@@ -88,7 +88,7 @@
    */
   public Mastership(
       InetAddress self,
-      Collection<Terms> routers,
+      Collection<RouterOptions> routers,
       Set<InetAddress> peers,
       double elsewhere,
       TimeSpan longestSend,
@@ -100,8 +100,8 @@
     this.longestSend = longestSend;
     this.listen = listen;
     this.followsIntervals = followsIntervals;
-    for (Terms t : routers) {
-      Seat seat = new Seat();
+    for (RouterOptions t : routers) {
+      RouterSlot seat = new RouterSlot();
       seat.terms = t;
       seats.put(t.router(), seat);
     }
@@ -109,9 +109,9 @@
 
   // ---- what happens
 
-  public List<Act> start(Timestamp now) {
+  public List<MastershipAction> start(Timestamp now) {
     started = now;
-    List<Act> acts = new ArrayList<>();
+    List<MastershipAction> acts = new ArrayList<>();
     seats
         .values()
         .forEach(
@@ -120,9 +120,9 @@
   }
 
   /** Ends every router; active ones resign first. */
-  public List<Act> stop(Reason why, Timestamp now) {
-    List<Act> acts = new ArrayList<>();
-    for (Seat s : seats.values()) {
+  public List<MastershipAction> stop(TransitionReason why, Timestamp now) {
+    List<MastershipAction> acts = new ArrayList<>();
+    for (RouterSlot s : seats.values()) {
       if (s.standing != null && s.standing.role() != Role.INITIALIZE) {
         follow(s, VirtualRouter.stop(s.terms, s.standing, why, now), acts);
       }
@@ -132,7 +132,7 @@
 
   /** Why an advert does not count here, whoever sent it. */
   public Optional<Refusal> refusal(Advert advert) {
-    Seat seat = seats.get(router(advert));
+    RouterSlot seat = seats.get(router(advert));
     if (seat == null) {
       return Optional.of(Refusal.UNKNOWN_ROUTER);
     }
@@ -144,48 +144,50 @@
   }
 
   /**
-   * An advert that counts has come: see {@link #refusal}, and {@link Intake} for who may send one.
+   * An advert that counts has come: see {@link #refusal}, and {@link AdvertFilter} for who may send
+   * one.
    */
-  public List<Act> heard(InetAddress sender, Advert advert, Timestamp now) {
-    List<Act> acts = fence(now);
-    Seat seat = seats.get(router(advert));
+  public List<MastershipAction> heard(InetAddress sender, Advert advert, Timestamp now) {
+    List<MastershipAction> acts = fence(now);
+    RouterSlot seat = seats.get(router(advert));
     if (seat == null || seat.standing == null || !peers.contains(sender)) {
       return acts;
     }
     claims
         .computeIfAbsent(sender, s -> new HashMap<>())
         .put(
-            seat.terms.router(), new Claim(advert.priority(), now, VirtualRouter.interval(advert)));
+            seat.terms.router(),
+            new ObservedClaim(advert.priority(), now, VirtualRouter.interval(advert)));
     follow(seat, VirtualRouter.heard(seat.terms, seat.standing, self, sender, advert, now), acts);
     return acts;
   }
 
   /** Whatever is due by now. */
-  public List<Act> due(Timestamp now) {
-    List<Act> acts = fence(now);
+  public List<MastershipAction> due(Timestamp now) {
+    List<MastershipAction> acts = fence(now);
     List<Alarm> reached =
         new ArrayList<>(
             wakes.headSet(new Alarm(now, new VirtualRouterId(Integer.MAX_VALUE, true))));
     for (Alarm alarm : reached) {
-      Seat seat = seats.get(alarm.router);
+      RouterSlot seat = seats.get(alarm.router);
       follow(seat, VirtualRouter.due(seat.terms, seat.standing, now), acts);
     }
     return acts;
   }
 
   /** Steps back from every router whose peers may have claimed meanwhile. */
-  public List<Act> fence(Timestamp now) {
-    List<Act> acts = new ArrayList<>();
+  public List<MastershipAction> fence(Timestamp now) {
+    List<MastershipAction> acts = new ArrayList<>();
     while (!fences.isEmpty() && fences.first().at.isBefore(now)) {
-      Seat seat = seats.get(fences.first().router);
+      RouterSlot seat = seats.get(fences.first().router);
       follow(seat, VirtualRouter.fenced(seat.terms, seat.standing, now), acts);
     }
     return acts;
   }
 
   /** This dispatcher is less able to serve by this many steps of priority; none is ever below 1. */
-  public List<Act> fitness(int steps, Timestamp now) {
-    List<Act> acts = fence(now);
+  public List<MastershipAction> fitness(int steps, Timestamp now) {
+    List<MastershipAction> acts = fence(now);
     if (steps != reduction) {
       reduction = steps;
       seats.values().stream()
@@ -204,9 +206,9 @@
    * It can't serve for a router that it is active for: another is to try, and it stays back for a
    * while.
    */
-  public List<Act> unable(VirtualRouterId router, Timestamp now) {
-    List<Act> acts = fence(now);
-    Seat seat = seats.get(router);
+  public List<MastershipAction> unable(VirtualRouterId router, Timestamp now) {
+    List<MastershipAction> acts = fence(now);
+    RouterSlot seat = seats.get(router);
     if (seat != null && seat.standing != null) {
       TimeSpan back =
           VirtualRouter.downInterval(seat.standing)
@@ -225,27 +227,33 @@
   }
 
   /** New terms: of routers that stay, that go, and that come. */
-  public List<Act> renewed(
-      Collection<Terms> routers, Set<InetAddress> newPeers, double newElsewhere, Timestamp now) {
-    List<Act> acts = fence(now);
+  public List<MastershipAction> renewed(
+      Collection<RouterOptions> routers,
+      Set<InetAddress> newPeers,
+      double newElsewhere,
+      Timestamp now) {
+    List<MastershipAction> acts = fence(now);
     peers = Set.copyOf(newPeers);
     claims.keySet().retainAll(peers);
     elsewhere = newElsewhere;
-    Map<VirtualRouterId, Terms> told = new TreeMap<>();
+    Map<VirtualRouterId, RouterOptions> told = new TreeMap<>();
     routers.forEach(t -> told.put(t.router(), t));
     for (VirtualRouterId id : List.copyOf(seats.keySet())) {
-      Seat seat = seats.get(id);
-      Terms terms = told.remove(id);
+      RouterSlot seat = seats.get(id);
+      RouterOptions terms = told.remove(id);
       if (terms == null) {
-        follow(seat, VirtualRouter.stop(seat.terms, seat.standing, Reason.REMOVED, now), acts);
+        follow(
+            seat,
+            VirtualRouter.stop(seat.terms, seat.standing, TransitionReason.REMOVED, now),
+            acts);
         seats.remove(id);
       } else if (!terms.equals(seat.terms)) {
         seat.terms = terms;
         follow(seat, VirtualRouter.renewed(terms, seat.standing, priority(terms), now), acts);
       }
     }
-    for (Terms t : told.values()) {
-      Seat seat = new Seat();
+    for (RouterOptions t : told.values()) {
+      RouterSlot seat = new RouterSlot();
       seat.terms = t;
       seats.put(t.router(), seat);
       follow(seat, VirtualRouter.start(t, priority(t), listen, now), acts);
@@ -263,7 +271,7 @@
 
   /** Whether traffic of this virtual router may be taken and sent on at this moment. */
   public boolean admits(VirtualRouterId router, Timestamp now) {
-    Seat seat = seats.get(router);
+    RouterSlot seat = seats.get(router);
     return seat != null
         && seat.standing != null
         && seat.standing.role() == Role.ACTIVE
@@ -292,9 +300,9 @@
    */
   public double dispatchers(Timestamp now) {
     double others = 0;
-    for (Map<VirtualRouterId, Claim> said : claims.values()) {
+    for (Map<VirtualRouterId, ObservedClaim> said : claims.values()) {
       double most = 0;
-      for (Claim claim : said.values()) {
+      for (ObservedClaim claim : said.values()) {
         most = Math.max(most, now.isBefore(claim.until()) ? 1 : left(claim.heard(), now));
       }
       others += most;
@@ -316,18 +324,18 @@
     return List.copyOf(seats.keySet());
   }
 
-  public Terms terms(VirtualRouterId router) {
+  public RouterOptions terms(VirtualRouterId router) {
     return seats.get(router).terms;
   }
 
   /** Where a router stands, or null before the start. */
-  public Standing standing(VirtualRouterId router) {
+  public RouterState standing(VirtualRouterId router) {
     return seats.get(router).standing;
   }
 
   /** What each peer last said of a router. */
-  public Map<InetAddress, Claim> claims(VirtualRouterId router) {
-    Map<InetAddress, Claim> said = new HashMap<>();
+  public Map<InetAddress, ObservedClaim> claims(VirtualRouterId router) {
+    Map<InetAddress, ObservedClaim> said = new HashMap<>();
     claims.forEach(
         (peer, of) -> {
           if (of.containsKey(router)) {
@@ -339,7 +347,7 @@
 
   // ---- within
 
-  private int priority(Terms t) {
+  private int priority(RouterOptions t) {
     return Math.max(1, t.priority() - reduction);
   }
 
@@ -348,7 +356,7 @@
   }
 
   /** Puts a router where it stands now, and its two alarms with it. */
-  private void follow(Seat seat, Change change, List<Act> acts) {
+  private void follow(RouterSlot seat, Change change, List<MastershipAction> acts) {
     VirtualRouterId id = seat.terms.router();
     seat.standing = change.standing();
     seat.wake = moved(wakes, id, seat.wake, seat.standing.wake());
--- a/src/main/java/cobaltseam/mastership/Act.java
+++ b/src/main/java/cobaltseam/mastership/MastershipAction.java
@@ -1,15 +1,15 @@
 package cobaltseam.mastership;
 
 /** What the caller is to do, in the order given. */
-public sealed interface Act {
+public sealed interface MastershipAction {
   VirtualRouterId router();
 
   /** Send an advert to every peer, with this priority; 0 resigns. */
-  record Advertise(VirtualRouterId router, int priority) implements Act {}
+  record Advertise(VirtualRouterId router, int priority) implements MastershipAction {}
 
   /** Take traffic for this virtual router from now on. */
-  record Take(VirtualRouterId router, Reason reason) implements Act {}
+  record Acquire(VirtualRouterId router, TransitionReason reason) implements MastershipAction {}
 
   /** Take nothing new for it; finish what is in hand. */
-  record Leave(VirtualRouterId router, Reason reason) implements Act {}
+  record Release(VirtualRouterId router, TransitionReason reason) implements MastershipAction {}
 }
--- a/src/main/java/cobaltseam/mastership/Freshness.java
+++ b/src/main/java/cobaltseam/mastership/ReplayGuard.java
@@ -16,14 +16,14 @@
  * pass once after a restart. Clocks may differ by a span that is told; for twice that span after
  * the start an honest peer may go unheard, and nobody here may claim.
  */
-public final class Freshness {
-  private record Speaker(InetAddress sender, VirtualRouterId router) {}
+public final class ReplayGuard {
+  private record Sender(InetAddress sender, VirtualRouterId router) {}
 
   private final Timestamp started;
   private final TimeSpan difference;
-  private final Map<Speaker, Long> last = new HashMap<>();
+  private final Map<Sender, Long> last = new HashMap<>();
 
-  public Freshness(Timestamp started, TimeSpan difference) {
+  public ReplayGuard(Timestamp started, TimeSpan difference) {
     this.started = started;
     this.difference = difference;
   }
@@ -43,7 +43,7 @@
     if (now.plus(difference).isBefore(sent)) {
       return Optional.of(Refusal.EARLY);
     }
-    Speaker speaker = new Speaker(sender, router);
+    Sender speaker = new Sender(sender, router);
     if (sequence <= last.getOrDefault(speaker, Long.MIN_VALUE)) {
       return Optional.of(Refusal.REPLAYED);
     }
--- a/src/main/java/cobaltseam/mastership/Terms.java
+++ b/src/main/java/cobaltseam/mastership/RouterOptions.java
@@ -9,14 +9,14 @@
  * the interval of its adverts, whether and after how long it takes over from a router of lower
  * priority, and its addresses.
  */
-public record Terms(
+public record RouterOptions(
     VirtualRouterId router,
     int priority,
     TimeSpan interval,
     boolean preempts,
     TimeSpan preemptDelay,
     List<InetAddress> addresses) {
-  public Terms {
+  public RouterOptions {
     addresses = List.copyOf(addresses);
   }
 }
--- a/src/main/java/cobaltseam/mastership/Standing.java
+++ b/src/main/java/cobaltseam/mastership/RouterState.java
@@ -9,34 +9,35 @@
  * when it last advertised as the active one, and from when on it may take over from a lower
  * priority.
  */
-public record Standing(
+public record RouterState(
     Role role,
     Timestamp since,
-    Reason reason,
+    TransitionReason reason,
     int priority,
     TimeSpan heardInterval,
     Timestamp wake,
     Timestamp advertised,
     Timestamp preemptsFrom) {
-  Standing wakesAt(Timestamp at) {
-    return new Standing(role, since, reason, priority, heardInterval, at, advertised, preemptsFrom);
+  RouterState wakesAt(Timestamp at) {
+    return new RouterState(
+        role, since, reason, priority, heardInterval, at, advertised, preemptsFrom);
   }
 
-  Standing of(int newPriority, Timestamp newPreemptsFrom) {
-    return new Standing(
+  RouterState of(int newPriority, Timestamp newPreemptsFrom) {
+    return new RouterState(
         role, since, reason, newPriority, heardInterval, wake, advertised, newPreemptsFrom);
   }
 
-  Standing heard(TimeSpan interval) {
-    return new Standing(role, since, reason, priority, interval, wake, advertised, preemptsFrom);
+  RouterState heard(TimeSpan interval) {
+    return new RouterState(role, since, reason, priority, interval, wake, advertised, preemptsFrom);
   }
 
-  Standing advertisedAt(Timestamp at, Timestamp next) {
-    return new Standing(role, since, reason, priority, heardInterval, next, at, preemptsFrom);
+  RouterState advertisedAt(Timestamp at, Timestamp next) {
+    return new RouterState(role, since, reason, priority, heardInterval, next, at, preemptsFrom);
   }
 
-  Standing as(Role newRole, Reason why, Timestamp at) {
-    return new Standing(
+  RouterState as(Role newRole, TransitionReason why, Timestamp at) {
+    return new RouterState(
         newRole,
         at,
         why,
--- a/src/main/java/cobaltseam/mastership/Reason.java
+++ b/src/main/java/cobaltseam/mastership/TransitionReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why a role was taken or left last. */
-public enum Reason {
+public enum TransitionReason {
   STARTED,
   OWNER,
   NONE_HEARD,
--- a/src/main/java/cobaltseam/mastership/VirtualRouter.java
+++ b/src/main/java/cobaltseam/mastership/VirtualRouter.java
@@ -34,19 +34,19 @@
   private VirtualRouter() {}
 
   /** Where it stands next, and what to do, in order. */
-  record Change(Standing standing, List<Act> acts) {
-    Change(Standing standing, Act... acts) {
+  record Change(RouterState standing, List<MastershipAction> acts) {
+    Change(RouterState standing, MastershipAction... acts) {
       this(standing, List.of(acts));
     }
   }
 
   /** The span that a backup adds to its wait, shorter the higher its priority. */
-  static TimeSpan skew(Standing s) {
+  static TimeSpan skew(RouterState s) {
     return s.heardInterval().times((double) (PRIORITIES - s.priority()) / PRIORITIES);
   }
 
   /** How long a backup hears nothing before it claims. */
-  static TimeSpan downInterval(Standing s) {
+  static TimeSpan downInterval(RouterState s) {
     return s.heardInterval().times(MISSED).plus(skew(s));
   }
 
@@ -55,42 +55,45 @@
    * interval claims sooner, since each waits for its skew as well, and counts from when the advert
    * came.
    */
-  static Timestamp fence(Terms t, Standing s) {
+  static Timestamp fence(RouterOptions t, RouterState s) {
     return s.role() == Role.ACTIVE ? s.advertised().plus(t.interval().times(MISSED)) : null;
   }
 
-  static Standing initial(Terms t, int priority, Timestamp now) {
-    return new Standing(
-        Role.INITIALIZE, now, Reason.STARTED, priority, t.interval(), null, null, now);
+  static RouterState initial(RouterOptions t, int priority, Timestamp now) {
+    return new RouterState(
+        Role.INITIALIZE, now, TransitionReason.STARTED, priority, t.interval(), null, null, now);
   }
 
   /**
    * Startup. It listens for at least the span given before it claims, also where it owns the
    * addresses.
    */
-  static Change start(Terms t, int priority, TimeSpan listen, Timestamp now) {
-    Standing s = initial(t, priority, now);
+  static Change start(RouterOptions t, int priority, TimeSpan listen, Timestamp now) {
+    RouterState s = initial(t, priority, now);
     if (priority == Advert.OWNER && !listen.isPositive()) {
-      return claim(t, s, Reason.OWNER, now);
+      return claim(t, s, TransitionReason.OWNER, now);
     }
-    s = s.as(Role.BACKUP, Reason.STARTED, now).of(priority, now.plus(t.preemptDelay()));
+    s = s.as(Role.BACKUP, TransitionReason.STARTED, now).of(priority, now.plus(t.preemptDelay()));
     return new Change(s.wakesAt(now.plus(listen).plus(downInterval(s))));
   }
 
   /** Shutdown: an active one resigns, so that a peer takes over within its skew. */
-  static Change stop(Terms t, Standing s, Reason why, Timestamp now) {
-    Standing next = s.as(Role.INITIALIZE, why, now).wakesAt(null);
+  static Change stop(RouterOptions t, RouterState s, TransitionReason why, Timestamp now) {
+    RouterState next = s.as(Role.INITIALIZE, why, now).wakesAt(null);
     return s.role() == Role.ACTIVE
         ? new Change(
-            next, new Act.Advertise(t.router(), Advert.RESIGNS), new Act.Leave(t.router(), why))
+            next,
+            new MastershipAction.Advertise(t.router(), Advert.RESIGNS),
+            new MastershipAction.Release(t.router(), why))
         : new Change(next);
   }
 
   /** Its moment to be asked has come. */
-  static Change due(Terms t, Standing s, Timestamp now) {
+  static Change due(RouterOptions t, RouterState s, Timestamp now) {
     if (s.role() == Role.ACTIVE) {
       return new Change(
-          s.advertisedAt(now, now.plus(t.interval())), new Act.Advertise(t.router(), s.priority()));
+          s.advertisedAt(now, now.plus(t.interval())),
+          new MastershipAction.Advertise(t.router(), s.priority()));
     }
     if (s.role() != Role.BACKUP) {
       return new Change(s.wakesAt(null));
@@ -101,19 +104,26 @@
     if (now.since(s.wake()).compareTo(s.heardInterval()) > 0) {
       return new Change(s.wakesAt(now.plus(downInterval(s))));
     }
-    return claim(t, s, Reason.NONE_HEARD, now);
+    return claim(t, s, TransitionReason.NONE_HEARD, now);
   }
 
-  private static Change claim(Terms t, Standing s, Reason why, Timestamp now) {
-    Standing next =
+  private static Change claim(RouterOptions t, RouterState s, TransitionReason why, Timestamp now) {
+    RouterState next =
         s.as(Role.ACTIVE, why, now).heard(t.interval()).advertisedAt(now, now.plus(t.interval()));
     return new Change(
-        next, new Act.Advertise(t.router(), s.priority()), new Act.Take(t.router(), why));
+        next,
+        new MastershipAction.Advertise(t.router(), s.priority()),
+        new MastershipAction.Acquire(t.router(), why));
   }
 
   /** An advert that counts has come from a peer. */
   static Change heard(
-      Terms t, Standing s, InetAddress self, InetAddress sender, Advert advert, Timestamp now) {
+      RouterOptions t,
+      RouterState s,
+      InetAddress self,
+      InetAddress sender,
+      Advert advert,
+      Timestamp now) {
     return switch (s.role()) {
       case INITIALIZE -> new Change(s);
       case BACKUP -> heardAsBackup(t, s, advert, now);
@@ -121,7 +131,8 @@
     };
   }
 
-  private static Change heardAsBackup(Terms t, Standing s, Advert advert, Timestamp now) {
+  private static Change heardAsBackup(
+      RouterOptions t, RouterState s, Advert advert, Timestamp now) {
     if (advert.priority() == Advert.RESIGNS) {
       // Not later than it would be without: a resigned claim proves that its sender is gone, no
       // more.
@@ -133,18 +144,26 @@
     if (takesOver) {
       return new Change(s);
     }
-    Standing next = s.heard(interval(advert));
+    RouterState next = s.heard(interval(advert));
     return new Change(next.wakesAt(now.plus(downInterval(next))));
   }
 
   private static Change heardAsActive(
-      Terms t, Standing s, InetAddress self, InetAddress sender, Advert advert, Timestamp now) {
+      RouterOptions t,
+      RouterState s,
+      InetAddress self,
+      InetAddress sender,
+      Advert advert,
+      Timestamp now) {
     boolean higher = advert.priority() > s.priority();
     boolean tied = advert.priority() == s.priority() && Addresses.compare(sender, self) > 0;
     if (advert.priority() != Advert.RESIGNS && (higher || tied)) {
-      Reason why = higher ? Reason.HIGHER_HEARD : Reason.ADDRESS_HIGHER;
-      Standing next = s.as(Role.BACKUP, why, now).heard(interval(advert));
-      return new Change(next.wakesAt(now.plus(downInterval(next))), new Act.Leave(t.router(), why));
+      TransitionReason why =
+          higher ? TransitionReason.HIGHER_HEARD : TransitionReason.ADDRESS_HIGHER;
+      RouterState next = s.as(Role.BACKUP, why, now).heard(interval(advert));
+      return new Change(
+          next.wakesAt(now.plus(downInterval(next))),
+          new MastershipAction.Release(t.router(), why));
     }
     // Asserts itself against a lower claim at once, and after a resignation, for the sake of those
     // that listen.
@@ -158,46 +177,48 @@
    * Was it held up for so long that a peer may have claimed? Then it steps back, and listens before
    * it claims.
    */
-  static Change fenced(Terms t, Standing s, Timestamp now) {
+  static Change fenced(RouterOptions t, RouterState s, Timestamp now) {
     Timestamp fence = fence(t, s);
     if (fence == null || !fence.isBefore(now)) {
       return new Change(s);
     }
-    Standing next = s.as(Role.BACKUP, Reason.FENCED, now).heard(t.interval());
+    RouterState next = s.as(Role.BACKUP, TransitionReason.FENCED, now).heard(t.interval());
     return new Change(
-        next.wakesAt(now.plus(downInterval(next))), new Act.Leave(t.router(), Reason.FENCED));
+        next.wakesAt(now.plus(downInterval(next))),
+        new MastershipAction.Release(t.router(), TransitionReason.FENCED));
   }
 
   /**
    * It is active and can't serve: it resigns, and claims again no sooner than after the span given.
    */
-  static Change unable(Terms t, Standing s, TimeSpan stayBack, Timestamp now) {
+  static Change unable(RouterOptions t, RouterState s, TimeSpan stayBack, Timestamp now) {
     if (s.role() != Role.ACTIVE) {
       return new Change(s);
     }
-    Standing next = s.as(Role.BACKUP, Reason.UNABLE, now).of(s.priority(), now.plus(stayBack));
+    RouterState next =
+        s.as(Role.BACKUP, TransitionReason.UNABLE, now).of(s.priority(), now.plus(stayBack));
     return new Change(
         next.wakesAt(now.plus(stayBack).plus(downInterval(next))),
-        new Act.Advertise(t.router(), Advert.RESIGNS),
-        new Act.Leave(t.router(), Reason.UNABLE));
+        new MastershipAction.Advertise(t.router(), Advert.RESIGNS),
+        new MastershipAction.Release(t.router(), TransitionReason.UNABLE));
   }
 
   /**
    * Its priority is another from now on; one that rose waits for the delay before it takes over.
    */
-  static Change priority(Terms t, Standing s, int priority, Timestamp now) {
+  static Change priority(RouterOptions t, RouterState s, int priority, Timestamp now) {
     boolean rose = priority > s.priority();
     return new Change(s.of(priority, rose ? now.plus(t.preemptDelay()) : s.preemptsFrom()));
   }
 
   /** Its terms are others from now on. */
-  static Change renewed(Terms t, Standing s, int priority, Timestamp now) {
-    List<Act> acts = new ArrayList<>();
-    Standing next = priority(t, s, priority, now).standing();
+  static Change renewed(RouterOptions t, RouterState s, int priority, Timestamp now) {
+    List<MastershipAction> acts = new ArrayList<>();
+    RouterState next = priority(t, s, priority, now).standing();
     if (s.role() == Role.ACTIVE) {
       // At once, so that peers that wait by the old interval don't claim in between.
       next = next.heard(t.interval()).advertisedAt(now, now.plus(t.interval()));
-      acts.add(new Act.Advertise(t.router(), priority));
+      acts.add(new MastershipAction.Advertise(t.router(), priority));
     } else if (s.role() == Role.BACKUP) {
       Timestamp wake = now.plus(downInterval(next.heard(t.interval())));
       next =
--- a/src/main/java/cobaltseam/membership/Ballot.java
+++ b/src/main/java/cobaltseam/membership/Ballot.java
@@ -6,16 +6,17 @@
  * One try to choose the successor of a view: a round, and the process that tries, so that no two
  * are the same.
  */
-public record Ballot(long round, MemberName by, Birth birth) implements Comparable<Ballot> {
+public record Ballot(long round, MemberName proposer, Incarnation incarnation)
+    implements Comparable<Ballot> {
   public Ballot {
-    Objects.requireNonNull(by);
-    Objects.requireNonNull(birth);
+    Objects.requireNonNull(proposer);
+    Objects.requireNonNull(incarnation);
   }
 
   @Override
   public int compareTo(Ballot other) {
     int order = Long.compare(round, other.round);
-    order = order != 0 ? order : by.compareTo(other.by);
-    return order != 0 ? order : birth.compareTo(other.birth);
+    order = order != 0 ? order : proposer.compareTo(other.proposer);
+    return order != 0 ? order : incarnation.compareTo(other.incarnation);
   }
 }
--- a/src/main/java/cobaltseam/membership/Edition.java
+++ b/src/main/java/cobaltseam/membership/ConfigurationVersion.java
@@ -8,13 +8,13 @@
  *
  * @param number from 1, one more each time
  * @param hash SHA-256 of the content, in hexadecimal
- * @param by who proposed it
+ * @param proposer who proposed it
  */
-public record Edition(long number, String hash, MemberName by) {
+public record ConfigurationVersion(long number, String hash, MemberName proposer) {
   private static final int HASH_LENGTH = 64;
 
-  public Edition {
-    Objects.requireNonNull(by);
+  public ConfigurationVersion {
+    Objects.requireNonNull(proposer);
     if (number < 1 || hash.length() != HASH_LENGTH) {
       throw new IllegalArgumentException(
           "an edition has a number from 1 and a hash of " + HASH_LENGTH + " digits");
@@ -22,7 +22,7 @@
   }
 
   /** The number of an edition that may be none, and is zero then. */
-  public static long number(Edition edition) {
+  public static long number(ConfigurationVersion edition) {
     return edition == null ? 0 : edition.number;
   }
 
--- a/src/main/java/cobaltseam/membership/Suspicion.java
+++ b/src/main/java/cobaltseam/membership/FailureDetector.java
@@ -2,14 +2,14 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.membership.Act.Event;
-import cobaltseam.membership.Message.Answer;
-import cobaltseam.membership.Message.Ask;
-import cobaltseam.membership.Message.NameTaken;
-import cobaltseam.membership.Message.Part;
-import cobaltseam.membership.Message.Probe;
-import cobaltseam.membership.Message.Relay;
-import cobaltseam.membership.Message.Teller;
+import cobaltseam.membership.MembershipAction.MembershipEvent;
+import cobaltseam.membership.MembershipMessage.HealthCheck;
+import cobaltseam.membership.MembershipMessage.HealthCheckReply;
+import cobaltseam.membership.MembershipMessage.HealthCheckRequest;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
+import cobaltseam.membership.MembershipMessage.NameTaken;
+import cobaltseam.membership.MembershipMessage.StatePart;
+import cobaltseam.membership.MembershipMessage.StateRequest;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -30,12 +30,12 @@
  * Lifeguard's changes). What it says differs from process to process and may be wrong; {@link
  * Membership} makes agreed views of it.
  */
-final class Suspicion {
+final class FailureDetector {
   /** What is known of another process. */
   static final class Peer {
     Member member;
     long incarnation;
-    Condition condition;
+    MemberCondition condition;
     Timestamp since;
 
     /** When it last spoke to us itself; null if never. */
@@ -49,12 +49,13 @@
     ViewId view = ViewId.NONE;
     boolean majority;
 
-    News news(MemberName self) {
-      return new News(member, incarnation, condition, by.isEmpty() ? self : by.iterator().next());
+    MemberUpdate news(MemberName self) {
+      return new MemberUpdate(
+          member, incarnation, condition, by.isEmpty() ? self : by.iterator().next());
     }
   }
 
-  private static final class Probing {
+  private static final class PendingCheck {
     Peer target;
     Timestamp sent, again;
     boolean indirect, answered, favour;
@@ -62,7 +63,7 @@
   }
 
   /** A probe for another: who asked, and under which id. */
-  private record Favour(Member asker, long id, Timestamp until) {}
+  private record RelayedCheck(Member asker, long id, Timestamp until) {}
 
   /** Guards against a peer that invents names without end. */
   private static final int MOST_PEERS = 4096;
@@ -100,19 +101,19 @@
   private static final int REFUTATIONS_A_START = 20;
 
   /** What the layer says, as it says it. */
-  interface Out {
-    void tell(InetSocketAddress to, Message message);
+  interface DetectorOutput {
+    void tell(InetSocketAddress to, MembershipMessage message);
 
-    void note(Event event, MemberName who, String detail);
+    void note(MembershipEvent event, MemberName who, String detail);
   }
 
-  private final Terms terms;
+  private final MembershipOptions terms;
   private final RandomGenerator chance;
-  private final Out out;
+  private final DetectorOutput out;
   private final GossipQueue updates = new GossipQueue();
   private final TreeMap<MemberName, Peer> peers = new TreeMap<>();
-  private final Map<Long, Probing> probing = new LinkedHashMap<>();
-  private final Map<Long, Favour> favours = new LinkedHashMap<>();
+  private final Map<Long, PendingCheck> probing = new LinkedHashMap<>();
+  private final Map<Long, RelayedCheck> favours = new LinkedHashMap<>();
   private final OwnHealth health = new OwnHealth();
   private final List<Peer> order = new ArrayList<>();
   private Member self;
@@ -128,7 +129,8 @@
   /** Goes up whenever who is known, or how one seems, changes. */
   private long version;
 
-  Suspicion(Terms terms, Member self, RandomGenerator chance, Out out) {
+  FailureDetector(
+      MembershipOptions terms, Member self, RandomGenerator chance, DetectorOutput out) {
     this.terms = terms;
     this.self = self;
     this.chance = chance;
@@ -141,8 +143,8 @@
     return self;
   }
 
-  Teller teller() {
-    return new Teller(self, incarnation, view, majority, ended);
+  MessageHeader teller() {
+    return new MessageHeader(self, incarnation, view, majority, ended);
   }
 
   /** What this process tells of lines that have ended. */
@@ -175,10 +177,12 @@
   /** Whether this very process seems alive from here. */
   boolean alive(Member m) {
     if (m.name().equals(self.name())) {
-      return m.birth().equals(self.birth());
+      return m.incarnation().equals(self.incarnation());
     }
     Peer p = peers.get(m.name());
-    return p != null && p.condition == Condition.ALIVE && p.member.birth().equals(m.birth());
+    return p != null
+        && p.condition == MemberCondition.ALIVE
+        && p.member.incarnation().equals(m.incarnation());
   }
 
   boolean isQuiet(Timestamp now) {
@@ -191,7 +195,9 @@
 
   /** The time that one suspected by several has to refute, at least. */
   TimeSpan refutesWithin() {
-    return terms.period().times(terms.patience() + Math.log10(2 + peers.size()));
+    return terms
+        .healthCheckInterval()
+        .times(terms.healthCheckTimeout() + Math.log10(2 + peers.size()));
   }
 
   // ---- rounds
@@ -213,15 +219,16 @@
 
   /** From now on this is another process: what it promised before is not to be kept to. */
   void beginAnew() {
-    self = new Member(self.name(), self.birth().above(self.birth()), self.address());
+    self =
+        new Member(self.name(), self.incarnation().above(self.incarnation()), self.peerAddress());
     incarnation = 0;
-    updates.add(new News(self, incarnation, Condition.ALIVE, self.name()));
+    updates.add(new MemberUpdate(self, incarnation, MemberCondition.ALIVE, self.name()));
   }
 
   /** When it is to be asked again. */
   Timestamp wake(Timestamp now) {
     boolean pending = suspects > 0 || probing.values().stream().anyMatch(p -> !p.answered);
-    Timestamp soon = now.plus(terms.period().times(0.125));
+    Timestamp soon = now.plus(terms.healthCheckInterval().times(0.125));
     promised = pending && soon.isBefore(roundEnds) ? soon : roundEnds;
     return promised;
   }
@@ -234,18 +241,18 @@
    */
   TimeSpan due(Timestamp now) {
     TimeSpan late = promised == null ? TimeSpan.ZERO : now.since(promised);
-    boolean held = late.compareTo(terms.period().times(0.5)) > 0;
+    boolean held = late.compareTo(terms.healthCheckInterval().times(0.5)) > 0;
     if (held) {
       // Guards against a process that stood still: what it did not hear, it could not hear.
       health.worse();
       probing.clear();
       peers.values().stream()
-          .filter(p -> p.condition == Condition.SUSPECT)
+          .filter(p -> p.condition == MemberCondition.SUSPECT)
           .forEach(p -> p.expires = p.expires.plus(late));
       roundEnds = now;
     }
     if (isQuiet(now)) {
-      roundEnds = now.plus(terms.period());
+      roundEnds = now.plus(terms.healthCheckInterval());
       return held ? late : TimeSpan.ZERO;
     }
     askHelpers(now);
@@ -260,17 +267,18 @@
   }
 
   private TimeSpan roundLength() {
-    return terms.period().times(Math.min(SLOWEST_ROUND, health.slower()));
+    return terms.healthCheckInterval().times(Math.min(SLOWEST_ROUND, health.slower()));
   }
 
   /** Whether nobody at all spoke for longer than two rounds, though some were asked. */
   boolean hearsNobody(Timestamp now) {
     return lastHeard != null
-        && now.since(lastHeard).compareTo(roundLength().times(2).plus(terms.period())) > 0;
+        && now.since(lastHeard).compareTo(roundLength().times(2).plus(terms.healthCheckInterval()))
+            > 0;
   }
 
   private void askHelpers(Timestamp now) {
-    TimeSpan direct = terms.period().times(DIRECT * health.slower());
+    TimeSpan direct = terms.healthCheckInterval().times(DIRECT * health.slower());
     probing.forEach(
         (id, p) -> {
           if (p.answered || now.isBefore(p.again)) {
@@ -278,15 +286,16 @@
           }
           // Once more itself too: where datagrams are lost at random, the next may come through.
           p.again = now.plus(direct.times(AGAIN));
-          say(p.target, new Probe(teller(), id, p.target.member.name(), newsFor(p.target)));
+          say(p.target, new HealthCheck(teller(), id, p.target.member.name(), newsFor(p.target)));
           if (p.indirect) {
             return;
           }
           p.indirect = true;
           for (Peer helper :
-              drawn(terms.helpers(), h -> h.condition == Condition.ALIVE && h != p.target)) {
+              drawn(
+                  terms.relayCount(), h -> h.condition == MemberCondition.ALIVE && h != p.target)) {
             p.helpers++;
-            say(helper, new Relay(teller(), id, p.target.member, newsFor(helper)));
+            say(helper, new HealthCheckRequest(teller(), id, p.target.member, newsFor(helper)));
           }
         });
   }
@@ -295,9 +304,9 @@
     int failed = 0;
     int judged = 0;
     boolean own = false;
-    TimeSpan least = terms.period().times(JUDGED_FROM * health.slower());
-    for (Iterator<Probing> all = probing.values().iterator(); all.hasNext(); ) {
-      Probing p = all.next();
+    TimeSpan least = terms.healthCheckInterval().times(JUDGED_FROM * health.slower());
+    for (Iterator<PendingCheck> all = probing.values().iterator(); all.hasNext(); ) {
+      PendingCheck p = all.next();
       if (!p.answered && now.since(p.sent).compareTo(least) < 0) {
         // Asked in the middle of the round, and had no time yet.
         continue;
@@ -334,23 +343,27 @@
         probe(target, now);
       }
     }
-    drawn(REPROBED, p -> p.condition == Condition.SUSPECT).forEach(p -> probe(p, now));
-    boolean alone = peers.values().stream().noneMatch(p -> p.condition == Condition.ALIVE);
+    drawn(REPROBED, p -> p.condition == MemberCondition.SUSPECT).forEach(p -> probe(p, now));
+    boolean alone = peers.values().stream().noneMatch(p -> p.condition == MemberCondition.ALIVE);
     if (alone || rounds % SYNC_ROUNDS == 0) {
-      drawn(1, p -> p.condition == Condition.ALIVE).forEach(p -> say(p, new Ask(teller(), null)));
+      drawn(1, p -> p.condition == MemberCondition.ALIVE)
+          .forEach(p -> say(p, new StateRequest(teller(), null)));
     }
     if (alone || !majority || rounds % HEAL_ROUNDS == 0) {
       // Guards against a split that heals and that nobody notices, as nobody talks to the dead.
-      drawn(majority ? 1 : CALLED_BACK, p -> p.condition.compareTo(Condition.DEAD) >= 0)
-          .forEach(p -> say(p, new Ask(teller(), null)));
+      drawn(majority ? 1 : CALLED_BACK, p -> p.condition.compareTo(MemberCondition.DEAD) >= 0)
+          .forEach(p -> say(p, new StateRequest(teller(), null)));
       List<InetSocketAddress> seeds = new ArrayList<>(terms.seeds());
       for (int i = 0; i < (alone ? MOST_NEWS : 1) && !seeds.isEmpty(); i++) {
         InetSocketAddress seed = seeds.remove(chance.nextInt(seeds.size()));
         boolean known =
             peers.values().stream()
-                .anyMatch(p -> p.condition == Condition.ALIVE && p.member.address().equals(seed));
-        if (!known && !seed.equals(self.address())) {
-          out.tell(seed, new Ask(teller(), null));
+                .anyMatch(
+                    p ->
+                        p.condition == MemberCondition.ALIVE
+                            && p.member.peerAddress().equals(seed));
+        if (!known && !seed.equals(self.peerAddress())) {
+          out.tell(seed, new StateRequest(teller(), null));
         }
       }
     }
@@ -361,9 +374,11 @@
           .values()
           .removeIf(
               p ->
-                  p.condition.compareTo(Condition.DEAD) >= 0
-                      && (view.line() != 0 || p.view.line() == 0)
-                      && now.since(p.since).compareTo(terms.period().times(FORGET_PERIODS)) > 0);
+                  p.condition.compareTo(MemberCondition.DEAD) >= 0
+                      && (view.lineage() != 0 || p.view.lineage() == 0)
+                      && now.since(p.since)
+                              .compareTo(terms.healthCheckInterval().times(FORGET_PERIODS))
+                          > 0);
     }
   }
 
@@ -371,7 +386,7 @@
     for (Map<MemberName, Peer> part :
         List.of(peers.tailMap(self.name(), false), peers.headMap(self.name(), false))) {
       for (Peer p : part.values()) {
-        if (p.condition == Condition.ALIVE) {
+        if (p.condition == MemberCondition.ALIVE) {
           return p;
         }
       }
@@ -387,11 +402,11 @@
     for (int tries = 0; tries < 2; tries++) {
       while (!order.isEmpty()) {
         Peer p = order.remove(order.size() - 1);
-        if (peers.get(p.member.name()) == p && p.condition == Condition.ALIVE) {
+        if (peers.get(p.member.name()) == p && p.condition == MemberCondition.ALIVE) {
           return p;
         }
       }
-      peers.values().stream().filter(p -> p.condition == Condition.ALIVE).forEach(order::add);
+      peers.values().stream().filter(p -> p.condition == MemberCondition.ALIVE).forEach(order::add);
       java.util.Collections.shuffle(order, new java.util.Random(chance.nextLong()));
     }
     return null;
@@ -412,13 +427,13 @@
   }
 
   long probe(Peer target, Timestamp now) {
-    Probing p = new Probing();
+    PendingCheck p = new PendingCheck();
     p.target = target;
     p.sent = now;
-    p.again = now.plus(terms.period().times(DIRECT * health.slower()));
+    p.again = now.plus(terms.healthCheckInterval().times(DIRECT * health.slower()));
     long id = chance.nextLong();
     probing.put(id, p);
-    say(target, new Probe(teller(), id, target.member.name(), newsFor(target)));
+    say(target, new HealthCheck(teller(), id, target.member.name(), newsFor(target)));
     return id;
   }
 
@@ -426,20 +441,20 @@
   void rollCall(Collection<Member> members, Timestamp now) {
     for (Member m : members) {
       Peer p = peers.get(m.name());
-      if (p != null && p.condition.compareTo(Condition.DEAD) < 0) {
+      if (p != null && p.condition.compareTo(MemberCondition.DEAD) < 0) {
         probe(p, now);
       }
     }
   }
 
-  private void say(Peer to, Message message) {
-    out.tell(to.member.address(), message);
+  private void say(Peer to, MembershipMessage message) {
+    out.tell(to.member.peerAddress(), message);
   }
 
   /** What is said of the one spoken to comes first, so that it can refute it. */
-  private List<News> newsFor(Peer to) {
-    List<News> news = updates.next(MOST_NEWS, peers.size() + 1);
-    if (to.condition != Condition.ALIVE) {
+  private List<MemberUpdate> newsFor(Peer to) {
+    List<MemberUpdate> news = updates.next(MOST_NEWS, peers.size() + 1);
+    if (to.condition != MemberCondition.ALIVE) {
       news.add(0, to.news(self.name()));
     }
     return news;
@@ -448,25 +463,26 @@
   // ---- judging
 
   private void suspect(Peer p, MemberName by, Timestamp now) {
-    told(new News(p.member, p.incarnation, Condition.SUSPECT, by), now);
+    told(new MemberUpdate(p.member, p.incarnation, MemberCondition.SUSPECT, by), now);
   }
 
   private void expire(Timestamp now) {
     for (Peer p : new ArrayList<>(peers.values())) {
-      if (p.condition == Condition.SUSPECT && !now.isBefore(p.expires)) {
-        told(new News(p.member, p.incarnation, Condition.DEAD, self.name()), now);
+      if (p.condition == MemberCondition.SUSPECT && !now.isBefore(p.expires)) {
+        told(new MemberUpdate(p.member, p.incarnation, MemberCondition.DEAD, self.name()), now);
       }
     }
   }
 
-  private void set(Peer p, Condition to, Timestamp now) {
-    suspects += (to == Condition.SUSPECT ? 1 : 0) - (p.condition == Condition.SUSPECT ? 1 : 0);
+  private void set(Peer p, MemberCondition to, Timestamp now) {
+    suspects +=
+        (to == MemberCondition.SUSPECT ? 1 : 0) - (p.condition == MemberCondition.SUSPECT ? 1 : 0);
     if (p.condition != to) {
       p.since = now;
       version++;
     }
     p.condition = to;
-    if (to != Condition.SUSPECT) {
+    if (to != MemberCondition.SUSPECT) {
       p.by.clear();
     }
   }
@@ -481,7 +497,7 @@
   }
 
   /** News of anybody, from anybody. */
-  void told(News news, Timestamp now) {
+  void told(MemberUpdate news, Timestamp now) {
     Member m = news.member();
     if (m.name().equals(self.name())) {
       ofUs(news, now);
@@ -489,64 +505,67 @@
     }
     Peer p = peers.get(m.name());
     if (p == null) {
-      if (news.condition().compareTo(Condition.DEAD) < 0 && peers.size() < MOST_PEERS) {
+      if (news.condition().compareTo(MemberCondition.DEAD) < 0 && peers.size() < MOST_PEERS) {
         p = new Peer();
         p.member = m;
-        p.incarnation = news.incarnation();
-        p.condition = Condition.ALIVE;
+        p.incarnation = news.statusVersion();
+        p.condition = MemberCondition.ALIVE;
         p.since = now;
         peers.put(m.name(), p);
         version++;
         order.add(chance.nextInt(order.size() + 1), p);
-        out.note(Event.JOINED_SIGHT, m.name(), m.address() + " birth " + m.birth());
-        updates.add(new News(m, p.incarnation, Condition.ALIVE, news.by()));
-        if (news.condition() == Condition.SUSPECT) {
+        out.note(
+            MembershipEvent.JOINED_SIGHT, m.name(), m.peerAddress() + " birth " + m.incarnation());
+        updates.add(new MemberUpdate(m, p.incarnation, MemberCondition.ALIVE, news.reportedBy()));
+        if (news.condition() == MemberCondition.SUSPECT) {
           told(news, now);
         }
       }
       return;
     }
-    int birth = m.birth().compareTo(p.member.birth());
+    int birth = m.incarnation().compareTo(p.member.incarnation());
     if (birth < 0) {
       return;
     }
     if (birth > 0) {
-      if (news.condition().compareTo(Condition.DEAD) < 0) {
+      if (news.condition().compareTo(MemberCondition.DEAD) < 0) {
         replaced(p, m, news, now);
       }
       return;
     }
-    int newer = Long.compare(news.incarnation(), p.incarnation);
+    int newer = Long.compare(news.statusVersion(), p.incarnation);
     boolean overrules =
-        news.condition() == Condition.ALIVE
+        news.condition() == MemberCondition.ALIVE
             ? newer > 0
             : newer > 0 || newer == 0 && news.condition().compareTo(p.condition) > 0;
-    if (newer == 0 && news.condition() == Condition.SUSPECT && p.condition == Condition.SUSPECT) {
-      if (p.by.size() <= CONFIRMATIONS && p.by.add(news.by())) {
+    if (newer == 0
+        && news.condition() == MemberCondition.SUSPECT
+        && p.condition == MemberCondition.SUSPECT) {
+      if (p.by.size() <= CONFIRMATIONS && p.by.add(news.reportedBy())) {
         deadline(p);
         updates.add(news);
       }
       return;
     }
-    if (!overrules || p.condition == Condition.LEFT && newer <= 0) {
+    if (!overrules || p.condition == MemberCondition.LEFT && newer <= 0) {
       return;
     }
-    Condition was = p.condition;
-    p.incarnation = news.incarnation();
+    MemberCondition was = p.condition;
+    p.incarnation = news.statusVersion();
     set(p, news.condition(), now);
     switch (news.condition()) {
       case SUSPECT -> {
         p.by.clear();
-        p.by.add(news.by());
+        p.by.add(news.reportedBy());
         p.suspected = now;
         deadline(p);
-        out.note(Event.SUSPECTED, m.name(), "by " + news.by());
+        out.note(MembershipEvent.SUSPECTED, m.name(), "by " + news.reportedBy());
       }
-      case DEAD -> out.note(Event.SEEMS_DEAD, m.name(), "found by " + news.by());
-      case LEFT -> out.note(Event.LEFT, m.name(), "told by " + news.by());
+      case DEAD -> out.note(MembershipEvent.SEEMS_DEAD, m.name(), "found by " + news.reportedBy());
+      case LEFT -> out.note(MembershipEvent.LEFT, m.name(), "told by " + news.reportedBy());
       default -> {
-        if (was != Condition.ALIVE) {
-          out.note(Event.REFUTED, m.name(), "incarnation " + p.incarnation);
+        if (was != MemberCondition.ALIVE) {
+          out.note(MembershipEvent.REFUTED, m.name(), "incarnation " + p.incarnation);
         }
       }
     }
@@ -554,67 +573,72 @@
   }
 
   /** A later process of a known name. */
-  private void replaced(Peer p, Member m, News news, Timestamp now) {
+  private void replaced(Peer p, Member m, MemberUpdate news, Timestamp now) {
     out.note(
-        Event.RESTARTED,
+        MembershipEvent.RESTARTED,
         m.name(),
-        "birth " + m.birth() + " for " + p.member.birth() + " at " + m.address());
+        "birth " + m.incarnation() + " for " + p.member.incarnation() + " at " + m.peerAddress());
     p.member = m;
     version++;
-    p.incarnation = news.incarnation();
+    p.incarnation = news.statusVersion();
     p.heard = null;
     p.view = ViewId.NONE;
-    set(p, Condition.ALIVE, now);
+    set(p, MemberCondition.ALIVE, now);
     p.since = now;
-    updates.add(new News(m, p.incarnation, Condition.ALIVE, news.by()));
+    updates.add(new MemberUpdate(m, p.incarnation, MemberCondition.ALIVE, news.reportedBy()));
   }
 
-  private void ofUs(News news, Timestamp now) {
+  private void ofUs(MemberUpdate news, Timestamp now) {
     Member m = news.member();
-    int birth = m.birth().compareTo(self.birth());
+    int birth = m.incarnation().compareTo(self.incarnation());
     if (birth < 0) {
       return;
     }
-    if (!m.address().equals(self.address())) {
+    if (!m.peerAddress().equals(self.peerAddress())) {
       taken(m, now);
     } else if (birth > 0) {
       // A former process here had a later clock: ours comes after it all the same.
-      self = new Member(self.name(), self.birth().above(m.birth()), self.address());
+      self = new Member(self.name(), self.incarnation().above(m.incarnation()), self.peerAddress());
       incarnation = 0;
     } else if (birth == 0
-        && start(news.incarnation()) > start(incarnation)
+        && start(news.statusVersion()) > start(incarnation)
         && start(incarnation) > 0) {
       // Guards against a folder copied back from an earlier time: a later process has been this
       // member, and may have
       // promised what this one knows nothing of.
       out.note(
-          Event.FOLDER_OLD,
+          MembershipEvent.FOLDER_OLD,
           self.name(),
-          "start " + start(incarnation) + ", peers know " + start(news.incarnation()));
+          "start " + start(incarnation) + ", peers know " + start(news.statusVersion()));
       beginAnew();
-    } else if (news.condition() != Condition.ALIVE && news.incarnation() >= incarnation
-        || news.incarnation() > incarnation) {
-      incarnation = news.incarnation() + 1;
+    } else if (news.condition() != MemberCondition.ALIVE && news.statusVersion() >= incarnation
+        || news.statusVersion() > incarnation) {
+      incarnation = news.statusVersion() + 1;
       health.worse();
-      updates.add(new News(self, incarnation, Condition.ALIVE, self.name()));
+      updates.add(new MemberUpdate(self, incarnation, MemberCondition.ALIVE, self.name()));
       // Told to some at once: spread at the pace of rounds, it could come too late.
-      drawn(terms.helpers(), p -> p.condition == Condition.ALIVE)
+      drawn(terms.relayCount(), p -> p.condition == MemberCondition.ALIVE)
           .forEach(
               p ->
                   say(
                       p,
-                      new Part(
+                      new StatePart(
                           teller(),
-                          List.of(new News(self, incarnation, Condition.ALIVE, self.name())),
+                          List.of(
+                              new MemberUpdate(
+                                  self, incarnation, MemberCondition.ALIVE, self.name())),
                           false)));
     }
   }
 
   private void taken(Member holder, Timestamp now) {
     if (!isQuiet(now)) {
-      out.note(Event.NAME_TAKEN, self.name(), "held by the process at " + holder.address());
+      out.note(
+          MembershipEvent.NAME_TAKEN,
+          self.name(),
+          "held by the process at " + holder.peerAddress());
     }
-    quietUntil = now.plus(terms.period().times(QUIET_PERIODS));
+    quietUntil = now.plus(terms.healthCheckInterval().times(QUIET_PERIODS));
   }
 
   // ---- what comes
@@ -623,57 +647,59 @@
    * A process has spoken. False if what it says does not count: it is a former one, or its name is
    * another's.
    */
-  boolean spoke(Teller t, Timestamp now) {
+  boolean spoke(MessageHeader t, Timestamp now) {
     Member m = t.member();
     if (m.name().equals(self.name())) {
-      if (!m.birth().equals(self.birth()) && !m.address().equals(self.address()) && !isQuiet(now)) {
-        out.tell(m.address(), new NameTaken(teller(), self));
+      if (!m.incarnation().equals(self.incarnation())
+          && !m.peerAddress().equals(self.peerAddress())
+          && !isQuiet(now)) {
+        out.tell(m.peerAddress(), new NameTaken(teller(), self));
       }
       return false;
     }
     Peer p = peers.get(m.name());
     boolean former =
         p != null
-            && m.birth().equals(p.member.birth())
-            && start(t.incarnation()) < start(p.incarnation);
-    if (p != null && m.birth().compareTo(p.member.birth()) < 0 || former) {
-      out.tell(m.address(), new Part(teller(), List.of(p.news(self.name())), false));
+            && m.incarnation().equals(p.member.incarnation())
+            && start(t.statusVersion()) < start(p.incarnation);
+    if (p != null && m.incarnation().compareTo(p.member.incarnation()) < 0 || former) {
+      out.tell(m.peerAddress(), new StatePart(teller(), List.of(p.news(self.name())), false));
       return false;
     }
     if (p != null
-        && !m.address().equals(p.member.address())
-        && p.condition == Condition.ALIVE
+        && !m.peerAddress().equals(p.member.peerAddress())
+        && p.condition == MemberCondition.ALIVE
         && p.heard != null
         && now.since(p.heard).compareTo(refutesWithin().times(ALONE)) < 0) {
-      out.tell(m.address(), new NameTaken(teller(), p.member));
+      out.tell(m.peerAddress(), new NameTaken(teller(), p.member));
       return false;
     }
-    told(new News(m, t.incarnation(), Condition.ALIVE, m.name()), now);
+    told(new MemberUpdate(m, t.statusVersion(), MemberCondition.ALIVE, m.name()), now);
     p = peers.get(m.name());
     if (p == null) {
       return false;
     }
-    if (!m.address().equals(p.member.address())) {
+    if (!m.peerAddress().equals(p.member.peerAddress())) {
       p.member = m;
       version++;
     }
     p.heard = now;
     lastHeard = now;
     p.view = t.view();
-    p.majority = t.majority();
+    p.majority = t.seesMajority();
     return true;
   }
 
   /** A message of this layer, from a teller that counts. */
-  void heard(Message message, Timestamp now) {
+  void heard(MembershipMessage message, Timestamp now) {
     Peer from = peers.get(message.from().member().name());
-    if (message instanceof Probe probe) {
-      probe.news().forEach(n -> told(n, now));
+    if (message instanceof HealthCheck probe) {
+      probe.updates().forEach(n -> told(n, now));
       if (probe.to().equals(self.name())) {
-        say(from, new Answer(teller(), probe.id(), true, newsFor(from)));
+        say(from, new HealthCheckReply(teller(), probe.id(), true, newsFor(from)));
       }
-    } else if (message instanceof Relay relay) {
-      relay.news().forEach(n -> told(n, now));
+    } else if (message instanceof HealthCheckRequest relay) {
+      relay.updates().forEach(n -> told(n, now));
       Peer target = peers.get(relay.target().name());
       if (target != null && favours.size() < MOST_FAVOURS) {
         // Its own probe too: what it does not reach, it suspects as well, and so confirms.
@@ -681,35 +707,40 @@
         probing.get(id).indirect = true;
         probing.get(id).favour = true;
         favours.put(
-            id, new Favour(from.member, relay.id(), now.plus(terms.period().times(FAVOUR_FOR))));
+            id,
+            new RelayedCheck(
+                from.member, relay.id(), now.plus(terms.healthCheckInterval().times(FAVOUR_FOR))));
       }
       // That it heard of the wish at least: the other then knows that not all of this is about
       // itself.
-      say(from, new Answer(teller(), relay.id(), false, List.of()));
-    } else if (message instanceof Answer answer) {
-      answer.news().forEach(n -> told(n, now));
+      say(from, new HealthCheckReply(teller(), relay.id(), false, List.of()));
+    } else if (message instanceof HealthCheckReply answer) {
+      answer.updates().forEach(n -> told(n, now));
       answered(answer, from, now);
-    } else if (message instanceof Ask ask) {
+    } else if (message instanceof StateRequest ask) {
       part(from, ask.after());
-    } else if (message instanceof Part part) {
+    } else if (message instanceof StatePart part) {
       part.state().forEach(n -> told(n, now));
       if (part.more() && !part.state().isEmpty()) {
-        say(from, new Ask(teller(), part.state().get(part.state().size() - 1).member().name()));
+        say(
+            from,
+            new StateRequest(teller(), part.state().get(part.state().size() - 1).member().name()));
       }
-    } else if (message instanceof NameTaken no && !no.holder().address().equals(self.address())) {
+    } else if (message instanceof NameTaken no
+        && !no.holder().peerAddress().equals(self.peerAddress())) {
       taken(no.holder(), now);
     }
   }
 
-  private void answered(Answer answer, Peer from, Timestamp now) {
-    Favour favour = favours.get(answer.id());
+  private void answered(HealthCheckReply answer, Peer from, Timestamp now) {
+    RelayedCheck favour = favours.get(answer.id());
     if (favour != null && answer.reached()) {
       favours.remove(answer.id());
       out.tell(
-          favour.asker.address(),
-          new Answer(teller(), favour.id, true, List.of(from.news(self.name()))));
+          favour.asker.peerAddress(),
+          new HealthCheckReply(teller(), favour.id, true, List.of(from.news(self.name()))));
     }
-    Probing p = probing.get(answer.id());
+    PendingCheck p = probing.get(answer.id());
     if (p == null) {
       return;
     }
@@ -724,36 +755,36 @@
   }
 
   private void part(Peer to, MemberName after) {
-    List<News> state = new ArrayList<>();
+    List<MemberUpdate> state = new ArrayList<>();
     if (after == null) {
-      state.add(new News(self, incarnation, Condition.ALIVE, self.name()));
+      state.add(new MemberUpdate(self, incarnation, MemberCondition.ALIVE, self.name()));
     }
     Iterator<Peer> rest = (after == null ? peers : peers.tailMap(after, false)).values().iterator();
     while (rest.hasNext() && state.size() < MOST_PART) {
       state.add(rest.next().news(self.name()));
     }
-    say(to, new Part(teller(), state, rest.hasNext()));
+    say(to, new StatePart(teller(), state, rest.hasNext()));
   }
 
   /** Tells some that this process leaves; no suspicion follows. */
   void leave() {
-    News news = new News(self, incarnation, Condition.LEFT, self.name());
-    drawn(MOST_NEWS, p -> p.condition == Condition.ALIVE)
-        .forEach(p -> say(p, new Part(teller(), List.of(news), false)));
+    MemberUpdate news = new MemberUpdate(self, incarnation, MemberCondition.LEFT, self.name());
+    drawn(MOST_NEWS, p -> p.condition == MemberCondition.ALIVE)
+        .forEach(p -> say(p, new StatePart(teller(), List.of(news), false)));
   }
 
   /** Members of a view that were not known here count as alive until they do not answer. */
   void learn(Collection<Member> members, Timestamp now) {
     for (Member m : members) {
       if (!m.name().equals(self.name()) && !peers.containsKey(m.name())) {
-        told(new News(m, 0, Condition.ALIVE, self.name()), now);
+        told(new MemberUpdate(m, 0, MemberCondition.ALIVE, self.name()), now);
       }
     }
   }
 
   /** So many members, by how they seem. */
-  Map<Condition, Integer> counts() {
-    Map<Condition, Integer> counts = new HashMap<>();
+  Map<MemberCondition, Integer> counts() {
+    Map<MemberCondition, Integer> counts = new HashMap<>();
     peers.values().forEach(p -> counts.merge(p.condition, 1, Integer::sum));
     return counts;
   }
--- a/src/main/java/cobaltseam/membership/GossipQueue.java
+++ b/src/main/java/cobaltseam/membership/GossipQueue.java
@@ -15,7 +15,8 @@
 final class GossipQueue {
   private static final double TIMES = 3;
 
-  private record QueuedUpdate(int told, long turn, News news) implements Comparable<QueuedUpdate> {
+  private record QueuedUpdate(int told, long turn, MemberUpdate news)
+      implements Comparable<QueuedUpdate> {
     @Override
     public int compareTo(QueuedUpdate other) {
       int order = Integer.compare(told, other.told);
@@ -27,7 +28,7 @@
   private final Map<MemberName, QueuedUpdate> byName = new HashMap<>();
   private long turns;
 
-  void add(News news) {
+  void add(MemberUpdate news) {
     QueuedUpdate old = byName.remove(news.member().name());
     if (old != null) {
       waiting.remove(old);
@@ -41,7 +42,7 @@
   }
 
   /** What to tell next, no more than this many, among so many members. */
-  List<News> next(int most, int members) {
+  List<MemberUpdate> next(int most, int members) {
     List<QueuedUpdate> told = new ArrayList<>();
     while (told.size() < most && !waiting.isEmpty()) {
       told.add(waiting.pollFirst());
--- a/src/main/java/cobaltseam/membership/Birth.java
+++ b/src/main/java/cobaltseam/membership/Incarnation.java
@@ -5,22 +5,22 @@
  * but hangs on it in nothing: a process that hears of a birth of its name that is not below its own
  * takes the next one above.
  */
-public record Birth(long value) implements Comparable<Birth> {
+public record Incarnation(long value) implements Comparable<Incarnation> {
   private static final long MOST = 1L << 60;
 
-  public Birth {
+  public Incarnation {
     // Guards against one that leaves nothing above it.
     if (value < 0 || value > MOST) {
       throw new IllegalArgumentException("a birth is from 0 to 2^60");
     }
   }
 
-  Birth above(Birth other) {
-    return new Birth(Math.max(value, other.value + 1));
+  Incarnation above(Incarnation other) {
+    return new Incarnation(Math.max(value, other.value + 1));
   }
 
   @Override
-  public int compareTo(Birth other) {
+  public int compareTo(Incarnation other) {
     return Long.compare(value, other.value);
   }
 
--- a/src/main/java/cobaltseam/membership/Lease.java
+++ b/src/main/java/cobaltseam/membership/Lease.java
@@ -2,8 +2,8 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.membership.LeaseWord.Granted;
-import cobaltseam.membership.LeaseWord.Renew;
+import cobaltseam.membership.LeaseMessage.LeaseGrant;
+import cobaltseam.membership.LeaseMessage.LeaseRenewal;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -25,19 +25,19 @@
   /**
    * What it is set to.
    *
-   * @param lasts for so long after it was asked for
-   * @param clockRates by which part the rates of two clocks differ at most
+   * @param duration for so long after it was asked for
+   * @param maxClockRateRatio by which part the rates of two clocks differ at most
    */
-  public record Terms(TimeSpan lasts, double clockRates) {
-    public Terms {
-      if (!lasts.isPositive()) {
+  public record LeaseOptions(TimeSpan duration, double maxClockRateRatio) {
+    public LeaseOptions {
+      if (!duration.isPositive()) {
         throw new IllegalArgumentException("a lease lasts longer than no time");
       }
     }
   }
 
   /** A datagram to an address; it may be lost. */
-  public record Tell(InetSocketAddress to, LeaseWord word) {}
+  public record OutgoingMessage(InetSocketAddress to, LeaseMessage word) {}
 
   /** The part of a lease after which it is asked for again. */
   private static final double RENEW = 0.25;
@@ -50,14 +50,14 @@
     final Set<MemberName> grants = new HashSet<>();
   }
 
-  private final Terms terms;
+  private final LeaseOptions terms;
   private final Membership membership;
   private final RandomGenerator chance;
   private final Map<Long, Round> rounds = new LinkedHashMap<>();
   private View held;
   private Timestamp until, renewAt;
 
-  public Lease(Terms terms, Membership membership, RandomGenerator chance) {
+  public Lease(LeaseOptions terms, Membership membership, RandomGenerator chance) {
     this.terms = terms;
     this.membership = membership;
     this.chance = chance;
@@ -74,10 +74,10 @@
 
   /** After so long all leases that were given before have ended, whichever clock is the slower. */
   public TimeSpan outlasts() {
-    return terms.lasts().times(1 + 2 * terms.clockRates());
+    return terms.duration().times(1 + 2 * terms.maxClockRateRatio());
   }
 
-  public Terms terms() {
+  public LeaseOptions terms() {
     return terms;
   }
 
@@ -85,23 +85,23 @@
   public Timestamp wake(Timestamp now) {
     return renewAt == null
         ? null
-        : now.isBefore(renewAt) ? renewAt : now.plus(terms.lasts().times(RENEW / 2));
+        : now.isBefore(renewAt) ? renewAt : now.plus(terms.duration().times(RENEW / 2));
   }
 
   /** What follows from the view and from time. */
-  public List<Tell> follow(Timestamp now) {
+  public List<OutgoingMessage> follow(Timestamp now) {
     View view = membership.view();
     if (view != held) {
-      boolean sameLine = view != null && held != null && view.id().line() == held.id().line();
+      boolean sameLine = view != null && held != null && view.id().lineage() == held.id().lineage();
       until = sameLine ? until : null;
       held = view;
       renewAt = view == null ? null : now;
     }
-    List<Tell> tells = new ArrayList<>();
+    List<OutgoingMessage> tells = new ArrayList<>();
     if (view == null || now.isBefore(renewAt) || !membership.isNewest()) {
       return tells;
     }
-    renewAt = now.plus(terms.lasts().times(RENEW));
+    renewAt = now.plus(terms.duration().times(RENEW));
     Round round = new Round();
     round.view = view.id();
     round.sent = now;
@@ -112,7 +112,7 @@
     }
     for (Member m : view.members()) {
       if (!m.name().equals(membership.self().name())) {
-        tells.add(new Tell(m.address(), new Renew(membership.teller(), id)));
+        tells.add(new OutgoingMessage(m.peerAddress(), new LeaseRenewal(membership.teller(), id)));
       }
     }
     granted(round, membership.self(), view);
@@ -123,7 +123,7 @@
   private void granted(Round round, Member by, View view) {
     round.grants.add(by.name());
     if (round.grants.size() >= view.majority()) {
-      Timestamp ends = round.sent.plus(terms.lasts());
+      Timestamp ends = round.sent.plus(terms.duration());
       until = until == null || until.isBefore(ends) ? ends : until;
     }
   }
@@ -132,16 +132,19 @@
    * What to tell after a word that its carrier found whole; the caller has asked {@link
    * Membership#spoke}.
    */
-  public List<Tell> heard(LeaseWord word, Timestamp now) {
+  public List<OutgoingMessage> heard(LeaseMessage word, Timestamp now) {
     View view = membership.view();
     Member from = word.from().member();
-    if (view == null || !view.holds(from.name(), from.birth())) {
+    if (view == null || !view.contains(from.name(), from.incarnation())) {
       return List.of();
     }
-    if (word instanceof Renew r && membership.isNewest() && r.from().view().equals(view.id())) {
-      return List.of(new Tell(from.address(), new Granted(membership.teller(), r.id())));
+    if (word instanceof LeaseRenewal r
+        && membership.isNewest()
+        && r.from().view().equals(view.id())) {
+      return List.of(
+          new OutgoingMessage(from.peerAddress(), new LeaseGrant(membership.teller(), r.id())));
     }
-    Round round = word instanceof Granted g ? rounds.get(g.id()) : null;
+    Round round = word instanceof LeaseGrant g ? rounds.get(g.id()) : null;
     if (round != null && round.view.equals(view.id()) && word.from().view().equals(round.view)) {
       granted(round, from, view);
     }
