--- a/src/main/java/cobaltseam/membership/Membership.java
+++ b/src/main/java/cobaltseam/membership/Membership.java
@@ -2,20 +2,20 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.membership.Act.Event;
-import cobaltseam.membership.Message.Accept;
-import cobaltseam.membership.Message.Accepted;
-import cobaltseam.membership.Message.AskView;
-import cobaltseam.membership.Message.Consent;
-import cobaltseam.membership.Message.Decided;
-import cobaltseam.membership.Message.Found;
-import cobaltseam.membership.Message.Prepare;
-import cobaltseam.membership.Message.Promise;
-import cobaltseam.membership.Message.Refuse;
-import cobaltseam.membership.Message.Teller;
-import cobaltseam.membership.Message.ViewPart;
-import cobaltseam.membership.Succession.Step;
-import cobaltseam.membership.Suspicion.Peer;
+import cobaltseam.membership.FailureDetector.Peer;
+import cobaltseam.membership.MembershipAction.MembershipEvent;
+import cobaltseam.membership.MembershipMessage.Accept;
+import cobaltseam.membership.MembershipMessage.Accepted;
+import cobaltseam.membership.MembershipMessage.BootstrapConsent;
+import cobaltseam.membership.MembershipMessage.BootstrapRequest;
+import cobaltseam.membership.MembershipMessage.Decided;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
+import cobaltseam.membership.MembershipMessage.Prepare;
+import cobaltseam.membership.MembershipMessage.Promise;
+import cobaltseam.membership.MembershipMessage.Reject;
+import cobaltseam.membership.MembershipMessage.ViewPart;
+import cobaltseam.membership.MembershipMessage.ViewRequest;
+import cobaltseam.membership.ViewChange.Step;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -35,10 +35,10 @@
 
 /**
  * One process among those of its fleet: the second layer, agreed views, over the first, {@link
- * Suspicion}. It does no I/O: moments, chance and messages come from the caller, who asks {@link
- * #due} no later than {@link #wake}.
+ * FailureDetector}. It does no I/O: moments, chance and messages come from the caller, who asks
+ * {@link #due} no later than {@link #wake}.
  *
- * <p>A view follows only from its predecessor, by a majority of it ({@link Succession}). Whoever of
+ * <p>A view follows only from its predecessor, by a majority of it ({@link ViewChange}). Whoever of
  * a view comes first among those that seem alive proposes the next one, once what it would change
  * has settled; if nothing comes of it, the next in order does. Each voter says who should stay, and
  * nobody is taken out without a majority that agrees.
@@ -103,18 +103,18 @@
   private record Removal(int times, Timestamp at) {}
 
   /** A view that comes in parts. */
-  private static final class Coming {
+  private static final class IncomingView {
     ViewId id;
     int size;
-    Edition edition;
+    ConfigurationVersion edition;
     final List<Member> members = new ArrayList<>();
   }
 
-  private final Terms terms;
+  private final MembershipOptions terms;
   private final RandomGenerator chance;
-  private final List<Act> acts = new ArrayList<>();
-  private final Suspicion suspicion;
-  private Seat seat = new Seat(null, null, null, null, null);
+  private final List<MembershipAction> acts = new ArrayList<>();
+  private final FailureDetector suspicion;
+  private ViewState seat = new ViewState(null, null, null, null, null);
 
   /**
    * Who was taken out, by name and birth: how often, so that a flapping one comes back ever later.
@@ -124,7 +124,7 @@
   /** Processes taken out whose sends may still hold engines, until when. */
   private final Map<Member, Timestamp> lingering = new HashMap<>();
 
-  private Change wanted = Change.NONE;
+  private ViewDelta wanted = ViewDelta.NONE;
   private Timestamp wantedSince,
       settledFrom,
       triedAt,
@@ -141,13 +141,13 @@
   /** Not before then does it call the whole view again. */
   private Timestamp callsFrom = new Timestamp(0);
 
-  private Coming coming;
+  private IncomingView coming;
 
   /** Who told of a later view, until it is held here. */
-  private Teller ahead;
+  private MessageHeader ahead;
 
   /** What this process decided, while it is told again. */
-  private List<Succession.Tell> decided;
+  private List<ViewChange.OutgoingMessage> decided;
 
   private int decidedLeft;
 
@@ -179,11 +179,11 @@
   private long attempt;
   private List<Member> founding;
   private final Set<MemberName> consents = new HashSet<>();
-  private Birth vowedTo;
+  private Incarnation vowedTo;
   private long vowedAttempt;
 
   // the lasting folder
-  private record Withheld(long number, Act act) {}
+  private record DeferredAction(long number, MembershipAction act) {}
 
   private boolean lasting;
 
@@ -194,9 +194,9 @@
   private boolean resumed;
 
   private long starts;
-  private Kept kept;
+  private PersistentState kept;
   private long keeps, stored;
-  private final Deque<Withheld> withheld = new ArrayDeque<>();
+  private final Deque<DeferredAction> withheld = new ArrayDeque<>();
 
   /**
    * How many of the members of the view seem alive, as of what; it is asked for at every message.
@@ -207,27 +207,29 @@
   private int aliveCount;
 
   /** What this process would have the next view hold, or null. */
-  private Edition offered;
+  private ConfigurationVersion offered;
 
-  private Predicate<Edition> hasDocument = e -> true;
-  private Function<Edition, byte[]> documentOf = e -> null;
+  private Predicate<ConfigurationVersion> hasDocument = e -> true;
+  private Function<ConfigurationVersion, byte[]> documentOf = e -> null;
 
   /**
    * A process with a lasting folder; {@code former} is what that holds, or null if it is new or was
    * another's.
    */
-  public static Membership lasting(Terms terms, Member self, Kept former, RandomGenerator chance) {
+  public static Membership lasting(
+      MembershipOptions terms, Member self, PersistentState former, RandomGenerator chance) {
     boolean same =
         former != null
             && former.self().name().equals(self.name())
-            && former.self().address().equals(self.address());
+            && former.self().peerAddress().equals(self.peerAddress());
     Member as = same ? former.self() : self;
     if (former != null && !same && former.self().name().equals(self.name())) {
       as =
           new Member(
               self.name(),
-              new Birth(Math.max(self.birth().value(), former.self().birth().value() + 1)),
-              self.address());
+              new Incarnation(
+                  Math.max(self.incarnation().value(), former.self().incarnation().value() + 1)),
+              self.peerAddress());
     }
     Membership m = new Membership(terms, as, chance);
     m.lasting = true;
@@ -235,32 +237,32 @@
     m.suspicion.resumes(m.starts);
     if (same) {
       m.seat = former.seat();
-      m.vowedTo = former.vowedTo();
-      m.vowedAttempt = former.vowedAttempt();
-      m.left.putAll(former.left());
-      m.ended.putAll(former.ended());
+      m.vowedTo = former.consentedTo();
+      m.vowedAttempt = former.consentedAttempt();
+      m.left.putAll(former.leftLineages());
+      m.ended.putAll(former.endedLineages());
       m.resumed = former.view() != null;
     }
     return m;
   }
 
-  public Membership(Terms terms, Member self, RandomGenerator chance) {
+  public Membership(MembershipOptions terms, Member self, RandomGenerator chance) {
     this.terms = terms;
     this.chance = chance;
     suspicion =
-        new Suspicion(
+        new FailureDetector(
             terms,
             self,
             chance,
-            new Suspicion.Out() {
+            new FailureDetector.DetectorOutput() {
               @Override
-              public void tell(InetSocketAddress to, Message message) {
-                acts.add(new Act.Tell(to, message));
+              public void tell(InetSocketAddress to, MembershipMessage message) {
+                acts.add(new MembershipAction.Send(to, message));
               }
 
               @Override
-              public void note(Event event, MemberName who, String detail) {
-                acts.add(new Act.Noted(event, who, detail));
+              public void note(MembershipEvent event, MemberName who, String detail) {
+                acts.add(new MembershipAction.EventRecorded(event, who, detail));
               }
             });
   }
@@ -277,17 +279,17 @@
   }
 
   /** What may be made of it at this moment; a caller that stood still asks {@link #due} first. */
-  public Standing standing() {
+  public QuorumState standing() {
     if (seat.view() == null) {
-      return Standing.NONE;
+      return QuorumState.NONE;
     }
     if (confirmFrom != null) {
-      return Standing.UNSURE;
+      return QuorumState.UNSURE;
     }
     if (unheard && seat.view().members().size() > 1) {
-      return Standing.MINORITY;
+      return QuorumState.MINORITY;
     }
-    return alive() >= seat.view().majority() ? Standing.MAJORITY : Standing.MINORITY;
+    return alive() >= seat.view().majority() ? QuorumState.MAJORITY : QuorumState.MINORITY;
   }
 
   private int alive() {
@@ -324,20 +326,20 @@
   }
 
   /** How a member seems from here, for operators. */
-  public record Seen(
+  public record MemberStatus(
       Member member,
       long incarnation,
-      Condition condition,
+      MemberCondition condition,
       Timestamp since,
       Timestamp heard,
       TimeSpan roundTrip,
       List<MemberName> by) {}
 
-  public List<Seen> seen() {
+  public List<MemberStatus> seen() {
     return suspicion.peers().stream()
         .map(
             p ->
-                new Seen(
+                new MemberStatus(
                     p.member,
                     p.incarnation,
                     p.condition,
@@ -367,13 +369,13 @@
     return lasting;
   }
 
-  Seat seat() {
+  ViewState seat() {
     return seat;
   }
 
   // ---- from the start to the end
 
-  public List<Act> start(Timestamp now) {
+  public List<MembershipAction> start(Timestamp now) {
     started = now;
     suspicion.start(now);
     if (seat.view() != null) {
@@ -389,7 +391,7 @@
   }
 
   /** Tells others that it leaves; from then on it takes part in nothing. */
-  public List<Act> leave(Timestamp now) {
+  public List<MembershipAction> leave(Timestamp now) {
     if (!leaving) {
       suspicion.leave();
       leaving = true;
@@ -403,17 +405,17 @@
       return null;
     }
     Timestamp next = suspicion.wake(now);
-    Timestamp soon = now.plus(terms.period().times(0.125));
+    Timestamp soon = now.plus(terms.healthCheckInterval().times(0.125));
     boolean pending =
         seat.round() != null || wantedSince != null || ahead != null || decided != null;
     return pending && soon.isBefore(next) ? soon : next;
   }
 
-  private List<Act> done() {
+  private List<MembershipAction> done() {
     if (lasting) {
       keep();
     }
-    List<Act> what = List.copyOf(acts);
+    List<MembershipAction> what = List.copyOf(acts);
     acts.clear();
     return what;
   }
@@ -427,15 +429,15 @@
             && kept.view() == seat.view()
             && kept.promised() == seat.promised()
             && kept.accepted() == seat.accepted()
-            && kept.value() == seat.value()
+            && kept.acceptedDelta() == seat.value()
             && kept.self() == self()
-            && kept.vowedTo() == vowedTo
-            && kept.vowedAttempt() == vowedAttempt
-            && kept.left().equals(left)
-            && kept.ended().equals(ended);
+            && kept.consentedTo() == vowedTo
+            && kept.consentedAttempt() == vowedAttempt
+            && kept.leftLineages().equals(left)
+            && kept.endedLineages().equals(ended);
     if (!same) {
       kept =
-          new Kept(
+          new PersistentState(
               self(),
               starts,
               seat.view(),
@@ -446,7 +448,7 @@
               vowedAttempt,
               left,
               ended,
-              Stream.of(accepted(), seat.view() == null ? null : seat.view().edition())
+              Stream.of(accepted(), seat.view() == null ? null : seat.view().configuration())
                   .filter(Objects::nonNull)
                   .map(documentOf)
                   .filter(Objects::nonNull)
@@ -458,29 +460,32 @@
       acts.removeIf(
           a -> {
             boolean waits =
-                a instanceof Act.Installed || a instanceof Act.Tell t && t.message().binds();
-            if (waits && (a instanceof Act.Installed || withheld.size() < MOST_WITHHELD)) {
-              withheld.add(new Withheld(keeps, a));
+                a instanceof MembershipAction.ViewInstalled
+                    || a instanceof MembershipAction.Send t && t.message().mustOutliveProcess();
+            if (waits
+                && (a instanceof MembershipAction.ViewInstalled
+                    || withheld.size() < MOST_WITHHELD)) {
+              withheld.add(new DeferredAction(keeps, a));
             }
             return waits;
           });
     }
     if (!same) {
-      acts.add(0, new Act.Keep(keeps, kept));
+      acts.add(0, new MembershipAction.Persist(keeps, kept));
     }
   }
 
   /** The folder holds what was given under this number; what waited for it follows. */
-  public List<Act> kept(long number) {
+  public List<MembershipAction> kept(long number) {
     stored = Math.max(stored, number);
-    List<Act> what = new ArrayList<>();
+    List<MembershipAction> what = new ArrayList<>();
     while (!withheld.isEmpty() && withheld.peek().number <= stored) {
-      Act act = withheld.poll().act;
+      MembershipAction act = withheld.poll().act;
       // This process may be another member by now.
       boolean others =
-          act instanceof Act.Installed i
+          act instanceof MembershipAction.ViewInstalled i
               && i.view() != null
-              && !i.view().holds(self().name(), self().birth());
+              && !i.view().contains(self().name(), self().incarnation());
       if (!others) {
         what.add(act);
       }
@@ -493,14 +498,14 @@
    * another member that has none, and the folder holds all that was ever told by the one that it
    * was.
    */
-  public List<Act> notKept(String why, Timestamp now) {
+  public List<MembershipAction> notKept(String why, Timestamp now) {
     if (lasting) {
       lasting = false;
       withheld.clear();
-      acts.add(new Act.Noted(Event.FOLDER_LOST, self().name(), why));
+      acts.add(new MembershipAction.EventRecorded(MembershipEvent.FOLDER_LOST, self().name(), why));
       suspicion.beginAnew();
       if (seat.view() != null) {
-        leaveLine(Event.LINE_LEFT, "its folder is lost", now);
+        leaveLine(MembershipEvent.LINE_LEFT, "its folder is lost", now);
       }
     }
     return done();
@@ -508,7 +513,7 @@
 
   // ---- time
 
-  public List<Act> due(Timestamp now) {
+  public List<MembershipAction> due(Timestamp now) {
     if (leaving) {
       return done();
     }
@@ -518,7 +523,9 @@
       // Whoever stood still may have been taken out meanwhile: it hears from a majority before it
       // acts as a member.
       confirmFrom = now;
-      acts.add(new Act.Noted(Event.STOOD_STILL, before.name(), late.us() / 1000 + " ms"));
+      acts.add(
+          new MembershipAction.EventRecorded(
+              MembershipEvent.STOOD_STILL, before.name(), late.us() / 1000 + " ms"));
       suspicion.rollCall(seat.view().members(), now);
     }
     follow(now);
@@ -533,43 +540,46 @@
     confirm(now);
     abandonDead(now);
     unheard = suspicion.hearsNobody(now);
-    if (seat.view() == null || standing() == Standing.MAJORITY) {
+    if (seat.view() == null || standing() == QuorumState.MAJORITY) {
       boolean split =
           minoritySince != null
-              && now.since(minoritySince).compareTo(terms.period().times(SPLIT_FROM)) > 0;
+              && now.since(minoritySince).compareTo(terms.healthCheckInterval().times(SPLIT_FROM))
+                  > 0;
       healedAt = split ? now : healedAt;
       minoritySince = null;
     } else if (minoritySince == null) {
       minoritySince = now;
     }
     if (seat.view() != null) {
-      suspicion.holds(seat.view().id(), standing() == Standing.MAJORITY);
+      suspicion.holds(seat.view().id(), standing() == QuorumState.MAJORITY);
     }
     if (seat.view() == null) {
       found(now);
     } else {
-      if (ahead != null && now.since(asked).compareTo(terms.period().times(AGAIN)) >= 0) {
+      if (ahead != null
+          && now.since(asked).compareTo(terms.healthCheckInterval().times(AGAIN)) >= 0) {
         askAhead(now);
       }
       if (seat.round() != null && !now.isBefore(againAt)) {
-        againAt = now.plus(terms.period().times(AGAIN));
+        againAt = now.plus(terms.healthCheckInterval().times(AGAIN));
         boolean late = now.since(roundSince).compareTo(patience()) >= 0;
-        take(Succession.proceed(seat, teller(), late), now);
+        take(ViewChange.proceed(seat, teller(), late), now);
         if (seat.round() != null) {
-          take(Succession.again(seat, teller()), now);
+          take(ViewChange.again(seat, teller()), now);
         }
       }
       if (decided != null && !now.isBefore(againAt)) {
         // Twice more, ever later, to all: a datagram may be lost, and whoever lacks it acts on an
         // older view.
-        decided.forEach(t -> acts.add(new Act.Tell(t.to().address(), t.message())));
-        againAt = now.plus(terms.period().times(SETTLE));
+        decided.forEach(
+            t -> acts.add(new MembershipAction.Send(t.to().peerAddress(), t.message())));
+        againAt = now.plus(terms.healthCheckInterval().times(SETTLE));
         decided = --decidedLeft > 0 ? decided : null;
       }
       if (suspicion.suspects() > 0 && !now.isBefore(callsFrom) && rank() == 0) {
         // What fell silent together is found together: one change for a rack, not one for each of
         // it.
-        callsFrom = now.plus(terms.period().times(SETTLE_MOST));
+        callsFrom = now.plus(terms.healthCheckInterval().times(SETTLE_MOST));
         suspicion.rollCall(seat.view().members(), now);
       }
       consider(now);
@@ -577,7 +587,7 @@
   }
 
   private TimeSpan patience() {
-    return terms.period().times(TRY_FOR);
+    return terms.healthCheckInterval().times(TRY_FOR);
   }
 
   private void confirm(Timestamp now) {
@@ -592,15 +602,15 @@
           p != null
               && p.heard != null
               && !p.heard.isBefore(confirmFrom)
-              && p.member.birth().equals(m.birth());
-      heard += spoke && !p.view.after(seat.view().id()) ? 1 : 0;
+              && p.member.incarnation().equals(m.incarnation());
+      heard += spoke && !p.view.isAfter(seat.view().id()) ? 1 : 0;
     }
     if (heard >= seat.view().majority()) {
       confirmFrom = null;
       if (resumed) {
         resumed = false;
         viewSince = now;
-        acts.add(new Act.Installed(seat.view()));
+        acts.add(new MembershipAction.ViewInstalled(seat.view()));
       }
     }
   }
@@ -611,16 +621,18 @@
    * Proposes the next view, where this process is the one to do so and what it wants has settled.
    */
   private void consider(Timestamp now) {
-    Change change = standing() == Standing.MAJORITY ? change(now) : Change.NONE;
+    ViewDelta change = standing() == QuorumState.MAJORITY ? change(now) : ViewDelta.NONE;
     // What was accepted here may have been chosen by a process that could tell nobody: it has to be
     // brought to its end.
-    boolean unfinished = seat.accepted() != null && standing() == Standing.MAJORITY;
-    if (change.isEmpty() && !unfinished && !(isNext(offered) && standing() == Standing.MAJORITY)) {
+    boolean unfinished = seat.accepted() != null && standing() == QuorumState.MAJORITY;
+    if (change.isEmpty()
+        && !unfinished
+        && !(isNext(offered) && standing() == QuorumState.MAJORITY)) {
       wanted = change;
       wantedSince = null;
       return;
     }
-    TimeSpan period = terms.period();
+    TimeSpan period = terms.healthCheckInterval();
     if (wantedSince == null) {
       wantedSince = now;
       settledFrom = now.plus(period.times(SETTLE));
@@ -644,17 +656,18 @@
       againAt = now.plus(period.times(AGAIN));
       // An edition waits for no turn: whoever has one proposes it, and takes along what it would
       // have proposed now.
-      Change what =
+      ViewDelta what =
           edits
-              ? new Change(
-                  waits ? List.of() : wanted.out(), waits ? List.of() : wanted.in(), offered)
+              ? new ViewDelta(
+                  waits ? List.of() : wanted.removed(), waits ? List.of() : wanted.added(), offered)
               : wanted;
-      take(Succession.propose(seat, teller(), what, highestRound), now);
+      take(ViewChange.propose(seat, teller(), what, highestRound), now);
     }
   }
 
-  private boolean isNext(Edition edition) {
-    return edition != null && edition.number() == Edition.number(seat.view().edition()) + 1;
+  private boolean isNext(ConfigurationVersion edition) {
+    return edition != null
+        && edition.number() == ConfigurationVersion.number(seat.view().configuration()) + 1;
   }
 
   /**
@@ -664,14 +677,15 @@
    * @param of the document of an edition, or null if it is not here: what is kept in the folder
    *     beside the vote
    */
-  public void accepts(Predicate<Edition> has, Function<Edition, byte[]> of) {
+  public void accepts(
+      Predicate<ConfigurationVersion> has, Function<ConfigurationVersion, byte[]> of) {
     hasDocument = has;
     documentOf = of;
   }
 
   /** The edition that this process accepted for the next view, or null. */
-  public Edition accepted() {
-    return seat.accepted() == null || seat.value() == null ? null : seat.value().edition();
+  public ConfigurationVersion accepted() {
+    return seat.accepted() == null || seat.value() == null ? null : seat.value().configuration();
   }
 
   /** Proposes no edition any more; one that is on its way may be chosen yet. */
@@ -680,7 +694,7 @@
   }
 
   /** Has this process propose an edition, until it or another one under its number is held. */
-  public List<Act> offer(Edition edition, Timestamp now) {
+  public List<MembershipAction> offer(ConfigurationVersion edition, Timestamp now) {
     offered = edition;
     if (!leaving && seat.view() != null) {
       consider(now);
@@ -696,7 +710,7 @@
     return seat.view() != null
         && seat.accepted() == null
         && !resumed
-        && seat.view().holds(self().name(), self().birth());
+        && seat.view().contains(self().name(), self().incarnation());
   }
 
   /** Whether all members of the view have told of it, or of a later one. */
@@ -706,8 +720,8 @@
       boolean holds =
           m.name().equals(self().name())
               || p != null
-                  && p.member.birth().equals(m.birth())
-                  && (p.view.equals(seat.view().id()) || p.view.after(seat.view().id()));
+                  && p.member.incarnation().equals(m.incarnation())
+                  && (p.view.equals(seat.view().id()) || p.view.isAfter(seat.view().id()));
       if (!holds) {
         return false;
       }
@@ -716,7 +730,7 @@
   }
 
   /** A process of another part has spoken: false if what it says does not count. */
-  public boolean spoke(Spoken spoken, Timestamp now) {
+  public boolean spoke(PeerMessage spoken, Timestamp now) {
     if (leaving || suspicion.isQuiet(now) || !suspicion.spoke(spoken.from(), now)) {
       return false;
     }
@@ -727,9 +741,9 @@
   private boolean isConfirmedSuspect(Member m) {
     Peer p = suspicion.peer(m.name());
     return p != null
-        && p.condition == Condition.SUSPECT
+        && p.condition == MemberCondition.SUSPECT
         && p.by.size() > 1
-        && p.member.birth().equals(m.birth());
+        && p.member.incarnation().equals(m.incarnation());
   }
 
   /** How many come before this process among those of the view that seem alive. */
@@ -746,9 +760,9 @@
     return rank;
   }
 
-  private Change change(Timestamp now) {
+  private ViewDelta change(Timestamp now) {
     if (isWhole()) {
-      return Change.NONE;
+      return ViewDelta.NONE;
     }
     List<Member> out = new ArrayList<>();
     List<Member> in = new ArrayList<>();
@@ -761,11 +775,12 @@
       // Guards against a split that heals in parts: those that come back last are given time to say
       // so.
       boolean rests =
-          healedAt != null && now.since(healedAt).compareTo(terms.period().times(HEALS)) < 0;
+          healedAt != null
+              && now.since(healedAt).compareTo(terms.healthCheckInterval().times(HEALS)) < 0;
       boolean gone =
           p != null
-              && (p.condition.compareTo(Condition.DEAD) >= 0 && !rests
-                  || !p.member.birth().equals(m.birth()));
+              && (p.condition.compareTo(MemberCondition.DEAD) >= 0 && !rests
+                  || !p.member.incarnation().equals(m.incarnation()));
       if (gone && out.size() < MOST_OUT) {
         out.add(m);
       }
@@ -773,28 +788,31 @@
     for (Peer p : suspicion.peers()) {
       Member there = view.of(p.member.name());
       boolean free =
-          there == null || out.contains(there) && !there.birth().equals(p.member.birth());
+          there == null
+              || out.contains(there) && !there.incarnation().equals(p.member.incarnation());
       if (free
-          && p.condition == Condition.ALIVE
+          && p.condition == MemberCondition.ALIVE
           && mayComeIn(p, now)
           && in.size() < MOST_IN
           && view.members().size() - out.size() + in.size() < MOST_VIEW) {
         in.add(p.member);
       }
     }
-    return new Change(out, in);
+    return new ViewDelta(out, in);
   }
 
   private boolean mayComeIn(Peer p, Timestamp now) {
     // Who holds a view of another line does not follow ours until it has left that.
-    if (p.view.line() != 0 && p.view.line() != seat.view().id().line()) {
+    if (p.view.lineage() != 0 && p.view.lineage() != seat.view().id().lineage()) {
       return false;
     }
     Removal removal = removals.get(p.member);
     TimeSpan waits =
         removal == null
-            ? terms.period().times(STABLE)
-            : terms.period().times(BACK_AFTER * (1 << Math.min(MOST_DOUBLED, removal.times - 1)));
+            ? terms.healthCheckInterval().times(STABLE)
+            : terms
+                .healthCheckInterval()
+                .times(BACK_AFTER * (1 << Math.min(MOST_DOUBLED, removal.times - 1)));
     return now.since(p.since).compareTo(waits) >= 0;
   }
 
@@ -804,23 +822,23 @@
     for (MemberName name : named) {
       Member m = seat.view().of(name);
       Peer p = suspicion.peer(name);
-      boolean same = m != null && p != null && p.member.birth().equals(m.birth());
+      boolean same = m != null && p != null && p.member.incarnation().equals(m.incarnation());
       boolean heard =
           same
               && p.heard != null
-              && now.since(p.heard).compareTo(terms.period().times(HEARD_WITHIN)) < 0;
+              && now.since(p.heard).compareTo(terms.healthCheckInterval().times(HEARD_WITHIN)) < 0;
       if (m != null
           && (name.equals(self().name())
               || same
-                  && p.condition != Condition.LEFT
-                  && (p.condition == Condition.ALIVE || heard))) {
+                  && p.condition != MemberCondition.LEFT
+                  && (p.condition == MemberCondition.ALIVE || heard))) {
         stay.add(name);
       }
     }
     return stay;
   }
 
-  public Teller teller() {
+  public MessageHeader teller() {
     return suspicion.teller();
   }
 
@@ -828,13 +846,15 @@
   private void take(Step step, Timestamp now) {
     View before = seat.view();
     seat = step.seat();
-    boolean out = seat.view() != before && !seat.view().holds(self().name(), self().birth());
+    boolean out =
+        seat.view() != before && !seat.view().contains(self().name(), self().incarnation());
     if (out) {
       // What it had to propose was an earlier choice, and that took this process out.
-      step.tells().forEach(t -> acts.add(new Act.Tell(t.to().address(), t.message())));
+      step.tells()
+          .forEach(t -> acts.add(new MembershipAction.Send(t.to().peerAddress(), t.message())));
       takenOutBy = seat.view();
-      seat = Seat.of(before);
-      leaveLine(Event.TAKEN_OUT, "by view " + takenOutBy.id(), now);
+      seat = ViewState.of(before);
+      leaveLine(MembershipEvent.TAKEN_OUT, "by view " + takenOutBy.id(), now);
       return;
     }
     if (seat.view() != before) {
@@ -843,20 +863,20 @@
     if (seat.view() != before && !step.tells().isEmpty()) {
       decided = step.tells().stream().filter(t -> !t.to().name().equals(self().name())).toList();
       decidedLeft = TOLD_AGAIN;
-      againAt = now.plus(terms.period().times(AGAIN));
+      againAt = now.plus(terms.healthCheckInterval().times(AGAIN));
     }
-    for (Succession.Tell tell : step.tells()) {
+    for (ViewChange.OutgoingMessage tell : step.tells()) {
       if (tell.to().name().equals(self().name())) {
         choice(tell.message(), now);
       } else {
-        acts.add(new Act.Tell(tell.to().address(), tell.message()));
+        acts.add(new MembershipAction.Send(tell.to().peerAddress(), tell.message()));
       }
     }
   }
 
   private void installed(View before, Timestamp now) {
     View view = seat.view();
-    wanted = Change.NONE;
+    wanted = ViewDelta.NONE;
     wantedSince = null;
     triedAt = null;
     coming = null;
@@ -865,18 +885,18 @@
     decided = null;
     viewSince = now;
     resumed = false;
-    suspicion.holds(view == null ? ViewId.NONE : view.id(), standing() == Standing.MAJORITY);
+    suspicion.holds(view == null ? ViewId.NONE : view.id(), standing() == QuorumState.MAJORITY);
     if (view == null) {
       confirmFrom = null;
-      acts.add(new Act.Installed(null));
+      acts.add(new MembershipAction.ViewInstalled(null));
       return;
     }
     suspicion.learn(view.members(), now);
     takenOutBy = null;
-    if (before != null && before.id().line() == view.id().line()) {
+    if (before != null && before.id().lineage() == view.id().lineage()) {
       for (Member m : before.members()) {
-        if (!view.holds(m.name(), m.birth())) {
-          lingering.put(m, now.plus(terms.longestSend()));
+        if (!view.contains(m.name(), m.incarnation())) {
+          lingering.put(m, now.plus(terms.maxSendDelay()));
           Removal old = removals.remove(m);
           removals.put(m, new Removal(old == null ? 1 : old.times + 1, now));
         }
@@ -886,14 +906,14 @@
       }
     }
     view.members().forEach(m -> lingering.remove(m));
-    acts.add(new Act.Installed(view));
+    acts.add(new MembershipAction.ViewInstalled(view));
   }
 
-  private void leaveLine(Event why, String detail, Timestamp now) {
-    acts.add(new Act.Noted(why, self().name(), detail));
+  private void leaveLine(MembershipEvent why, String detail, Timestamp now) {
+    acts.add(new MembershipAction.EventRecorded(why, self().name(), detail));
     View before = seat.view();
-    left.merge(before.id().line(), before.id().number(), Math::max);
-    seat = new Seat(null, null, null, null, null);
+    left.merge(before.id().lineage(), before.id().number(), Math::max);
+    seat = new ViewState(null, null, null, null, null);
     installed(before, now);
   }
 
@@ -910,12 +930,18 @@
       }
       return;
     }
-    boolean notOurs = !view.holds(self().name(), self().birth());
+    boolean notOurs = !view.contains(self().name(), self().incarnation());
     if (notOurs) {
-      leaveLine(Event.LINE_LEFT, "view " + view.id() + " holds a former process of this name", now);
+      leaveLine(
+          MembershipEvent.LINE_LEFT,
+          "view " + view.id() + " holds a former process of this name",
+          now);
     } else if (!isWhole() && isDead(view)) {
       ends(view.id());
-      leaveLine(Event.LINE_LEFT, "most members of view " + view.id() + " have started anew", now);
+      leaveLine(
+          MembershipEvent.LINE_LEFT,
+          "most members of view " + view.id() + " have started anew",
+          now);
     }
   }
 
@@ -930,8 +956,8 @@
       boolean self = m.name().equals(self().name());
       replaced +=
           self
-              ? m.birth().equals(self().birth()) ? 0 : 1
-              : p != null && p.member.birth().compareTo(m.birth()) > 0 ? 1 : 0;
+              ? m.incarnation().equals(self().incarnation()) ? 0 : 1
+              : p != null && p.member.incarnation().compareTo(m.incarnation()) > 0 ? 1 : 0;
     }
     return view.members().size() - replaced < view.majority();
   }
@@ -941,14 +967,16 @@
    * it.
    */
   private void ends(ViewId last) {
-    Long known = ended.get(last.line());
-    if (last.line() == 0
+    Long known = ended.get(last.lineage());
+    if (last.lineage() == 0
         || known != null && known >= last.number()
         || known == null && ended.size() >= MOST_LINES) {
       return;
     }
-    ended.put(last.line(), last.number());
-    acts.add(new Act.Noted(Event.LINE_ENDED, self().name(), "view " + last + " has no successor"));
+    ended.put(last.lineage(), last.number());
+    acts.add(
+        new MembershipAction.EventRecorded(
+            MembershipEvent.LINE_ENDED, self().name(), "view " + last + " has no successor"));
     tellEnded();
   }
 
@@ -960,8 +988,9 @@
     View view = seat.view();
     if (view != null
         && hasEnded(view.id())
-        && (ended.get(view.id().line()) > view.id().number() || standing() == Standing.MINORITY)) {
-      leaveLine(Event.LINE_LEFT, "it has ended", now);
+        && (ended.get(view.id().lineage()) > view.id().number()
+            || standing() == QuorumState.MINORITY)) {
+      leaveLine(MembershipEvent.LINE_LEFT, "it has ended", now);
     }
   }
 
@@ -972,7 +1001,7 @@
   }
 
   private boolean hasEnded(ViewId id) {
-    Long last = ended.get(id.line());
+    Long last = ended.get(id.lineage());
     return last != null && id.number() <= last;
   }
 
@@ -981,14 +1010,15 @@
    * founded one anew. A process leaves its own for the elder of two that both have their majority,
    * and for any that has one where its own has none.
    */
-  private void otherLine(Teller from, Timestamp now) {
+  private void otherLine(MessageHeader from, Timestamp now) {
     if (seat.view() != null
-        && from.majority()
-        && from.view().line() != 0
-        && from.view().line() != seat.view().id().line()
+        && from.seesMajority()
+        && from.view().lineage() != 0
+        && from.view().lineage() != seat.view().id().lineage()
         && mayTake(from.view())
-        && (from.view().line() < seat.view().id().line() || standing() == Standing.MINORITY)) {
-      leaveLine(Event.LINE_LEFT, "for the line of view " + from.view(), now);
+        && (from.view().lineage() < seat.view().id().lineage()
+            || standing() == QuorumState.MINORITY)) {
+      leaveLine(MembershipEvent.LINE_LEFT, "for the line of view " + from.view(), now);
     }
   }
 
@@ -1000,16 +1030,16 @@
    * nobody left who held it.
    */
   private void found(Timestamp now) {
-    List<MemberName> founders = terms.founders();
+    List<MemberName> founders = terms.bootstrapMembers();
     if (founders.isEmpty()
         || !founders.get(0).equals(self().name())
         || leaving
         || suspicion.isQuiet(now)
-        || now.since(started).compareTo(terms.period().times(LISTENS)) < 0
+        || now.since(started).compareTo(terms.healthCheckInterval().times(LISTENS)) < 0
         || heardOfView()) {
       return;
     }
-    if (left.containsKey(self().birth().value())) {
+    if (left.containsKey(self().incarnation().value())) {
       // The line that it founded has died; a line begins with a birth, so another one needs
       // another.
       suspicion.beginAnew();
@@ -1019,7 +1049,7 @@
       Peer p = suspicion.peer(name);
       if (name.equals(self().name())) {
         all.add(self());
-      } else if (p != null && p.condition == Condition.ALIVE && p.heard != null) {
+      } else if (p != null && p.condition == MemberCondition.ALIVE && p.heard != null) {
         all.add(p.member);
       }
     }
@@ -1037,7 +1067,11 @@
     triedAt = now;
     all.stream()
         .filter(m -> !consents.contains(m.name()))
-        .forEach(m -> acts.add(new Act.Tell(m.address(), new Found(teller(), attempt, founding))));
+        .forEach(
+            m ->
+                acts.add(
+                    new MembershipAction.Send(
+                        m.peerAddress(), new BootstrapRequest(teller(), attempt, founding))));
     founded(now);
   }
 
@@ -1045,8 +1079,8 @@
     if (founding == null || consents.size() < founding.size()) {
       return;
     }
-    View first = View.of(new ViewId(self().birth().value(), 1), founding);
-    seat = Seat.of(first);
+    View first = View.of(new ViewId(self().incarnation().value(), 1), founding);
+    seat = ViewState.of(first);
     installed(null, now);
     first.members().stream().filter(m -> !m.equals(self())).forEach(m -> part(m, 0));
   }
@@ -1069,26 +1103,30 @@
    *
    * @return what follows; among it why not, if the old majority may live
    */
-  public List<Act> foundAnew(ViewId said, Timestamp now) {
+  public List<MembershipAction> foundAnew(ViewId said, Timestamp now) {
     View view = seat.view();
     TimeSpan silent = bears().times(SILENT_FOR);
     String no =
         view == null || !view.id().equals(said)
             ? "it holds view " + (view == null ? "none" : view.id())
-            : standing() != Standing.MINORITY
+            : standing() != QuorumState.MINORITY
                 ? "it stands " + standing().label()
                 : minoritySince == null || now.since(minoritySince).compareTo(silent) < 0
                     ? "a majority was there less than " + silent.us() / 1000 + " ms ago"
                     : missing(view, silent, now);
     if (no != null) {
-      acts.add(new Act.Noted(Event.NOT_FOUNDED_ANEW, self().name(), "view " + said + ": " + no));
+      acts.add(
+          new MembershipAction.EventRecorded(
+              MembershipEvent.NOT_FOUNDED_ANEW, self().name(), "view " + said + ": " + no));
       return done();
     }
-    acts.add(new Act.Noted(Event.FOUNDED_ANEW, self().name(), "in place of view " + said));
+    acts.add(
+        new MembershipAction.EventRecorded(
+            MembershipEvent.FOUNDED_ANEW, self().name(), "in place of view " + said));
     ends(said);
-    leaveLine(Event.LINE_LEFT, "an operator ended the line", now);
+    leaveLine(MembershipEvent.LINE_LEFT, "an operator ended the line", now);
     suspicion.beginAnew();
-    seat = Seat.of(View.of(new ViewId(self().birth().value(), 1), List.of(self())));
+    seat = ViewState.of(View.of(new ViewId(self().incarnation().value(), 1), List.of(self())));
     installed(null, now);
     return done();
   }
@@ -1100,10 +1138,11 @@
       boolean here = m.name().equals(self().name()) || suspicion.alive(m);
       boolean gone =
           p != null
-              && (p.condition.compareTo(Condition.DEAD) >= 0 || !p.member.birth().equals(m.birth()))
+              && (p.condition.compareTo(MemberCondition.DEAD) >= 0
+                  || !p.member.incarnation().equals(m.incarnation()))
               && (p.heard == null
                   || now.since(p.heard).compareTo(silent) >= 0
-                  || !p.member.birth().equals(m.birth()));
+                  || !p.member.incarnation().equals(m.incarnation()));
       if (!here && !gone) {
         return m.name() + " may live";
       }
@@ -1111,40 +1150,42 @@
     return null;
   }
 
-  private void asked(Found found) {
+  private void asked(BootstrapRequest found) {
     Member by = found.from().member();
     List<MemberName> names = found.members().stream().map(Member::name).sorted().toList();
     if (seat.view() != null
         || heardOfView()
-        || !names.equals(terms.founders())
+        || !names.equals(terms.bootstrapMembers())
         || !by.name().equals(names.get(0))
         || !found.members().contains(self())) {
       return;
     }
-    int order = vowedTo == null ? 1 : by.birth().compareTo(vowedTo);
+    int order = vowedTo == null ? 1 : by.incarnation().compareTo(vowedTo);
     if (order > 0 || order == 0 && found.attempt() >= vowedAttempt) {
-      vowedTo = by.birth();
+      vowedTo = by.incarnation();
       vowedAttempt = found.attempt();
-      acts.add(new Act.Tell(by.address(), new Consent(teller(), found.attempt())));
+      acts.add(
+          new MembershipAction.Send(
+              by.peerAddress(), new BootstrapConsent(teller(), found.attempt())));
     }
   }
 
   // ---- what comes
 
   /** A message that its carrier found whole, of this fleet and sealed as it should be. */
-  public List<Act> heard(Message message, Timestamp now) {
+  public List<MembershipAction> heard(MembershipMessage message, Timestamp now) {
     if (leaving) {
       return done();
     }
-    Teller from = message.from();
+    MessageHeader from = message.from();
     if (!suspicion.isQuiet(now)
-        || message instanceof Message.Part
-        || message instanceof Message.NameTaken) {
+        || message instanceof MembershipMessage.StatePart
+        || message instanceof MembershipMessage.NameTaken) {
       if (suspicion.spoke(from, now)) {
         suspicion.heard(message, now);
-        ends(from.ended());
+        ends(from.endedView());
         long ahead =
-            resumed && from.view().after(seat.view().id())
+            resumed && from.view().isAfter(seat.view().id())
                 ? from.view().number() - seat.view().id().number()
                 : 0;
         if (ahead > 1 || ahead == 1 && seat.accepted() == null) {
@@ -1152,12 +1193,12 @@
           // not in it. One that had
           // accepted a successor is of the last moment before it.
           acts.add(
-              new Act.Noted(
-                  Event.FOLDER_OLD,
+              new MembershipAction.EventRecorded(
+                  MembershipEvent.FOLDER_OLD,
                   self().name(),
                   "view " + seat.view().id() + ", a peer holds " + from.view()));
           suspicion.beginAnew();
-          leaveLine(Event.LINE_LEFT, "its folder may be an old one", now);
+          leaveLine(MembershipEvent.LINE_LEFT, "its folder may be an old one", now);
         }
         leaveEnded(now);
         otherLine(from, now);
@@ -1172,11 +1213,12 @@
   }
 
   /** Whoever tells of a later view, or of any where none is known here, is asked for it. */
-  private void behind(Teller from, Timestamp now) {
+  private void behind(MessageHeader from, Timestamp now) {
     boolean none = seat.view() == null;
-    boolean later = none ? mayTake(from.view()) : from.view().after(seat.view().id());
+    boolean later = none ? mayTake(from.view()) : from.view().isAfter(seat.view().id());
     boolean rests =
-        asked != null && now.since(asked).compareTo(terms.period().times(none ? 1 : AGAIN)) < 0;
+        asked != null
+            && now.since(asked).compareTo(terms.healthCheckInterval().times(none ? 1 : AGAIN)) < 0;
     if (later) {
       ahead = from;
     }
@@ -1187,35 +1229,37 @@
 
   private void askAhead(Timestamp now) {
     asked = now;
-    acts.add(new Act.Tell(ahead.member().address(), new AskView(teller(), ahead.view(), 0)));
+    acts.add(
+        new MembershipAction.Send(
+            ahead.member().peerAddress(), new ViewRequest(teller(), ahead.view(), 0)));
   }
 
-  private void choice(Message message, Timestamp now) {
-    Teller from = message.from();
-    if (message instanceof Prepare m && counted(m.of(), from, m.ballot())) {
-      take(Succession.prepare(seat, teller(), m, stay(m.out(), now)), now);
-    } else if (message instanceof Promise m && counted(m.of(), from, null)) {
-      take(Succession.promised(seat, teller(), m), now);
-    } else if (message instanceof Refuse m && counted(m.of(), from, m.promised())) {
+  private void choice(MembershipMessage message, Timestamp now) {
+    MessageHeader from = message.from();
+    if (message instanceof Prepare m && counted(m.viewId(), from, m.ballot())) {
+      take(ViewChange.prepare(seat, teller(), m, stay(m.removed(), now)), now);
+    } else if (message instanceof Promise m && counted(m.viewId(), from, null)) {
+      take(ViewChange.promised(seat, teller(), m), now);
+    } else if (message instanceof Reject m && counted(m.viewId(), from, m.promised())) {
       if (seat.round() != null && seat.round().ballot().equals(m.ballot())) {
-        seat = seat.with((Seat.Round) null);
-        restsUntil = now.plus(terms.period().times(chance.nextDouble()));
+        seat = seat.with((ViewState.ProposalRound) null);
+        restsUntil = now.plus(terms.healthCheckInterval().times(chance.nextDouble()));
       }
     } else if (message instanceof Accept m
-        && counted(m.of(), from, m.ballot())
-        && (m.value().edition() == null || hasDocument.test(m.value().edition()))) {
-      take(Succession.accept(seat, teller(), m), now);
-    } else if (message instanceof Accepted m && counted(m.of(), from, null)) {
-      take(Succession.accepted(seat, teller(), m), now);
+        && counted(m.viewId(), from, m.ballot())
+        && (m.value().configuration() == null || hasDocument.test(m.value().configuration()))) {
+      take(ViewChange.accept(seat, teller(), m), now);
+    } else if (message instanceof Accepted m && counted(m.viewId(), from, null)) {
+      take(ViewChange.accepted(seat, teller(), m), now);
     } else if (message instanceof Decided m) {
       decided(m, now);
-    } else if (message instanceof AskView m && seat.view() != null) {
-      part(from.member(), m.of().equals(seat.view().id()) ? m.index() : 0);
+    } else if (message instanceof ViewRequest m && seat.view() != null) {
+      part(from.member(), m.viewId().equals(seat.view().id()) ? m.index() : 0);
     } else if (message instanceof ViewPart m) {
       parts(m, now);
-    } else if (message instanceof Found m) {
+    } else if (message instanceof BootstrapRequest m) {
       asked(m);
-    } else if (message instanceof Consent m
+    } else if (message instanceof BootstrapConsent m
         && founding != null
         && m.attempt() == attempt
         && founding.contains(from.member())) {
@@ -1224,33 +1268,35 @@
     }
   }
 
-  private boolean counted(ViewId of, Teller from, Ballot ballot) {
+  private boolean counted(ViewId of, MessageHeader from, Ballot ballot) {
     if (ballot != null) {
       highestRound = Math.max(highestRound, Math.min(ballot.round(), Long.MAX_VALUE / 2));
     }
     // One that was taken for another birth by itself holds no seat.
     return !resumed
-        && Succession.counts(seat, from, of)
-        && seat.view().holds(self().name(), self().birth());
+        && ViewChange.counts(seat, from, of)
+        && seat.view().contains(self().name(), self().incarnation());
   }
 
   private void decided(Decided m, Timestamp now) {
-    if (seat.view() != null && seat.view().id().equals(m.of())) {
-      follows(seat.view().with(m.value()), now);
-    } else if (seat.view() == null && m.value().in().contains(self())) {
-      acts.add(new Act.Tell(m.from().member().address(), new AskView(teller(), m.of().next(), 0)));
+    if (seat.view() != null && seat.view().id().equals(m.viewId())) {
+      follows(seat.view().apply(m.value()), now);
+    } else if (seat.view() == null && m.value().added().contains(self())) {
+      acts.add(
+          new MembershipAction.Send(
+              m.from().member().peerAddress(), new ViewRequest(teller(), m.viewId().next(), 0)));
     }
   }
 
   /** A later view of our line, or the first one here. */
   private void follows(View next, Timestamp now) {
     View before = seat.view();
-    if (next.holds(self().name(), self().birth())) {
-      seat = Seat.of(next);
+    if (next.contains(self().name(), self().incarnation())) {
+      seat = ViewState.of(next);
       installed(before, now);
     } else if (before != null) {
       takenOutBy = next;
-      leaveLine(Event.TAKEN_OUT, "by view " + next.id(), now);
+      leaveLine(MembershipEvent.TAKEN_OUT, "by view " + next.id(), now);
     }
   }
 
@@ -1259,27 +1305,28 @@
     int from = Math.max(0, Math.min(index, view.members().size()));
     int until = Math.min(view.members().size(), from + MOST_VIEW_PART);
     acts.add(
-        new Act.Tell(
-            to.address(),
+        new MembershipAction.Send(
+            to.peerAddress(),
             new ViewPart(
                 teller(),
                 view.id(),
                 from,
                 view.members().size(),
                 view.members().subList(from, until),
-                view.edition())));
+                view.configuration())));
   }
 
   private void parts(ViewPart m, Timestamp now) {
-    boolean known = seat.view() != null ? !m.of().after(seat.view().id()) : !mayTake(m.of());
+    boolean known =
+        seat.view() != null ? !m.viewId().isAfter(seat.view().id()) : !mayTake(m.viewId());
     if (known || m.size() > MOST_VIEW || m.members().isEmpty()) {
       return;
     }
-    if (coming == null || !coming.id.equals(m.of()) || m.index() == 0) {
-      coming = new Coming();
-      coming.id = m.of();
+    if (coming == null || !coming.id.equals(m.viewId()) || m.index() == 0) {
+      coming = new IncomingView();
+      coming.id = m.viewId();
       coming.size = m.size();
-      coming.edition = m.edition();
+      coming.edition = m.configuration();
     }
     if (coming.members.size() != m.index()) {
       return;
@@ -1287,25 +1334,25 @@
     coming.members.addAll(m.members());
     if (coming.members.size() < coming.size) {
       acts.add(
-          new Act.Tell(
-              m.from().member().address(),
-              new AskView(teller(), coming.id, coming.members.size())));
+          new MembershipAction.Send(
+              m.from().member().peerAddress(),
+              new ViewRequest(teller(), coming.id, coming.members.size())));
       return;
     }
     View whole = View.of(coming.id, coming.members, coming.edition);
     coming = null;
-    if (seat.view() != null || whole.holds(self().name(), self().birth())) {
+    if (seat.view() != null || whole.contains(self().name(), self().incarnation())) {
       follows(whole, now);
     }
   }
 
   private boolean mayTake(ViewId id) {
-    Long given = left.get(id.line());
-    return id.line() != 0 && (given == null ? left.size() < MOST_LINES : id.number() > given);
+    Long given = left.get(id.lineage());
+    return id.lineage() != 0 && (given == null ? left.size() < MOST_LINES : id.number() > given);
   }
 
   /** So many processes, by how they seem. */
-  public Map<Condition, Integer> counts() {
+  public Map<MemberCondition, Integer> counts() {
     return new TreeMap<>(suspicion.counts());
   }
 }
--- a/src/main/java/cobaltseam/membership/Act.java
+++ b/src/main/java/cobaltseam/membership/MembershipAction.java
@@ -3,24 +3,25 @@
 import java.net.InetSocketAddress;
 
 /** What membership wants done. */
-public sealed interface Act {
+public sealed interface MembershipAction {
   /** A datagram to an address; it may be lost. */
-  record Tell(InetSocketAddress to, Message message) implements Act {}
+  record Send(InetSocketAddress to, MembershipMessage message) implements MembershipAction {}
 
   /**
    * To be written to the lasting folder; then {@link Membership#kept} is told its number, or {@link
    * Membership#notKept} that it can't be. A later one holds all that an earlier one did.
    */
-  record Keep(long number, Kept what) implements Act {}
+  record Persist(long number, PersistentState what) implements MembershipAction {}
 
   /** Another view holds from now on, or none any more. */
-  record Installed(View view) implements Act {}
+  record ViewInstalled(View view) implements MembershipAction {}
 
   /** Something for the log. */
-  record Noted(Event event, MemberName who, String detail) implements Act {}
+  record EventRecorded(MembershipEvent event, MemberName who, String detail)
+      implements MembershipAction {}
 
   /** What is noted. */
-  enum Event {
+  enum MembershipEvent {
     JOINED_SIGHT,
     SUSPECTED,
     REFUTED,
--- a/src/main/java/cobaltseam/membership/Kept.java
+++ b/src/main/java/cobaltseam/membership/PersistentState.java
@@ -10,31 +10,32 @@
  *
  * @param starts how many processes have been this member, so that a copy of the folder from an
  *     earlier time is known as one
- * @param vowedTo the founder that consent was last given to, or null
- * @param left of each line given up, the number of its view then
+ * @param consentedTo the founder that consent was last given to, or null
+ * @param leftLineages of each line given up, the number of its view then
  * @param documents those of the editions that the view and the value hold, as far as they are here
- * @param ended of each line known to have no successor, the number of the view that has none
+ * @param endedLineages of each line known to have no successor, the number of the view that has
+ *     none
  */
-public record Kept(
+public record PersistentState(
     Member self,
     long starts,
     View view,
     Ballot promised,
     Ballot accepted,
-    Change value,
-    Birth vowedTo,
-    long vowedAttempt,
-    Map<Long, Long> left,
-    Map<Long, Long> ended,
+    ViewDelta acceptedDelta,
+    Incarnation consentedTo,
+    long consentedAttempt,
+    Map<Long, Long> leftLineages,
+    Map<Long, Long> endedLineages,
     List<byte[]> documents) {
-  public Kept {
+  public PersistentState {
     Objects.requireNonNull(self);
-    left = left == null ? Map.of() : Map.copyOf(left);
-    ended = ended == null ? Map.of() : Map.copyOf(ended);
+    leftLineages = leftLineages == null ? Map.of() : Map.copyOf(leftLineages);
+    endedLineages = endedLineages == null ? Map.of() : Map.copyOf(endedLineages);
     documents = documents == null ? List.of() : List.copyOf(documents);
   }
 
-  Seat seat() {
-    return new Seat(view, promised, accepted, value, null);
+  ViewState seat() {
+    return new ViewState(view, promised, accepted, acceptedDelta, null);
   }
 }
--- a/src/main/java/cobaltseam/membership/Standing.java
+++ b/src/main/java/cobaltseam/membership/QuorumState.java
@@ -1,7 +1,7 @@
 package cobaltseam.membership;
 
 /** What a process may make of the last agreed view that it knows. */
-public enum Standing {
+public enum QuorumState {
   /** It has none: it has not been taken in, or was taken out. */
   NONE,
   /** A majority of the view seems alive from here. */
--- a/src/main/java/cobaltseam/membership/View.java
+++ b/src/main/java/cobaltseam/membership/View.java
@@ -9,7 +9,7 @@
  * A numbered set of members, agreed by a majority of its predecessor; sorted by name, each name
  * once; and the edition of the agreed document, or null before the first.
  */
-public record View(ViewId id, List<Member> members, Edition edition) {
+public record View(ViewId id, List<Member> members, ConfigurationVersion configuration) {
   public View {
     members = List.copyOf(members);
   }
@@ -18,7 +18,7 @@
     return of(id, members, null);
   }
 
-  static View of(ViewId id, Collection<Member> members, Edition edition) {
+  static View of(ViewId id, Collection<Member> members, ConfigurationVersion edition) {
     TreeMap<MemberName, Member> sorted = new TreeMap<>();
     members.forEach(m -> sorted.put(m.name(), m));
     return new View(id, List.copyOf(sorted.values()), edition);
@@ -45,19 +45,21 @@
   }
 
   /** Whether it holds this very process. */
-  public boolean holds(MemberName name, Birth birth) {
+  public boolean contains(MemberName name, Incarnation birth) {
     Member there = of(name);
-    return there != null && there.birth().equals(birth);
+    return there != null && there.incarnation().equals(birth);
   }
 
   /** What follows from a change; what it takes out and this view does not hold changes nothing. */
-  View with(Change change) {
+  View apply(ViewDelta change) {
     List<Member> left = new ArrayList<>(members);
     left.removeIf(
         m ->
-            change.out().stream()
-                .anyMatch(o -> o.name().equals(m.name()) && o.birth().equals(m.birth())));
-    left.addAll(change.in());
-    return of(id.next(), left, change.edition() == null ? edition : change.edition());
+            change.removed().stream()
+                .anyMatch(
+                    o -> o.name().equals(m.name()) && o.incarnation().equals(m.incarnation())));
+    left.addAll(change.added());
+    return of(
+        id.next(), left, change.configuration() == null ? configuration : change.configuration());
   }
 }
--- a/src/main/java/cobaltseam/membership/Succession.java
+++ b/src/main/java/cobaltseam/membership/ViewChange.java
@@ -1,14 +1,14 @@
 package cobaltseam.membership;
 
-import cobaltseam.membership.Message.Accept;
-import cobaltseam.membership.Message.Accepted;
-import cobaltseam.membership.Message.Decided;
-import cobaltseam.membership.Message.Prepare;
-import cobaltseam.membership.Message.Promise;
-import cobaltseam.membership.Message.Refuse;
-import cobaltseam.membership.Message.Teller;
-import cobaltseam.membership.Seat.Round;
-import cobaltseam.membership.Seat.Vote;
+import cobaltseam.membership.MembershipMessage.Accept;
+import cobaltseam.membership.MembershipMessage.Accepted;
+import cobaltseam.membership.MembershipMessage.Decided;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
+import cobaltseam.membership.MembershipMessage.Prepare;
+import cobaltseam.membership.MembershipMessage.Promise;
+import cobaltseam.membership.MembershipMessage.Reject;
+import cobaltseam.membership.ViewState.ProposalRound;
+import cobaltseam.membership.ViewState.ReceivedPromise;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -24,71 +24,77 @@
  * <p>A vote counts by name and birth. A process that starts anew without its folder has another
  * birth, so no view holds it: it can neither be asked nor counted until a successor takes it in.
  */
-final class Succession {
-  private Succession() {}
+final class ViewChange {
+  private ViewChange() {}
 
   /** What follows: the seat then, and what is told to whom. */
-  record Step(Seat seat, List<Tell> tells) {
-    Step(Seat seat, Tell... tells) {
+  record Step(ViewState seat, List<OutgoingMessage> tells) {
+    Step(ViewState seat, OutgoingMessage... tells) {
       this(seat, List.of(tells));
     }
   }
 
   /** A message to a member of the view, possibly this process itself. */
-  record Tell(Member to, Message message) {}
+  record OutgoingMessage(Member to, MembershipMessage message) {}
 
   /**
    * Whether a message of the choice comes from a process that the seat's view holds, and is of that
    * view.
    */
-  static boolean counts(Seat seat, Teller from, ViewId of) {
+  static boolean counts(ViewState seat, MessageHeader from, ViewId of) {
     return seat.view() != null
         && seat.view().id().equals(of)
-        && seat.view().holds(from.member().name(), from.member().birth());
+        && seat.view().contains(from.member().name(), from.member().incarnation());
   }
 
   /** Begins a try with a ballot above all that is known here. */
-  static Step propose(Seat seat, Teller self, Change wanted, long above) {
+  static Step propose(ViewState seat, MessageHeader self, ViewDelta wanted, long above) {
     long known = seat.promised() == null ? 0 : seat.promised().round();
     Ballot ballot =
-        new Ballot(Math.max(above, known) + 1, self.member().name(), self.member().birth());
-    Round round = new Round(ballot, wanted, Map.of(), null, Set.of());
-    List<MemberName> out = wanted.out().stream().map(Member::name).toList();
+        new Ballot(Math.max(above, known) + 1, self.member().name(), self.member().incarnation());
+    ProposalRound round = new ProposalRound(ballot, wanted, Map.of(), null, Set.of());
+    List<MemberName> out = wanted.removed().stream().map(Member::name).toList();
     return new Step(
         seat.with(round), toAll(seat.view(), new Prepare(self, seat.view().id(), ballot, out)));
   }
 
-  private static List<Tell> toAll(View view, Message message) {
-    return view.members().stream().map(m -> new Tell(m, message)).toList();
+  private static List<OutgoingMessage> toAll(View view, MembershipMessage message) {
+    return view.members().stream().map(m -> new OutgoingMessage(m, message)).toList();
   }
 
   /**
    * A voter's answer to phase one; {@code stay} are those of the named whom it would not take out.
    */
-  static Step prepare(Seat seat, Teller self, Prepare asked, List<MemberName> stay) {
+  static Step prepare(ViewState seat, MessageHeader self, Prepare asked, List<MemberName> stay) {
     Member to = asked.from().member();
     if (seat.promised() != null && asked.ballot().compareTo(seat.promised()) < 0) {
       return new Step(
-          seat, new Tell(to, new Refuse(self, asked.of(), asked.ballot(), seat.promised())));
+          seat,
+          new OutgoingMessage(
+              to, new Reject(self, asked.viewId(), asked.ballot(), seat.promised())));
     }
-    Seat then = new Seat(seat.view(), asked.ballot(), seat.accepted(), seat.value(), seat.round());
+    ViewState then =
+        new ViewState(seat.view(), asked.ballot(), seat.accepted(), seat.value(), seat.round());
     return new Step(
         then,
-        new Tell(
+        new OutgoingMessage(
             to,
-            new Promise(self, asked.of(), asked.ballot(), seat.accepted(), seat.value(), stay)));
+            new Promise(
+                self, asked.viewId(), asked.ballot(), seat.accepted(), seat.value(), stay)));
   }
 
   /** A promise came to the process that tries; phase two follows once it is known who stays. */
-  static Step promised(Seat seat, Teller self, Promise vote) {
-    Round round = seat.round();
+  static Step promised(ViewState seat, MessageHeader self, Promise vote) {
+    ProposalRound round = seat.round();
     if (round == null || !round.ballot().equals(vote.ballot()) || round.chosen() != null) {
       return new Step(seat);
     }
-    Map<MemberName, Vote> promises = new HashMap<>(round.promises());
-    promises.put(vote.from().member().name(), new Vote(vote.accepted(), vote.value(), vote.stay()));
+    Map<MemberName, ReceivedPromise> promises = new HashMap<>(round.promises());
+    promises.put(
+        vote.from().member().name(),
+        new ReceivedPromise(vote.accepted(), vote.value(), vote.retained()));
     return proceed(
-        seat.with(new Round(round.ballot(), round.wanted(), promises, null, Set.of())),
+        seat.with(new ProposalRound(round.ballot(), round.wanted(), promises, null, Set.of())),
         self,
         false);
   }
@@ -100,15 +106,15 @@
    *
    * @param now whether to go on without the votes that have not come, which count as for staying
    */
-  static Step proceed(Seat seat, Teller self, boolean now) {
-    Round round = seat.round();
+  static Step proceed(ViewState seat, MessageHeader self, boolean now) {
+    ProposalRound round = seat.round();
     int majority = seat.view().majority();
     if (round == null || round.chosen() != null || round.promises().size() < majority) {
       return new Step(seat);
     }
-    Change chosen = null;
+    ViewDelta chosen = null;
     Ballot highest = null;
-    for (Vote vote : round.promises().values()) {
+    for (ReceivedPromise vote : round.promises().values()) {
       if (vote.accepted() != null && (highest == null || vote.accepted().compareTo(highest) > 0)) {
         highest = vote.accepted();
         chosen = vote.value();
@@ -116,9 +122,9 @@
     }
     if (chosen == null) {
       List<Member> out = new ArrayList<>();
-      for (Member m : round.wanted().out()) {
+      for (Member m : round.wanted().removed()) {
         int agree = 0;
-        for (Vote vote : round.promises().values()) {
+        for (ReceivedPromise vote : round.promises().values()) {
           agree += vote.stay().contains(m.name()) ? 0 : 1;
         }
         int open = seat.view().members().size() - round.promises().size();
@@ -130,7 +136,7 @@
       }
       // Who comes in under a name that stays would hold it twice.
       List<Member> in =
-          round.wanted().in().stream()
+          round.wanted().added().stream()
               .filter(
                   m ->
                       seat.view().of(m.name()) == null
@@ -138,29 +144,31 @@
               .toList();
       // Against the edition that it follows: where another came first it is void.
       boolean next =
-          round.wanted().edition() != null
-              && round.wanted().edition().number() == Edition.number(seat.view().edition()) + 1;
-      chosen = new Change(out, in, next ? round.wanted().edition() : null);
+          round.wanted().configuration() != null
+              && round.wanted().configuration().number()
+                  == ConfigurationVersion.number(seat.view().configuration()) + 1;
+      chosen = new ViewDelta(out, in, next ? round.wanted().configuration() : null);
     }
     if (chosen.isEmpty()) {
-      return new Step(seat.with((Round) null));
+      return new Step(seat.with((ProposalRound) null));
     }
-    Round accepting = new Round(round.ballot(), round.wanted(), round.promises(), chosen, Set.of());
+    ProposalRound accepting =
+        new ProposalRound(round.ballot(), round.wanted(), round.promises(), chosen, Set.of());
     return new Step(
         seat.with(accepting),
         toAll(seat.view(), new Accept(self, seat.view().id(), round.ballot(), chosen)));
   }
 
   /** The same again to those whose answer is missing: a datagram may be lost. */
-  static Step again(Seat seat, Teller self) {
-    Round round = seat.round();
-    Message message =
+  static Step again(ViewState seat, MessageHeader self) {
+    ProposalRound round = seat.round();
+    MembershipMessage message =
         round.chosen() == null
             ? new Prepare(
                 self,
                 seat.view().id(),
                 round.ballot(),
-                round.wanted().out().stream().map(Member::name).toList())
+                round.wanted().removed().stream().map(Member::name).toList())
             : new Accept(self, seat.view().id(), round.ballot(), round.chosen());
     Set<MemberName> came = round.chosen() == null ? round.promises().keySet() : round.accepts();
     return new Step(
@@ -169,35 +177,40 @@
   }
 
   /** A voter's answer to phase two. */
-  static Step accept(Seat seat, Teller self, Accept asked) {
+  static Step accept(ViewState seat, MessageHeader self, Accept asked) {
     Member to = asked.from().member();
     if (seat.promised() != null && asked.ballot().compareTo(seat.promised()) < 0) {
       return new Step(
-          seat, new Tell(to, new Refuse(self, asked.of(), asked.ballot(), seat.promised())));
+          seat,
+          new OutgoingMessage(
+              to, new Reject(self, asked.viewId(), asked.ballot(), seat.promised())));
     }
-    Seat then = new Seat(seat.view(), asked.ballot(), asked.ballot(), asked.value(), seat.round());
-    return new Step(then, new Tell(to, new Accepted(self, asked.of(), asked.ballot())));
+    ViewState then =
+        new ViewState(seat.view(), asked.ballot(), asked.ballot(), asked.value(), seat.round());
+    return new Step(
+        then, new OutgoingMessage(to, new Accepted(self, asked.viewId(), asked.ballot())));
   }
 
   /** An acceptance came to the process that tries; a majority of them decides. */
-  static Step accepted(Seat seat, Teller self, Accepted vote) {
-    Round round = seat.round();
+  static Step accepted(ViewState seat, MessageHeader self, Accepted vote) {
+    ProposalRound round = seat.round();
     if (round == null || round.chosen() == null || !round.ballot().equals(vote.ballot())) {
       return new Step(seat);
     }
     Set<MemberName> accepts = new HashSet<>(round.accepts());
     accepts.add(vote.from().member().name());
-    Round counted =
-        new Round(round.ballot(), round.wanted(), round.promises(), round.chosen(), accepts);
+    ProposalRound counted =
+        new ProposalRound(
+            round.ballot(), round.wanted(), round.promises(), round.chosen(), accepts);
     if (accepts.size() < seat.view().majority()) {
       return new Step(seat.with(counted));
     }
-    View next = seat.view().with(round.chosen());
-    List<Tell> tells = new ArrayList<>();
+    View next = seat.view().apply(round.chosen());
+    List<OutgoingMessage> tells = new ArrayList<>();
     Decided decided = new Decided(self, seat.view().id(), round.chosen());
     // Those taken out hear of it too, where they can.
-    seat.view().members().forEach(m -> tells.add(new Tell(m, decided)));
-    round.chosen().in().forEach(m -> tells.add(new Tell(m, decided)));
-    return new Step(Seat.of(next), tells);
+    seat.view().members().forEach(m -> tells.add(new OutgoingMessage(m, decided)));
+    round.chosen().added().forEach(m -> tells.add(new OutgoingMessage(m, decided)));
+    return new Step(ViewState.of(next), tells);
   }
 }
--- a/src/main/java/cobaltseam/membership/ViewId.java
+++ b/src/main/java/cobaltseam/membership/ViewId.java
@@ -4,19 +4,19 @@
  * The number of a view, within one line of views that began with a founding. In one line a number
  * is held with one set of members only, by whatever process, ever.
  *
- * @param line the birth of the process that founded it, so that of two lines the lower one is the
- *     elder; zero where there is no view
+ * @param lineage the birth of the process that founded it, so that of two lines the lower one is
+ *     the elder; zero where there is no view
  */
-public record ViewId(long line, long number) {
+public record ViewId(long lineage, long number) {
   public static final ViewId NONE = new ViewId(0, 0);
 
   ViewId next() {
-    return new ViewId(line, number + 1);
+    return new ViewId(lineage, number + 1);
   }
 
   /** Whether this one follows another in its line, at once or later. */
-  boolean after(ViewId other) {
-    return line == other.line && number > other.number;
+  boolean isAfter(ViewId other) {
+    return lineage == other.lineage && number > other.number;
   }
 
   /** From the form that it is written in; null if it is not of that. */
@@ -31,6 +31,6 @@
 
   @Override
   public String toString() {
-    return Long.toHexString(line) + "/" + number;
+    return Long.toHexString(lineage) + "/" + number;
   }
 }
--- a/src/main/java/cobaltseam/membership/Seat.java
+++ b/src/main/java/cobaltseam/membership/ViewState.java
@@ -13,30 +13,31 @@
  * @param accepted the ballot under which {@code value} was accepted, or null
  * @param round this process's own try, or null
  */
-public record Seat(View view, Ballot promised, Ballot accepted, Change value, Round round) {
-  static Seat of(View view) {
-    return new Seat(view, null, null, null, null);
+public record ViewState(
+    View view, Ballot promised, Ballot accepted, ViewDelta value, ProposalRound round) {
+  static ViewState of(View view) {
+    return new ViewState(view, null, null, null, null);
   }
 
-  Seat with(Round now) {
-    return new Seat(view, promised, accepted, value, now);
+  ViewState with(ProposalRound now) {
+    return new ViewState(view, promised, accepted, value, now);
   }
 
   /** What a voter promised: what it had accepted by then, and whom it would not take out. */
-  record Vote(Ballot accepted, Change value, List<MemberName> stay) {}
+  record ReceivedPromise(Ballot accepted, ViewDelta value, List<MemberName> stay) {}
 
   /**
    * One own try.
    *
    * @param chosen what is being accepted, or null in the first phase
    */
-  public record Round(
+  public record ProposalRound(
       Ballot ballot,
-      Change wanted,
-      Map<MemberName, Vote> promises,
-      Change chosen,
+      ViewDelta wanted,
+      Map<MemberName, ReceivedPromise> promises,
+      ViewDelta chosen,
       Set<MemberName> accepts) {
-    public Round {
+    public ProposalRound {
       promises = Map.copyOf(promises);
       accepts = Set.copyOf(accepts);
     }
--- a/src/main/java/cobaltseam/repeats/Purse.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudget.java
@@ -1,13 +1,13 @@
-package cobaltseam.repeats;
+package cobaltseam.retrybudget;
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
-import cobaltseam.membership.Message.Teller;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
 import cobaltseam.membership.View;
-import cobaltseam.repeats.PurseWord.Beg;
-import cobaltseam.repeats.PurseWord.Give;
+import cobaltseam.retrybudget.RetryBudgetMessage.BudgetRequest;
+import cobaltseam.retrybudget.RetryBudgetMessage.BudgetTransfer;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -31,9 +31,9 @@
  * <p>Amounts are thousandths of a send. What is spent is taken from what is left by whoever sends,
  * without a wait; this only learns of it.
  */
-public final class Purse {
+public final class RetryBudget {
   /** What is left, shared with whoever sends: it takes from it, and nobody else does but this. */
-  public interface Left {
+  public interface RemainingRetries {
     long get();
 
     /**
@@ -44,7 +44,7 @@
   }
 
   /** A datagram to an address; it may be lost. */
-  public record Tell(InetSocketAddress to, PurseWord word) {}
+  public record OutgoingMessage(InetSocketAddress to, RetryBudgetMessage word) {}
 
   public static final long ONE = 1000;
 
@@ -61,29 +61,29 @@
 
   private static final double COVERS = 0.25;
 
-  private static final class Cell {
+  private static final class BudgetGrant {
     long amount;
     final Timestamp until;
 
-    Cell(long amount, Timestamp until) {
+    BudgetGrant(long amount, Timestamp until) {
       this.amount = amount;
       this.until = until;
     }
   }
 
-  private record Open(Member of, Timestamp at) {}
+  private record PendingRequest(Member of, Timestamp at) {}
 
-  private final Terms terms;
-  private final Left left;
+  private final RetryBudgetOptions terms;
+  private final RemainingRetries left;
   private final RandomGenerator chance;
 
   /**
    * By when they end, soonest first; their sum is what is left and what was spent since it was
    * looked at.
    */
-  private final List<Cell> cells = new ArrayList<>();
+  private final List<BudgetGrant> cells = new ArrayList<>();
 
-  private final Map<Long, Open> open = new HashMap<>();
+  private final Map<Long, PendingRequest> open = new HashMap<>();
   private Timestamp at, next;
   private long firsts, wanted;
   private double earned;
@@ -91,7 +91,7 @@
   /** Further sends a second that were wanted lately. */
   private double need;
 
-  public Purse(Terms terms, Left left, RandomGenerator chance) {
+  public RetryBudget(RetryBudgetOptions terms, RemainingRetries left, RandomGenerator chance) {
     this.terms = terms;
     this.left = left;
     this.chance = chance;
@@ -119,7 +119,7 @@
   }
 
   public Timestamp wake(Timestamp now) {
-    return next == null || !now.isBefore(next) ? now.plus(terms.round()) : next;
+    return next == null || !now.isBefore(next) ? now.plus(terms.exchangeInterval()) : next;
   }
 
   // ---- what follows
@@ -132,12 +132,12 @@
    * @param furtherWanted further sends of it so far, and those that it would have made
    * @param spares what members said that others may ask them for
    */
-  public List<Tell> follow(
+  public List<OutgoingMessage> follow(
       long firstsSent,
       long furtherWanted,
       Map<MemberName, Long> spares,
       View view,
-      Teller self,
+      MessageHeader self,
       Timestamp now) {
     if (at == null) {
       at = now;
@@ -157,7 +157,7 @@
     if (next != null && now.isBefore(next)) {
       return List.of();
     }
-    next = now.plus(terms.round());
+    next = now.plus(terms.exchangeInterval());
     open.values().removeIf(o -> now.since(o.at).compareTo(terms.window()) >= 0);
     long missing = covers() - left.get();
     return missing < ONE || view == null ? List.of() : beg(missing, spares, view, self, now);
@@ -169,7 +169,7 @@
       long is = left.get();
       long spent = cells.stream().mapToLong(c -> c.amount).sum() - is;
       // The sooner it ends the sooner it is taken to be spent: nothing lasts longer for it.
-      for (Cell cell : cells) {
+      for (BudgetGrant cell : cells) {
         long part = Math.min(spent, cell.amount);
         cell.amount -= part;
         spent -= part;
@@ -188,7 +188,9 @@
    */
   private void earn(long newFirsts, TimeSpan since, Timestamp now) {
     earned +=
-        (newFirsts * terms.ratio() + terms.alone() * Math.min(1, since.over(terms.window()))) * ONE;
+        (newFirsts * terms.ratio()
+                + terms.standaloneRate() * Math.min(1, since.over(terms.window())))
+            * ONE;
     long whole = (long) earned;
     earned -= whole;
     add(whole, at.plus(terms.window()), now);
@@ -200,8 +202,8 @@
     }
     // Cells are few: one that ends a little sooner takes what is added.
     TimeSpan near = terms.window().times(1.0 / (MOST_CELLS / 2));
-    Cell into = null;
-    for (Cell cell : cells) {
+    BudgetGrant into = null;
+    for (BudgetGrant cell : cells) {
       if (!until.isBefore(cell.until) && until.since(cell.until).compareTo(near) < 0) {
         into = cell;
       }
@@ -210,9 +212,9 @@
       if (cells.size() >= MOST_CELLS) {
         return;
       }
-      into = new Cell(0, until);
+      into = new BudgetGrant(0, until);
       cells.add(into);
-      cells.sort(Comparator.comparing((Cell c) -> c.until));
+      cells.sort(Comparator.comparing((BudgetGrant c) -> c.until));
     }
     into.amount += amount;
     long is = left.get();
@@ -221,8 +223,8 @@
     }
   }
 
-  private List<Tell> beg(
-      long missing, Map<MemberName, Long> spares, View view, Teller self, Timestamp now) {
+  private List<OutgoingMessage> beg(
+      long missing, Map<MemberName, Long> spares, View view, MessageHeader self, Timestamp now) {
     Member best = null;
     double most = 0;
     for (Member m : view.members()) {
@@ -243,28 +245,29 @@
       return List.of();
     }
     long id = chance.nextLong();
-    open.put(id, new Open(best, now));
-    return List.of(new Tell(best.address(), new Beg(self, id, missing)));
+    open.put(id, new PendingRequest(best, now));
+    return List.of(new OutgoingMessage(best.peerAddress(), new BudgetRequest(self, id, missing)));
   }
 
   // ---- what comes
 
   /** What to tell after a word that its carrier found whole, of one that counts. */
-  public List<Tell> heard(PurseWord word, View view, Teller self, Timestamp now) {
+  public List<OutgoingMessage> heard(
+      RetryBudgetMessage word, View view, MessageHeader self, Timestamp now) {
     Member from = word.from().member();
-    if (view == null || !view.holds(from.name(), from.birth())) {
+    if (view == null || !view.contains(from.name(), from.incarnation())) {
       return List.of();
     }
-    if (word instanceof Beg beg) {
-      return List.of(new Tell(from.address(), give(beg, self, now)));
+    if (word instanceof BudgetRequest beg) {
+      return List.of(new OutgoingMessage(from.peerAddress(), give(beg, self, now)));
     }
-    Give give = (Give) word;
-    Open asked = open.get(give.id());
+    BudgetTransfer give = (BudgetTransfer) word;
+    PendingRequest asked = open.get(give.id());
     if (asked != null && asked.of.equals(from)) {
       open.remove(give.id());
       settle(now);
       for (int i = 0; i < give.amounts().length; i++) {
-        long lasts = Math.min(give.lastsUs()[i], terms.window().us());
+        long lasts = Math.min(give.lifetimesUs()[i], terms.window().us());
         if (give.amounts()[i] > 0 && give.amounts()[i] < Integer.MAX_VALUE * ONE && lasts > 0) {
           add(give.amounts()[i], asked.at.plus(new TimeSpan(lasts)), now);
         }
@@ -277,15 +280,15 @@
    * Half of what it can do without at the most, so that two that need it both get some; what lasts
    * longest, as that is of use there.
    */
-  private Give give(Beg beg, Teller self, Timestamp now) {
+  private BudgetTransfer give(BudgetRequest beg, MessageHeader self, Timestamp now) {
     settle(now);
     List<Long> amounts = new ArrayList<>();
     List<Long> lasts = new ArrayList<>();
     long may = Math.min(Math.max(0, beg.amount()), spare() / 2);
     for (int i = cells.size() - 1; i >= 0 && may > 0; i--) {
-      Cell cell = cells.get(i);
+      BudgetGrant cell = cells.get(i);
       // By a clock that runs slower it ends no later there.
-      long lastsUs = Math.round(cell.until.since(now).us() * (1 - 2 * terms.clockRates()));
+      long lastsUs = Math.round(cell.until.since(now).us() * (1 - 2 * terms.maxClockRateRatio()));
       long part = lastsUs <= 0 ? 0 : Math.min(may, cell.amount);
       long is = left.get();
       if (part > 0 && is >= part && left.change(is, is - part)) {
@@ -296,7 +299,7 @@
         lasts.add(lastsUs);
       }
     }
-    return new Give(
+    return new BudgetTransfer(
         self,
         beg.id(),
         amounts.stream().mapToLong(Long::longValue).toArray(),
--- a/src/main/java/cobaltseam/service/Agreed.java
+++ b/src/main/java/cobaltseam/service/Agreed.java
@@ -1,20 +1,20 @@
 package cobaltseam.service;
 
-import cobaltseam.agreement.Acting;
-import cobaltseam.agreement.Agreement;
-import cobaltseam.agreement.Caution;
-import cobaltseam.agreement.Doing;
+import cobaltseam.agreement.ActiveConfiguration;
+import cobaltseam.agreement.AgreementEffect;
+import cobaltseam.agreement.ConfigurationAgreement;
+import cobaltseam.agreement.ConservativeMerge;
 import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.DeploymentReader;
 import cobaltseam.deployment.Fields;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.log.Field;
-import cobaltseam.membership.Edition;
+import cobaltseam.logging.Field;
+import cobaltseam.membership.ConfigurationVersion;
 import cobaltseam.membership.Lease;
 import cobaltseam.membership.Membership;
 import cobaltseam.service.Counters.Count;
-import cobaltseam.setup.Setup;
+import cobaltseam.settings.Settings;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.type.TypeReference;
@@ -32,9 +32,9 @@
 import java.util.stream.Collectors;
 
 /**
- * The settings of decisions as a document that the fleet agrees on: has {@link Agreement} say which
- * edition is acted on, reads that as a deployment, with this dispatcher's own position in it, and
- * moves the module to it.
+ * The settings of decisions as a document that the fleet agrees on: has {@link
+ * ConfigurationAgreement} say which edition is acted on, reads that as a deployment, with this
+ * dispatcher's own position in it, and moves the module to it.
  */
 final class Agreed {
   private static final System.Logger LOG = System.getLogger(Agreed.class.getName());
@@ -44,7 +44,7 @@
   private static final ObjectMapper JSON =
       JsonMapper.builder().enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS).build();
 
-  private final Agreement agreement;
+  private final ConfigurationAgreement agreement;
   private final Counters counters;
   private final int position;
 
@@ -55,7 +55,7 @@
   private String last = "none";
 
   Agreed(
-      Setup.Agreed told,
+      Settings.AgreementSettings told,
       Membership membership,
       Lease lease,
       Deployment own,
@@ -65,15 +65,15 @@
     this.own = own;
     // Nothing is agreed here yet: what the fleet acts on may differ from this dispatcher's own
     // file.
-    back = Caution.alone(own);
+    back = ConservativeMerge.alone(own);
     acts = back;
     position = own.dispatcherIndex();
     agreement =
-        new Agreement(
-            new Agreement.Terms(told.contradiction(), CLOCKS, LARGEST),
+        new ConfigurationAgreement(
+            new ConfigurationAgreement.AgreementOptions(told.contradiction(), CLOCKS, LARGEST),
             membership,
             lease,
-            new Agreement.Documents() {
+            new ConfigurationAgreement.ConfigurationValidator() {
               @Override
               public String check(byte[] content) {
                 try {
@@ -86,7 +86,7 @@
 
               @Override
               public boolean contradict(byte[] one, byte[] other) {
-                return Caution.contradict(deployment(one), deployment(other));
+                return ConservativeMerge.contradict(deployment(one), deployment(other));
               }
             },
             chance);
@@ -108,7 +108,7 @@
   }
 
   private Deployment deployment(byte[] content) {
-    String hash = Agreement.hash(content);
+    String hash = ConfigurationAgreement.hash(content);
     Deployment known = read.get(hash);
     if (known != null) {
       return known;
@@ -155,7 +155,7 @@
     }
   }
 
-  Agreement agreement() {
+  ConfigurationAgreement agreement() {
     return agreement;
   }
 
@@ -164,7 +164,8 @@
    */
   Timestamp until(Timestamp now) {
     boolean may =
-        agreement.acting().mode() != Acting.Mode.BACK && agreement.leaseLeft(now).isPositive();
+        agreement.acting().mode() != ActiveConfiguration.Mode.BACK
+            && agreement.leaseLeft(now).isPositive();
     return may ? now.plus(agreement.leaseLeft(now)) : null;
   }
 
@@ -180,30 +181,32 @@
 
   // ---- what follows
 
-  void on(Acting on) {
-    Edition newest = on.newest();
+  void on(ActiveConfiguration on) {
+    ConfigurationVersion newest = on.newest();
     Deployment then = newest == null ? own : deployment(agreement.content(newest));
-    back = Caution.alone(then);
-    then = on.mode() == Acting.Mode.BACK ? back : then;
-    for (int i = on.editions().size() - 2; i >= 0; i--) {
-      then = Caution.between(deployment(agreement.content(on.editions().get(i))), then);
+    back = ConservativeMerge.alone(then);
+    then = on.mode() == ActiveConfiguration.Mode.BACK ? back : then;
+    for (int i = on.versions().size() - 2; i >= 0; i--) {
+      then = ConservativeMerge.between(deployment(agreement.content(on.versions().get(i))), then);
     }
     acts = then;
     counters.add(
-        on.mode() == Acting.Mode.BACK ? Count.AGREEMENT_STEPPED_BACK : Count.AGREEMENT_MOVES);
+        on.mode() == ActiveConfiguration.Mode.BACK
+            ? Count.AGREEMENT_STEPPED_BACK
+            : Count.AGREEMENT_MOVES);
     LOG.log(
         Level.INFO,
         "acts {0} on editions {1}",
         Field.of("mode", on.mode().label()),
         Field.of(
             "editions",
-            on.editions().stream()
+            on.versions().stream()
                 .map(e -> e.number() + ":" + e.hash())
                 .collect(Collectors.joining(" "))),
         Field.event("agreement.acts"));
   }
 
-  void noted(Doing.Noted noted) {
+  void noted(AgreementEffect.EventRecorded noted) {
     last = noted.event().label() + ": " + noted.detail();
     LOG.log(
         Level.INFO,
@@ -216,8 +219,8 @@
   /** SHOW cobaltseam.agreement. */
   List<String[]> rows(Timestamp now) {
     List<String[]> rows = new ArrayList<>();
-    Acting on = agreement.acting();
-    rows.add(new String[] {"acts", on.mode().label() + " on " + on.editions()});
+    ActiveConfiguration on = agreement.acting();
+    rows.add(new String[] {"acts", on.mode().label() + " on " + on.versions()});
     rows.add(
         new String[] {
           "since_ms",
@@ -231,7 +234,9 @@
     rows.add(
         new String[] {
           "by",
-          on.newest() == null ? "nobody" : on.newest().by().toString().toLowerCase(Locale.ROOT)
+          on.newest() == null
+              ? "nobody"
+              : on.newest().proposer().toString().toLowerCase(Locale.ROOT)
         });
     return rows;
   }
--- a/src/main/java/cobaltseam/service/Clients.java
+++ b/src/main/java/cobaltseam/service/Clients.java
@@ -2,7 +2,7 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.log.Field;
+import cobaltseam.logging.Field;
 import cobaltseam.postgres.ClientMessage;
 import cobaltseam.postgres.ClientParser;
 import cobaltseam.postgres.Replies;
--- a/src/main/java/cobaltseam/service/Engines.java
+++ b/src/main/java/cobaltseam/service/Engines.java
@@ -8,7 +8,7 @@
 import cobaltseam.dispatch.RequestId;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.log.Field;
+import cobaltseam.logging.Field;
 import cobaltseam.postgres.Statement;
 import cobaltseam.resp.EngineAnswer;
 import cobaltseam.resp.EngineCommands;
--- a/src/main/java/cobaltseam/service/EventBus.java
+++ b/src/main/java/cobaltseam/service/EventBus.java
@@ -4,7 +4,7 @@
 import cobaltseam.deployment.Fields;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.log.Field;
+import cobaltseam.logging.Field;
 import cobaltseam.service.Counters.Count;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/cobaltseam/service/FleetBridge.java
+++ b/src/main/java/cobaltseam/service/FleetBridge.java
@@ -1,13 +1,13 @@
 package cobaltseam.service;
 
+import cobaltseam.capacity.LoadReports;
+import cobaltseam.capacity.LoadReports.LoadReport;
+import cobaltseam.coordination.FleetCoordinator;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.EngineId;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.ground.Ground;
-import cobaltseam.log.Field;
-import cobaltseam.repeats.Purse;
-import cobaltseam.spread.Reports;
-import cobaltseam.spread.Reports.Report;
+import cobaltseam.logging.Field;
+import cobaltseam.retrybudget.RetryBudget;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -33,7 +33,7 @@
   private static final long TELLS_EVERY_US = 20_000;
 
   /** Reports that wait for an owner's thread that stands still: more are lost, the oldest first. */
-  private static final int MOST_UNTAKEN = 4 * Reports.MOST;
+  private static final int MOST_UNTAKEN = 4 * LoadReports.MOST;
 
   private final AtomicReference<FleetSnapshot> snapshot = new AtomicReference<>(FleetSnapshot.NONE);
 
@@ -44,9 +44,9 @@
    * What engines told here, whole and youngest; and what they told others that the owner's thread
    * has not taken yet.
    */
-  private final AtomicReference<List<Report>> toldHere = new AtomicReference<>(List.of());
+  private final AtomicReference<List<LoadReport>> toldHere = new AtomicReference<>(List.of());
 
-  private final AtomicReference<List<Report>> toldElsewhere = new AtomicReference<>();
+  private final AtomicReference<List<LoadReport>> toldElsewhere = new AtomicReference<>();
 
   /**
    * What is left to be sent again, in thousandths; and how often was sent at first and would have
@@ -71,7 +71,7 @@
   private long againUs = Long.MAX_VALUE;
   private double over;
   private Deployment acts;
-  private final Map<EngineId, Report> heard = new HashMap<>();
+  private final Map<EngineId, LoadReport> heard = new HashMap<>();
   private boolean heardAnew;
   private long tellsUs;
 
@@ -98,8 +98,8 @@
   // ---- the fleet's thread
 
   /** What is left to be sent again, as its purse sees it. */
-  Purse.Left left() {
-    return new Purse.Left() {
+  RetryBudget.RemainingRetries left() {
+    return new RetryBudget.RemainingRetries() {
       @Override
       public long get() {
         return furtherLeft.get();
@@ -113,15 +113,15 @@
   }
 
   /** What was sent so far. */
-  Ground.Sends sends() {
-    return new Ground.Sends() {
+  FleetCoordinator.AttemptCounts sends() {
+    return new FleetCoordinator.AttemptCounts() {
       @Override
-      public long firsts() {
+      public long firstAttempts() {
         return firsts.getOpaque();
       }
 
       @Override
-      public long furtherWanted() {
+      public long wantedRetries() {
         return wanted.getOpaque();
       }
     };
@@ -139,14 +139,14 @@
   }
 
   /** What engines told here last. */
-  List<Report> toldHere() {
+  List<LoadReport> toldHere() {
     return toldHere.getAcquire();
   }
 
   /** What engines told other dispatchers; what was not taken yet goes with it. */
-  void toldElsewhere(List<Report> news) {
-    List<Report> before = toldElsewhere.getAndSet(null);
-    List<Report> all =
+  void toldElsewhere(List<LoadReport> news) {
+    List<LoadReport> before = toldElsewhere.getAndSet(null);
+    List<LoadReport> all =
         new ArrayList<>(
             before == null
                 ? List.of()
@@ -165,9 +165,10 @@
   /** Whether what is known has changed, or time alone changes what follows from it. */
   void look() {
     offered.setOpaque(Double.doubleToRawLongBits(commands.offered()));
-    List<Report> told = toldElsewhere.getAcquire() == null ? null : toldElsewhere.getAndSet(null);
+    List<LoadReport> told =
+        toldElsewhere.getAcquire() == null ? null : toldElsewhere.getAndSet(null);
     if (told != null) {
-      told.forEach(r -> commands.reported(r.engine(), r.inHand(), r.at()));
+      told.forEach(r -> commands.reported(r.engine(), r.inFlight(), r.at()));
     }
     if (heardAnew && clock.us() >= tellsUs) {
       heardAnew = false;
@@ -182,7 +183,7 @@
 
   /** How many further sends are left. */
   long furtherLeft() {
-    return furtherLeft.get() / Purse.ONE;
+    return furtherLeft.get() / RetryBudget.ONE;
   }
 
   /** A command is sent for the first time. */
@@ -198,8 +199,8 @@
   /** Takes one further send; false if none is left by now. */
   boolean takesFurther() {
     wanted.setOpaque(wanted.getPlain() + 1);
-    for (long is = furtherLeft.get(); is >= Purse.ONE; is = furtherLeft.get()) {
-      if (furtherLeft.compareAndSet(is, is - Purse.ONE)) {
+    for (long is = furtherLeft.get(); is >= RetryBudget.ONE; is = furtherLeft.get()) {
+      if (furtherLeft.compareAndSet(is, is - RetryBudget.ONE)) {
         return true;
       }
     }
@@ -208,8 +209,8 @@
 
   /** An engine told that it holds so many commands that do not wait for memory. */
   void heard(EngineId engine, double inHand, Timestamp now) {
-    if (heard.size() < Reports.MOST || heard.containsKey(engine)) {
-      heard.put(engine, new Report(engine, inHand, now));
+    if (heard.size() < LoadReports.MOST || heard.containsKey(engine)) {
+      heard.put(engine, new LoadReport(engine, inHand, now));
       heardAnew = true;
     }
   }
--- a/src/main/java/cobaltseam/service/FleetNode.java
+++ b/src/main/java/cobaltseam/service/FleetNode.java
@@ -1,37 +1,37 @@
 package cobaltseam.service;
 
-import cobaltseam.agreement.Doing;
+import cobaltseam.agreement.AgreementEffect;
+import cobaltseam.capacity.CapacityLeases;
+import cobaltseam.capacity.DemandEstimate;
+import cobaltseam.capacity.LoadReports;
+import cobaltseam.coordination.FleetCoordinator;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.ground.Ground;
-import cobaltseam.hall.KeptCodec;
-import cobaltseam.hall.MessageCodec;
-import cobaltseam.hall.MessageCodec.Refusal;
-import cobaltseam.hall.PeerSocket;
-import cobaltseam.log.Field;
-import cobaltseam.membership.Act;
-import cobaltseam.membership.Birth;
-import cobaltseam.membership.Kept;
+import cobaltseam.logging.Field;
+import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.Lease;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
 import cobaltseam.membership.Membership;
-import cobaltseam.membership.Spoken;
-import cobaltseam.membership.Standing;
-import cobaltseam.membership.Terms;
+import cobaltseam.membership.MembershipAction;
+import cobaltseam.membership.MembershipOptions;
+import cobaltseam.membership.PeerMessage;
+import cobaltseam.membership.PersistentState;
+import cobaltseam.membership.QuorumState;
 import cobaltseam.membership.View;
 import cobaltseam.membership.ViewId;
-import cobaltseam.repeats.Purse;
+import cobaltseam.retrybudget.RetryBudget;
 import cobaltseam.service.Counters.Count;
-import cobaltseam.setup.Setup;
-import cobaltseam.sharing.Figures;
-import cobaltseam.sharing.Sharing;
-import cobaltseam.spread.Demand;
-import cobaltseam.spread.Holdings;
-import cobaltseam.spread.Reports;
-import cobaltseam.store.WholeFile;
-import cobaltseam.store.Writer;
+import cobaltseam.settings.Settings;
+import cobaltseam.sharing.MemberFigures;
+import cobaltseam.sharing.StateGossip;
+import cobaltseam.store.AtomicFile;
+import cobaltseam.store.BackgroundWriter;
+import cobaltseam.transport.MessageCodec;
+import cobaltseam.transport.MessageCodec.RejectionReason;
+import cobaltseam.transport.PeerDatagramSocket;
+import cobaltseam.transport.PersistentStateCodec;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -48,9 +48,9 @@
 
 /**
  * This dispatcher among those of its fleet, on a thread of its own: the one room for members'
- * messages. It carries them between the socket and {@link Ground}, which hands each to the module
- * it is for, and publishes what follows for the module of commands through {@link FleetBridge}. A
- * fault of it ends it and nothing else: the service goes on as one without it.
+ * messages. It carries them between the socket and {@link FleetCoordinator}, which hands each to
+ * the module it is for, and publishes what follows for the module of commands through {@link
+ * FleetBridge}. A fault of it ends it and nothing else: the service goes on as one without it.
  */
 final class FleetNode {
   private static final System.Logger LOG = System.getLogger(FleetNode.class.getName());
@@ -67,10 +67,10 @@
   /** By which part the rates of two clocks differ at most. */
   private static final double CLOCKS = 0.001;
 
-  private record Tell(InetSocketAddress to, Spoken message) {}
+  private record Tell(InetSocketAddress to, PeerMessage message) {}
 
-  private final Setup.Fleet told;
-  private final Setup.Spread spread;
+  private final Settings.MembershipSettings told;
+  private final Settings.CapacitySettings spread;
 
   /** The view that an operator had this dispatcher found another line for, or null. */
   private String foundedAnew;
@@ -84,32 +84,32 @@
   private final Counters counters;
   private final BoundedLog log;
   private final MessageCodec codec;
-  private final PeerSocket socket;
+  private final PeerDatagramSocket socket;
   private final Membership membership;
   private final Lease lease;
   private final Agreed agreed;
-  private final Sharing sharing;
-  private final Holdings holdings;
-  private final Demand demand;
+  private final StateGossip sharing;
+  private final CapacityLeases holdings;
+  private final DemandEstimate demand;
 
   /** What engines told; null where members do not tell each other. */
-  private final Reports reports;
+  private final LoadReports reports;
 
   /** Caps further sends over the fleet; null where it does not. */
-  private final Purse purse;
+  private final RetryBudget purse;
 
-  private final Ground ground;
+  private final FleetCoordinator ground;
 
   /** Datagrams to send once what follows from them here is published. */
   private final List<Tell> tells = new ArrayList<>();
 
-  private final Map<Refusal, Long> refused = new EnumMap<>(Refusal.class);
+  private final Map<RejectionReason, Long> refused = new EnumMap<>(RejectionReason.class);
   private final Map<String, Supplier<List<String[]>>> rows = new HashMap<>();
   private final AtomicReference<Map<String, List<String[]>>> shown =
       new AtomicReference<>(Map.of());
   private Deadlines.Deadline wake, falls, shows;
   private Timestamp dueAt, saidAt;
-  private Standing standing = Standing.NONE;
+  private QuorumState standing = QuorumState.NONE;
   private FleetSnapshot snapshot = FleetSnapshot.NONE;
 
   /** Set once, by its own thread. */
@@ -119,10 +119,10 @@
   private boolean open;
 
   /** What the lasting folder held at the start, or null. */
-  private final Kept former;
+  private final PersistentState former;
 
   /** Writes the lasting folder; null where there is none, and then why. */
-  private final Writer writer;
+  private final BackgroundWriter writer;
 
   private String folderState = "";
 
@@ -130,7 +130,7 @@
    * @param setup with membership on
    */
   FleetNode(
-      Setup setup,
+      Settings setup,
       ServiceConfiguration configuration,
       byte[] document,
       FleetBridge bridge,
@@ -158,9 +158,9 @@
             told.fleet(),
             told.sealing() == null ? null : told.sealing().keys(),
             told.sealing() == null ? 0 : told.sealing().writeKey());
-    socket = new PeerSocket(told.listen(), this::came);
-    Terms terms =
-        new Terms(
+    socket = new PeerDatagramSocket(told.listen(), this::came);
+    MembershipOptions terms =
+        new MembershipOptions(
             told.period(),
             told.patience(),
             told.helpers(),
@@ -169,12 +169,13 @@
             longest);
     // Later than any earlier process here, if clocks are right; if not, peers say so and it is
     // raised.
-    Birth birth = new Birth(Math.max(1, System.currentTimeMillis()));
+    Incarnation birth = new Incarnation(Math.max(1, System.currentTimeMillis()));
     Member self = new Member(new MemberName(configuration.name()), birth, told.advertise());
     SplittableRandom chance = new SplittableRandom(configuration.seed() ^ System.nanoTime());
-    WholeFile file = folder();
+    AtomicFile file = folder();
     former = file == null ? null : former(file);
-    writer = folderState.isEmpty() ? new Writer(file, this::stored, this::notStored) : null;
+    writer =
+        folderState.isEmpty() ? new BackgroundWriter(file, this::stored, this::notStored) : null;
     membership =
         writer == null
             ? new Membership(terms, self, chance.split())
@@ -184,29 +185,30 @@
     lease =
         lasts == null
             ? null
-            : new Lease(new Lease.Terms(lasts, CLOCKS), membership, chance.split());
+            : new Lease(new Lease.LeaseOptions(lasts, CLOCKS), membership, chance.split());
     agreed = setup.agreed() == null ? null : agreed(setup.agreed(), own, document, chance.split());
     sharing =
         !divides() && setup.repeats() == null
             ? null
-            : new Sharing(
+            : new StateGossip(
                 self.name(),
-                membership.self().birth(),
-                setup.sharing(MessageCodec.LARGEST / 2, CLOCKS),
+                membership.self().incarnation(),
+                setup.sharing(MessageCodec.MAX_MESSAGE_BYTES / 2, CLOCKS),
                 chance.split(),
                 clock.now());
     ground =
-        new Ground(
+        new FleetCoordinator(
             membership, lease, agreed == null ? null : agreed.agreement(), sharing, new Does());
     holdings =
         !divides()
             ? null
-            : new Holdings(spread.terms(own.dispatcherCount()), ground.under(), chance.split());
-    demand = !divides() ? null : new Demand(spread.window());
+            : new CapacityLeases(
+                spread.terms(own.dispatcherCount()), ground.under(), chance.split());
+    demand = !divides() ? null : new DemandEstimate(spread.window());
     reports =
         spread == null || !spread.news().isPositive()
             ? null
-            : new Reports(spread.reports(CLOCKS), chance.split(), clock.now());
+            : new LoadReports(spread.reports(CLOCKS), chance.split(), clock.now());
     if (reports != null) {
       ground.hears(reports);
       bridge.hears();
@@ -217,7 +219,7 @@
     purse =
         setup.repeats() == null
             ? null
-            : new Purse(setup.repeats().terms(CLOCKS), bridge.left(), chance.split());
+            : new RetryBudget(setup.repeats().terms(CLOCKS), bridge.left(), chance.split());
     if (purse != null) {
       ground.caps(purse, bridge.sends());
       bridge.caps();
@@ -238,7 +240,7 @@
   }
 
   private Agreed agreed(
-      Setup.Agreed with, Deployment own, byte[] document, SplittableRandom chance) {
+      Settings.AgreementSettings with, Deployment own, byte[] document, SplittableRandom chance) {
     Agreed a = new Agreed(with, membership, lease, own, counters, chance);
     a.own(document);
     if (former != null) {
@@ -262,26 +264,28 @@
    * The folder, where there is one that can be used; else why it is not, and membership goes on
    * without.
    */
-  private WholeFile folder() {
+  private AtomicFile folder() {
     if (told.folder() == null) {
       folderState = "none";
       return null;
     }
     try {
-      return WholeFile.open(told.folder(), KeptCodec.NAME, KeptCodec.FORMAT);
+      return AtomicFile.open(
+          told.folder(), PersistentStateCodec.FILE_NAME, PersistentStateCodec.FORMAT);
     } catch (IOException e) {
       withoutFolder(String.valueOf(e.getMessage()));
       return null;
     }
   }
 
-  private Kept former(WholeFile file) {
+  private PersistentState former(AtomicFile file) {
     try {
-      WholeFile.Reading reading = file.read();
-      Kept former = reading.value() == null ? null : KeptCodec.read(reading.value()).orElse(null);
-      if (reading.found() == WholeFile.Found.LATER) {
+      AtomicFile.Reading reading = file.read();
+      PersistentState former =
+          reading.value() == null ? null : PersistentStateCodec.read(reading.value()).orElse(null);
+      if (reading.found() == AtomicFile.ReadStatus.LATER) {
         withoutFolder("written by a later program; it is left as it is");
-      } else if (reading.found() == WholeFile.Found.BROKEN
+      } else if (reading.found() == AtomicFile.ReadStatus.BROKEN
           || reading.value() != null && former == null) {
         LOG.log(
             Level.WARNING,
@@ -323,7 +327,7 @@
         Level.INFO,
         "member {0}, birth {1}, of fleet {2} on {3}",
         Field.of("member", membership.self().name()),
-        Field.of("birth", membership.self().birth()),
+        Field.of("birth", membership.self().incarnation()),
         Field.of("fleet", told.fleet()),
         Field.of("address", told.advertise()),
         Field.event("membership.opened"));
@@ -401,11 +405,11 @@
    * What the own file says now: an operator's founding is heeded, all else waits for the next
    * start.
    */
-  void renewed(Setup.Fleet now) {
+  void renewed(Settings.MembershipSettings now) {
     inbox.post(null, () -> renewedHere(now));
   }
 
-  private void renewedHere(Setup.Fleet now) {
+  private void renewedHere(Settings.MembershipSettings now) {
     boolean anew = now.foundAnew() != null && !now.foundAnew().equals(foundedAnew);
     if (!now.fixed().equals(told.fixed())) {
       LOG.log(
@@ -418,7 +422,7 @@
       // What was refused may be said again in the same words.
       boolean founded =
           membership.view() != null
-              && membership.view().id().line() == membership.self().birth().value();
+              && membership.view().id().lineage() == membership.self().incarnation().value();
       foundedAnew = founded ? now.foundAnew() : null;
     }
   }
@@ -437,14 +441,14 @@
   }
 
   private void heard(byte[] bytes) {
-    MessageCodec.Reading reading = codec.read(bytes);
-    if (reading.refusal() != null) {
+    MessageCodec.DecodedMessage reading = codec.read(bytes);
+    if (reading.rejection() != null) {
       counters.add(Count.MEMBERSHIP_DATAGRAMS_REFUSED);
-      refused.merge(reading.refusal(), 1L, Long::sum);
+      refused.merge(reading.rejection(), 1L, Long::sum);
       log.warn(
           "a datagram to {0} is refused: {1}",
           Field.of("address", told.listen()),
-          Field.of("reason", reading.refusal().label()),
+          Field.of("reason", reading.rejection().label()),
           Field.event("membership.refused"));
       return;
     }
@@ -483,7 +487,7 @@
       }
       asked.run();
       if (reports != null) {
-        List<Reports.Report> news = reports.news();
+        List<LoadReports.LoadReport> news = reports.news();
         if (!news.isEmpty()) {
           bridge.toldElsewhere(news);
         }
@@ -517,28 +521,28 @@
       if (holdings != null) {
         double rate = demand.told(bridge.offered(), now);
         holdings.needs(rate);
-        figures.put(Ground.DEMAND, Ground.figure(rate));
+        figures.put(FleetCoordinator.DEMAND, FleetCoordinator.figure(rate));
       }
       if (purse != null) {
-        figures.put(Ground.SPARE, purse.spare());
+        figures.put(FleetCoordinator.SPARE, purse.spare());
       }
-      sharing.say(new Figures(figures));
+      sharing.say(new MemberFigures(figures));
     }
   }
 
   /** Does what is decided. */
-  private final class Does implements Ground.Out {
+  private final class Does implements FleetCoordinator.EffectSink {
     @Override
-    public void tell(InetSocketAddress to, Spoken message) {
+    public void tell(InetSocketAddress to, PeerMessage message) {
       tells.add(new Tell(to, message));
     }
 
     @Override
-    public void act(Act act) {
-      if (act instanceof Act.Keep keep) {
+    public void act(MembershipAction act) {
+      if (act instanceof MembershipAction.Persist keep) {
         counters.add(Count.MEMBERSHIP_KEPT);
-        writer.give(keep.number(), () -> KeptCodec.write(keep.what()));
-      } else if (act instanceof Act.Installed installed) {
+        writer.give(keep.number(), () -> PersistentStateCodec.write(keep.what()));
+      } else if (act instanceof MembershipAction.ViewInstalled installed) {
         counters.add(Count.MEMBERSHIP_VIEWS);
         View view = installed.view();
         LOG.log(
@@ -551,11 +555,11 @@
                 view == null
                     ? ""
                     : view.members().stream()
-                        .map(m -> m.name() + "#" + m.birth())
+                        .map(m -> m.name() + "#" + m.incarnation())
                         .collect(Collectors.joining(" "))),
-            Field.of("birth", membership.self().birth()),
+            Field.of("birth", membership.self().incarnation()),
             Field.event("membership.view"));
-      } else if (act instanceof Act.Noted noted) {
+      } else if (act instanceof MembershipAction.EventRecorded noted) {
         counters.add(
             switch (noted.event()) {
               case SUSPECTED -> Count.MEMBERSHIP_SUSPECTED;
@@ -572,10 +576,10 @@
     }
 
     @Override
-    public void doing(Doing doing) {
-      if (doing instanceof Doing.Acts acts) {
+    public void doing(AgreementEffect doing) {
+      if (doing instanceof AgreementEffect.Activate acts) {
         agreed.on(acts.on());
-      } else if (doing instanceof Doing.Noted noted) {
+      } else if (doing instanceof AgreementEffect.EventRecorded noted) {
         agreed.noted(noted);
       }
     }
@@ -585,7 +589,7 @@
     byte[] bytes = codec.write(tell.message);
     try {
       if (bytes == null) {
-        throw new IOException("longer than " + MessageCodec.LARGEST + " bytes");
+        throw new IOException("longer than " + MessageCodec.MAX_MESSAGE_BYTES + " bytes");
       }
       socket.send(bytes, tell.to);
       counters.add(Count.MEMBERSHIP_DATAGRAMS_SENT);
@@ -601,7 +605,7 @@
   }
 
   private void stands() {
-    Standing now = membership.standing();
+    QuorumState now = membership.standing();
     if (now != standing) {
       standing = now;
       LOG.log(
@@ -655,7 +659,9 @@
         holdings == null
             ? last
             : last.with(
-                List.of(new Holdings.Step(null, spread.terms(bridge.dispatchers()).alonePart())),
+                List.of(
+                    new CapacityLeases.CapacityStep(
+                        null, spread.terms(bridge.dispatchers()).alonePart())),
                 spread.whole()));
     close();
     try {
@@ -674,7 +680,7 @@
     shown.setRelease(Map.copyOf(all));
   }
 
-  /** SHOW cobaltseam.spread. */
+  /** SHOW cobaltseam.capacity. */
   private List<String[]> spreadRows() {
     Timestamp now = clock.now();
     List<String[]> told = new ArrayList<>();
@@ -691,15 +697,15 @@
     told.add(new String[] {"lent", part(holdings.lentOut(now))});
     told.add(new String[] {"borrowed", part(holdings.borrowed(now))});
     told.add(new String[] {"lease_left_ms", Long.toString(lease.left(now).us() / US_PER_MS)});
-    Sharing.Sum sum = sharing.sum(Ground.DEMAND, now);
+    StateGossip.Sum sum = sharing.sum(FleetCoordinator.DEMAND, now);
     told.add(
         new String[] {
           "demand_threads",
           String.format(
               Locale.ROOT,
               "%.3f of %.3f, %d members known, %d not",
-              Ground.demand(sharing.own(Ground.DEMAND)) / SECOND_US,
-              Ground.demand(sum.sum()) / SECOND_US,
+              FleetCoordinator.demand(sharing.own(FleetCoordinator.DEMAND)) / SECOND_US,
+              FleetCoordinator.demand(sum.sum()) / SECOND_US,
               sum.counted(),
               sum.unknown())
         });
@@ -709,26 +715,26 @@
     return told;
   }
 
-  /** SHOW cobaltseam.repeats. */
+  /** SHOW cobaltseam.retrybudget. */
   private List<String[]> repeatRows() {
     List<String[]> told = new ArrayList<>();
     told.add(
         new String[] {
-          "left", String.format(Locale.ROOT, "%.3f", (double) bridge.left().get() / Purse.ONE)
+          "left", String.format(Locale.ROOT, "%.3f", (double) bridge.left().get() / RetryBudget.ONE)
         });
     told.add(new String[] {"wanted_a_second", String.format(Locale.ROOT, "%.3f", purse.need())});
-    told.add(new String[] {"first_sends", Long.toString(bridge.sends().firsts())});
+    told.add(new String[] {"first_sends", Long.toString(bridge.sends().firstAttempts())});
     told.add(
-        new String[] {"further_sends_and_denied", Long.toString(bridge.sends().furtherWanted())});
+        new String[] {"further_sends_and_denied", Long.toString(bridge.sends().wantedRetries())});
     told.add(new String[] {"denied", Long.toString(counters.of(Count.REPEATS_DENIED))});
-    Sharing.Sum spare = sharing.sum(Ground.SPARE, clock.now());
+    StateGossip.Sum spare = sharing.sum(FleetCoordinator.SPARE, clock.now());
     told.add(
         new String[] {
           "others_can_spare",
           String.format(
               Locale.ROOT,
               "%.3f, %d members known, %d not",
-              (double) (spare.sum() - sharing.own(Ground.SPARE)) / Purse.ONE,
+              (double) (spare.sum() - sharing.own(FleetCoordinator.SPARE)) / RetryBudget.ONE,
               spare.counted(),
               spare.unknown())
         });
@@ -750,7 +756,7 @@
           "self",
           membership.self().name()
               + " birth "
-              + membership.self().birth()
+              + membership.self().incarnation()
               + " at "
               + told.advertise()
         });
@@ -784,8 +790,9 @@
                           + (folderState.isEmpty() ? "lost while it ran" : folderState))
         });
     rows.add(new String[] {"bears_ms", Long.toString(membership.bears().us() / US_PER_MS)});
-    for (Membership.Seen seen : membership.seen()) {
-      boolean held = view != null && view.holds(seen.member().name(), seen.member().birth());
+    for (Membership.MemberStatus seen : membership.seen()) {
+      boolean held =
+          view != null && view.contains(seen.member().name(), seen.member().incarnation());
       rows.add(
           new String[] {
             "member_" + seen.member().name(),
@@ -795,7 +802,7 @@
                 + " ms, "
                 + (held ? "in the view" : "not in the view")
                 + ", birth "
-                + seen.member().birth()
+                + seen.member().incarnation()
                 + " incarnation "
                 + seen.incarnation()
                 + ", heard "
--- a/src/main/java/cobaltseam/service/FleetSnapshot.java
+++ b/src/main/java/cobaltseam/service/FleetSnapshot.java
@@ -1,7 +1,7 @@
 package cobaltseam.service;
 
+import cobaltseam.capacity.CapacityLeases;
 import cobaltseam.dispatch.Deployment;
-import cobaltseam.spread.Holdings;
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.Collectors;
@@ -24,7 +24,7 @@
   static final FleetSnapshot NONE = new FleetSnapshot(0, null, null, Long.MAX_VALUE, null, null);
 
   /** The same with parts that follow from holdings. */
-  FleetSnapshot with(List<Holdings.Step> steps, long whole) {
+  FleetSnapshot with(List<CapacityLeases.CapacityStep> steps, long whole) {
     long[] ends =
         steps.stream()
             .mapToLong(s -> s.until() == null ? Long.MAX_VALUE : s.until().us())
--- a/src/main/java/cobaltseam/service/Hall.java
+++ b/src/main/java/cobaltseam/service/Hall.java
@@ -3,21 +3,21 @@
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.hall.AdvertSocket;
-import cobaltseam.log.Field;
-import cobaltseam.mastership.Act;
-import cobaltseam.mastership.Fitness;
-import cobaltseam.mastership.Fitness.Sign;
-import cobaltseam.mastership.Freshness;
-import cobaltseam.mastership.Intake;
+import cobaltseam.logging.Field;
+import cobaltseam.mastership.AdvertFilter;
+import cobaltseam.mastership.HealthScore;
+import cobaltseam.mastership.HealthScore.HealthSignal;
 import cobaltseam.mastership.Mastership;
-import cobaltseam.mastership.Reason;
+import cobaltseam.mastership.MastershipAction;
+import cobaltseam.mastership.ReplayGuard;
 import cobaltseam.mastership.Role;
-import cobaltseam.mastership.Standing;
-import cobaltseam.mastership.Terms;
+import cobaltseam.mastership.RouterOptions;
+import cobaltseam.mastership.RouterState;
+import cobaltseam.mastership.TransitionReason;
 import cobaltseam.mastership.VirtualRouterId;
 import cobaltseam.service.Counters.Count;
-import cobaltseam.setup.Setup;
+import cobaltseam.settings.Settings;
+import cobaltseam.transport.AdvertDatagramSocket;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Advert;
 import cobaltseam.vrrp.AdvertCodec;
@@ -90,16 +90,16 @@
   private final BoundedLog log;
   private final InetAddress self;
   private final int dispatchersTold;
-  private final Freshness freshness;
+  private final ReplayGuard freshness;
   private final Mastership mastership;
-  private final Intake intake;
-  private final Fitness fitness;
-  private final AdvertSocket socket;
+  private final AdvertFilter intake;
+  private final HealthScore fitness;
+  private final AdvertDatagramSocket socket;
   private final ExecutorService listening = Executors.newSingleThreadExecutor(Hall::thread);
   private final Map<VirtualRouterId, Listener> listeners = new HashMap<>();
   private final Map<SocketAddress, VirtualRouterId> routers = new HashMap<>();
   private final Map<VirtualRouterId, Timestamp> noted = new HashMap<>();
-  private Setup.Hall told;
+  private Settings.VirtualAddressSettings told;
   private Deadlines.Deadline wake;
   private Timestamp beat;
   private long sequence;
@@ -107,7 +107,7 @@
   private boolean broken;
 
   Hall(
-      Setup.Hall told,
+      Settings.VirtualAddressSettings told,
       ServiceConfiguration configuration,
       Supplier<Report> report,
       Commands commands,
@@ -131,7 +131,7 @@
     dispatchersTold = configuration.deployment().dispatcherCount();
     sharedOver = dispatchersTold;
     TimeSpan difference = told.sealing() == null ? TimeSpan.ZERO : told.sealing().clockDifference();
-    freshness = new Freshness(clock.now(), difference);
+    freshness = new ReplayGuard(clock.now(), difference);
     TimeSpan longest =
         configuration.deployment().requestClasses().stream()
             .map(Deployment.RequestClass::deadline)
@@ -147,14 +147,14 @@
             freshness.listen(),
             told.followsIntervals());
     intake =
-        new Intake(
+        new AdvertFilter(
             self,
             mastership,
             freshness,
             told.peerAddresses(),
             told.sealing() == null ? null : told.sealing().keys());
-    fitness = new Fitness(told.fitness());
-    socket = new AdvertSocket(told.listen(), told.peerAddresses(), this::came);
+    fitness = new HealthScore(told.fitness());
+    socket = new AdvertDatagramSocket(told.listen(), told.peerAddresses(), this::came);
     told.seats().forEach(this::listener);
     clients.guardedBy(this);
     clients.shows("mastership", this::rows);
@@ -173,7 +173,7 @@
         : Math.max(0, dispatchersTold - 1 - told.peers().size());
   }
 
-  private void listener(Setup.Seat seat) {
+  private void listener(Settings.RouterSettings seat) {
     Listener l = listeners.computeIfAbsent(seat.terms().router(), r -> new Listener());
     l.serve = seat.serve();
     routers.put(seat.serve(), seat.terms().router());
@@ -198,7 +198,7 @@
   }
 
   /** New terms of the own file; what they can't change here stays until the next start. */
-  void renewed(Setup.Hall anew) {
+  void renewed(Settings.VirtualAddressSettings anew) {
     if (!anew.listen().equals(told.listen())
         || anew.sealing() == null != (told.sealing() == null)) {
       LOG.log(
@@ -206,7 +206,7 @@
           "mastership.listen, and whether adverts are sealed, stay until the next start",
           Field.event("configuration.partly"));
       anew =
-          new Setup.Hall(
+          new Settings.VirtualAddressSettings(
               told.listen(),
               anew.peers(),
               anew.covers(),
@@ -221,7 +221,7 @@
     Set<InetAddress> peers = told.peerAddresses();
     fitness.renewed(told.fitness());
     // Served elsewhere from now on: what is open at the old address is wound down as on any loss.
-    for (Setup.Seat seat : told.seats()) {
+    for (Settings.RouterSettings seat : told.seats()) {
       Listener l = listeners.get(seat.terms().router());
       if (l != null && !l.serve.equals(seat.serve())) {
         boolean wanted = l.wanted;
@@ -247,7 +247,7 @@
 
   /** Resigns: a peer takes over within its skew. What is in hand here is finished. */
   void leave() {
-    act(() -> mastership.stop(Reason.ENDED, clock.now()));
+    act(() -> mastership.stop(TransitionReason.ENDED, clock.now()));
   }
 
   void close() {
@@ -271,7 +271,7 @@
       return;
     }
     Timestamp now = clock.now();
-    Intake.Verdict verdict;
+    AdvertFilter.Verdict verdict;
     try {
       verdict = intake.judge(bytes, source, self, now);
     } catch (RuntimeException e) {
@@ -335,17 +335,17 @@
     return refused;
   }
 
-  private Map<Sign, Double> signs(TimeSpan late) {
+  private Map<HealthSignal, Double> signs(TimeSpan late) {
     Report seen = report.get();
-    Map<Sign, Double> values = new EnumMap<>(Sign.class);
-    values.put(Sign.BUS_SILENT, seen.busSilent().us() / SECOND_US);
-    values.put(Sign.NO_ENGINE, seen.engines() == 0 ? 1.0 : 0.0);
-    values.put(Sign.ENGINES_FAILING, seen.failing());
-    values.put(Sign.DESCRIPTORS, seen.descriptors());
-    values.put(Sign.LATE, late.us() / SECOND_US);
+    Map<HealthSignal, Double> values = new EnumMap<>(HealthSignal.class);
+    values.put(HealthSignal.BUS_SILENT, seen.busSilent().us() / SECOND_US);
+    values.put(HealthSignal.NO_ENGINE, seen.engines() == 0 ? 1.0 : 0.0);
+    values.put(HealthSignal.ENGINES_FAILING, seen.failing());
+    values.put(HealthSignal.DESCRIPTORS, seen.descriptors());
+    values.put(HealthSignal.LATE, late.us() / SECOND_US);
     double memory = memory();
     if (memory >= 0) {
-      values.put(Sign.MEMORY, memory);
+      values.put(HealthSignal.MEMORY, memory);
     }
     return values;
   }
@@ -365,12 +365,12 @@
   // ---- what follows
 
   /** Asks mastership, and does what it says; a fault of it ends mastership and nothing else. */
-  private void act(Supplier<List<Act>> asked) {
+  private void act(Supplier<List<MastershipAction>> asked) {
     if (broken) {
       return;
     }
     try {
-      for (Act act : asked.get()) {
+      for (MastershipAction act : asked.get()) {
         carryOut(act);
       }
       Timestamp now = clock.now();
@@ -386,11 +386,11 @@
     }
   }
 
-  private void carryOut(Act act) {
+  private void carryOut(MastershipAction act) {
     VirtualRouterId router = act.router();
-    if (act instanceof Act.Advertise advertise) {
+    if (act instanceof MastershipAction.Advertise advertise) {
       advertise(router, advertise.priority());
-    } else if (act instanceof Act.Take take) {
+    } else if (act instanceof MastershipAction.Acquire take) {
       counters.add(Count.MASTERSHIP_TAKEN);
       LOG.log(
           Level.INFO,
@@ -399,9 +399,9 @@
           Field.of("reason", take.reason().label()),
           Field.event("mastership.taken"));
       want(router);
-    } else if (act instanceof Act.Leave leave) {
+    } else if (act instanceof MastershipAction.Release leave) {
       counters.add(Count.MASTERSHIP_LEFT);
-      if (leave.reason() == Reason.FENCED) {
+      if (leave.reason() == TransitionReason.FENCED) {
         counters.add(Count.MASTERSHIP_FENCED);
       }
       LOG.log(
@@ -415,7 +415,7 @@
   }
 
   private void advertise(VirtualRouterId router, int priority) {
-    Terms terms = mastership.terms(router);
+    RouterOptions terms = mastership.terms(router);
     Advert advert =
         new Advert(
             router.value(),
@@ -536,10 +536,10 @@
     LOG.log(Level.ERROR, "a fault in mastership, which ends here until the next start", e);
     try {
       mastership
-          .stop(Reason.FAULT, clock.now())
+          .stop(TransitionReason.FAULT, clock.now())
           .forEach(
               a -> {
-                if (a instanceof Act.Advertise resigns) {
+                if (a instanceof MastershipAction.Advertise resigns) {
                   advertise(resigns.router(), resigns.priority());
                 }
               });
@@ -595,10 +595,12 @@
     rows.add(
         new String[] {
           "fitness_steps",
-          mastership.reduction() + " " + fitness.counting().stream().map(Sign::label).toList()
+          mastership.reduction()
+              + " "
+              + fitness.counting().stream().map(HealthSignal::label).toList()
         });
     for (VirtualRouterId router : mastership.routers()) {
-      Standing s = mastership.standing(router);
+      RouterState s = mastership.standing(router);
       String name = "router_" + router + "_";
       rows.add(
           new String[] {
--- a/src/main/java/cobaltseam/service/Service.java
+++ b/src/main/java/cobaltseam/service/Service.java
@@ -2,11 +2,11 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.log.Field;
-import cobaltseam.log.JsonLines;
+import cobaltseam.logging.Field;
+import cobaltseam.logging.JsonLines;
 import cobaltseam.service.Counters.Count;
-import cobaltseam.setup.Setup;
-import cobaltseam.setup.SetupReader;
+import cobaltseam.settings.Settings;
+import cobaltseam.settings.SettingsReader;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.lang.System.Logger.Level;
@@ -140,7 +140,7 @@
    * @param own the file that tells what is on beyond the platform's configuration, or null
    */
   public static void run(Path own) throws IOException, InterruptedException {
-    Setup setup = own == null ? null : SetupReader.read(own);
+    Settings setup = own == null ? null : SettingsReader.read(own);
     if (setup != null && setup.jsonLog()) {
       JsonLines.install();
     }
@@ -275,7 +275,7 @@
   private synchronized void readAnew(Map<String, String> environment) {
     try {
       ServiceConfiguration anew = ServiceConfiguration.read(environment);
-      Setup setup = own == null ? null : SetupReader.read(own);
+      Settings setup = own == null ? null : SettingsReader.read(own);
       byte[] document =
           !agrees
               ? null
@@ -332,7 +332,7 @@
         Field.event("configuration.read"));
   }
 
-  private void renewed(Setup setup) {
+  private void renewed(Settings setup) {
     if (fleetNode != null && setup.fleet() != null) {
       fleetNode.renewed(setup.fleet());
     } else if (fleetNode != null || setup.fleet() != null) {
@@ -371,18 +371,18 @@
   }
 
   /** Takes part in a hall from the start on. */
-  void joins(Setup.Hall with) {
+  void joins(Settings.VirtualAddressSettings with) {
     joins(with, this::report);
   }
 
-  void joins(Setup.Hall with, Supplier<Hall.Report> fitness) {
+  void joins(Settings.VirtualAddressSettings with, Supplier<Hall.Report> fitness) {
     hall =
         new Hall(
             with, told, fitness, commands, clients, acceptor, inbox, clock, deadlines, counters);
   }
 
   /** Takes part in a fleet from the start on. */
-  void joinsFleet(Setup setup, byte[] configuration) {
+  void joinsFleet(Settings setup, byte[] configuration) {
     agrees = setup.agreed() != null;
     bridge = new FleetBridge(commands, inbox, clock, told.deployment(), hall != null);
     fleetNode =
--- a/src/main/java/cobaltseam/service/Warmup.java
+++ b/src/main/java/cobaltseam/service/Warmup.java
@@ -4,7 +4,7 @@
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.EndpointStatus;
 import cobaltseam.dispatch.EngineId;
-import cobaltseam.log.Field;
+import cobaltseam.logging.Field;
 import cobaltseam.resp.RespParser;
 import java.io.DataInputStream;
 import java.io.IOException;
--- a/src/main/java/cobaltseam/setup/Setup.java
+++ b/src/main/java/cobaltseam/settings/Settings.java
@@ -1,9 +1,9 @@
-package cobaltseam.setup;
+package cobaltseam.settings;
 
+import cobaltseam.authentication.KeyRing;
 import cobaltseam.dispatch.TimeSpan;
-import cobaltseam.mastership.Fitness;
-import cobaltseam.mastership.Terms;
-import cobaltseam.seal.SealKeys;
+import cobaltseam.mastership.HealthScore;
+import cobaltseam.mastership.RouterOptions;
 import cobaltseam.vrrp.Reading.Covers;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -13,19 +13,24 @@
 import java.util.stream.Collectors;
 
 /** What our own file switches on; a part that is null is off. */
-public record Setup(
-    boolean jsonLog, Hall hall, Fleet fleet, Agreed agreed, Spread spread, Repeats repeats) {
+public record Settings(
+    boolean jsonLog,
+    VirtualAddressSettings hall,
+    MembershipSettings fleet,
+    AgreementSettings agreed,
+    CapacitySettings spread,
+    RetryBudgetSettings repeats) {
   /** Without a file: everything is off. */
-  public static final Setup OFF = new Setup(false, null, null, null, null, null);
+  public static final Settings OFF = new Settings(false, null, null, null, null, null);
 
   private static final TimeSpan SHARING_ROUND = new TimeSpan(1_000_000);
   private static final int SHARING_ASKED = 3;
   private static final int SHARING_ROUNDS = 10;
 
   /** How members tell each other their figures. */
-  public cobaltseam.sharing.Terms sharing(int mostBytes, double clocks) {
+  public cobaltseam.sharing.GossipOptions sharing(int mostBytes, double clocks) {
     TimeSpan round = spread != null ? spread.round() : SHARING_ROUND;
-    return new cobaltseam.sharing.Terms(
+    return new cobaltseam.sharing.GossipOptions(
         round,
         SHARING_ASKED,
         spread != null ? spread.end() : round.times(SHARING_ROUNDS),
@@ -37,27 +42,27 @@
    * The group of dispatchers that share virtual addresses by VRRP; elsewhere is below zero where it
    * is not set.
    */
-  public record Hall(
+  public record VirtualAddressSettings(
       InetSocketAddress listen,
       List<InetSocketAddress> peers,
       Covers covers,
       boolean followsIntervals,
       int elsewhere,
       boolean standByAnswers,
-      List<Seat> seats,
-      Sealing sealing,
-      Fitness.Watched fitness) {
+      List<RouterSettings> seats,
+      AuthenticationSettings sealing,
+      HealthScore.HealthScoreOptions fitness) {
     public Set<InetAddress> peerAddresses() {
       return peers.stream().map(InetSocketAddress::getAddress).collect(Collectors.toSet());
     }
 
-    public List<Terms> terms() {
-      return seats.stream().map(Seat::terms).toList();
+    public List<RouterOptions> terms() {
+      return seats.stream().map(RouterSettings::terms).toList();
     }
   }
 
   /** One virtual router, and where clients are taken in while it is active. */
-  public record Seat(Terms terms, InetSocketAddress serve) {}
+  public record RouterSettings(RouterOptions terms, InetSocketAddress serve) {}
 
   /**
    * The fleet that this dispatcher is a member of.
@@ -66,7 +71,7 @@
    * @param foundAnew the view whose majority an operator says is gone for good, or null
    * @param sealing null where messages have no seal
    */
-  public record Fleet(
+  public record MembershipSettings(
       String fleet,
       InetSocketAddress listen,
       InetSocketAddress advertise,
@@ -77,10 +82,10 @@
       int helpers,
       Path folder,
       String foundAnew,
-      Sealing sealing) {
+      AuthenticationSettings sealing) {
     /** What is read at the start alone, keys of seals aside. */
-    public Fleet fixed() {
-      return new Fleet(
+    public MembershipSettings fixed() {
+      return new MembershipSettings(
           fleet, listen, advertise, seeds, founders, period, patience, helpers, folder, null, null);
     }
   }
@@ -89,7 +94,7 @@
    * That the fleet agrees on the settings of decisions: for how long two members may contradict
    * each other.
    */
-  public record Agreed(TimeSpan contradiction) {}
+  public record AgreementSettings(TimeSpan contradiction) {}
 
   /**
    * What the fleet knows together of engines and of what its members need.
@@ -104,7 +109,7 @@
    * @param news between two rounds of asking another what engines told it; zero for never
    * @param audit whether each change of the own part is written to the log
    */
-  public record Spread(
+  public record CapacitySettings(
       boolean byDemand,
       double alone,
       double floor,
@@ -125,12 +130,14 @@
       return WHOLE;
     }
 
-    public cobaltseam.spread.Terms terms(int processes) {
-      return new cobaltseam.spread.Terms(WHOLE, alone, processes, floor, lease.times(0.25), LOANS);
+    public cobaltseam.capacity.CapacityOptions terms(int processes) {
+      return new cobaltseam.capacity.CapacityOptions(
+          WHOLE, alone, processes, floor, lease.times(0.25), LOANS);
     }
 
-    public cobaltseam.spread.Reports.Terms reports(double clocks) {
-      return new cobaltseam.spread.Reports.Terms(news, 1, news.times(NEWS_ROUNDS), clocks);
+    public cobaltseam.capacity.LoadReports.LoadReportOptions reports(double clocks) {
+      return new cobaltseam.capacity.LoadReports.LoadReportOptions(
+          news, 1, news.times(NEWS_ROUNDS), clocks);
     }
   }
 
@@ -142,12 +149,12 @@
    * @param window for which what first sends earn may be spent
    * @param round between two looks at whom to ask for more
    */
-  public record Repeats(double ratio, double alone, TimeSpan window, TimeSpan round) {
-    public cobaltseam.repeats.Terms terms(double clocks) {
-      return new cobaltseam.repeats.Terms(ratio, alone, window, round, clocks);
+  public record RetryBudgetSettings(double ratio, double alone, TimeSpan window, TimeSpan round) {
+    public cobaltseam.retrybudget.RetryBudgetOptions terms(double clocks) {
+      return new cobaltseam.retrybudget.RetryBudgetOptions(ratio, alone, window, round, clocks);
     }
   }
 
   /** The keys of seals, the one to write with, and how much clocks may differ. */
-  public record Sealing(SealKeys keys, int writeKey, TimeSpan clockDifference) {}
+  public record AuthenticationSettings(KeyRing keys, int writeKey, TimeSpan clockDifference) {}
 }
--- a/src/main/java/cobaltseam/setup/SetupReader.java
+++ b/src/main/java/cobaltseam/settings/SettingsReader.java
@@ -1,12 +1,12 @@
-package cobaltseam.setup;
+package cobaltseam.settings;
 
+import cobaltseam.authentication.KeyRing;
 import cobaltseam.deployment.BadInput;
 import cobaltseam.dispatch.TimeSpan;
-import cobaltseam.mastership.Fitness;
-import cobaltseam.mastership.Fitness.Sign;
-import cobaltseam.mastership.Terms;
+import cobaltseam.mastership.HealthScore;
+import cobaltseam.mastership.HealthScore.HealthSignal;
+import cobaltseam.mastership.RouterOptions;
 import cobaltseam.mastership.VirtualRouterId;
-import cobaltseam.seal.SealKeys;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Reading.Covers;
 import com.fasterxml.jackson.core.JacksonException;
@@ -38,7 +38,7 @@
  * keys. All that is wrong is told at once, each with file, key, what stands there and what is
  * allowed.
  */
-public final class SetupReader {
+public final class SettingsReader {
   private static final String SCHEMA = "schema.json";
   private static final int LARGEST = 1 << 20;
   private static final int US_PER_MS = 1000;
@@ -50,9 +50,9 @@
   private final JsonNode schema;
   private final List<String> wrong = new ArrayList<>();
 
-  private SetupReader(Path file) {
+  private SettingsReader(Path file) {
     this.file = file;
-    try (InputStream in = SetupReader.class.getResourceAsStream(SCHEMA)) {
+    try (InputStream in = SettingsReader.class.getResourceAsStream(SCHEMA)) {
       schema = new ObjectMapper().readTree(in);
     } catch (IOException e) {
       throw new IllegalStateException("the schema is not in the jar", e);
@@ -64,11 +64,11 @@
    *
    * @throws BadInput with everything that is wrong with it, a line each
    */
-  public static Setup read(Path file) {
-    return new SetupReader(file).read();
+  public static Settings read(Path file) {
+    return new SettingsReader(file).read();
   }
 
-  private Setup read() {
+  private Settings read() {
     JsonNode told;
     try {
       if (Files.size(file) > LARGEST) {
@@ -93,8 +93,8 @@
     boolean json = told.at("/logging/form").asText("text").equals("json");
     JsonNode mastership = told.path("mastership");
     JsonNode membership = told.path("membership");
-    Setup setup =
-        new Setup(
+    Settings setup =
+        new Settings(
             json,
             mastership.isMissingNode() ? null : hall(mastership),
             membership.isMissingNode() ? null : fleet(membership),
@@ -205,7 +205,7 @@
 
   // ---- across keys
 
-  private Setup.Hall hall(JsonNode told) {
+  private Settings.VirtualAddressSettings hall(JsonNode told) {
     InetSocketAddress listen = address("mastership.listen", told.path("listen"));
     List<InetSocketAddress> peers = new ArrayList<>();
     Set<InetAddress> hosts = new HashSet<>();
@@ -222,13 +222,13 @@
       }
       peers.add(at);
     }
-    List<Setup.Seat> seats = new ArrayList<>();
+    List<Settings.RouterSettings> seats = new ArrayList<>();
     Set<VirtualRouterId> ids = new HashSet<>();
     Set<InetSocketAddress> served = new HashSet<>();
     for (int i = 0; i < told.path("router").size(); i++) {
       JsonNode router = told.path("router").path(i);
       String key = "mastership.router[" + i + "]";
-      Setup.Seat seat = seat(key, router, listen);
+      Settings.RouterSettings seat = seat(key, router, listen);
       seats.add(seat);
       if (!ids.add(seat.terms().router())) {
         wrong(key + ".id", router.path("id"), "each virtual router id may be used once.");
@@ -248,7 +248,7 @@
               + MOST_CLAIMS
               + " routers times peers is allowed: something is kept for each.");
     }
-    return new Setup.Hall(
+    return new Settings.VirtualAddressSettings(
         listen,
         List.copyOf(peers.stream().filter(p -> p != null).toList()),
         told.path("ipv4_checksum").asText("message").equals("message")
@@ -262,20 +262,20 @@
         fitness(told.path("fitness")));
   }
 
-  private Setup.Agreed agreed(JsonNode told, JsonNode membership) {
+  private Settings.AgreementSettings agreed(JsonNode told, JsonNode membership) {
     if (told.isMissingNode()) {
       return null;
     }
     if (membership.isMissingNode()) {
       wrong("agreement", told, "it needs [membership]: views carry what is agreed.");
     }
-    return new Setup.Agreed(
+    return new Settings.AgreementSettings(
         new TimeSpan(
             value(told, schema.at("/properties/agreement/properties"), "contradiction_ms").asLong()
                 * US_PER_MS));
   }
 
-  private Setup.Spread spread(JsonNode told, JsonNode membership, JsonNode agreement) {
+  private Settings.CapacitySettings spread(JsonNode told, JsonNode membership, JsonNode agreement) {
     if (told.isMissingNode()) {
       return null;
     }
@@ -297,7 +297,7 @@
           told.path("unknown_after_ms"),
           "it must be longer than spread.round_ms.");
     }
-    return new Setup.Spread(
+    return new Settings.CapacitySettings(
         value(told, keys, "by").asText().equals("demand"),
         value(told, keys, "alone").asDouble(),
         value(told, keys, "floor").asDouble(),
@@ -309,7 +309,7 @@
         value(told, keys, "audit").asBoolean());
   }
 
-  private Setup.Repeats repeats(JsonNode told, JsonNode membership) {
+  private Settings.RetryBudgetSettings repeats(JsonNode told, JsonNode membership) {
     if (told.isMissingNode()) {
       return null;
     }
@@ -323,14 +323,14 @@
       wrong(
           "repeats.round_ms", told.path("round_ms"), "it must be shorter than repeats.window_ms.");
     }
-    return new Setup.Repeats(
+    return new Settings.RetryBudgetSettings(
         value(told, keys, "ratio").asDouble(),
         value(told, keys, "alone").asDouble(),
         window,
         round);
   }
 
-  private Setup.Fleet fleet(JsonNode told) {
+  private Settings.MembershipSettings fleet(JsonNode told) {
     JsonNode keys = schema.at("/properties/membership/properties");
     InetSocketAddress listen = address("membership.listen", told.path("listen"));
     InetSocketAddress advertise =
@@ -344,7 +344,7 @@
     }
     List<String> founders = new ArrayList<>();
     told.path("founders").forEach(f -> founders.add(f.asText()));
-    return new Setup.Fleet(
+    return new Settings.MembershipSettings(
         told.path("fleet").asText(),
         listen,
         advertise,
@@ -362,7 +362,7 @@
     return address.getAddress() instanceof Inet6Address;
   }
 
-  private Setup.Seat seat(String key, JsonNode told, InetSocketAddress listen) {
+  private Settings.RouterSettings seat(String key, JsonNode told, InetSocketAddress listen) {
     List<InetAddress> addresses = new ArrayList<>();
     for (int i = 0; i < told.path("addresses").size(); i++) {
       JsonNode text = told.path("addresses").path(i);
@@ -380,15 +380,15 @@
       }
     }
     boolean ipv6 = listen != null && six(listen);
-    Terms terms =
-        new Terms(
+    RouterOptions terms =
+        new RouterOptions(
             new VirtualRouterId(told.path("id").asInt(), ipv6),
             told.path("priority").asInt(100),
             ms(told.path("interval_ms"), US_PER_CENTISECOND * 100 / US_PER_MS),
             told.path("preempt").asBoolean(true),
             ms(told.path("preempt_delay_ms"), 0),
             addresses);
-    return new Setup.Seat(terms, address(key + ".serve", told.path("serve")));
+    return new Settings.RouterSettings(terms, address(key + ".serve", told.path("serve")));
   }
 
   private static TimeSpan ms(JsonNode told, long otherwise) {
@@ -400,20 +400,20 @@
     return file.toAbsolutePath().getParent().resolve(name);
   }
 
-  private Setup.Sealing sealing(String part, JsonNode told) {
+  private Settings.AuthenticationSettings sealing(String part, JsonNode told) {
     if (told.isMissingNode()) {
       return null;
     }
     String name = told.path("keys").asText();
     try {
-      SealKeys keys = SealKeys.read(Files.readString(beside(name)));
+      KeyRing keys = KeyRing.read(Files.readString(beside(name)));
       if (!keys.has(told.path("write_key").asInt())) {
         wrong(
             part + ".seal.write_key",
             told.path("write_key"),
             "the id of a key in " + name + " is allowed.");
       }
-      return new Setup.Sealing(
+      return new Settings.AuthenticationSettings(
           keys, told.path("write_key").asInt(), ms(told.path("clock_difference_ms"), 500));
     } catch (IOException e) {
       wrong(
@@ -429,10 +429,10 @@
     return null;
   }
 
-  private Fitness.Watched fitness(JsonNode told) {
+  private HealthScore.HealthScoreOptions fitness(JsonNode told) {
     JsonNode keys = schema.at("/properties/mastership/properties/fitness/properties");
-    Map<Sign, Fitness.Bounds> bounds = new EnumMap<>(Sign.class);
-    for (Sign sign : Sign.values()) {
+    Map<HealthSignal, HealthScore.SignalBounds> bounds = new EnumMap<>(HealthSignal.class);
+    for (HealthSignal sign : HealthSignal.values()) {
       String name = sign.name().toLowerCase(Locale.ROOT);
       JsonNode of = told.path(name);
       JsonNode defaults = keys.path(name).path("properties");
@@ -446,10 +446,10 @@
             "no more than bad_from, " + bad + ", is allowed.");
       }
       if (steps > 0) {
-        bounds.put(sign, new Fitness.Bounds(bad, well, steps));
+        bounds.put(sign, new HealthScore.SignalBounds(bad, well, steps));
       }
     }
-    return new Fitness.Watched(
+    return new HealthScore.HealthScoreOptions(
         bounds,
         new TimeSpan(value(told, keys, "sustained_ms").asLong() * US_PER_MS),
         new TimeSpan(value(told, keys, "calm_ms").asLong() * US_PER_MS),
--- a/src/main/java/cobaltseam/sharing/Terms.java
+++ b/src/main/java/cobaltseam/sharing/GossipOptions.java
@@ -7,8 +7,8 @@
  * figure may be before it is unknown, the bytes of one message, and by how much clocks' rates may
  * differ (0.001 is one part in a thousand).
  */
-public record Terms(TimeSpan round, int asked, TimeSpan end, int mostBytes, double drift) {
-  public Terms {
+public record GossipOptions(TimeSpan round, int asked, TimeSpan end, int mostBytes, double drift) {
+  public GossipOptions {
     if (!round.isPositive()
         || asked < 1
         || end.compareTo(round) <= 0
--- a/src/main/java/cobaltseam/sharing/Known.java
+++ b/src/main/java/cobaltseam/sharing/KnownFigures.java
@@ -3,4 +3,4 @@
 import cobaltseam.dispatch.TimeSpan;
 
 /** What is known of a member now: its figures, and how old they are at the most. */
-public record Known(Version version, Figures figures, TimeSpan age) {}
+public record KnownFigures(Version version, MemberFigures figures, TimeSpan age) {}
--- a/src/main/java/cobaltseam/sharing/Figures.java
+++ b/src/main/java/cobaltseam/sharing/MemberFigures.java
@@ -7,13 +7,13 @@
  * What one member says of itself, by name of figure. A figure that is not there is unknown, never
  * zero. Names that this build does not know are passed on as they came.
  */
-public record Figures(Map<String, Long> byName) {
+public record MemberFigures(Map<String, Long> byName) {
   /** No member says more than this many figures: what a peer makes others hold is bounded. */
   public static final int MOST = 256;
 
   public static final int LONGEST_NAME = 64;
 
-  public Figures {
+  public MemberFigures {
     if (byName.size() > MOST
         || byName.keySet().stream().anyMatch(n -> n.isEmpty() || n.length() > LONGEST_NAME)) {
       throw new IllegalArgumentException(
--- a/src/main/java/cobaltseam/sharing/Told.java
+++ b/src/main/java/cobaltseam/sharing/SharingMessage.java
@@ -7,12 +7,12 @@
 import java.util.Objects;
 
 /** What members tell each other of what they know. Only what was asked for is believed. */
-public sealed interface Told {
+public sealed interface SharingMessage {
   MemberName from();
 
   /** Which statement of a member the one that asks has, and how old it is there at the most. */
-  record Have(Version version, TimeSpan age) {
-    public Have {
+  record KnownVersion(Version version, TimeSpan age) {
+    public KnownVersion {
       Objects.requireNonNull(version);
       Objects.requireNonNull(age);
     }
@@ -22,8 +22,9 @@
    * Asks for all that is newer than this, or the same and younger; of whom nothing is said, nothing
    * is known.
    */
-  record Ask(MemberName from, long id, Map<MemberName, Have> known) implements Told {
-    public Ask {
+  record UpdateRequest(MemberName from, long id, Map<MemberName, KnownVersion> known)
+      implements SharingMessage {
+    public UpdateRequest {
       Objects.requireNonNull(from);
       known = Map.copyOf(known);
     }
@@ -33,18 +34,19 @@
    * The member stood by this statement no longer ago than that: the figures are those that the one
    * that asked has.
    */
-  record Stands(MemberName of, Version version, TimeSpan age) {
-    public Stands {
-      Objects.requireNonNull(of);
+  record Reaffirmation(MemberName member, Version version, TimeSpan age) {
+    public Reaffirmation {
+      Objects.requireNonNull(member);
       Objects.requireNonNull(version);
       Objects.requireNonNull(age);
     }
   }
 
   /** The answer to one ask, in one or several parts. */
-  record Newer(MemberName from, long id, List<Statement> statements, List<Stands> standing)
-      implements Told {
-    public Newer {
+  record UpdateReply(
+      MemberName from, long id, List<Statement> statements, List<Reaffirmation> standing)
+      implements SharingMessage {
+    public UpdateReply {
       Objects.requireNonNull(from);
       statements = List.copyOf(statements);
       standing = List.copyOf(standing);
--- a/src/main/java/cobaltseam/sharing/Sharing.java
+++ b/src/main/java/cobaltseam/sharing/StateGossip.java
@@ -2,7 +2,7 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.membership.Birth;
+import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.MemberName;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -27,7 +27,7 @@
  * is believed, but a higher number under the own birth makes the own next one higher still (a
  * process started anew under the same birth).
  */
-public final class Sharing {
+public final class StateGossip {
   /**
    * Bytes of a statement beside its figures, and of one figure beside its name: what a message's
    * bound counts.
@@ -47,7 +47,7 @@
 
   private static final class Held {
     Version version;
-    Figures figures;
+    MemberFigures figures;
 
     /**
      * The earliest moment, by this process's clock, at which its member can have stood by it last.
@@ -58,11 +58,11 @@
   private record Open(MemberName of, Timestamp at) {}
 
   /** One message and whom it is for. */
-  public record Send(MemberName to, Told message) {}
+  public record Send(MemberName to, SharingMessage message) {}
 
   private final MemberName self;
-  private Birth birth;
-  private final Terms terms;
+  private Incarnation birth;
+  private final GossipOptions terms;
   private final RandomGenerator chance;
   private final Map<MemberName, Held> held = new TreeMap<>();
   private final Map<Long, Open> open = new HashMap<>();
@@ -72,10 +72,15 @@
   private final List<MemberName> turn = new ArrayList<>();
 
   private long number;
-  private Figures own;
+  private MemberFigures own;
   private Timestamp next;
 
-  public Sharing(MemberName self, Birth birth, Terms terms, RandomGenerator chance, Timestamp now) {
+  public StateGossip(
+      MemberName self,
+      Incarnation birth,
+      GossipOptions terms,
+      RandomGenerator chance,
+      Timestamp now) {
     this.self = self;
     this.birth = birth;
     this.terms = terms;
@@ -95,7 +100,7 @@
   }
 
   /** This process is another member from now on. */
-  public void born(Birth anew) {
+  public void born(Incarnation anew) {
     birth = anew;
   }
 
@@ -105,7 +110,7 @@
   }
 
   /** What this member says of itself from now on. */
-  public void say(Figures figures) {
+  public void say(MemberFigures figures) {
     own = figures;
     number++;
   }
@@ -132,7 +137,7 @@
       MemberName of = turn.remove(chance.nextInt(turn.size()));
       long id = chance.nextLong();
       open.put(id, new Open(of, now));
-      sends.add(new Send(of, new Told.Ask(self, id, has(now))));
+      sends.add(new Send(of, new SharingMessage.UpdateRequest(self, id, has(now))));
     }
     return sends;
   }
@@ -141,10 +146,10 @@
    * What is held, as much as a message holds; what is left out is drawn, so that nothing is for
    * good.
    */
-  private Map<MemberName, Told.Have> has(Timestamp now) {
+  private Map<MemberName, SharingMessage.KnownVersion> has(Timestamp now) {
     List<MemberName> names = new ArrayList<>(held.keySet());
-    Map<MemberName, Told.Have> known = new HashMap<>();
-    known.put(self, new Told.Have(new Version(birth, number), TimeSpan.ZERO));
+    Map<MemberName, SharingMessage.KnownVersion> known = new HashMap<>();
+    known.put(self, new SharingMessage.KnownVersion(new Version(birth, number), TimeSpan.ZERO));
     int bytes = 0;
     while (!names.isEmpty()) {
       MemberName name = names.remove(chance.nextInt(names.size()));
@@ -153,24 +158,24 @@
         break;
       }
       Held h = held.get(name);
-      known.put(name, new Told.Have(h.version, age(h, now)));
+      known.put(name, new SharingMessage.KnownVersion(h.version, age(h, now)));
     }
     return known;
   }
 
   /** What to send after a message. */
-  public List<Send> heard(Told message, Timestamp now) {
+  public List<Send> heard(SharingMessage message, Timestamp now) {
     if (!others.contains(message.from())) {
       return List.of();
     }
-    if (message instanceof Told.Ask ask) {
+    if (message instanceof SharingMessage.UpdateRequest ask) {
       return answer(ask, now);
     }
-    learn((Told.Newer) message, now);
+    learn((SharingMessage.UpdateReply) message, now);
     return List.of();
   }
 
-  private List<Send> answer(Told.Ask ask, Timestamp now) {
+  private List<Send> answer(SharingMessage.UpdateRequest ask, Timestamp now) {
     List<Statement> mine = new ArrayList<>();
     if (own != null) {
       mine.add(new Statement(self, new Version(birth, number), own, TimeSpan.ZERO));
@@ -178,57 +183,59 @@
     held.forEach((name, h) -> mine.add(new Statement(name, h.version, h.figures, age(h, now))));
     List<Send> sends = new ArrayList<>();
     List<Statement> newer = new ArrayList<>();
-    List<Told.Stands> standing = new ArrayList<>();
+    List<SharingMessage.Reaffirmation> standing = new ArrayList<>();
     int bytes = 0;
     for (Statement s : mine) {
-      Told.Have has = ask.known().get(s.of());
+      SharingMessage.KnownVersion has = ask.known().get(s.member());
       int by = has == null ? -1 : has.version().compareTo(s.version());
       // A figure that is the same is told as such only where that adds a round to its life there.
       boolean younger = by == 0 && s.age().plus(terms.round()).compareTo(has.age()) < 0;
       if (by > 0 || by == 0 && !younger || s.age().compareTo(terms.end()) >= 0) {
         continue;
       }
-      int more = younger ? KNOWN_BYTES + s.of().value().length() : bytes(s);
+      int more = younger ? KNOWN_BYTES + s.member().value().length() : bytes(s);
       if (bytes > 0 && bytes + more > terms.mostBytes()) {
-        sends.add(new Send(ask.from(), new Told.Newer(self, ask.id(), newer, standing)));
+        sends.add(
+            new Send(ask.from(), new SharingMessage.UpdateReply(self, ask.id(), newer, standing)));
         newer.clear();
         standing.clear();
         bytes = 0;
       }
       if (younger) {
-        standing.add(new Told.Stands(s.of(), s.version(), s.age()));
+        standing.add(new SharingMessage.Reaffirmation(s.member(), s.version(), s.age()));
       } else {
         newer.add(s);
       }
       bytes += more;
     }
     if (bytes > 0) {
-      sends.add(new Send(ask.from(), new Told.Newer(self, ask.id(), newer, standing)));
+      sends.add(
+          new Send(ask.from(), new SharingMessage.UpdateReply(self, ask.id(), newer, standing)));
     }
     return sends;
   }
 
   private static int bytes(Statement s) {
     return STATEMENT_BYTES
-        + s.of().value().length()
+        + s.member().value().length()
         + s.figures().byName().keySet().stream().mapToInt(n -> n.length() + FIGURE_BYTES).sum();
   }
 
-  private void learn(Told.Newer newer, Timestamp now) {
+  private void learn(SharingMessage.UpdateReply newer, Timestamp now) {
     Open asked = open.get(newer.id());
     if (asked == null || !asked.of().equals(newer.from())) {
       return;
     }
     for (Statement s : newer.statements()) {
-      if (s.of().equals(self)) {
+      if (s.member().equals(self)) {
         // A former process of this birth said more: whoever holds that would not believe this one.
-        if (s.version().birth().equals(birth) && s.version().number() > number) {
+        if (s.version().incarnation().equals(birth) && s.version().number() > number) {
           number = s.version().number() + 1;
         }
         continue;
       }
-      Held h = held.get(s.of());
-      if (!others.contains(s.of())
+      Held h = held.get(s.member());
+      if (!others.contains(s.member())
           || s.age().us() < 0
           || h != null && h.version.compareTo(s.version()) >= 0) {
         continue;
@@ -239,11 +246,11 @@
         fresh.version = s.version();
         fresh.figures = s.figures();
         fresh.saidFrom = from;
-        held.put(s.of(), fresh);
+        held.put(s.member(), fresh);
       }
     }
-    for (Told.Stands s : newer.standing()) {
-      Held h = held.get(s.of());
+    for (SharingMessage.Reaffirmation s : newer.standing()) {
+      Held h = held.get(s.member());
       if (h != null
           && s.age().us() >= 0
           && h.version.equals(s.version())
@@ -266,11 +273,11 @@
   }
 
   /** What is known of a member now; null if nothing is, or it has reached its end. */
-  public Known known(MemberName of, Timestamp now) {
+  public KnownFigures known(MemberName of, Timestamp now) {
     Held h = held.get(of);
     return h == null || age(h, now).compareTo(terms.end()) >= 0
         ? null
-        : new Known(h.version, h.figures, age(h, now));
+        : new KnownFigures(h.version, h.figures, age(h, now));
   }
 
   /**
@@ -281,7 +288,7 @@
     long sum = own == null ? 0 : own.byName().getOrDefault(figure, 0L);
     int counted = own != null && own.byName().containsKey(figure) ? 1 : 0;
     for (MemberName m : others) {
-      Known k = known(m, now);
+      KnownFigures k = known(m, now);
       Long said = k == null ? null : k.figures().byName().get(figure);
       if (said != null) {
         sum += said;
--- a/src/main/java/cobaltseam/sharing/Statement.java
+++ b/src/main/java/cobaltseam/sharing/Statement.java
@@ -5,9 +5,9 @@
 import java.util.Objects;
 
 /** What a member said of itself, and how long ago at least that was when this left its teller. */
-public record Statement(MemberName of, Version version, Figures figures, TimeSpan age) {
+public record Statement(MemberName member, Version version, MemberFigures figures, TimeSpan age) {
   public Statement {
-    Objects.requireNonNull(of);
+    Objects.requireNonNull(member);
     Objects.requireNonNull(version);
     Objects.requireNonNull(figures);
     Objects.requireNonNull(age);
--- a/src/main/java/cobaltseam/sharing/Version.java
+++ b/src/main/java/cobaltseam/sharing/Version.java
@@ -1,20 +1,20 @@
 package cobaltseam.sharing;
 
-import cobaltseam.membership.Birth;
+import cobaltseam.membership.Incarnation;
 import java.util.Objects;
 
 /**
  * Which statement of a member: of a later birth is newer, and within one birth that of the higher
  * number.
  */
-public record Version(Birth birth, long number) implements Comparable<Version> {
+public record Version(Incarnation incarnation, long number) implements Comparable<Version> {
   public Version {
-    Objects.requireNonNull(birth);
+    Objects.requireNonNull(incarnation);
   }
 
   @Override
   public int compareTo(Version other) {
-    int by = birth.compareTo(other.birth);
+    int by = incarnation.compareTo(other.incarnation);
     return by != 0 ? by : Long.compare(number, other.number);
   }
 }
--- a/src/main/java/cobaltseam/store/WholeFile.java
+++ b/src/main/java/cobaltseam/store/AtomicFile.java
@@ -22,7 +22,7 @@
  * value, a 4-byte CRC32C (RFC 3720, appendix B.4) of the format number, the length and the value,
  * and the value.
  */
-public final class WholeFile implements AutoCloseable {
+public final class AtomicFile implements AutoCloseable {
   private static final int MAGIC = 0x43535746;
   private static final int HEAD = 16;
 
@@ -32,7 +32,7 @@
   private static final String LOCK = "lock";
 
   /** What a folder held. */
-  public enum Found {
+  public enum ReadStatus {
     NOTHING,
     VALUE,
     /** Not whole: set aside under {@code .broken}. */
@@ -44,14 +44,14 @@
   /**
    * @param value null unless found
    */
-  public record Reading(Found found, byte[] value) {}
+  public record Reading(ReadStatus found, byte[] value) {}
 
   private final Path folder;
   private final Path file;
   private final int format;
   private final FileChannel lockFile;
 
-  private WholeFile(Path folder, String name, int format, FileChannel lockFile) {
+  private AtomicFile(Path folder, String name, int format, FileChannel lockFile) {
     this.folder = folder;
     this.file = folder.resolve(name);
     this.format = format;
@@ -63,7 +63,7 @@
    *
    * @throws IOException if it can't be written, or another process has it
    */
-  public static WholeFile open(Path folder, String name, int format) throws IOException {
+  public static AtomicFile open(Path folder, String name, int format) throws IOException {
     Files.createDirectories(folder);
     FileChannel channel =
         FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -77,20 +77,20 @@
       channel.close();
       throw new IOException("another process has the folder " + folder);
     }
-    return new WholeFile(folder, name, format, channel);
+    return new AtomicFile(folder, name, format, channel);
   }
 
   /** What is there. */
   public Reading read() throws IOException {
     Files.deleteIfExists(aside());
     if (!Files.exists(file)) {
-      return new Reading(Found.NOTHING, null);
+      return new Reading(ReadStatus.NOTHING, null);
     }
     Reading reading =
         Files.size(file) > LARGEST + HEAD
-            ? new Reading(Found.BROKEN, null)
+            ? new Reading(ReadStatus.BROKEN, null)
             : parse(Files.readAllBytes(file), format);
-    if (reading.found == Found.BROKEN) {
+    if (reading.found == ReadStatus.BROKEN) {
       Files.move(
           file,
           folder.resolve(file.getFileName() + ".broken"),
@@ -103,20 +103,20 @@
   public static Reading parse(byte[] bytes, int format) {
     ByteBuffer in = ByteBuffer.wrap(bytes);
     if (bytes.length < HEAD || in.getInt() != MAGIC) {
-      return new Reading(Found.BROKEN, null);
+      return new Reading(ReadStatus.BROKEN, null);
     }
     int of = in.getInt();
     int length = in.getInt();
     int sum = in.getInt();
     if (length != in.remaining()) {
-      return new Reading(Found.BROKEN, null);
+      return new Reading(ReadStatus.BROKEN, null);
     }
     byte[] value = new byte[length];
     in.get(value);
     if (sum != sum(of, value)) {
-      return new Reading(Found.BROKEN, null);
+      return new Reading(ReadStatus.BROKEN, null);
     }
-    return of > format ? new Reading(Found.LATER, null) : new Reading(Found.VALUE, value);
+    return of > format ? new Reading(ReadStatus.LATER, null) : new Reading(ReadStatus.VALUE, value);
   }
 
   private static int sum(int format, byte[] value) {
--- a/src/main/java/cobaltseam/store/Writer.java
+++ b/src/main/java/cobaltseam/store/BackgroundWriter.java
@@ -13,25 +13,25 @@
  * nobody. What is given while one is being written replaces what waits: each holds all that those
  * before it did.
  */
-public final class Writer implements AutoCloseable {
-  private record Given(long number, Supplier<byte[]> value) {}
+public final class BackgroundWriter implements AutoCloseable {
+  private record PendingWrite(long number, Supplier<byte[]> value) {}
 
   /** What can't be written, in words. */
-  public interface Failed {
+  public interface FailureListener {
     void failed(String why);
   }
 
-  private final WholeFile file;
+  private final AtomicFile file;
   private final LongConsumer written;
-  private final Failed failed;
-  private final AtomicReference<Given> newest = new AtomicReference<>();
+  private final FailureListener failed;
+  private final AtomicReference<PendingWrite> newest = new AtomicReference<>();
   private final ExecutorService thread;
 
   /**
    * Both are called on the writer's thread: with the number of what was written, or with why it
    * could not be.
    */
-  public Writer(WholeFile file, LongConsumer written, Failed failed) {
+  public BackgroundWriter(AtomicFile file, LongConsumer written, FailureListener failed) {
     this.file = file;
     this.written = written;
     this.failed = failed;
@@ -53,12 +53,12 @@
 
   /** The value is asked for on the writer's thread. */
   public void give(long number, Supplier<byte[]> value) {
-    newest.set(new Given(number, value));
+    newest.set(new PendingWrite(number, value));
     thread.execute(this::write);
   }
 
   private void write() {
-    Given given = newest.getAndSet(null);
+    PendingWrite given = newest.getAndSet(null);
     if (given == null) {
       return;
     }
--- a/src/main/java/cobaltseam/hall/AdvertSocket.java
+++ b/src/main/java/cobaltseam/transport/AdvertDatagramSocket.java
@@ -1,4 +1,4 @@
-package cobaltseam.hall;
+package cobaltseam.transport;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -15,7 +15,7 @@
  * more of each at once than a bound: whoever floods it takes the others' turn neither here nor at
  * the thread that owns the state.
  */
-public final class AdvertSocket {
+public final class AdvertDatagramSocket {
   /**
    * Who hears of a datagram, on the reading thread; it calls {@link #heard} once it is through with
    * it.
@@ -39,15 +39,15 @@
   private static final int KEEPING = 128;
   private static final int BUFFER = 1 << 20;
 
-  private final Datagrams datagrams;
+  private final DatagramEndpoint datagrams;
   private final Receiver receiver;
   private final AtomicLong strangers = new AtomicLong();
   private final AtomicLong tooMany = new AtomicLong();
   private volatile Map<InetAddress, AtomicInteger> unheard = Map.of();
   private volatile int mostOfOne;
 
-  public AdvertSocket(InetSocketAddress at, Set<InetAddress> peers, Receiver receiver) {
-    datagrams = new Datagrams(at, LARGEST, this::handOver);
+  public AdvertDatagramSocket(InetSocketAddress at, Set<InetAddress> peers, Receiver receiver) {
+    datagrams = new DatagramEndpoint(at, LARGEST, this::handOver);
     this.receiver = receiver;
     peers(peers);
   }
--- a/src/main/java/cobaltseam/hall/Datagrams.java
+++ b/src/main/java/cobaltseam/transport/DatagramEndpoint.java
@@ -1,4 +1,4 @@
-package cobaltseam.hall;
+package cobaltseam.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,7 +10,7 @@
 import java.nio.channels.Selector;
 
 /** A UDP socket that a thread of its own reads; what it keeps is one buffer. */
-final class Datagrams {
+final class DatagramEndpoint {
   /** Hears of each datagram, on the reading thread; the buffer is good for the call alone. */
   interface Receiver {
     void came(ByteBuffer bytes, InetSocketAddress from);
@@ -25,7 +25,7 @@
   /**
    * @param largest what is longer comes cut
    */
-  Datagrams(InetSocketAddress at, int largest, Receiver receiver) {
+  DatagramEndpoint(InetSocketAddress at, int largest, Receiver receiver) {
     this.at = at;
     this.largest = largest;
     this.receiver = receiver;
--- a/src/main/java/cobaltseam/hall/MessageCodec.java
+++ b/src/main/java/cobaltseam/transport/MessageCodec.java
@@ -1,10 +1,10 @@
-package cobaltseam.hall;
+package cobaltseam.transport;
 
-import cobaltseam.membership.Birth;
+import cobaltseam.authentication.KeyRing;
+import cobaltseam.authentication.MessageAuthenticator;
+import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.MemberName;
-import cobaltseam.membership.Spoken;
-import cobaltseam.seal.Seal;
-import cobaltseam.seal.SealKeys;
+import cobaltseam.membership.PeerMessage;
 import cobaltseam.vrrp.Addresses;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -31,18 +31,18 @@
 
 /**
  * What members tell each other, as bytes: CBOR (RFC 8949) of a version, the fleet's name, the kind
- * of message and its fields by name, and a {@link Seal} behind it where there are keys. Fields that
- * are not known are passed over, so that a later program may add some; a kind that is not known is
- * refused and changes nothing.
+ * of message and its fields by name, and a {@link MessageAuthenticator} behind it where there are
+ * keys. Fields that are not known are passed over, so that a later program may add some; a kind
+ * that is not known is refused and changes nothing.
  */
 public final class MessageCodec {
   /** A longer message is neither written nor read. */
-  public static final int LARGEST = 1 << 14;
+  public static final int MAX_MESSAGE_BYTES = 1 << 14;
 
   private static final int VERSION = 1;
 
   /** Why bytes are not taken for a message that counts. */
-  public enum Refusal {
+  public enum RejectionReason {
     TOO_LONG,
     UNSEALED,
     KEY_UNKNOWN,
@@ -58,23 +58,23 @@
   }
 
   /** What bytes came to: a message, or why none counts. */
-  public record Reading(Spoken message, Refusal refusal) {}
+  public record DecodedMessage(PeerMessage message, RejectionReason rejection) {}
 
   private final ObjectMapper mapper;
   private final String fleet;
-  private final byte[] unsaid;
-  private final SealKeys keys;
+  private final byte[] associatedData;
+  private final KeyRing keys;
   private final int writeKey;
   private long sequence;
 
   /**
    * @param keys the keys of seals, or null where messages have none
    */
-  public MessageCodec(String fleet, SealKeys keys, int writeKey) {
+  public MessageCodec(String fleet, KeyRing keys, int writeKey) {
     this.fleet = fleet;
     this.keys = keys;
     this.writeKey = writeKey;
-    unsaid = fleet.getBytes(StandardCharsets.UTF_8);
+    associatedData = fleet.getBytes(StandardCharsets.UTF_8);
     mapper = mapper();
   }
 
@@ -87,12 +87,12 @@
             DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
         .annotationIntrospector(
             AnnotationIntrospector.pair(new WireNames(), new JacksonAnnotationIntrospector()))
-        .addModule(plain())
+        .addModule(scalarTypes())
         .build();
   }
 
   /** Names, births and addresses as one item each. */
-  private static SimpleModule plain() {
+  private static SimpleModule scalarTypes() {
     SimpleModule module = new SimpleModule();
     module.addKeyDeserializer(
         MemberName.class,
@@ -105,21 +105,21 @@
     add(module, MemberName.class, MemberName::value, MemberName::new);
     add(module, InetSocketAddress.class, MessageCodec::text, MessageCodec::address);
     module.addSerializer(
-        Birth.class,
-        new StdSerializer<>(Birth.class) {
+        Incarnation.class,
+        new StdSerializer<>(Incarnation.class) {
           @Override
-          public void serialize(Birth birth, JsonGenerator to, SerializerProvider provider)
+          public void serialize(Incarnation birth, JsonGenerator to, SerializerProvider provider)
               throws IOException {
             to.writeNumber(birth.value());
           }
         });
     module.addDeserializer(
-        Birth.class,
-        new StdDeserializer<>(Birth.class) {
+        Incarnation.class,
+        new StdDeserializer<>(Incarnation.class) {
           @Override
-          public Birth deserialize(JsonParser from, DeserializationContext context)
+          public Incarnation deserialize(JsonParser from, DeserializationContext context)
               throws IOException {
-            return new Birth(from.getLongValue());
+            return new Incarnation(from.getLongValue());
           }
         });
     return module;
@@ -159,7 +159,7 @@
   }
 
   /** The bytes of a message; null if it is too long to be sent. */
-  public byte[] write(Spoken message) {
+  public byte[] write(PeerMessage message) {
     ObjectNode whole = mapper.createObjectNode();
     whole.put("v", VERSION).put("f", fleet).put("k", WireNames.kindOf(message));
     whole.set("m", mapper.valueToTree(message));
@@ -170,48 +170,57 @@
       throw new IllegalStateException("every message has bytes", e);
     }
     if (keys != null) {
-      bytes = Seal.write(bytes, unsaid, keys, writeKey, sequence++);
+      bytes = MessageAuthenticator.sign(bytes, associatedData, keys, writeKey, sequence++);
     }
-    return bytes.length > LARGEST ? null : bytes;
+    return bytes.length > MAX_MESSAGE_BYTES ? null : bytes;
   }
 
   /** Reads a datagram; whatever it holds, it throws nothing. */
-  public Reading read(byte[] bytes) {
-    if (bytes.length > LARGEST) {
-      return refused(Refusal.TOO_LONG);
+  public DecodedMessage read(byte[] bytes) {
+    if (bytes.length > MAX_MESSAGE_BYTES) {
+      return rejected(RejectionReason.TOO_LONG);
     }
     int length = bytes.length;
     if (keys != null) {
-      length -= Seal.LENGTH;
-      if (!Seal.isAt(bytes, length)) {
-        return refused(Refusal.UNSEALED);
+      length -= MessageAuthenticator.LENGTH;
+      if (!MessageAuthenticator.hasTrailer(bytes, length)) {
+        return rejected(RejectionReason.UNSEALED);
       }
-      Optional<Seal.Broken> broken = Seal.check(bytes, length, unsaid, keys);
+      Optional<MessageAuthenticator.Rejection> broken =
+          MessageAuthenticator.verify(bytes, length, associatedData, keys);
       if (broken.isPresent()) {
-        return refused(broken.get() == Seal.Broken.FORGED ? Refusal.FORGED : Refusal.KEY_UNKNOWN);
+        return rejected(
+            broken.get() == MessageAuthenticator.Rejection.FORGED
+                ? RejectionReason.FORGED
+                : RejectionReason.KEY_UNKNOWN);
       }
     }
     try {
       JsonNode whole = mapper.readTree(bytes, 0, length);
       if (whole == null || !whole.path("v").isInt() || whole.path("v").asInt() != VERSION) {
-        return refused(whole == null || !whole.isObject() ? Refusal.MALFORMED : Refusal.VERSION);
+        return rejected(
+            whole == null || !whole.isObject()
+                ? RejectionReason.MALFORMED
+                : RejectionReason.VERSION);
       }
       if (!fleet.equals(whole.path("f").asText())) {
-        return refused(Refusal.OTHER_FLEET);
+        return rejected(RejectionReason.OTHER_FLEET);
       }
-      Class<? extends Spoken> kind = WireNames.classOf(whole.path("k").asText());
+      Class<? extends PeerMessage> kind = WireNames.classOf(whole.path("k").asText());
       if (kind == null) {
-        return refused(Refusal.KIND);
+        return rejected(RejectionReason.KIND);
       }
-      Spoken message = mapper.treeToValue(whole.path("m"), kind);
-      return message == null ? refused(Refusal.MALFORMED) : new Reading(message, null);
+      PeerMessage message = mapper.treeToValue(whole.path("m"), kind);
+      return message == null
+          ? rejected(RejectionReason.MALFORMED)
+          : new DecodedMessage(message, null);
     } catch (IOException | RuntimeException e) {
       // A library's own faults on hostile bytes are the bytes' fault: nothing of them is kept.
-      return refused(Refusal.MALFORMED);
+      return rejected(RejectionReason.MALFORMED);
     }
   }
 
-  private static Reading refused(Refusal why) {
-    return new Reading(null, why);
+  private static DecodedMessage rejected(RejectionReason why) {
+    return new DecodedMessage(null, why);
   }
 }
--- a/src/main/java/cobaltseam/hall/PeerSocket.java
+++ b/src/main/java/cobaltseam/transport/PeerDatagramSocket.java
@@ -1,4 +1,4 @@
-package cobaltseam.hall;
+package cobaltseam.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,14 +11,14 @@
  * The UDP socket of messages between members. Who they are is not known beforehand, so what waits
  * to be heard is bounded for all together; seals are checked by whoever hears it.
  */
-public final class PeerSocket {
+public final class PeerDatagramSocket {
   /** Bytes that may wait to be heard, each datagram with what keeps it. */
   private static final int MOST_UNHEARD = 1 << 20;
 
   private static final int KEEPING = 128;
   private static final int BUFFER = 1 << 20;
 
-  private final Datagrams datagrams;
+  private final DatagramEndpoint datagrams;
   private final Consumer<byte[]> receiver;
   private final AtomicInteger unheard = new AtomicInteger();
   private final AtomicLong tooMany = new AtomicLong();
@@ -27,9 +27,9 @@
    * @param receiver hears of each datagram, on the reading thread; {@link #heard} once it is
    *     through with it
    */
-  public PeerSocket(InetSocketAddress at, Consumer<byte[]> receiver) {
+  public PeerDatagramSocket(InetSocketAddress at, Consumer<byte[]> receiver) {
     // One byte more than is taken: what is longer is seen to be.
-    datagrams = new Datagrams(at, MessageCodec.LARGEST + 1, this::handOver);
+    datagrams = new DatagramEndpoint(at, MessageCodec.MAX_MESSAGE_BYTES + 1, this::handOver);
     this.receiver = receiver;
   }
 
--- a/src/main/java/cobaltseam/hall/KeptCodec.java
+++ b/src/main/java/cobaltseam/transport/PersistentStateCodec.java
@@ -1,6 +1,6 @@
-package cobaltseam.hall;
+package cobaltseam.transport;
 
-import cobaltseam.membership.Kept;
+import cobaltseam.membership.PersistentState;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -9,16 +9,16 @@
 /**
  * What a member keeps in its folder, as CBOR (RFC 8949); fields that are not known are passed over.
  */
-public final class KeptCodec {
+public final class PersistentStateCodec {
   /** Of the folder's file. */
-  public static final String NAME = "seat";
+  public static final String FILE_NAME = "seat";
 
   public static final int FORMAT = 1;
   private static final ObjectMapper MAPPER = MessageCodec.mapper();
 
-  private KeptCodec() {}
+  private PersistentStateCodec() {}
 
-  public static byte[] write(Kept kept) {
+  public static byte[] write(PersistentState kept) {
     try {
       return MAPPER.writeValueAsBytes(kept);
     } catch (JsonProcessingException e) {
@@ -27,9 +27,9 @@
   }
 
   /** Nothing, if the bytes are whole but not of this kind. */
-  public static Optional<Kept> read(byte[] bytes) {
+  public static Optional<PersistentState> read(byte[] bytes) {
     try {
-      return Optional.ofNullable(MAPPER.readValue(bytes, Kept.class));
+      return Optional.ofNullable(MAPPER.readValue(bytes, PersistentState.class));
     } catch (IOException | RuntimeException e) {
       return Optional.empty();
     }
--- a/src/main/java/cobaltseam/hall/WireNames.java
+++ b/src/main/java/cobaltseam/transport/WireNames.java
@@ -1,29 +1,29 @@
-package cobaltseam.hall;
+package cobaltseam.transport;
 
-import cobaltseam.agreement.Word;
+import cobaltseam.agreement.AgreementMessage;
+import cobaltseam.capacity.CapacityLeaseMessage;
+import cobaltseam.capacity.LoadReportMessage;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.membership.Ballot;
-import cobaltseam.membership.Birth;
-import cobaltseam.membership.Change;
-import cobaltseam.membership.Condition;
-import cobaltseam.membership.Edition;
-import cobaltseam.membership.Kept;
-import cobaltseam.membership.LeaseWord;
+import cobaltseam.membership.ConfigurationVersion;
+import cobaltseam.membership.Incarnation;
+import cobaltseam.membership.LeaseMessage;
 import cobaltseam.membership.Member;
+import cobaltseam.membership.MemberCondition;
 import cobaltseam.membership.MemberName;
-import cobaltseam.membership.Message;
-import cobaltseam.membership.News;
-import cobaltseam.membership.Spoken;
+import cobaltseam.membership.MemberUpdate;
+import cobaltseam.membership.MembershipMessage;
+import cobaltseam.membership.PeerMessage;
+import cobaltseam.membership.PersistentState;
 import cobaltseam.membership.View;
+import cobaltseam.membership.ViewDelta;
 import cobaltseam.membership.ViewId;
-import cobaltseam.repeats.PurseWord;
-import cobaltseam.sharing.Figures;
-import cobaltseam.sharing.Shared;
+import cobaltseam.retrybudget.RetryBudgetMessage;
+import cobaltseam.sharing.MemberFigures;
+import cobaltseam.sharing.SharingMessage;
+import cobaltseam.sharing.SharingPeerMessage;
 import cobaltseam.sharing.Statement;
-import cobaltseam.sharing.Told;
 import cobaltseam.sharing.Version;
-import cobaltseam.spread.LoanWord;
-import cobaltseam.spread.ReportWord;
 import com.fasterxml.jackson.databind.PropertyName;
 import com.fasterxml.jackson.databind.cfg.MapperConfig;
 import com.fasterxml.jackson.databind.introspect.Annotated;
@@ -49,17 +49,17 @@
   private static final long serialVersionUID = 1L;
 
   /** The kind of each message. */
-  private static final Map<Class<? extends Spoken>, String> KINDS = new HashMap<>();
+  private static final Map<Class<? extends PeerMessage>, String> KINDS = new HashMap<>();
 
   /** The field names of each record, in the order of its components. */
   private static final Map<Class<? extends Record>, List<String>> FIELDS = new HashMap<>();
 
-  private static final Map<Condition, String> CONDITIONS =
+  private static final Map<MemberCondition, String> CONDITIONS =
       Map.of(
-          Condition.ALIVE, "ALIVE",
-          Condition.SUSPECT, "SUSPECT",
-          Condition.DEAD, "DEAD",
-          Condition.LEFT, "LEFT");
+          MemberCondition.ALIVE, "ALIVE",
+          MemberCondition.SUSPECT, "SUSPECT",
+          MemberCondition.DEAD, "DEAD",
+          MemberCondition.LEFT, "LEFT");
 
   static {
     nameMembershipMessages();
@@ -69,72 +69,94 @@
     nameValues();
   }
 
-  private static final Map<String, Class<? extends Spoken>> CLASSES = classesByKind();
+  private static final Map<String, Class<? extends PeerMessage>> CLASSES = classesByKind();
 
   private static void nameMembershipMessages() {
-    message("Probe", Message.Probe.class, "from", "id", "to", "news");
-    message("Relay", Message.Relay.class, "from", "id", "target", "news");
-    message("Answer", Message.Answer.class, "from", "id", "reached", "news");
-    message("Ask", Message.Ask.class, "from", "after");
-    message("Part", Message.Part.class, "from", "state", "more");
-    message("NameTaken", Message.NameTaken.class, "from", "holder");
-    message("Found", Message.Found.class, "from", "attempt", "members");
-    message("Consent", Message.Consent.class, "from", "attempt");
-    message("Prepare", Message.Prepare.class, "from", "of", "ballot", "out");
-    message("Promise", Message.Promise.class, "from", "of", "ballot", "accepted", "value", "stay");
-    message("Refuse", Message.Refuse.class, "from", "of", "ballot", "promised");
-    message("Accept", Message.Accept.class, "from", "of", "ballot", "value");
-    message("Accepted", Message.Accepted.class, "from", "of", "ballot");
-    message("Decided", Message.Decided.class, "from", "of", "value");
-    message("AskView", Message.AskView.class, "from", "of", "index");
+    message("Probe", MembershipMessage.HealthCheck.class, "from", "id", "to", "news");
+    message("Relay", MembershipMessage.HealthCheckRequest.class, "from", "id", "target", "news");
+    message("Answer", MembershipMessage.HealthCheckReply.class, "from", "id", "reached", "news");
+    message("Ask", MembershipMessage.StateRequest.class, "from", "after");
+    message("Part", MembershipMessage.StatePart.class, "from", "state", "more");
+    message("NameTaken", MembershipMessage.NameTaken.class, "from", "holder");
+    message("Found", MembershipMessage.BootstrapRequest.class, "from", "attempt", "members");
+    message("Consent", MembershipMessage.BootstrapConsent.class, "from", "attempt");
+    message("Prepare", MembershipMessage.Prepare.class, "from", "of", "ballot", "out");
     message(
-        "ViewPart", Message.ViewPart.class, "from", "of", "index", "size", "members", "edition");
+        "Promise",
+        MembershipMessage.Promise.class,
+        "from",
+        "of",
+        "ballot",
+        "accepted",
+        "value",
+        "stay");
+    message("Refuse", MembershipMessage.Reject.class, "from", "of", "ballot", "promised");
+    message("Accept", MembershipMessage.Accept.class, "from", "of", "ballot", "value");
+    message("Accepted", MembershipMessage.Accepted.class, "from", "of", "ballot");
+    message("Decided", MembershipMessage.Decided.class, "from", "of", "value");
+    message("AskView", MembershipMessage.ViewRequest.class, "from", "of", "index");
+    message(
+        "ViewPart",
+        MembershipMessage.ViewPart.class,
+        "from",
+        "of",
+        "index",
+        "size",
+        "members",
+        "edition");
   }
 
   private static void nameLeaseAndAgreementMessages() {
-    message("Renew", LeaseWord.Renew.class, "from", "id");
-    message("Granted", LeaseWord.Granted.class, "from", "id");
-    message("Offer", Word.Offer.class, "from", "edition", "size");
-    message("Checked", Word.Checked.class, "from", "edition", "why");
-    message("Want", Word.Want.class, "from", "hash", "index");
-    message("Piece", Word.Piece.class, "from", "hash", "index", "size", "bytes");
+    message("Renew", LeaseMessage.LeaseRenewal.class, "from", "id");
+    message("Granted", LeaseMessage.LeaseGrant.class, "from", "id");
+    message("Offer", AgreementMessage.VersionOffer.class, "from", "edition", "size");
+    message("Checked", AgreementMessage.VersionCheck.class, "from", "edition", "why");
+    message("Want", AgreementMessage.ContentRequest.class, "from", "hash", "index");
+    message("Piece", AgreementMessage.ContentPart.class, "from", "hash", "index", "size", "bytes");
   }
 
   private static void nameSharingMessages() {
-    message("ShareAsk", Shared.ShareAsk.class, "from", "told");
-    message("ShareNewer", Shared.ShareNewer.class, "from", "told");
-    fields(Told.Ask.class, "from", "id", "known");
-    fields(Told.Newer.class, "from", "id", "statements", "standing");
-    fields(Told.Have.class, "version", "age");
-    fields(Told.Stands.class, "of", "version", "age");
+    message("ShareAsk", SharingPeerMessage.SharingRequest.class, "from", "told");
+    message("ShareNewer", SharingPeerMessage.SharingReply.class, "from", "told");
+    fields(SharingMessage.UpdateRequest.class, "from", "id", "known");
+    fields(SharingMessage.UpdateReply.class, "from", "id", "statements", "standing");
+    fields(SharingMessage.KnownVersion.class, "version", "age");
+    fields(SharingMessage.Reaffirmation.class, "of", "version", "age");
     fields(Statement.class, "of", "version", "figures", "age");
     fields(Version.class, "birth", "number");
-    fields(Figures.class, "byName");
+    fields(MemberFigures.class, "byName");
     fields(TimeSpan.class, "us");
   }
 
   private static void nameCapacityAndBudgetMessages() {
-    message("Borrow", LoanWord.Borrow.class, "from", "id", "amount");
-    message("Lent", LoanWord.Lent.class, "from", "id", "amount", "lastsUs");
-    message("AskReports", ReportWord.AskReports.class, "from", "id");
-    message("Table", ReportWord.Table.class, "from", "id", "engines", "inHand", "agesMs");
-    message("Beg", PurseWord.Beg.class, "from", "id", "amount");
-    message("Give", PurseWord.Give.class, "from", "id", "amounts", "lastsUs");
+    message("Borrow", CapacityLeaseMessage.LeaseRequest.class, "from", "id", "amount");
+    message("Lent", CapacityLeaseMessage.LeaseGrant.class, "from", "id", "amount", "lastsUs");
+    message("AskReports", LoadReportMessage.ReportsRequest.class, "from", "id");
+    message(
+        "Table", LoadReportMessage.ReportsReply.class, "from", "id", "engines", "inHand", "agesMs");
+    message("Beg", RetryBudgetMessage.BudgetRequest.class, "from", "id", "amount");
+    message("Give", RetryBudgetMessage.BudgetTransfer.class, "from", "id", "amounts", "lastsUs");
   }
 
   private static void nameValues() {
-    fields(Message.Teller.class, "member", "incarnation", "view", "majority", "ended");
+    fields(
+        MembershipMessage.MessageHeader.class,
+        "member",
+        "incarnation",
+        "view",
+        "majority",
+        "ended");
     fields(MemberName.class, "value");
-    fields(Birth.class, "value");
+    fields(Incarnation.class, "value");
     fields(Member.class, "name", "birth", "address");
-    fields(News.class, "member", "incarnation", "condition", "by");
+    fields(MemberUpdate.class, "member", "incarnation", "condition", "by");
     fields(ViewId.class, "line", "number");
     fields(View.class, "id", "members", "edition");
     fields(Ballot.class, "round", "by", "birth");
-    fields(Change.class, "out", "in", "edition");
-    fields(Edition.class, "number", "hash", "by");
+    fields(ViewDelta.class, "out", "in", "edition");
+    fields(ConfigurationVersion.class, "number", "hash", "by");
     fields(
-        Kept.class,
+        PersistentState.class,
         "self",
         "starts",
         "view",
@@ -148,7 +170,7 @@
         "documents");
   }
 
-  private static <T extends Record & Spoken> void message(
+  private static <T extends Record & PeerMessage> void message(
       String kind, Class<T> type, String... names) {
     KINDS.put(type, kind);
     fields(type, names);
@@ -161,19 +183,19 @@
     FIELDS.put(type, List.of(names));
   }
 
-  private static Map<String, Class<? extends Spoken>> classesByKind() {
-    Map<String, Class<? extends Spoken>> classes = new HashMap<>();
+  private static Map<String, Class<? extends PeerMessage>> classesByKind() {
+    Map<String, Class<? extends PeerMessage>> classes = new HashMap<>();
     KINDS.forEach((type, kind) -> classes.put(kind, type));
     return Map.copyOf(classes);
   }
 
   /** The kind of a message as the wire has it. */
-  static String kindOf(Spoken message) {
+  static String kindOf(PeerMessage message) {
     return KINDS.get(message.getClass());
   }
 
   /** The class of a kind, or null if this build does not know the kind. */
-  static Class<? extends Spoken> classOf(String kind) {
+  static Class<? extends PeerMessage> classOf(String kind) {
     return CLASSES.get(kind);
   }
 
--- a/src/main/java/cobaltseam/vrrp/AdvertCodec.java
+++ b/src/main/java/cobaltseam/vrrp/AdvertCodec.java
@@ -1,6 +1,6 @@
 package cobaltseam.vrrp;
 
-import cobaltseam.seal.Seal;
+import cobaltseam.authentication.MessageAuthenticator;
 import cobaltseam.vrrp.Reading.Covers;
 import java.net.Inet6Address;
 import java.net.InetAddress;
@@ -74,7 +74,9 @@
     }
     int each = six ? 16 : 4;
     int length = HEADER + each * number;
-    boolean sealed = bytes.length == length + Seal.LENGTH && Seal.isAt(bytes, length);
+    boolean sealed =
+        bytes.length == length + MessageAuthenticator.LENGTH
+            && MessageAuthenticator.hasTrailer(bytes, length);
     if (bytes.length != length && !sealed) {
       return new Reading.Refused(Refusal.LENGTH);
     }
--- a/src/main/java/cobaltseam/vrrp/AdvertSeal.java
+++ b/src/main/java/cobaltseam/vrrp/AdvertSeal.java
@@ -1,7 +1,7 @@
 package cobaltseam.vrrp;
 
-import cobaltseam.seal.Seal;
-import cobaltseam.seal.SealKeys;
+import cobaltseam.authentication.KeyRing;
+import cobaltseam.authentication.MessageAuthenticator;
 import java.net.InetAddress;
 import java.util.Optional;
 
@@ -17,17 +17,21 @@
       byte[] advert,
       InetAddress source,
       InetAddress destination,
-      SealKeys keys,
+      KeyRing keys,
       int key,
       long sequence) {
-    return Seal.write(advert, addresses(source, destination), keys, key, sequence);
+    return MessageAuthenticator.sign(advert, addresses(source, destination), keys, key, sequence);
   }
 
   /** Why the seal behind an advertisement of this length does not hold, or nothing if it does. */
   public static Optional<Refusal> check(
-      byte[] bytes, int length, InetAddress source, InetAddress destination, SealKeys keys) {
-    return Seal.check(bytes, length, addresses(source, destination), keys)
-        .map(b -> b == Seal.Broken.KEY_UNKNOWN ? Refusal.KEY_UNKNOWN : Refusal.FORGED);
+      byte[] bytes, int length, InetAddress source, InetAddress destination, KeyRing keys) {
+    return MessageAuthenticator.verify(bytes, length, addresses(source, destination), keys)
+        .map(
+            b ->
+                b == MessageAuthenticator.Rejection.KEY_UNKNOWN
+                    ? Refusal.KEY_UNKNOWN
+                    : Refusal.FORGED);
   }
 
   private static byte[] addresses(InetAddress source, InetAddress destination) {
--- a/src/test/java/cobaltseam/agreement/CautionTest.java
+++ b/src/test/java/cobaltseam/agreement/CautionTest.java
@@ -54,7 +54,7 @@
       Arrays.stream(type.getRecordComponents())
           .forEach(c -> parts.add(type.getSimpleName() + "." + c.getName()));
     }
-    assertEquals(parts, new TreeSet<>(Caution.TABLE.keySet()));
+    assertEquals(parts, new TreeSet<>(ConservativeMerge.TABLE.keySet()));
   }
 
   @Test
@@ -67,8 +67,8 @@
           read("\"tick_us\":5000", "\"tick_us\":1000")
         }) {
       assertFalse(other.equals(BASE));
-      assertFalse(Caution.contradict(BASE, other));
-      assertEquals(other, Caution.between(BASE, other));
+      assertFalse(ConservativeMerge.contradict(BASE, other));
+      assertEquals(other, ConservativeMerge.between(BASE, other));
     }
   }
 
@@ -95,22 +95,22 @@
     };
     for (String[] change : strict) {
       Deployment stricter = read(change[0], change[1]);
-      assertTrue(Caution.contradict(BASE, stricter), change[1]);
-      assertEquals(stricter, Caution.between(BASE, stricter), change[1]);
-      assertEquals(stricter, Caution.between(stricter, BASE), change[1]);
+      assertTrue(ConservativeMerge.contradict(BASE, stricter), change[1]);
+      assertEquals(stricter, ConservativeMerge.between(BASE, stricter), change[1]);
+      assertEquals(stricter, ConservativeMerge.between(stricter, BASE), change[1]);
     }
   }
 
   @Test
   void whatOnlyOneHasStays() {
     Deployment other = read("\"name\":\"look\"", "\"name\":\"load\"");
-    assertEquals(2, Caution.between(BASE, other).requestClasses().size());
-    assertTrue(Caution.contradict(BASE, other));
+    assertEquals(2, ConservativeMerge.between(BASE, other).requestClasses().size());
+    assertTrue(ConservativeMerge.contradict(BASE, other));
   }
 
   @Test
   void aloneNothingIsSentTwice() {
-    Deployment alone = Caution.alone(BASE);
+    Deployment alone = ConservativeMerge.alone(BASE);
     assertEquals(1, alone.capabilities().maxAttempts());
     assertEquals(
         Deployment.RetrySafety.NOT_IDEMPOTENT, alone.requestClasses().get(0).retrySafety());
@@ -124,11 +124,11 @@
             "\"width_by_class\":[2]",
             "\"width_by_class\":[2],\"writes_tables\":[true],\"waits_for_loads\":[true]");
     assertFalse(loads.equals(BASE));
-    assertFalse(Caution.contradict(BASE, loads));
-    assertEquals(loads, Caution.between(BASE, loads));
+    assertFalse(ConservativeMerge.contradict(BASE, loads));
+    assertEquals(loads, ConservativeMerge.between(BASE, loads));
     assertTrue(
-        Caution.alone(loads).requestClasses().get(0).loadsDataSet()
-            && Caution.alone(loads).requestClasses().get(0).waitsForLoads());
-    assertEquals(loads.place(), Caution.alone(loads).place());
+        ConservativeMerge.alone(loads).requestClasses().get(0).loadsDataSet()
+            && ConservativeMerge.alone(loads).requestClasses().get(0).waitsForLoads());
+    assertEquals(loads.place(), ConservativeMerge.alone(loads).place());
   }
 }
