--- a/src/test/java/cobaltseam/spread/HoldingsTest.java
+++ b/src/test/java/cobaltseam/capacity/HoldingsTest.java
@@ -1,18 +1,18 @@
-package cobaltseam.spread;
+package cobaltseam.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cobaltseam.capacity.CapacityLeaseMessage.LeaseGrant;
+import cobaltseam.capacity.CapacityLeaseMessage.LeaseRequest;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.membership.Birth;
+import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
-import cobaltseam.membership.Message.Teller;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
 import cobaltseam.membership.View;
 import cobaltseam.membership.ViewId;
-import cobaltseam.spread.LoanWord.Borrow;
-import cobaltseam.spread.LoanWord.Lent;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -23,17 +23,21 @@
 
 /** Parts of a whole, one process at a time, against a ground that the test makes. */
 class HoldingsTest {
-  private static final Terms TERMS = new Terms(1000, 0.1, 10, 0.25, new TimeSpan(500_000), 16);
+  private static final CapacityOptions TERMS =
+      new CapacityOptions(1000, 0.1, 10, 0.25, new TimeSpan(500_000), 16);
   private static final TimeSpan T = new TimeSpan(2_000_000);
   private static final int ALONE = 10;
   private static final int SETTLED = 900;
 
   private final Ground ground = new Ground();
-  private final Holdings holdings = new Holdings(TERMS, ground, new SplittableRandom(1));
+  private final CapacityLeases holdings =
+      new CapacityLeases(TERMS, ground, new SplittableRandom(1));
 
   private static Member member(int i) {
     return new Member(
-        new MemberName("n" + i), new Birth(i + 1), new InetSocketAddress("127.0.0.1", 1000 + i));
+        new MemberName("n" + i),
+        new Incarnation(i + 1),
+        new InetSocketAddress("127.0.0.1", 1000 + i));
   }
 
   private static View view(long number, int... members) {
@@ -44,8 +48,8 @@
     return new View(new ViewId(7, number), of, null);
   }
 
-  private static Teller teller(int i) {
-    return new Teller(member(i), 0, ViewId.NONE, true);
+  private static MessageHeader teller(int i) {
+    return new MessageHeader(member(i), 0, ViewId.NONE, true);
   }
 
   private static Timestamp at(double s) {
@@ -53,7 +57,7 @@
   }
 
   /** What the process is told; it is member 0. */
-  private static final class Ground implements Holdings.Ground {
+  private static final class Ground implements CapacityLeases.LeaseContext {
     View view;
     Timestamp lease;
     final Map<MemberName, Double> demand = new HashMap<>();
@@ -69,7 +73,7 @@
     }
 
     @Override
-    public Teller teller() {
+    public MessageHeader teller() {
       return HoldingsTest.teller(0);
     }
 
@@ -152,10 +156,11 @@
     assertEquals(ALONE, holdings.usable(at(22)));
   }
 
-  private Lent asked(int by, long amount, double s) {
-    List<Holdings.Tell> tells = holdings.heard(new Borrow(teller(by), 99, amount), at(s));
+  private LeaseGrant asked(int by, long amount, double s) {
+    List<CapacityLeases.OutgoingMessage> tells =
+        holdings.heard(new LeaseRequest(teller(by), 99, amount), at(s));
     assertEquals(1, tells.size());
-    return (Lent) tells.get(0).word();
+    return (LeaseGrant) tells.get(0).word();
   }
 
   @Test
@@ -164,10 +169,10 @@
     ground.demand.put(new MemberName("n1"), 9.0);
     holdings.needs(0);
     // Its target is a quarter of its even part, as it needs nothing.
-    Lent lent = asked(1, 1000, 10);
+    LeaseGrant lent = asked(1, 1000, 10);
     assertEquals(225, lent.amount());
     assertTrue(
-        10_000_000 + lent.lastsUs() * 1.001 < 11_000_000,
+        10_000_000 + lent.durationUs() * 1.001 < 11_000_000,
         "by a clock that runs slower it ends before the lease");
     assertEquals(ALONE + 75, holdings.usable(at(10)));
     ground.lease = at(20);
@@ -198,24 +203,24 @@
     assertEquals(0, asked(1, 100, 10).amount());
     assertEquals(
         List.of(),
-        holdings.heard(new Borrow(teller(5), 1, 100), at(10)),
+        holdings.heard(new LeaseRequest(teller(5), 1, 100), at(10)),
         "nor anything to one outside the view");
-    Teller former =
-        new Teller(
-            new Member(new MemberName("n1"), new Birth(999), member(1).address()),
+    MessageHeader former =
+        new MessageHeader(
+            new Member(new MemberName("n1"), new Incarnation(999), member(1).peerAddress()),
             0,
             ViewId.NONE,
             true);
     assertEquals(
         List.of(),
-        holdings.heard(new Borrow(former, 1, 100), at(10)),
+        holdings.heard(new LeaseRequest(former, 1, 100), at(10)),
         "nor to another process of its name");
   }
 
-  private Borrow borrows(double s) {
-    List<Holdings.Tell> tells = holdings.follow(at(s));
+  private LeaseRequest borrows(double s) {
+    List<CapacityLeases.OutgoingMessage> tells = holdings.follow(at(s));
     assertEquals(1, tells.size(), tells.toString());
-    return (Borrow) tells.get(0).word();
+    return (LeaseRequest) tells.get(0).word();
   }
 
   @Test
@@ -223,21 +228,21 @@
     settled(view(1, 0, 1), 60);
     holdings.needs(9);
     ground.demand.put(new MemberName("n1"), 0.0);
-    Borrow borrow = borrows(10);
+    LeaseRequest borrow = borrows(10);
     assertTrue(borrow.amount() > 300, borrow.toString());
-    Lent lent = new Lent(teller(1), borrow.id(), 300, 1_500_000);
+    LeaseGrant lent = new LeaseGrant(teller(1), borrow.id(), 300, 1_500_000);
     holdings.heard(lent, at(10.4));
     assertEquals(ALONE + 450 + 300, holdings.usable(at(10.4)));
     holdings.heard(lent, at(10.5));
     assertEquals(
         ALONE + 450 + 300, holdings.usable(at(10.5)), "a message that comes twice counts once");
     assertEquals(ALONE + 450, holdings.usable(at(11.5)), "1.5 s from the ask, not from the answer");
-    List<Holdings.Step> steps = holdings.steps(at(10.5));
+    List<CapacityLeases.CapacityStep> steps = holdings.steps(at(10.5));
     assertEquals(
         List.of(
-            new Holdings.Step(at(11.5), 760),
-            new Holdings.Step(at(60), 460),
-            new Holdings.Step(null, 10)),
+            new CapacityLeases.CapacityStep(at(11.5), 760),
+            new CapacityLeases.CapacityStep(at(60), 460),
+            new CapacityLeases.CapacityStep(null, 10)),
         steps);
   }
 
@@ -246,11 +251,11 @@
     settled(view(1, 0, 1), 60);
     holdings.needs(9);
     ground.demand.put(new MemberName("n1"), 0.0);
-    Borrow borrow = borrows(10);
-    holdings.heard(new Lent(teller(1), borrow.id() + 1, 300, 1_500_000), at(10.1));
-    holdings.heard(new Lent(teller(1), borrow.id(), 1_000_000, 1_500_000), at(10.1));
-    holdings.heard(new Lent(teller(1), borrow.id(), 300, 60_000_000), at(10.1));
-    holdings.heard(new Lent(teller(1), borrow.id(), -300, 1_500_000), at(10.1));
+    LeaseRequest borrow = borrows(10);
+    holdings.heard(new LeaseGrant(teller(1), borrow.id() + 1, 300, 1_500_000), at(10.1));
+    holdings.heard(new LeaseGrant(teller(1), borrow.id(), 1_000_000, 1_500_000), at(10.1));
+    holdings.heard(new LeaseGrant(teller(1), borrow.id(), 300, 60_000_000), at(10.1));
+    holdings.heard(new LeaseGrant(teller(1), borrow.id(), -300, 1_500_000), at(10.1));
     assertEquals(ALONE + 450, holdings.usable(at(10.1)));
   }
 
@@ -259,9 +264,9 @@
     settled(view(1, 0, 1), 60);
     holdings.needs(9);
     ground.demand.put(new MemberName("n1"), 0.0);
-    holdings.heard(new Lent(teller(1), borrows(10).id(), 300, 1_500_000), at(10.1));
-    Borrow again = borrows(11);
-    holdings.heard(new Lent(teller(1), again.id(), 100, 1_500_000), at(11.1));
+    holdings.heard(new LeaseGrant(teller(1), borrows(10).id(), 300, 1_500_000), at(10.1));
+    LeaseRequest again = borrows(11);
+    holdings.heard(new LeaseGrant(teller(1), again.id(), 100, 1_500_000), at(11.1));
     assertEquals(ALONE + 450 + 100, holdings.usable(at(11.1)), "never both");
   }
 
@@ -271,12 +276,12 @@
     holdings.needs(9);
     assertEquals(List.of(), holdings.follow(at(10)));
     ground.demand.put(new MemberName("n2"), 1.0);
-    assertEquals(member(2).address(), holdings.follow(at(11)).get(0).to());
+    assertEquals(member(2).peerAddress(), holdings.follow(at(11)).get(0).to());
   }
 
   @Test
   void demandIsAMeanThatForgetsByHalves() {
-    Demand demand = new Demand(new TimeSpan(1_000_000));
+    DemandEstimate demand = new DemandEstimate(new TimeSpan(1_000_000));
     assertEquals(0, demand.told(0, at(0)));
     assertEquals(50, demand.told(50, at(1)), 1e-9, "it knows its rate by the first second alone");
     for (int s = 2; s < 30; s++) {
--- a/src/test/java/cobaltseam/spread/ReportsTest.java
+++ b/src/test/java/cobaltseam/capacity/ReportsTest.java
@@ -1,21 +1,21 @@
-package cobaltseam.spread;
+package cobaltseam.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cobaltseam.capacity.LoadReportMessage.ReportsReply;
+import cobaltseam.capacity.LoadReportMessage.ReportsRequest;
+import cobaltseam.capacity.LoadReports.LoadReport;
 import cobaltseam.dispatch.EngineId;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.membership.Birth;
+import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
-import cobaltseam.membership.Message.Teller;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
 import cobaltseam.membership.View;
 import cobaltseam.membership.ViewId;
-import cobaltseam.spread.ReportWord.AskReports;
-import cobaltseam.spread.ReportWord.Table;
-import cobaltseam.spread.Reports.Report;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -27,19 +27,19 @@
 
 /** What engines told, among members that a test joins. */
 class ReportsTest {
-  private static final Reports.Terms TERMS =
-      new Reports.Terms(new TimeSpan(100_000), 1, new TimeSpan(3_000_000), 0.001);
+  private static final LoadReports.LoadReportOptions TERMS =
+      new LoadReports.LoadReportOptions(new TimeSpan(100_000), 1, new TimeSpan(3_000_000), 0.001);
   private static final EngineId E = new EngineId(7);
 
   private static Member member(int i) {
     return new Member(
         new MemberName(String.format("n%03d", i)),
-        new Birth(1),
+        new Incarnation(1),
         new InetSocketAddress("127.0.0.1", 1000 + i));
   }
 
-  private static Teller teller(int i) {
-    return new Teller(member(i), 0, ViewId.NONE, true);
+  private static MessageHeader teller(int i) {
+    return new MessageHeader(member(i), 0, ViewId.NONE, true);
   }
 
   private static View view(int members) {
@@ -55,33 +55,33 @@
   }
 
   /** The id of an ask that member 0 has out. */
-  private static long asked(Reports reports, double s) {
+  private static long asked(LoadReports reports, double s) {
     for (double t = s; t < s + 5; t += 0.1) {
-      List<Reports.Tell> tells = reports.due(view(2), teller(0), at(t));
+      List<LoadReports.OutgoingMessage> tells = reports.due(view(2), teller(0), at(t));
       if (!tells.isEmpty()) {
-        return ((AskReports) tells.get(0).word()).id();
+        return ((ReportsRequest) tells.get(0).word()).id();
       }
     }
     throw new AssertionError("nothing is asked");
   }
 
-  private static Table table(int from, long id, int inHand, int ageMs) {
-    return new Table(
+  private static ReportsReply table(int from, long id, int inHand, int ageMs) {
+    return new ReportsReply(
         teller(from), id, new long[] {E.value()}, new int[] {inHand}, new int[] {ageMs});
   }
 
   @Test
   void theYoungestCountsAndIsNewOnce() {
-    Reports reports = new Reports(TERMS, new SplittableRandom(1), at(0));
-    reports.told(new Report(E, 4, at(9.9)));
+    LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
+    reports.told(new LoadReport(E, 4, at(9.9)));
     assertEquals(List.of(), reports.news(), "what was told here is no news");
     long id = asked(reports, 10);
     reports.heard(table(1, id, 9, 500), view(2), teller(0), at(10.6));
     assertEquals(List.of(), reports.news(), "older than what is known");
     id = asked(reports, 11);
     reports.heard(table(1, id, 9, 1), view(2), teller(0), at(12));
-    List<Report> news = reports.news();
-    assertEquals(9, news.get(0).inHand());
+    List<LoadReport> news = reports.news();
+    assertEquals(9, news.get(0).inFlight());
     assertTrue(
         news.get(0).at().isBefore(at(12)), "its age counts from the ask, not from the answer");
     assertEquals(List.of(), reports.news());
@@ -89,7 +89,7 @@
 
   @Test
   void whatNobodyAskedForTeachesNothing() {
-    Reports reports = new Reports(TERMS, new SplittableRandom(1), at(0));
+    LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
     long id = asked(reports, 10);
     reports.heard(table(1, id + 1, 9, 1), view(2), teller(0), at(10.1));
     reports.heard(table(5, id, 9, 1), view(2), teller(0), at(10.1));
@@ -100,39 +100,39 @@
     assertEquals(0, reports.size(), "an answer counts once, though it was nonsense");
     assertThrows(
         IllegalArgumentException.class,
-        () -> new Table(teller(1), 1, new long[2], new int[1], new int[2]));
+        () -> new ReportsReply(teller(1), 1, new long[2], new int[1], new int[2]));
     assertThrows(
         IllegalArgumentException.class,
         () ->
-            new Table(
+            new ReportsReply(
                 teller(1),
                 1,
-                new long[Reports.MOST + 1],
-                new int[Reports.MOST + 1],
-                new int[Reports.MOST + 1]));
+                new long[LoadReports.MOST + 1],
+                new int[LoadReports.MOST + 1],
+                new int[LoadReports.MOST + 1]));
   }
 
   @Test
   void whatIsTooOldIsNothing() {
-    Reports reports = new Reports(TERMS, new SplittableRandom(1), at(0));
+    LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
     long id = asked(reports, 10);
     reports.heard(table(1, id, 9, 3100), view(2), teller(0), at(10.1));
     reports.heard(table(1, asked(reports, 11), 9, -4), view(2), teller(0), at(11.1));
     assertEquals(0, reports.size());
-    reports.told(new Report(E, 4, at(12)));
+    reports.told(new LoadReport(E, 4, at(12)));
     reports.due(view(2), teller(0), at(15.1));
     assertEquals(0, reports.size());
   }
 
-  private record Late(double at, int to, ReportWord word) {}
+  private record Late(double at, int to, LoadReportMessage word) {}
 
   @Test
   void aHundredMembersKnowWhatOneWasToldAndNeverAsYoungerThanItIs() {
     View view = view(100);
     SplittableRandom chance = new SplittableRandom(3);
-    List<Reports> all = new ArrayList<>();
+    List<LoadReports> all = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
-      all.add(new Reports(TERMS, chance.split(), at(0)));
+      all.add(new LoadReports(TERMS, chance.split(), at(0)));
     }
     Map<Integer, Double> toldAt = new HashMap<>();
     PriorityQueue<Late> late = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
@@ -144,23 +144,24 @@
         // Each time another member is told another figure.
         int figure = ms / 50;
         toldAt.put(figure, s);
-        all.get(chance.nextInt(100)).told(new Report(E, figure, at(s)));
+        all.get(chance.nextInt(100)).told(new LoadReport(E, figure, at(s)));
       }
       for (int i = 0; i < 100; i++) {
-        for (Reports.Tell tell : all.get(i).due(view, teller(i), at(s))) {
+        for (LoadReports.OutgoingMessage tell : all.get(i).due(view, teller(i), at(s))) {
           send(late, tell, s, chance);
         }
       }
       while (!late.isEmpty() && late.peek().at <= s) {
         Late l = late.poll();
-        for (Reports.Tell tell : all.get(l.to).heard(l.word, view, teller(l.to), at(s))) {
+        for (LoadReports.OutgoingMessage tell :
+            all.get(l.to).heard(l.word, view, teller(l.to), at(s))) {
           send(late, tell, s, chance);
         }
       }
       for (int i = 0; i < 100; i++) {
-        for (Report news : all.get(i).news()) {
+        for (LoadReport news : all.get(i).news()) {
           assertTrue(
-              news.at().us() <= toldAt.get((int) news.inHand()) * 1e6,
+              news.at().us() <= toldAt.get((int) news.inFlight()) * 1e6,
               "told as younger than it is");
           if (ms > 2000) {
             ages += s - news.at().us() / 1e6;
@@ -177,7 +178,10 @@
 
   /** A datagram may be lost, late or doubled. */
   private static void send(
-      PriorityQueue<Late> late, Reports.Tell tell, double s, SplittableRandom chance) {
+      PriorityQueue<Late> late,
+      LoadReports.OutgoingMessage tell,
+      double s,
+      SplittableRandom chance) {
     for (int n = chance.nextInt(10) == 0 ? 0 : chance.nextInt(10) == 0 ? 2 : 1; n > 0; n--) {
       late.add(
           new Late(
--- a/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.agreement.Acting;
-import cobaltseam.agreement.Acting.Mode;
-import cobaltseam.agreement.Agreement;
+import cobaltseam.agreement.ActiveConfiguration;
+import cobaltseam.agreement.ActiveConfiguration.Mode;
+import cobaltseam.agreement.ConfigurationAgreement;
 import cobaltseam.fleet.Trouble.Kind;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -40,10 +40,10 @@
   }
 
   private static void acts(VirtualFleet fleet, int process, long number, String content) {
-    Acting acting = fleet.acting(process);
+    ActiveConfiguration acting = fleet.acting(process);
     assertEquals(Mode.PLAIN, acting.mode(), "process " + process);
     assertEquals(number, acting.newest().number());
-    assertEquals(Agreement.hash(text(content)), acting.newest().hash());
+    assertEquals(ConfigurationAgreement.hash(text(content)), acting.newest().hash());
   }
 
   private static void kept(VirtualFleet fleet) {
@@ -165,14 +165,15 @@
   void clocksFurtherApartThanStatedAndNoWaitForLeasesAreFound() {
     // Mutants of the rule: clocks at half and at one and a half the rate under a bound of 0.1%, and
     // a wait of no length.
-    Agreement.Terms noWait = new Agreement.Terms(AgreeHunt.TERMS.contradiction(), -0.5, 1 << 20);
+    ConfigurationAgreement.AgreementOptions noWait =
+        new ConfigurationAgreement.AgreementOptions(AgreeHunt.TERMS.contradiction(), -0.5, 1 << 20);
     assertTrue(longest(AgreeHunt.TERMS, 1) > 0, "clocks");
     assertTrue(longest(noWait, 0) > 0, "no wait");
     assertEquals(0, longest(AgreeHunt.TERMS, AgreeHunt.CLOCKS));
   }
 
   /** Members cut off at many moments around a proposal: the longest contradiction of all. */
-  private static double longest(Agreement.Terms terms, double clocks) {
+  private static double longest(ConfigurationAgreement.AgreementOptions terms, double clocks) {
     double longest = 0;
     for (int seed = 0; seed < 40; seed++) {
       VirtualFleet fleet =
--- a/src/test/java/cobaltseam/fleet/RealFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/RealFleetTest.java
@@ -5,18 +5,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.fleet.Trouble.Kind;
-import cobaltseam.hall.MessageCodec;
-import cobaltseam.membership.Birth;
-import cobaltseam.membership.Condition;
+import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.Member;
+import cobaltseam.membership.MemberCondition;
 import cobaltseam.membership.MemberName;
-import cobaltseam.membership.Message;
-import cobaltseam.membership.News;
+import cobaltseam.membership.MemberUpdate;
+import cobaltseam.membership.MembershipMessage;
 import cobaltseam.membership.ViewId;
 import cobaltseam.standin.BusStandIn;
 import cobaltseam.standin.ClientStandIn;
 import cobaltseam.standin.EngineStandIn;
 import cobaltseam.standin.Ledger;
+import cobaltseam.transport.MessageCodec;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -600,26 +600,31 @@
       settles(fleet);
       Member stranger =
           new Member(
-              new MemberName("n001"), new Birth(1L << 59), new InetSocketAddress("127.0.0.1", 9));
-      Message.Teller teller = new Message.Teller(stranger, 0, ViewId.NONE, false);
+              new MemberName("n001"),
+              new Incarnation(1L << 59),
+              new InetSocketAddress("127.0.0.1", 9));
+      MembershipMessage.MessageHeader teller =
+          new MembershipMessage.MessageHeader(stranger, 0, ViewId.NONE, false);
       byte[] foreign =
           new MessageCodec("other", null, 0)
               .write(
-                  new Message.Part(
+                  new MembershipMessage.StatePart(
                       teller,
-                      List.of(new News(stranger, 0, Condition.ALIVE, stranger.name())),
+                      List.of(
+                          new MemberUpdate(stranger, 0, MemberCondition.ALIVE, stranger.name())),
                       false));
       byte[] older =
           new MessageCodec("rig", null, 0)
               .write(
-                  new Message.Ask(
-                      new Message.Teller(
-                          new Member(stranger.name(), new Birth(5), stranger.address()),
+                  new MembershipMessage.StateRequest(
+                      new MembershipMessage.MessageHeader(
+                          new Member(stranger.name(), new Incarnation(5), stranger.peerAddress()),
                           0,
                           ViewId.NONE,
                           false),
                       null));
-      byte[] taken = new MessageCodec("rig", null, 0).write(new Message.Ask(teller, null));
+      byte[] taken =
+          new MessageCodec("rig", null, 0).write(new MembershipMessage.StateRequest(teller, null));
       for (int i = 0; i < 50; i++) {
         fleet.say(0, foreign);
         fleet.say(0, new byte[] {1, 2, 3});
--- a/src/test/java/cobaltseam/fleet/SpreadFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/SpreadFleetTest.java
@@ -17,7 +17,7 @@
   private static final double FORMED = 30;
 
   private static VirtualFleet fleet(
-      int processes, long seed, Lease.Terms lease, double clocks, Trouble... troubles) {
+      int processes, long seed, Lease.LeaseOptions lease, double clocks, Trouble... troubles) {
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(processes), List.of(troubles), seed);
     fleet.divides(SpreadHunt.terms(processes), lease, clocks);
     fleet.run(FORMED - 0.01);
@@ -129,7 +129,7 @@
   }
 
   /** Cuts and kills at many moments: the most that was held at once, as a share of the whole. */
-  private static double most(Lease.Terms lease, double clocks) {
+  private static double most(Lease.LeaseOptions lease, double clocks) {
     double most = 0;
     for (int seed = 0; seed < 20; seed++) {
       VirtualFleet fleet = fleet(5, seed, lease, clocks, trouble(Kind.CUT, 20, List.of(3, 4)));
@@ -145,8 +145,8 @@
   void partsThatGrowTooSoonAndClocksFurtherApartThanStatedAreFound() {
     // Mutants of the rule: growing as soon as a view is held, and clocks at half and one and a half
     // the rate under a bound of 0.1%.
-    assertTrue(most(new Lease.Terms(new TimeSpan(20_000_000), -0.5), 0) > 1, "no wait");
-    assertTrue(most(new Lease.Terms(new TimeSpan(10_000_000), 0.001), 1) > 1, "clocks");
+    assertTrue(most(new Lease.LeaseOptions(new TimeSpan(20_000_000), -0.5), 0) > 1, "no wait");
+    assertTrue(most(new Lease.LeaseOptions(new TimeSpan(10_000_000), 0.001), 1) > 1, "clocks");
     assertTrue(most(SpreadHunt.LEASE, SpreadHunt.CLOCKS) <= 1);
   }
 }
--- a/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.fleet.Trouble.Kind;
-import cobaltseam.membership.Standing;
+import cobaltseam.membership.QuorumState;
 import cobaltseam.membership.View;
 import cobaltseam.membership.ViewId;
 import java.util.List;
@@ -79,7 +79,8 @@
     assertEquals(5, fleet.view(2).members().size());
     fleet.run(FORMED + 20.0001);
     assertTrue(
-        fleet.standing(2) != Standing.MAJORITY, "at its first moment it is " + fleet.standing(2));
+        fleet.standing(2) != QuorumState.MAJORITY,
+        "at its first moment it is " + fleet.standing(2));
     kept(fleet, FORMED + 60);
   }
 
@@ -101,9 +102,9 @@
       VirtualFleet fleet = fleet(9, cut, trouble(Kind.CUT, 40, 1, first(cut)));
       fleet.run(FORMED + 8);
       for (int i = 0; i < cut; i++) {
-        assertEquals(Standing.MINORITY, fleet.standing(i), cut + " cut off, process " + i);
+        assertEquals(QuorumState.MINORITY, fleet.standing(i), cut + " cut off, process " + i);
       }
-      assertEquals(Standing.MAJORITY, fleet.standing(8));
+      assertEquals(QuorumState.MAJORITY, fleet.standing(8));
       fleet.run(FORMED + 20);
       assertEquals(9 - cut, fleet.view(8).members().size());
       assertEquals(9, fleet.view(0).members().size(), "a minority installs nothing");
@@ -118,7 +119,7 @@
       VirtualFleet fleet = fleet(100, 5, trouble(Kind.CUT, 60, 1, who));
       fleet.run(FORMED + 25);
       for (int i : who) {
-        assertEquals(Standing.MINORITY, fleet.standing(i), cut + " cut off");
+        assertEquals(QuorumState.MINORITY, fleet.standing(i), cut + " cut off");
       }
     }
   }
@@ -132,7 +133,7 @@
     fleet.run(FORMED + 29);
     for (int i = 0; i < 9; i++) {
       assertEquals(before, number(fleet, i));
-      assertEquals(Standing.MINORITY, fleet.standing(i));
+      assertEquals(QuorumState.MINORITY, fleet.standing(i));
     }
     kept(fleet, FORMED + 90);
     assertEquals(before, number(fleet, 0), "all came back: nobody had to be taken out");
@@ -164,7 +165,7 @@
       fleet.run(FORMED + 119);
       assertEquals(before + 1, number(fleet, 0), t.kind() + ": one change of view in two minutes");
       assertEquals(6, fleet.view(0).members().size());
-      assertTrue(fleet.standing(3) != Standing.MAJORITY, "and it knows: " + fleet.standing(3));
+      assertTrue(fleet.standing(3) != QuorumState.MAJORITY, "and it knows: " + fleet.standing(3));
       kept(fleet, FORMED + 300);
     }
   }
@@ -184,9 +185,9 @@
   void killedAndStartedFasterThanDetectionItIsAnotherProcess() {
     VirtualFleet fleet = fleet(5, 8, trouble(Kind.KILL, 0.3, 1, 2));
     fleet.run(FORMED - 0.1);
-    long birth = fleet.view(0).members().get(2).birth().value();
+    long birth = fleet.view(0).members().get(2).incarnation().value();
     kept(fleet, FORMED + 30);
-    assertTrue(fleet.view(0).members().get(2).birth().value() > birth);
+    assertTrue(fleet.view(0).members().get(2).incarnation().value() > birth);
   }
 
   @Test
@@ -233,8 +234,8 @@
     long before = number(fleet, 4);
     fleet.run(FORMED + 120);
     assertEquals(before, number(fleet, 4));
-    assertEquals(Standing.MINORITY, fleet.standing(4));
-    assertEquals(Standing.NONE, fleet.standing(1), "what it was forgot what it promised");
+    assertEquals(QuorumState.MINORITY, fleet.standing(4));
+    assertEquals(QuorumState.NONE, fleet.standing(1), "what it was forgot what it promised");
     assertEquals(List.of(), Checker.check(fleet.happenings(), fleet.live(), false));
   }
 
@@ -242,9 +243,9 @@
   void allKilledAtOnceFoundANewLine() {
     VirtualFleet fleet = fleet(5, 11, trouble(Kind.KILL, 2, 1, first(5)));
     fleet.run(FORMED - 0.1);
-    long line = fleet.view(0).id().line();
+    long line = fleet.view(0).id().lineage();
     kept(fleet, FORMED + 60);
-    assertTrue(fleet.view(0).id().line() > line);
+    assertTrue(fleet.view(0).id().lineage() > line);
   }
 
   private static VirtualFleet withFolders(int processes, long seed, Trouble... troubles) {
@@ -269,7 +270,9 @@
     View before = fleet.view(0);
     fleet.run(FORMED + 0.3001);
     assertEquals(
-        Standing.UNSURE, fleet.standing(2), "it may have an old folder: it hears a majority first");
+        QuorumState.UNSURE,
+        fleet.standing(2),
+        "it may have an old folder: it hears a majority first");
     kept(fleet, FORMED + 30);
     assertEquals(before, fleet.view(0));
   }
@@ -279,9 +282,9 @@
     VirtualFleet fleet =
         withFolders(5, 3, trouble(Kind.KILL, 2, 1, 0, 1, 2), trouble(Kind.LOSE, 2, 1, 3, 4));
     fleet.run(FORMED - 0.1);
-    long line = fleet.view(0).id().line();
+    long line = fleet.view(0).id().lineage();
     kept(fleet, FORMED + 60);
-    assertEquals(line, fleet.view(0).id().line());
+    assertEquals(line, fleet.view(0).id().lineage());
     assertEquals(5, fleet.view(0).members().size());
   }
 
@@ -296,9 +299,9 @@
             new Trouble(Kind.PAUSE, 40, 15, List.of(2), List.of(), 1),
             new Trouble(Kind.STALE, 80, 1, List.of(2), List.of(), 1));
     fleet.run(79.9);
-    long birth = fleet.view(0).members().get(2).birth().value();
+    long birth = fleet.view(0).members().get(2).incarnation().value();
     kept(fleet, 140);
-    assertTrue(fleet.view(0).members().get(2).birth().value() > birth);
+    assertTrue(fleet.view(0).members().get(2).incarnation().value() > birth);
     assertTrue(fleet.notes().get("folder_old") > 0, fleet.notes().toString());
   }
 
@@ -316,9 +319,9 @@
               new Trouble(Kind.KILL, FORMED + 50, 1, List.of(3), List.of(), 1));
       fleet.run(FORMED + 49.9);
       assertEquals(2, fleet.view(4).members().size(), "seed " + seed);
-      long line = fleet.view(4).id().line();
+      long line = fleet.view(4).id().lineage();
       kept(fleet, FORMED + 200);
-      assertTrue(fleet.view(4).id().line() > line);
+      assertTrue(fleet.view(4).id().lineage() > line);
     }
   }
 
@@ -332,16 +335,16 @@
     fleet.foundAnew(3, old);
     assertEquals(old, fleet.view(3).id(), "too early");
     fleet.run(FORMED + 60);
-    fleet.foundAnew(3, new ViewId(old.line(), old.number() + 7));
+    fleet.foundAnew(3, new ViewId(old.lineage(), old.number() + 7));
     fleet.foundAnew(1, fleet.view(1).id());
     assertEquals(2, fleet.notes().get("not_founded_anew") - 1, "another view, and a majority");
     fleet.foundAnew(3, old);
     fleet.run(FORMED + 90);
-    assertTrue(fleet.view(3).id().line() > old.line());
+    assertTrue(fleet.view(3).id().lineage() > old.lineage());
     assertEquals(fleet.view(3), fleet.view(4), "whoever is left comes to it");
     assertEquals(2, fleet.view(3).members().size());
     kept(fleet, FORMED + 200);
-    assertEquals(old.line(), fleet.view(3).id().line(), "the old majority lived after all");
+    assertEquals(old.lineage(), fleet.view(3).id().lineage(), "the old majority lived after all");
   }
 
   @Test
@@ -360,10 +363,10 @@
     VirtualFleet fleet =
         fleet(8, 12, trouble(Kind.KILL, 5, 1, 0, 1, 2), trouble(Kind.CUT, 40, 1, 0, 1, 2));
     fleet.run(FORMED + 39);
-    assertTrue(fleet.view(0).id().line() != fleet.view(5).id().line());
-    long elder = fleet.view(5).id().line();
+    assertTrue(fleet.view(0).id().lineage() != fleet.view(5).id().lineage());
+    long elder = fleet.view(5).id().lineage();
     kept(fleet, FORMED + 120);
-    assertEquals(elder, fleet.view(0).id().line(), "the younger line is left");
+    assertEquals(elder, fleet.view(0).id().lineage(), "the younger line is left");
   }
 
   @Test
--- a/src/test/java/cobaltseam/log/PrintedNamesTest.java
+++ b/src/test/java/cobaltseam/logging/PrintedNamesTest.java
@@ -1,4 +1,4 @@
-package cobaltseam.log;
+package cobaltseam.logging;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/src/test/java/cobaltseam/mastership/Exploration.java
+++ b/src/test/java/cobaltseam/mastership/Exploration.java
@@ -38,13 +38,13 @@
 
   /** All moments count from now. */
   private record World(
-      List<Standing> routers,
+      List<RouterState> routers,
       List<Timestamp> frozen,
       List<Flying> flying,
       Faults left,
       Timestamp overlapSince) {}
 
-  private final List<Terms> terms;
+  private final List<RouterOptions> terms;
   private final List<InetAddress> selves = new ArrayList<>();
   private final Set<World> seen = new HashSet<>();
   private final TimeSpan settle;
@@ -52,7 +52,7 @@
   private long steps;
   private TimeSpan longestOverlap = TimeSpan.ZERO;
 
-  Exploration(List<Terms> terms, Faults faults) {
+  Exploration(List<RouterOptions> terms, Faults faults) {
     this.terms = terms;
     for (int i = 0; i < terms.size(); i++) {
       selves.add(Addresses.read("10.0.0." + (i + 1)).orElseThrow());
@@ -77,7 +77,7 @@
 
   /** Explores all; throws with what went wrong. */
   void run(Faults faults) {
-    List<Standing> start =
+    List<RouterState> start =
         terms.stream()
             .map(t -> VirtualRouter.start(t, t.priority(), TimeSpan.ZERO, ZERO).standing())
             .toList();
@@ -191,7 +191,7 @@
         }
       }
       if (faulty && w.left.restarts > 0) {
-        List<Standing> routers = new ArrayList<>(w.routers);
+        List<RouterState> routers = new ArrayList<>(w.routers);
         routers.set(
             i,
             VirtualRouter.start(terms.get(i), terms.get(i).priority(), INTERVAL, now).standing());
@@ -216,23 +216,23 @@
   }
 
   private interface Event {
-    Change on(Terms terms, Standing standing);
+    Change on(RouterOptions terms, RouterState standing);
   }
 
   /** The fence first, as in service; then the event; then each way that its adverts can go. */
   private void follow(
       World w, int i, Timestamp now, boolean faulty, List<World> worlds, Event event) {
-    Standing before = w.routers.get(i);
+    RouterState before = w.routers.get(i);
     Change fenced = VirtualRouter.fenced(terms.get(i), before, now);
     Change change = event.on(terms.get(i), fenced.standing());
-    List<Act> acts = new ArrayList<>(fenced.acts());
+    List<MastershipAction> acts = new ArrayList<>(fenced.acts());
     acts.addAll(change.acts());
     taking(before.role() == Role.ACTIVE, change.standing().role() == Role.ACTIVE, acts);
-    List<Standing> routers = new ArrayList<>(w.routers);
+    List<RouterState> routers = new ArrayList<>(w.routers);
     routers.set(i, change.standing());
     List<World> ways = List.of(new World(routers, w.frozen, w.flying, w.left, w.overlapSince));
-    for (Act act : acts) {
-      if (act instanceof Act.Advertise advertise) {
+    for (MastershipAction act : acts) {
+      if (act instanceof MastershipAction.Advertise advertise) {
         for (int to = 0; to < routers.size(); to++) {
           if (to != i) {
             ways = flown(ways, new Flying(i, to, advertise.priority(), now.plus(LATENCY)), faulty);
@@ -244,13 +244,16 @@
   }
 
   /** Traffic is taken by no other than an active one: what acts say must be what its role is. */
-  private static void taking(boolean before, boolean after, List<Act> acts) {
+  private static void taking(boolean before, boolean after, List<MastershipAction> acts) {
     boolean taking = before;
-    for (Act act : acts) {
-      if (act instanceof Act.Take == taking && !(act instanceof Act.Advertise)) {
+    for (MastershipAction act : acts) {
+      if (act instanceof MastershipAction.Acquire == taking
+          && !(act instanceof MastershipAction.Advertise)) {
         throw new AssertionError(acts + " while taking: " + taking);
       }
-      taking = act instanceof Act.Take || taking && !(act instanceof Act.Leave);
+      taking =
+          act instanceof MastershipAction.Acquire
+              || taking && !(act instanceof MastershipAction.Release);
     }
     if (taking != after) {
       throw new AssertionError(acts + " lead to taking: " + taking + ", active: " + after);
@@ -307,10 +310,10 @@
   /** The same world with now as the moment zero; what is long past is all the same. */
   private World shifted(World w, Timestamp now) {
     TimeSpan past = now.since(ZERO);
-    List<Standing> routers = new ArrayList<>();
-    for (Standing s : w.routers) {
+    List<RouterState> routers = new ArrayList<>();
+    for (RouterState s : w.routers) {
       routers.add(
-          new Standing(
+          new RouterState(
               s.role(),
               ZERO,
               s.reason(),
@@ -333,8 +336,8 @@
     return to != null && onlyAhead && to.isBefore(ZERO) ? ZERO : to;
   }
 
-  static Terms terms(int priority, boolean preempts) {
-    return new Terms(
+  static RouterOptions terms(int priority, boolean preempts) {
+    return new RouterOptions(
         new VirtualRouterId(1, false),
         priority,
         INTERVAL,
@@ -355,7 +358,7 @@
       String[] parts = arg.split("[:,]");
       boolean preempts = parts[0].equals("preempt");
       int[] faults = new int[5];
-      List<Terms> terms = new ArrayList<>();
+      List<RouterOptions> terms = new ArrayList<>();
       for (int i = 1; i < parts.length - 5; i++) {
         terms.add(terms(Integer.parseInt(parts[i]), preempts));
       }
--- a/src/test/java/cobaltseam/mastership/ExplorationTest.java
+++ b/src/test/java/cobaltseam/mastership/ExplorationTest.java
@@ -33,7 +33,7 @@
       int late,
       int freezes,
       int restarts) {
-    List<Terms> terms =
+    List<RouterOptions> terms =
         Arrays.stream(priorities.split(" "))
             .map(p -> Exploration.terms(Integer.parseInt(p), preempts))
             .toList();
--- a/src/test/java/cobaltseam/mastership/MastershipTest.java
+++ b/src/test/java/cobaltseam/mastership/MastershipTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cobaltseam.authentication.KeyRing;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.mastership.Fitness.Sign;
-import cobaltseam.seal.SealKeys;
+import cobaltseam.mastership.HealthScore.HealthSignal;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Advert;
 import cobaltseam.vrrp.AdvertCodec;
@@ -39,12 +39,12 @@
     return Addresses.read(text).orElseThrow();
   }
 
-  private static Terms terms(int router, int priority, boolean preempts, TimeSpan delay) {
-    return new Terms(
+  private static RouterOptions terms(int router, int priority, boolean preempts, TimeSpan delay) {
+    return new RouterOptions(
         new VirtualRouterId(router, false), priority, SECOND, preempts, delay, ADDRESSES);
   }
 
-  private static Mastership of(Terms... terms) {
+  private static Mastership of(RouterOptions... terms) {
     return new Mastership(
         SELF, List.of(terms), Set.of(LOWER, HIGHER), 3, LONGEST_SEND, TimeSpan.ZERO, true);
   }
@@ -58,9 +58,9 @@
   }
 
   /** Lets time pass, asking whenever it wants to be asked. */
-  private List<Act> pass(Mastership m, double seconds) {
+  private List<MastershipAction> pass(Mastership m, double seconds) {
     Timestamp until = now.plus(SECOND.times(seconds));
-    List<Act> acts = new ArrayList<>();
+    List<MastershipAction> acts = new ArrayList<>();
     while (m.wake() != null && !until.isBefore(m.wake())) {
       now = m.wake();
       acts.addAll(m.due(now));
@@ -73,8 +73,8 @@
     return m.standing(R1).role();
   }
 
-  private static List<Act> taken(Reason why) {
-    return List.of(new Act.Advertise(R1, 100), new Act.Take(R1, why));
+  private static List<MastershipAction> taken(TransitionReason why) {
+    return List.of(new MastershipAction.Advertise(R1, 100), new MastershipAction.Acquire(R1, why));
   }
 
   private Mastership active() {
@@ -92,14 +92,18 @@
     // Three intervals and a skew of 156/256 of one.
     assertEquals(START.plus(new TimeSpan(3_609_375)), m.wake());
     assertFalse(m.admits(R1, now));
-    assertEquals(taken(Reason.NONE_HEARD), pass(m, 3.7));
+    assertEquals(taken(TransitionReason.NONE_HEARD), pass(m, 3.7));
     assertTrue(m.admits(R1, now));
   }
 
   @Test
   void anOwnerClaimsAtOnceButNotBeforeItHasListened() {
     Mastership m = of(terms(1, 255, true, TimeSpan.ZERO));
-    assertEquals(List.of(new Act.Advertise(R1, 255), new Act.Take(R1, Reason.OWNER)), m.start(now));
+    assertEquals(
+        List.of(
+            new MastershipAction.Advertise(R1, 255),
+            new MastershipAction.Acquire(R1, TransitionReason.OWNER)),
+        m.start(now));
     Mastership listens =
         new Mastership(
             SELF,
@@ -120,7 +124,7 @@
     assertEquals(now.plus(new TimeSpan(2 * 3_609_375)), m.wake());
     m.heard(HIGHER, advert(0, 200), now);
     assertEquals(now.plus(new TimeSpan(2 * 609_375)), m.wake());
-    assertEquals(taken(Reason.NONE_HEARD), pass(m, 1.3));
+    assertEquals(taken(TransitionReason.NONE_HEARD), pass(m, 1.3));
   }
 
   @Test
@@ -160,12 +164,15 @@
   @Test
   void anActiveOneYieldsToAHigherPriorityOrAddressOnly() {
     Mastership m = active();
-    assertEquals(List.of(new Act.Advertise(R1, 100)), m.heard(LOWER, advert(100), now));
+    assertEquals(
+        List.of(new MastershipAction.Advertise(R1, 100)), m.heard(LOWER, advert(100), now));
     assertEquals(Role.ACTIVE, role(m));
     assertEquals(
-        List.of(new Act.Leave(R1, Reason.ADDRESS_HIGHER)), m.heard(HIGHER, advert(100), now));
+        List.of(new MastershipAction.Release(R1, TransitionReason.ADDRESS_HIGHER)),
+        m.heard(HIGHER, advert(100), now));
     assertEquals(
-        List.of(new Act.Leave(R1, Reason.HIGHER_HEARD)), active().heard(LOWER, advert(101), now));
+        List.of(new MastershipAction.Release(R1, TransitionReason.HIGHER_HEARD)),
+        active().heard(LOWER, advert(101), now));
   }
 
   @Test
@@ -190,7 +197,7 @@
     assertFalse(m.admits(R1, after));
     assertTrue(m.overtaken(after));
     // What comes first after the gap, its own alarm included, finds it stepping back.
-    assertEquals(List.of(new Act.Leave(R1, Reason.FENCED)), m.due(after));
+    assertEquals(List.of(new MastershipAction.Release(R1, TransitionReason.FENCED)), m.due(after));
     assertEquals(after.plus(new TimeSpan(3_609_375)), m.wake());
   }
 
@@ -209,8 +216,10 @@
   void anEndedOneResigns() {
     Mastership m = active();
     assertEquals(
-        List.of(new Act.Advertise(R1, 0), new Act.Leave(R1, Reason.ENDED)),
-        m.stop(Reason.ENDED, now));
+        List.of(
+            new MastershipAction.Advertise(R1, 0),
+            new MastershipAction.Release(R1, TransitionReason.ENDED)),
+        m.stop(TransitionReason.ENDED, now));
     assertEquals(List.of(), m.heard(LOWER, advert(1), now));
     assertEquals(List.of(), pass(m, 60));
     assertFalse(m.isActive());
@@ -221,7 +230,8 @@
     Mastership m = active();
     List<Long> waits = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      assertEquals(new Act.Leave(R1, Reason.UNABLE), m.unable(R1, now).get(1));
+      assertEquals(
+          new MastershipAction.Release(R1, TransitionReason.UNABLE), m.unable(R1, now).get(1));
       waits.add(m.wake().since(now).us());
       pass(m, 100);
       assertEquals(Role.ACTIVE, role(m));
@@ -237,10 +247,12 @@
   void aLessFitOneAdvertisesALowerPriorityNeverBelowOne() {
     Mastership m = active();
     m.fitness(30, now);
-    assertEquals(List.of(new Act.Advertise(R1, 70)), pass(m, 1).subList(0, 1));
+    assertEquals(List.of(new MastershipAction.Advertise(R1, 70)), pass(m, 1).subList(0, 1));
     m.fitness(200, now);
-    assertEquals(new Act.Advertise(R1, 1), pass(m, 1).get(0));
-    assertEquals(List.of(new Act.Leave(R1, Reason.HIGHER_HEARD)), m.heard(LOWER, advert(50), now));
+    assertEquals(new MastershipAction.Advertise(R1, 1), pass(m, 1).get(0));
+    assertEquals(
+        List.of(new MastershipAction.Release(R1, TransitionReason.HIGHER_HEARD)),
+        m.heard(LOWER, advert(50), now));
     // Well again: it takes over once more, in a down interval.
     m.fitness(0, now);
     for (int i = 0; i < 5; i++) {
@@ -253,33 +265,39 @@
   @Test
   void newTermsHoldAtOnceAndRoutersComeAndGo() {
     Mastership m = active();
-    List<Act> acts =
+    List<MastershipAction> acts =
         m.renewed(
             List.of(terms(1, 180, true, TimeSpan.ZERO), terms(2, 90, true, TimeSpan.ZERO)),
             Set.of(LOWER),
             3,
             now);
-    assertEquals(List.of(new Act.Advertise(R1, 180)), acts);
+    assertEquals(List.of(new MastershipAction.Advertise(R1, 180)), acts);
     assertEquals(List.of(R1, new VirtualRouterId(2, false)), m.routers());
     assertEquals(List.of(), m.heard(HIGHER, advert(255), now), "no peer any more");
     acts = m.renewed(List.of(terms(2, 90, true, TimeSpan.ZERO)), Set.of(LOWER), 3, now);
-    assertEquals(List.of(new Act.Advertise(R1, 0), new Act.Leave(R1, Reason.REMOVED)), acts);
+    assertEquals(
+        List.of(
+            new MastershipAction.Advertise(R1, 0),
+            new MastershipAction.Release(R1, TransitionReason.REMOVED)),
+        acts);
     assertFalse(m.admits(R1, now));
   }
 
   @Test
   void manyRoutersAreEachAskedInTheirTime() {
-    Terms[] all = new Terms[255];
+    RouterOptions[] all = new RouterOptions[255];
     for (int i = 0; i < all.length; i++) {
       all[i] = terms(i + 1, 1 + i % 254, true, TimeSpan.ZERO);
     }
     Mastership m = of(all);
     m.start(now);
-    assertEquals(255, pass(m, 4.1).stream().filter(a -> a instanceof Act.Take).count());
+    assertEquals(
+        255, pass(m, 4.1).stream().filter(a -> a instanceof MastershipAction.Acquire).count());
     assertEquals(255 * 10, pass(m, 10).size());
     // All are fenced by one gap.
     now = now.plus(SECOND.times(5));
-    assertEquals(255, m.due(now).stream().filter(a -> a instanceof Act.Leave).count());
+    assertEquals(
+        255, m.due(now).stream().filter(a -> a instanceof MastershipAction.Release).count());
   }
 
   @Test
@@ -326,11 +344,11 @@
 
   // ---- who may say so
 
-  private static final SealKeys KEYS =
-      SealKeys.read("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
+  private static final KeyRing KEYS =
+      KeyRing.read("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
   private static final TimeSpan DIFFERENCE = SECOND.times(0.5);
 
-  private byte[] sealed(Timestamp sent, SealKeys keys, int key) {
+  private byte[] sealed(Timestamp sent, KeyRing keys, int key) {
     return AdvertSeal.write(
         AdvertCodec.write(advert(200), LOWER, SELF, Covers.MESSAGE),
         LOWER,
@@ -344,7 +362,8 @@
   void forgedReplayedAndStaleAdvertsNeverCount() {
     Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
-    Intake intake = new Intake(SELF, m, new Freshness(START, DIFFERENCE), Set.of(LOWER), KEYS);
+    AdvertFilter intake =
+        new AdvertFilter(SELF, m, new ReplayGuard(START, DIFFERENCE), Set.of(LOWER), KEYS);
     byte[] recorded = sealed(START.plus(DIFFERENCE), KEYS, 1);
     now = START.plus(SECOND);
     assertEquals(
@@ -365,12 +384,12 @@
     assertEquals(
         Refusal.FORGED,
         intake
-            .judge(sealed(now, SealKeys.read("1 " + "00".repeat(16)), 1), LOWER, SELF, now)
+            .judge(sealed(now, KeyRing.read("1 " + "00".repeat(16)), 1), LOWER, SELF, now)
             .refusal());
     assertEquals(
         Refusal.KEY_UNKNOWN,
         intake
-            .judge(sealed(now, SealKeys.read("3 " + "00".repeat(16)), 3), LOWER, SELF, now)
+            .judge(sealed(now, KeyRing.read("3 " + "00".repeat(16)), 3), LOWER, SELF, now)
             .refusal());
     assertEquals(
         Refusal.UNSEALED,
@@ -382,11 +401,11 @@
     assertEquals(1, intake.taken());
     assertEquals(2, intake.refused(Refusal.REPLAYED));
     // After a restart of the receiver what was taken before is not taken again.
-    Freshness restarted = new Freshness(now, DIFFERENCE);
-    Intake again = new Intake(SELF, m, restarted, Set.of(LOWER), KEYS);
+    ReplayGuard restarted = new ReplayGuard(now, DIFFERENCE);
+    AdvertFilter again = new AdvertFilter(SELF, m, restarted, Set.of(LOWER), KEYS);
     assertEquals(Refusal.STALE, again.judge(good, LOWER, SELF, now).refusal());
     // A change of keys: the new one counts once it is there, the old one as long as it is.
-    again.renewed(Set.of(LOWER), SealKeys.read("2 " + "cd".repeat(16)));
+    again.renewed(Set.of(LOWER), KeyRing.read("2 " + "cd".repeat(16)));
     now = now.plus(SECOND.times(2));
     assertEquals(
         Refusal.KEY_UNKNOWN, again.judge(sealed(now, KEYS, 1), LOWER, SELF, now).refusal());
@@ -397,7 +416,8 @@
   void withoutSealsEitherChecksumCountsAndIsCounted() {
     Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
-    Intake intake = new Intake(SELF, m, new Freshness(START, TimeSpan.ZERO), Set.of(LOWER), null);
+    AdvertFilter intake =
+        new AdvertFilter(SELF, m, new ReplayGuard(START, TimeSpan.ZERO), Set.of(LOWER), null);
     for (Covers covers : Covers.values()) {
       assertEquals(
           200,
@@ -413,9 +433,10 @@
 
   @Test
   void aFlappingSignDoesNotFlapThePriority() {
-    Map<Sign, Fitness.Bounds> bounds = new EnumMap<>(Sign.class);
-    bounds.put(Sign.LATE, new Fitness.Bounds(0.5, 0.2, 30));
-    Fitness fitness = new Fitness(new Fitness.Watched(bounds, SECOND, SECOND.times(5), 5));
+    Map<HealthSignal, HealthScore.SignalBounds> bounds = new EnumMap<>(HealthSignal.class);
+    bounds.put(HealthSignal.LATE, new HealthScore.SignalBounds(0.5, 0.2, 30));
+    HealthScore fitness =
+        new HealthScore(new HealthScore.HealthScoreOptions(bounds, SECOND, SECOND.times(5), 5));
     int changes = 0;
     int last = 0;
     int counted = 0;
@@ -423,7 +444,7 @@
     for (int tenth = 0; tenth < 36_000; tenth++) {
       int steps =
           fitness.told(
-              Map.of(Sign.LATE, tenth % 100 < 20 ? 1.0 : 0.0),
+              Map.of(HealthSignal.LATE, tenth % 100 < 20 ? 1.0 : 0.0),
               START.plus(SECOND.times(tenth / 10.0)));
       changes += steps != last ? 1 : 0;
       counted += steps > 0 ? 1 : 0;
@@ -431,20 +452,20 @@
     }
     assertTrue(changes <= 5, changes + " changes");
     assertTrue(counted > 30_000, "counted in " + counted + " of 36000 looks");
-    assertEquals(List.of(Sign.LATE), fitness.counting());
+    assertEquals(List.of(HealthSignal.LATE), fitness.counting());
     // Between the bounds it stays as it is; well for long enough it ends.
     Timestamp later = START.plus(SECOND.times(4000));
-    fitness.told(Map.of(Sign.LATE, 0.0), later);
-    assertEquals(0, fitness.told(Map.of(Sign.LATE, 0.0), later.plus(SECOND.times(160))));
-    assertEquals(0, fitness.told(Map.of(Sign.LATE, 0.4), later.plus(SECOND.times(170))));
-    assertEquals(0, fitness.told(Map.of(Sign.LATE, 0.6), later.plus(SECOND.times(171))));
-    assertEquals(30, fitness.told(Map.of(Sign.LATE, 0.6), later.plus(SECOND.times(172))));
-    assertEquals(30, fitness.told(Map.of(Sign.LATE, 0.4), later.plus(SECOND.times(999))));
+    fitness.told(Map.of(HealthSignal.LATE, 0.0), later);
+    assertEquals(0, fitness.told(Map.of(HealthSignal.LATE, 0.0), later.plus(SECOND.times(160))));
+    assertEquals(0, fitness.told(Map.of(HealthSignal.LATE, 0.4), later.plus(SECOND.times(170))));
+    assertEquals(0, fitness.told(Map.of(HealthSignal.LATE, 0.6), later.plus(SECOND.times(171))));
+    assertEquals(30, fitness.told(Map.of(HealthSignal.LATE, 0.6), later.plus(SECOND.times(172))));
+    assertEquals(30, fitness.told(Map.of(HealthSignal.LATE, 0.4), later.plus(SECOND.times(999))));
   }
 
   @Test
   void anObserverTellsSilencesAndSplits() {
-    Observer observer = new Observer();
+    AdvertObserver observer = new AdvertObserver();
     assertEquals(List.of(LOWER), observer.heard(LOWER, advert(50), now).get(0).active());
     assertEquals(List.of(), observer.heard(LOWER, advert(50), now));
     assertEquals(List.of(LOWER, HIGHER), observer.heard(HIGHER, advert(60), now).get(0).active());
--- a/src/test/java/cobaltseam/membership/MembershipTest.java
+++ b/src/test/java/cobaltseam/membership/MembershipTest.java
@@ -20,7 +20,7 @@
   private static final TimeSpan PERIOD = new TimeSpan(1_000_000);
 
   private final Map<InetSocketAddress, Membership> at = new HashMap<>();
-  private final List<Act.Noted> noted = new ArrayList<>();
+  private final List<MembershipAction.EventRecorded> noted = new ArrayList<>();
   private Timestamp now = new Timestamp(1_000_000);
 
   private static InetSocketAddress address(int port) {
@@ -30,12 +30,13 @@
   private Membership member(String name, long birth, int port, int... seeds) {
     List<InetSocketAddress> of =
         java.util.Arrays.stream(seeds).mapToObj(MembershipTest::address).toList();
-    Terms terms =
-        new Terms(PERIOD, 2, 3, List.of(new MemberName("a")), of, new TimeSpan(3_000_000));
+    MembershipOptions terms =
+        new MembershipOptions(
+            PERIOD, 2, 3, List.of(new MemberName("a")), of, new TimeSpan(3_000_000));
     Membership m =
         new Membership(
             terms,
-            new Member(new MemberName(name), new Birth(birth), address(port)),
+            new Member(new MemberName(name), new Incarnation(birth), address(port)),
             new SplittableRandom(port));
     at.put(address(port), m);
     carry(m.start(now));
@@ -43,11 +44,11 @@
   }
 
   /** Each message is heard at once; what nobody has an address for is lost. */
-  private void carry(List<Act> acts) {
-    for (Act act : acts) {
-      if (act instanceof Act.Tell tell && at.containsKey(tell.to())) {
+  private void carry(List<MembershipAction> acts) {
+    for (MembershipAction act : acts) {
+      if (act instanceof MembershipAction.Send tell && at.containsKey(tell.to())) {
         carry(at.get(tell.to()).heard(tell.message(), now));
-      } else if (act instanceof Act.Noted n) {
+      } else if (act instanceof MembershipAction.EventRecorded n) {
         noted.add(n);
       }
     }
@@ -65,7 +66,7 @@
     }
   }
 
-  private boolean isNoted(Act.Event event) {
+  private boolean isNoted(MembershipAction.MembershipEvent event) {
     return noted.stream().anyMatch(n -> n.event() == event);
   }
 
@@ -77,14 +78,15 @@
     assertEquals(2, a.view().members().size());
     Membership second = member("b", 9, 3, 1);
     pass(20);
-    assertTrue(isNoted(Act.Event.NAME_TAKEN));
+    assertTrue(isNoted(MembershipAction.MembershipEvent.NAME_TAKEN));
     assertNull(second.view(), "it is not taken in");
     assertTrue(
-        a.view().holds(b.self().name(), b.self().birth()), "the one that lives stays: " + a.view());
+        a.view().contains(b.self().name(), b.self().incarnation()),
+        "the one that lives stays: " + a.view());
     at.remove(address(2));
     pass(60);
     assertTrue(
-        a.view().holds(second.self().name(), second.self().birth()),
+        a.view().contains(second.self().name(), second.self().incarnation()),
         "once the first is dead the name is free: " + a.view());
   }
 
@@ -96,8 +98,9 @@
     at.remove(address(2));
     Membership anew = member("b", 10, 2, 1);
     pass(40);
-    assertTrue(anew.self().birth().value() > 5_000, "birth " + anew.self().birth());
-    assertTrue(a.view().holds(anew.self().name(), anew.self().birth()), a.view().toString());
+    assertTrue(anew.self().incarnation().value() > 5_000, "birth " + anew.self().incarnation());
+    assertTrue(
+        a.view().contains(anew.self().name(), anew.self().incarnation()), a.view().toString());
   }
 
   @Test
@@ -109,15 +112,16 @@
     Membership later = member("b", 3, 2, 1);
     pass(20);
     View view = a.view();
-    assertTrue(view.holds(later.self().name(), later.self().birth()));
-    Message.Teller old =
-        new Message.Teller(
+    assertTrue(view.contains(later.self().name(), later.self().incarnation()));
+    MembershipMessage.MessageHeader old =
+        new MembershipMessage.MessageHeader(
             former.self(), 50, former.view() == null ? ViewId.NONE : former.view().id(), true);
     carry(
         a.heard(
-            new Message.Part(
+            new MembershipMessage.StatePart(
                 old,
-                List.of(new News(later.self(), 99, Condition.DEAD, former.self().name())),
+                List.of(
+                    new MemberUpdate(later.self(), 99, MemberCondition.DEAD, former.self().name())),
                 false),
             now));
     pass(5);
@@ -127,18 +131,21 @@
   @Test
   void namesWithoutEndAreNotKept() {
     Membership a = member("a", 1, 1);
-    Member liar = new Member(new MemberName("liar"), new Birth(1), address(9));
+    Member liar = new Member(new MemberName("liar"), new Incarnation(1), address(9));
     for (int i = 0; i < 6000; i += 20) {
-      List<News> news = new ArrayList<>();
+      List<MemberUpdate> news = new ArrayList<>();
       for (int n = i; n < i + 20; n++) {
         news.add(
-            new News(
-                new Member(new MemberName("x" + n), new Birth(1), address(10_000 + n)),
+            new MemberUpdate(
+                new Member(new MemberName("x" + n), new Incarnation(1), address(10_000 + n)),
                 0,
-                Condition.ALIVE,
+                MemberCondition.ALIVE,
                 liar.name()));
       }
-      a.heard(new Message.Part(new Message.Teller(liar, 0, ViewId.NONE, false), news, true), now);
+      a.heard(
+          new MembershipMessage.StatePart(
+              new MembershipMessage.MessageHeader(liar, 0, ViewId.NONE, false), news, true),
+          now);
     }
     assertTrue(a.seen().size() <= 4096, "holds " + a.seen().size());
   }
@@ -156,6 +163,6 @@
     pass(4);
     assertEquals(2, a.view().members().size());
     assertEquals(a.view(), b.view());
-    assertFalse(isNoted(Act.Event.SUSPECTED));
+    assertFalse(isNoted(MembershipAction.MembershipEvent.SUSPECTED));
   }
 }
--- a/src/test/java/cobaltseam/membership/SuccessionExploration.java
+++ b/src/test/java/cobaltseam/membership/SuccessionExploration.java
@@ -1,13 +1,13 @@
 package cobaltseam.membership;
 
-import cobaltseam.membership.Message.Accept;
-import cobaltseam.membership.Message.Accepted;
-import cobaltseam.membership.Message.Decided;
-import cobaltseam.membership.Message.Prepare;
-import cobaltseam.membership.Message.Promise;
-import cobaltseam.membership.Message.Teller;
-import cobaltseam.membership.Succession.Step;
-import cobaltseam.membership.Succession.Tell;
+import cobaltseam.membership.MembershipMessage.Accept;
+import cobaltseam.membership.MembershipMessage.Accepted;
+import cobaltseam.membership.MembershipMessage.Decided;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
+import cobaltseam.membership.MembershipMessage.Prepare;
+import cobaltseam.membership.MembershipMessage.Promise;
+import cobaltseam.membership.ViewChange.OutgoingMessage;
+import cobaltseam.membership.ViewChange.Step;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -43,11 +43,11 @@
     TELLS_BEFORE_IT_IS_KEPT
   }
 
-  private record Flying(MemberName to, Message message) {}
+  private record Flying(MemberName to, MembershipMessage message) {}
 
   private record World(
-      List<Seat> seats,
-      List<Birth> births,
+      List<ViewState> seats,
+      List<Incarnation> births,
       List<Flying> flying,
       int proposals,
       int restarts,
@@ -72,7 +72,9 @@
 
   private static Member member(int i, long birth) {
     return new Member(
-        new MemberName("m" + i), new Birth(birth), InetSocketAddress.createUnresolved("m" + i, 1));
+        new MemberName("m" + i),
+        new Incarnation(birth),
+        InetSocketAddress.createUnresolved("m" + i, 1));
   }
 
   int states() {
@@ -81,11 +83,11 @@
 
   /** What broke first, or null. */
   String run() {
-    List<Seat> seats = new ArrayList<>();
-    List<Birth> births = new ArrayList<>();
+    List<ViewState> seats = new ArrayList<>();
+    List<Incarnation> births = new ArrayList<>();
     for (Member m : members) {
-      seats.add(Seat.of(first));
-      births.add(m.birth());
+      seats.add(ViewState.of(first));
+      births.add(m.incarnation());
     }
     Deque<World> open = new ArrayDeque<>();
     open.add(
@@ -107,7 +109,7 @@
   private void check(World w) {
     List<View> held =
         w.seats.stream()
-            .map(Seat::view)
+            .map(ViewState::view)
             .filter(v -> v != null && v.id().number() == 2)
             .distinct()
             .toList();
@@ -116,9 +118,9 @@
     }
   }
 
-  private Teller teller(World w, int i) {
-    Seat seat = w.seats.get(i);
-    return new Teller(
+  private MessageHeader teller(World w, int i) {
+    ViewState seat = w.seats.get(i);
+    return new MessageHeader(
         member(i, w.births.get(i).value()),
         0,
         seat.view() == null ? ViewId.NONE : seat.view().id(),
@@ -127,12 +129,12 @@
 
   private void next(World w, List<World> open) {
     for (int i = 0; i < members.size(); i++) {
-      Seat seat = w.seats.get(i);
+      ViewState seat = w.seats.get(i);
       boolean holds = seat.view() != null && seat.view().equals(first);
       if (holds && w.proposals > 0 && seat.round() == null) {
         // Each wants another one out, so that what is chosen tells who chose it.
-        Change change = new Change(List.of(members.get((i + 1) % members.size())), List.of());
-        Step step = Succession.propose(seat, teller(w, i), change, w.proposals);
+        ViewDelta change = new ViewDelta(List.of(members.get((i + 1) % members.size())), List.of());
+        Step step = ViewChange.propose(seat, teller(w, i), change, w.proposals);
         open.add(
             with(
                 new World(w.seats, w.births, w.flying, w.proposals - 1, w.restarts, w.doubles),
@@ -141,19 +143,19 @@
       }
       if (w.restarts > 0) {
         boolean asBefore = bounds.folders || bounds.mutant == Mutant.VOTES_AFTER_RESTART;
-        List<Seat> seats = new ArrayList<>(w.seats);
+        List<ViewState> seats = new ArrayList<>(w.seats);
         // From a folder, all but its own try is there again.
-        Seat kept =
+        ViewState kept =
             bounds.mutant == Mutant.TELLS_BEFORE_IT_IS_KEPT
-                ? seat.view() == null ? seat : Seat.of(seat.view())
-                : seat.with((Seat.Round) null);
+                ? seat.view() == null ? seat : ViewState.of(seat.view())
+                : seat.with((ViewState.ProposalRound) null);
         seats.set(
             i,
             bounds.folders
                 ? kept
-                : asBefore ? Seat.of(first) : new Seat(null, null, null, null, null));
-        List<Birth> births = new ArrayList<>(w.births);
-        births.set(i, asBefore ? births.get(i) : new Birth(births.get(i).value() + 1));
+                : asBefore ? ViewState.of(first) : new ViewState(null, null, null, null, null));
+        List<Incarnation> births = new ArrayList<>(w.births);
+        births.set(i, asBefore ? births.get(i) : new Incarnation(births.get(i).value() + 1));
         open.add(new World(seats, births, w.flying, w.proposals, w.restarts - 1, w.doubles));
       }
     }
@@ -172,68 +174,72 @@
 
   private World heard(World w, Flying come) {
     int i = Integer.parseInt(come.to.value().substring(1));
-    Seat seat = w.seats.get(i);
-    Message message = come.message;
-    Teller self = teller(w, i);
+    ViewState seat = w.seats.get(i);
+    MembershipMessage message = come.message;
+    MessageHeader self = teller(w, i);
     if (message instanceof Decided d) {
-      if (seat.view() != null && seat.view().id().equals(d.of())) {
-        View next = seat.view().with(d.value());
-        boolean in = next.holds(self.member().name(), self.member().birth());
-        return with(w, i, new Step(in ? Seat.of(next) : new Seat(null, null, null, null, null)));
+      if (seat.view() != null && seat.view().id().equals(d.viewId())) {
+        View next = seat.view().apply(d.value());
+        boolean in = next.contains(self.member().name(), self.member().incarnation());
+        return with(
+            w, i, new Step(in ? ViewState.of(next) : new ViewState(null, null, null, null, null)));
       }
       return w;
     }
     ViewId of =
         message instanceof Prepare p
-            ? p.of()
+            ? p.viewId()
             : message instanceof Promise p
-                ? p.of()
+                ? p.viewId()
                 : message instanceof Accept a
-                    ? a.of()
-                    : message instanceof Accepted a ? a.of() : ((Message.Refuse) message).of();
+                    ? a.viewId()
+                    : message instanceof Accepted a
+                        ? a.viewId()
+                        : ((MembershipMessage.Reject) message).viewId();
     boolean ours =
-        seat.view() != null && seat.view().holds(self.member().name(), self.member().birth());
-    if (!ours || !Succession.counts(seat, message.from(), of)) {
+        seat.view() != null
+            && seat.view().contains(self.member().name(), self.member().incarnation());
+    if (!ours || !ViewChange.counts(seat, message.from(), of)) {
       return w;
     }
     if (message instanceof Prepare p) {
-      Seat voter =
+      ViewState voter =
           bounds.mutant == Mutant.FORGETS_ACCEPTED
-              ? new Seat(seat.view(), seat.promised(), null, null, seat.round())
+              ? new ViewState(seat.view(), seat.promised(), null, null, seat.round())
               : seat;
-      return with(w, i, Succession.prepare(voter, self, p, List.of()));
+      return with(w, i, ViewChange.prepare(voter, self, p, List.of()));
     } else if (message instanceof Promise p) {
-      return with(w, i, Succession.promised(seat, self, p));
+      return with(w, i, ViewChange.promised(seat, self, p));
     } else if (message instanceof Accept a) {
-      Seat voter =
+      ViewState voter =
           bounds.mutant == Mutant.IGNORES_PROMISE
-              ? new Seat(seat.view(), null, seat.accepted(), seat.value(), seat.round())
+              ? new ViewState(seat.view(), null, seat.accepted(), seat.value(), seat.round())
               : seat;
-      return with(w, i, Succession.accept(voter, self, a));
+      return with(w, i, ViewChange.accept(voter, self, a));
     } else if (message instanceof Accepted a) {
       return with(w, i, counted(seat, self, a));
     }
-    return with(w, i, new Step(seat.with((Seat.Round) null)));
+    return with(w, i, new Step(seat.with((ViewState.ProposalRound) null)));
   }
 
-  private Step counted(Seat seat, Teller self, Accepted a) {
+  private Step counted(ViewState seat, MessageHeader self, Accepted a) {
     boolean early =
         bounds.mutant == Mutant.SMALL_MAJORITY
             && seat.round() != null
             && seat.round().chosen() != null
             && seat.round().ballot().equals(a.ballot());
     return early
-        ? new Step(Seat.of(seat.view().with(seat.round().chosen())))
-        : Succession.accepted(seat, self, a);
+        ? new Step(ViewState.of(seat.view().apply(seat.round().chosen())))
+        : ViewChange.accepted(seat, self, a);
   }
 
   /** What a step leaves; what it says to itself is heard at once. Decisions fly too. */
   private World with(World w, int i, Step step) {
-    List<Seat> seats = new ArrayList<>(w.seats);
-    Seat then = step.seat();
+    List<ViewState> seats = new ArrayList<>(w.seats);
+    ViewState then = step.seat();
     boolean out =
-        then.view() != null && !then.view().holds(new MemberName("m" + i), w.births.get(i));
-    seats.set(i, out ? new Seat(null, null, null, null, null) : then);
+        then.view() != null && !then.view().contains(new MemberName("m" + i), w.births.get(i));
+    seats.set(i, out ? new ViewState(null, null, null, null, null) : then);
     if (out) {
       // It decided that it is out itself; others must still come to the same.
       View decided = then.view();
@@ -248,7 +254,7 @@
     }
     List<Flying> flying = new ArrayList<>(w.flying);
     World world = new World(seats, w.births, flying, w.proposals, w.restarts, w.doubles);
-    for (Tell tell : step.tells()) {
+    for (OutgoingMessage tell : step.tells()) {
       if (tell.to().name().value().equals("m" + i)) {
         World before =
             new World(
--- a/src/test/java/cobaltseam/membership/SuccessionTest.java
+++ b/src/test/java/cobaltseam/membership/SuccessionTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.membership.Message.Accept;
-import cobaltseam.membership.Message.Prepare;
-import cobaltseam.membership.Message.Promise;
-import cobaltseam.membership.Message.Teller;
-import cobaltseam.membership.Succession.Step;
+import cobaltseam.membership.MembershipMessage.Accept;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
+import cobaltseam.membership.MembershipMessage.Prepare;
+import cobaltseam.membership.MembershipMessage.Promise;
 import cobaltseam.membership.SuccessionExploration.Bounds;
 import cobaltseam.membership.SuccessionExploration.Mutant;
+import cobaltseam.membership.ViewChange.Step;
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -24,7 +24,7 @@
 
   private static Member member(String name, long birth) {
     return new Member(
-        new MemberName(name), new Birth(birth), InetSocketAddress.createUnresolved(name, 1));
+        new MemberName(name), new Incarnation(birth), InetSocketAddress.createUnresolved(name, 1));
   }
 
   private static final View VIEW =
@@ -32,12 +32,12 @@
           new ViewId(7, 3),
           List.of(member("a", 1), member("b", 1), member("c", 1), member("d", 1), member("e", 1)));
 
-  private static Teller teller(String name) {
-    return new Teller(member(name, 1), 0, VIEW.id(), true);
+  private static MessageHeader teller(String name) {
+    return new MessageHeader(member(name, 1), 0, VIEW.id(), true);
   }
 
   private static Promise promise(
-      String from, Ballot ballot, Ballot accepted, Change value, String... stay) {
+      String from, Ballot ballot, Ballot accepted, ViewDelta value, String... stay) {
     return new Promise(
         teller(from),
         VIEW.id(),
@@ -70,51 +70,52 @@
 
   @Test
   void nobodyIsTakenOutWithoutAMajorityThatAgrees() {
-    Change wanted = new Change(List.of(member("d", 1), member("e", 1)), List.of());
-    Step tried = Succession.propose(Seat.of(VIEW), teller("a"), wanted, 0);
+    ViewDelta wanted = new ViewDelta(List.of(member("d", 1), member("e", 1)), List.of());
+    Step tried = ViewChange.propose(ViewState.of(VIEW), teller("a"), wanted, 0);
     Ballot ballot = tried.seat().round().ballot();
-    Seat seat =
-        Succession.promised(tried.seat(), teller("a"), promise("a", ballot, null, null)).seat();
-    seat = Succession.promised(seat, teller("a"), promise("b", ballot, null, null, "e")).seat();
-    Step third = Succession.promised(seat, teller("a"), promise("c", ballot, null, null, "e"));
+    ViewState seat =
+        ViewChange.promised(tried.seat(), teller("a"), promise("a", ballot, null, null)).seat();
+    seat = ViewChange.promised(seat, teller("a"), promise("b", ballot, null, null, "e")).seat();
+    Step third = ViewChange.promised(seat, teller("a"), promise("c", ballot, null, null, "e"));
     assertNull(
         third.seat().round().chosen(),
         "three promises: two say that e stays, and two votes are out");
-    Step late = Succession.proceed(third.seat(), teller("a"), true);
+    Step late = ViewChange.proceed(third.seat(), teller("a"), true);
     assertEquals(
-        new Change(List.of(member("d", 1)), List.of()),
+        new ViewDelta(List.of(member("d", 1)), List.of()),
         late.seat().round().chosen(),
         "without them e stays");
   }
 
   @Test
   void whoComesInUnderANameThatStaysDoesNot() {
-    Change wanted = new Change(List.of(member("e", 1)), List.of(member("e", 2), member("f", 1)));
-    Step tried = Succession.propose(Seat.of(VIEW), teller("a"), wanted, 0);
-    Seat seat = tried.seat();
+    ViewDelta wanted =
+        new ViewDelta(List.of(member("e", 1)), List.of(member("e", 2), member("f", 1)));
+    Step tried = ViewChange.propose(ViewState.of(VIEW), teller("a"), wanted, 0);
+    ViewState seat = tried.seat();
     for (String voter : List.of("a", "b", "c")) {
       seat =
-          Succession.promised(
+          ViewChange.promised(
                   seat, teller("a"), promise(voter, seat.round().ballot(), null, null, "e"))
               .seat();
     }
-    assertEquals(new Change(List.of(), List.of(member("f", 1))), seat.round().chosen());
+    assertEquals(new ViewDelta(List.of(), List.of(member("f", 1))), seat.round().chosen());
   }
 
   @Test
   void whatAMajorityMayHaveAcceptedIsProposedAgain() {
-    Change old = new Change(List.of(member("b", 1)), List.of());
-    Change newer = new Change(List.of(member("c", 1)), List.of());
+    ViewDelta old = new ViewDelta(List.of(member("b", 1)), List.of());
+    ViewDelta newer = new ViewDelta(List.of(member("c", 1)), List.of());
     Step tried =
-        Succession.propose(
-            Seat.of(VIEW), teller("a"), new Change(List.of(member("e", 1)), List.of()), 9);
-    Seat seat = tried.seat();
+        ViewChange.propose(
+            ViewState.of(VIEW), teller("a"), new ViewDelta(List.of(member("e", 1)), List.of()), 9);
+    ViewState seat = tried.seat();
     Ballot ballot = seat.round().ballot();
-    Ballot low = new Ballot(3, new MemberName("d"), new Birth(1));
-    Ballot high = new Ballot(4, new MemberName("b"), new Birth(1));
-    seat = Succession.promised(seat, teller("a"), promise("a", ballot, null, null)).seat();
-    seat = Succession.promised(seat, teller("a"), promise("b", ballot, low, old)).seat();
-    seat = Succession.promised(seat, teller("a"), promise("c", ballot, high, newer, "e")).seat();
+    Ballot low = new Ballot(3, new MemberName("d"), new Incarnation(1));
+    Ballot high = new Ballot(4, new MemberName("b"), new Incarnation(1));
+    seat = ViewChange.promised(seat, teller("a"), promise("a", ballot, null, null)).seat();
+    seat = ViewChange.promised(seat, teller("a"), promise("b", ballot, low, old)).seat();
+    seat = ViewChange.promised(seat, teller("a"), promise("c", ballot, high, newer, "e")).seat();
     assertEquals(
         newer,
         seat.round().chosen(),
@@ -123,35 +124,36 @@
 
   @Test
   void aVoterKeepsToItsPromiseAndTellsWhich() {
-    Ballot high = new Ballot(5, new MemberName("b"), new Birth(1));
-    Ballot low = new Ballot(4, new MemberName("c"), new Birth(1));
+    Ballot high = new Ballot(5, new MemberName("b"), new Incarnation(1));
+    Ballot low = new Ballot(4, new MemberName("c"), new Incarnation(1));
     Step promised =
-        Succession.prepare(
-            Seat.of(VIEW),
+        ViewChange.prepare(
+            ViewState.of(VIEW),
             teller("a"),
             new Prepare(teller("b"), VIEW.id(), high, List.of()),
             List.of());
     Step refused =
-        Succession.accept(
+        ViewChange.accept(
             promised.seat(),
             teller("a"),
             new Accept(
-                teller("c"), VIEW.id(), low, new Change(List.of(member("e", 1)), List.of())));
+                teller("c"), VIEW.id(), low, new ViewDelta(List.of(member("e", 1)), List.of())));
     assertEquals(promised.seat(), refused.seat());
-    assertEquals(high, ((Message.Refuse) refused.tells().get(0).message()).promised());
+    assertEquals(high, ((MembershipMessage.Reject) refused.tells().get(0).message()).promised());
   }
 
   @Test
   void aVoteOfAnotherBirthOrViewDoesNotCount() {
-    assertTrue(Succession.counts(Seat.of(VIEW), teller("b"), VIEW.id()));
-    Teller anew = new Teller(member("b", 2), 0, VIEW.id(), true);
-    assertTrue(!Succession.counts(Seat.of(VIEW), anew, VIEW.id()), "it started anew");
-    assertTrue(!Succession.counts(Seat.of(VIEW), teller("f"), VIEW.id()), "it is not in the view");
+    assertTrue(ViewChange.counts(ViewState.of(VIEW), teller("b"), VIEW.id()));
+    MessageHeader anew = new MessageHeader(member("b", 2), 0, VIEW.id(), true);
+    assertTrue(!ViewChange.counts(ViewState.of(VIEW), anew, VIEW.id()), "it started anew");
     assertTrue(
-        !Succession.counts(Seat.of(VIEW), teller("b"), new ViewId(7, 2)),
+        !ViewChange.counts(ViewState.of(VIEW), teller("f"), VIEW.id()), "it is not in the view");
+    assertTrue(
+        !ViewChange.counts(ViewState.of(VIEW), teller("b"), new ViewId(7, 2)),
         "it speaks of an older view");
     assertTrue(
-        !Succession.counts(Seat.of(VIEW), teller("b"), new ViewId(8, 3)),
+        !ViewChange.counts(ViewState.of(VIEW), teller("b"), new ViewId(8, 3)),
         "it speaks of another line");
   }
 }
--- a/src/test/java/cobaltseam/repeats/PurseTest.java
+++ b/src/test/java/cobaltseam/retrybudget/PurseTest.java
@@ -1,4 +1,4 @@
-package cobaltseam.repeats;
+package cobaltseam.retrybudget;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -6,14 +6,14 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.membership.Birth;
+import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberName;
-import cobaltseam.membership.Message.Teller;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
 import cobaltseam.membership.View;
 import cobaltseam.membership.ViewId;
-import cobaltseam.repeats.PurseWord.Beg;
-import cobaltseam.repeats.PurseWord.Give;
+import cobaltseam.retrybudget.RetryBudgetMessage.BudgetRequest;
+import cobaltseam.retrybudget.RetryBudgetMessage.BudgetTransfer;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,12 +29,14 @@
  * between.
  */
 class PurseTest {
-  private static final Terms TERMS =
-      new Terms(0.1, 0, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001);
+  private static final RetryBudgetOptions TERMS =
+      new RetryBudgetOptions(0.1, 0, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001);
 
   private static Member member(int i, long birth) {
     return new Member(
-        new MemberName("n" + i), new Birth(birth), new InetSocketAddress("127.0.0.1", 1000 + i));
+        new MemberName("n" + i),
+        new Incarnation(birth),
+        new InetSocketAddress("127.0.0.1", 1000 + i));
   }
 
   private static View view(int members) {
@@ -45,8 +47,8 @@
     return new View(new ViewId(1, 1), of, null);
   }
 
-  private static Teller teller(int i) {
-    return new Teller(member(i, 1), 0, ViewId.NONE, true);
+  private static MessageHeader teller(int i) {
+    return new MessageHeader(member(i, 1), 0, ViewId.NONE, true);
   }
 
   private static Timestamp at(double s) {
@@ -56,14 +58,14 @@
   /** A purse and whoever spends from it. */
   private static class One {
     final AtomicLong left = new AtomicLong();
-    final Purse purse;
+    final RetryBudget purse;
     long firsts, wanted;
 
-    One(Terms terms, long seed) {
+    One(RetryBudgetOptions terms, long seed) {
       purse =
-          new Purse(
+          new RetryBudget(
               terms,
-              new Purse.Left() {
+              new RetryBudget.RemainingRetries() {
                 @Override
                 public long get() {
                   return left.get();
@@ -79,10 +81,10 @@
 
     boolean spends() {
       wanted++;
-      return left.get() >= Purse.ONE && left.addAndGet(-Purse.ONE) >= 0;
+      return left.get() >= RetryBudget.ONE && left.addAndGet(-RetryBudget.ONE) >= 0;
     }
 
-    List<Purse.Tell> follow(Map<MemberName, Long> spares, int self, double s) {
+    List<RetryBudget.OutgoingMessage> follow(Map<MemberName, Long> spares, int self, double s) {
       return purse.follow(firsts, wanted, spares, view(3), teller(self), at(s));
     }
   }
@@ -100,29 +102,35 @@
     assertTrue(one.spends() && !one.spends(), "the half is kept");
     one.firsts = 130;
     one.follow(Map.of(), 0, 3);
-    assertEquals(10 * Purse.ONE, one.left.get());
+    assertEquals(10 * RetryBudget.ONE, one.left.get());
     one.follow(Map.of(), 0, 11.9);
-    assertEquals(10 * Purse.ONE, one.left.get());
+    assertEquals(10 * RetryBudget.ONE, one.left.get());
     one.follow(Map.of(), 0, 12);
     assertEquals(0, one.left.get(), "a window from the look before they were sent");
   }
 
   @Test
   void aloneAProcessEarnsItsStatedPartAndNoMoreIsSavedUp() {
-    One one = new One(new Terms(0, 2, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001), 1);
+    One one =
+        new One(
+            new RetryBudgetOptions(0, 2, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001),
+            1);
     for (int ds = 0; ds <= 1000; ds++) {
       one.follow(Map.of(), 0, ds / 10.0);
-      assertTrue(one.left.get() <= 2 * Purse.ONE, "at " + ds);
+      assertTrue(one.left.get() <= 2 * RetryBudget.ONE, "at " + ds);
     }
-    assertTrue(one.left.get() > 1.8 * Purse.ONE, Long.toString(one.left.get()));
+    assertTrue(one.left.get() > 1.8 * RetryBudget.ONE, Long.toString(one.left.get()));
   }
 
   @Test
   void aPauseEarnsNoMoreThanAWindow() {
-    One one = new One(new Terms(0, 2, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001), 1);
+    One one =
+        new One(
+            new RetryBudgetOptions(0, 2, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001),
+            1);
     one.follow(Map.of(), 0, 0);
     one.follow(Map.of(), 0, 500);
-    assertTrue(one.left.get() <= 2 * Purse.ONE);
+    assertTrue(one.left.get() <= 2 * RetryBudget.ONE);
   }
 
   @Test
@@ -134,15 +142,17 @@
     One asker = new One(TERMS, 2);
     asker.follow(Map.of(), 0, 0);
     asker.wanted = 1000;
-    List<Purse.Tell> asks = asker.follow(Map.of(new MemberName("n1"), giver.purse.spare()), 0, 1.2);
-    Beg beg = (Beg) asks.get(0).word();
-    Give give = (Give) giver.purse.heard(beg, view(3), teller(1), at(1.3)).get(0).word();
-    assertEquals(20 * Purse.ONE, giver.left.get(), "half of what it can do without");
+    List<RetryBudget.OutgoingMessage> asks =
+        asker.follow(Map.of(new MemberName("n1"), giver.purse.spare()), 0, 1.2);
+    BudgetRequest beg = (BudgetRequest) asks.get(0).word();
+    BudgetTransfer give =
+        (BudgetTransfer) giver.purse.heard(beg, view(3), teller(1), at(1.3)).get(0).word();
+    assertEquals(20 * RetryBudget.ONE, giver.left.get(), "half of what it can do without");
     asker.purse.heard(give, view(3), teller(0), at(1.4));
     asker.purse.heard(give, view(3), teller(0), at(1.4));
-    assertEquals(20 * Purse.ONE, asker.left.get(), "once");
+    assertEquals(20 * RetryBudget.ONE, asker.left.get(), "once");
     asker.follow(Map.of(), 0, 9.8);
-    assertEquals(20 * Purse.ONE, asker.left.get());
+    assertEquals(20 * RetryBudget.ONE, asker.left.get());
     asker.follow(Map.of(), 0, 10);
     assertEquals(
         0, asker.left.get(), "it ends there no later than it would have here, by any clock");
@@ -153,31 +163,39 @@
     One one = new One(TERMS, 1);
     one.follow(Map.of(), 0, 0);
     one.wanted = 1000;
-    Beg beg = (Beg) one.follow(Map.of(new MemberName("n1"), 50_000L), 0, 1).get(0).word();
+    BudgetRequest beg =
+        (BudgetRequest) one.follow(Map.of(new MemberName("n1"), 50_000L), 0, 1).get(0).word();
     long[] much = {5_000};
     long[] lasts = {9_000_000};
-    one.purse.heard(new Give(teller(1), beg.id() + 1, much, lasts), view(3), teller(0), at(1.1));
-    one.purse.heard(new Give(teller(2), beg.id(), much, lasts), view(3), teller(0), at(1.1));
     one.purse.heard(
-        new Give(new Teller(member(1, 9), 0, ViewId.NONE, true), beg.id(), much, lasts),
+        new BudgetTransfer(teller(1), beg.id() + 1, much, lasts), view(3), teller(0), at(1.1));
+    one.purse.heard(
+        new BudgetTransfer(teller(2), beg.id(), much, lasts), view(3), teller(0), at(1.1));
+    one.purse.heard(
+        new BudgetTransfer(
+            new MessageHeader(member(1, 9), 0, ViewId.NONE, true), beg.id(), much, lasts),
         view(3),
         teller(0),
         at(1.1));
     assertEquals(0, one.left.get());
     one.purse.heard(
-        new Give(teller(1), beg.id(), new long[] {-5_000}, lasts), view(3), teller(0), at(1.1));
+        new BudgetTransfer(teller(1), beg.id(), new long[] {-5_000}, lasts),
+        view(3),
+        teller(0),
+        at(1.1));
     assertEquals(0, one.left.get());
     assertThrows(
-        IllegalArgumentException.class, () -> new Give(teller(1), 1, new long[1], new long[2]));
+        IllegalArgumentException.class,
+        () -> new BudgetTransfer(teller(1), 1, new long[1], new long[2]));
   }
 
-  private record Late(double at, int to, long life, PurseWord word) {}
+  private record Late(double at, int to, long life, RetryBudgetMessage word) {}
 
   /**
    * What a drawn day came to: the most that further sends were over what their bound was, in any
    * stretch that was looked at.
    */
-  private static double day(long seed, Terms terms, boolean forgets, boolean doubles) {
+  private static double day(long seed, RetryBudgetOptions terms, boolean forgets, boolean doubles) {
     SplittableRandom chance = new SplittableRandom(seed);
     int members = 3 + chance.nextInt(8);
     One[] all = new One[members];
@@ -219,7 +237,7 @@
           spares.put(new MemberName("n" + o), all[o].purse.spare());
         }
         One one = all[i];
-        for (Purse.Tell t :
+        for (RetryBudget.OutgoingMessage t :
             one.purse.follow(one.firsts, one.wanted, spares, view, teller(i), at(s * rates[i]))) {
           send(late, t, s, loss, doubles, lives, chance);
         }
@@ -229,7 +247,7 @@
         if (s < stands[l.to]) {
           late.add(new Late(stands[l.to], l.to, l.life, l.word));
         } else {
-          for (Purse.Tell t :
+          for (RetryBudget.OutgoingMessage t :
               all[l.to].purse.heard(l.word, view, teller(l.to), at(s * rates[l.to]))) {
             send(late, t, s, loss, doubles, lives, chance);
           }
@@ -245,7 +263,7 @@
         long sent = further.stream().filter(x -> x >= f && x < t).count();
         double bound =
             terms.ratio() * firsts.stream().filter(x -> x >= f - window && x < t).count()
-                + terms.alone() * members * (t - f + window) / (window - 0.1);
+                + terms.standaloneRate() * members * (t - f + window) / (window - 0.1);
         over = Math.max(over, sent - bound);
       }
     }
@@ -254,7 +272,7 @@
 
   private static void send(
       PriorityQueue<Late> late,
-      Purse.Tell tell,
+      RetryBudget.OutgoingMessage tell,
       double s,
       double loss,
       boolean doubles,
@@ -278,7 +296,8 @@
       over =
           day(
               seed,
-              new Terms(0.05, 1, new TimeSpan(5_000_000), new TimeSpan(100_000), 0.001),
+              new RetryBudgetOptions(
+                  0.05, 1, new TimeSpan(5_000_000), new TimeSpan(100_000), 0.001),
               false,
               true);
       assertTrue(
@@ -296,7 +315,8 @@
       stays +=
           day(
               seed,
-              new Terms(0.1, 0, new TimeSpan(10_000_000), new TimeSpan(9_999_999), 0.001),
+              new RetryBudgetOptions(
+                  0.1, 0, new TimeSpan(10_000_000), new TimeSpan(9_999_999), 0.001),
               true,
               false);
     }
--- a/src/test/java/cobaltseam/service/FleetNodeOrderTest.java
+++ b/src/test/java/cobaltseam/service/FleetNodeOrderTest.java
@@ -2,16 +2,16 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.hall.MessageCodec;
-import cobaltseam.membership.Birth;
-import cobaltseam.membership.Condition;
+import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.Member;
+import cobaltseam.membership.MemberCondition;
 import cobaltseam.membership.MemberName;
-import cobaltseam.membership.Message.Probe;
-import cobaltseam.membership.Message.Teller;
-import cobaltseam.membership.News;
+import cobaltseam.membership.MemberUpdate;
+import cobaltseam.membership.MembershipMessage.HealthCheck;
+import cobaltseam.membership.MembershipMessage.MessageHeader;
 import cobaltseam.membership.ViewId;
-import cobaltseam.setup.SetupReader;
+import cobaltseam.settings.SettingsReader;
+import cobaltseam.transport.MessageCodec;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -104,7 +104,7 @@
     String bus = new Peer(false).address();
     service = new Service(told(bus, SOCKETS, IDLE_MS));
     service.joinsFleet(
-        SetupReader.read(own),
+        SettingsReader.read(own),
         configuration(bus, SOCKETS, IDLE_MS).getBytes(StandardCharsets.UTF_8));
   }
 
@@ -114,16 +114,16 @@
    */
   private static void say(DatagramSocket other, InetSocketAddress to) {
     InetSocketAddress from = (InetSocketAddress) other.getLocalSocketAddress();
-    Member self = new Member(new MemberName("n9"), new Birth(1), from);
-    Member third = new Member(new MemberName("n8"), new Birth(1), from);
+    Member self = new Member(new MemberName("n9"), new Incarnation(1), from);
+    Member third = new Member(new MemberName("n8"), new Incarnation(1), from);
     byte[] bytes =
         new MessageCodec("rig", null, 0)
             .write(
-                new Probe(
-                    new Teller(self, 0, ViewId.NONE, false),
+                new HealthCheck(
+                    new MessageHeader(self, 0, ViewId.NONE, false),
                     1,
                     new MemberName("n0"),
-                    List.of(new News(third, 0, Condition.SUSPECT, self.name()))));
+                    List.of(new MemberUpdate(third, 0, MemberCondition.SUSPECT, self.name()))));
     try {
       other.send(new DatagramPacket(bytes, bytes.length, to));
       Thread.sleep(READ_WITHIN_MS);
--- a/src/test/java/cobaltseam/service/HallTest.java
+++ b/src/test/java/cobaltseam/service/HallTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cobaltseam.authentication.KeyRing;
 import cobaltseam.deployment.Fields;
 import cobaltseam.dispatch.TimeSpan;
-import cobaltseam.seal.SealKeys;
-import cobaltseam.setup.SetupReader;
+import cobaltseam.settings.SettingsReader;
 import cobaltseam.standin.AdvertLink.Fault;
 import cobaltseam.standin.BusStandIn;
 import cobaltseam.standin.ClientStandIn;
@@ -299,7 +299,7 @@
         Files.writeString(
             rig.dispatchers[i].folder().toPath().resolve("keys"), "1 " + "ab".repeat(16) + "\n");
       }
-      SealKeys keys = SealKeys.read("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
+      KeyRing keys = KeyRing.read("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
       Advert advert = new Advert(51, 250, 10, List.of(Addresses.read("192.0.2.10").orElseThrow()));
       InetAddress peer = rig.seenAs(1);
       InetAddress self = rig.listens(0).getAddress();
@@ -431,7 +431,7 @@
       AtomicBoolean broken = new AtomicBoolean();
       Service service = new Service(told);
       service.joins(
-          SetupReader.read(file).hall(),
+          SettingsReader.read(file).hall(),
           () -> {
             if (broken.get()) {
               throw new IllegalStateException("for the test");
--- a/src/test/java/cobaltseam/setup/SetupReaderTest.java
+++ b/src/test/java/cobaltseam/settings/SetupReaderTest.java
@@ -1,4 +1,4 @@
-package cobaltseam.setup;
+package cobaltseam.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -7,7 +7,7 @@
 
 import cobaltseam.deployment.BadInput;
 import cobaltseam.dispatch.TimeSpan;
-import cobaltseam.mastership.Fitness.Sign;
+import cobaltseam.mastership.HealthScore.HealthSignal;
 import cobaltseam.vrrp.Reading.Covers;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -48,7 +48,7 @@
 
   private String wrong(String text) throws IOException {
     Path file = write(text);
-    String why = assertThrows(BadInput.class, () -> SetupReader.read(file)).getMessage();
+    String why = assertThrows(BadInput.class, () -> SettingsReader.read(file)).getMessage();
     for (String line : why.split("\n")) {
       assertTrue(line.startsWith(file.toString()), line);
     }
@@ -64,10 +64,11 @@
 
   @Test
   void whatHangsOnMembershipNeedsItAndHasDefaults() throws IOException {
-    Setup setup = SetupReader.read(write(MEMBER + "[agreement]\n[spread]\nwindow_ms = 500\n"));
+    Settings setup =
+        SettingsReader.read(write(MEMBER + "[agreement]\n[spread]\nwindow_ms = 500\n"));
     assertEquals(new TimeSpan(2_000_000), setup.agreed().contradiction());
     assertEquals(
-        new Setup.Spread(
+        new Settings.CapacitySettings(
             false,
             0.1,
             0.25,
@@ -79,8 +80,8 @@
             false),
         setup.spread());
     assertEquals(
-        new Setup.Repeats(0.3, 1, new TimeSpan(10_000_000), new TimeSpan(100_000)),
-        SetupReader.read(write(MEMBER + "[repeats]\nratio = 0.3\n")).repeats());
+        new Settings.RetryBudgetSettings(0.3, 1, new TimeSpan(10_000_000), new TimeSpan(100_000)),
+        SettingsReader.read(write(MEMBER + "[repeats]\nratio = 0.3\n")).repeats());
     assertTrue(wrong("[repeats]\n").contains("it needs [membership]"));
     assertTrue(
         wrong(MEMBER + "[repeats]\nround_ms = 600\nwindow_ms = 500\n")
@@ -98,12 +99,12 @@
 
   @Test
   void nothingIsOnInAnEmptyFile() throws IOException {
-    assertEquals(Setup.OFF, SetupReader.read(write("")));
+    assertEquals(Settings.OFF, SettingsReader.read(write("")));
   }
 
   @Test
   void aWholeFileIsRead() throws IOException {
-    Setup setup = SetupReader.read(write(WHOLE));
+    Settings setup = SettingsReader.read(write(WHOLE));
     assertTrue(setup.jsonLog());
     assertEquals(Covers.PSEUDO_HEADER, setup.hall().covers());
     assertEquals(150, setup.hall().terms().get(0).priority());
@@ -111,9 +112,9 @@
     assertTrue(setup.hall().terms().get(0).preempts());
     assertEquals(2, setup.hall().sealing().writeKey());
     assertEquals(-1, setup.hall().elsewhere());
-    assertEquals(40, setup.hall().fitness().bounds().get(Sign.LATE).steps());
-    assertNull(setup.hall().fitness().bounds().get(Sign.MEMORY));
-    assertEquals(100, setup.hall().fitness().bounds().get(Sign.NO_ENGINE).steps());
+    assertEquals(40, setup.hall().fitness().bounds().get(HealthSignal.LATE).steps());
+    assertNull(setup.hall().fitness().bounds().get(HealthSignal.MEMORY));
+    assertEquals(100, setup.hall().fitness().bounds().get(HealthSignal.NO_ENGINE).steps());
   }
 
   @Test
@@ -178,7 +179,7 @@
             .contains("mastership.router[0].serve"));
     Path gone = folder.resolve("gone.toml");
     assertTrue(
-        assertThrows(BadInput.class, () -> SetupReader.read(gone))
+        assertThrows(BadInput.class, () -> SettingsReader.read(gone))
             .getMessage()
             .contains("can't be read"));
   }
--- a/src/test/java/cobaltseam/sharing/SharingTest.java
+++ b/src/test/java/cobaltseam/sharing/SharingTest.java
@@ -8,9 +8,9 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.membership.Birth;
+import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.MemberName;
-import cobaltseam.sharing.Sharing.Send;
+import cobaltseam.sharing.StateGossip.Send;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -32,10 +32,11 @@
  */
 class SharingTest {
   private static final TimeSpan SECOND = new TimeSpan(1_000_000);
-  private static final Terms TERMS = new Terms(SECOND, 3, SECOND.times(15), 1200, 0.001);
+  private static final GossipOptions TERMS =
+      new GossipOptions(SECOND, 3, SECOND.times(15), 1200, 0.001);
   private static final String OUT = "out";
 
-  private record Flight(long at, int order, MemberName to, Told message) {}
+  private record Flight(long at, int order, MemberName to, SharingMessage message) {}
 
   /**
    * One process: its module, and its clock, which runs at a rate of its own from a moment of its
@@ -43,19 +44,19 @@
    */
   private static final class Process {
     final MemberName name;
-    final Birth birth;
+    final Incarnation birth;
     final long begun;
     final double rate;
-    final Sharing module;
+    final StateGossip module;
     long said;
     final Map<MemberName, Version> newest = new HashMap<>();
 
-    Process(MemberName name, Birth birth, long at, double rate, SplittableRandom r) {
+    Process(MemberName name, Incarnation birth, long at, double rate, SplittableRandom r) {
       this.name = name;
       this.birth = birth;
       begun = at;
       this.rate = rate;
-      module = new Sharing(name, birth, TERMS, new SplittableRandom(r.nextLong()), clock(at));
+      module = new StateGossip(name, birth, TERMS, new SplittableRandom(r.nextLong()), clock(at));
     }
 
     Timestamp clock(long at) {
@@ -86,7 +87,7 @@
   }
 
   private Process start(int i, long birth, double rate) {
-    Process p = new Process(name(i), new Birth(birth), now, rate, r);
+    Process p = new Process(name(i), new Incarnation(birth), now, rate, r);
     running.put(p.name, p);
     view.add(p.name);
     running.values().forEach(q -> q.module.view(view));
@@ -96,7 +97,7 @@
   /** What is said is told apart by its value: no two statements of all say the same. */
   private void say(Process p) {
     long value = now * 1000 + running.size() + p.said++ % 7;
-    p.module.say(new Figures(Map.of(OUT, value)));
+    p.module.say(new MemberFigures(Map.of(OUT, value)));
     stoodBy.computeIfAbsent(p.name, k -> new TreeMap<>()).put(value, now);
     p.said = value;
   }
@@ -139,7 +140,7 @@
     int known = 0;
     for (Process p : running.values()) {
       for (MemberName of : view) {
-        Known k = of.equals(p.name) ? null : p.module.known(of, p.clock(now));
+        KnownFigures k = of.equals(p.name) ? null : p.module.known(of, p.clock(now));
         if (k == null) {
           // Once forgotten, a process started anew under its birth may begin below its former
           // number.
@@ -246,11 +247,11 @@
     Process p = start(0, 5, 1);
     start(1, 5, 1);
     Process third = start(2, 5, 1);
-    p.module.say(new Figures(Map.of(OUT, 4L)));
-    third.module.say(new Figures(Map.of("other", 1L)));
+    p.module.say(new MemberFigures(Map.of(OUT, 4L)));
+    third.module.say(new MemberFigures(Map.of("other", 1L)));
     pass(5_000_000);
     assertEquals(
-        new Sharing.Sum(4, 1, 2),
+        new StateGossip.Sum(4, 1, 2),
         p.module.sum(OUT, p.clock(now)),
         "one silent, one that does not say it");
   }
@@ -261,8 +262,12 @@
     start(1, 5, 1);
     Statement s =
         new Statement(
-            name(1), new Version(new Birth(5), 9), new Figures(Map.of(OUT, 1L)), TimeSpan.ZERO);
-    p.module.heard(new Told.Newer(name(1), 77, List.of(s), List.of()), p.clock(now));
+            name(1),
+            new Version(new Incarnation(5), 9),
+            new MemberFigures(Map.of(OUT, 1L)),
+            TimeSpan.ZERO);
+    p.module.heard(
+        new SharingMessage.UpdateReply(name(1), 77, List.of(s), List.of()), p.clock(now));
     assertNull(p.module.known(name(1), p.clock(now)));
   }
 
@@ -292,10 +297,10 @@
     pass(4_000_000);
     running.remove(name(1));
     Process again = start(1, 5, 1);
-    again.module.say(new Figures(Map.of(OUT, -1L)));
+    again.module.say(new MemberFigures(Map.of(OUT, -1L)));
     stoodBy.get(name(1)).put(-1L, now);
     pass(6_000_000);
-    again.module.say(new Figures(Map.of(OUT, -2L)));
+    again.module.say(new MemberFigures(Map.of(OUT, -2L)));
     pass(3_000_000);
     assertEquals(-2L, p.module.known(name(1), p.clock(now)).figures().byName().get(OUT));
   }
@@ -307,18 +312,21 @@
     }
     pass(10_000_000);
     Process p = running.get(name(0));
-    List<Send> parts = p.module.heard(new Told.Ask(name(1), 1, Map.of()), p.clock(now));
+    List<Send> parts =
+        p.module.heard(new SharingMessage.UpdateRequest(name(1), 1, Map.of()), p.clock(now));
     assertTrue(parts.size() > 2, parts.size() + " parts");
     Set<MemberName> told = new HashSet<>();
     for (Send s : parts) {
-      assertTrue(((Told.Newer) s.message()).statements().size() <= 16, "a part within its bound");
-      ((Told.Newer) s.message())
+      assertTrue(
+          ((SharingMessage.UpdateReply) s.message()).statements().size() <= 16,
+          "a part within its bound");
+      ((SharingMessage.UpdateReply) s.message())
           .statements()
-          .forEach(st -> assertTrue(told.add(st.of()), "told twice"));
+          .forEach(st -> assertTrue(told.add(st.member()), "told twice"));
     }
     assertEquals(60, told.size());
-    Sharing fresh =
-        new Sharing(name(0), new Birth(6), TERMS, new SplittableRandom(4), p.clock(now));
+    StateGossip fresh =
+        new StateGossip(name(0), new Incarnation(6), TERMS, new SplittableRandom(4), p.clock(now));
     fresh.view(view);
     List<MemberName> asked = new ArrayList<>();
     for (int round = 0; round < 20; round++) {
@@ -330,8 +338,10 @@
 
   @Test
   void termsThatContradictThemselvesAreRefused() {
-    assertThrows(IllegalArgumentException.class, () -> new Terms(SECOND, 3, SECOND, 1200, 0.001));
     assertThrows(
-        IllegalArgumentException.class, () -> new Terms(SECOND, 0, SECOND.times(9), 1200, 0.001));
+        IllegalArgumentException.class, () -> new GossipOptions(SECOND, 3, SECOND, 1200, 0.001));
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> new GossipOptions(SECOND, 0, SECOND.times(9), 1200, 0.001));
   }
 }
--- a/src/test/java/cobaltseam/store/WholeFileTest.java
+++ b/src/test/java/cobaltseam/store/WholeFileTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.store.WholeFile.Found;
+import cobaltseam.store.AtomicFile.ReadStatus;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -31,8 +31,8 @@
 
   @Test
   void everySpoiledByteAndEveryShorterFileIsKnown() throws IOException {
-    try (WholeFile file = WholeFile.open(folder, "value", 1)) {
-      assertEquals(Found.NOTHING, file.read().found());
+    try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
+      assertEquals(ReadStatus.NOTHING, file.read().found());
       file.write(OLD);
       assertArrayEquals(OLD, file.read().value());
     }
@@ -40,20 +40,21 @@
     for (int i = 0; i < whole.length; i++) {
       byte[] spoiled = whole.clone();
       spoiled[i] ^= 0x10;
-      assertEquals(Found.BROKEN, WholeFile.parse(spoiled, 1).found(), "byte " + i);
+      assertEquals(ReadStatus.BROKEN, AtomicFile.parse(spoiled, 1).found(), "byte " + i);
       assertEquals(
-          Found.BROKEN, WholeFile.parse(Arrays.copyOf(whole, i), 1).found(), "cut to " + i);
+          ReadStatus.BROKEN, AtomicFile.parse(Arrays.copyOf(whole, i), 1).found(), "cut to " + i);
     }
-    assertEquals(Found.BROKEN, WholeFile.parse(Arrays.copyOf(whole, whole.length + 1), 1).found());
+    assertEquals(
+        ReadStatus.BROKEN, AtomicFile.parse(Arrays.copyOf(whole, whole.length + 1), 1).found());
   }
 
   @Test
   void whatIsNotWholeIsSetAsideAndWhatWasBeingWrittenIsDropped() throws IOException {
     Files.write(folder.resolve("value"), new byte[] {9});
     Files.write(folder.resolve("value.new"), new byte[] {8});
-    try (WholeFile file = WholeFile.open(folder, "value", 1)) {
-      assertEquals(Found.BROKEN, file.read().found());
-      assertEquals(Found.NOTHING, file.read().found());
+    try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
+      assertEquals(ReadStatus.BROKEN, file.read().found());
+      assertEquals(ReadStatus.NOTHING, file.read().found());
       assertArrayEquals(new byte[] {9}, Files.readAllBytes(folder.resolve("value.broken")));
       assertTrue(Files.notExists(folder.resolve("value.new")));
     }
@@ -61,24 +62,24 @@
 
   @Test
   void aLaterProgramsFileIsLeftInPlace() throws IOException {
-    try (WholeFile file = WholeFile.open(folder, "value", 2)) {
+    try (AtomicFile file = AtomicFile.open(folder, "value", 2)) {
       file.write(OLD);
     }
-    try (WholeFile file = WholeFile.open(folder, "value", 1)) {
-      assertEquals(Found.LATER, file.read().found());
+    try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
+      assertEquals(ReadStatus.LATER, file.read().found());
       assertNull(file.read().value());
     }
-    try (WholeFile file = WholeFile.open(folder, "value", 2)) {
+    try (AtomicFile file = AtomicFile.open(folder, "value", 2)) {
       assertArrayEquals(OLD, file.read().value());
     }
   }
 
   @Test
   void oneAtATimeHasTheFolder() throws IOException {
-    WholeFile first = WholeFile.open(folder, "value", 1);
-    assertThrows(IOException.class, () -> WholeFile.open(folder, "value", 1));
+    AtomicFile first = AtomicFile.open(folder, "value", 1);
+    assertThrows(IOException.class, () -> AtomicFile.open(folder, "value", 1));
     first.close();
-    WholeFile.open(folder, "value", 1).close();
+    AtomicFile.open(folder, "value", 1).close();
   }
 
   @Test
@@ -86,9 +87,9 @@
     AtomicLong newest = new AtomicLong();
     CountDownLatch last = new CountDownLatch(1);
     CountDownLatch failed = new CountDownLatch(1);
-    WholeFile file = WholeFile.open(folder, "value", 1);
-    try (Writer writer =
-        new Writer(
+    AtomicFile file = AtomicFile.open(folder, "value", 1);
+    try (BackgroundWriter writer =
+        new BackgroundWriter(
             file,
             n -> {
               assertTrue(n > newest.getAndSet(n), "numbers rise");
@@ -103,7 +104,7 @@
       }
       assertTrue(last.await(60, TimeUnit.SECONDS));
       assertEquals(500, ByteBuffer.wrap(file.read().value()).getLong());
-      writer.give(501, () -> new byte[WholeFile.LARGEST + 1]);
+      writer.give(501, () -> new byte[AtomicFile.LARGEST + 1]);
       assertTrue(failed.await(60, TimeUnit.SECONDS));
     }
   }
@@ -111,8 +112,8 @@
   /** Writes ever higher numbers, and says each once it is written. */
   public static final class Writes {
     public static void main(String[] args) throws IOException {
-      try (WholeFile file = WholeFile.open(Path.of(args[0]), "value", 1)) {
-        WholeFile.Reading before = file.read();
+      try (AtomicFile file = AtomicFile.open(Path.of(args[0]), "value", 1)) {
+        AtomicFile.Reading before = file.read();
         System.out.println(before.found());
         long number = before.value() == null ? 0 : ByteBuffer.wrap(before.value()).getLong();
         while (true) {
@@ -155,9 +156,9 @@
         }
       }
       process.waitFor();
-      try (WholeFile file = WholeFile.open(folder, "value", 1)) {
-        WholeFile.Reading reading = file.read();
-        assertEquals(Found.VALUE, reading.found(), "kill " + kill);
+      try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
+        AtomicFile.Reading reading = file.read();
+        assertEquals(ReadStatus.VALUE, reading.found(), "kill " + kill);
         long held = ByteBuffer.wrap(reading.value()).getLong();
         assertTrue(held == said || held == said + 1, "held " + held + ", said " + said);
         said = held;
--- a/src/test/java/cobaltseam/hall/WireCompatibilityTest.java
+++ b/src/test/java/cobaltseam/transport/WireCompatibilityTest.java
@@ -1,11 +1,11 @@
-package cobaltseam.hall;
+package cobaltseam.transport;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import cobaltseam.membership.Spoken;
+import cobaltseam.membership.PeerMessage;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -23,7 +23,7 @@
   private static final int KINDS = 30;
   private final MessageCodec codec = new MessageCodec("rig", null, 0);
 
-  static Map<String, Spoken> samples() {
+  static Map<String, PeerMessage> samples() {
     return WireSamples.messages();
   }
 
@@ -42,8 +42,8 @@
   void aRecordedMessageIsReadAndWrittenWithTheSameBytes(String kind) throws IOException {
     byte[] recorded = recorded(kind);
     assertArrayEquals(recorded, codec.write(samples().get(kind)), "written by this build");
-    MessageCodec.Reading reading = codec.read(recorded);
-    assertNull(reading.refusal());
+    MessageCodec.DecodedMessage reading = codec.read(recorded);
+    assertNull(reading.rejection());
     assertEquals(samples().get(kind).getClass(), reading.message().getClass());
     assertArrayEquals(recorded, codec.write(reading.message()), "read and written again");
   }
@@ -51,8 +51,9 @@
   @Test
   void recordedPersistentStateIsReadAndWrittenWithTheSameBytes() throws IOException {
     byte[] recorded = recorded("persistent-state");
-    assertArrayEquals(recorded, KeptCodec.write(WireSamples.persistentState()));
-    assertArrayEquals(recorded, KeptCodec.write(KeptCodec.read(recorded).orElseThrow()));
+    assertArrayEquals(recorded, PersistentStateCodec.write(WireSamples.persistentState()));
+    assertArrayEquals(
+        recorded, PersistentStateCodec.write(PersistentStateCodec.read(recorded).orElseThrow()));
   }
 
   private static byte[] recorded(String name) throws IOException {
--- a/src/test/java/cobaltseam/vrrp/AdvertCodecTest.java
+++ b/src/test/java/cobaltseam/vrrp/AdvertCodecTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.seal.Seal;
-import cobaltseam.seal.SealKeys;
+import cobaltseam.authentication.KeyRing;
+import cobaltseam.authentication.MessageAuthenticator;
 import cobaltseam.vrrp.Reading.Covers;
 import java.net.InetAddress;
 import java.util.Arrays;
@@ -23,8 +23,8 @@
   private static final InetAddress TO = ip("224.0.0.18");
   private static final InetAddress FROM6 = ip("fe80::1");
   private static final InetAddress TO6 = ip("ff02::12");
-  private static final SealKeys KEYS =
-      SealKeys.read("1 00112233445566778899aabbccddeeff\n# next\n2 " + "ab".repeat(32));
+  private static final KeyRing KEYS =
+      KeyRing.read("1 00112233445566778899aabbccddeeff\n# next\n2 " + "ab".repeat(32));
 
   private static InetAddress ip(String text) {
     return Addresses.read(text).orElseThrow();
@@ -150,13 +150,15 @@
     byte[] sealed = AdvertSeal.write(whole, FROM, TO, KEYS, 2, 42);
     Reading.Whole read = (Reading.Whole) AdvertCodec.read(sealed, FROM, TO);
     assertTrue(read.sealed());
-    assertEquals(new Seal.Told(2, 42), Seal.told(sealed, read.length()));
+    assertEquals(
+        new MessageAuthenticator.Trailer(2, 42),
+        MessageAuthenticator.readTrailer(sealed, read.length()));
     assertTrue(AdvertSeal.check(sealed, read.length(), FROM, TO, KEYS).isEmpty());
     assertEquals(
         Refusal.FORGED, AdvertSeal.check(sealed, read.length(), FROM, FROM, KEYS).orElseThrow());
     assertEquals(
         Refusal.KEY_UNKNOWN,
-        AdvertSeal.check(sealed, read.length(), FROM, TO, SealKeys.read("1 " + "ab".repeat(32)))
+        AdvertSeal.check(sealed, read.length(), FROM, TO, KeyRing.read("1 " + "ab".repeat(32)))
             .orElseThrow());
     for (int i = 0; i < sealed.length; i++) {
       byte[] changed = sealed.clone();
@@ -180,7 +182,7 @@
             "1 " + "xy".repeat(16),
             "1 " + "ab".repeat(16) + "\n1 " + "cd".repeat(16))) {
       String why =
-          assertThrows(IllegalArgumentException.class, () -> SealKeys.read(bad)).getMessage();
+          assertThrows(IllegalArgumentException.class, () -> KeyRing.read(bad)).getMessage();
       assertTrue(!why.contains("abab") && !why.contains("xyxy"), why);
     }
   }
