--- a/src/main/java/cobaltseam/Main.java
+++ b/src/main/java/cobaltseam/Main.java
@@ -1,9 +1,9 @@
 package cobaltseam;
 
-import cobaltseam.adapter.Adapter;
-import cobaltseam.cli.Cobaltseam;
-import cobaltseam.deployment.BadInput;
-import cobaltseam.service.Service;
+import cobaltseam.adapter.SimulatorAdapter;
+import cobaltseam.cli.CobaltseamCommand;
+import cobaltseam.deployment.InvalidInputException;
+import cobaltseam.service.DispatcherService;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
@@ -26,20 +26,20 @@
     try {
       switch (word) {
         case "adapter" ->
-            new Adapter()
+            new SimulatorAdapter()
                 .run(
                     new FileInputStream(FileDescriptor.in),
                     new FileOutputStream(FileDescriptor.out));
-        case "serve" -> Service.run(own == null || own.isEmpty() ? null : Path.of(own));
-        case "rehearse" -> Service.rehearse();
+        case "serve" -> DispatcherService.run(own == null || own.isEmpty() ? null : Path.of(own));
+        case "rehearse" -> DispatcherService.rehearse();
         default -> {
-          int code = Cobaltseam.run(args);
+          int code = CobaltseamCommand.run(args);
           if (code != 0) {
             System.exit(code);
           }
         }
       }
-    } catch (BadInput | IOException e) {
+    } catch (InvalidInputException | IOException e) {
       System.err.println("cobaltseam: " + e.getMessage());
       System.exit(1);
     }
--- a/src/main/java/cobaltseam/adapter/Instance.java
+++ b/src/main/java/cobaltseam/adapter/SimulatedDispatcher.java
@@ -1,8 +1,8 @@
 package cobaltseam.adapter;
 
-import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.DeploymentReader;
-import cobaltseam.deployment.Fields;
+import cobaltseam.deployment.InvalidInputException;
+import cobaltseam.deployment.JsonObjectReader;
 import cobaltseam.dispatch.AttemptOutcome;
 import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
 import cobaltseam.dispatch.DataSetId;
@@ -24,7 +24,7 @@
 import java.util.List;
 
 /** One life of one dispatcher on the wire: its module, its one timer, and what it has to write. */
-final class Instance {
+final class SimulatedDispatcher {
   /** One message of the reply. */
   interface Message {
     void write(JsonGenerator out) throws IOException;
@@ -50,8 +50,8 @@
   private long timers;
   private Timestamp wake;
 
-  Instance(Fields born, List<Message> reply) {
-    Fields told = born.object("settings");
+  SimulatedDispatcher(JsonObjectReader born, List<Message> reply) {
+    JsonObjectReader told = born.object("settings");
     Deployment deployment = DeploymentReader.read(told);
     dispatcher = new Dispatcher(deployment, born.whole("nonce64"));
     List<String> reported =
@@ -76,7 +76,7 @@
     add("track", out -> out.writeBooleanField("enable", true));
   }
 
-  void accepted(Fields f, Timestamp now) {
+  void accepted(JsonObjectReader f, Timestamp now) {
     boolean hint = (f.whole("attrs", 0) & HINT_VALID) != 0;
     String share = f.text("project", null);
     Request command =
@@ -92,7 +92,7 @@
     write(command.id(), dispatcher.place(command, now));
   }
 
-  void ended(Fields f, Timestamp now) {
+  void ended(JsonObjectReader f, Timestamp now) {
     long note = f.whole("note", 0);
     AttemptResult ending = ending(f.text("verdict"));
     boolean told = ending == AttemptResult.COMPLETED && note > 0;
@@ -112,7 +112,7 @@
     write(id, dispatcher.completeAttempt(outcome, now));
   }
 
-  private static double reported(Fields f, int at) {
+  private static double reported(JsonObjectReader f, int at) {
     List<Double> row = f.numbers("gauge");
     return at >= 0 && at < row.size() ? row.get(at) : -1;
   }
@@ -127,11 +127,11 @@
       case "cut" -> AttemptResult.CONNECTION_LOST;
       case "undone" -> AttemptResult.CANCELLED;
       case "stale_send" -> AttemptResult.NEVER_SENT;
-      default -> throw new BadInput("verdict: unknown 'verdict' " + verdict);
+      default -> throw new InvalidInputException("verdict: unknown 'verdict' " + verdict);
     };
   }
 
-  void listed(Fields f, List<EndpointStatus> list, Timestamp now) {
+  void listed(JsonObjectReader f, List<EndpointStatus> list, Timestamp now) {
     switch (f.text("kind")) {
       case "incr" -> dispatcher.updateEndpoints(list, false, now);
       case "total", "warm_copy" -> dispatcher.updateEndpoints(list, true, now);
@@ -140,16 +140,16 @@
           subscribe();
         }
       }
-      default -> throw new BadInput("sync: unknown 'kind' " + f.text("kind"));
+      default -> throw new InvalidInputException("sync: unknown 'kind' " + f.text("kind"));
     }
   }
 
-  void departed(Fields f, Timestamp now) {
+  void departed(JsonObjectReader f, Timestamp now) {
     dispatcher.clientLeft(new RequestId(f.text("op_id")), now);
   }
 
   /** A note of a send that is out. */
-  void noted(Fields f, Timestamp now) {
+  void noted(JsonObjectReader f, Timestamp now) {
     RequestId id = new RequestId(f.text("op_id"));
     int send = (int) f.whole("copy", 0);
     double amount = f.number("amount", 0);
@@ -165,7 +165,7 @@
     }
   }
 
-  void elapsed(Fields f) {
+  void elapsed(JsonObjectReader f) {
     if (f.whole("name") == timers) {
       wake = null;
     }
--- a/src/main/java/cobaltseam/adapter/Adapter.java
+++ b/src/main/java/cobaltseam/adapter/SimulatorAdapter.java
@@ -1,7 +1,7 @@
 package cobaltseam.adapter;
 
-import cobaltseam.deployment.BadInput;
-import cobaltseam.deployment.Fields;
+import cobaltseam.deployment.InvalidInputException;
+import cobaltseam.deployment.JsonObjectReader;
 import cobaltseam.dispatch.EndpointStatus;
 import cobaltseam.dispatch.EngineId;
 import cobaltseam.dispatch.GroupId;
@@ -25,12 +25,15 @@
 import java.util.Map;
 
 /** Speaks the simulator's wire: a batch of events a line in, a line of decisions out. */
-public final class Adapter {
+public final class SimulatorAdapter {
   private final JsonFactory json = new JsonFactory();
-  private final Map<Long, Instance> instances = new HashMap<>();
+  private final Map<Long, SimulatedDispatcher> instances = new HashMap<>();
   private final Map<Long, List<EndpointStatus>> rosters = new HashMap<>();
 
-  /** Answers batches until the input ends; throws {@link BadInput} on what it can't take. */
+  /**
+   * Answers batches until the input ends; throws {@link InvalidInputException} on what it can't
+   * take.
+   */
   public void run(InputStream in, OutputStream out) throws IOException {
     BufferedReader lines =
         new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
@@ -38,11 +41,11 @@
         json.createGenerator(out).disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
     writer.setRootValueSeparator(null);
     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-      Fields batch;
+      JsonObjectReader batch;
       try (JsonParser parser = json.createParser(line)) {
-        batch = Fields.of(parser);
+        batch = JsonObjectReader.of(parser);
       } catch (JsonProcessingException e) {
-        throw new BadInput("a line is not JSON: " + e.getOriginalMessage());
+        throw new InvalidInputException("a line is not JSON: " + e.getOriginalMessage());
       }
       answer(batch, writer);
       writer.writeRaw('\n');
@@ -51,25 +54,26 @@
     }
   }
 
-  private void answer(Fields batch, JsonGenerator out) throws IOException {
+  private void answer(JsonObjectReader batch, JsonGenerator out) throws IOException {
     Timestamp now = new Timestamp(batch.whole("time_us"));
-    Map<Long, List<Instance.Message>> replies = new LinkedHashMap<>();
-    for (Fields group : batch.objects("groups")) {
+    Map<Long, List<SimulatedDispatcher.Message>> replies = new LinkedHashMap<>();
+    for (JsonObjectReader group : batch.objects("groups")) {
       long number = group.whole("dispatcher");
-      List<Instance.Message> reply = replies.computeIfAbsent(number, n -> new ArrayList<>());
-      for (Fields event : group.objects("events")) {
+      List<SimulatedDispatcher.Message> reply =
+          replies.computeIfAbsent(number, n -> new ArrayList<>());
+      for (JsonObjectReader event : group.objects("events")) {
         String name = event.onlyName();
         take(number, name, event.object(name), reply, now);
       }
     }
     out.writeStartObject();
     out.writeArrayFieldStart("groups");
-    for (Map.Entry<Long, List<Instance.Message>> reply : replies.entrySet()) {
+    for (Map.Entry<Long, List<SimulatedDispatcher.Message>> reply : replies.entrySet()) {
       if (!reply.getValue().isEmpty()) {
         out.writeStartObject();
         out.writeNumberField("dispatcher", reply.getKey());
         out.writeArrayFieldStart("decisions");
-        for (Instance.Message message : reply.getValue()) {
+        for (SimulatedDispatcher.Message message : reply.getValue()) {
           message.write(out);
         }
         out.writeEndArray();
@@ -81,7 +85,11 @@
   }
 
   private void take(
-      long number, String name, Fields f, List<Instance.Message> reply, Timestamp now) {
+      long number,
+      String name,
+      JsonObjectReader f,
+      List<SimulatedDispatcher.Message> reply,
+      Timestamp now) {
     if (name.equals("roster")) {
       rosters.put(f.whole("ref"), roster(f));
       return;
@@ -93,12 +101,12 @@
       return;
     }
     if (name.equals("born")) {
-      instances.put(number, new Instance(f, reply));
+      instances.put(number, new SimulatedDispatcher(f, reply));
       return;
     }
-    Instance instance = instances.get(number);
+    SimulatedDispatcher instance = instances.get(number);
     if (instance == null) {
-      throw new BadInput(name + ": dispatcher " + number + " was not born");
+      throw new InvalidInputException(name + ": dispatcher " + number + " was not born");
     }
     try {
       instance.answerInto(reply);
@@ -110,19 +118,19 @@
         case "elapsed" -> instance.elapsed(f);
         case "change" -> instance.noted(f, now);
         case "check_result", "peer", "first_byte" -> {}
-        default -> throw new BadInput("unknown event '" + name + "'");
+        default -> throw new InvalidInputException("unknown event '" + name + "'");
       }
       instance.follow(now);
-    } catch (BadInput e) {
+    } catch (InvalidInputException e) {
       throw e;
     } catch (RuntimeException e) {
       instance.fault(e);
     }
   }
 
-  private static List<EndpointStatus> roster(Fields f) {
+  private static List<EndpointStatus> roster(JsonObjectReader f) {
     List<EndpointStatus> list = new ArrayList<>();
-    for (Fields entry : f.objects("nodes_list")) {
+    for (JsonObjectReader entry : f.objects("nodes_list")) {
       String standing = entry.text("lifecycle");
       list.add(
           new EndpointStatus(
@@ -134,7 +142,8 @@
                 case "up" -> EndpointStatus.EndpointState.UP;
                 case "draining" -> EndpointStatus.EndpointState.DRAINING;
                 case "removed" -> EndpointStatus.EndpointState.GONE;
-                default -> throw new BadInput("roster: unknown 'lifecycle' " + standing);
+                default ->
+                    throw new InvalidInputException("roster: unknown 'lifecycle' " + standing);
               },
               new Timestamp(entry.whole("launched_us", 0))));
     }
--- a/src/main/java/cobaltseam/cli/Cobaltseam.java
+++ b/src/main/java/cobaltseam/cli/CobaltseamCommand.java
@@ -1,8 +1,8 @@
 package cobaltseam.cli;
 
-import cobaltseam.adapter.Adapter;
-import cobaltseam.deployment.BadInput;
-import cobaltseam.service.Service;
+import cobaltseam.adapter.SimulatorAdapter;
+import cobaltseam.deployment.InvalidInputException;
+import cobaltseam.service.DispatcherService;
 import cobaltseam.settings.Settings;
 import cobaltseam.settings.SettingsReader;
 import java.io.FileDescriptor;
@@ -23,24 +23,24 @@
     name = "cobaltseam",
     description = "An admission controller and dispatcher for commands on a pool of engines.",
     subcommands = {
-      Cobaltseam.Serve.class,
-      Cobaltseam.Rehearse.class,
-      Cobaltseam.Adapt.class,
-      Cobaltseam.Check.class,
+      CobaltseamCommand.Serve.class,
+      CobaltseamCommand.Rehearse.class,
+      CobaltseamCommand.Adapt.class,
+      CobaltseamCommand.Check.class,
       Members.class,
       Vrrp.class
     },
     mixinStandardHelpOptions = true,
-    versionProvider = Cobaltseam.Version.class,
+    versionProvider = CobaltseamCommand.Version.class,
     synopsisSubcommandLabel = "COMMAND")
-public final class Cobaltseam {
+public final class CobaltseamCommand {
   private static final int BAD_INPUT = 1;
 
   /** The version that the jar was built as. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
-      String version = Cobaltseam.class.getPackage().getImplementationVersion();
+      String version = CobaltseamCommand.class.getPackage().getImplementationVersion();
       return new String[] {"cobaltseam " + (version == null ? "of no release" : version)};
     }
   }
@@ -60,7 +60,7 @@
     Path file;
   }
 
-  private Cobaltseam() {}
+  private CobaltseamCommand() {}
 
   /**
    * Runs a command; its exit code is 0, 1 where its input is bad, or 2 where it is not used as it
@@ -72,16 +72,16 @@
 
   /** The same, with what is printed going to a writer; null for standard output. */
   public static int run(PrintWriter out, String... args) {
-    CommandLine line = new CommandLine(new Cobaltseam());
+    CommandLine line = new CommandLine(new CobaltseamCommand());
     if (out != null) {
       line.setOut(out);
     }
-    lab("emulator.Emulate").ifPresent(e -> line.addSubcommand("emulate", e));
-    lab("fleet.Fleet").ifPresent(f -> line.addSubcommand("fleet", f));
+    lab("emulator.EmulateCommand").ifPresent(e -> line.addSubcommand("emulate", e));
+    lab("fleet.FleetCommand").ifPresent(f -> line.addSubcommand("fleet", f));
     line.setExecutionStrategy(new CommandLine.RunLast());
     line.setExecutionExceptionHandler(
         (e, of, parsed) -> {
-          if (e instanceof BadInput || e instanceof IOException) {
+          if (e instanceof InvalidInputException || e instanceof IOException) {
             of.getErr().println("cobaltseam: " + e.getMessage());
             of.getErr().flush();
             return BAD_INPUT;
@@ -115,7 +115,7 @@
 
     @Override
     public Integer call() throws Exception {
-      Service.run(own.file);
+      DispatcherService.run(own.file);
       return 0;
     }
   }
@@ -129,7 +129,7 @@
 
     @Override
     public Integer call() throws Exception {
-      Service.rehearse();
+      DispatcherService.rehearse();
       return 0;
     }
   }
@@ -143,7 +143,7 @@
 
     @Override
     public Integer call() throws Exception {
-      new Adapter()
+      new SimulatorAdapter()
           .run(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out));
       return 0;
     }
@@ -167,8 +167,8 @@
         out.println(
             System.getenv("GW_CONFIG") == null
                 ? "platform: GW_CONFIG is not set, not checked"
-                : "platform: " + Service.check(System.getenv()));
-      } catch (BadInput e) {
+                : "platform: " + DispatcherService.check(System.getenv()));
+      } catch (InvalidInputException e) {
         wrong.append(e.getMessage()).append('\n');
       }
       try {
@@ -223,12 +223,12 @@
                               + ", serves on "
                               + s.serve()));
         }
-      } catch (BadInput e) {
+      } catch (InvalidInputException e) {
         wrong.append(e.getMessage()).append('\n');
       }
       out.flush();
       if (wrong.length() > 0) {
-        throw new BadInput(wrong.toString().strip());
+        throw new InvalidInputException(wrong.toString().strip());
       }
       return 0;
     }
--- a/src/main/java/cobaltseam/cli/Members.java
+++ b/src/main/java/cobaltseam/cli/Members.java
@@ -1,6 +1,6 @@
 package cobaltseam.cli;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -28,7 +28,7 @@
   private static final int PROTOCOL = 3 << 16;
   private static final int LONGEST = 1 << 20;
 
-  @Mixin Cobaltseam.Standard standard;
+  @Mixin CobaltseamCommand.Standard standard;
 
   @Option(
       names = "--to",
@@ -68,7 +68,7 @@
             ? 0
             : Integer.parseInt(to.substring(colon + 1));
     if (port < 1 || port > 65_535 || !what.matches("[a-z]+")) {
-      throw new BadInput(
+      throw new InvalidInputException(
           "--to "
               + to
               + " --show "
--- a/src/main/java/cobaltseam/cli/Vrrp.java
+++ b/src/main/java/cobaltseam/cli/Vrrp.java
@@ -1,7 +1,7 @@
 package cobaltseam.cli;
 
 import cobaltseam.authentication.MessageAuthenticator;
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.mastership.AdvertFilter;
@@ -46,7 +46,7 @@
     subcommands = {Vrrp.Decode.class, Vrrp.Encode.class, Vrrp.Watch.class},
     synopsisSubcommandLabel = "COMMAND")
 final class Vrrp implements Callable<Integer> {
-  @Mixin Cobaltseam.Standard standard;
+  @Mixin CobaltseamCommand.Standard standard;
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -59,7 +59,7 @@
     return Addresses.read(text)
         .orElseThrow(
             () ->
-                new BadInput(
+                new InvalidInputException(
                     option
                         + ": '"
                         + text
@@ -100,7 +100,7 @@
       name = "decode",
       description = "Reads an advert in hex and prints it as one JSON object, or why it is none.")
   static final class Decode implements Callable<Integer> {
-    @Mixin Cobaltseam.Standard standard;
+    @Mixin CobaltseamCommand.Standard standard;
     @Mixin Datagram datagram;
 
     @Parameters(paramLabel = "HEX", description = "the payload, with or without spaces and colons")
@@ -112,12 +112,13 @@
     public Integer call() throws IOException {
       String plain = hex.replaceAll("[\\s:]", "");
       if (!plain.matches("([0-9a-fA-F]{2})*")) {
-        throw new BadInput("HEX is not a row of whole bytes in hex");
+        throw new InvalidInputException("HEX is not a row of whole bytes in hex");
       }
       byte[] bytes = HexFormat.of().parseHex(plain);
       Reading reading = AdvertCodec.read(bytes, datagram.from(), datagram.to());
       if (reading instanceof Reading.Refused no) {
-        throw new BadInput("no advert, " + no.refusal().label() + ": " + no.refusal().reason());
+        throw new InvalidInputException(
+            "no advert, " + no.refusal().label() + ": " + no.refusal().reason());
       }
       Reading.Whole whole = (Reading.Whole) reading;
       StringWriter text = new StringWriter();
@@ -155,7 +156,7 @@
       name = "encode",
       description = "Writes an advert in hex, from the JSON that decode prints or from options.")
   static final class Encode implements Callable<Integer> {
-    @Mixin Cobaltseam.Standard standard;
+    @Mixin CobaltseamCommand.Standard standard;
     @Mixin Datagram datagram;
 
     @Parameters(
@@ -202,7 +203,7 @@
       }
       String what = covers != null ? covers : told.path("checksumCovers").asText("message");
       if (!what.equals("message") && !what.equals("pseudo_header")) {
-        throw new BadInput(
+        throw new InvalidInputException(
             "--checksum-covers: '" + what + "' stands there; message or pseudo_header is allowed");
       }
       try {
@@ -225,7 +226,7 @@
         spec.commandLine().getOut().flush();
         return 0;
       } catch (IllegalArgumentException e) {
-        throw new BadInput(e.getMessage());
+        throw new InvalidInputException(e.getMessage());
       }
     }
 
@@ -237,17 +238,17 @@
       try {
         JsonNode told = json.equals("-") ? mapper.readTree(System.in) : mapper.readTree(json);
         if (!told.isObject()) {
-          throw new BadInput("JSON is not an object");
+          throw new InvalidInputException("JSON is not an object");
         }
         return told;
       } catch (JacksonException e) {
-        throw new BadInput("JSON can't be read: " + e.getOriginalMessage());
+        throw new InvalidInputException("JSON can't be read: " + e.getOriginalMessage());
       }
     }
 
     private static int number(Integer option, JsonNode told, String key) {
       if (option == null && !told.path(key).canConvertToInt()) {
-        throw new BadInput(key + " is told neither by an option nor by JSON");
+        throw new InvalidInputException(key + " is told neither by an option nor by JSON");
       }
       return option != null ? option : told.path(key).asInt();
     }
@@ -263,8 +264,8 @@
     private static final int MOST_WAITING = 4096;
     private static final long US_PER_SECOND = 1_000_000;
 
-    @Mixin Cobaltseam.Standard standard;
-    @Mixin Cobaltseam.Own own;
+    @Mixin CobaltseamCommand.Standard standard;
+    @Mixin CobaltseamCommand.Own own;
 
     @Option(
         names = "--seconds",
@@ -281,7 +282,8 @@
       Settings.VirtualAddressSettings hall =
           own.file == null ? null : SettingsReader.read(own.file).hall();
       if (hall == null) {
-        throw new BadInput("the own file, by --config or COBALTSEAM_CONFIG, names no [mastership]");
+        throw new InvalidInputException(
+            "the own file, by --config or COBALTSEAM_CONFIG, names no [mastership]");
       }
       InetAddress self = hall.listen().getAddress();
       Set<InetAddress> peers = hall.peerAddresses();
--- a/src/main/java/cobaltseam/deployment/DeploymentReader.java
+++ b/src/main/java/cobaltseam/deployment/DeploymentReader.java
@@ -20,13 +20,13 @@
 
   private DeploymentReader() {}
 
-  public static Deployment read(Fields told) {
-    Fields family = told.object("family_info");
+  public static Deployment read(JsonObjectReader told) {
+    JsonObjectReader family = told.object("family_info");
     List<Double> threads = family.numbers("width_by_class");
     List<Boolean> loads = family.flags("writes_tables");
     List<Boolean> waits = family.flags("waits_for_loads");
     List<Deployment.RequestClass> profiles = new ArrayList<>();
-    for (Fields f : told.objects("classes")) {
+    for (JsonObjectReader f : told.objects("classes")) {
       int index = profiles.size();
       profiles.add(
           profile(
@@ -48,7 +48,7 @@
     }
     List<Deployment.Quota> shares = new ArrayList<>();
     if (told.has("projects")) {
-      for (Fields f : told.objects("projects")) {
+      for (JsonObjectReader f : told.objects("projects")) {
         shares.add(new Deployment.Quota(new TenantId(f.text("name")), f.number("quota_rps", 0)));
       }
     }
@@ -58,7 +58,7 @@
               .map(Deployment.MachineType::id)
               .toList()
               .containsAll(p.machineTypes())) {
-        throw new BadInput(
+        throw new InvalidInputException(
             "classes: 'runs_on' of " + p.id().value() + " names a kind not in 'machine_types'");
       }
     }
@@ -74,7 +74,7 @@
         place(told));
   }
 
-  private static Deployment.Place place(Fields told) {
+  private static Deployment.Place place(JsonObjectReader told) {
     String zone = told.text("zone", null);
     boolean costs = told.has("prices") && told.object("prices").number("cross_zone", 0) > 0;
     return zone == null
@@ -83,7 +83,7 @@
   }
 
   private static Deployment.RequestClass profile(
-      Fields f, int threads, boolean load, boolean waits) {
+      JsonObjectReader f, int threads, boolean load, boolean waits) {
     String repeat = f.text("repeat");
     String scope = f.text("key_scope", "all");
     return new Deployment.RequestClass(
@@ -98,13 +98,13 @@
           case "read_like" -> Deployment.RetrySafety.IDEMPOTENT;
           case "idempotency_key" -> Deployment.RetrySafety.IDEMPOTENT_WITH_KEY;
           case "non_idempotent" -> Deployment.RetrySafety.NOT_IDEMPOTENT;
-          default -> throw new BadInput("classes: unknown 'repeat' " + repeat);
+          default -> throw new InvalidInputException("classes: unknown 'repeat' " + repeat);
         },
         switch (scope) {
           case "all" -> Deployment.DeduplicationScope.ALL;
           case "zone" -> Deployment.DeduplicationScope.LOCATION;
           case "cell" -> Deployment.DeduplicationScope.GROUP;
-          default -> throw new BadInput("classes: unknown 'key_scope' " + scope);
+          default -> throw new InvalidInputException("classes: unknown 'key_scope' " + scope);
         },
         new TimeSpan(f.whole("window_us", 0)),
         f.flag("in_order"),
@@ -114,13 +114,13 @@
         waits);
   }
 
-  private static Deployment.Rules rules(Fields f) {
+  private static Deployment.Rules rules(JsonObjectReader f) {
     // The budget of further sends binds where it is given: a figure that can't be kept is refused.
     if (f.has("counted_over_us")
         && (f.whole("counted_over_us") <= 0
             || f.number("spare_attempts", 0) < 0
             || f.number("repeat_ratio", 0) < 0)) {
-      throw new BadInput(
+      throw new InvalidInputException(
           "rules: 'counted_over_us' above 0, 'spare_attempts' and 'repeat_ratio' not below 0");
     }
     return new Deployment.Rules(
@@ -134,13 +134,15 @@
         f.has("counted_over_us") ? span(f, "counted_over_us") : null);
   }
 
-  private static Deployment.Capabilities means(Fields told, Fields limits, Fields family) {
+  private static Deployment.Capabilities means(
+      JsonObjectReader told, JsonObjectReader limits, JsonObjectReader family) {
     String whenShort = family.text("out_of_memory", "shrink");
     if (!List.of("wait", "shrink", "page").contains(whenShort)) {
-      throw new BadInput("family_info: unknown 'out_of_memory' " + whenShort);
+      throw new InvalidInputException("family_info: unknown 'out_of_memory' " + whenShort);
     }
     if (limits.whole("most_tries", 1) < 1 || limits.whole("max_retry_after_us", 0) < 0) {
-      throw new BadInput("limits: 'most_tries' at least 1, 'max_retry_after_us' not below 0");
+      throw new InvalidInputException(
+          "limits: 'most_tries' at least 1, 'max_retry_after_us' not below 0");
     }
     return new Deployment.Capabilities(
         span(told, "tick_us"),
@@ -153,7 +155,7 @@
         family.flag("takes_grants"));
   }
 
-  private static TimeSpan span(Fields f, String name) {
+  private static TimeSpan span(JsonObjectReader f, String name) {
     return new TimeSpan(f.whole(name));
   }
 }
--- a/src/main/java/cobaltseam/deployment/Fields.java
+++ b/src/main/java/cobaltseam/deployment/JsonObjectReader.java
@@ -9,23 +9,23 @@
 import java.util.Map;
 
 /** One JSON object of the wire, asked for its fields by name and type. */
-public final class Fields {
+public final class JsonObjectReader {
   private final String where;
   private final Map<String, Object> values;
 
-  private Fields(String where, Map<String, Object> values) {
+  private JsonObjectReader(String where, Map<String, Object> values) {
     this.where = where;
     this.values = values;
   }
 
   /** Reads a whole line, which must hold one object. */
-  public static Fields of(JsonParser line) throws IOException {
+  public static JsonObjectReader of(JsonParser line) throws IOException {
     if (line.nextToken() != JsonToken.START_OBJECT) {
-      throw new BadInput("a line is not a JSON object");
+      throw new InvalidInputException("a line is not a JSON object");
     }
-    Fields read = new Fields("batch", object(line));
+    JsonObjectReader read = new JsonObjectReader("batch", object(line));
     if (line.nextToken() != null) {
-      throw new BadInput("a line holds more than one JSON value");
+      throw new InvalidInputException("a line holds more than one JSON value");
     }
     return read;
   }
@@ -75,7 +75,8 @@
   /** The name of a message's one field. */
   public String onlyName() {
     if (values.size() != 1) {
-      throw new BadInput(where + ": a message must have one name, not " + values.keySet());
+      throw new InvalidInputException(
+          where + ": a message must have one name, not " + values.keySet());
     }
     return values.keySet().iterator().next();
   }
@@ -83,7 +84,7 @@
   private Object required(String name) {
     Object value = values.get(name);
     if (value == null) {
-      throw new BadInput(where + ": '" + name + "' is missing");
+      throw new InvalidInputException(where + ": '" + name + "' is missing");
     }
     return value;
   }
@@ -91,7 +92,7 @@
   private <T> T as(Class<T> type, String name, String what) {
     Object value = required(name);
     if (!type.isInstance(value)) {
-      throw new BadInput(where + ": '" + name + "' is not " + what);
+      throw new InvalidInputException(where + ": '" + name + "' is not " + what);
     }
     return type.cast(value);
   }
@@ -124,22 +125,23 @@
     return has(name) && as(Boolean.class, name, "true or false");
   }
 
-  public Fields object(String name) {
+  public JsonObjectReader object(String name) {
     Map<String, Object> read = new LinkedHashMap<>();
     Map<?, ?> object = as(Map.class, name, "an object");
     object.forEach((k, v) -> read.put((String) k, v));
-    return new Fields(name, read);
+    return new JsonObjectReader(name, read);
   }
 
-  public List<Fields> objects(String name) {
-    List<Fields> read = new ArrayList<>();
+  public List<JsonObjectReader> objects(String name) {
+    List<JsonObjectReader> read = new ArrayList<>();
     for (Object item : as(List.class, name, "an array")) {
       if (!(item instanceof Map<?, ?> map)) {
-        throw new BadInput(where + ": '" + name + "' holds something that is not an object");
+        throw new InvalidInputException(
+            where + ": '" + name + "' holds something that is not an object");
       }
       Map<String, Object> fields = new LinkedHashMap<>();
       map.forEach((k, v) -> fields.put((String) k, v));
-      read.add(new Fields(name, fields));
+      read.add(new JsonObjectReader(name, fields));
     }
     return read;
   }
@@ -158,7 +160,8 @@
     if (has(name)) {
       for (Object item : as(List.class, name, "an array")) {
         if (!(item instanceof Number n)) {
-          throw new BadInput(where + ": '" + name + "' holds something that is not a number");
+          throw new InvalidInputException(
+              where + ": '" + name + "' holds something that is not a number");
         }
         read.add(n.doubleValue());
       }
@@ -171,7 +174,8 @@
     if (has(name)) {
       for (Object item : as(List.class, name, "an array")) {
         if (!(item instanceof Boolean b)) {
-          throw new BadInput(where + ": '" + name + "' holds something that is not true or false");
+          throw new InvalidInputException(
+              where + ": '" + name + "' holds something that is not true or false");
         }
         read.add(b);
       }
--- a/src/main/java/cobaltseam/emulator/Charts.java
+++ b/src/main/java/cobaltseam/emulator/Charts.java
@@ -32,21 +32,22 @@
       String title,
       String figure,
       String what,
-      List<Outcomes.Row> rows,
-      ToDoubleFunction<Outcomes.Row> of)
+      List<ResultsFile.RunResult> rows,
+      ToDoubleFunction<ResultsFile.RunResult> of)
       throws IOException {
     XYSeriesCollection lines = new XYSeriesCollection();
-    Map<String, List<Outcomes.Row>> policies =
+    Map<String, List<ResultsFile.RunResult>> policies =
         rows.stream()
             .collect(
-                Collectors.groupingBy(Outcomes.Row::policy, TreeMap::new, Collectors.toList()));
+                Collectors.groupingBy(
+                    ResultsFile.RunResult::policy, TreeMap::new, Collectors.toList()));
     policies.forEach(
         (policy, its) -> {
           XYSeries line = new XYSeries(policy);
           its.stream()
               .collect(
                   Collectors.groupingBy(
-                      Outcomes.Row::value, TreeMap::new, Collectors.averagingDouble(of)))
+                      ResultsFile.RunResult::value, TreeMap::new, Collectors.averagingDouble(of)))
               .forEach(line::add);
           lines.addSeries(line);
         });
--- a/src/main/java/cobaltseam/emulator/Emulate.java
+++ b/src/main/java/cobaltseam/emulator/EmulateCommand.java
@@ -1,6 +1,6 @@
 package cobaltseam.emulator;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import cobaltseam.dispatch.Dispatcher;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -20,16 +20,16 @@
     name = "emulate",
     description = "Plays a deployment in virtual time, with the real decisions and with faults.",
     subcommands = {
-      Emulate.Run.class,
-      Emulate.Hunt.class,
-      Emulate.Policies.class,
-      Emulate.Plays.class,
-      Emulate.Compare.class,
-      Emulate.Shrinks.class
+      EmulateCommand.Run.class,
+      EmulateCommand.Hunt.class,
+      EmulateCommand.Policies.class,
+      EmulateCommand.Plays.class,
+      EmulateCommand.Compare.class,
+      EmulateCommand.Shrinks.class
     },
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND")
-public final class Emulate implements Callable<Integer> {
+public final class EmulateCommand implements Callable<Integer> {
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -65,7 +65,7 @@
       return (told, seed, truth) ->
           new Baseline(choice, told, new SplittableRandom(seed), truth.truth());
     } catch (IllegalArgumentException e) {
-      throw new BadInput(
+      throw new InvalidInputException(
           "policy '"
               + name
               + "' stands there; module, fleet, fleet-true, news-100 (or another round in ms), random, round-robin, least-in-hand, two-choices, "
@@ -124,12 +124,12 @@
         description = "dispatchers carry parts as 1 / rank to this power, in place of the world's")
     Double skew;
 
-    World world() {
-      World w = Worlds.named(world);
-      World.Engines e = w.engines();
+    EmulatedSite world() {
+      EmulatedSite w = EmulatedSites.named(world);
+      EmulatedSite.Engines e = w.engines();
       int count = engines == null ? e.count() : engines;
-      World.Engines of =
-          new World.Engines(
+      EmulatedSite.Engines of =
+          new EmulatedSite.Engines(
               count,
               e.cores(),
               e.speedSpread(),
@@ -145,8 +145,8 @@
               Math.min(e.locations(), count),
               Math.min(e.groups(), count),
               e.errors());
-      World sized =
-          new World(
+      EmulatedSite sized =
+          new EmulatedSite(
               w.name(),
               of,
               dispatchers == null ? w.dispatchers() : dispatchers,
@@ -158,24 +158,24 @@
               w.limits());
       double perSecond =
           load != null ? sized.capacity() * load : w.load().perSecond() * count / e.count();
-      World.Load l = w.load();
+      EmulatedSite.Load l = w.load();
       // Holders are due what they were at the world's own size.
-      List<World.Holder> holders =
+      List<EmulatedSite.Tenant> holders =
           w.holders().stream()
               .map(
                   h ->
-                      new World.Holder(
+                      new EmulatedSite.Tenant(
                           h.name(),
                           h.part(),
                           h.perSecond() * perSecond / Math.max(1e-9, l.perSecond())))
               .toList();
-      return new World(
+      return new EmulatedSite(
           w.name(),
           of,
           sized.dispatchers(),
           w.profiles(),
           holders,
-          new World.Load(
+          new EmulatedSite.Load(
               perSecond,
               l.swing(),
               l.swingS(),
@@ -200,8 +200,8 @@
         description = "faults from a file, in place of drawn ones")
     Path script;
 
-    List<Fault> drawn(World w, long of) {
-      return script != null ? Script.read(script, w) : Fault.drawn(w, seconds, faults, of);
+    List<Fault> drawn(EmulatedSite w, long of) {
+      return script != null ? FaultScript.read(script, w) : Fault.drawn(w, seconds, faults, of);
     }
   }
 
@@ -231,7 +231,7 @@
     @Override
     public Integer call() throws IOException {
       PrintWriter out = spec.commandLine().getOut();
-      World world = common.world();
+      EmulatedSite world = common.world();
       List<Fault> faults = common.drawn(world, common.seed);
       faults.forEach(
           f ->
@@ -250,7 +250,7 @@
           "| profile | offered | in target | late | shed | failed | unheard | median, ms | 99th, ms |");
       out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
       for (int i = 0; i < world.profiles().size(); i++) {
-        Tally.Row row = r.tally().rows().get(i);
+        OutcomeCounts.Row row = r.tally().rows().get(i);
         out.printf(
             Locale.ROOT,
             "| %s | %d | %d | %d | %d | %d | %d | %.1f | %.1f |%n",
@@ -318,7 +318,7 @@
     private record Ran(long seed, Simulation.Result result) {}
 
     /** A fault of the code under one seed is told with that seed. */
-    private Ran play(World world, long seed) {
+    private Ran play(EmulatedSite world, long seed) {
       try {
         return new Ran(
             seed,
@@ -332,7 +332,7 @@
     @Override
     public Integer call() {
       PrintWriter out = spec.commandLine().getOut();
-      World world = common.world();
+      EmulatedSite world = common.world();
       List<Ran> ran =
           IntStream.range(0, runs).parallel().mapToObj(i -> play(world, common.seed + i)).toList();
       long broken = ran.stream().filter(r -> r.result.brokenRules() > 0).count();
@@ -398,7 +398,7 @@
     @Override
     public Integer call() {
       PrintWriter out = spec.commandLine().getOut();
-      World world = common.world();
+      EmulatedSite world = common.world();
       out.println(
           "| policy | emulated goodput, mean of seeds | least | rules broken | busiest engine over the mean | idlest | commands a second and core |");
       out.println("| --- | --- | --- | --- | --- | --- | --- |");
@@ -489,8 +489,8 @@
         throw new CommandLine.ParameterException(
             spec.commandLine(), "one result set needs --policies A,B");
       }
-      List<Outcomes.Row> a = Outcomes.read(files.get(0));
-      List<Outcomes.Row> b = files.size() == 1 ? a : Outcomes.read(files.get(1));
+      List<ResultsFile.RunResult> a = ResultsFile.read(files.get(0));
+      List<ResultsFile.RunResult> b = files.size() == 1 ? a : ResultsFile.read(files.get(1));
       boolean within = files.size() == 1;
       spec.commandLine()
           .getOut()
@@ -525,7 +525,7 @@
 
     @Override
     public Integer call() {
-      World world = common.world();
+      EmulatedSite world = common.world();
       List<Fault> faults = common.drawn(world, common.seed);
       Shrink<Fault> shrink =
           new Shrink<>(
@@ -539,13 +539,13 @@
       Simulation.Result whole =
           new Simulation(world, policies(policy), faults, common.seconds, common.seed).run();
       if (under != null ? whole.tally().goodput() >= under : whole.brokenRules() == 0) {
-        throw new BadInput("the whole script does not fail: nothing to shrink");
+        throw new InvalidInputException("the whole script does not fail: nothing to shrink");
       }
       List<Fault> least = shrink.of(faults);
       out.printf(
           "# %d faults of %d are left, after %d runs; seed %d%n",
           least.size(), faults.size(), shrink.runs(), common.seed);
-      out.print(Script.write(least));
+      out.print(FaultScript.write(least));
       out.flush();
       return 0;
     }
--- a/src/main/java/cobaltseam/emulator/Host.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedDispatcher.java
@@ -18,10 +18,10 @@
  * One dispatcher around a policy: carries out what it says, as the service does on sockets, and
  * decides nothing.
  */
-final class Host {
+final class EmulatedDispatcher {
   /** Who waits for the final answer. */
   interface Asker {
-    void told(Referee.Final what, TimeSpan comeBack);
+    void told(InvariantChecker.Final what, TimeSpan comeBack);
 
     /** Whether its client has left before it was taken. */
     boolean gone();
@@ -54,8 +54,8 @@
   final int number;
   private final Timeline time;
   private final EngineLink link;
-  private final Referee referee;
-  private final Tally tally;
+  private final InvariantChecker referee;
+  private final OutcomeCounts tally;
   private final Map<RequestId, InHand> inHand = new HashMap<>();
   private Policy policy;
   private Timeline.Entry wake;
@@ -68,7 +68,8 @@
   /** Counts its lives; what belongs to an earlier one is passed over. */
   private int life;
 
-  Host(int number, Timeline time, EngineLink link, Referee referee, Tally tally) {
+  EmulatedDispatcher(
+      int number, Timeline time, EngineLink link, InvariantChecker referee, OutcomeCounts tally) {
     this.number = number;
     this.time = time;
     this.link = link;
@@ -192,13 +193,13 @@
     }
     switch (p.decision()) {
       case SEND -> send(c, p);
-      case SHED -> end(c, Referee.Final.SHED, p.retryAfter());
-      case FAIL -> end(c, Referee.Final.FAILED, TimeSpan.ZERO);
+      case SHED -> end(c, InvariantChecker.Final.SHED, p.retryAfter());
+      case FAIL -> end(c, InvariantChecker.Final.FAILED, TimeSpan.ZERO);
       default -> {}
     }
   }
 
-  private void end(InHand c, Referee.Final what, TimeSpan comeBack) {
+  private void end(InHand c, InvariantChecker.Final what, TimeSpan comeBack) {
     Asker asker = c.asker;
     c.asker = null;
     referee.answered(number, c.command.id(), what);
@@ -275,7 +276,7 @@
             reportedInHand < 0 ? -1 : 0,
             reportedInHand);
     if (answered != null) {
-      end(c, Referee.Final.ANSWERED, TimeSpan.ZERO);
+      end(c, InvariantChecker.Final.ANSWERED, TimeSpan.ZERO);
     }
     carryOut(c, policy.after(outcome, time.now()));
     if (c.asker == null) {
--- a/src/main/java/cobaltseam/emulator/Fellowship.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedFleet.java
@@ -34,7 +34,7 @@
  * {@code spread} over a view that is given and a lease that always holds. What goes wrong with
  * views and leases is played by the fleets of {@code fleet}.
  */
-final class Fellowship {
+final class EmulatedFleet {
   private static final long WHOLE = 1_000_000_000L;
   private static final TimeSpan LEASE = new TimeSpan(2_000_000);
   private static final TimeSpan ROUND = new TimeSpan(1_000_000);
@@ -66,10 +66,10 @@
    * @param spreads whether parts follow demand
    * @param newsMs between two rounds of asking what engines told others; 0 for never
    */
-  Fellowship(World world, Timeline time, boolean spreads, double newsMs) {
+  EmulatedFleet(EmulatedSite world, Timeline time, boolean spreads, double newsMs) {
     this.time = time;
     this.spreads = spreads;
-    news = newsMs > 0 ? World.ms(newsMs) : null;
+    news = newsMs > 0 ? EmulatedSite.ms(newsMs) : null;
     List<Member> members = new ArrayList<>();
     all = new One[world.dispatchers()];
     for (int i = 0; i < all.length; i++) {
@@ -200,7 +200,7 @@
 
       @Override
       public MessageHeader teller() {
-        return Fellowship.this.teller(i);
+        return EmulatedFleet.this.teller(i);
       }
 
       @Override
--- a/src/main/java/cobaltseam/emulator/World.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedSite.java
@@ -14,15 +14,15 @@
 import java.util.List;
 
 /** What an emulated deployment is made of; every figure is the world's own. */
-public record World(
+public record EmulatedSite(
     String name,
     Engines engines,
     int dispatchers,
     List<Profile> profiles,
-    List<Holder> holders,
+    List<Tenant> holders,
     Load load,
-    Net net,
-    Roster roster,
+    Network net,
+    Discovery roster,
     Limits limits) {
   /**
    * The engines: how many, their cores, the spread of their speeds around 1, threads a core up to
@@ -78,7 +78,7 @@
   }
 
   /** One holder of a share: its part of the traffic, and how many commands a second it is due. */
-  public record Holder(String name, double part, double perSecond) {}
+  public record Tenant(String name, double part, double perSecond) {}
 
   /**
    * What comes: commands a second, how much that swings in how many seconds, how often bursts come
@@ -105,10 +105,10 @@
    * One way between dispatchers and engines, its spread, and between clients and dispatchers, in
    * milliseconds.
    */
-  public record Net(double oneWayMs, double jitter, double clientMs) {}
+  public record Network(double oneWayMs, double jitter, double clientMs) {}
 
   /** How late a dispatcher hears of changes: at the least, and how much more by chance. */
-  public record Roster(double lagMs, double spreadMs) {}
+  public record Discovery(double lagMs, double spreadMs) {}
 
   /** What a dispatcher may do. */
   public record Limits(
--- a/src/main/java/cobaltseam/emulator/Worlds.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedSites.java
@@ -1,6 +1,6 @@
 package cobaltseam.emulator;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import cobaltseam.dispatch.Deployment.RetrySafety;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JacksonException;
@@ -18,7 +18,7 @@
  * Worlds from TOML, by the name of one that comes along or by a file; with every figure checked
  * against its bounds.
  */
-final class Worlds {
+final class EmulatedSites {
   private static final TomlMapper TOML = new TomlMapper();
 
   /** The names that files of sites have for the classes of {@link RetrySafety}. */
@@ -38,31 +38,31 @@
         DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
   }
 
-  private Worlds() {}
+  private EmulatedSites() {}
 
   /**
-   * @throws BadInput with what can't be used
+   * @throws InvalidInputException with what can't be used
    */
-  static World named(String name) {
+  static EmulatedSite named(String name) {
     String text;
-    try (InputStream in = Worlds.class.getResourceAsStream(name + ".toml")) {
+    try (InputStream in = EmulatedSites.class.getResourceAsStream(name + ".toml")) {
       text =
           in != null
               ? new String(in.readAllBytes(), StandardCharsets.UTF_8)
               : Files.readString(Path.of(name));
     } catch (IOException e) {
-      throw new BadInput(
+      throw new InvalidInputException(
           "world " + name + " is neither one that comes along nor a file: " + e.getMessage());
     }
     return read(name, text);
   }
 
-  static World read(String name, String text) {
-    World world;
+  static EmulatedSite read(String name, String text) {
+    EmulatedSite world;
     try {
-      world = TOML.readValue(text, World.class);
+      world = TOML.readValue(text, EmulatedSite.class);
     } catch (JacksonException e) {
-      throw new BadInput("world " + name + ": " + e.getOriginalMessage());
+      throw new InvalidInputException("world " + name + ": " + e.getOriginalMessage());
     }
     List<String> wrong = new ArrayList<>();
     if (world.engines() == null
@@ -72,12 +72,12 @@
         || world.net() == null
         || world.roster() == null
         || world.limits() == null) {
-      throw new BadInput(
+      throw new InvalidInputException(
           "world "
               + name
               + ": engines, profiles, holders, load, net, roster and limits are all needed");
     }
-    World.Engines e = world.engines();
+    EmulatedSite.Engines e = world.engines();
     bound(wrong, "engines.count", e.count(), 1, 10_000);
     bound(wrong, "engines.cores", e.cores(), 0.1, 1024);
     bound(wrong, "engines.speedSpread", e.speedSpread(), 0, 0.9);
@@ -89,7 +89,7 @@
     bound(wrong, "engines.groups", e.groups(), 1, e.count());
     bound(wrong, "dispatchers", world.dispatchers(), 1, 10_000);
     bound(wrong, "profiles", world.profiles().size(), 1, 100);
-    for (World.Profile p : world.profiles()) {
+    for (EmulatedSite.Profile p : world.profiles()) {
       bound(wrong, p.name() + ".part", p.part(), 0, 1e9);
       bound(wrong, p.name() + ".threads", p.threads(), 1, 1024);
       bound(wrong, p.name() + ".workMs", p.workMs(), 0.001, 1e7);
@@ -102,7 +102,7 @@
     bound(wrong, "load.swing", world.load().swing(), 0, 0.99);
     bound(wrong, "net.jitter", world.net().jitter(), 0, 1);
     if (!wrong.isEmpty()) {
-      throw new BadInput("world " + name + ":\n" + String.join("\n", wrong));
+      throw new InvalidInputException("world " + name + ":\n" + String.join("\n", wrong));
     }
     return world;
   }
--- a/src/main/java/cobaltseam/emulator/EngineModel.java
+++ b/src/main/java/cobaltseam/emulator/EngineModel.java
@@ -65,7 +65,7 @@
   final LocationId location;
   final GroupId group;
   private final Timeline time;
-  private final World.Engines terms;
+  private final EmulatedSite.Engines terms;
   private final PriorityQueue<Job> jobs = new PriorityQueue<>();
   private final Map<DataSetId, Boolean> warm;
   private final double speed;
@@ -93,7 +93,7 @@
       LocationId location,
       GroupId group,
       double speed,
-      World.Engines terms,
+      EmulatedSite.Engines terms,
       Timeline time) {
     this.id = id;
     this.location = location;
--- a/src/main/java/cobaltseam/emulator/Experiment.java
+++ b/src/main/java/cobaltseam/emulator/Experiment.java
@@ -1,6 +1,6 @@
 package cobaltseam.emulator;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -59,7 +59,7 @@
   }
 
   /**
-   * @throws BadInput if the plan can't be used
+   * @throws InvalidInputException if the plan can't be used
    */
   static Plan read(Path file) {
     Plan plan;
@@ -71,9 +71,9 @@
                   DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
               .readValue(Files.readString(file), Plan.class);
     } catch (JacksonException e) {
-      throw new BadInput(file + ": " + e.getOriginalMessage());
+      throw new InvalidInputException(file + ": " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new BadInput(file + " can't be read: " + e.getMessage());
+      throw new InvalidInputException(file + " can't be read: " + e.getMessage());
     }
     if (plan.worlds() == null
         || plan.policies() == null
@@ -84,14 +84,14 @@
         || !FIGURES.contains(plan.figure())
         || plan.lastSeed() < plan.firstSeed()
         || !(plan.seconds() > 0)) {
-      throw new BadInput(
+      throw new InvalidInputException(
           file
               + ": worlds, policies and values must not be empty, figure must be one of "
               + FIGURES
               + ", seeds must go up and seconds be above 0");
     }
-    plan.policies().forEach(Emulate::policies);
-    plan.worlds().forEach(Worlds::named);
+    plan.policies().forEach(EmulateCommand::policies);
+    plan.worlds().forEach(EmulatedSites::named);
     return plan;
   }
 
@@ -102,7 +102,7 @@
   }
 
   private void run() throws IOException {
-    Map<String, Outcomes.Row> kept = kept();
+    Map<String, ResultsFile.RunResult> kept = kept();
     List<Run> due = new ArrayList<>();
     for (String world : plan.worlds()) {
       for (String policy : plan.policies()) {
@@ -122,7 +122,7 @@
     due.parallelStream()
         .forEach(
             run -> {
-              Outcomes.Row row = play(run);
+              ResultsFile.RunResult row = play(run);
               synchronized (done) {
                 keep(row);
                 kept.put(row.key(), row);
@@ -135,8 +135,8 @@
                 }
               }
             });
-    List<Outcomes.Row> rows = new ArrayList<>(new TreeMap<>(kept).values());
-    Outcomes.write(folder.resolve("results.arrow"), rows);
+    List<ResultsFile.RunResult> rows = new ArrayList<>(new TreeMap<>(kept).values());
+    ResultsFile.write(folder.resolve("results.arrow"), rows);
     Files.writeString(folder.resolve("results.md"), table(rows));
     if (!plan.figure().equals("none")) {
       Charts.sweep(
@@ -145,14 +145,14 @@
           plan.figure(),
           "benefit got of offered",
           rows,
-          Outcomes.Row::goodput);
+          ResultsFile.RunResult::goodput);
       Charts.sweep(
           folder.resolve("p99.svg"),
           plan.name() + ": 99th percentile of answers, ms",
           plan.figure(),
           "ms",
           rows,
-          Outcomes.Row::p99Ms);
+          ResultsFile.RunResult::p99Ms);
     }
     out.print(table(rows));
     out.flush();
@@ -165,13 +165,13 @@
   /**
    * Lines that are whole; the last one of a run that was killed may not be, and is played again.
    */
-  private Map<String, Outcomes.Row> kept() throws IOException {
-    Map<String, Outcomes.Row> kept = new HashMap<>();
+  private Map<String, ResultsFile.RunResult> kept() throws IOException {
+    Map<String, ResultsFile.RunResult> kept = new HashMap<>();
     Path file = folder.resolve(KEPT);
     if (Files.exists(file)) {
       for (String line : Files.readAllLines(file)) {
         try {
-          Outcomes.Row row = JSON.readValue(line, Outcomes.Row.class);
+          ResultsFile.RunResult row = JSON.readValue(line, ResultsFile.RunResult.class);
           kept.put(row.key(), row);
         } catch (JacksonException e) {
           out.println("a line of " + file + " is not whole, its run is played again");
@@ -181,7 +181,7 @@
     return kept;
   }
 
-  private void keep(Outcomes.Row row) {
+  private void keep(ResultsFile.RunResult row) {
     try {
       Files.writeString(
           folder.resolve(KEPT),
@@ -194,8 +194,8 @@
     }
   }
 
-  private static Outcomes.Row play(Run run) {
-    Emulate.Common of = new Emulate.Common();
+  private static ResultsFile.RunResult play(Run run) {
+    EmulateCommand.Common of = new EmulateCommand.Common();
     of.world = run.world;
     of.seconds = run.plan.seconds();
     of.faults = run.plan.faults();
@@ -206,19 +206,19 @@
       case "faults" -> of.faults = (int) run.value;
       default -> {}
     }
-    World world = of.world();
+    EmulatedSite world = of.world();
     Simulation.Result r =
         new Simulation(
                 world,
-                Emulate.policies(run.policy),
+                EmulateCommand.policies(run.policy),
                 of.drawn(world, run.seed),
                 run.plan.seconds(),
                 run.seed)
             .run();
-    List<Tally.Row> rows = r.tally().rows();
+    List<OutcomeCounts.Row> rows = r.tally().rows();
     org.HdrHistogram.Histogram all = new org.HdrHistogram.Histogram(3_600_000_000L, 2);
     rows.forEach(row -> all.add(row.latency));
-    return new Outcomes.Row(
+    return new ResultsFile.RunResult(
         run.world,
         run.policy,
         run.plan.figure(),
@@ -241,11 +241,12 @@
         r.hash());
   }
 
-  private static long sum(List<Tally.Row> rows, java.util.function.ToLongFunction<Tally.Row> of) {
+  private static long sum(
+      List<OutcomeCounts.Row> rows, java.util.function.ToLongFunction<OutcomeCounts.Row> of) {
     return rows.stream().mapToLong(of).sum();
   }
 
-  private String table(List<Outcomes.Row> rows) {
+  private String table(List<ResultsFile.RunResult> rows) {
     StringBuilder text =
         new StringBuilder(
             "| world | "
@@ -266,10 +267,10 @@
                         "| %s | %d | %.4f | %.4f | %.0f | %d |%n",
                         key,
                         of.size(),
-                        of.stream().mapToDouble(Outcomes.Row::goodput).average().orElse(0),
-                        of.stream().mapToDouble(Outcomes.Row::goodput).min().orElse(0),
-                        of.stream().mapToDouble(Outcomes.Row::p99Ms).average().orElse(0),
-                        of.stream().mapToLong(Outcomes.Row::brokenRules).sum())));
+                        of.stream().mapToDouble(ResultsFile.RunResult::goodput).average().orElse(0),
+                        of.stream().mapToDouble(ResultsFile.RunResult::goodput).min().orElse(0),
+                        of.stream().mapToDouble(ResultsFile.RunResult::p99Ms).average().orElse(0),
+                        of.stream().mapToLong(ResultsFile.RunResult::brokenRules).sum())));
     return text.toString();
   }
 
@@ -278,14 +279,17 @@
    * against another within one set.
    */
   static String compared(
-      List<Outcomes.Row> a, List<Outcomes.Row> b, String policyA, String policyB) {
-    Map<String, Outcomes.Row> other = new HashMap<>();
+      List<ResultsFile.RunResult> a,
+      List<ResultsFile.RunResult> b,
+      String policyA,
+      String policyB) {
+    Map<String, ResultsFile.RunResult> other = new HashMap<>();
     b.stream()
         .filter(r -> policyB == null || r.policy().equals(policyB))
         .forEach(r -> other.put(pair(r, policyB != null), r));
     Map<String, List<Double>> differences = new TreeMap<>();
-    for (Outcomes.Row r : a) {
-      Outcomes.Row with =
+    for (ResultsFile.RunResult r : a) {
+      ResultsFile.RunResult with =
           policyA == null || r.policy().equals(policyA)
               ? other.get(pair(r, policyA != null))
               : null;
@@ -322,7 +326,7 @@
     return text.toString();
   }
 
-  private static String pair(Outcomes.Row r, boolean anyPolicy) {
+  private static String pair(ResultsFile.RunResult r, boolean anyPolicy) {
     return r.world()
         + " "
         + (anyPolicy ? "" : r.policy())
--- a/src/main/java/cobaltseam/emulator/Script.java
+++ b/src/main/java/cobaltseam/emulator/FaultScript.java
@@ -1,6 +1,6 @@
 package cobaltseam.emulator;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.MapperFeature;
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 
 /** Faults as a file that people can read and change: TOML, a table each. */
-record Script(List<Fault> faults) {
+record FaultScript(List<Fault> faults) {
   private static final TomlMapper TOML =
       TomlMapper.builder()
           .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
@@ -23,16 +23,16 @@
           .build();
 
   /**
-   * @throws BadInput with what can't be used for this world
+   * @throws InvalidInputException with what can't be used for this world
    */
-  static List<Fault> read(Path file, World world) {
-    Script script;
+  static List<Fault> read(Path file, EmulatedSite world) {
+    FaultScript script;
     try {
-      script = TOML.readValue(Files.readString(file), Script.class);
+      script = TOML.readValue(Files.readString(file), FaultScript.class);
     } catch (JacksonException e) {
-      throw new BadInput(file + ": " + e.getOriginalMessage());
+      throw new InvalidInputException(file + ": " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new BadInput(file + " can't be read: " + e.getMessage());
+      throw new InvalidInputException(file + " can't be read: " + e.getMessage());
     }
     List<Fault> faults = script.faults == null ? List.of() : script.faults;
     for (Fault f : faults) {
@@ -43,7 +43,7 @@
                   ? f.who() < world.holders().size()
                   : f.who() < world.dispatchers());
       if (!engines || !who || !(f.atS() >= 0) || !(f.lengthS() > 0) || !(f.size() > 0)) {
-        throw new BadInput(
+        throw new InvalidInputException(
             file
                 + ": "
                 + f
--- a/src/main/java/cobaltseam/emulator/Referee.java
+++ b/src/main/java/cobaltseam/emulator/InvariantChecker.java
@@ -19,7 +19,7 @@
  * policy. Slow and plain: it keeps what each rule needs and looks it through. A dispatcher that
  * stands still or was killed is not held to answer.
  */
-final class Referee {
+final class InvariantChecker {
   /** The seven rules. */
   enum Rule {
     LOST,
@@ -42,7 +42,7 @@
   }
 
   private static final class Seen {
-    World.Profile profile;
+    EmulatedSite.Profile profile;
     String key;
     long takenUs;
     long timeoutUs;
@@ -65,7 +65,7 @@
   private static final int MOST_KEPT = 100;
   private static final long SLACK_US = 50_000;
 
-  private final World world;
+  private final EmulatedSite world;
   private final Timeline time;
   private final List<Map<RequestId, Seen>> seen = new ArrayList<>();
   private final List<Map<EngineId, Told>> told = new ArrayList<>();
@@ -80,7 +80,7 @@
   private final List<Broken> broken = new ArrayList<>();
   private final Map<Rule, Long> counts = new EnumMap<>(Rule.class);
 
-  Referee(World world, Timeline time) {
+  InvariantChecker(EmulatedSite world, Timeline time) {
     this.world = world;
     this.time = time;
     for (int i = 0; i < world.dispatchers(); i++) {
@@ -124,7 +124,8 @@
     }
   }
 
-  void taken(int dispatcher, RequestId id, World.Profile profile, String key, long timeoutUs) {
+  void taken(
+      int dispatcher, RequestId id, EmulatedSite.Profile profile, String key, long timeoutUs) {
     Seen s = new Seen();
     s.profile = profile;
     s.key = key;
@@ -155,7 +156,7 @@
     if (standing == null) {
       broken(Rule.DRAIN, dispatcher, id, "a send to an engine that was never listed");
     } else if (standing.standing != EndpointState.UP
-        && now - standing.atUs > World.ms(world.limits().drainGraceMs()).us()) {
+        && now - standing.atUs > EmulatedSite.ms(world.limits().drainGraceMs()).us()) {
       broken(
           Rule.DRAIN,
           dispatcher,
@@ -198,7 +199,7 @@
                   && first.engine.group.equals(engine.group)
               || s.profile.scope() == DeduplicationScope.LOCATION
                   && first.engine.location.equals(engine.location);
-      if (!same || now - first.atUs > World.ms(s.profile.rememberedMs()).us()) {
+      if (!same || now - first.atUs > EmulatedSite.ms(s.profile.rememberedMs()).us()) {
         broken(
             Rule.TWICE,
             dispatcher,
@@ -207,7 +208,7 @@
       }
     }
     if (world.limits().furtherFree() != null) {
-      long window = World.ms(world.limits().furtherWindowMs()).us();
+      long window = EmulatedSite.ms(world.limits().furtherWindowMs()).us();
       Deque<Long> sends = further.get(dispatcher);
       Deque<Long> came = taken.get(dispatcher);
       sends.addLast(now);
@@ -246,7 +247,7 @@
    * Each send weighs its profile's mean work, since no dispatcher could know more.
    */
   boolean pushesOver(EngineModel engine, double workUs) {
-    long window = World.ms(world.limits().fallWindowMs()).us();
+    long window = EmulatedSite.ms(world.limits().fallWindowMs()).us();
     if (engine.warmth() >= 1 || window <= 0) {
       cold.remove(engine.id);
       return false;
@@ -300,7 +301,9 @@
         && (ending == AttemptResult.TIMED_OUT
             || ending == AttemptResult.CONNECTION_LOST
             || ending == AttemptResult.CANCELLED)) {
-      rests.get(dispatcher).put(s.key, time.nowUs() + World.ms(world.limits().keyRestMs()).us());
+      rests
+          .get(dispatcher)
+          .put(s.key, time.nowUs() + EmulatedSite.ms(world.limits().keyRestMs()).us());
     }
     over(dispatcher, id, s);
   }
--- a/src/main/java/cobaltseam/emulator/Tally.java
+++ b/src/main/java/cobaltseam/emulator/OutcomeCounts.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 
 /** What clients got, by profile and by second. */
-public final class Tally {
+public final class OutcomeCounts {
   /** One profile's figures: commands as first asked, however often they were asked again. */
   public static final class Row {
     public long offered;
@@ -29,7 +29,7 @@
   long sends;
   long further;
 
-  Tally(int profiles) {
+  OutcomeCounts(int profiles) {
     for (int i = 0; i < profiles; i++) {
       rows.add(new Row());
     }
--- a/src/main/java/cobaltseam/emulator/Outcomes.java
+++ b/src/main/java/cobaltseam/emulator/ResultsFile.java
@@ -23,9 +23,9 @@
 import org.apache.arrow.vector.ipc.ArrowFileWriter;
 
 /** The outcomes of runs as a columnar file (Apache Arrow's file format), one row a run. */
-final class Outcomes {
+final class ResultsFile {
   /** One run: what was played, and what came of it. Latencies in milliseconds, of all answers. */
-  record Row(
+  record RunResult(
       String world,
       String policy,
       String figure,
@@ -52,12 +52,17 @@
   }
 
   private static final List<String> TEXTS = List.of("world", "policy", "figure");
-  private static final List<Function<Row, String>> TEXT =
-      List.of(Row::world, Row::policy, Row::figure);
+  private static final List<Function<RunResult, String>> TEXT =
+      List.of(RunResult::world, RunResult::policy, RunResult::figure);
   private static final List<String> NUMBERS =
       List.of("value", "goodput", "median_ms", "p99_ms", "real_s");
-  private static final List<ToDoubleFunction<Row>> NUMBER =
-      List.of(Row::value, Row::goodput, Row::medianMs, Row::p99Ms, Row::realS);
+  private static final List<ToDoubleFunction<RunResult>> NUMBER =
+      List.of(
+          RunResult::value,
+          RunResult::goodput,
+          RunResult::medianMs,
+          RunResult::p99Ms,
+          RunResult::realS);
   private static final List<String> WHOLES =
       List.of(
           "seed",
@@ -72,20 +77,20 @@
           "sends",
           "further",
           "decisions");
-  private static final List<ToLongFunction<Row>> WHOLE =
+  private static final List<ToLongFunction<RunResult>> WHOLE =
       List.of(
-          Row::seed,
-          Row::offered,
-          Row::inTarget,
-          Row::late,
-          Row::shed,
-          Row::failed,
-          Row::unheard,
-          Row::brokenRules,
-          Row::taken,
-          Row::sends,
-          Row::further,
-          Row::hash);
+          RunResult::seed,
+          RunResult::offered,
+          RunResult::inTarget,
+          RunResult::late,
+          RunResult::shed,
+          RunResult::failed,
+          RunResult::unheard,
+          RunResult::brokenRules,
+          RunResult::taken,
+          RunResult::sends,
+          RunResult::further,
+          RunResult::hash);
 
   /** Held for good, or its level would be forgotten with it. */
   private static final java.util.logging.Logger QUIET =
@@ -95,28 +100,28 @@
     QUIET.setLevel(java.util.logging.Level.WARNING);
   }
 
-  private Outcomes() {}
+  private ResultsFile() {}
 
   /** Writes rows to a file, aside first, so that there is never half of one. */
-  static void write(Path file, List<Row> rows) throws IOException {
+  static void write(Path file, List<RunResult> rows) throws IOException {
     Path aside = file.resolveSibling(file.getFileName() + ".part");
     try (BufferAllocator memory = new RootAllocator()) {
       List<FieldVector> columns = new ArrayList<>();
       for (int c = 0; c < TEXTS.size(); c++) {
         VarCharVector v = new VarCharVector(TEXTS.get(c), memory);
-        Function<Row, String> of = TEXT.get(c);
+        Function<RunResult, String> of = TEXT.get(c);
         fill(v, rows, (i, row) -> v.setSafe(i, of.apply(row).getBytes(StandardCharsets.UTF_8)));
         columns.add(v);
       }
       for (int c = 0; c < NUMBERS.size(); c++) {
         Float8Vector v = new Float8Vector(NUMBERS.get(c), memory);
-        ToDoubleFunction<Row> of = NUMBER.get(c);
+        ToDoubleFunction<RunResult> of = NUMBER.get(c);
         fill(v, rows, (i, row) -> v.setSafe(i, of.applyAsDouble(row)));
         columns.add(v);
       }
       for (int c = 0; c < WHOLES.size(); c++) {
         BigIntVector v = new BigIntVector(WHOLES.get(c), memory);
-        ToLongFunction<Row> of = WHOLE.get(c);
+        ToLongFunction<RunResult> of = WHOLE.get(c);
         fill(v, rows, (i, row) -> v.setSafe(i, of.applyAsLong(row)));
         columns.add(v);
       }
@@ -137,7 +142,8 @@
     Files.move(aside, file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
   }
 
-  private static void fill(FieldVector v, List<Row> rows, BiConsumer<Integer, Row> set) {
+  private static void fill(
+      FieldVector v, List<RunResult> rows, BiConsumer<Integer, RunResult> set) {
     v.allocateNew();
     for (int i = 0; i < rows.size(); i++) {
       set.accept(i, rows.get(i));
@@ -146,8 +152,8 @@
   }
 
   /** Reads them back. */
-  static List<Row> read(Path file) throws IOException {
-    List<Row> rows = new ArrayList<>();
+  static List<RunResult> read(Path file) throws IOException {
+    List<RunResult> rows = new ArrayList<>();
     try (BufferAllocator memory = new RootAllocator();
         FileChannel in = FileChannel.open(file, StandardOpenOption.READ);
         ArrowFileReader reader = new ArrowFileReader(in, memory)) {
@@ -155,7 +161,7 @@
         VectorSchemaRoot root = reader.getVectorSchemaRoot();
         for (int i = 0; i < root.getRowCount(); i++) {
           rows.add(
-              new Row(
+              new RunResult(
                   text(root, "world", i),
                   text(root, "policy", i),
                   text(root, "figure", i),
--- a/src/main/java/cobaltseam/emulator/Simulation.java
+++ b/src/main/java/cobaltseam/emulator/Simulation.java
@@ -37,7 +37,7 @@
 
   /** What a run came to. */
   public record Result(
-      Tally tally,
+      OutcomeCounts tally,
       List<String> broken,
       long brokenRules,
       long events,
@@ -72,14 +72,14 @@
   private static final int KEYS = 64;
   private static final long FNV_PRIME = 0x100000001b3L;
 
-  private final World world;
+  private final EmulatedSite world;
   private final Timeline time = new Timeline(new Timestamp(START_US));
-  private final Referee referee;
-  private final Tally tally;
+  private final InvariantChecker referee;
+  private final OutcomeCounts tally;
   private final Policies policies;
   private final List<EngineModel> engines = new ArrayList<>();
   private final List<EndpointState> standings = new ArrayList<>();
-  private final List<Host> hosts = new ArrayList<>();
+  private final List<EmulatedDispatcher> hosts = new ArrayList<>();
   private final List<Set<Integer>> partitioned = new ArrayList<>();
   private final long[] heardUntil;
   private final long[] lives;
@@ -96,7 +96,7 @@
   /** Sums of the dispatchers' parts of the traffic; null where all carry alike. */
   private final double[] hostParts;
 
-  private Fellowship fellowship;
+  private EmulatedFleet fellowship;
   private final double[] flooded;
   private final double endS;
   private int rosterStops;
@@ -106,12 +106,12 @@
   private long hash = 0xcbf29ce484222325L;
   private boolean coming = true;
 
-  Simulation(World world, Policies policies, List<Fault> faults, double seconds, long seed) {
+  Simulation(EmulatedSite world, Policies policies, List<Fault> faults, double seconds, long seed) {
     this.world = world;
     this.policies = policies;
     endS = seconds;
-    referee = new Referee(world, time);
-    tally = new Tally(world.profiles().size());
+    referee = new InvariantChecker(world, time);
+    tally = new OutcomeCounts(world.profiles().size());
     hostParts = hostParts(world);
     SplittableRandom all = new SplittableRandom(seed);
     arrivals = all.split();
@@ -136,12 +136,13 @@
       standings.add(EndpointState.UP);
     }
     for (int i = 0; i < world.dispatchers(); i++) {
-      hosts.add(new Host(i, time, this, referee, tally));
+      hosts.add(new EmulatedDispatcher(i, time, this, referee, tally));
       partitioned.add(new HashSet<>());
       start(i);
     }
-    profileParts = cumulative(world.profiles().stream().mapToDouble(World.Profile::part).toArray());
-    holderParts = world.holders().stream().mapToDouble(World.Holder::part).toArray();
+    profileParts =
+        cumulative(world.profiles().stream().mapToDouble(EmulatedSite.Profile::part).toArray());
+    holderParts = world.holders().stream().mapToDouble(EmulatedSite.Tenant::part).toArray();
     flooded = new double[Math.max(1, holderParts.length)];
     Arrays.fill(flooded, 1);
     double[] sets = new double[Math.max(0, world.load().dataSets())];
@@ -163,7 +164,7 @@
     }
   }
 
-  private static double[] hostParts(World world) {
+  private static double[] hostParts(EmulatedSite world) {
     Double skew = world.load().dispatcherSkew();
     if (skew == null || skew == 0) {
       return null;
@@ -185,8 +186,8 @@
   }
 
   /** The dispatchers as one fleet, for policies that have one. */
-  Fellowship fellowship(boolean spreads, double newsMs) {
-    fellowship = fellowship == null ? new Fellowship(world, time, spreads, newsMs) : fellowship;
+  EmulatedFleet fellowship(boolean spreads, double newsMs) {
+    fellowship = fellowship == null ? new EmulatedFleet(world, time, spreads, newsMs) : fellowship;
     return fellowship;
   }
 
@@ -215,11 +216,12 @@
     time.run(new Timestamp(at(endS)));
     coming = false;
     double longest =
-        world.profiles().stream().mapToDouble(World.Profile::timeoutMs).max().orElse(0) / 1000;
+        world.profiles().stream().mapToDouble(EmulatedSite.Profile::timeoutMs).max().orElse(0)
+            / 1000;
     time.run(new Timestamp(at(endS + longest * 2 + 1)));
     return new Result(
         tally,
-        referee.broken().stream().map(Referee.Broken::toString).toList(),
+        referee.broken().stream().map(InvariantChecker.Broken::toString).toList(),
         referee.all(),
         time.happened(),
         (time.nowUs() - START_US) / 1e6,
@@ -227,7 +229,7 @@
         hash);
   }
 
-  Referee referee() {
+  InvariantChecker referee() {
     return referee;
   }
 
@@ -255,7 +257,7 @@
   // ---- clients
 
   private double rate() {
-    World.Load load = world.load();
+    EmulatedSite.Load load = world.load();
     double t = (time.nowUs() - START_US) / 1e6;
     double swing =
         load.swingS() > 0 ? 1 + load.swing() * Math.sin(2 * Math.PI * t / load.swingS()) : 1;
@@ -292,7 +294,7 @@
     return draw(cumulative(parts), arrivals.nextDouble());
   }
 
-  private double workUs(World.Profile p) {
+  private double workUs(EmulatedSite.Profile p) {
     double mean = p.workMs() * 1000;
     if (p.cv() == 0) {
       return mean;
@@ -314,7 +316,7 @@
     ask.firstUs = time.nowUs();
     ask.closed = closed;
     ask.retriesLeft = world.load().retries();
-    World.Profile p = world.profiles().get(ask.profile);
+    EmulatedSite.Profile p = world.profiles().get(ask.profile);
     DataSetId data =
         dataParts.length == 0 ? null : new DataSetId(draw(dataParts, works.nextDouble()));
     ask.order = new Order(p, workUs(p), p.memoryMb(), data);
@@ -326,8 +328,8 @@
   }
 
   private void attempt(Ask ask) {
-    World.Profile p = ask.order.profile();
-    Host host =
+    EmulatedSite.Profile p = ask.order.profile();
+    EmulatedDispatcher host =
         hosts.get(
             hostParts == null
                 ? arrivals.nextInt(hosts.size())
@@ -358,11 +360,11 @@
               command,
               ask.order,
               ask.key,
-              new Host.Asker() {
+              new EmulatedDispatcher.Asker() {
                 @Override
-                public void told(Referee.Final what, TimeSpan comeBack) {
+                public void told(InvariantChecker.Final what, TimeSpan comeBack) {
                   time.after(
-                      World.ms(world.net().clientMs()),
+                      EmulatedSite.ms(world.net().clientMs()),
                       () -> {
                         if (!told[0]) {
                           told[0] = true;
@@ -389,8 +391,8 @@
         });
   }
 
-  private void told(Ask ask, Referee.Final what, TimeSpan comeBack) {
-    World.Profile p = ask.order.profile();
+  private void told(Ask ask, InvariantChecker.Final what, TimeSpan comeBack) {
+    EmulatedSite.Profile p = ask.order.profile();
     note(what.ordinal() + 31L * time.nowUs());
     switch (what) {
       case ANSWERED -> {
@@ -415,7 +417,7 @@
 
   private void again(Ask ask, TimeSpan comeBack, Runnable otherwise) {
     TimeSpan wait =
-        comeBack.max(World.ms(LONGEST_RETRY_S * 1000)).times(0.5 + arrivals.nextDouble());
+        comeBack.max(EmulatedSite.ms(LONGEST_RETRY_S * 1000)).times(0.5 + arrivals.nextDouble());
     boolean inTime = time.nowUs() + wait.us() < ask.firstUs + ask.order.profile().timeout().us();
     if (ask.retriesLeft > 0 && inTime) {
       ask.retriesLeft--;
@@ -428,15 +430,15 @@
 
   private void over(Ask ask) {
     if (ask.closed) {
-      time.after(World.ms(world.load().thinkMs()), () -> ask(true));
+      time.after(EmulatedSite.ms(world.load().thinkMs()), () -> ask(true));
     }
   }
 
   // ---- the network and engines
 
   private TimeSpan delay() {
-    World.Net net = world.net();
-    return World.ms(net.oneWayMs() * (1 + net.jitter() * (2 * network.nextDouble() - 1)));
+    EmulatedSite.Network net = world.net();
+    return EmulatedSite.ms(net.oneWayMs() * (1 + net.jitter() * (2 * network.nextDouble() - 1)));
   }
 
   @Override
@@ -444,21 +446,26 @@
     return engines.get((int) id.value() - 1);
   }
 
-  private boolean cut(Host host, EngineModel engine) {
+  private boolean cut(EmulatedDispatcher host, EngineModel engine) {
     return partitioned.get(host.number).contains((int) engine.id.value() - 1);
   }
 
   @Override
-  public void send(Host from, Host.Out out, Order order) {
+  public void send(EmulatedDispatcher from, EmulatedDispatcher.Out out, Order order) {
     note(out.engine.id.value() * 1_000_003 + time.nowUs());
-    World.Profile p = order.profile();
+    EmulatedSite.Profile p = order.profile();
     boolean bad = plans.nextDouble() < Math.max(p.badPlans(), badPlans);
     double work = order.workUs() * (bad ? badPlans > p.badPlans() ? badTimes : p.badTimes() : 1);
     boolean fails = plans.nextDouble() < Math.max(out.engine.failing, world.engines().errors());
     time.after(delay(), () -> arrive(from, out, order, work, fails));
   }
 
-  private void arrive(Host from, Host.Out out, Order order, double work, boolean fails) {
+  private void arrive(
+      EmulatedDispatcher from,
+      EmulatedDispatcher.Out out,
+      Order order,
+      double work,
+      boolean fails) {
     EngineModel engine = out.engine;
     if (out.over || cut(from, engine) || engine.life == EngineModel.Life.VANISHED) {
       return;
@@ -495,29 +502,30 @@
     }
     out.job = job;
     if (world.limits().progressMs() > 0) {
-      time.after(World.ms(world.limits().progressMs()), () -> progress(from, out));
+      time.after(EmulatedSite.ms(world.limits().progressMs()), () -> progress(from, out));
     }
   }
 
-  private void progress(Host from, Host.Out out) {
+  private void progress(EmulatedDispatcher from, EmulatedDispatcher.Out out) {
     if (!out.over && !cut(from, out.engine) && out.engine.life == EngineModel.Life.RUNS) {
       double share = out.engine.progress(out.job);
       if (share < 1) {
         time.after(delay(), () -> from.progressed(out, share));
-        time.after(World.ms(world.limits().progressMs()), () -> progress(from, out));
+        time.after(EmulatedSite.ms(world.limits().progressMs()), () -> progress(from, out));
       }
     }
   }
 
   /** Word of a send goes back to its dispatcher, unless the way is cut. */
-  private void back(Host to, Host.Out out, AttemptResult ending, double inHand) {
+  private void back(
+      EmulatedDispatcher to, EmulatedDispatcher.Out out, AttemptResult ending, double inHand) {
     if (!cut(to, out.engine)) {
       time.after(delay(), () -> to.ended(out, ending, inHand));
     }
   }
 
   @Override
-  public void giveUp(Host from, Host.Out out) {
+  public void giveUp(EmulatedDispatcher from, EmulatedDispatcher.Out out) {
     if (world.limits().cancels()) {
       time.after(
           delay(),
@@ -533,7 +541,7 @@
 
   private void start(int dispatcher) {
     lives[dispatcher]++;
-    Host host = hosts.get(dispatcher);
+    EmulatedDispatcher host = hosts.get(dispatcher);
     host.start(policies.of(world.deployment(dispatcher), seeds.nextLong(), this));
     List<EndpointStatus> all = new ArrayList<>();
     for (int i = 0; i < engines.size(); i++) {
@@ -547,7 +555,7 @@
     return new EndpointStatus(
         e.id,
         e.location,
-        new MachineTypeId(World.KIND),
+        new MachineTypeId(EmulatedSite.KIND),
         e.group,
         standings.get(engine),
         new Timestamp(Math.max(0, e.startedUs)));
@@ -565,7 +573,7 @@
 
   private void tell(int engine) {
     EndpointStatus line = listing(engine);
-    for (Host host : hosts) {
+    for (EmulatedDispatcher host : hosts) {
       double late = world.roster().lagMs() + network.nextDouble() * world.roster().spreadMs();
       long when = Math.max(heardUntil[host.number] + 1, time.nowUs() + Math.round(late * 1000));
       heardUntil[host.number] = when;
@@ -589,7 +597,7 @@
     }
     int number = (int) engine.id.value() - 1;
     time.after(
-        World.ms(silent ? world.roster().lagMs() * 2 : 0),
+        EmulatedSite.ms(silent ? world.roster().lagMs() * 2 : 0),
         () -> {
           if (engine.life != EngineModel.Life.RUNS) {
             changed(number, EndpointState.GONE);
--- a/src/main/java/cobaltseam/fleet/Acted.java
+++ b/src/main/java/cobaltseam/fleet/ActivationRecord.java
@@ -15,7 +15,7 @@
  *     between them, none if it acts on nothing that could contradict another: stepped back,
  *     standing still or dead
  */
-public record Acted(double atS, int process, List<String> editions) {
+public record ActivationRecord(double atS, int process, List<String> editions) {
   /**
    * Two processes and how long they acted on editions that contradict each other; the longest of
    * all.
@@ -24,7 +24,7 @@
     static final Contradiction NONE = new Contradiction(0, 0, -1, -1, "");
   }
 
-  private boolean contradicts(Acted other, Set<String> harmless) {
+  private boolean contradicts(ActivationRecord other, Set<String> harmless) {
     return !editions.isEmpty()
         && !other.editions.isEmpty()
         && editions.stream()
@@ -47,15 +47,16 @@
    *
    * @param harmless hashes of contents of which no two contradict each other
    */
-  public static Contradiction longest(List<Acted> record, Set<String> harmless, double endS) {
-    Map<Integer, Acted> acting = new HashMap<>();
+  public static Contradiction longest(
+      List<ActivationRecord> record, Set<String> harmless, double endS) {
+    Map<Integer, ActivationRecord> acting = new HashMap<>();
     Map<List<Integer>, Double> since = new HashMap<>();
     Contradiction longest = Contradiction.NONE;
-    List<Acted> all = new ArrayList<>(record);
-    all.sort(java.util.Comparator.comparingDouble(Acted::atS));
-    for (Acted a : all) {
-      Acted before = acting.put(a.process, a);
-      for (Acted b : acting.values()) {
+    List<ActivationRecord> all = new ArrayList<>(record);
+    all.sort(java.util.Comparator.comparingDouble(ActivationRecord::atS));
+    for (ActivationRecord a : all) {
+      ActivationRecord before = acting.put(a.process, a);
+      for (ActivationRecord b : acting.values()) {
         List<Integer> pair =
             List.of(Math.min(a.process, b.process), Math.max(a.process, b.process));
         Double from = since.get(pair);
@@ -94,9 +95,9 @@
   }
 
   /** Numbers that were held with more than one content. */
-  public static List<String> twoUnderOneNumber(List<Acted> record) {
+  public static List<String> twoUnderOneNumber(List<ActivationRecord> record) {
     Map<String, Set<String>> byNumber = new HashMap<>();
-    for (Acted a : record) {
+    for (ActivationRecord a : record) {
       a.editions.forEach(
           e ->
               byNumber
--- a/src/main/java/cobaltseam/fleet/AgreeHunt.java
+++ b/src/main/java/cobaltseam/fleet/AgreementHunt.java
@@ -28,7 +28,7 @@
     description =
         "Runs drawn scripts in virtual time while documents are proposed; tells the longest contradiction.",
     mixinStandardHelpOptions = true)
-final class AgreeHunt implements Callable<Integer> {
+final class AgreementHunt implements Callable<Integer> {
   /** Of the members' clocks, as a part. */
   static final double CLOCKS = 0.001;
 
@@ -36,7 +36,7 @@
       new ConfigurationAgreement.AgreementOptions(new TimeSpan(2_000_000), CLOCKS, 1 << 20);
   private static final double SETTLES_WITHIN = 340;
   private static final double LAST_WITHIN = 60;
-  @CommandLine.Mixin Fleet.Common common;
+  @CommandLine.Mixin FleetCommand.Common common;
 
   @Option(
       names = "--runs",
@@ -58,12 +58,12 @@
   record Verdict(
       List<String> broken,
       boolean lostMajority,
-      Acted.Contradiction longest,
+      ActivationRecord.Contradiction longest,
       long editions,
       double lastS) {}
 
   static Verdict play(
-      VirtualFleet.Plan plan, List<Trouble> troubles, double seconds, double everyS, long seed) {
+      VirtualFleet.Plan plan, List<Fault> troubles, double seconds, double everyS, long seed) {
     VirtualFleet fleet = new VirtualFleet(plan, troubles, seed);
     fleet.agrees(TERMS, CLOCKS);
     SplittableRandom chance = new SplittableRandom(seed);
@@ -87,7 +87,7 @@
       fleet.run(s);
       calm = fleet.isSettled() ? calm + 1 : 0;
     }
-    List<String> broken = new ArrayList<>(Acted.twoUnderOneNumber(fleet.acted()));
+    List<String> broken = new ArrayList<>(ActivationRecord.twoUnderOneNumber(fleet.acted()));
     double last = 0;
     if (!fleet.lostMajority()) {
       // Messages flow again: a proposal gets through, and all act on it.
@@ -113,7 +113,8 @@
         broken.add("a proposal does not get through: " + why + each);
       }
     }
-    Acted.Contradiction longest = Acted.longest(fleet.acted(), harmless, fleet.now());
+    ActivationRecord.Contradiction longest =
+        ActivationRecord.longest(fleet.acted(), harmless, fleet.now());
     if (longest.seconds() > TERMS.contradiction().us() / 1e6) {
       broken.add("contradiction for " + longest);
     }
@@ -122,13 +123,13 @@
   }
 
   /** The run of a seed. */
-  static Verdict one(Fleet.Common common, double everyS, long seed) {
+  static Verdict one(FleetCommand.Common common, double everyS, long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     int processes =
         common.processes > 0
             ? common.processes
             : chance.nextInt(10) == 0 ? 3 + chance.nextInt(48) : 3 + chance.nextInt(7);
-    List<Trouble> script =
+    List<Fault> script =
         common.script != null
             ? common.drawn(seed, processes)
             : common.drawn(seed, processes, 1 + chance.nextInt(6));
@@ -158,7 +159,7 @@
     long from = System.nanoTime();
     PrintWriter out = spec.commandLine().getOut();
     List<Verdict> all = Collections.synchronizedList(new ArrayList<>());
-    Map<Acted.Contradiction, Long> seeds = Collections.synchronizedMap(new HashMap<>());
+    Map<ActivationRecord.Contradiction, Long> seeds = Collections.synchronizedMap(new HashMap<>());
     LongStream.range(common.seed, common.seed + runs)
         .parallel()
         .forEach(
@@ -178,9 +179,9 @@
                 }
               }
             });
-    Acted.Contradiction longest =
+    ActivationRecord.Contradiction longest =
         seeds.keySet().stream()
-            .max(Comparator.comparingDouble(Acted.Contradiction::seconds))
+            .max(Comparator.comparingDouble(ActivationRecord.Contradiction::seconds))
             .orElseThrow();
     if (longest.seconds() > 0) {
       out.println("seed " + seeds.get(longest) + " has the longest: " + longest);
--- a/src/main/java/cobaltseam/fleet/SpreadHunt.java
+++ b/src/main/java/cobaltseam/fleet/CapacityHunt.java
@@ -21,7 +21,7 @@
     description =
         "Runs drawn scripts in virtual time while needs change; tells the most that all together might use.",
     mixinStandardHelpOptions = true)
-final class SpreadHunt implements Callable<Integer> {
+final class CapacityHunt implements Callable<Integer> {
   /** Of the members' clocks, as a part. */
   static final double CLOCKS = 0.001;
 
@@ -35,7 +35,7 @@
   /** What a part may differ from what its need asks for then, as a share of the whole. */
   private static final double NEAR = 0.1;
 
-  @CommandLine.Mixin Fleet.Common common;
+  @CommandLine.Mixin FleetCommand.Common common;
 
   @Option(
       names = "--runs",
@@ -57,7 +57,7 @@
     return new CapacityOptions(WHOLE, 0.1, processes, 0.25, new TimeSpan(500_000), 16);
   }
 
-  static Verdict play(VirtualFleet.Plan plan, List<Trouble> troubles, double seconds, long seed) {
+  static Verdict play(VirtualFleet.Plan plan, List<Fault> troubles, double seconds, long seed) {
     VirtualFleet fleet = new VirtualFleet(plan, troubles, seed);
     fleet.divides(terms(plan.processes()), LEASE, CLOCKS);
     SplittableRandom chance = new SplittableRandom(seed);
@@ -94,13 +94,13 @@
   }
 
   /** The run of a seed. */
-  static Verdict one(Fleet.Common common, long seed) {
+  static Verdict one(FleetCommand.Common common, long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     int processes =
         common.processes > 0
             ? common.processes
             : chance.nextInt(10) == 0 ? 3 + chance.nextInt(48) : 3 + chance.nextInt(7);
-    List<Trouble> script =
+    List<Fault> script =
         common.script != null
             ? common.drawn(seed, processes)
             : common.drawn(seed, processes, 1 + chance.nextInt(6));
--- a/src/main/java/cobaltseam/fleet/Trouble.java
+++ b/src/main/java/cobaltseam/fleet/Fault.java
@@ -10,7 +10,7 @@
  * faults: processes by number, those of the other side of a link in {@code others} (empty: all the
  * rest), and a size by kind. The same in virtual time and between real processes.
  */
-public record Trouble(
+public record Fault(
     Kind kind, double atS, double lengthS, List<Integer> who, List<Integer> others, double size) {
   private static final double SHORTEST_S = 0.1;
 
@@ -77,7 +77,7 @@
     }
   }
 
-  public Trouble {
+  public Fault {
     who = List.copyOf(who);
     others = List.copyOf(others);
   }
@@ -105,10 +105,10 @@
   record Fate(int times, double delayS) {}
 
   /** The fate of a datagram from one to another at this moment, under all that goes wrong then. */
-  static Fate fate(List<Trouble> troubles, int from, int to, double s, SplittableRandom chance) {
+  static Fate fate(List<Fault> troubles, int from, int to, double s, SplittableRandom chance) {
     int times = 1;
     double delay = 0;
-    for (Trouble t : troubles) {
+    for (Fault t : troubles) {
       if (!t.between(from, to, s)) {
         continue;
       }
@@ -128,15 +128,15 @@
   }
 
   /** The next simpler forms: one process fewer, or half as long. */
-  List<Trouble> simpler() {
-    List<Trouble> forms = new ArrayList<>();
+  List<Fault> simpler() {
+    List<Fault> forms = new ArrayList<>();
     for (int p = 0; p < who.size() && who.size() > 1; p++) {
       List<Integer> fewer = new ArrayList<>(who);
       fewer.remove(p);
-      forms.add(new Trouble(kind, atS, lengthS, fewer, others, size));
+      forms.add(new Fault(kind, atS, lengthS, fewer, others, size));
     }
     if (lengthS / 2 >= SHORTEST_S) {
-      forms.add(new Trouble(kind, atS, lengthS / 2, who, others, size));
+      forms.add(new Fault(kind, atS, lengthS / 2, who, others, size));
     }
     return forms;
   }
@@ -146,16 +146,16 @@
    * them that hits one process alone finds an old one. Against that there is no promise, only that
    * it is seen where a peer can know.
    */
-  public static List<Trouble> withFolders(List<Trouble> troubles, boolean copiedBack, long seed) {
+  public static List<Fault> withFolders(List<Fault> troubles, boolean copiedBack, long seed) {
     SplittableRandom chance = new SplittableRandom(~seed);
-    List<Trouble> with = new ArrayList<>();
+    List<Fault> with = new ArrayList<>();
     boolean old = false;
-    for (Trouble t : troubles) {
+    for (Fault t : troubles) {
       boolean loses = chance.nextInt(4) == 0 && !copiedBack;
       boolean stale = copiedBack && !old && t.who.size() == 1 && t.kind == Kind.KILL;
       old |= stale;
       Kind kind = t.kind == Kind.KILL && (loses || stale) ? stale ? Kind.STALE : Kind.LOSE : t.kind;
-      with.add(new Trouble(kind, t.atS, t.lengthS, t.who, t.others, t.size));
+      with.add(new Fault(kind, t.atS, t.lengthS, t.who, t.others, t.size));
     }
     return with;
   }
@@ -164,9 +164,9 @@
    * Troubles by chance, overlapping, some of them of a whole rack; the same ones from the same
    * seed.
    */
-  public static List<Trouble> drawn(int processes, double seconds, int number, long seed) {
+  public static List<Fault> drawn(int processes, double seconds, int number, long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    List<Trouble> troubles = new ArrayList<>();
+    List<Fault> troubles = new ArrayList<>();
     for (int i = 0; i < number; i++) {
       Kind kind = DRAWN.get(chance.nextInt(DRAWN.size()));
       double at = chance.nextDouble(0.2, 0.7) * seconds;
@@ -204,7 +204,7 @@
           };
       // A majority that is gone for good has no successor without an operator.
       boolean forGood = kind == Kind.GONE && who.size() > (processes - 1) / 2;
-      troubles.add(new Trouble(forGood ? Kind.PAUSE : kind, at, length, who, others, size));
+      troubles.add(new Fault(forGood ? Kind.PAUSE : kind, at, length, who, others, size));
     }
     return troubles;
   }
--- a/src/main/java/cobaltseam/fleet/Relays.java
+++ b/src/main/java/cobaltseam/fleet/FaultRelays.java
@@ -21,7 +21,7 @@
  * by an address that is held here; what comes to it goes on to the process, by the rules of the
  * script for that link and direction.
  */
-final class Relays implements AutoCloseable {
+final class FaultRelays implements AutoCloseable {
   private record Late(long atNs, long turn, int to, byte[] bytes) implements Comparable<Late> {
     @Override
     public int compareTo(Late other) {
@@ -41,11 +41,11 @@
   private final PriorityQueue<Late> late = new PriorityQueue<>();
   private final SplittableRandom chance;
   private volatile long since;
-  private volatile List<Trouble> troubles;
+  private volatile List<Fault> troubles;
   private long turns;
   private volatile long passed, kept;
 
-  Relays(int processes, List<Trouble> troubles, long seed, long since) throws IOException {
+  FaultRelays(int processes, List<Fault> troubles, long seed, long since) throws IOException {
     this.troubles = troubles;
     this.since = since;
     chance = new SplittableRandom(seed);
@@ -141,8 +141,8 @@
   }
 
   private void rule(int from, int to, byte[] bytes) throws IOException {
-    Trouble.Fate fate =
-        from < 0 ? new Trouble.Fate(1, 0) : Trouble.fate(troubles, from, to, seconds(), chance);
+    Fault.Fate fate =
+        from < 0 ? new Fault.Fate(1, 0) : Fault.fate(troubles, from, to, seconds(), chance);
     kept += fate.times() == 0 ? 1 : 0;
     for (int n = 0; n < fate.times(); n++) {
       if (fate.delayS() == 0) {
--- a/src/main/java/cobaltseam/fleet/FleetScript.java
+++ b/src/main/java/cobaltseam/fleet/FaultScript.java
@@ -1,6 +1,6 @@
 package cobaltseam.fleet;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.MapperFeature;
@@ -15,7 +15,7 @@
 /**
  * Troubles as a file that people can read and change: TOML, a table each, as the emulator's faults.
  */
-record FleetScript(List<Trouble> troubles) {
+record FaultScript(List<Fault> troubles) {
   private static final TomlMapper TOML =
       TomlMapper.builder()
           .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
@@ -25,24 +25,24 @@
           .build();
 
   /**
-   * @throws BadInput with what can't be used for so many processes
+   * @throws InvalidInputException with what can't be used for so many processes
    */
-  static List<Trouble> read(Path file, int processes) {
-    FleetScript script;
+  static List<Fault> read(Path file, int processes) {
+    FaultScript script;
     try {
-      script = TOML.readValue(Files.readString(file), FleetScript.class);
+      script = TOML.readValue(Files.readString(file), FaultScript.class);
     } catch (JacksonException e) {
-      throw new BadInput(file + ": " + e.getOriginalMessage());
+      throw new InvalidInputException(file + ": " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new BadInput(file + " can't be read: " + e.getMessage());
+      throw new InvalidInputException(file + " can't be read: " + e.getMessage());
     }
-    List<Trouble> troubles = script.troubles == null ? List.of() : script.troubles;
-    for (Trouble t : troubles) {
+    List<Fault> troubles = script.troubles == null ? List.of() : script.troubles;
+    for (Fault t : troubles) {
       boolean known =
           t.who().stream().allMatch(p -> p >= 0 && p < processes)
               && t.others().stream().allMatch(p -> p >= 0 && p < processes);
       if (!known || !(t.atS() >= 0) || !(t.lengthS() > 0) || !(t.size() > 0)) {
-        throw new BadInput(
+        throw new InvalidInputException(
             file
                 + ": "
                 + t
@@ -55,7 +55,7 @@
   }
 
   /** The same as text. */
-  static String write(List<Trouble> troubles) {
+  static String write(List<Fault> troubles) {
     return troubles.stream()
         .map(
             t ->
--- a/src/main/java/cobaltseam/fleet/Fleet.java
+++ b/src/main/java/cobaltseam/fleet/FleetCommand.java
@@ -1,6 +1,6 @@
 package cobaltseam.fleet;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import cobaltseam.emulator.Shrink;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -27,17 +27,17 @@
     description =
         "Plays fleets of dispatchers under scripts of troubles, and checks what they noted.",
     subcommands = {
-      Fleet.Run.class,
-      Fleet.Hunt.class,
-      Fleet.Shrinks.class,
-      Fleet.Detect.class,
-      Fleet.Steady.class,
-      AgreeHunt.class,
-      SpreadHunt.class
+      FleetCommand.Run.class,
+      FleetCommand.Hunt.class,
+      FleetCommand.Shrinks.class,
+      FleetCommand.Detect.class,
+      FleetCommand.Steady.class,
+      AgreementHunt.class,
+      CapacityHunt.class
     },
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND")
-public final class Fleet implements Callable<Integer> {
+public final class FleetCommand implements Callable<Integer> {
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -70,8 +70,7 @@
     }
   }
 
-  static Verdict virtual(
-      VirtualFleet.Plan plan, List<Trouble> troubles, double seconds, long seed) {
+  static Verdict virtual(VirtualFleet.Plan plan, List<Fault> troubles, double seconds, long seed) {
     VirtualFleet fleet = new VirtualFleet(plan, troubles, seed);
     fleet.run(seconds);
     int calm = 0;
@@ -81,14 +80,16 @@
       calm = fleet.isSettled() ? calm + 1 : 0;
     }
     return new Verdict(
-        Checker.check(fleet.happenings(), fleet.live(), true), fleet.lostMajority(), s - seconds);
+        InvariantChecker.check(fleet.happenings(), fleet.live(), true),
+        fleet.lostMajority(),
+        s - seconds);
   }
 
   /**
    * The same between real processes; a majority may be lost wherever troubles end more than a
    * minority.
    */
-  static Verdict real(RealFleet.Plan plan, List<Trouble> troubles, long seed, Path folder)
+  static Verdict real(RealFleet.Plan plan, List<Fault> troubles, long seed, Path folder)
       throws IOException, InterruptedException {
     try (RealFleet fleet = new RealFleet(plan, troubles, seed, folder)) {
       fleet.startAll();
@@ -104,7 +105,7 @@
                   ? 10
                   : REAL_SETTLES_WITHIN);
       return new Verdict(
-          Checker.check(fleet.happenings(), fleet.live(), true),
+          InvariantChecker.check(fleet.happenings(), fleet.live(), true),
           settled < 0 && fleet.lostMajority(),
           settled);
     }
@@ -113,14 +114,14 @@
   /**
    * Whether so many processes end, each counted once, that those who never ended are no majority.
    */
-  static boolean mayLoseMajority(int processes, List<Trouble> troubles, boolean folders) {
+  static boolean mayLoseMajority(int processes, List<Fault> troubles, boolean folders) {
     long ended =
         troubles.stream()
             .filter(
                 t ->
                     t.kind().ends()
                         && !(folders
-                            && (t.kind() == Trouble.Kind.KILL || t.kind() == Trouble.Kind.TERM)))
+                            && (t.kind() == Fault.Kind.KILL || t.kind() == Fault.Kind.TERM)))
             .flatMap(t -> t.who().stream())
             .distinct()
             .count();
@@ -183,16 +184,16 @@
         description = "where real processes leave their logs; default: a new one")
     Path folder;
 
-    List<Trouble> drawn(long of, int among) {
-      return script != null ? FleetScript.read(script, among) : drawn(of, among, troubles);
+    List<Fault> drawn(long of, int among) {
+      return script != null ? FaultScript.read(script, among) : drawn(of, among, troubles);
     }
 
-    List<Trouble> drawn(long of, int among, int number) {
-      List<Trouble> drawn = Trouble.drawn(among, seconds, number, of);
-      return folders ? Trouble.withFolders(drawn, copiedBack, of) : drawn;
+    List<Fault> drawn(long of, int among, int number) {
+      List<Fault> drawn = Fault.drawn(among, seconds, number, of);
+      return folders ? Fault.withFolders(drawn, copiedBack, of) : drawn;
     }
 
-    Verdict verdict(List<Trouble> script, int among, long of)
+    Verdict verdict(List<Fault> script, int among, long of)
         throws IOException, InterruptedException {
       if (!real) {
         VirtualFleet.Plan plan = VirtualFleet.Plan.of(among);
@@ -206,7 +207,7 @@
   }
 
   private static void tell(
-      PrintWriter out, long seed, int processes, Verdict v, List<Trouble> troubles) {
+      PrintWriter out, long seed, int processes, Verdict v, List<Fault> troubles) {
     out.println(
         "seed "
             + seed
@@ -219,7 +220,7 @@
             + String.format(Locale.ROOT, ", settled after %.1f s", v.settledS()));
     v.broken().forEach(b -> out.println("  " + b));
     if (v.isBroken()) {
-      out.println(FleetScript.write(troubles).indent(2));
+      out.println(FaultScript.write(troubles).indent(2));
     }
     out.flush();
   }
@@ -235,7 +236,7 @@
 
     @Override
     public Integer call() throws Exception {
-      List<Trouble> troubles = common.drawn(common.seed, common.processes);
+      List<Fault> troubles = common.drawn(common.seed, common.processes);
       Verdict v = common.verdict(troubles, common.processes, common.seed);
       tell(spec.commandLine().getOut(), common.seed, common.processes, v, troubles);
       return v.isBroken() ? 1 : 0;
@@ -319,7 +320,7 @@
           common.processes > 0
               ? common.processes
               : chance.nextInt(10) == 0 && !common.real ? 3 + chance.nextInt(48) : few;
-      List<Trouble> troubles =
+      List<Fault> troubles =
           common.script != null
               ? common.drawn(seed, processes)
               : common.drawn(seed, processes, 1 + chance.nextInt(6));
@@ -359,21 +360,21 @@
 
     @Override
     public Integer call() {
-      List<Trouble> troubles = common.drawn(common.seed, common.processes);
+      List<Fault> troubles = common.drawn(common.seed, common.processes);
       VirtualFleet.Plan all = VirtualFleet.Plan.of(common.processes);
       VirtualFleet.Plan plan = common.folders ? all.withFolders() : all;
-      Shrink<Trouble> shrink =
+      Shrink<Fault> shrink =
           new Shrink<>(
-              t -> virtual(plan, t, common.seconds, common.seed).isBroken(), Trouble::simpler);
+              t -> virtual(plan, t, common.seconds, common.seed).isBroken(), Fault::simpler);
       if (!virtual(plan, troubles, common.seconds, common.seed).isBroken()) {
-        throw new BadInput("the whole script breaks nothing: nothing to shrink");
+        throw new InvalidInputException("the whole script breaks nothing: nothing to shrink");
       }
-      List<Trouble> least = shrink.of(troubles);
+      List<Fault> least = shrink.of(troubles);
       PrintWriter out = spec.commandLine().getOut();
       out.printf(
           "# %d troubles of %d are left, after %d runs; seed %d%n",
           least.size(), troubles.size(), shrink.runs(), common.seed);
-      out.print(FleetScript.write(least));
+      out.print(FaultScript.write(least));
       out.flush();
       return 0;
     }
@@ -449,19 +450,19 @@
 
     private Row one(long seed) {
       SplittableRandom chance = new SplittableRandom(seed);
-      List<Trouble> script = new ArrayList<>();
+      List<Fault> script = new ArrayList<>();
       if (size > 0) {
-        Trouble.Kind of = Trouble.Kind.valueOf(kind.toUpperCase(Locale.ROOT));
+        Fault.Kind of = Fault.Kind.valueOf(kind.toUpperCase(Locale.ROOT));
         List<Integer> who =
-            of == Trouble.Kind.LOSS ? List.of() : List.of(chance.nextInt(common.processes));
-        script.add(new Trouble(of, FORMED, common.seconds, who, List.of(), size));
+            of == Fault.Kind.LOSS ? List.of() : List.of(chance.nextInt(common.processes));
+        script.add(new Fault(of, FORMED, common.seconds, who, List.of(), size));
       }
       for (double s = FORMED + 5;
           pauses > 0 && s < FORMED + common.seconds - EACH_PAUSE_S;
           s += EACH_PAUSE_S) {
         script.add(
-            new Trouble(
-                Trouble.Kind.PAUSE,
+            new Fault(
+                Fault.Kind.PAUSE,
                 s,
                 pauses * chance.nextDouble(0.5, 1),
                 List.of(chance.nextInt(common.processes)),
@@ -550,20 +551,20 @@
       return 0;
     }
 
-    private List<Trouble> lossy() {
+    private List<Fault> lossy() {
       return loss == 0
           ? List.of()
-          : List.of(new Trouble(Trouble.Kind.LOSS, 0, 1e9, List.of(), List.of(), loss));
+          : List.of(new Fault(Fault.Kind.LOSS, 0, 1e9, List.of(), List.of(), loss));
     }
 
     private double virtual(long seed) {
       SplittableRandom chance = new SplittableRandom(seed);
       double formedBy = 40 + common.processes / 10.0;
       double at = formedBy + chance.nextDouble();
-      List<Trouble> script = new ArrayList<>(lossy());
+      List<Fault> script = new ArrayList<>(lossy());
       script.add(
-          new Trouble(
-              Trouble.Kind.GONE, at, 1, List.of(chance.nextInt(common.processes)), List.of(), 1));
+          new Fault(
+              Fault.Kind.GONE, at, 1, List.of(chance.nextInt(common.processes)), List.of(), 1));
       VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(common.processes), script, seed);
       fleet.run(at + 0.001);
       double s = at;
@@ -604,7 +605,8 @@
     private static double settles(RealFleet fleet) throws InterruptedException {
       double s = fleet.awaitSettled(REAL_SETTLES_WITHIN);
       if (s < 0) {
-        throw new BadInput("the fleet did not become one within " + REAL_SETTLES_WITHIN + " s");
+        throw new InvalidInputException(
+            "the fleet did not become one within " + REAL_SETTLES_WITHIN + " s");
       }
       return s;
     }
--- a/src/main/java/cobaltseam/fleet/Checker.java
+++ b/src/main/java/cobaltseam/fleet/InvariantChecker.java
@@ -10,9 +10,9 @@
 
 /**
  * Holds what processes noted of themselves against what must be so. It knows nothing of the
- * program: it reads {@link Happening}s, and who lived at the end.
+ * program: it reads {@link RecordedEvent}s, and who lived at the end.
  */
-public final class Checker {
+public final class InvariantChecker {
   /** A process that lived when the run ended. */
   public record Live(int process, String name, long birth) {
     String identity() {
@@ -23,8 +23,9 @@
   private final List<String> broken = new ArrayList<>();
 
   /** What broke, each with when and between whom; empty if nothing did. */
-  public static List<String> check(List<Happening> happenings, Set<Live> live, boolean settles) {
-    Checker checker = new Checker();
+  public static List<String> check(
+      List<RecordedEvent> happenings, Set<Live> live, boolean settles) {
+    InvariantChecker checker = new InvariantChecker();
     checker.oneSetANumber(happenings);
     checker.numbersRise(happenings);
     checker.successors(happenings);
@@ -35,10 +36,10 @@
   }
 
   /** Two processes never hold differing sets under one number. */
-  private void oneSetANumber(List<Happening> happenings) {
-    Map<String, Happening> first = new HashMap<>();
-    for (Happening h : happenings) {
-      Happening other = h.view() == null ? null : first.putIfAbsent(h.view(), h);
+  private void oneSetANumber(List<RecordedEvent> happenings) {
+    Map<String, RecordedEvent> first = new HashMap<>();
+    for (RecordedEvent h : happenings) {
+      RecordedEvent other = h.view() == null ? null : first.putIfAbsent(h.view(), h);
       if (other != null && !other.members().equals(h.members())) {
         broken.add(
             "one number, two sets: "
@@ -69,10 +70,10 @@
   }
 
   /** In one process, numbers of one line only rise. */
-  private void numbersRise(List<Happening> happenings) {
+  private void numbersRise(List<RecordedEvent> happenings) {
     Map<String, Long> highest = new HashMap<>();
     Set<Integer> resumes = new HashSet<>();
-    for (Happening h : happenings) {
+    for (RecordedEvent h : happenings) {
       if (h.started()) {
         resumes.add(h.process());
       } else if (h.view() != null) {
@@ -96,10 +97,10 @@
   }
 
   /** A view holds whom it holds it, and each number follows one that somebody held. */
-  private void successors(List<Happening> happenings) {
+  private void successors(List<RecordedEvent> happenings) {
     Set<String> held = new TreeSet<>();
     happenings.stream().filter(h -> h.view() != null).forEach(h -> held.add(h.view()));
-    for (Happening h : happenings) {
+    for (RecordedEvent h : happenings) {
       if (h.view() != null
           && number(h.view()) > 1
           && !held.contains(line(h.view()) + "/" + (number(h.view()) - 1))) {
@@ -114,14 +115,14 @@
   }
 
   /** Once messages flow again: one view at all that live, and it holds just these. */
-  private void settled(List<Happening> happenings, Set<Live> live) {
-    Map<String, Happening> last = new HashMap<>();
+  private void settled(List<RecordedEvent> happenings, Set<Live> live) {
+    Map<String, RecordedEvent> last = new HashMap<>();
     happenings.forEach(h -> last.put(h.process() + "#" + h.birth(), h));
     Set<String> views = new TreeSet<>();
     Set<String> alive = new TreeSet<>();
     live.forEach(l -> alive.add(l.identity()));
     for (Live l : live) {
-      Happening h = last.get(l.process() + "#" + l.birth());
+      RecordedEvent h = last.get(l.process() + "#" + l.birth());
       if (h == null || h.view() == null) {
         broken.add("not taken in: " + l);
       } else if (views.add(h.view()) && !new TreeSet<>(h.members()).equals(alive)) {
--- a/src/main/java/cobaltseam/fleet/Parts.java
+++ b/src/main/java/cobaltseam/fleet/Partitions.java
@@ -11,7 +11,7 @@
  * a part is used and until when at the longest. All on one machine, so that their clocks are one.
  * It knows nothing of how parts come about.
  */
-final class Parts {
+final class Partitions {
   /**
    * One process might use these parts from a moment on, each until its own: in microseconds, in
    * order.
--- a/src/main/java/cobaltseam/fleet/RealFleet.java
+++ b/src/main/java/cobaltseam/fleet/RealFleet.java
@@ -31,9 +31,9 @@
 import java.util.stream.IntStream;
 
 /**
- * A fleet of real processes of the program on loopback, under a script of troubles: {@link Relays}
- * rule the datagrams, signals rule the processes. What each says of itself in its JSON log is kept
- * in its folder and read as {@link Happening}s.
+ * A fleet of real processes of the program on loopback, under a script of troubles: {@link
+ * FaultRelays} rule the datagrams, signals rule the processes. What each says of itself in its JSON
+ * log is kept in its folder and read as {@link RecordedEvent}s.
  */
 public final class RealFleet implements AutoCloseable {
   /**
@@ -110,25 +110,25 @@
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int SLICE_MS = 100;
   private final Plan plan;
-  private final List<Trouble> troubles;
+  private final List<Fault> troubles;
   private final Path folder;
   private final long made = System.nanoTime();
   private volatile long since = made;
-  private final Relays relays;
+  private final FaultRelays relays;
   private final One[] all;
   private final int[] ports;
-  private final List<Happening> happenings = new ArrayList<>();
+  private final List<RecordedEvent> happenings = new ArrayList<>();
   private final List<String> errors = new ArrayList<>();
   private final List<String> acts = new ArrayList<>();
-  private final List<Acted> actings = new ArrayList<>();
-  private final Parts parts = new Parts();
-  private final Map<Integer, Parts.Line> stoppedWith = new HashMap<>();
+  private final List<ActivationRecord> actings = new ArrayList<>();
+  private final Partitions parts = new Partitions();
+  private final Map<Integer, Partitions.Line> stoppedWith = new HashMap<>();
 
-  public RealFleet(Plan plan, List<Trouble> troubles, long seed, Path folder) throws IOException {
+  public RealFleet(Plan plan, List<Fault> troubles, long seed, Path folder) throws IOException {
     this.plan = plan;
     this.troubles = List.copyOf(troubles);
     this.folder = folder;
-    relays = new Relays(plan.processes, this.troubles, seed, since);
+    relays = new FaultRelays(plan.processes, this.troubles, seed, since);
     all = new One[plan.processes];
     ports = new int[plan.processes];
     List<ServerSocket> free = new ArrayList<>();
@@ -230,7 +230,7 @@
   }
 
   /** On which editions of the settings all acted, each by its own log. */
-  public synchronized List<Acted> acted() {
+  public synchronized List<ActivationRecord> acted() {
     return List.copyOf(actings);
   }
 
@@ -241,7 +241,7 @@
 
   /** The part of the engines that a process uses now; 0 if none. */
   public double part(int i) {
-    Parts.Line now = parts.now(i);
+    Partitions.Line now = parts.now(i);
     return now == null ? 0 : now.at(us());
   }
 
@@ -260,7 +260,7 @@
   }
 
   private synchronized void acts(int i, List<String> editions) {
-    actings.add(new Acted(clock(), i, editions));
+    actings.add(new ActivationRecord(clock(), i, editions));
   }
 
   /** Adds lines to the membership of a process's own file, and has it read that. */
@@ -359,7 +359,7 @@
     boolean former = start != one.starts;
     if (event.equals("membership.opened") && !former) {
       one.birth = line.path("birth").asLong();
-      happenings.add(new Happening(now(), i, one.birth, null, List.of(), true));
+      happenings.add(new RecordedEvent(now(), i, one.birth, null, List.of(), true));
     } else if (event.equals("membership.view")) {
       String view = line.path("view").asText();
       long birth = line.path("birth").asLong();
@@ -367,7 +367,8 @@
           Arrays.stream(line.path("members").asText().split(" "))
               .filter(m -> !m.isEmpty())
               .toList();
-      happenings.add(new Happening(now(), i, birth, view.equals("none") ? null : view, members));
+      happenings.add(
+          new RecordedEvent(now(), i, birth, view.equals("none") ? null : view, members));
       if (!former) {
         one.birth = birth;
         one.view = view.equals("none") ? null : view;
@@ -375,7 +376,7 @@
       }
     } else if (event.equals("agreement.acts") && !former) {
       boolean back = line.path("mode").asText().equals("back");
-      String of = one.view == null ? "none" : Checker.line(one.view);
+      String of = one.view == null ? "none" : InvariantChecker.line(one.view);
       one.acts =
           back
               ? List.of()
@@ -384,7 +385,7 @@
                   .toList();
       acts(i, one.acts);
     } else if (event.equals("spread.parts") && !former && !one.stopped) {
-      parts.uses(Parts.Line.read(i, line.path("us").asLong(), line.path("steps").asText()));
+      parts.uses(Partitions.Line.read(i, line.path("us").asLong(), line.path("steps").asText()));
     } else if (event.equals("membership.standing") && !former) {
       one.standing = line.path("standing").asText();
     }
@@ -447,7 +448,7 @@
     return ports[i];
   }
 
-  public synchronized List<Happening> happenings() {
+  public synchronized List<RecordedEvent> happenings() {
     return List.copyOf(happenings);
   }
 
@@ -475,11 +476,11 @@
     return all[i].events.getOrDefault(event, 0);
   }
 
-  public synchronized Set<Checker.Live> live() {
-    Set<Checker.Live> live = new LinkedHashSet<>();
+  public synchronized Set<InvariantChecker.Live> live() {
+    Set<InvariantChecker.Live> live = new LinkedHashSet<>();
     for (int i = 0; i < all.length; i++) {
       if (isAlive(i)) {
-        live.add(new Checker.Live(i, name(i), all[i].birth));
+        live.add(new InvariantChecker.Live(i, name(i), all[i].birth));
       }
     }
     return live;
@@ -490,29 +491,31 @@
    * an operator decides.
    */
   public synchronized boolean lostMajority() {
-    Map<String, Happening> newest = new HashMap<>();
-    for (Happening h : happenings) {
+    Map<String, RecordedEvent> newest = new HashMap<>();
+    for (RecordedEvent h : happenings) {
       if (h.view() != null) {
         newest.merge(
-            Checker.line(h.view()),
+            InvariantChecker.line(h.view()),
             h,
-            (a, b) -> Checker.number(a.view()) < Checker.number(b.view()) ? b : a);
+            (a, b) ->
+                InvariantChecker.number(a.view()) < InvariantChecker.number(b.view()) ? b : a);
       }
     }
-    Set<String> alive = live().stream().map(Checker.Live::identity).collect(Collectors.toSet());
+    Set<String> alive =
+        live().stream().map(InvariantChecker.Live::identity).collect(Collectors.toSet());
     return newest.values().stream()
         .allMatch(
             h -> h.members().stream().filter(alive::contains).count() < h.members().size() / 2 + 1);
   }
 
   public synchronized boolean isSettled() {
-    Set<Checker.Live> live = live();
+    Set<InvariantChecker.Live> live = live();
     Set<String> alive =
         live.stream()
             .map(l -> l.name() + "#" + l.birth())
             .collect(Collectors.toCollection(TreeSet::new));
     Set<String> views = new TreeSet<>();
-    for (Checker.Live l : live) {
+    for (InvariantChecker.Live l : live) {
       if (all[l.process()].view == null || !new TreeSet<>(all[l.process()].members).equals(alive)) {
         return false;
       }
@@ -559,11 +562,11 @@
    * it is over.
    */
   public void play() throws IOException, InterruptedException {
-    double end = troubles.stream().mapToDouble(Trouble::endS).max().orElse(0);
+    double end = troubles.stream().mapToDouble(Fault::endS).max().orElse(0);
     Set<String> done = new LinkedHashSet<>();
     while (now() < end + 0.01) {
       for (int t = 0; t < troubles.size(); t++) {
-        Trouble trouble = troubles.get(t);
+        Fault trouble = troubles.get(t);
         for (int p : trouble.who()) {
           follow(trouble, p, t + "/" + p, done);
         }
@@ -584,7 +587,7 @@
     }
   }
 
-  private void follow(Trouble t, int p, String key, Set<String> done)
+  private void follow(Fault t, int p, String key, Set<String> done)
       throws IOException, InterruptedException {
     boolean during = now() >= t.atS() && now() < t.endS();
     boolean over = now() >= t.endS();
@@ -609,29 +612,29 @@
         }
       }
       case KILL, GONE, TERM, LOSE, STALE -> {
-        if (t.kind() == Trouble.Kind.STALE && now() >= t.atS() / 2 && done.add(key + "copy")) {
+        if (t.kind() == Fault.Kind.STALE && now() >= t.atS() / 2 && done.add(key + "copy")) {
           copy(
               kept(p).resolve(PersistentStateCodec.FILE_NAME),
               folder.resolve(name(p)).resolve("earlier"));
         }
         if (during && done.add(key + "end") && isAlive(p)) {
-          if (t.kind() == Trouble.Kind.TERM) {
+          if (t.kind() == Fault.Kind.TERM) {
             end(p);
           } else {
             kill(p);
           }
         } else if (over
-            && t.kind() != Trouble.Kind.GONE
+            && t.kind() != Fault.Kind.GONE
             && done.contains(key + "end")
             && done.add(key + "start")
             && !goneForGood(p)) {
-          if (isAlive(p) && t.kind() == Trouble.Kind.TERM) {
+          if (isAlive(p) && t.kind() == Fault.Kind.TERM) {
             all[p].process.destroyForcibly().waitFor();
           }
           if (!isAlive(p)) {
-            if (t.kind() == Trouble.Kind.LOSE) {
+            if (t.kind() == Fault.Kind.LOSE) {
               Files.deleteIfExists(kept(p).resolve(PersistentStateCodec.FILE_NAME));
-            } else if (t.kind() == Trouble.Kind.STALE) {
+            } else if (t.kind() == Fault.Kind.STALE) {
               copy(
                   folder.resolve(name(p)).resolve("earlier"),
                   kept(p).resolve(PersistentStateCodec.FILE_NAME));
@@ -653,7 +656,7 @@
 
   private boolean goneForGood(int p) {
     return troubles.stream()
-        .anyMatch(t -> t.kind() == Trouble.Kind.GONE && t.who().contains(p) && t.atS() <= now());
+        .anyMatch(t -> t.kind() == Fault.Kind.GONE && t.who().contains(p) && t.atS() <= now());
   }
 
   @Override
--- a/src/main/java/cobaltseam/fleet/Happening.java
+++ b/src/main/java/cobaltseam/fleet/RecordedEvent.java
@@ -10,9 +10,9 @@
  * @param members name and birth of each
  * @param started whether a process starts here
  */
-public record Happening(
+public record RecordedEvent(
     double atS, int process, long birth, String view, List<String> members, boolean started) {
-  public Happening(double atS, int process, long birth, String view, List<String> members) {
+  public RecordedEvent(double atS, int process, long birth, String view, List<String> members) {
     this(atS, process, birth, view, members, false);
   }
 }
--- a/src/main/java/cobaltseam/fleet/VirtualFleet.java
+++ b/src/main/java/cobaltseam/fleet/VirtualFleet.java
@@ -134,13 +134,13 @@
   private static final double SLOWEST_WRITE = 0.02;
   private static final int MOST_UNREAD = 4096;
   private final Plan plan;
-  private final List<Trouble> troubles;
+  private final List<Fault> troubles;
   private final SplittableRandom chance;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private final Process[] processes;
   private final List<InetSocketAddress> addresses = new ArrayList<>();
   private final Map<InetSocketAddress, Integer> byAddress = new HashMap<>();
-  private final List<Happening> happenings = new ArrayList<>();
+  private final List<RecordedEvent> happenings = new ArrayList<>();
   private final Map<String, Integer> notes = new HashMap<>();
   private double now;
   private long turns;
@@ -156,9 +156,9 @@
   private cobaltseam.capacity.CapacityOptions divided;
   private double[] demands;
   private Most most = new Most(0, 0, false);
-  private final List<Acted> acted = new ArrayList<>();
+  private final List<ActivationRecord> acted = new ArrayList<>();
 
-  public VirtualFleet(Plan plan, List<Trouble> troubles, long seed) {
+  public VirtualFleet(Plan plan, List<Fault> troubles, long seed) {
     this.plan = plan;
     this.troubles = troubles;
     chance = new SplittableRandom(seed);
@@ -169,11 +169,11 @@
       byAddress.put(addresses.get(i), i);
       at(chance.nextDouble() * plan.startWithinS, i, 0, null);
     }
-    for (Trouble t : troubles) {
+    for (Fault t : troubles) {
       for (int p : t.who()) {
         switch (t.kind()) {
           case KILL, TERM, GONE, PAUSE, SLOW, LOSE, STALE -> {
-            if (t.kind() == Trouble.Kind.STALE) {
+            if (t.kind() == Fault.Kind.STALE) {
               at(t.atS() / 2, p, COPIES, null);
             }
             at(t.atS(), p, TROUBLED, null);
@@ -210,7 +210,7 @@
 
   // ---- what is asked
 
-  public List<Happening> happenings() {
+  public List<RecordedEvent> happenings() {
     return happenings;
   }
 
@@ -249,12 +249,12 @@
     return processes[i].membership.carriers(moment(i));
   }
 
-  public Set<Checker.Live> live() {
-    Set<Checker.Live> live = new LinkedHashSet<>();
+  public Set<InvariantChecker.Live> live() {
+    Set<InvariantChecker.Live> live = new LinkedHashSet<>();
     for (int i = 0; i < processes.length; i++) {
       if (processes[i].alive) {
         Member self = processes[i].membership.self();
-        live.add(new Checker.Live(i, self.name().value(), self.incarnation().value()));
+        live.add(new InvariantChecker.Live(i, self.name().value(), self.incarnation().value()));
       }
     }
     return live;
@@ -262,9 +262,9 @@
 
   /** Whether all that live hold one view of just these. */
   public boolean isSettled() {
-    Set<Checker.Live> live = live();
+    Set<InvariantChecker.Live> live = live();
     View first = null;
-    for (Checker.Live l : live) {
+    for (InvariantChecker.Live l : live) {
       View view = view(l.process());
       if (view == null
           || view.members().size() != live.size()
@@ -331,12 +331,12 @@
 
   /** Whether a process stands still now, and until when if it runs in turns. */
   private boolean stands(int i) {
-    for (Trouble t : troubles) {
+    for (Fault t : troubles) {
       if (t.who().contains(i) && now >= t.atS() && now < t.endS()) {
-        if (t.kind() == Trouble.Kind.PAUSE) {
+        if (t.kind() == Fault.Kind.PAUSE) {
           return true;
         }
-        if (t.kind() == Trouble.Kind.SLOW && now * 10 % 1 > t.size()) {
+        if (t.kind() == Fault.Kind.SLOW && now * 10 % 1 > t.size()) {
           at(Math.floor(now * 10 + 1) / 10 + 1e-6, i, TROUBLED, null);
           return true;
         }
@@ -394,7 +394,8 @@
             ? Membership.lasting(terms, self, p.kept, chance.split())
             : new Membership(terms, self, chance.split());
     happenings.add(
-        new Happening(now, i, p.membership.self().incarnation().value(), null, List.of(), true));
+        new RecordedEvent(
+            now, i, p.membership.self().incarnation().value(), null, List.of(), true));
     Lease lease = leases == null ? null : new Lease(leases, p.membership, chance.split());
     if (agreed != null) {
       p.agreement = new ConfigurationAgreement(agreed, p.membership, lease, TEXTS, chance.split());
@@ -426,10 +427,10 @@
   /** A trouble of a process begins or ends. */
   private void troubled(int i) {
     Process p = processes[i];
-    for (Trouble t : troubles) {
+    for (Fault t : troubles) {
       boolean dies = t.kind().ends();
       if (dies && t.who().contains(i) && Math.abs(t.atS() - now) < 1e-9 && p.alive) {
-        if (t.kind() == Trouble.Kind.TERM && !stands(i)) {
+        if (t.kind() == Fault.Kind.TERM && !stands(i)) {
           p.ground.leave(moment(i));
         }
         p.alive = false;
@@ -441,19 +442,17 @@
         p.resumes =
             plan.folders
                 && p.kept != null
-                && (t.kind() == Trouble.Kind.KILL || t.kind() == Trouble.Kind.TERM);
+                && (t.kind() == Fault.Kind.KILL || t.kind() == Fault.Kind.TERM);
         p.kept =
-            t.kind() == Trouble.Kind.LOSE
-                ? null
-                : t.kind() == Trouble.Kind.STALE ? p.earlier : p.kept;
+            t.kind() == Fault.Kind.LOSE ? null : t.kind() == Fault.Kind.STALE ? p.earlier : p.kept;
         newest.values().forEach(this::lost);
-      } else if (t.kind() == Trouble.Kind.GONE
+      } else if (t.kind() == Fault.Kind.GONE
           && t.who().contains(i)
           && Math.abs(t.atS() - now) < 1e-9) {
         p.resumes = false;
         newest.values().forEach(this::lost);
       } else if (dies
-          && t.kind() != Trouble.Kind.GONE
+          && t.kind() != Fault.Kind.GONE
           && t.who().contains(i)
           && Math.abs(t.endS() - now) < 1e-9
           && !p.alive
@@ -507,13 +506,13 @@
             t ->
                 t.who().contains(i)
                     && t.atS() <= now
-                    && (t.kind() == Trouble.Kind.GONE || t.kind().ends() && now < t.endS() - 1e-9));
+                    && (t.kind() == Fault.Kind.GONE || t.kind().ends() && now < t.endS() - 1e-9));
   }
 
   private void note(int i, View view) {
     Process p = processes[i];
     happenings.add(
-        new Happening(
+        new RecordedEvent(
             now,
             i,
             p.membership.self().incarnation().value(),
@@ -692,7 +691,7 @@
   }
 
   /** What all acted on, in the order in which it was. */
-  public List<Acted> acted() {
+  public List<ActivationRecord> acted() {
     return acted;
   }
 
@@ -701,7 +700,7 @@
         processes[i].membership.view() == null ? 0 : processes[i].membership.view().id().lineage();
     boolean back = on == null || on.mode() == ActiveConfiguration.Mode.BACK;
     acted.add(
-        new Acted(
+        new ActivationRecord(
             now,
             i,
             back
@@ -717,7 +716,7 @@
     if (to == null) {
       return;
     }
-    Trouble.Fate fate = Trouble.fate(troubles, from, to, now, chance);
+    Fault.Fate fate = Fault.fate(troubles, from, to, now, chance);
     double delay = 0.0003 + 0.001 * chance.nextDouble() + fate.delayS();
     for (int n = 0; n < fate.times(); n++) {
       at(now + delay * (1 + n * chance.nextDouble()), to, processes[to].life, message);
--- a/src/main/java/cobaltseam/service/Agreed.java
+++ b/src/main/java/cobaltseam/service/AgreedConfiguration.java
@@ -4,9 +4,9 @@
 import cobaltseam.agreement.AgreementEffect;
 import cobaltseam.agreement.ConfigurationAgreement;
 import cobaltseam.agreement.ConservativeMerge;
-import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.DeploymentReader;
-import cobaltseam.deployment.Fields;
+import cobaltseam.deployment.InvalidInputException;
+import cobaltseam.deployment.JsonObjectReader;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.logging.Field;
@@ -36,8 +36,8 @@
  * ConfigurationAgreement} say which edition is acted on, reads that as a deployment, with this
  * dispatcher's own position in it, and moves the module to it.
  */
-final class Agreed {
-  private static final System.Logger LOG = System.getLogger(Agreed.class.getName());
+final class AgreedConfiguration {
+  private static final System.Logger LOG = System.getLogger(AgreedConfiguration.class.getName());
   private static final String POSITION = "position";
   private static final double CLOCKS = 0.001;
   static final int LARGEST = 1 << 20;
@@ -54,7 +54,7 @@
   private Deployment own, acts, back;
   private String last = "none";
 
-  Agreed(
+  AgreedConfiguration(
       Settings.AgreementSettings told,
       Membership membership,
       Lease lease,
@@ -79,7 +79,7 @@
                 try {
                   deployment(content);
                   return null;
-                } catch (BadInput e) {
+                } catch (InvalidInputException e) {
                   return e.getMessage();
                 }
               }
@@ -103,7 +103,8 @@
       all.remove(POSITION);
       return JSON.writeValueAsBytes(all);
     } catch (IOException | RuntimeException e) {
-      throw new BadInput("no settings are read from the configuration: " + e.getMessage());
+      throw new InvalidInputException(
+          "no settings are read from the configuration: " + e.getMessage());
     }
   }
 
@@ -118,7 +119,7 @@
           JSON.readValue(content, new TypeReference<HashMap<Object, Object>>() {});
       all.put(POSITION, position);
       try (JsonParser parser = new JsonFactory().createParser(JSON.writeValueAsBytes(all))) {
-        Deployment d = DeploymentReader.read(Fields.of(parser));
+        Deployment d = DeploymentReader.read(JsonObjectReader.of(parser));
         if (read.size() > 16) {
           read.clear();
         }
@@ -126,7 +127,7 @@
         return d;
       }
     } catch (IOException e) {
-      throw new BadInput("the document is not JSON of settings: " + e.getMessage());
+      throw new InvalidInputException("the document is not JSON of settings: " + e.getMessage());
     }
   }
 
--- a/src/main/java/cobaltseam/service/Send.java
+++ b/src/main/java/cobaltseam/service/Attempt.java
@@ -7,7 +7,7 @@
 import cobaltseam.resp.Result;
 
 /** One send of a command, from its hand-over to the engines until its one outcome. */
-final class Send {
+final class Attempt {
   final RequestId command;
   final int number;
   final EngineId engine;
@@ -18,7 +18,7 @@
   /** It must not begin later than this; null if it may begin at any time. */
   Timestamp startBy;
 
-  Deadlines.Deadline timeout;
+  Timers.Timer timeout;
   EngineConnection connection;
 
   /** Its place among what was written to its connection; zero while it is not. */
@@ -34,7 +34,7 @@
 
   double inHand = -1;
 
-  Send(
+  Attempt(
       RequestId command,
       int number,
       EngineId engine,
--- a/src/main/java/cobaltseam/service/Clients.java
+++ b/src/main/java/cobaltseam/service/ClientSessions.java
@@ -35,7 +35,7 @@
 import org.apache.mina.core.session.IoSession;
 
 /** The clients' connections: their sessions, statements and answers. */
-final class Clients extends IoHandlerAdapter {
+final class ClientSessions extends IoHandlerAdapter {
   private static final String CLIENT = "client";
 
   /**
@@ -89,10 +89,10 @@
   /**
    * One connection. The parser belongs to the I/O thread, all else to the one that owns the state.
    */
-  private final class Client implements Commands.ResponseHandle {
+  private final class ClientSession implements RequestTable.ResponseHandle {
     final IoSession session;
     final ClientParser parser = new ClientParser();
-    final Deque<Heard> waiting = new ArrayDeque<>();
+    final Deque<ReceivedMessage> waiting = new ArrayDeque<>();
 
     /** Messages handed over and not yet heard. */
     final AtomicInteger unheard = new AtomicInteger();
@@ -111,11 +111,11 @@
     int parsing;
 
     boolean flooding;
-    long key = Slots.NONE;
+    long key = SlotTable.NONE;
     int secret;
 
     /** When it is closed, if nothing else comes before. */
-    Deadlines.Deadline closeAt;
+    Timers.Timer closeAt;
 
     /** Whether its output has ended: what still comes is discarded. */
     volatile boolean ending;
@@ -138,7 +138,7 @@
      */
     boolean busy;
 
-    long command = Slots.NONE;
+    long command = SlotTable.NONE;
     byte[] text;
 
     /** Bytes of the message that is being answered. */
@@ -147,14 +147,14 @@
     /** Statements in a row that could not be used. */
     int unusable;
 
-    Deadlines.Deadline rest;
+    Timers.Timer rest;
 
-    Client(IoSession session) {
+    ClientSession(IoSession session) {
       this.session = session;
     }
 
     @Override
-    public void answered(Result result) {
+    public void complete(Result result) {
       finish(this, rows(result, text));
     }
 
@@ -167,12 +167,12 @@
     }
 
     @Override
-    public void failed() {
+    public void fail() {
       finish(this, new Replies().error("ERROR", Replies.FAILED, "failed"));
     }
 
     @Override
-    public boolean hasLeft() {
+    public boolean hasClientLeft() {
       return session.isClosing() || cancelsRead.stream().anyMatch(this::isNamedBy);
     }
 
@@ -182,7 +182,7 @@
   }
 
   /** One message, and when its last byte was read. */
-  private record Heard(ClientMessage message, Timestamp read) {
+  private record ReceivedMessage(ClientMessage message, Timestamp read) {
     int size() {
       return message instanceof ClientMessage.Query query ? query.text().length : 0;
     }
@@ -192,7 +192,7 @@
    * Tells whether commands are taken at an address of ours, and else after how long it may be worth
    * asking again.
    */
-  interface Gate {
+  interface AdmissionGate {
     boolean admits(SocketAddress at);
 
     /** Whether sessions at this address may stay open. */
@@ -201,21 +201,21 @@
     TimeSpan comeBack(SocketAddress at);
   }
 
-  private final Inbox inbox;
+  private final EventLoopQueue inbox;
   private final Clock clock;
-  private final Deadlines deadlines;
+  private final Timers deadlines;
   private final Counters counters;
-  private final BoundedLog log;
-  private final Commands commands;
+  private final RateLimitedLog log;
+  private final RequestTable commands;
   private final RandomGenerator secrets;
-  private final Sockets sockets;
+  private final SocketProcessor sockets;
   private final int most;
 
   /** Bytes of clients' messages, whole or not, until they are done with; and their bound. */
   private final AtomicLong held = new AtomicLong();
 
   private final long mostHeld;
-  private final Slots<Client> slots;
+  private final SlotTable<ClientSession> slots;
 
   /**
    * Cancel requests that were read and not heard yet: of one connection no more than {@link
@@ -227,16 +227,16 @@
    * Clients with no statement open, the longest idle first: by whether they asked never, once, or
    * more.
    */
-  private final Set<Client> unasked = new LinkedHashSet<>();
+  private final Set<ClientSession> unasked = new LinkedHashSet<>();
 
-  private final Set<Client> askedOnce = new LinkedHashSet<>();
-  private final Set<Client> resting = new LinkedHashSet<>();
+  private final Set<ClientSession> askedOnce = new LinkedHashSet<>();
+  private final Set<ClientSession> resting = new LinkedHashSet<>();
 
   /** Clients that are to be closed unless they have spoken. */
   private int leaving;
 
   /** Clients whose output has ended and that have not closed yet, the first to end first. */
-  private final Set<Client> ending = new LinkedHashSet<>();
+  private final Set<ClientSession> ending = new LinkedHashSet<>();
 
   /** Whether this dispatcher shuts down: nothing new is taken. */
   private boolean shutsDown;
@@ -245,18 +245,18 @@
   private boolean shutsDownNow;
 
   /** Whether traffic is taken at an address of ours; null where nothing can stand by. */
-  private Gate gate;
+  private AdmissionGate gate;
 
   private final Map<String, Supplier<List<String[]>>> shown = new HashMap<>();
 
-  Clients(
+  ClientSessions(
       ServiceConfiguration told,
-      Commands commands,
+      RequestTable commands,
       RandomGenerator secrets,
-      Sockets sockets,
-      Inbox inbox,
+      SocketProcessor sockets,
+      EventLoopQueue inbox,
       Clock clock,
-      Deadlines deadlines,
+      Timers deadlines,
       Counters counters) {
     this.commands = commands;
     this.secrets = secrets;
@@ -265,7 +265,7 @@
     this.clock = clock;
     this.deadlines = deadlines;
     this.counters = counters;
-    log = new BoundedLog(System.getLogger(Clients.class.getName()), clock);
+    log = new RateLimitedLog(System.getLogger(ClientSessions.class.getName()), clock);
     shown.put(
         COUNTERS,
         () ->
@@ -274,7 +274,7 @@
                 .toList());
     most = mostClients(told);
     mostHeld = told.memoryBytes() / HELD_PART;
-    slots = new Slots<>(mostAccepted(told));
+    slots = new SlotTable<>(mostAccepted(told));
   }
 
   /**
@@ -294,14 +294,14 @@
 
   @Override
   public void sessionCreated(IoSession session) {
-    Client client = new Client(session);
+    ClientSession client = new ClientSession(session);
     session.setAttribute(CLIENT, client);
     inbox.post(session, () -> opened(client));
   }
 
   @Override
   public void messageReceived(IoSession session, Object message) {
-    Client client = (Client) session.getAttribute(CLIENT);
+    ClientSession client = (ClientSession) session.getAttribute(CLIENT);
     if (client.ending || client.parser.isBroken()) {
       discard(client, ((IoBuffer) message).remaining());
       return;
@@ -321,7 +321,7 @@
    * Reads on without keeping anything, so that the close resets nothing; a flood is cut off all the
    * same.
    */
-  private void discard(Client client, int bytes) {
+  private void discard(ClientSession client, int bytes) {
     client.discarded += bytes;
     if (client.discarded > MOST_DISCARDED) {
       client.session.closeNow();
@@ -329,13 +329,13 @@
   }
 
   /** Hands over no more than may wait behind a statement: beyond that it is no client's way. */
-  private void handOver(Client client, ClientMessage message, Timestamp read) {
+  private void handOver(ClientSession client, ClientMessage message, Timestamp read) {
     client.flooding |= client.unheard.incrementAndGet() > MOST_WAITING;
     if (client.flooding && !(message instanceof ClientMessage.Malformed)) {
       client.unheard.decrementAndGet();
       return;
     }
-    Heard heard = new Heard(message, read);
+    ReceivedMessage heard = new ReceivedMessage(message, read);
     client.spoken++;
     held.addAndGet(heard.size());
     Runnable handsOver =
@@ -359,19 +359,19 @@
   }
 
   /** Takes nothing more from a client: its connection is closed once this is heard. */
-  private void refuse(Client client, String reason, Timestamp read) {
+  private void refuse(ClientSession client, String reason, Timestamp read) {
     client.parser.refuse(reason, m -> handOver(client, m, read));
     holds(client, client.parser.held());
   }
 
-  private void holds(Client client, int bytes) {
+  private void holds(ClientSession client, int bytes) {
     held.addAndGet(bytes - client.parsing);
     client.parsing = bytes;
   }
 
   @Override
   public void sessionClosed(IoSession session) {
-    Client client = (Client) session.getAttribute(CLIENT);
+    ClientSession client = (ClientSession) session.getAttribute(CLIENT);
     holds(client, 0);
     inbox.post(
         null,
@@ -389,12 +389,12 @@
 
   // ---- sessions
 
-  private void opened(Client client) {
+  private void opened(ClientSession client) {
     if (slots.size() - leaving >= most) {
       makeRoom();
     }
     client.key = slots.take(client);
-    if (client.key == Slots.NONE) {
+    if (client.key == SlotTable.NONE) {
       counters.add(Count.CLIENTS_TURNED_AWAY);
       write(client, new Replies().error("FATAL", Replies.SHED, "too many clients"));
       close(client);
@@ -413,7 +413,7 @@
   }
 
   /** Closes a client that says nothing; one that writes slowly may go on while more comes. */
-  private void askSoon(Client client) {
+  private void askSoon(ClientSession client) {
     int received = client.received;
     client.closeAt =
         deadlines.set(
@@ -433,7 +433,7 @@
    * again does so soon.
    */
   private void makeRoom() {
-    Set<Client> from =
+    Set<ClientSession> from =
         unasked.size() > most / 2
             ? unasked
             : !askedOnce.isEmpty() ? askedOnce : !resting.isEmpty() ? resting : unasked;
@@ -448,7 +448,7 @@
    * statement on its way, and only if no statement has come whole meanwhile: one that was taken is
    * answered.
    */
-  private void leave(Client client) {
+  private void leave(ClientSession client) {
     if (client.leaving || slots.get(client.key) != client) {
       return;
     }
@@ -470,7 +470,7 @@
         });
   }
 
-  private void left(Client client, boolean silent) {
+  private void left(ClientSession client, boolean silent) {
     if (slots.get(client.key) == client) {
       leaving--;
       client.leaving = false;
@@ -488,7 +488,7 @@
     }
   }
 
-  private void closed(Client client) {
+  private void closed(ClientSession client) {
     if (slots.get(client.key) == client) {
       counters.add(Count.CLIENTS_CLOSED);
       deadlines.cancel(client.closeAt);
@@ -499,37 +499,37 @@
       client.waiting.forEach(this::done);
       client.waiting.clear();
       commands.departed(client.command);
-      client.command = Slots.NONE;
+      client.command = SlotTable.NONE;
       answered(client);
     }
   }
 
   /** The bytes of a message are no longer needed. */
-  private void done(Heard heard) {
+  private void done(ReceivedMessage heard) {
     held.addAndGet(-heard.size());
   }
 
   /** Nothing is owed for the message that was taken last. */
-  private void answered(Client client) {
+  private void answered(ClientSession client) {
     held.addAndGet(-client.holding);
     client.holding = 0;
   }
 
   /** A statement has come whole: what was owed to show that this is a client at all. */
-  private void asked(Client client) {
+  private void asked(ClientSession client) {
     if (client.statements++ == 0) {
       deadlines.cancel(client.closeAt);
     }
     idle(client, true);
   }
 
-  private void busy(Client client, boolean busy) {
+  private void busy(ClientSession client, boolean busy) {
     client.busy = busy;
     idle(client, !busy && slots.get(client.key) == client);
   }
 
   /** Takes it out of those that are idle, or puts it behind all others there. */
-  private void idle(Client client, boolean idle) {
+  private void idle(ClientSession client, boolean idle) {
     unasked.remove(client);
     askedOnce.remove(client);
     resting.remove(client);
@@ -538,7 +538,7 @@
     }
   }
 
-  private void heard(Client client, Heard heard) {
+  private void heard(ClientSession client, ReceivedMessage heard) {
     if (heard.message() instanceof ClientMessage.Cancel cancel) {
       // Also when its own connection has closed right behind it.
       cancelsRead.remove(cancel);
@@ -566,7 +566,7 @@
     }
   }
 
-  private void take(Client client, Heard heard) {
+  private void take(ClientSession client, ReceivedMessage heard) {
     ClientMessage message = heard.message();
     if (message instanceof ClientMessage.Startup && shutsDown) {
       write(client, new Replies().error("FATAL", Replies.STANDS_BY, SHUTS_DOWN));
@@ -581,7 +581,7 @@
       asked(client);
       client.holding = heard.size();
       query(client, query.text(), heard.read());
-      if (client.command == Slots.NONE) {
+      if (client.command == SlotTable.NONE) {
         answered(client);
       }
     } else if (message instanceof ClientMessage.Terminate) {
@@ -605,7 +605,7 @@
     }
   }
 
-  private void protocolError(Client client, String what) {
+  private void protocolError(ClientSession client, String what) {
     counters.add(Count.CLIENT_PROTOCOL_ERRORS);
     log.warn(
         "client {0} closed: {1}",
@@ -621,7 +621,7 @@
    * closed it, or soon. Until then what comes is discarded: unread bytes would make the close a
    * reset.
    */
-  private void close(Client client) {
+  private void close(ClientSession client) {
     closed(client);
     client.ending = true;
     sockets.endOutput(client.session, client.lastWrite);
@@ -631,7 +631,7 @@
     client.closeAt = deadlines.set(clock.now().plus(CLOSE_WITHIN), client.session::closeNow);
     ending.add(client);
     if (ending.size() > Math.max(1, most / ENDING_PART)) {
-      Client first = ending.iterator().next();
+      ClientSession first = ending.iterator().next();
       ending.remove(first);
       first.session.closeNow();
     }
@@ -641,9 +641,9 @@
   private void cancel(ClientMessage.Cancel cancel) {
     slots.forEach(
         c -> {
-          if (c.isNamedBy(cancel) && c.command != Slots.NONE) {
+          if (c.isNamedBy(cancel) && c.command != SlotTable.NONE) {
             long command = c.command;
-            c.command = Slots.NONE;
+            c.command = SlotTable.NONE;
             busy(c, false);
             answered(c);
             commands.departed(command);
@@ -655,7 +655,7 @@
 
   // ---- statements and answers
 
-  private void query(Client client, byte[] text, Timestamp read) {
+  private void query(ClientSession client, byte[] text, Timestamp read) {
     if (StatementScanner.isEmpty(text)) {
       write(client, new Replies().emptyStatement().ready());
       return;
@@ -697,8 +697,8 @@
       return;
     }
     String why = commands.unusable(statement);
-    long key = why == null ? commands.take(statement, client) : Slots.NONE;
-    if (key == Slots.NONE) {
+    long key = why == null ? commands.take(statement, client) : SlotTable.NONE;
+    if (key == SlotTable.NONE) {
       unusable(client, why == null ? "too many commands in hand" : why);
     } else {
       client.unusable = 0;
@@ -727,7 +727,7 @@
   // ---- standing by
 
   /** From now on commands are taken only where and while this gate admits them. */
-  void guardedBy(Gate by) {
+  void guardedBy(AdmissionGate by) {
     gate = by;
   }
 
@@ -755,7 +755,7 @@
         });
   }
 
-  private void goIfIdle(Client client) {
+  private void goIfIdle(ClientSession client) {
     if (client.going
         && !client.busy
         && client.waiting.isEmpty()
@@ -795,7 +795,7 @@
     endIdle();
   }
 
-  private void unusable(Client client, String why) {
+  private void unusable(ClientSession client, String why) {
     counters.add(Count.STATEMENTS_UNUSABLE);
     log.warn(
         "client {0}: {1}",
@@ -838,9 +838,9 @@
   }
 
   /** The one answer to the statement that this client has open; then what waits behind it. */
-  private void finish(Client client, Replies replies) {
+  private void finish(ClientSession client, Replies replies) {
     busy(client, false);
-    client.command = Slots.NONE;
+    client.command = SlotTable.NONE;
     client.text = null;
     answered(client);
     write(client, replies.ready());
@@ -848,13 +848,13 @@
     goIfIdle(client);
   }
 
-  private void takeWaiting(Client client) {
+  private void takeWaiting(ClientSession client) {
     while (!client.busy && !client.waiting.isEmpty()) {
       take(client, client.waiting.removeFirst());
     }
   }
 
-  private void write(Client client, Replies replies) {
+  private void write(ClientSession client, Replies replies) {
     long unread = client.session.getScheduledWriteBytes();
     boolean all = client.session.getService().getScheduledWriteBytes() > MOST_UNREAD_ALL;
     if (unread > MOST_UNREAD || unread > 0 && all) {
--- a/src/main/java/cobaltseam/service/Service.java
+++ b/src/main/java/cobaltseam/service/DispatcherService.java
@@ -30,8 +30,8 @@
 /**
  * One dispatcher on sockets: its start, the loop of the thread that owns all state, and its stop.
  */
-public final class Service {
-  private static final System.Logger LOG = System.getLogger(Service.class.getName());
+public final class DispatcherService {
+  private static final System.Logger LOG = System.getLogger(DispatcherService.class.getName());
 
   /** New connections and commands may still come for this long after a stop is asked for. */
   private static final TimeSpan STOP_AFTER = new TimeSpan(700_000);
@@ -70,10 +70,10 @@
   /** The own file, where one is named, and what takes part in a hall by it; else null. */
   private Path own;
 
-  private Hall hall;
+  private VirtualAddressService hall;
 
   /** What takes part in a fleet, where the own file has one; else null. */
-  private FleetNode fleetNode;
+  private FleetService fleetNode;
 
   /** Between the fleet's thread and this service's; null without a fleet. */
   private FleetBridge bridge;
@@ -82,22 +82,22 @@
   private boolean agrees;
 
   private final Clock clock = new Clock();
-  private final Deadlines deadlines = new Deadlines();
+  private final Timers deadlines = new Timers();
   private final Counters counters = new Counters();
-  final Inbox inbox = new Inbox(counters);
+  final EventLoopQueue inbox = new EventLoopQueue(counters);
   private final CountDownLatch ended = new CountDownLatch(1);
-  private final ExecutorService threads = Executors.newCachedThreadPool(Service::thread);
+  private final ExecutorService threads = Executors.newCachedThreadPool(DispatcherService::thread);
 
   /** One for both sides: the process has one core. */
-  final Sockets processor = new Sockets(threads);
+  final SocketProcessor processor = new SocketProcessor(threads);
 
   final BoundedAcceptor acceptor;
   private final NioSocketConnector toEngines = new NioSocketConnector(threads, processor);
   private final NioSocketConnector toBus = new NioSocketConnector(threads, processor);
-  private final Engines engines;
-  private final Commands commands;
-  private final Clients clients;
-  private final EventBus bus;
+  private final EngineConnections engines;
+  private final RequestTable commands;
+  private final ClientSessions clients;
+  private final EndpointWatch bus;
 
   /** Whether it follows the list of engines. */
   private boolean follows;
@@ -108,12 +108,13 @@
   /** When it ends at the latest; null until it takes nothing more and nothing is open. */
   private Timestamp leaveBy;
 
-  Service(ServiceConfiguration told) {
+  DispatcherService(ServiceConfiguration told) {
     this.told = told;
-    engines = new Engines(told, toEngines, processor, inbox, clock, deadlines, counters);
-    commands = new Commands(told.deployment(), told.seed(), engines, deadlines, clock, counters);
+    engines = new EngineConnections(told, toEngines, processor, inbox, clock, deadlines, counters);
+    commands =
+        new RequestTable(told.deployment(), told.seed(), engines, deadlines, clock, counters);
     clients =
-        new Clients(
+        new ClientSessions(
             told,
             commands,
             new SplittableRandom(~told.seed()),
@@ -122,8 +123,8 @@
             clock,
             deadlines,
             counters);
-    bus = new EventBus(told, toBus, inbox, clock, deadlines, counters, commands::listed);
-    acceptor = new BoundedAcceptor(threads, processor, Clients.mostAccepted(told));
+    bus = new EndpointWatch(told, toBus, inbox, clock, deadlines, counters, commands::listed);
+    acceptor = new BoundedAcceptor(threads, processor, ClientSessions.mostAccepted(told));
     tune(toEngines.getSessionConfig());
     tune(toBus.getSessionConfig());
     tune(acceptor.getSessionConfig());
@@ -146,7 +147,7 @@
     }
     ServiceConfiguration told = ServiceConfiguration.read(System.getenv());
     Warmup.run(told);
-    Service service = new Service(told);
+    DispatcherService service = new DispatcherService(told);
     service.own = own;
     if (setup != null && setup.hall() != null) {
       service.joins(setup.hall());
@@ -186,8 +187,8 @@
   public static void rehearse() throws IOException, InterruptedException {
     ServiceConfiguration told = ServiceConfiguration.read(System.getenv());
     Warmup.run(told);
-    Service service =
-        new Service(
+    DispatcherService service =
+        new DispatcherService(
             told.movedTo(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 told.bus(),
@@ -279,7 +280,8 @@
       byte[] document =
           !agrees
               ? null
-              : Agreed.document(Files.readAllBytes(Path.of(environment.get("GW_CONFIG"))));
+              : AgreedConfiguration.document(
+                  Files.readAllBytes(Path.of(environment.get("GW_CONFIG"))));
       inbox.post(
           null,
           () -> {
@@ -375,9 +377,10 @@
     joins(with, this::report);
   }
 
-  void joins(Settings.VirtualAddressSettings with, Supplier<Hall.Report> fitness) {
+  void joins(
+      Settings.VirtualAddressSettings with, Supplier<VirtualAddressService.HealthReport> fitness) {
     hall =
-        new Hall(
+        new VirtualAddressService(
             with, told, fitness, commands, clients, acceptor, inbox, clock, deadlines, counters);
   }
 
@@ -386,10 +389,10 @@
     agrees = setup.agreed() != null;
     bridge = new FleetBridge(commands, inbox, clock, told.deployment(), hall != null);
     fleetNode =
-        new FleetNode(
+        new FleetService(
             setup,
             told,
-            agrees ? Agreed.document(configuration) : null,
+            agrees ? AgreedConfiguration.document(configuration) : null,
             bridge,
             clients,
             hall != null,
@@ -398,8 +401,8 @@
   }
 
   /** What this dispatcher's fitness is judged by. */
-  private Hall.Report report() {
-    return new Hall.Report(
+  private VirtualAddressService.HealthReport report() {
+    return new VirtualAddressService.HealthReport(
         bus.silent(clock.now()),
         engines.inService(),
         engines.failing(),
--- a/src/main/java/cobaltseam/service/EventBus.java
+++ b/src/main/java/cobaltseam/service/EndpointWatch.java
@@ -1,7 +1,7 @@
 package cobaltseam.service;
 
-import cobaltseam.deployment.BadInput;
-import cobaltseam.deployment.Fields;
+import cobaltseam.deployment.InvalidInputException;
+import cobaltseam.deployment.JsonObjectReader;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.logging.Field;
@@ -22,7 +22,7 @@
 import org.apache.mina.transport.socket.SocketConnector;
 
 /** Follows the event bus from the last event known, over as many connections as that takes. */
-final class EventBus {
+final class EndpointWatch {
   private static final String LIFE = "life";
   private static final String LINE = "line";
   private static final String UNHEARD = "unheard";
@@ -36,12 +36,12 @@
 
   private InetSocketAddress address;
   private final SocketConnector connector;
-  private final Inbox inbox;
+  private final EventLoopQueue inbox;
   private final Clock clock;
-  private final Deadlines deadlines;
+  private final Timers deadlines;
   private final Counters counters;
-  private final BoundedLog log;
-  private final Consumer<TopologyEvent> listener;
+  private final RateLimitedLog log;
+  private final Consumer<WatchEvent> listener;
   private final JsonFactory json = new JsonFactory();
   private long last;
   private long askedAnewFrom = -1;
@@ -53,7 +53,7 @@
   private long life;
 
   private ConnectFuture future;
-  private Deadlines.Deadline next;
+  private Timers.Timer next;
   private Timestamp heard;
 
   /** When it was first asked; null until then. */
@@ -61,14 +61,14 @@
 
   private boolean numberHeard;
 
-  EventBus(
+  EndpointWatch(
       ServiceConfiguration told,
       SocketConnector connector,
-      Inbox inbox,
+      EventLoopQueue inbox,
       Clock clock,
-      Deadlines deadlines,
+      Timers deadlines,
       Counters counters,
-      Consumer<TopologyEvent> listener) {
+      Consumer<WatchEvent> listener) {
     address = told.bus();
     last = told.knownOffset();
     this.connector = connector;
@@ -76,15 +76,15 @@
     this.clock = clock;
     this.deadlines = deadlines;
     this.counters = counters;
-    log = new BoundedLog(System.getLogger(EventBus.class.getName()), clock);
+    log = new RateLimitedLog(System.getLogger(EndpointWatch.class.getName()), clock);
     this.listener = listener;
     heard = clock.now();
-    connector.setHandler(new Wire());
+    connector.setHandler(new WatchConnectionHandler());
   }
 
   // ---- on the I/O thread: bytes to lines
 
-  private final class Wire extends IoHandlerAdapter {
+  private final class WatchConnectionHandler extends IoHandlerAdapter {
     @Override
     public void sessionCreated(IoSession session) {
       session.setAttribute(LINE, new ByteArrayOutputStream());
@@ -169,8 +169,8 @@
   /**
    * Events told by other means: of these, each that follows what is known, or tells the whole list.
    */
-  void told(List<TopologyEvent> events) {
-    for (TopologyEvent event : events) {
+  void told(List<WatchEvent> events) {
+    for (WatchEvent event : events) {
       if (event.offset() > last && (event.whole() || event.offset() == last + 1)) {
         last = event.offset();
         listener.accept(event);
@@ -237,7 +237,7 @@
       } else {
         event(mine, line);
       }
-    } catch (IOException | BadInput e) {
+    } catch (IOException | InvalidInputException e) {
       log.warn(
           "event bus: a line can''t be used: {0}",
           Field.of("reason", e.getMessage()), Field.event("bus.line_unusable"));
@@ -260,14 +260,13 @@
   }
 
   private void event(long mine, String line) throws IOException {
-    Fields event;
+    JsonObjectReader event;
     try (JsonParser parser = json.createParser(line)) {
-      event = Fields.of(parser);
+      event = JsonObjectReader.of(parser);
     }
-    long offset = event.whole(TopologyEvent.OFFSET);
+    long offset = event.whole(WatchEvent.OFFSET);
     boolean whole =
-        event.has(TopologyEvent.EVENT)
-            && event.object(TopologyEvent.EVENT).flag(TopologyEvent.WHOLE);
+        event.has(WatchEvent.EVENT) && event.object(WatchEvent.EVENT).flag(WatchEvent.WHOLE);
     // A whole list makes up for what is missing before it.
     if (offset <= last || offset > last + 1 && !whole && missing(mine)) {
       return;
@@ -275,8 +274,8 @@
     last = offset;
     behind = false;
     counters.add(Count.BUS_EVENTS);
-    if (event.has(TopologyEvent.EVENT)) {
-      listener.accept(TopologyEvent.of(event));
+    if (event.has(WatchEvent.EVENT)) {
+      listener.accept(WatchEvent.of(event));
     }
   }
 
--- a/src/main/java/cobaltseam/service/EngineConnection.java
+++ b/src/main/java/cobaltseam/service/EngineConnection.java
@@ -24,7 +24,7 @@
 
   final EngineId engine;
   final Timestamp opened;
-  final Map<String, Send> sends = new HashMap<>();
+  final Map<String, Attempt> sends = new HashMap<>();
   private final Map<String, Boolean> ended =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
@@ -36,7 +36,7 @@
       };
   long key;
   ConnectFuture future;
-  Deadlines.Deadline connectTimeout;
+  Timers.Timer connectTimeout;
 
   /** Null until it is up. */
   IoSession session;
--- a/src/main/java/cobaltseam/service/Engines.java
+++ b/src/main/java/cobaltseam/service/EngineConnections.java
@@ -31,21 +31,21 @@
 import org.apache.mina.transport.socket.SocketConnector;
 
 /** The engines: connections to them, the sends that are out, and the pages of their results. */
-final class Engines {
+final class EngineConnections {
   /** Who hears of a send: its progress, and its one outcome. */
   interface Listener {
-    void progressed(Send send, double share, Timestamp now);
+    void progressed(Attempt send, double share, Timestamp now);
 
     /** It spills to disk, for want of so many megabytes. */
-    void spills(Send send, double missingMb);
+    void spills(Attempt send, double missingMb);
 
     /** It stands still while a load holds what it reads. */
-    void blocked(Send send, Timestamp now);
+    void blocked(Attempt send, Timestamp now);
 
     /** Whether anybody still waits for its answer, as far as the I/O thread has read. */
-    boolean isWanted(Send send);
+    boolean isWanted(Attempt send);
 
-    void ended(Send send, AttemptResult ending, Timestamp now);
+    void ended(Attempt send, AttemptResult ending, Timestamp now);
   }
 
   private static final String PARSER = "parser";
@@ -78,26 +78,26 @@
   }
 
   private final SocketConnector connector;
-  private final Sockets sockets;
-  private final Inbox inbox;
+  private final SocketProcessor sockets;
+  private final EventLoopQueue inbox;
   private final Clock clock;
-  private final Deadlines deadlines;
+  private final Timers deadlines;
   private final Counters counters;
-  private final BoundedLog log;
+  private final RateLimitedLog log;
   private TimeSpan connectTimeout;
   private TimeSpan idle;
   private int sendsPerConnection;
   private final Map<EngineId, EngineState> states = new HashMap<>();
-  private final Slots<EngineConnection> connections;
+  private final SlotTable<EngineConnection> connections;
   private Listener listener;
 
-  Engines(
+  EngineConnections(
       ServiceConfiguration told,
       SocketConnector connector,
-      Sockets sockets,
-      Inbox inbox,
+      SocketProcessor sockets,
+      EventLoopQueue inbox,
       Clock clock,
-      Deadlines deadlines,
+      Timers deadlines,
       Counters counters) {
     this.connector = connector;
     this.sockets = sockets;
@@ -105,10 +105,10 @@
     this.clock = clock;
     this.deadlines = deadlines;
     this.counters = counters;
-    log = new BoundedLog(System.getLogger(Engines.class.getName()), clock);
+    log = new RateLimitedLog(System.getLogger(EngineConnections.class.getName()), clock);
     renewed(told);
-    connections = new Slots<>(told.sockets() / 3);
-    connector.setHandler(new Wire());
+    connections = new SlotTable<>(told.sockets() / 3);
+    connector.setHandler(new EngineConnectionHandler());
   }
 
   void listener(Listener to) {
@@ -124,7 +124,7 @@
 
   // ---- on the I/O thread: bytes to answers
 
-  private final class Wire extends IoHandlerAdapter {
+  private final class EngineConnectionHandler extends IoHandlerAdapter {
     @Override
     public void sessionCreated(IoSession session) {
       session.setAttribute(PARSER, new RespParser());
@@ -177,7 +177,7 @@
 
   // ---- the list
 
-  void listed(TopologyEvent event) {
+  void listed(WatchEvent event) {
     if (event.whole()) {
       Set<EngineId> named =
           event.list().stream().map(EndpointStatus::engine).collect(Collectors.toSet());
@@ -221,11 +221,11 @@
   // ---- sends
 
   /** Hands a command to an engine; the listener hears of its one outcome later, never at once. */
-  Send send(
+  Attempt send(
       RequestId command, int number, Placement placement, Statement statement, Timestamp now) {
     EngineId engine = placement.engine();
-    Send send =
-        new Send(command, number, engine, statement, now, now.plus(placement.attemptTimeout()));
+    Attempt send =
+        new Attempt(command, number, engine, statement, now, now.plus(placement.attemptTimeout()));
     send.startBy = placement.startWithin() == null ? null : now.plus(placement.startWithin());
     counters.add(Count.SENDS);
     EngineState state = states.get(engine);
@@ -245,16 +245,16 @@
   }
 
   /** A send that is not to leave after all: its outcome is that it was never sent. */
-  Send neverSend(
+  Attempt neverSend(
       RequestId command, int number, EngineId engine, Statement statement, Timestamp now) {
-    Send send = new Send(command, number, engine, statement, now, now);
+    Attempt send = new Attempt(command, number, engine, statement, now, now);
     counters.add(Count.SENDS);
     send.timeout = deadlines.set(now, () -> end(send, AttemptResult.NEVER_SENT));
     return send;
   }
 
   /** A send may take until this moment, if that is later than what it was given before. */
-  void letTake(Send send, Timestamp until) {
+  void letTake(Attempt send, Timestamp until) {
     if (!send.over && send.until.isBefore(until) && send.connection != null) {
       deadlines.cancel(send.timeout);
       send.timeout = deadlines.set(until, () -> giveUp(send, AttemptResult.TIMED_OUT));
@@ -311,7 +311,7 @@
   private EngineConnection open(EngineState state, EngineId engine, Timestamp now) {
     EngineConnection c = new EngineConnection(engine, now);
     c.key = connections.take(c);
-    if (c.key == Slots.NONE) {
+    if (c.key == SlotTable.NONE) {
       return null;
     }
     state.connections.add(c);
@@ -341,7 +341,7 @@
       c.session = c.future.getSession();
       Timestamp now = clock.now();
       c.heard = now;
-      for (Send send : List.copyOf(c.sends.values())) {
+      for (Attempt send : List.copyOf(c.sends.values())) {
         // It may have waited too long for this connection: what engines remember of the send before
         // may be gone.
         boolean inTime = send.startBy == null || now.isBefore(send.startBy);
@@ -397,13 +397,13 @@
     if (state != null) {
       state.connections.remove(c);
     }
-    for (Send send : List.copyOf(c.sends.values())) {
+    for (Attempt send : List.copyOf(c.sends.values())) {
       boolean neverRan = send.position == 0 || send.position > written;
       end(send, neverRan ? AttemptResult.UNREACHABLE : AttemptResult.CONNECTION_LOST);
     }
   }
 
-  private void write(Send send, Timestamp now) {
+  private void write(Attempt send, Timestamp now) {
     long ms = Math.max(1, (send.until.since(now).us() + 999) / 1000);
     send.position =
         send.connection.write(
@@ -416,11 +416,11 @@
   }
 
   /** Calls a send off: its outcome is told at once, and its engine told to stop. */
-  void callOff(Send send) {
+  void callOff(Attempt send) {
     giveUp(send, AttemptResult.CANCELLED);
   }
 
-  private void giveUp(Send send, AttemptResult ending) {
+  private void giveUp(Attempt send, AttemptResult ending) {
     if (send.over) {
       return;
     }
@@ -442,7 +442,7 @@
     end(send, ending);
   }
 
-  private void end(Send send, AttemptResult ending) {
+  private void end(Attempt send, AttemptResult ending) {
     if (send.over) {
       return;
     }
@@ -510,7 +510,7 @@
   }
 
   private void take(EngineConnection c, EngineAnswer answer) {
-    Send send = c.sends.get(answer.id());
+    Attempt send = c.sends.get(answer.id());
     if (send == null) {
       late(c, answer);
       return;
@@ -562,7 +562,7 @@
     }
   }
 
-  private void firstPage(EngineConnection c, Send send, EngineAnswer answer) {
+  private void firstPage(EngineConnection c, Attempt send, EngineAnswer answer) {
     if (send.result != null) {
       counters.add(Count.SECOND_COPIES);
       return;
@@ -580,7 +580,7 @@
     page(c, send, 0, answer.body());
   }
 
-  private void page(EngineConnection c, Send send, int number, byte[] body) {
+  private void page(EngineConnection c, Attempt send, int number, byte[] body) {
     if (send.result != null && send.result.has(number)) {
       counters.add(Count.SECOND_COPIES);
       return;
@@ -597,7 +597,7 @@
    * What can't be passed on counts as the engine's error; a connection that brought it is of no
    * more use.
    */
-  private void spoiled(EngineConnection c, Send send, String why) {
+  private void spoiled(EngineConnection c, Attempt send, String why) {
     counters.add(Count.ENGINE_PROTOCOL_ERRORS);
     log.warn(
         "engine {0}: {1}",
--- a/src/main/java/cobaltseam/service/Inbox.java
+++ b/src/main/java/cobaltseam/service/EventLoopQueue.java
@@ -13,13 +13,13 @@
  * one peer would else stop what comes from all others. Who hands over bounds what each peer may
  * have in here.
  */
-final class Inbox {
-  private static final System.Logger LOG = System.getLogger(Inbox.class.getName());
+final class EventLoopQueue {
+  private static final System.Logger LOG = System.getLogger(EventLoopQueue.class.getName());
 
   private final BlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
   private final Counters counters;
 
-  Inbox(Counters counters) {
+  EventLoopQueue(Counters counters) {
     this.counters = counters;
   }
 
--- a/src/main/java/cobaltseam/service/FleetBridge.java
+++ b/src/main/java/cobaltseam/service/FleetBridge.java
@@ -56,8 +56,8 @@
 
   private final AtomicLong firsts = new AtomicLong();
   private final AtomicLong wanted = new AtomicLong();
-  private final Commands commands;
-  private final Inbox inbox;
+  private final RequestTable commands;
+  private final EventLoopQueue inbox;
   private final Clock clock;
   private final int dispatchersTold;
 
@@ -76,7 +76,11 @@
   private long tellsUs;
 
   FleetBridge(
-      Commands commands, Inbox inbox, Clock clock, Deployment told, boolean masteredElsewhere) {
+      RequestTable commands,
+      EventLoopQueue inbox,
+      Clock clock,
+      Deployment told,
+      boolean masteredElsewhere) {
     this.commands = commands;
     this.inbox = inbox;
     this.clock = clock;
--- a/src/main/java/cobaltseam/service/FleetNode.java
+++ b/src/main/java/cobaltseam/service/FleetService.java
@@ -52,8 +52,8 @@
  * the module it is for, and publishes what follows for the module of commands through {@link
  * FleetBridge}. A fault of it ends it and nothing else: the service goes on as one without it.
  */
-final class FleetNode {
-  private static final System.Logger LOG = System.getLogger(FleetNode.class.getName());
+final class FleetService {
+  private static final System.Logger LOG = System.getLogger(FleetService.class.getName());
   private static final int US_PER_MS = 1000;
   private static final double SECOND_US = 1e6;
   private static final TimeSpan LONGEST_WAIT = new TimeSpan(1_000_000);
@@ -67,7 +67,7 @@
   /** By which part the rates of two clocks differ at most. */
   private static final double CLOCKS = 0.001;
 
-  private record Tell(InetSocketAddress to, PeerMessage message) {}
+  private record OutgoingMessage(InetSocketAddress to, PeerMessage message) {}
 
   private final Settings.MembershipSettings told;
   private final Settings.CapacitySettings spread;
@@ -75,19 +75,19 @@
   /** The view that an operator had this dispatcher found another line for, or null. */
   private String foundedAnew;
 
-  private final Clients clients;
+  private final ClientSessions clients;
   private final FleetBridge bridge;
   private final boolean masteredElsewhere;
-  private final Inbox inbox;
+  private final EventLoopQueue inbox;
   private final Clock clock;
-  private final Deadlines deadlines = new Deadlines();
+  private final Timers deadlines = new Timers();
   private final Counters counters;
-  private final BoundedLog log;
+  private final RateLimitedLog log;
   private final MessageCodec codec;
   private final PeerDatagramSocket socket;
   private final Membership membership;
   private final Lease lease;
-  private final Agreed agreed;
+  private final AgreedConfiguration agreed;
   private final StateGossip sharing;
   private final CapacityLeases holdings;
   private final DemandEstimate demand;
@@ -101,13 +101,13 @@
   private final FleetCoordinator ground;
 
   /** Datagrams to send once what follows from them here is published. */
-  private final List<Tell> tells = new ArrayList<>();
+  private final List<OutgoingMessage> tells = new ArrayList<>();
 
   private final Map<RejectionReason, Long> refused = new EnumMap<>(RejectionReason.class);
   private final Map<String, Supplier<List<String[]>>> rows = new HashMap<>();
   private final AtomicReference<Map<String, List<String[]>>> shown =
       new AtomicReference<>(Map.of());
-  private Deadlines.Deadline wake, falls, shows;
+  private Timers.Timer wake, falls, shows;
   private Timestamp dueAt, saidAt;
   private QuorumState standing = QuorumState.NONE;
   private FleetSnapshot snapshot = FleetSnapshot.NONE;
@@ -129,12 +129,12 @@
   /**
    * @param setup with membership on
    */
-  FleetNode(
+  FleetService(
       Settings setup,
       ServiceConfiguration configuration,
       byte[] document,
       FleetBridge bridge,
-      Clients clients,
+      ClientSessions clients,
       boolean masteredElsewhere,
       Clock clock,
       Counters counters) {
@@ -145,8 +145,8 @@
     this.masteredElsewhere = masteredElsewhere;
     this.clock = clock;
     this.counters = counters;
-    inbox = new Inbox(counters);
-    log = new BoundedLog(LOG, clock);
+    inbox = new EventLoopQueue(counters);
+    log = new RateLimitedLog(LOG, clock);
     Deployment own = configuration.deployment();
     TimeSpan longest =
         own.requestClasses().stream()
@@ -198,7 +198,11 @@
                 clock.now());
     ground =
         new FleetCoordinator(
-            membership, lease, agreed == null ? null : agreed.agreement(), sharing, new Does());
+            membership,
+            lease,
+            agreed == null ? null : agreed.agreement(),
+            sharing,
+            new EffectCarrier());
     holdings =
         !divides()
             ? null
@@ -239,9 +243,9 @@
     return spread != null && spread.byDemand();
   }
 
-  private Agreed agreed(
+  private AgreedConfiguration agreed(
       Settings.AgreementSettings with, Deployment own, byte[] document, SplittableRandom chance) {
-    Agreed a = new Agreed(with, membership, lease, own, counters, chance);
+    AgreedConfiguration a = new AgreedConfiguration(with, membership, lease, own, counters, chance);
     a.own(document);
     if (former != null) {
       a.knows(former.documents());
@@ -531,10 +535,10 @@
   }
 
   /** Does what is decided. */
-  private final class Does implements FleetCoordinator.EffectSink {
+  private final class EffectCarrier implements FleetCoordinator.EffectSink {
     @Override
     public void tell(InetSocketAddress to, PeerMessage message) {
-      tells.add(new Tell(to, message));
+      tells.add(new OutgoingMessage(to, message));
     }
 
     @Override
@@ -585,7 +589,7 @@
     }
   }
 
-  private void send(Tell tell) {
+  private void send(OutgoingMessage tell) {
     byte[] bytes = codec.write(tell.message);
     try {
       if (bytes == null) {
--- a/src/main/java/cobaltseam/service/BoundedLog.java
+++ b/src/main/java/cobaltseam/service/RateLimitedLog.java
@@ -6,7 +6,7 @@
 import java.lang.System.Logger.Level;
 
 /** Warnings about peers, a few a second: a peer could else have any number of lines written. */
-final class BoundedLog {
+final class RateLimitedLog {
   private static final TimeSpan SECOND = new TimeSpan(1_000_000);
   private static final int LINES = 5;
 
@@ -16,7 +16,7 @@
   private int lines;
   private long leftOut;
 
-  BoundedLog(Logger to, Clock clock) {
+  RateLimitedLog(Logger to, Clock clock) {
     this.to = to;
     this.clock = clock;
   }
--- a/src/main/java/cobaltseam/service/Commands.java
+++ b/src/main/java/cobaltseam/service/RequestTable.java
@@ -27,23 +27,23 @@
 import java.util.function.Supplier;
 
 /** The commands in hand: asks the module for each, and carries out what it says. */
-final class Commands implements Engines.Listener {
+final class RequestTable implements EngineConnections.Listener {
   /** Who waits for the final answer of a command. */
   interface ResponseHandle {
-    void answered(Result result);
+    void complete(Result result);
 
     void shed(TimeSpan comeBack);
 
-    void failed();
+    void fail();
 
     /**
      * Whether nobody waits any more, as far as the I/O thread has read; this may run ahead of
      * {@link #departed}.
      */
-    boolean hasLeft();
+    boolean hasClientLeft();
   }
 
-  private static final System.Logger LOG = System.getLogger(Commands.class.getName());
+  private static final System.Logger LOG = System.getLogger(RequestTable.class.getName());
   private static final int US_PER_MS = 1000;
   private static final int MOST_OPEN = 1 << 16;
 
@@ -54,25 +54,25 @@
   private static final TimeSpan AFTER_FAULT = new TimeSpan(100_000);
 
   /** One command: while it is open someone waits, and beyond that a send may be out. */
-  private static final class InHand {
+  private static final class InFlightRequest {
     long key;
     RequestId id;
     Statement statement;
     ResponseHandle responseHandle;
     int sends;
-    Send out;
+    Attempt out;
   }
 
   private final Dispatcher dispatcher;
-  private final Engines engines;
-  private final Deadlines deadlines;
+  private final EngineConnections engines;
+  private final Timers deadlines;
   private final Clock clock;
   private final Counters counters;
   private final Set<String> profiles = new HashSet<>();
   private final Set<String> shares = new HashSet<>();
-  private final Slots<InHand> slots = new Slots<>(MOST_OPEN);
-  private final Map<RequestId, InHand> byId = new HashMap<>();
-  private Deadlines.Deadline wake;
+  private final SlotTable<InFlightRequest> slots = new SlotTable<>(MOST_OPEN);
+  private final Map<RequestId, InFlightRequest> byId = new HashMap<>();
+  private Timers.Timer wake;
 
   /** Whether this dispatcher may send at this moment; by default always. */
   private BooleanSupplier maySend = () -> true;
@@ -86,11 +86,11 @@
   /** Whether the module was told something and not yet asked what follows. */
   private boolean news;
 
-  Commands(
+  RequestTable(
       Deployment deployment,
       long seed,
-      Engines engines,
-      Deadlines deadlines,
+      EngineConnections engines,
+      Timers deadlines,
       Clock clock,
       Counters counters) {
     dispatcher = new Dispatcher(deployment, seed);
@@ -169,7 +169,7 @@
    * Sends nothing more for a command: held, it is given up at once; out, its answer still counts.
    */
   void withdraw(long key) {
-    InHand c = slots.get(key);
+    InFlightRequest c = slots.get(key);
     if (c != null && c.responseHandle != null) {
       counters.add(Count.MASTERSHIP_COMMANDS_WITHDRAWN);
       TimeSpan left = dispatcher.withdraw(c.id, clock.now());
@@ -185,7 +185,7 @@
    * final answer.
    */
   void giveUp() {
-    for (InHand c : List.copyOf(byId.values())) {
+    for (InFlightRequest c : List.copyOf(byId.values())) {
       dispatcher.withdraw(c.id, clock.now());
       if (c.out != null) {
         engines.callOff(c.out);
@@ -199,7 +199,7 @@
     return byId.isEmpty();
   }
 
-  void listed(TopologyEvent event) {
+  void listed(WatchEvent event) {
     engines.listed(event);
     Timestamp now = clock.now();
     dispatcher.updateEndpoints(event.list(), event.whole(), now);
@@ -222,12 +222,12 @@
    * #start}.
    */
   long take(Statement s, ResponseHandle responseHandle) {
-    InHand c = new InHand();
+    InFlightRequest c = new InFlightRequest();
     c.id = new RequestId(s.call());
     c.statement = s;
     c.responseHandle = responseHandle;
     c.key = slots.take(c);
-    if (c.key != Slots.NONE) {
+    if (c.key != SlotTable.NONE) {
       counters.add(Count.COMMANDS_TAKEN);
       byId.put(c.id, c);
     }
@@ -239,7 +239,7 @@
    * at once.
    */
   void start(long key, Timestamp read) {
-    InHand c = slots.get(key);
+    InFlightRequest c = slots.get(key);
     Statement s = c.statement;
     Request command =
         new Request(
@@ -259,7 +259,7 @@
    * Asks the module where a command goes, unless its client has left: nothing is begun for one that
    * is gone.
    */
-  private void place(InHand c, Request command) {
+  private void place(InFlightRequest c, Request command) {
     if (isLeft(c)) {
       departed(c.key);
     } else {
@@ -269,7 +269,7 @@
 
   /** Nobody waits for this command any more. */
   void departed(long key) {
-    InHand c = slots.get(key);
+    InFlightRequest c = slots.get(key);
     if (c == null || c.responseHandle == null) {
       return;
     }
@@ -285,18 +285,18 @@
   }
 
   /** Whether its client has gone, though nothing was heard of that yet. */
-  private static boolean isLeft(InHand c) {
-    return c.responseHandle != null && c.responseHandle.hasLeft();
+  private static boolean isLeft(InFlightRequest c) {
+    return c.responseHandle != null && c.responseHandle.hasClientLeft();
   }
 
   @Override
-  public boolean isWanted(Send send) {
-    InHand c = byId.get(send.command);
+  public boolean isWanted(Attempt send) {
+    InFlightRequest c = byId.get(send.command);
     return c != null && c.out == send && c.responseHandle != null && !isLeft(c);
   }
 
   @Override
-  public void progressed(Send send, double share, Timestamp now) {
+  public void progressed(Attempt send, double share, Timestamp now) {
     if (share >= 0) {
       dispatcher.updateProgress(send.command, send.number, share, now);
       news = true;
@@ -304,19 +304,19 @@
   }
 
   @Override
-  public void spills(Send send, double missingMb) {
+  public void spills(Attempt send, double missingMb) {
     dispatcher.updateMemoryShortfall(send.command, send.number, missingMb);
   }
 
   @Override
-  public void blocked(Send send, Timestamp now) {
+  public void blocked(Attempt send, Timestamp now) {
     dispatcher.markBlocked(send.command, send.number, now);
     news = true;
   }
 
   @Override
-  public void ended(Send send, AttemptResult ending, Timestamp now) {
-    InHand c = byId.get(send.command);
+  public void ended(Attempt send, AttemptResult ending, Timestamp now) {
+    InFlightRequest c = byId.get(send.command);
     if (c == null || c.out != send) {
       return;
     }
@@ -345,12 +345,12 @@
     }
     if (answered != null) {
       counters.add(Count.COMMANDS_ANSWERED);
-      answered.answered(send.result);
+      answered.complete(send.result);
     }
     news = true;
   }
 
-  private void forget(InHand c) {
+  private void forget(InFlightRequest c) {
     byId.remove(c.id);
     slots.free(c.key);
   }
@@ -383,7 +383,7 @@
       if (counters.of(Count.FAULTS) > faults) {
         return AFTER_FAULT;
       }
-      InHand c = pause.request() == null ? null : byId.get(pause.request().id());
+      InFlightRequest c = pause.request() == null ? null : byId.get(pause.request().id());
       if (pause.cancelAttempt() >= 0
           && c != null
           && c.out != null
@@ -409,7 +409,7 @@
   }
 
   /** Asks the module for one command; a fault of its code fails this command and no other. */
-  private void carryOut(InHand c, Supplier<Placement> asked) {
+  private void carryOut(InFlightRequest c, Supplier<Placement> asked) {
     Placement p;
     capped();
     try {
@@ -440,13 +440,13 @@
         counters.add(Count.COMMANDS_FAILED);
         ResponseHandle responseHandle = c.responseHandle;
         forget(c);
-        responseHandle.failed();
+        responseHandle.fail();
       }
       default -> {}
     }
   }
 
-  private boolean isWithinCap(InHand c) {
+  private boolean isWithinCap(InFlightRequest c) {
     if (caps == null) {
       return true;
     }
@@ -461,7 +461,7 @@
    * One that was sent and is given up while nothing is left to be sent again may have been given up
    * for that.
    */
-  private void denied(InHand c) {
+  private void denied(InFlightRequest c) {
     if (caps != null && c.sends > 0 && caps.furtherLeft() < 1) {
       counters.add(Count.REPEATS_DENIED);
       caps.denied();
--- a/src/main/java/cobaltseam/service/ServiceConfiguration.java
+++ b/src/main/java/cobaltseam/service/ServiceConfiguration.java
@@ -1,8 +1,8 @@
 package cobaltseam.service;
 
-import cobaltseam.deployment.BadInput;
 import cobaltseam.deployment.DeploymentReader;
-import cobaltseam.deployment.Fields;
+import cobaltseam.deployment.InvalidInputException;
+import cobaltseam.deployment.JsonObjectReader;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.TimeSpan;
 import com.fasterxml.jackson.core.JsonFactory;
@@ -27,7 +27,7 @@
     int sockets,
     long memoryBytes,
     long knownOffset,
-    List<TopologyEvent> known,
+    List<WatchEvent> known,
     Deployment deployment,
     TimeSpan connectTimeout,
     TimeSpan connectionIdle,
@@ -43,15 +43,15 @@
   static ServiceConfiguration read(Map<String, String> environment) {
     String path = environment.get("GW_CONFIG");
     if (path == null || path.isEmpty()) {
-      throw new BadInput("GW_CONFIG names no configuration file");
+      throw new InvalidInputException("GW_CONFIG names no configuration file");
     }
-    Fields told;
+    JsonObjectReader told;
     try (JsonParser parser = new JsonFactory().createParser(new File(path))) {
-      told = Fields.of(parser);
+      told = JsonObjectReader.of(parser);
     } catch (JsonProcessingException e) {
-      throw new BadInput(path + " is not JSON: " + e.getOriginalMessage());
+      throw new InvalidInputException(path + " is not JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new BadInput(path + " can't be read: " + e.getMessage());
+      throw new InvalidInputException(path + " can't be read: " + e.getMessage());
     }
     ServiceConfiguration read = of(told);
     agree(environment, "GW_NAME", read.name);
@@ -61,24 +61,24 @@
 
   private static void agree(Map<String, String> environment, String variable, String value) {
     if (!value.equals(environment.getOrDefault(variable, value))) {
-      throw new BadInput(
+      throw new InvalidInputException(
           variable + " is " + environment.get(variable) + ", the configuration has " + value);
     }
   }
 
-  static ServiceConfiguration of(Fields told) {
-    Fields settings = told.object("settings");
-    Fields limits = settings.object("limits");
-    Fields known = told.object("known");
-    List<TopologyEvent> events = new ArrayList<>();
-    for (Fields event : known.objects("batch")) {
-      if (event.has(TopologyEvent.EVENT)) {
-        events.add(TopologyEvent.of(event));
+  static ServiceConfiguration of(JsonObjectReader told) {
+    JsonObjectReader settings = told.object("settings");
+    JsonObjectReader limits = settings.object("limits");
+    JsonObjectReader known = told.object("known");
+    List<WatchEvent> events = new ArrayList<>();
+    for (JsonObjectReader event : known.objects("batch")) {
+      if (event.has(WatchEvent.EVENT)) {
+        events.add(WatchEvent.of(event));
       }
     }
     String seed = told.text("seed");
     if (!seed.matches("[0-9a-fA-F]{1,16}")) {
-      throw new BadInput("'seed' is not 16 hex digits");
+      throw new InvalidInputException("'seed' is not 16 hex digits");
     }
     return new ServiceConfiguration(
         told.text("name"),
@@ -114,7 +114,7 @@
 
   /** The same deployment at other addresses. */
   ServiceConfiguration movedTo(
-      InetSocketAddress listensOn, InetSocketAddress busAt, List<TopologyEvent> engines) {
+      InetSocketAddress listensOn, InetSocketAddress busAt, List<WatchEvent> engines) {
     return new ServiceConfiguration(
         name,
         listensOn,
@@ -138,7 +138,7 @@
     if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:]+]")
         || !port.matches("[0-9]{1,5}")
         || Integer.parseInt(port) > LAST_PORT) {
-      throw new BadInput("'" + text + "' is not an address with a port");
+      throw new InvalidInputException("'" + text + "' is not an address with a port");
     }
     return new InetSocketAddress(host, Integer.parseInt(port));
   }
--- a/src/main/java/cobaltseam/service/Slots.java
+++ b/src/main/java/cobaltseam/service/SlotTable.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 
 /** A table of numbered slots. A key names one use of a slot, so that a late key finds nothing. */
-final class Slots<T> {
+final class SlotTable<T> {
   static final long NONE = -1;
   private static final int INDEX_BITS = 24;
 
@@ -15,7 +15,7 @@
   private final List<Integer> uses = new ArrayList<>();
   private final List<Integer> free = new ArrayList<>();
 
-  Slots(int most) {
+  SlotTable(int most) {
     this.most = Math.min(most, 1 << INDEX_BITS);
   }
 
--- a/src/main/java/cobaltseam/service/Sockets.java
+++ b/src/main/java/cobaltseam/service/SocketProcessor.java
@@ -18,7 +18,7 @@
  * It can also end the output of a connection that still reads, which Apache MINA alone does not
  * offer.
  */
-final class Sockets extends NioProcessor {
+final class SocketProcessor extends NioProcessor {
   private static final int AT_ONCE_MS = 1;
 
   private final Queue<Runnable> asked = new ConcurrentLinkedQueue<>();
@@ -29,7 +29,7 @@
   /** To be run when all that was read in this round is known; the I/O thread's own. */
   private List<Runnable> roundEnd = new ArrayList<>();
 
-  Sockets(Executor threads) {
+  SocketProcessor(Executor threads) {
     super(threads);
   }
 
--- a/src/main/java/cobaltseam/service/Deadlines.java
+++ b/src/main/java/cobaltseam/service/Timers.java
@@ -6,32 +6,32 @@
 import java.util.TreeSet;
 
 /** All deadlines of the service in one order: by their moment, then by when they were set. */
-final class Deadlines {
+final class Timers {
   /** One deadline, to be cancelled by who set it. */
-  static final class Deadline {
+  static final class Timer {
     private final Timestamp at;
     private final long number;
     private final Runnable due;
 
-    private Deadline(Timestamp at, long number, Runnable due) {
+    private Timer(Timestamp at, long number, Runnable due) {
       this.at = at;
       this.number = number;
       this.due = due;
     }
   }
 
-  private final TreeSet<Deadline> set =
-      new TreeSet<>(Comparator.comparing((Deadline d) -> d.at).thenComparingLong(d -> d.number));
+  private final TreeSet<Timer> set =
+      new TreeSet<>(Comparator.comparing((Timer d) -> d.at).thenComparingLong(d -> d.number));
   private long numbers;
 
-  Deadline set(Timestamp at, Runnable due) {
-    Deadline deadline = new Deadline(at, numbers++, due);
+  Timer set(Timestamp at, Runnable due) {
+    Timer deadline = new Timer(at, numbers++, due);
     set.add(deadline);
     return deadline;
   }
 
   /** Takes a deadline back; null and what is past are passed over. */
-  void cancel(Deadline deadline) {
+  void cancel(Timer deadline) {
     if (deadline != null) {
       set.remove(deadline);
     }
--- a/src/main/java/cobaltseam/service/Hall.java
+++ b/src/main/java/cobaltseam/service/VirtualAddressService.java
@@ -49,11 +49,11 @@
  * Mastership}, and makes the service follow what that says. Listeners are opened and closed on a
  * thread of their own, since that may wait.
  */
-final class Hall implements Clients.Gate {
+final class VirtualAddressService implements ClientSessions.AdmissionGate {
   /** What fitness is judged by, beside what is measured here. */
-  record Report(TimeSpan busSilent, int engines, double failing, double descriptors) {}
+  record HealthReport(TimeSpan busSilent, int engines, double failing, double descriptors) {}
 
-  private static final System.Logger LOG = System.getLogger(Hall.class.getName());
+  private static final System.Logger LOG = System.getLogger(VirtualAddressService.class.getName());
   private static final TimeSpan BEAT = new TimeSpan(100_000);
   private static final double SECOND_US = 1e6;
   private static final int US_PER_CENTISECOND = 10_000;
@@ -79,15 +79,15 @@
     Timestamp wantedSince;
   }
 
-  private final Supplier<Report> report;
-  private final Commands commands;
-  private final Clients clients;
+  private final Supplier<HealthReport> report;
+  private final RequestTable commands;
+  private final ClientSessions clients;
   private final BoundedAcceptor acceptor;
-  private final Inbox inbox;
+  private final EventLoopQueue inbox;
   private final Clock clock;
-  private final Deadlines deadlines;
+  private final Timers deadlines;
   private final Counters counters;
-  private final BoundedLog log;
+  private final RateLimitedLog log;
   private final InetAddress self;
   private final int dispatchersTold;
   private final ReplayGuard freshness;
@@ -95,27 +95,28 @@
   private final AdvertFilter intake;
   private final HealthScore fitness;
   private final AdvertDatagramSocket socket;
-  private final ExecutorService listening = Executors.newSingleThreadExecutor(Hall::thread);
+  private final ExecutorService listening =
+      Executors.newSingleThreadExecutor(VirtualAddressService::thread);
   private final Map<VirtualRouterId, Listener> listeners = new HashMap<>();
   private final Map<SocketAddress, VirtualRouterId> routers = new HashMap<>();
   private final Map<VirtualRouterId, Timestamp> noted = new HashMap<>();
   private Settings.VirtualAddressSettings told;
-  private Deadlines.Deadline wake;
+  private Timers.Timer wake;
   private Timestamp beat;
   private long sequence;
   private double sharedOver;
   private boolean broken;
 
-  Hall(
+  VirtualAddressService(
       Settings.VirtualAddressSettings told,
       ServiceConfiguration configuration,
-      Supplier<Report> report,
-      Commands commands,
-      Clients clients,
+      Supplier<HealthReport> report,
+      RequestTable commands,
+      ClientSessions clients,
       BoundedAcceptor acceptor,
-      Inbox inbox,
+      EventLoopQueue inbox,
       Clock clock,
-      Deadlines deadlines,
+      Timers deadlines,
       Counters counters) {
     this.told = told;
     this.report = report;
@@ -126,7 +127,7 @@
     this.clock = clock;
     this.deadlines = deadlines;
     this.counters = counters;
-    log = new BoundedLog(LOG, clock);
+    log = new RateLimitedLog(LOG, clock);
     self = told.listen().getAddress();
     dispatchersTold = configuration.deployment().dispatcherCount();
     sharedOver = dispatchersTold;
@@ -336,7 +337,7 @@
   }
 
   private Map<HealthSignal, Double> signs(TimeSpan late) {
-    Report seen = report.get();
+    HealthReport seen = report.get();
     Map<HealthSignal, Double> values = new EnumMap<>(HealthSignal.class);
     values.put(HealthSignal.BUS_SILENT, seen.busSilent().us() / SECOND_US);
     values.put(HealthSignal.NO_ENGINE, seen.engines() == 0 ? 1.0 : 0.0);
--- a/src/main/java/cobaltseam/service/Warmup.java
+++ b/src/main/java/cobaltseam/service/Warmup.java
@@ -1,6 +1,6 @@
 package cobaltseam.service;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.EndpointStatus;
 import cobaltseam.dispatch.EngineId;
@@ -45,13 +45,13 @@
   private final ServerSocket engine = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
   private final ServerSocket bus = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
   private final List<Deployment.RequestClass> profiles;
-  private final Service service;
+  private final DispatcherService service;
 
   private Warmup(ServiceConfiguration told) throws IOException {
     profiles = told.deployment().requestClasses();
     InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     service =
-        new Service(
+        new DispatcherService(
             told.movedTo(free, address(bus), told.known().stream().map(this::played).toList()));
   }
 
@@ -70,7 +70,7 @@
         warmup.engine.close();
         warmup.bus.close();
       }
-    } catch (IOException | BadInput e) {
+    } catch (IOException | InvalidInputException e) {
       LOG.log(
           Level.WARNING,
           "no warm-up, the first answers take longer: {0}",
@@ -85,12 +85,12 @@
   }
 
   /** The list as told, but each engine is the toy. */
-  private TopologyEvent played(TopologyEvent told) {
+  private WatchEvent played(WatchEvent told) {
     Map<EngineId, InetSocketAddress> addresses = new HashMap<>();
     for (EndpointStatus line : told.list()) {
       addresses.put(line.engine(), address(engine));
     }
-    return new TopologyEvent(told.offset(), told.whole(), told.list(), addresses);
+    return new WatchEvent(told.offset(), told.whole(), told.list(), addresses);
   }
 
   private void play() throws IOException, InterruptedException {
