--- a/src/main/java/cobaltseam/service/TopologyEvent.java
+++ b/src/main/java/cobaltseam/service/WatchEvent.java
@@ -1,7 +1,7 @@
 package cobaltseam.service;
 
-import cobaltseam.deployment.BadInput;
-import cobaltseam.deployment.Fields;
+import cobaltseam.deployment.InvalidInputException;
+import cobaltseam.deployment.JsonObjectReader;
 import cobaltseam.dispatch.EndpointStatus;
 import cobaltseam.dispatch.EngineId;
 import cobaltseam.dispatch.GroupId;
@@ -19,7 +19,7 @@
  * One event of the bus: what has changed in the list of engines, or the whole list, and their
  * addresses.
  */
-record TopologyEvent(
+record WatchEvent(
     long offset,
     boolean whole,
     List<EndpointStatus> list,
@@ -36,11 +36,11 @@
   private static final long FNV_BASIS = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
 
-  static TopologyEvent of(Fields event) {
-    Fields told = event.object(EVENT);
+  static WatchEvent of(JsonObjectReader event) {
+    JsonObjectReader told = event.object(EVENT);
     List<EndpointStatus> list = new ArrayList<>();
     Map<EngineId, InetSocketAddress> addresses = new HashMap<>();
-    for (Fields target : told.objects("targets")) {
+    for (JsonObjectReader target : told.objects("targets")) {
       EngineId engine = engine(target.text("uid"));
       list.add(
           new EndpointStatus(
@@ -54,7 +54,7 @@
         addresses.put(engine, ServiceConfiguration.address(target.text("endpoint")));
       }
     }
-    return new TopologyEvent(event.whole(OFFSET, 0), told.flag(WHOLE), list, addresses);
+    return new WatchEvent(event.whole(OFFSET, 0), told.flag(WHOLE), list, addresses);
   }
 
   private static EndpointStatus.EndpointState standing(String state) {
@@ -62,7 +62,7 @@
       case "in_service" -> EndpointStatus.EndpointState.UP;
       case "terminating" -> EndpointStatus.EndpointState.DRAINING;
       case "terminated" -> EndpointStatus.EndpointState.GONE;
-      default -> throw new BadInput("targets: unknown 'state' " + state);
+      default -> throw new InvalidInputException("targets: unknown 'state' " + state);
     };
   }
 
--- a/src/main/java/cobaltseam/settings/SettingsReader.java
+++ b/src/main/java/cobaltseam/settings/SettingsReader.java
@@ -1,7 +1,7 @@
 package cobaltseam.settings;
 
 import cobaltseam.authentication.KeyRing;
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.mastership.HealthScore;
 import cobaltseam.mastership.HealthScore.HealthSignal;
@@ -62,7 +62,7 @@
   /**
    * What a file sets.
    *
-   * @throws BadInput with everything that is wrong with it, a line each
+   * @throws InvalidInputException with everything that is wrong with it, a line each
    */
   public static Settings read(Path file) {
     return new SettingsReader(file).read();
@@ -72,17 +72,17 @@
     JsonNode told;
     try {
       if (Files.size(file) > LARGEST) {
-        throw new BadInput(file + ": it is longer than " + LARGEST + " bytes");
+        throw new InvalidInputException(file + ": it is longer than " + LARGEST + " bytes");
       }
       told = new TomlMapper().readTree(Files.readString(file));
     } catch (JacksonException e) {
-      throw new BadInput(
+      throw new InvalidInputException(
           file
               + ": it is not TOML: "
               + e.getOriginalMessage()
               + (e.getLocation() == null ? "" : ", line " + e.getLocation().getLineNr()));
     } catch (IOException e) {
-      throw new BadInput(file + ": it can't be read: " + e.getMessage());
+      throw new InvalidInputException(file + ": it can't be read: " + e.getMessage());
     }
     Schema checks =
         SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(schema);
@@ -107,7 +107,7 @@
 
   private void end() {
     if (!wrong.isEmpty()) {
-      throw new BadInput(String.join("\n", wrong));
+      throw new InvalidInputException(String.join("\n", wrong));
     }
   }
 
--- a/src/test/java/cobaltseam/adapter/AdapterTest.java
+++ b/src/test/java/cobaltseam/adapter/AdapterTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -32,7 +32,7 @@
   private static List<String> run(String... batches) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] in = (String.join("\n", batches) + "\n").getBytes(StandardCharsets.UTF_8);
-    new Adapter().run(new ByteArrayInputStream(in), out);
+    new SimulatorAdapter().run(new ByteArrayInputStream(in), out);
     return out.toString(StandardCharsets.UTF_8).lines().toList();
   }
 
@@ -105,7 +105,7 @@
           {batch(1, BORN + ",{\"accept\":{\"kind\":\"look\"}}"), "'op_id' is missing"},
           {batch(1, BORN.replace("read_like", "maybe")), "unknown 'repeat' maybe"}
         }) {
-      String said = assertThrows(BadInput.class, () -> run(bad[0])).getMessage();
+      String said = assertThrows(InvalidInputException.class, () -> run(bad[0])).getMessage();
       assertTrue(said.contains(bad[1]), said);
     }
   }
--- a/src/test/java/cobaltseam/agreement/CautionTest.java
+++ b/src/test/java/cobaltseam/agreement/CautionTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.deployment.DeploymentReader;
-import cobaltseam.deployment.Fields;
+import cobaltseam.deployment.JsonObjectReader;
 import cobaltseam.dispatch.Deployment;
 import com.fasterxml.jackson.core.JsonFactory;
 import java.io.IOException;
@@ -31,7 +31,7 @@
     assertTrue(TEXT.contains(from), from);
     try {
       return DeploymentReader.read(
-          Fields.of(new JsonFactory().createParser(TEXT.replace(from, to))));
+          JsonObjectReader.of(new JsonFactory().createParser(TEXT.replace(from, to))));
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
--- a/src/test/java/cobaltseam/cli/CobaltseamTest.java
+++ b/src/test/java/cobaltseam/cli/CobaltseamTest.java
@@ -39,7 +39,7 @@
     System.setErr(new PrintStream(wrong, true, StandardCharsets.UTF_8));
     try {
       return new Ran(
-          Cobaltseam.run(args),
+          CobaltseamCommand.run(args),
           said.toString(StandardCharsets.UTF_8).strip(),
           wrong.toString(StandardCharsets.UTF_8));
     } finally {
--- a/src/test/java/cobaltseam/deployment/DeploymentReaderTest.java
+++ b/src/test/java/cobaltseam/deployment/DeploymentReaderTest.java
@@ -35,7 +35,7 @@
             + rules
             + "}}";
     try (JsonParser parser = new JsonFactory().createParser(json)) {
-      return DeploymentReader.read(Fields.of(parser));
+      return DeploymentReader.read(JsonObjectReader.of(parser));
     } catch (IOException e) {
       throw new AssertionError(e);
     }
@@ -68,13 +68,14 @@
 
   @Test
   void figuresThatCantBeKeptAreRefused() {
-    assertThrows(BadInput.class, () -> read(", \"runs_on\": [\"std-a\"]", "", "", ""));
+    assertThrows(InvalidInputException.class, () -> read(", \"runs_on\": [\"std-a\"]", "", "", ""));
     assertThrows(
-        BadInput.class,
+        InvalidInputException.class,
         () -> read("", ", \"repeat_ratio\": -1, \"counted_over_us\": 10000000", "", ""));
-    assertThrows(BadInput.class, () -> read("", ", \"counted_over_us\": 0", "", ""));
-    assertThrows(BadInput.class, () -> read("", "", ", \"most_tries\": 0", ""));
-    assertThrows(BadInput.class, () -> read("", "", "", ", \"out_of_memory\": \"swap\""));
+    assertThrows(InvalidInputException.class, () -> read("", ", \"counted_over_us\": 0", "", ""));
+    assertThrows(InvalidInputException.class, () -> read("", "", ", \"most_tries\": 0", ""));
+    assertThrows(
+        InvalidInputException.class, () -> read("", "", "", ", \"out_of_memory\": \"swap\""));
     assertDoesNotThrow(() -> read("", "", "", ", \"out_of_memory\": \"page\""));
   }
 }
--- a/src/test/java/cobaltseam/emulator/ExperimentTest.java
+++ b/src/test/java/cobaltseam/emulator/ExperimentTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -45,7 +45,7 @@
     Experiment.Plan plan = Experiment.read(Files.writeString(folder.resolve("plan.toml"), PLAN));
     String first = play(plan);
     assertTrue(first.contains("0 runs are kept, 12 are due"), first);
-    List<Outcomes.Row> whole = Outcomes.read(folder.resolve("out/results.arrow"));
+    List<ResultsFile.RunResult> whole = ResultsFile.read(folder.resolve("out/results.arrow"));
     assertEquals(12, whole.size());
     // Killed within a line: that run is played again, the others are not, and all comes out the
     // same.
@@ -54,10 +54,10 @@
     Files.writeString(kept, text.substring(0, text.length() - 40));
     String again = play(plan);
     assertTrue(again.contains("11 runs are kept, 1 are due"), again);
-    List<Outcomes.Row> anew = Outcomes.read(folder.resolve("out/results.arrow"));
+    List<ResultsFile.RunResult> anew = ResultsFile.read(folder.resolve("out/results.arrow"));
     assertEquals(
-        whole.stream().map(Outcomes.Row::hash).toList(),
-        anew.stream().map(Outcomes.Row::hash).toList());
+        whole.stream().map(ResultsFile.RunResult::hash).toList(),
+        anew.stream().map(ResultsFile.RunResult::hash).toList());
     assertTrue(Files.readString(folder.resolve("out/goodput.svg")).contains("<svg"));
     assertTrue(
         Files.readString(folder.resolve("out/results.md")).contains("| hall | 0.6 | random | 3 |"));
@@ -78,7 +78,7 @@
             PLAN + "more = 1\n",
             "name =")) {
       Path file = Files.writeString(folder.resolve("bad.toml"), bad);
-      assertThrows(BadInput.class, () -> Experiment.read(file), bad);
+      assertThrows(InvalidInputException.class, () -> Experiment.read(file), bad);
     }
   }
 
@@ -104,7 +104,7 @@
 
   @Test
   void aScriptShrinksToWhatMatters() {
-    World world = Worlds.named("hall");
+    EmulatedSite world = EmulatedSites.named("hall");
     List<Fault> faults = new ArrayList<>(Fault.drawn(world, 60, 15, 3));
     faults.add(7, new Fault(Fault.Kind.PARTITION, 10, 16, List.of(1, 4, 6, 8), 1, 2));
     // It fails where engine 6 is cut off from dispatcher 2 for at least three seconds.
@@ -127,13 +127,13 @@
 
   @Test
   void scriptsAreReadAsTheyAreWritten() throws IOException {
-    World world = Worlds.named("hall");
+    EmulatedSite world = EmulatedSites.named("hall");
     List<Fault> faults = Fault.drawn(world, 60, 20, 9);
-    Path file = Files.writeString(folder.resolve("faults.toml"), Script.write(faults));
-    assertEquals(faults, Script.read(file, world));
+    Path file = Files.writeString(folder.resolve("faults.toml"), FaultScript.write(faults));
+    assertEquals(faults, FaultScript.read(file, world));
     Files.writeString(
         file,
         "[[faults]]\nkind = \"slow\"\natS = 1\nlengthS = 1\nengines = [99]\nsize = 2\nwho = 0\n");
-    assertThrows(BadInput.class, () -> Script.read(file, world));
+    assertThrows(InvalidInputException.class, () -> FaultScript.read(file, world));
   }
 }
--- a/src/test/java/cobaltseam/emulator/RefereeTest.java
+++ b/src/test/java/cobaltseam/emulator/RefereeTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import cobaltseam.dispatch.AttemptOutcome;
 import cobaltseam.dispatch.Dispatcher;
 import cobaltseam.dispatch.EndpointStatus;
@@ -17,7 +17,7 @@
 import cobaltseam.dispatch.RequestId;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.emulator.Referee.Rule;
+import cobaltseam.emulator.InvariantChecker.Rule;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -77,11 +77,12 @@
     Policy of(Policy module);
   }
 
-  private static World hall() {
-    return Worlds.named("hall");
+  private static EmulatedSite hall() {
+    return EmulatedSites.named("hall");
   }
 
-  private static Referee play(World world, List<Fault> faults, Mutation mutation, long seed) {
+  private static InvariantChecker play(
+      EmulatedSite world, List<Fault> faults, Mutation mutation, long seed) {
     Simulation s =
         new Simulation(
             world,
@@ -93,8 +94,8 @@
     return s.referee();
   }
 
-  private static World with(World w, World.Limits limits) {
-    return new World(
+  private static EmulatedSite with(EmulatedSite w, EmulatedSite.Limits limits) {
+    return new EmulatedSite(
         w.name(),
         w.engines(),
         w.dispatchers(),
@@ -106,11 +107,11 @@
         limits);
   }
 
-  private static World budgeted() {
-    World.Limits l = hall().limits();
+  private static EmulatedSite budgeted() {
+    EmulatedSite.Limits l = hall().limits();
     return with(
         hall(),
-        new World.Limits(
+        new EmulatedSite.Limits(
             l.mostSends(),
             l.cancels(),
             l.progressMs(),
@@ -127,8 +128,8 @@
   @Test
   void theModuleKeepsTheRulesUnderDrawnFaults() {
     for (long seed = 1; seed <= 12; seed++) {
-      World world = seed % 3 == 0 ? budgeted() : hall();
-      Referee referee = play(world, Fault.drawn(world, SECONDS, 8, seed), m -> m, seed);
+      EmulatedSite world = seed % 3 == 0 ? budgeted() : hall();
+      InvariantChecker referee = play(world, Fault.drawn(world, SECONDS, 8, seed), m -> m, seed);
       assertEquals(0, referee.all(), "seed " + seed + ": " + referee.broken());
     }
   }
@@ -136,11 +137,14 @@
   @Test
   void theSameSeedDecidesTheSameAndAnotherDoesNot() {
     List<Fault> faults = Fault.drawn(hall(), SECONDS, 8, 5);
-    long one = new Simulation(hall(), Emulate.policies("module"), faults, SECONDS, 5).run().hash();
+    long one =
+        new Simulation(hall(), EmulateCommand.policies("module"), faults, SECONDS, 5).run().hash();
     assertEquals(
-        one, new Simulation(hall(), Emulate.policies("module"), faults, SECONDS, 5).run().hash());
+        one,
+        new Simulation(hall(), EmulateCommand.policies("module"), faults, SECONDS, 5).run().hash());
     assertNotEquals(
-        one, new Simulation(hall(), Emulate.policies("module"), faults, SECONDS, 6).run().hash());
+        one,
+        new Simulation(hall(), EmulateCommand.policies("module"), faults, SECONDS, 6).run().hash());
     assertEquals(faults, Fault.drawn(hall(), SECONDS, 8, 5));
   }
 
@@ -159,7 +163,7 @@
   @Test
   void aDrainIgnoredIsSeen() {
     List<Fault> faults = List.of(new Fault(Fault.Kind.DRAIN, 3, 10, List.of(0, 1, 2), 1, 0));
-    Referee referee =
+    InvariantChecker referee =
         play(
             hall(),
             faults,
@@ -190,7 +194,7 @@
   /** It is asked again for a command that is out, and sends it once more. */
   @Test
   void aSecondSendWithOneOutIsSeen() {
-    Referee referee =
+    InvariantChecker referee =
         play(
             hall(),
             List.of(),
@@ -221,7 +225,7 @@
 
   @Test
   void commandsForgottenAreSeen() {
-    Referee referee =
+    InvariantChecker referee =
         play(
             hall(),
             Fault.drawn(hall(), SECONDS, 8, 1),
@@ -306,14 +310,14 @@
               }
             };
     assertTrue(play(hall(), List.of(), hasty, 2).count(Rule.ORDER) > 0);
-    World.Profile first = hall().profiles().get(0);
-    World placed =
-        new World(
+    EmulatedSite.Profile first = hall().profiles().get(0);
+    EmulatedSite placed =
+        new EmulatedSite(
             "placed",
             hall().engines(),
             hall().dispatchers(),
             List.of(
-                new World.Profile(
+                new EmulatedSite.Profile(
                     first.name(),
                     1,
                     first.threads(),
@@ -350,7 +354,7 @@
               }
             };
     assertTrue(play(placed, List.of(), anywhere, 2).count(Rule.PLACEMENT) > 0);
-    World unbudgeted = hall();
+    EmulatedSite unbudgeted = hall();
     Mutation spends = m -> Policy.module(new Dispatcher(unbudgeted.deployment(0), 3));
     assertTrue(play(budgeted(), failing, spends, 2).count(Rule.BUDGET) > 0);
   }
@@ -358,11 +362,11 @@
   @Test
   void coldEnginesThatAreFloodedAreSeen() {
     List<Fault> faults = List.of(new Fault(Fault.Kind.DIE, 3, 2, List.of(0, 1, 2, 3), 1, 0));
-    World.Limits l = hall().limits();
-    World strict =
+    EmulatedSite.Limits l = hall().limits();
+    EmulatedSite strict =
         with(
             hall(),
-            new World.Limits(
+            new EmulatedSite.Limits(
                 l.mostSends(),
                 l.cancels(),
                 l.progressMs(),
@@ -374,14 +378,17 @@
                 null,
                 null,
                 0));
-    Simulation s = new Simulation(strict, Emulate.policies("least-in-hand"), faults, SECONDS, 3);
+    Simulation s =
+        new Simulation(strict, EmulateCommand.policies("least-in-hand"), faults, SECONDS, 3);
     s.run();
     assertTrue(s.referee().count(Rule.COLD) > 0);
   }
 
   @Test
   void worldsOutOfBoundsAreRefused() {
-    Assertions.assertThrows(BadInput.class, () -> Worlds.named("no such world"));
-    Assertions.assertThrows(BadInput.class, () -> Worlds.read("x", "name = 1\nnonsense = 2"));
+    Assertions.assertThrows(
+        InvalidInputException.class, () -> EmulatedSites.named("no such world"));
+    Assertions.assertThrows(
+        InvalidInputException.class, () -> EmulatedSites.read("x", "name = 1\nnonsense = 2"));
   }
 }
--- a/src/test/java/cobaltseam/emulator/TheoryTest.java
+++ b/src/test/java/cobaltseam/emulator/TheoryTest.java
@@ -21,13 +21,13 @@
    * One engine of some cores, one dispatcher that sends at once, no network, and commands on one
    * thread.
    */
-  private static World world(double cores, double cv, double perSecond, int sessions) {
-    return new World(
+  private static EmulatedSite world(double cores, double cv, double perSecond, int sessions) {
+    return new EmulatedSite(
         "theory",
-        new World.Engines(1, cores, 0, 1000, 0, sessions, 1, 0, 0, 0, 0, 0, 1, 1, 0),
+        new EmulatedSite.Engines(1, cores, 0, 1000, 0, sessions, 1, 0, 0, 0, 0, 0, 1, 1, 0),
         1,
         List.of(
-            new World.Profile(
+            new EmulatedSite.Profile(
                 "only",
                 1,
                 1,
@@ -47,10 +47,10 @@
                 1,
                 null)),
         List.of(),
-        new World.Load(perSecond, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, null),
-        new World.Net(0, 0, 0),
-        new World.Roster(0, 0),
-        new World.Limits(1, false, 0, 0, 1000, 1, 0, 0, null, null, 0));
+        new EmulatedSite.Load(perSecond, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, null),
+        new EmulatedSite.Network(0, 0, 0),
+        new EmulatedSite.Discovery(0, 0),
+        new EmulatedSite.Limits(1, false, 0, 0, 1000, 1, 0, 0, null, null, 0));
   }
 
   /**
@@ -58,11 +58,13 @@
    * freedom).
    */
   private static double[] interval(
-      World world, double seconds, java.util.function.ToDoubleFunction<Simulation.Result> figure) {
+      EmulatedSite world,
+      double seconds,
+      java.util.function.ToDoubleFunction<Simulation.Result> figure) {
     List<Double> values = new ArrayList<>();
     for (int seed = 0; seed < SEEDS; seed++) {
       Simulation.Result r =
-          new Simulation(world, Emulate.policies("random"), List.of(), seconds, seed).run();
+          new Simulation(world, EmulateCommand.policies("random"), List.of(), seconds, seed).run();
       assertEquals(0, r.brokenRules(), r.broken().toString());
       values.add(figure.applyAsDouble(r));
     }
--- a/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
@@ -8,7 +8,7 @@
 import cobaltseam.agreement.ActiveConfiguration;
 import cobaltseam.agreement.ActiveConfiguration.Mode;
 import cobaltseam.agreement.ConfigurationAgreement;
-import cobaltseam.fleet.Trouble.Kind;
+import cobaltseam.fleet.Fault.Kind;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Set;
@@ -19,11 +19,11 @@
  */
 class AgreementFleetTest {
   private static final double FORMED = 30;
-  private static final double T = AgreeHunt.TERMS.contradiction().us() / 1e6;
+  private static final double T = AgreementHunt.TERMS.contradiction().us() / 1e6;
 
-  private static VirtualFleet fleet(int processes, long seed, Trouble... troubles) {
+  private static VirtualFleet fleet(int processes, long seed, Fault... troubles) {
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(processes), List.of(troubles), seed);
-    fleet.agrees(AgreeHunt.TERMS, AgreeHunt.CLOCKS);
+    fleet.agrees(AgreementHunt.TERMS, AgreementHunt.CLOCKS);
     fleet.run(FORMED - 0.01);
     for (int i = 0; i < processes; i++) {
       assertEquals(Mode.PLAIN, fleet.acting(i).mode(), "formed, all act on a first edition");
@@ -31,8 +31,8 @@
     return fleet;
   }
 
-  private static Trouble trouble(Kind kind, double length, Integer... who) {
-    return new Trouble(kind, FORMED, length, List.of(who), List.of(), 1);
+  private static Fault trouble(Kind kind, double length, Integer... who) {
+    return new Fault(kind, FORMED, length, List.of(who), List.of(), 1);
   }
 
   private static byte[] text(String text) {
@@ -47,9 +47,10 @@
   }
 
   private static void kept(VirtualFleet fleet) {
-    Acted.Contradiction longest = Acted.longest(fleet.acted(), Set.of(), fleet.now());
+    ActivationRecord.Contradiction longest =
+        ActivationRecord.longest(fleet.acted(), Set.of(), fleet.now());
     assertTrue(longest.seconds() <= T, longest.toString());
-    assertEquals(List.of(), Acted.twoUnderOneNumber(fleet.acted()));
+    assertEquals(List.of(), ActivationRecord.twoUnderOneNumber(fleet.acted()));
   }
 
   @Test
@@ -113,7 +114,7 @@
   void theProposerIsKilledAtEachStep() {
     for (int ms = 0; ms < 30; ms++) {
       VirtualFleet fleet =
-          fleet(5, ms, new Trouble(Kind.KILL, FORMED + ms / 1000.0, 5, List.of(4), List.of(), 1));
+          fleet(5, ms, new Fault(Kind.KILL, FORMED + ms / 1000.0, 5, List.of(4), List.of(), 1));
       fleet.propose(4, text("rule a"), -1);
       fleet.run(FORMED + 30);
       assertNull(fleet.propose(0, text("rule b"), -1), "killed after " + ms + " ms");
@@ -129,19 +130,19 @@
   void aChosenDocumentOutlivesThoseThatProposedIt() {
     // Before votes hung on the document, its proposer and another that had it ended, and the rest
     // held an edition of nothing.
-    Fleet.Common common = new Fleet.Common();
+    FleetCommand.Common common = new FleetCommand.Common();
     common.seconds = 60;
-    assertEquals(List.of(), AgreeHunt.one(common, 3, 1012).broken());
+    assertEquals(List.of(), AgreementHunt.one(common, 3, 1012).broken());
   }
 
   @Test
   void aLeaseThatEndsWhileSomethingElseWaitsIsSeenAtOnce() {
     // Cut off with a successor accepted, its lease could not be asked for again, and its end was
     // passed over by up to an eighth of it.
-    Fleet.Common common = new Fleet.Common();
+    FleetCommand.Common common = new FleetCommand.Common();
     common.seconds = 60;
     common.folders = true;
-    assertEquals(0, AgreeHunt.one(common, 3, 5944).longest().seconds());
+    assertEquals(0, AgreementHunt.one(common, 3, 5944).longest().seconds());
   }
 
   @Test
@@ -149,10 +150,10 @@
     for (long seed = 1; seed <= 60; seed++) {
       for (boolean folders : new boolean[] {false, true}) {
         VirtualFleet.Plan plan = VirtualFleet.Plan.of(folders ? 4 : 7);
-        AgreeHunt.Verdict v =
-            AgreeHunt.play(
+        AgreementHunt.Verdict v =
+            AgreementHunt.play(
                 folders ? plan.withFolders() : plan,
-                Trouble.drawn(plan.processes(), 60, 4, seed),
+                Fault.drawn(plan.processes(), 60, 4, seed),
                 60,
                 3,
                 seed);
@@ -166,10 +167,11 @@
     // Mutants of the rule: clocks at half and at one and a half the rate under a bound of 0.1%, and
     // a wait of no length.
     ConfigurationAgreement.AgreementOptions noWait =
-        new ConfigurationAgreement.AgreementOptions(AgreeHunt.TERMS.contradiction(), -0.5, 1 << 20);
-    assertTrue(longest(AgreeHunt.TERMS, 1) > 0, "clocks");
+        new ConfigurationAgreement.AgreementOptions(
+            AgreementHunt.TERMS.contradiction(), -0.5, 1 << 20);
+    assertTrue(longest(AgreementHunt.TERMS, 1) > 0, "clocks");
     assertTrue(longest(noWait, 0) > 0, "no wait");
-    assertEquals(0, longest(AgreeHunt.TERMS, AgreeHunt.CLOCKS));
+    assertEquals(0, longest(AgreementHunt.TERMS, AgreementHunt.CLOCKS));
   }
 
   /** Members cut off at many moments around a proposal: the longest contradiction of all. */
@@ -182,7 +184,9 @@
       fleet.run(FORMED + 0.01);
       fleet.propose(0, text("rule a"), -1);
       fleet.run(FORMED + 20);
-      longest = Math.max(longest, Acted.longest(fleet.acted(), Set.of(), fleet.now()).seconds());
+      longest =
+          Math.max(
+              longest, ActivationRecord.longest(fleet.acted(), Set.of(), fleet.now()).seconds());
     }
     return longest;
   }
--- a/src/test/java/cobaltseam/fleet/CheckerTest.java
+++ b/src/test/java/cobaltseam/fleet/CheckerTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.fleet.Checker.Live;
+import cobaltseam.fleet.InvariantChecker.Live;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -13,11 +13,11 @@
 class CheckerTest {
   private static final Set<Live> LIVE = Set.of(new Live(0, "a", 1), new Live(1, "b", 2));
 
-  private static Happening held(int process, long birth, String view, String... members) {
-    return new Happening(1, process, birth, view, List.of(members));
+  private static RecordedEvent held(int process, long birth, String view, String... members) {
+    return new RecordedEvent(1, process, birth, view, List.of(members));
   }
 
-  private static List<Happening> sound() {
+  private static List<RecordedEvent> sound() {
     return new ArrayList<>(
         List.of(
             held(0, 1, "7/1", "a#1"),
@@ -25,16 +25,16 @@
             held(1, 2, "7/2", "a#1", "b#2")));
   }
 
-  private static void finds(String what, Happening more) {
-    List<Happening> happenings = sound();
+  private static void finds(String what, RecordedEvent more) {
+    List<RecordedEvent> happenings = sound();
     happenings.add(more);
-    List<String> broken = Checker.check(happenings, LIVE, true);
+    List<String> broken = InvariantChecker.check(happenings, LIVE, true);
     assertTrue(broken.stream().anyMatch(b -> b.startsWith(what)), what + " in " + broken);
   }
 
   @Test
   void aSoundHistoryIsSound() {
-    assertEquals(List.of(), Checker.check(sound(), LIVE, true));
+    assertEquals(List.of(), InvariantChecker.check(sound(), LIVE, true));
   }
 
   @Test
@@ -52,7 +52,7 @@
   @Test
   void oneWhoNeverSaidAnythingIsNotTakenIn() {
     List<String> broken =
-        Checker.check(
+        InvariantChecker.check(
             sound(), Set.of(new Live(0, "a", 1), new Live(1, "b", 2), new Live(2, "c", 9)), true);
     assertTrue(broken.stream().anyMatch(b -> b.startsWith("not taken in")), broken.toString());
   }
--- a/src/test/java/cobaltseam/fleet/RealFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/RealFleetTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.fleet.Trouble.Kind;
+import cobaltseam.fleet.Fault.Kind;
 import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.Member;
 import cobaltseam.membership.MemberCondition;
@@ -49,7 +49,7 @@
       boolean settled = fleet.awaitSettled(LONG_S) >= 0;
       assertEquals(List.of(), fleet.errors());
       assertTrue(settled, "not one view of the living: " + fleet.happenings());
-      broken = List.copyOf(Checker.check(fleet.happenings(), fleet.live(), true));
+      broken = List.copyOf(InvariantChecker.check(fleet.happenings(), fleet.live(), true));
       Thread.sleep(broken.isEmpty() ? 0 : 50);
     } while (!broken.isEmpty() && System.nanoTime() - from < LONG_S * 1e9);
     assertEquals(List.of(), broken);
@@ -80,7 +80,7 @@
       java.io.StringWriter said = new java.io.StringWriter();
       assertEquals(
           0,
-          cobaltseam.cli.Cobaltseam.run(
+          cobaltseam.cli.CobaltseamCommand.run(
               new java.io.PrintWriter(said),
               "members",
               "--to",
@@ -132,13 +132,13 @@
 
   @Test
   void aSplitWithOneSidedCutsAndLossHealsToOneView() throws Exception {
-    List<Trouble> script =
+    List<Fault> script =
         List.of(
-            new Trouble(Kind.LOSS, 0, 14, List.of(), List.of(), 0.2),
-            new Trouble(Kind.CUT, 6, 4, List.of(0, 1), List.of(), 1),
-            new Trouble(Kind.ONE_WAY, 10, 4, List.of(3), List.of(), 1),
-            new Trouble(Kind.DOUBLE, 4, 10, List.of(), List.of(), 0.3),
-            new Trouble(Kind.DELAY, 4, 10, List.of(), List.of(), 0.1));
+            new Fault(Kind.LOSS, 0, 14, List.of(), List.of(), 0.2),
+            new Fault(Kind.CUT, 6, 4, List.of(0, 1), List.of(), 1),
+            new Fault(Kind.ONE_WAY, 10, 4, List.of(3), List.of(), 1),
+            new Fault(Kind.DOUBLE, 4, 10, List.of(), List.of(), 0.3),
+            new Fault(Kind.DELAY, 4, 10, List.of(), List.of(), 0.1));
     // Nobody ends here: a view that shrinks twice and then loses one of its two would wait for an
     // operator.
     try (RealFleet fleet = new RealFleet(RealFleet.Plan.of(5), script, 3, folder)) {
@@ -249,11 +249,11 @@
 
   @Test
   void settingsProposedBySighupAreActedOnByAllAndNeverBesideOthers() throws Exception {
-    List<Trouble> script =
+    List<Fault> script =
         List.of(
-            new Trouble(Kind.CUT, 2, 8, List.of(3, 4), List.of(), 1),
-            new Trouble(Kind.PAUSE, 12, 4, List.of(1), List.of(), 1),
-            new Trouble(Kind.LOSS, 10, 8, List.of(), List.of(), 0.2));
+            new Fault(Kind.CUT, 2, 8, List.of(3, 4), List.of(), 1),
+            new Fault(Kind.PAUSE, 12, 4, List.of(1), List.of(), 1),
+            new Fault(Kind.LOSS, 10, 8, List.of(), List.of(), 0.2));
     try (RealFleet fleet = new RealFleet(RealFleet.Plan.of(5).agreeing(1000), script, 8, folder)) {
       fleet.startAll();
       // Before anything is agreed none acts on its own file plainly: the fleet may act on another.
@@ -295,7 +295,7 @@
       java.io.StringWriter said = new java.io.StringWriter();
       assertEquals(
           0,
-          cobaltseam.cli.Cobaltseam.run(
+          cobaltseam.cli.CobaltseamCommand.run(
               new java.io.PrintWriter(said),
               "members",
               "--to",
@@ -303,11 +303,12 @@
               "--show",
               "agreement"));
       assertTrue(said.toString().contains("acts  plain on [3:"), said.toString());
-      Acted.Contradiction longest = Acted.longest(fleet.acted(), Set.of(), fleet.clock());
+      ActivationRecord.Contradiction longest =
+          ActivationRecord.longest(fleet.acted(), Set.of(), fleet.clock());
       // Its own logs are read a little late, so that a few ms may seem to overlap; the bound is
       // that of the settings.
       assertTrue(longest.seconds() <= 1, longest.toString());
-      assertEquals(List.of(), Acted.twoUnderOneNumber(fleet.acted()));
+      assertEquals(List.of(), ActivationRecord.twoUnderOneNumber(fleet.acted()));
     }
   }
 
@@ -345,13 +346,13 @@
 
   @Test
   void partsOfTheEnginesFollowDemandAndNeverComeToMoreThanTheWhole() throws Exception {
-    List<Trouble> script =
+    List<Fault> script =
         List.of(
-            new Trouble(Kind.CUT, 1, 6, List.of(0, 1), List.of(), 1),
-            new Trouble(Kind.PAUSE, 9, 4, List.of(3), List.of(), 1),
-            new Trouble(Kind.LOSS, 8, 8, List.of(), List.of(), 0.2),
-            new Trouble(Kind.KILL, 15, 2, List.of(4), List.of(), 1),
-            new Trouble(Kind.ONE_WAY, 18, 3, List.of(2), List.of(), 1));
+            new Fault(Kind.CUT, 1, 6, List.of(0, 1), List.of(), 1),
+            new Fault(Kind.PAUSE, 9, 4, List.of(3), List.of(), 1),
+            new Fault(Kind.LOSS, 8, 8, List.of(), List.of(), 0.2),
+            new Fault(Kind.KILL, 15, 2, List.of(4), List.of(), 1),
+            new Fault(Kind.ONE_WAY, 18, 3, List.of(2), List.of(), 1));
     AtomicBoolean over = new AtomicBoolean();
     try (RealFleet fleet = new RealFleet(RealFleet.Plan.of(5).spreading(1000), script, 9, folder)) {
       fleet.startAll();
@@ -408,7 +409,7 @@
                   true,
                   BusStandIn.target(1, one.address(), "in_service"),
                   BusStandIn.target(2, two.address(), "in_service")));
-      List<Trouble> script = List.of(new Trouble(Kind.LOSS, 0, 60, List.of(), List.of(), 0.3));
+      List<Fault> script = List.of(new Fault(Kind.LOSS, 0, 60, List.of(), List.of(), 0.3));
       RealFleet.Plan plan =
           RealFleet.Plan.of(4).spreading(1000).with(new RealFleet.Engines(bus.address(), known));
       try (RealFleet fleet = new RealFleet(plan, script, 10, folder)) {
@@ -464,10 +465,10 @@
           RealFleet.Plan.of(4)
               .with("[repeats]\nratio = 0.01\nalone = 0.2\nwindow_ms = 5000\nround_ms = 50")
               .with(new RealFleet.Engines(bus.address(), known));
-      List<Trouble> script =
+      List<Fault> script =
           List.of(
-              new Trouble(Kind.LOSS, 0, 600, List.of(), List.of(), 0.3),
-              new Trouble(Kind.DOUBLE, 0, 600, List.of(), List.of(), 0.3));
+              new Fault(Kind.LOSS, 0, 600, List.of(), List.of(), 0.3),
+              new Fault(Kind.DOUBLE, 0, 600, List.of(), List.of(), 0.3));
       try (RealFleet fleet = new RealFleet(plan, script, 11, folder)) {
         fleet.startAll();
         settles(fleet);
--- a/src/test/java/cobaltseam/fleet/SpreadFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/SpreadFleetTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.dispatch.TimeSpan;
-import cobaltseam.fleet.Trouble.Kind;
+import cobaltseam.fleet.Fault.Kind;
 import cobaltseam.membership.Lease;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,24 +17,24 @@
   private static final double FORMED = 30;
 
   private static VirtualFleet fleet(
-      int processes, long seed, Lease.LeaseOptions lease, double clocks, Trouble... troubles) {
+      int processes, long seed, Lease.LeaseOptions lease, double clocks, Fault... troubles) {
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(processes), List.of(troubles), seed);
-    fleet.divides(SpreadHunt.terms(processes), lease, clocks);
+    fleet.divides(CapacityHunt.terms(processes), lease, clocks);
     fleet.run(FORMED - 0.01);
     return fleet;
   }
 
-  private static Trouble trouble(Kind kind, double length, List<Integer> who) {
-    return new Trouble(kind, FORMED, length, who, List.of(), 1);
+  private static Fault trouble(Kind kind, double length, List<Integer> who) {
+    return new Fault(kind, FORMED, length, who, List.of(), 1);
   }
 
   private static double part(VirtualFleet fleet, int i) {
-    return (double) fleet.usable(i) / SpreadHunt.WHOLE;
+    return (double) fleet.usable(i) / CapacityHunt.WHOLE;
   }
 
   private static void kept(VirtualFleet fleet) {
     assertTrue(
-        fleet.most().amount() <= SpreadHunt.WHOLE && !fleet.most().twoLines(),
+        fleet.most().amount() <= CapacityHunt.WHOLE && !fleet.most().twoLines(),
         fleet.most().toString());
   }
 
@@ -48,7 +48,7 @@
 
   @Test
   void partsFollowNeedsAndGoBackWithinALease() {
-    VirtualFleet fleet = fleet(10, 1, SpreadHunt.LEASE, SpreadHunt.CLOCKS);
+    VirtualFleet fleet = fleet(10, 1, CapacityHunt.LEASE, CapacityHunt.CLOCKS);
     for (int i = 0; i < 10; i++) {
       assertEquals(0.1, part(fleet, i), 0.01, "nobody needs anything: all alike");
       fleet.needs(i, i == 3 ? 30 : 1);
@@ -67,7 +67,7 @@
   @Test
   void halfCutOffWhileItHoldsMostKeepsNothingButItsLonePart() {
     VirtualFleet fleet =
-        fleet(9, 2, SpreadHunt.LEASE, SpreadHunt.CLOCKS, trouble(Kind.CUT, 60, upTo(0, 4)));
+        fleet(9, 2, CapacityHunt.LEASE, CapacityHunt.CLOCKS, trouble(Kind.CUT, 60, upTo(0, 4)));
     fleet.needs(2, 40);
     fleet.needs(7, 10);
     fleet.run(FORMED + 2.1);
@@ -87,10 +87,10 @@
         fleet(
             12,
             3,
-            SpreadHunt.LEASE,
-            SpreadHunt.CLOCKS,
+            CapacityHunt.LEASE,
+            CapacityHunt.CLOCKS,
             trouble(Kind.KILL, 15, upTo(0, 4)),
-            new Trouble(Kind.LOSS, FORMED, 30, List.of(), List.of(), 0.3));
+            new Fault(Kind.LOSS, FORMED, 30, List.of(), List.of(), 0.3));
     for (int i = 0; i < 12; i++) {
       fleet.needs(i, i % 3 == 0 ? 20 : 1);
     }
@@ -103,7 +103,7 @@
   @Test
   void oneThatStoodStillBeginsWithItsLonePart() {
     VirtualFleet fleet =
-        fleet(5, 4, SpreadHunt.LEASE, SpreadHunt.CLOCKS, trouble(Kind.PAUSE, 3, List.of(2)));
+        fleet(5, 4, CapacityHunt.LEASE, CapacityHunt.CLOCKS, trouble(Kind.PAUSE, 3, List.of(2)));
     fleet.needs(2, 40);
     fleet.run(FORMED + 3.0005);
     assertTrue(part(fleet, 2) < 0.05, "its lease has ended meanwhile: " + part(fleet, 2));
@@ -117,10 +117,10 @@
     for (long seed = 1; seed <= 25; seed++) {
       for (boolean folders : new boolean[] {false, true}) {
         VirtualFleet.Plan plan = VirtualFleet.Plan.of(folders ? 4 : 7);
-        SpreadHunt.Verdict v =
-            SpreadHunt.play(
+        CapacityHunt.Verdict v =
+            CapacityHunt.play(
                 folders ? plan.withFolders() : plan,
-                Trouble.drawn(plan.processes(), 60, 4, seed),
+                Fault.drawn(plan.processes(), 60, 4, seed),
                 60,
                 seed);
         assertEquals(List.of(), v.broken(), "seed " + seed);
@@ -136,7 +136,7 @@
       fleet.needs(3, 40);
       fleet.needs(1, 10);
       fleet.run(FORMED + 30);
-      most = Math.max(most, (double) fleet.most().amount() / SpreadHunt.WHOLE);
+      most = Math.max(most, (double) fleet.most().amount() / CapacityHunt.WHOLE);
     }
     return most;
   }
@@ -147,6 +147,6 @@
     // the rate under a bound of 0.1%.
     assertTrue(most(new Lease.LeaseOptions(new TimeSpan(20_000_000), -0.5), 0) > 1, "no wait");
     assertTrue(most(new Lease.LeaseOptions(new TimeSpan(10_000_000), 0.001), 1) > 1, "clocks");
-    assertTrue(most(SpreadHunt.LEASE, SpreadHunt.CLOCKS) <= 1);
+    assertTrue(most(CapacityHunt.LEASE, CapacityHunt.CLOCKS) <= 1);
   }
 }
--- a/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.fleet.Trouble.Kind;
+import cobaltseam.fleet.Fault.Kind;
 import cobaltseam.membership.QuorumState;
 import cobaltseam.membership.View;
 import cobaltseam.membership.ViewId;
@@ -16,11 +16,11 @@
 class VirtualFleetTest {
   private static final double FORMED = 30;
 
-  private static Trouble trouble(Kind kind, double length, double size, Integer... who) {
-    return new Trouble(kind, FORMED, length, List.of(who), List.of(), size);
+  private static Fault trouble(Kind kind, double length, double size, Integer... who) {
+    return new Fault(kind, FORMED, length, List.of(who), List.of(), size);
   }
 
-  private static VirtualFleet fleet(int processes, long seed, Trouble... troubles) {
+  private static VirtualFleet fleet(int processes, long seed, Fault... troubles) {
     return new VirtualFleet(VirtualFleet.Plan.of(processes), List.of(troubles), seed);
   }
 
@@ -36,13 +36,12 @@
   private static void kept(VirtualFleet fleet, double until) {
     fleet.run(until);
     assertTrue(fleet.isSettled(), "not one view of the living by " + until + " s");
-    assertEquals(List.of(), Checker.check(fleet.happenings(), fleet.live(), true));
+    assertEquals(List.of(), InvariantChecker.check(fleet.happenings(), fleet.live(), true));
   }
 
   @Test
   void aHundredThatJoinWithinASecondIntoALossOfThirtyInAHundredBecomeOne() {
-    VirtualFleet fleet =
-        fleet(100, 1, new Trouble(Kind.LOSS, 0, FORMED, List.of(), List.of(), 0.3));
+    VirtualFleet fleet = fleet(100, 1, new Fault(Kind.LOSS, 0, FORMED, List.of(), List.of(), 0.3));
     kept(fleet, 90);
     assertTrue(number(fleet, 0) <= 8, "in few views: " + number(fleet, 0));
   }
@@ -62,8 +61,8 @@
               9,
               seed,
               trouble(Kind.PAUSE, 2, 1, seed % 9),
-              new Trouble(Kind.PAUSE, 50, 2, List.of(0, 1, 2), List.of(), 1),
-              new Trouble(Kind.PAUSE, 70, 2, List.of(0, 1, 2, 3, 4, 5, 6, 7), List.of(), 1));
+              new Fault(Kind.PAUSE, 50, 2, List.of(0, 1, 2), List.of(), 1),
+              new Fault(Kind.PAUSE, 70, 2, List.of(0, 1, 2, 3, 4, 5, 6, 7), List.of(), 1));
       fleet.run(FORMED - 1);
       long before = number(fleet, 0);
       kept(fleet, 100);
@@ -142,9 +141,9 @@
   @Test
   void oneSidedCutsOfOneLinkAndOfARingTakeNobodyOut() {
     Integer[] ring = first(7);
-    for (Trouble t :
+    for (Fault t :
         List.of(
-            new Trouble(Kind.ONE_WAY, FORMED, 60, List.of(1), List.of(4), 1),
+            new Fault(Kind.ONE_WAY, FORMED, 60, List.of(1), List.of(4), 1),
             trouble(Kind.RING, 60, 1, ring))) {
       VirtualFleet fleet = fleet(7, 4, t);
       fleet.run(FORMED - 0.1);
@@ -156,9 +155,9 @@
 
   @Test
   void oneThatIsDeafOrMuteIsTakenOutOnceByEveryone() {
-    Trouble mute = trouble(Kind.ONE_WAY, 120, 1, 3);
-    Trouble deaf = trouble(Kind.LOSS_IN, 120, 1, 3);
-    for (Trouble t : List.of(mute, deaf)) {
+    Fault mute = trouble(Kind.ONE_WAY, 120, 1, 3);
+    Fault deaf = trouble(Kind.LOSS_IN, 120, 1, 3);
+    for (Fault t : List.of(mute, deaf)) {
       VirtualFleet fleet = fleet(7, 6, t);
       fleet.run(FORMED - 0.1);
       long before = number(fleet, 0);
@@ -200,7 +199,7 @@
               9,
               seed,
               trouble(Kind.GONE, 1, 1, 8),
-              new Trouble(
+              new Fault(
                   Kind.KILL,
                   FORMED + 3 + seed * 0.05,
                   20,
@@ -213,13 +212,13 @@
 
   @Test
   void allStartAnewOneByOneWhileALinkIsCut() {
-    Trouble[] troubles = new Trouble[6];
+    Fault[] troubles = new Fault[6];
     for (int i = 0; i < 5; i++) {
       troubles[i] =
-          new Trouble(
+          new Fault(
               i % 2 == 0 ? Kind.TERM : Kind.KILL, FORMED + i * 15, 3, List.of(i), List.of(), 1);
     }
-    troubles[5] = new Trouble(Kind.CUT, FORMED, 75, List.of(1), List.of(3), 1);
+    troubles[5] = new Fault(Kind.CUT, FORMED, 75, List.of(1), List.of(3), 1);
     VirtualFleet fleet = fleet(5, 9, troubles);
     kept(fleet, FORMED + 120);
     assertFalse(fleet.lostMajority());
@@ -236,7 +235,7 @@
     assertEquals(before, number(fleet, 4));
     assertEquals(QuorumState.MINORITY, fleet.standing(4));
     assertEquals(QuorumState.NONE, fleet.standing(1), "what it was forgot what it promised");
-    assertEquals(List.of(), Checker.check(fleet.happenings(), fleet.live(), false));
+    assertEquals(List.of(), InvariantChecker.check(fleet.happenings(), fleet.live(), false));
   }
 
   @Test
@@ -248,7 +247,7 @@
     assertTrue(fleet.view(0).id().lineage() > line);
   }
 
-  private static VirtualFleet withFolders(int processes, long seed, Trouble... troubles) {
+  private static VirtualFleet withFolders(int processes, long seed, Fault... troubles) {
     return new VirtualFleet(VirtualFleet.Plan.of(processes).withFolders(), List.of(troubles), seed);
   }
 
@@ -296,8 +295,8 @@
         withFolders(
             5,
             4,
-            new Trouble(Kind.PAUSE, 40, 15, List.of(2), List.of(), 1),
-            new Trouble(Kind.STALE, 80, 1, List.of(2), List.of(), 1));
+            new Fault(Kind.PAUSE, 40, 15, List.of(2), List.of(), 1),
+            new Fault(Kind.STALE, 80, 1, List.of(2), List.of(), 1));
     fleet.run(79.9);
     long birth = fleet.view(0).members().get(2).incarnation().value();
     kept(fleet, 140);
@@ -315,8 +314,8 @@
               5,
               seed,
               trouble(Kind.CUT, 60, 1, 0, 1),
-              new Trouble(Kind.ONE_WAY, FORMED + 20, 40, List.of(2), List.of(), 1),
-              new Trouble(Kind.KILL, FORMED + 50, 1, List.of(3), List.of(), 1));
+              new Fault(Kind.ONE_WAY, FORMED + 20, 40, List.of(2), List.of(), 1),
+              new Fault(Kind.KILL, FORMED + 50, 1, List.of(3), List.of(), 1));
       fleet.run(FORMED + 49.9);
       assertEquals(2, fleet.view(4).members().size(), "seed " + seed);
       long line = fleet.view(4).id().lineage();
@@ -327,9 +326,9 @@
 
   @Test
   void anOperatorFoundsAnewOnlyOnceTheOldMajorityIsSilentAndTheElderLineWinsIfItLives() {
-    Trouble cut = trouble(Kind.CUT, 100, 1, 3, 4);
+    Fault cut = trouble(Kind.CUT, 100, 1, 3, 4);
     VirtualFleet fleet =
-        fleet(5, 14, cut, new Trouble(Kind.CUT, FORMED + 30, 30, List.of(0), List.of(1, 2), 1));
+        fleet(5, 14, cut, new Fault(Kind.CUT, FORMED + 30, 30, List.of(0), List.of(1, 2), 1));
     fleet.run(FORMED + 2);
     ViewId old = fleet.view(3).id();
     fleet.foundAnew(3, old);
@@ -350,8 +349,9 @@
   @Test
   void drawnScriptsWithFoldersBreakNothing() {
     for (long seed = 300_000; seed < 300_060; seed++) {
-      List<Trouble> script = Trouble.withFolders(Trouble.drawn(5, 60, 5, seed), false, seed);
-      Fleet.Verdict v = Fleet.virtual(VirtualFleet.Plan.of(5).withFolders(), script, 60, seed);
+      List<Fault> script = Fault.withFolders(Fault.drawn(5, 60, 5, seed), false, seed);
+      FleetCommand.Verdict v =
+          FleetCommand.virtual(VirtualFleet.Plan.of(5).withFolders(), script, 60, seed);
       assertFalse(v.isBroken(), "seed " + seed + ": " + v.broken());
     }
   }
@@ -390,9 +390,9 @@
   void drawnScriptsAtFixedSeedsBreakNothing() {
     for (long seed : new long[] {127, 227, 267, 3777, 3918, 20909, 64028}) {
       for (int processes : new int[] {3, 9}) {
-        Fleet.Verdict v =
-            Fleet.virtual(
-                VirtualFleet.Plan.of(processes), Trouble.drawn(processes, 60, 5, seed), 60, seed);
+        FleetCommand.Verdict v =
+            FleetCommand.virtual(
+                VirtualFleet.Plan.of(processes), Fault.drawn(processes, 60, 5, seed), 60, seed);
         assertFalse(v.isBroken(), "seed " + seed + ": " + v.broken());
       }
     }
--- a/src/test/java/cobaltseam/service/FleetNodeOrderTest.java
+++ b/src/test/java/cobaltseam/service/FleetNodeOrderTest.java
@@ -59,7 +59,7 @@
             @Override
             public void close() {}
           };
-      Logger log = Logger.getLogger(FleetNode.class.getName());
+      Logger log = Logger.getLogger(FleetService.class.getName());
       log.addHandler(says);
       try {
         serve();
@@ -102,7 +102,7 @@
                 """
                 .formatted(address, address, address));
     String bus = new Peer(false).address();
-    service = new Service(told(bus, SOCKETS, IDLE_MS));
+    service = new DispatcherService(told(bus, SOCKETS, IDLE_MS));
     service.joinsFleet(
         SettingsReader.read(own),
         configuration(bus, SOCKETS, IDLE_MS).getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/cobaltseam/service/HallTest.java
+++ b/src/test/java/cobaltseam/service/HallTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.authentication.KeyRing;
-import cobaltseam.deployment.Fields;
+import cobaltseam.deployment.JsonObjectReader;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.settings.SettingsReader;
 import cobaltseam.standin.AdvertLink.Fault;
@@ -406,7 +406,7 @@
       String known = bus.tell(true, BusStandIn.target(1, engine.address(), "in_service"));
       ServiceConfiguration told =
           ServiceConfiguration.of(
-              Fields.of(
+              JsonObjectReader.of(
                   new JsonFactory()
                       .createParser(
                           DispatcherProcess.configuration(
@@ -429,14 +429,14 @@
                     """
                   .formatted(adverts.getPort(), serve.getPort()));
       AtomicBoolean broken = new AtomicBoolean();
-      Service service = new Service(told);
+      DispatcherService service = new DispatcherService(told);
       service.joins(
           SettingsReader.read(file).hall(),
           () -> {
             if (broken.get()) {
               throw new IllegalStateException("for the test");
             }
-            return new Hall.Report(TimeSpan.ZERO, 1, 0, 0);
+            return new VirtualAddressService.HealthReport(TimeSpan.ZERO, 1, 0, 0);
           });
       service.open();
       Thread loop =
--- a/src/test/java/cobaltseam/service/ListWatchOrderTest.java
+++ b/src/test/java/cobaltseam/service/ListWatchOrderTest.java
@@ -233,7 +233,7 @@
     Peer two = new Peer(true);
     Peer bus = new Peer(false);
     service =
-        new Service(
+        new DispatcherService(
             told(
                 bus.address(),
                 SOCKETS,
@@ -262,7 +262,8 @@
   void aStartWithoutDiscoveryServesByTheKnownList() throws Exception {
     Peer one = new Peer(true);
     service =
-        new Service(told("127.0.0.1:9", SOCKETS, IDLE_MS, target(1, one.address(), "in_service")));
+        new DispatcherService(
+            told("127.0.0.1:9", SOCKETS, IDLE_MS, target(1, one.address(), "in_service")));
     service.catchUp();
     serve();
     assertGoesTo(one, new Peer(true));
--- a/src/test/java/cobaltseam/service/ServiceRig.java
+++ b/src/test/java/cobaltseam/service/ServiceRig.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.deployment.Fields;
+import cobaltseam.deployment.JsonObjectReader;
 import com.fasterxml.jackson.core.JsonFactory;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -46,9 +46,9 @@
   final List<AutoCloseable> open = new ArrayList<>();
 
   /** The service that was started last. */
-  Service service;
+  DispatcherService service;
 
-  private final Map<Service, Thread> loops = new LinkedHashMap<>();
+  private final Map<DispatcherService, Thread> loops = new LinkedHashMap<>();
 
   /** Accepts connections; what is heard on them, and their ends, come as one row of messages. */
   final class Peer implements AutoCloseable {
@@ -265,7 +265,8 @@
   static ServiceConfiguration told(String bus, int sockets, int idleMs, String... targets)
       throws IOException {
     return ServiceConfiguration.of(
-        Fields.of(new JsonFactory().createParser(configuration(bus, sockets, idleMs, targets))));
+        JsonObjectReader.of(
+            new JsonFactory().createParser(configuration(bus, sockets, idleMs, targets))));
   }
 
   static String configuration(String bus, int sockets, int idleMs, String... targets) {
@@ -299,9 +300,9 @@
     String[] targets = new String[engines.length];
     Arrays.setAll(targets, i -> target(i + 1, engines[i], "in_service"));
     service =
-        new Service(
+        new DispatcherService(
             ServiceConfiguration.of(
-                Fields.of(
+                JsonObjectReader.of(
                     new JsonFactory()
                         .createParser(
                             changed.apply(
@@ -313,7 +314,7 @@
   /** Opens the service and runs its loop. */
   void serve() throws IOException {
     service.open();
-    Service started = service;
+    DispatcherService started = service;
     Thread loop =
         new Thread(
             () -> {
@@ -329,7 +330,7 @@
 
   @AfterEach
   void stop() throws Exception {
-    for (Map.Entry<Service, Thread> each : loops.entrySet()) {
+    for (Map.Entry<DispatcherService, Thread> each : loops.entrySet()) {
       each.getValue().interrupt();
       each.getValue().join();
       each.getKey().close();
@@ -545,7 +546,7 @@
   void awaitTurn() throws InterruptedException {
     CountDownLatch heard = new CountDownLatch(1);
     // More than are heard in one turn: the last one is heard after the first turn has ended.
-    for (int i = 0; i < Service.MOST_AT_ONCE; i++) {
+    for (int i = 0; i < DispatcherService.MOST_AT_ONCE; i++) {
       service.inbox.post(null, () -> {});
     }
     service.inbox.post(null, heard::countDown);
--- a/src/test/java/cobaltseam/service/ServiceTest.java
+++ b/src/test/java/cobaltseam/service/ServiceTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
 import java.io.ByteArrayOutputStream;
@@ -619,41 +619,39 @@
   @Test
   void aConfigurationThatCantBeUsedIsTold() {
     for (String bad : List.of("nowhere:80", "127.0.0.1", "127.0.0.1:70000", "127.0.0.1:x", "")) {
-      assertThrows(BadInput.class, () -> told(bad, SOCKETS, IDLE_MS), bad);
+      assertThrows(InvalidInputException.class, () -> told(bad, SOCKETS, IDLE_MS), bad);
     }
-    assertThrows(BadInput.class, () -> ServiceConfiguration.read(Map.of()));
+    assertThrows(InvalidInputException.class, () -> ServiceConfiguration.read(Map.of()));
     assertThrows(
-        BadInput.class,
+        InvalidInputException.class,
         () -> ServiceConfiguration.read(Map.of("GW_CONFIG", "/nowhere/config.json")));
     assertEquals(
-        0x00c41f7aL,
-        TopologyEvent.engine("s-00c41f7a").value() & 0xffffffffL,
-        "read off a log line");
+        0x00c41f7aL, WatchEvent.engine("s-00c41f7a").value() & 0xffffffffL, "read off a log line");
     assertTrue(
-        TopologyEvent.engine("s-00c41f7a").value() > TopologyEvent.engine("s-00c41f79").value(),
+        WatchEvent.engine("s-00c41f7a").value() > WatchEvent.engine("s-00c41f79").value(),
         "in the order of numbers");
-    assertNotEquals(TopologyEvent.engine("s-00c41f7a"), TopologyEvent.engine("t-00c41f7a"));
-    assertEquals(TopologyEvent.engine("a/ü"), TopologyEvent.engine("a/ü"));
+    assertNotEquals(WatchEvent.engine("s-00c41f7a"), WatchEvent.engine("t-00c41f7a"));
+    assertEquals(WatchEvent.engine("a/ü"), WatchEvent.engine("a/ü"));
   }
 
   @Test
   void slotsKnowTheirUsesAndDeadlinesTheirOrder() {
-    Slots<String> slots = new Slots<>(2);
+    SlotTable<String> slots = new SlotTable<>(2);
     long a = slots.take("a");
     long b = slots.take("b");
-    assertEquals(Slots.NONE, slots.take("c"));
+    assertEquals(SlotTable.NONE, slots.take("c"));
     slots.free(a);
     slots.free(a);
     long c = slots.take("c");
     assertEquals(
         "null b c 2", slots.get(a) + " " + slots.get(b) + " " + slots.get(c) + " " + slots.size());
-    assertEquals(null, slots.get(Slots.NONE));
-    Deadlines deadlines = new Deadlines();
+    assertEquals(null, slots.get(SlotTable.NONE));
+    Timers deadlines = new Timers();
     Timestamp now = new Timestamp(50);
     List<Integer> run = new ArrayList<>();
     deadlines.set(now, () -> run.add(2));
     deadlines.set(now, () -> run.add(3));
-    Deadlines.Deadline not = deadlines.set(now, () -> run.add(4));
+    Timers.Timer not = deadlines.set(now, () -> run.add(4));
     deadlines.set(new Timestamp(40), () -> run.add(1));
     deadlines.set(new Timestamp(51), () -> run.add(5));
     deadlines.cancel(not);
--- a/src/test/java/cobaltseam/settings/SetupReaderTest.java
+++ b/src/test/java/cobaltseam/settings/SetupReaderTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.deployment.BadInput;
+import cobaltseam.deployment.InvalidInputException;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.mastership.HealthScore.HealthSignal;
 import cobaltseam.vrrp.Reading.Covers;
@@ -48,7 +48,8 @@
 
   private String wrong(String text) throws IOException {
     Path file = write(text);
-    String why = assertThrows(BadInput.class, () -> SettingsReader.read(file)).getMessage();
+    String why =
+        assertThrows(InvalidInputException.class, () -> SettingsReader.read(file)).getMessage();
     for (String line : why.split("\n")) {
       assertTrue(line.startsWith(file.toString()), line);
     }
@@ -179,7 +180,7 @@
             .contains("mastership.router[0].serve"));
     Path gone = folder.resolve("gone.toml");
     assertTrue(
-        assertThrows(BadInput.class, () -> SettingsReader.read(gone))
+        assertThrows(InvalidInputException.class, () -> SettingsReader.read(gone))
             .getMessage()
             .contains("can't be read"));
   }
