--- a/src/main/java/cobaltseam/emulator/EmulatedSite.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedSite.java
@@ -11,19 +11,20 @@
 import cobaltseam.dispatch.RequestClassId;
 import cobaltseam.dispatch.TenantId;
 import cobaltseam.dispatch.TimeSpan;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
 /** What an emulated deployment is made of; every figure is the world's own. */
 public record EmulatedSite(
-    String name,
-    Engines engines,
-    int dispatchers,
-    List<Profile> profiles,
-    List<Tenant> holders,
-    Load load,
-    Network net,
-    Discovery roster,
-    Limits limits) {
+    @JsonProperty("name") String name,
+    @JsonProperty("engines") Engines engines,
+    @JsonProperty("dispatchers") int dispatchers,
+    @JsonProperty("profiles") List<Profile> profiles,
+    @JsonProperty("holders") List<Tenant> holders,
+    @JsonProperty("load") Load load,
+    @JsonProperty("net") Network net,
+    @JsonProperty("roster") Discovery roster,
+    @JsonProperty("limits") Limits limits) {
   /**
    * The engines: how many, their cores, the spread of their speeds around 1, threads a core up to
    * which all cores do work, how much work falls for each thread a core beyond, sessions at most,
@@ -32,42 +33,42 @@
    * and how much less work reading a warm one is.
    */
   public record Engines(
-      int count,
-      double cores,
-      double speedSpread,
-      double knee,
-      double fall,
-      int sessions,
-      double coldFrom,
-      double warmS,
-      double memoryMb,
-      double spill,
-      int warmSets,
-      double warmGain,
-      int locations,
-      int groups,
-      double errors) {}
+      @JsonProperty("count") int count,
+      @JsonProperty("cores") double cores,
+      @JsonProperty("speedSpread") double speedSpread,
+      @JsonProperty("knee") double knee,
+      @JsonProperty("fall") double fall,
+      @JsonProperty("sessions") int sessions,
+      @JsonProperty("coldFrom") double coldFrom,
+      @JsonProperty("warmS") double warmS,
+      @JsonProperty("memoryMb") double memoryMb,
+      @JsonProperty("spill") double spill,
+      @JsonProperty("warmSets") int warmSets,
+      @JsonProperty("warmGain") double warmGain,
+      @JsonProperty("locations") int locations,
+      @JsonProperty("groups") int groups,
+      @JsonProperty("errors") double errors) {}
 
   /** One profile of commands, by its part of all that come. */
   public record Profile(
-      String name,
-      double part,
-      int threads,
-      double workMs,
-      double cv,
-      double benefit,
-      double lateBenefit,
-      double targetMs,
-      double timeoutMs,
-      double stretch,
-      RetrySafety repeat,
-      DeduplicationScope scope,
-      double rememberedMs,
-      double memoryMb,
-      boolean inOrder,
-      double badPlans,
-      double badTimes,
-      List<String> locations) {
+      @JsonProperty("name") String name,
+      @JsonProperty("part") double part,
+      @JsonProperty("threads") int threads,
+      @JsonProperty("workMs") double workMs,
+      @JsonProperty("cv") double cv,
+      @JsonProperty("benefit") double benefit,
+      @JsonProperty("lateBenefit") double lateBenefit,
+      @JsonProperty("targetMs") double targetMs,
+      @JsonProperty("timeoutMs") double timeoutMs,
+      @JsonProperty("stretch") double stretch,
+      @JsonProperty("repeat") RetrySafety repeat,
+      @JsonProperty("scope") DeduplicationScope scope,
+      @JsonProperty("rememberedMs") double rememberedMs,
+      @JsonProperty("memoryMb") double memoryMb,
+      @JsonProperty("inOrder") boolean inOrder,
+      @JsonProperty("badPlans") double badPlans,
+      @JsonProperty("badTimes") double badTimes,
+      @JsonProperty("locations") List<String> locations) {
     TimeSpan target() {
       return ms(targetMs);
     }
@@ -78,7 +79,10 @@
   }
 
   /** One holder of a share: its part of the traffic, and how many commands a second it is due. */
-  public record Tenant(String name, double part, double perSecond) {}
+  public record Tenant(
+      @JsonProperty("name") String name,
+      @JsonProperty("part") double part,
+      @JsonProperty("perSecond") double perSecond) {}
 
   /**
    * What comes: commands a second, how much that swings in how many seconds, how often bursts come
@@ -87,42 +91,46 @@
    * as 1 / rank to the power of their skew; without one all carry alike.
    */
   public record Load(
-      double perSecond,
-      double swing,
-      double swingS,
-      double burstEveryS,
-      double burstTimes,
-      double burstS,
-      int dataSets,
-      double skew,
-      int retries,
-      double estimateError,
-      int closedClients,
-      double thinkMs,
-      Double dispatcherSkew) {}
+      @JsonProperty("perSecond") double perSecond,
+      @JsonProperty("swing") double swing,
+      @JsonProperty("swingS") double swingS,
+      @JsonProperty("burstEveryS") double burstEveryS,
+      @JsonProperty("burstTimes") double burstTimes,
+      @JsonProperty("burstS") double burstS,
+      @JsonProperty("dataSets") int dataSets,
+      @JsonProperty("skew") double skew,
+      @JsonProperty("retries") int retries,
+      @JsonProperty("estimateError") double estimateError,
+      @JsonProperty("closedClients") int closedClients,
+      @JsonProperty("thinkMs") double thinkMs,
+      @JsonProperty("dispatcherSkew") Double dispatcherSkew) {}
 
   /**
    * One way between dispatchers and engines, its spread, and between clients and dispatchers, in
    * milliseconds.
    */
-  public record Network(double oneWayMs, double jitter, double clientMs) {}
+  public record Network(
+      @JsonProperty("oneWayMs") double oneWayMs,
+      @JsonProperty("jitter") double jitter,
+      @JsonProperty("clientMs") double clientMs) {}
 
   /** How late a dispatcher hears of changes: at the least, and how much more by chance. */
-  public record Discovery(double lagMs, double spreadMs) {}
+  public record Discovery(
+      @JsonProperty("lagMs") double lagMs, @JsonProperty("spreadMs") double spreadMs) {}
 
   /** What a dispatcher may do. */
   public record Limits(
-      int mostSends,
-      boolean cancels,
-      double progressMs,
-      double comeBackMs,
-      double drainGraceMs,
-      double fallMultiple,
-      double fallWindowMs,
-      double keyRestMs,
-      Double furtherFree,
-      Double furtherRatio,
-      double furtherWindowMs) {}
+      @JsonProperty("mostSends") int mostSends,
+      @JsonProperty("cancels") boolean cancels,
+      @JsonProperty("progressMs") double progressMs,
+      @JsonProperty("comeBackMs") double comeBackMs,
+      @JsonProperty("drainGraceMs") double drainGraceMs,
+      @JsonProperty("fallMultiple") double fallMultiple,
+      @JsonProperty("fallWindowMs") double fallWindowMs,
+      @JsonProperty("keyRestMs") double keyRestMs,
+      @JsonProperty("furtherFree") Double furtherFree,
+      @JsonProperty("furtherRatio") Double furtherRatio,
+      @JsonProperty("furtherWindowMs") double furtherWindowMs) {}
 
   static final String KIND = "emulated";
 
--- a/src/main/java/cobaltseam/emulator/Experiment.java
+++ b/src/main/java/cobaltseam/emulator/Experiment.java
@@ -1,6 +1,7 @@
 package cobaltseam.emulator;
 
 import cobaltseam.deployment.InvalidInputException;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -31,15 +32,15 @@
    * faults, or none.
    */
   record Plan(
-      String name,
-      List<String> worlds,
-      List<String> policies,
-      long firstSeed,
-      long lastSeed,
-      double seconds,
-      int faults,
-      String figure,
-      List<Double> values) {}
+      @JsonProperty("name") String name,
+      @JsonProperty("worlds") List<String> worlds,
+      @JsonProperty("policies") List<String> policies,
+      @JsonProperty("firstSeed") long firstSeed,
+      @JsonProperty("lastSeed") long lastSeed,
+      @JsonProperty("seconds") double seconds,
+      @JsonProperty("faults") int faults,
+      @JsonProperty("figure") String figure,
+      @JsonProperty("values") List<Double> values) {}
 
   private record Run(Plan plan, String world, String policy, double value, long seed) {}
 
--- a/src/main/java/cobaltseam/emulator/Fault.java
+++ b/src/main/java/cobaltseam/emulator/Fault.java
@@ -1,5 +1,6 @@
 package cobaltseam.emulator;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -11,7 +12,12 @@
  * {@code who} is a holder or a dispatcher's number.
  */
 public record Fault(
-    Kind kind, double atS, double lengthS, List<Integer> engines, double size, int who) {
+    @JsonProperty("kind") Kind kind,
+    @JsonProperty("atS") double atS,
+    @JsonProperty("lengthS") double lengthS,
+    @JsonProperty("engines") List<Integer> engines,
+    @JsonProperty("size") double size,
+    @JsonProperty("who") int who) {
   private static final double SHORTEST_S = 0.1;
 
   /** What goes wrong. */
--- a/src/main/java/cobaltseam/emulator/FaultScript.java
+++ b/src/main/java/cobaltseam/emulator/FaultScript.java
@@ -1,6 +1,7 @@
 package cobaltseam.emulator;
 
 import cobaltseam.deployment.InvalidInputException;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.MapperFeature;
@@ -13,7 +14,7 @@
 import java.util.stream.Collectors;
 
 /** Faults as a file that people can read and change: TOML, a table each. */
-record FaultScript(List<Fault> faults) {
+record FaultScript(@JsonProperty("faults") List<Fault> faults) {
   private static final TomlMapper TOML =
       TomlMapper.builder()
           .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
--- a/src/main/java/cobaltseam/emulator/ResultsFile.java
+++ b/src/main/java/cobaltseam/emulator/ResultsFile.java
@@ -1,5 +1,6 @@
 package cobaltseam.emulator;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.charset.StandardCharsets;
@@ -26,26 +27,26 @@
 final class ResultsFile {
   /** One run: what was played, and what came of it. Latencies in milliseconds, of all answers. */
   record RunResult(
-      String world,
-      String policy,
-      String figure,
-      double value,
-      long seed,
-      double goodput,
-      long offered,
-      long inTarget,
-      long late,
-      long shed,
-      long failed,
-      long unheard,
-      double medianMs,
-      double p99Ms,
-      long brokenRules,
-      long taken,
-      long sends,
-      long further,
-      double realS,
-      long hash) {
+      @JsonProperty("world") String world,
+      @JsonProperty("policy") String policy,
+      @JsonProperty("figure") String figure,
+      @JsonProperty("value") double value,
+      @JsonProperty("seed") long seed,
+      @JsonProperty("goodput") double goodput,
+      @JsonProperty("offered") long offered,
+      @JsonProperty("inTarget") long inTarget,
+      @JsonProperty("late") long late,
+      @JsonProperty("shed") long shed,
+      @JsonProperty("failed") long failed,
+      @JsonProperty("unheard") long unheard,
+      @JsonProperty("medianMs") double medianMs,
+      @JsonProperty("p99Ms") double p99Ms,
+      @JsonProperty("brokenRules") long brokenRules,
+      @JsonProperty("taken") long taken,
+      @JsonProperty("sends") long sends,
+      @JsonProperty("further") long further,
+      @JsonProperty("realS") double realS,
+      @JsonProperty("hash") long hash) {
     String key() {
       return world + " " + policy + " " + figure + " " + value + " " + seed;
     }
--- a/src/main/java/cobaltseam/fleet/Fault.java
+++ b/src/main/java/cobaltseam/fleet/Fault.java
@@ -1,5 +1,6 @@
 package cobaltseam.fleet;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -11,7 +12,12 @@
  * rest), and a size by kind. The same in virtual time and between real processes.
  */
 public record Fault(
-    Kind kind, double atS, double lengthS, List<Integer> who, List<Integer> others, double size) {
+    @JsonProperty("kind") Kind kind,
+    @JsonProperty("atS") double atS,
+    @JsonProperty("lengthS") double lengthS,
+    @JsonProperty("who") List<Integer> who,
+    @JsonProperty("others") List<Integer> others,
+    @JsonProperty("size") double size) {
   private static final double SHORTEST_S = 0.1;
 
   /**
--- a/src/main/java/cobaltseam/fleet/FaultScript.java
+++ b/src/main/java/cobaltseam/fleet/FaultScript.java
@@ -1,6 +1,7 @@
 package cobaltseam.fleet;
 
 import cobaltseam.deployment.InvalidInputException;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.MapperFeature;
@@ -15,7 +16,7 @@
 /**
  * Troubles as a file that people can read and change: TOML, a table each, as the emulator's faults.
  */
-record FaultScript(List<Fault> troubles) {
+record FaultScript(@JsonProperty("troubles") List<Fault> troubles) {
   private static final TomlMapper TOML =
       TomlMapper.builder()
           .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
