--- a/src/main/java/cobaltseam/emulator/Baseline.java
+++ b/src/main/java/cobaltseam/emulator/Baseline.java
@@ -30,7 +30,7 @@
  */
 final class Baseline implements Policy {
   /** Which engine, of those that the list has up. */
-  enum Choice {
+  enum EngineChoice {
     RANDOM,
     ROUND_ROBIN,
     LEAST_IN_HAND,
@@ -47,7 +47,7 @@
 
   private static final TimeSpan LOOK = new TimeSpan(5000);
 
-  private static final class Open {
+  private static final class OpenRequest {
     Request command;
     Timestamp taken;
     double density;
@@ -57,7 +57,7 @@
     boolean mayHaveRun;
   }
 
-  private final Choice choice;
+  private final EngineChoice choice;
   private final RandomGenerator chance;
   private final Deployment told;
   private final Map<String, Deployment.RequestClass> profiles = new HashMap<>();
@@ -67,34 +67,34 @@
   /** What engines reported in hand with their last answer. */
   private final Map<EngineId, Double> reported = new HashMap<>();
 
-  private final Map<RequestId, Open> open = new HashMap<>();
-  private final Deque<Open> again = new ArrayDeque<>();
+  private final Map<RequestId, OpenRequest> open = new HashMap<>();
+  private final Deque<OpenRequest> again = new ArrayDeque<>();
 
   /**
    * By key of an order profile: commands not over, in the order taken; until when a key rests; and
    * who waits for that.
    */
-  private final Map<SequenceKey, Deque<Open>> lines = new HashMap<>();
+  private final Map<SequenceKey, Deque<OpenRequest>> lines = new HashMap<>();
 
   private final Map<SequenceKey, Timestamp> rests = new HashMap<>();
-  private final List<Open> resting = new ArrayList<>();
+  private final List<OpenRequest> resting = new ArrayList<>();
 
   /**
    * Held by the clairvoyant one until an engine truly has room: the most benefit for its work
    * first.
    */
-  private final TreeSet<Open> held =
+  private final TreeSet<OpenRequest> held =
       new TreeSet<>(
-          Comparator.comparingDouble((Open o) -> -o.density)
+          Comparator.comparingDouble((OpenRequest o) -> -o.density)
               .thenComparing(o -> o.command.id().value()));
 
-  private final Truth truth;
+  private final TrueState truth;
   private List<EndpointStatus> list = List.of();
   private int turn;
   private Timestamp looked;
 
   /** What is so at engines at this moment, which no dispatcher can know. */
-  interface Truth {
+  interface TrueState {
     /**
      * How long a microsecond of one thread's work would take for one command more; infinite where
      * nothing would come.
@@ -108,7 +108,7 @@
   /**
    * @param truth for the clairvoyant one alone
    */
-  Baseline(Choice choice, Deployment told, RandomGenerator chance, Truth truth) {
+  Baseline(EngineChoice choice, Deployment told, RandomGenerator chance, TrueState truth) {
     this.choice = choice;
     this.told = told;
     this.chance = chance;
@@ -119,9 +119,9 @@
 
   @Override
   public Placement place(Request command, Timestamp now) {
-    Open o = open.get(command.id());
+    OpenRequest o = open.get(command.id());
     if (o == null) {
-      o = new Open();
+      o = new OpenRequest();
       o.command = command;
       o.profile = profiles.get(command.requestClass().value());
       o.taken = now;
@@ -139,7 +139,7 @@
     }
     EngineId engine = left.isPositive() ? pick(o) : null;
     double us = 0;
-    if (engine != null && choice == Choice.CLAIRVOYANT) {
+    if (engine != null && choice == EngineChoice.CLAIRVOYANT) {
       boolean room = truth.hasRoom(engine, o.profile.threads());
       us = truth.pace(engine) * command.work().us() / o.profile.threads();
       Timestamp target =
@@ -162,7 +162,7 @@
     held.remove(o);
     // The clairvoyant one would also see that an engine has gone, and not wait for it.
     left =
-        choice == Choice.CLAIRVOYANT
+        choice == EngineChoice.CLAIRVOYANT
             ? left.min(new TimeSpan(Math.round(SEEN_AFTER * us)).max(o.profile.latencyObjective()))
             : left;
     o.out = engine;
@@ -171,18 +171,19 @@
     return Placement.send(engine, left, -1);
   }
 
-  private Placement giveUp(Open o) {
+  private Placement giveUp(OpenRequest o) {
     remove(o);
     return o.mayHaveRun && o.profile.retrySafety() != Deployment.RetrySafety.IDEMPOTENT
         ? Placement.fail()
         : Placement.shed(told.capabilities().maxRetryAfter());
   }
 
-  private void remove(Open o) {
+  private void remove(OpenRequest o) {
     open.remove(o.command.id());
     again.remove(o);
     held.remove(o);
-    Deque<Open> line = o.command.sequenceKey() == null ? null : lines.get(o.command.sequenceKey());
+    Deque<OpenRequest> line =
+        o.command.sequenceKey() == null ? null : lines.get(o.command.sequenceKey());
     if (line != null && line.remove(o) && line.isEmpty()) {
       lines.remove(o.command.sequenceKey());
     } else if (line != null
@@ -194,8 +195,8 @@
   }
 
   /** Whether one in order has to wait for an earlier one of its key, or for the key to rest. */
-  private boolean waits(Open o, Timestamp now) {
-    Deque<Open> line =
+  private boolean waits(OpenRequest o, Timestamp now) {
+    Deque<OpenRequest> line =
         o.profile.inOrder() && o.command.sequenceKey() != null
             ? lines.get(o.command.sequenceKey())
             : null;
@@ -213,7 +214,7 @@
     return line.peek() != o || rest != null;
   }
 
-  private EngineId pick(Open o) {
+  private EngineId pick(OpenRequest o) {
     List<EndpointStatus> to =
         o.profile.locations() == null
             ? list
@@ -258,8 +259,8 @@
   }
 
   @Override
-  public Placement after(AttemptOutcome outcome, Timestamp now) {
-    Open o = open.get(outcome.request());
+  public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
+    OpenRequest o = open.get(outcome.request());
     if (o == null || o.out == null) {
       return Placement.queue();
     }
@@ -295,13 +296,13 @@
   }
 
   @Override
-  public NextStep pause(Timestamp now) {
-    Open o = again.poll();
+  public NextStep next(Timestamp now) {
+    OpenRequest o = again.poll();
     if (o != null) {
       return NextStep.placeAgain(o.command);
     }
     TimeSpan wait = null;
-    for (Open r : List.copyOf(resting)) {
+    for (OpenRequest r : List.copyOf(resting)) {
       Timestamp until = rests.get(r.command.sequenceKey());
       if (!open.containsKey(r.command.id()) || until == null || !now.isBefore(until)) {
         resting.remove(r);
@@ -322,7 +323,7 @@
   }
 
   @Override
-  public void listed(List<EndpointStatus> lines, boolean whole, Timestamp now) {
+  public void updateEndpoints(List<EndpointStatus> lines, boolean whole, Timestamp now) {
     if (whole) {
       up.clear();
     }
@@ -337,14 +338,14 @@
   }
 
   @Override
-  public void progressed(RequestId command, int send, double share, Timestamp now) {
+  public void updateProgress(RequestId command, int send, double share, Timestamp now) {
     // None of them listens.
     return;
   }
 
   @Override
-  public void departed(RequestId command, Timestamp now) {
-    Open o = open.get(command);
+  public void clientLeft(RequestId command, Timestamp now) {
+    OpenRequest o = open.get(command);
     if (o != null && o.out == null) {
       remove(o);
     }
--- a/src/main/java/cobaltseam/emulator/EmulateCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulateCommand.java
@@ -39,29 +39,29 @@
   }
 
   /** The policies by name: the module, and what it is compared with. */
-  static Simulation.Policies policies(String name) {
+  static Simulation.PolicyFactory policies(String name) {
     if (name.equals("module")) {
-      return (told, seed, truth) -> Policy.module(new Dispatcher(told, seed));
+      return (told, seed, truth) -> Policy.ofDispatcher(new Dispatcher(told, seed));
     }
     if (name.equals("fleet")) {
       return (told, seed, sim) ->
-          sim.fellowship(true, 0).joins(told, new Dispatcher(told, seed), seed);
+          sim.withFleet(true, 0).join(told, new Dispatcher(told, seed), seed);
     }
     if (name.startsWith("news-")) {
       double roundMs = Double.parseDouble(name.substring(5));
       return (told, seed, sim) ->
-          sim.fellowship(false, roundMs).joins(told, new Dispatcher(told, seed), seed);
+          sim.withFleet(false, roundMs).join(told, new Dispatcher(told, seed), seed);
     }
     if (name.equals("fleet-true")) {
       return (told, seed, sim) -> {
         Dispatcher d = new Dispatcher(told, seed);
         d.setSharingDispatchers(1 / sim.trafficOf(told.dispatcherIndex()));
-        return Policy.module(d);
+        return Policy.ofDispatcher(d);
       };
     }
     try {
-      Baseline.Choice choice =
-          Baseline.Choice.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
+      Baseline.EngineChoice choice =
+          Baseline.EngineChoice.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
       return (told, seed, truth) ->
           new Baseline(choice, told, new SplittableRandom(seed), truth.truth());
     } catch (IllegalArgumentException e) {
@@ -136,8 +136,8 @@
               e.knee(),
               e.fall(),
               e.sessions(),
-              e.coldFrom(),
-              e.warmS(),
+              e.slowStartFraction(),
+              e.slowStartS(),
               e.memoryMb(),
               e.spill(),
               e.warmSets(),
@@ -150,18 +150,18 @@
               w.name(),
               of,
               dispatchers == null ? w.dispatchers() : dispatchers,
-              w.profiles(),
-              w.holders(),
+              w.requestClasses(),
+              w.tenants(),
               w.load(),
-              w.net(),
-              w.roster(),
+              w.network(),
+              w.discovery(),
               w.limits());
       double perSecond =
           load != null ? sized.capacity() * load : w.load().perSecond() * count / e.count();
       EmulatedSite.Load l = w.load();
       // Holders are due what they were at the world's own size.
       List<EmulatedSite.Tenant> holders =
-          w.holders().stream()
+          w.tenants().stream()
               .map(
                   h ->
                       new EmulatedSite.Tenant(
@@ -173,7 +173,7 @@
           w.name(),
           of,
           sized.dispatchers(),
-          w.profiles(),
+          w.requestClasses(),
           holders,
           new EmulatedSite.Load(
               perSecond,
@@ -189,8 +189,8 @@
               l.closedClients(),
               l.thinkMs(),
               skew != null ? skew : l.dispatcherSkew()),
-          w.net(),
-          w.roster(),
+          w.network(),
+          w.discovery(),
           w.limits());
     }
 
@@ -243,24 +243,24 @@
                   f.lengthS(),
                   f.engines().size(),
                   f.size(),
-                  f.who()));
+                  f.target()));
       Simulation.Result r =
           new Simulation(world, policies(policy), faults, common.seconds, common.seed).run();
       out.println(
           "| profile | offered | in target | late | shed | failed | unheard | median, ms | 99th, ms |");
       out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-      for (int i = 0; i < world.profiles().size(); i++) {
-        OutcomeCounts.Row row = r.tally().rows().get(i);
+      for (int i = 0; i < world.requestClasses().size(); i++) {
+        OutcomeCounts.ClassOutcome row = r.counts().rows().get(i);
         out.printf(
             Locale.ROOT,
             "| %s | %d | %d | %d | %d | %d | %d | %.1f | %.1f |%n",
-            world.profiles().get(i).name(),
+            world.requestClasses().get(i).name(),
             row.offered,
-            row.inTarget,
+            row.withinObjective,
             row.late,
             row.shed,
             row.failed,
-            row.unheard,
+            row.unanswered,
             row.latency.getValueAtPercentile(50) / 1000.0,
             row.latency.getValueAtPercentile(99) / 1000.0);
       }
@@ -268,25 +268,25 @@
           Locale.ROOT,
           "emulated goodput %.4f; %d taken, %d sends, %d further; %d rules broken; %.0f s in %.2f s: %.0f commands a second; "
               + "decisions %016x%n",
-          r.tally().goodput(),
-          r.tally().taken(),
-          r.tally().sends(),
-          r.tally().further(),
-          r.brokenRules(),
+          r.counts().goodput(),
+          r.counts().admitted(),
+          r.counts().attempts(),
+          r.counts().retries(),
+          r.violationCount(),
           r.virtualS(),
           r.realS(),
           r.pace(),
           r.hash());
-      r.broken().forEach(out::println);
+      r.violations().forEach(out::println);
       out.flush();
       if (chart != null) {
         Charts.series(
             chart,
             world.name() + ", " + policy + ", seed " + common.seed + " (emulated)",
-            r.tally().seconds(),
+            r.counts().seconds(),
             faults);
       }
-      return r.brokenRules() == 0 ? 0 : 1;
+      return r.violationCount() == 0 ? 0 : 1;
     }
   }
 
@@ -335,9 +335,9 @@
       EmulatedSite world = common.world();
       List<Ran> ran =
           IntStream.range(0, runs).parallel().mapToObj(i -> play(world, common.seed + i)).toList();
-      long broken = ran.stream().filter(r -> r.result.brokenRules() > 0).count();
-      double mean = ran.stream().mapToDouble(r -> r.result.tally().goodput()).average().orElse(0);
-      long taken = ran.stream().mapToLong(r -> r.result.tally().taken()).sum();
+      long broken = ran.stream().filter(r -> r.result.violationCount() > 0).count();
+      double mean = ran.stream().mapToDouble(r -> r.result.counts().goodput()).average().orElse(0);
+      long taken = ran.stream().mapToLong(r -> r.result.counts().admitted()).sum();
       out.printf(
           Locale.ROOT,
           "%d runs, %d commands taken, emulated goodput %.4f at the mean, %d runs broke a rule%n",
@@ -346,15 +346,16 @@
           mean,
           broken);
       List<Ran> order = new ArrayList<>(ran);
-      order.sort((a, b) -> Double.compare(a.result.tally().goodput(), b.result.tally().goodput()));
+      order.sort(
+          (a, b) -> Double.compare(a.result.counts().goodput(), b.result.counts().goodput()));
       order.stream()
           .limit(5)
           .forEach(
               r ->
                   out.printf(
-                      Locale.ROOT, "seed %d: goodput %.4f%n", r.seed, r.result.tally().goodput()));
+                      Locale.ROOT, "seed %d: goodput %.4f%n", r.seed, r.result.counts().goodput()));
       ran.stream()
-          .filter(r -> r.result.brokenRules() > 0)
+          .filter(r -> r.result.violationCount() > 0)
           .limit(10)
           .forEach(
               r ->
@@ -362,8 +363,8 @@
                       Locale.ROOT,
                       "seed %d broke %d: %s%n",
                       r.seed,
-                      r.result.brokenRules(),
-                      r.result.broken().get(0)));
+                      r.result.violationCount(),
+                      r.result.violations().get(0)));
       out.flush();
       return broken == 0 ? 0 : 1;
     }
@@ -420,11 +421,11 @@
             Locale.ROOT,
             "| %s | %.4f | %.4f | %d | %.2f | %.2f | %.0f |%n",
             name,
-            results.stream().mapToDouble(r -> r.tally().goodput()).average().orElse(0),
-            results.stream().mapToDouble(r -> r.tally().goodput()).min().orElse(0),
-            results.stream().mapToLong(Simulation.Result::brokenRules).sum(),
-            results.stream().mapToDouble(r -> r.tally().busiest()).average().orElse(0),
-            results.stream().mapToDouble(r -> r.tally().idlest()).average().orElse(0),
+            results.stream().mapToDouble(r -> r.counts().goodput()).average().orElse(0),
+            results.stream().mapToDouble(r -> r.counts().goodput()).min().orElse(0),
+            results.stream().mapToLong(Simulation.Result::violationCount).sum(),
+            results.stream().mapToDouble(r -> r.counts().busiest()).average().orElse(0),
+            results.stream().mapToDouble(r -> r.counts().idlest()).average().orElse(0),
             results.stream().mapToDouble(Simulation.Result::pace).average().orElse(0));
         out.flush();
       }
@@ -532,13 +533,13 @@
               f -> {
                 Simulation.Result r =
                     new Simulation(world, policies(policy), f, common.seconds, common.seed).run();
-                return under != null ? r.tally().goodput() < under : r.brokenRules() > 0;
+                return under != null ? r.counts().goodput() < under : r.violationCount() > 0;
               },
               Fault::simpler);
       PrintWriter out = spec.commandLine().getOut();
       Simulation.Result whole =
           new Simulation(world, policies(policy), faults, common.seconds, common.seed).run();
-      if (under != null ? whole.tally().goodput() >= under : whole.brokenRules() == 0) {
+      if (under != null ? whole.counts().goodput() >= under : whole.violationCount() == 0) {
         throw new InvalidInputException("the whole script does not fail: nothing to shrink");
       }
       List<Fault> least = shrink.of(faults);
--- a/src/main/java/cobaltseam/emulator/EmulatedDispatcher.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedDispatcher.java
@@ -20,32 +20,32 @@
  */
 final class EmulatedDispatcher {
   /** Who waits for the final answer. */
-  interface Asker {
-    void told(InvariantChecker.Final what, TimeSpan comeBack);
+  interface ResponseListener {
+    void onFinalAnswer(InvariantChecker.FinalAnswer what, TimeSpan comeBack);
 
     /** Whether its client has left before it was taken. */
-    boolean gone();
+    boolean hasClientLeft();
   }
 
   /** A command in hand. */
-  private static final class InHand {
-    Request command;
-    Asker asker;
+  private static final class InFlightRequest {
+    Request request;
+    ResponseListener listener;
     EngineLink.Order order;
-    int sends;
-    Out out;
+    int attempts;
+    Attempt current;
   }
 
   /** One send without outcome. */
-  static final class Out {
-    InHand of;
+  static final class Attempt {
+    InFlightRequest request;
     int number;
     int seen;
     EngineModel engine;
     EngineModel.Job job;
     long sentUs;
     Timeline.Entry timeout;
-    boolean over;
+    boolean isOver;
   }
 
   private static final TimeSpan NOT_TOLD = new TimeSpan(-1);
@@ -54,9 +54,9 @@
   final int number;
   private final Timeline time;
   private final EngineLink link;
-  private final InvariantChecker referee;
-  private final OutcomeCounts tally;
-  private final Map<RequestId, InHand> inHand = new HashMap<>();
+  private final InvariantChecker invariants;
+  private final OutcomeCounts counts;
+  private final Map<RequestId, InFlightRequest> inFlight = new HashMap<>();
   private Policy policy;
   private Timeline.Entry wake;
   private Timeline.Entry soon;
@@ -66,20 +66,20 @@
   private final Deque<Runnable> waiting = new ArrayDeque<>();
 
   /** Counts its lives; what belongs to an earlier one is passed over. */
-  private int life;
+  private int incarnation;
 
   EmulatedDispatcher(
       int number, Timeline time, EngineLink link, InvariantChecker referee, OutcomeCounts tally) {
     this.number = number;
     this.time = time;
     this.link = link;
-    this.referee = referee;
-    this.tally = tally;
+    this.invariants = referee;
+    this.counts = tally;
   }
 
   /** Starts, or starts anew with nothing. */
   void start(Policy with) {
-    life++;
+    incarnation++;
     policy = with;
   }
 
@@ -93,23 +93,23 @@
 
   void kill() {
     policy = null;
-    life++;
+    incarnation++;
     Timeline.cancel(wake);
     Timeline.cancel(soon);
     wake = null;
     soon = null;
     waiting.clear();
     standsStill = false;
-    for (InHand c : inHand.values()) {
-      if (c.out != null) {
-        c.out.over = true;
-        Timeline.cancel(c.out.timeout);
+    for (InFlightRequest c : inFlight.values()) {
+      if (c.current != null) {
+        c.current.isOver = true;
+        Timeline.cancel(c.current.timeout);
         // Its connections are reset: engines give up what is open on them.
-        link.giveUp(this, c.out);
+        link.giveUp(this, c.current);
       }
     }
-    inHand.clear();
-    referee.killed(number);
+    inFlight.clear();
+    invariants.killed(number);
   }
 
   void standStill(boolean now) {
@@ -122,15 +122,15 @@
   }
 
   /** Something comes to it, now or when it goes on. */
-  private void hear(Runnable what) {
+  private void receive(Runnable what) {
     if (policy == null) {
       return;
     }
-    int mine = life;
+    int mine = incarnation;
     if (standsStill) {
       waiting.add(
           () -> {
-            if (mine == life) {
+            if (mine == incarnation) {
               what.run();
             }
           });
@@ -139,133 +139,133 @@
     }
   }
 
-  void listed(List<EndpointStatus> list, boolean whole) {
-    hear(
+  void updateEndpoints(List<EndpointStatus> list, boolean whole) {
+    receive(
         () -> {
-          list.forEach(l -> referee.listed(number, l.engine(), l.state()));
-          policy.listed(list, whole, time.now());
+          list.forEach(l -> invariants.listed(number, l.engine(), l.state()));
+          policy.updateEndpoints(list, whole, time.now());
           follow();
         });
   }
 
   /** Takes a command in. */
-  void take(Request command, EngineLink.Order order, String key, Asker asker) {
-    hear(
+  void admit(Request command, EngineLink.Order order, String key, ResponseListener asker) {
+    receive(
         () -> {
-          if (asker.gone()) {
+          if (asker.hasClientLeft()) {
             return;
           }
-          InHand c = new InHand();
-          c.command = command;
-          c.asker = asker;
+          InFlightRequest c = new InFlightRequest();
+          c.request = command;
+          c.listener = asker;
           c.order = order;
-          inHand.put(command.id(), c);
-          tally.taken++;
-          referee.taken(number, command.id(), order.profile(), key, command.deadline().us());
+          inFlight.put(command.id(), c);
+          counts.admitted++;
+          invariants.taken(number, command.id(), order.profile(), key, command.deadline().us());
           carryOut(c, policy.place(command, time.now()));
           follow();
         });
   }
 
   /** Its client waits no longer. */
-  void departed(RequestId id) {
-    InHand c = inHand.get(id);
-    if (c == null || c.asker == null) {
+  void clientLeft(RequestId id) {
+    InFlightRequest c = inFlight.get(id);
+    if (c == null || c.listener == null) {
       return;
     }
-    referee.departed(number, id, standsStill || policy == null);
-    c.asker = null;
-    hear(
+    invariants.departed(number, id, standsStill || policy == null);
+    c.listener = null;
+    receive(
         () -> {
-          policy.departed(id, time.now());
-          if (c.out != null) {
-            giveUp(c.out, AttemptResult.CANCELLED);
+          policy.clientLeft(id, time.now());
+          if (c.current != null) {
+            giveUp(c.current, AttemptResult.CANCELLED);
           } else {
-            inHand.remove(id);
+            inFlight.remove(id);
           }
           follow();
         });
   }
 
-  private void carryOut(InHand c, Placement p) {
-    if (c.asker == null) {
+  private void carryOut(InFlightRequest c, Placement p) {
+    if (c.listener == null) {
       return;
     }
     switch (p.decision()) {
       case SEND -> send(c, p);
-      case SHED -> end(c, InvariantChecker.Final.SHED, p.retryAfter());
-      case FAIL -> end(c, InvariantChecker.Final.FAILED, TimeSpan.ZERO);
+      case SHED -> end(c, InvariantChecker.FinalAnswer.SHED, p.retryAfter());
+      case FAIL -> end(c, InvariantChecker.FinalAnswer.FAILED, TimeSpan.ZERO);
       default -> {}
     }
   }
 
-  private void end(InHand c, InvariantChecker.Final what, TimeSpan comeBack) {
-    Asker asker = c.asker;
-    c.asker = null;
-    referee.answered(number, c.command.id(), what);
-    if (c.out == null) {
-      inHand.remove(c.command.id());
+  private void end(InFlightRequest c, InvariantChecker.FinalAnswer what, TimeSpan comeBack) {
+    ResponseListener asker = c.listener;
+    c.listener = null;
+    invariants.answered(number, c.request.id(), what);
+    if (c.current == null) {
+      inFlight.remove(c.request.id());
     }
-    asker.told(what, comeBack);
+    asker.onFinalAnswer(what, comeBack);
   }
 
-  private void send(InHand c, Placement p) {
-    Out out = new Out();
-    out.of = c;
-    out.number = c.sends++;
+  private void send(InFlightRequest c, Placement p) {
+    Attempt out = new Attempt();
+    out.request = c;
+    out.number = c.attempts++;
     out.engine = link.engine(p.engine());
     out.sentUs = time.nowUs();
-    out.seen = referee.sent(number, c.command.id(), out.engine);
-    tally.sends++;
-    tally.further += out.number > 0 ? 1 : 0;
-    c.out = out;
+    out.seen = invariants.sent(number, c.request.id(), out.engine);
+    counts.attempts++;
+    counts.retries += out.number > 0 ? 1 : 0;
+    c.current = out;
     out.timeout =
         time.at(
             out.sentUs + Math.max(1, p.attemptTimeout().us()),
-            () -> hear(() -> giveUp(out, AttemptResult.TIMED_OUT)));
+            () -> receive(() -> giveUp(out, AttemptResult.TIMED_OUT)));
     link.send(this, out, c.order);
   }
 
-  RequestId command(Out out) {
-    return out.of.command.id();
+  RequestId command(Attempt out) {
+    return out.request.request.id();
   }
 
   /** What an engine, or the network, says of a send. */
-  void ended(Out out, AttemptResult ending, double reportedInHand) {
-    hear(() -> outcome(out, ending, reportedInHand));
+  void completeAttempt(Attempt out, AttemptResult ending, double reportedInHand) {
+    receive(() -> outcome(out, ending, reportedInHand));
   }
 
-  void progressed(Out out, double share) {
-    hear(
+  void updateProgress(Attempt out, double share) {
+    receive(
         () -> {
-          if (!out.over) {
-            policy.progressed(out.of.command.id(), out.number, share, time.now());
+          if (!out.isOver) {
+            policy.updateProgress(out.request.request.id(), out.number, share, time.now());
             follow();
           }
         });
   }
 
-  private void giveUp(Out out, AttemptResult ending) {
-    if (!out.over) {
+  private void giveUp(Attempt out, AttemptResult ending) {
+    if (!out.isOver) {
       link.giveUp(this, out);
       outcome(out, ending, -1);
     }
   }
 
-  private void outcome(Out out, AttemptResult ending, double reportedInHand) {
-    if (out.over) {
+  private void outcome(Attempt out, AttemptResult ending, double reportedInHand) {
+    if (out.isOver) {
       return;
     }
-    out.over = true;
+    out.isOver = true;
     Timeline.cancel(out.timeout);
-    InHand c = out.of;
-    c.out = null;
-    referee.outcome(number, c.command.id(), out.seen, ending);
-    Asker answered = ending == AttemptResult.COMPLETED ? c.asker : null;
-    boolean over = ending == AttemptResult.COMPLETED || c.asker == null;
+    InFlightRequest c = out.request;
+    c.current = null;
+    invariants.outcome(number, c.request.id(), out.seen, ending);
+    ResponseListener answered = ending == AttemptResult.COMPLETED ? c.listener : null;
+    boolean over = ending == AttemptResult.COMPLETED || c.listener == null;
     AttemptOutcome outcome =
         new AttemptOutcome(
-            c.command.id(),
+            c.request.id(),
             out.number,
             out.engine.id,
             ending,
@@ -276,11 +276,11 @@
             reportedInHand < 0 ? -1 : 0,
             reportedInHand);
     if (answered != null) {
-      end(c, InvariantChecker.Final.ANSWERED, TimeSpan.ZERO);
+      end(c, InvariantChecker.FinalAnswer.ANSWERED, TimeSpan.ZERO);
     }
-    carryOut(c, policy.after(outcome, time.now()));
-    if (c.asker == null) {
-      inHand.remove(c.command.id());
+    carryOut(c, policy.completeAttempt(outcome, time.now()));
+    if (c.listener == null) {
+      inFlight.remove(c.request.id());
     }
     follow();
   }
@@ -288,13 +288,13 @@
   /** Follows the policy once all that comes at this moment is heard. */
   private void follow() {
     if (soon == null) {
-      int mine = life;
+      int mine = incarnation;
       soon =
           time.at(
               time.nowUs(),
               () -> {
                 soon = null;
-                if (mine == life) {
+                if (mine == incarnation) {
                   followed();
                 }
               });
@@ -309,28 +309,28 @@
     Timeline.cancel(wake);
     wake = null;
     for (int asked = 0; asked < MOST_ASKED; asked++) {
-      NextStep pause = policy.pause(time.now());
+      NextStep pause = policy.next(time.now());
       if (pause.delay() == null) {
         return;
       }
       if (pause.delay().isPositive()) {
-        int mine = life;
+        int mine = incarnation;
         wake =
             time.after(
                 pause.delay(),
                 () -> {
-                  if (mine == life) {
+                  if (mine == incarnation) {
                     followed();
                   }
                 });
         return;
       }
-      InHand c = pause.request() == null ? null : inHand.get(pause.request().id());
+      InFlightRequest c = pause.request() == null ? null : inFlight.get(pause.request().id());
       if (pause.request() != null && c == null) {
-        policy.departed(pause.request().id(), time.now());
+        policy.clientLeft(pause.request().id(), time.now());
       } else if (pause.cancelAttempt() >= 0) {
-        if (c.out != null && c.out.number == pause.cancelAttempt()) {
-          giveUp(c.out, AttemptResult.CANCELLED);
+        if (c.current != null && c.current.number == pause.cancelAttempt()) {
+          giveUp(c.current, AttemptResult.CANCELLED);
         }
       } else if (c != null) {
         carryOut(c, policy.place(pause.request(), time.now()));
--- a/src/main/java/cobaltseam/emulator/EmulatedFleet.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedFleet.java
@@ -46,21 +46,21 @@
   private static final int ASKS_NEWS = 1;
   private static final TimeSpan NEWS_END = new TimeSpan(3_000_000);
 
-  private static final class One {
+  private static final class FleetMember {
     Dispatcher dispatcher;
     StateGossip sharing;
-    CapacityLeases holdings;
+    CapacityLeases capacityLeases;
     DemandEstimate demand = new DemandEstimate(WINDOW);
-    LoadReports reports;
-    int life;
+    LoadReports loadReports;
+    int incarnation;
   }
 
   private final Timeline time;
   private final SplittableRandom chance = new SplittableRandom(7);
   private final View view;
-  private final One[] all;
-  private final boolean spreads;
-  private final TimeSpan news;
+  private final FleetMember[] processes;
+  private final boolean sharesCapacity;
+  private final TimeSpan reportIntervalUs;
 
   /**
    * @param spreads whether parts follow demand
@@ -68,12 +68,12 @@
    */
   EmulatedFleet(EmulatedSite world, Timeline time, boolean spreads, double newsMs) {
     this.time = time;
-    this.spreads = spreads;
-    news = newsMs > 0 ? EmulatedSite.ms(newsMs) : null;
+    this.sharesCapacity = spreads;
+    reportIntervalUs = newsMs > 0 ? EmulatedSite.ms(newsMs) : null;
     List<Member> members = new ArrayList<>();
-    all = new One[world.dispatchers()];
-    for (int i = 0; i < all.length; i++) {
-      all[i] = new One();
+    processes = new FleetMember[world.dispatchers()];
+    for (int i = 0; i < processes.length; i++) {
+      processes[i] = new FleetMember();
       members.add(new Member(name(i), new Incarnation(1), address(i)));
     }
     view = new View(new ViewId(1, 1), members, null);
@@ -94,23 +94,23 @@
   }
 
   /** A dispatcher starts, or starts anew as the same member. */
-  Policy joins(Deployment told, Dispatcher dispatcher, long seed) {
+  Policy join(Deployment told, Dispatcher dispatcher, long seed) {
     int i = told.dispatcherIndex();
-    One one = all[i];
-    one.life++;
+    FleetMember one = processes[i];
+    one.incarnation++;
     one.dispatcher = dispatcher;
     one.demand = new DemandEstimate(WINDOW);
     SplittableRandom own = new SplittableRandom(seed);
-    if (news != null) {
-      one.reports =
+    if (reportIntervalUs != null) {
+      one.loadReports =
           new LoadReports(
-              new LoadReports.LoadReportOptions(news, ASKS_NEWS, NEWS_END, CLOCKS),
+              new LoadReports.LoadReportOptions(reportIntervalUs, ASKS_NEWS, NEWS_END, CLOCKS),
               own.split(),
               time.now());
-      asks(i, one.life);
+      startExchange(i, one.incarnation);
     }
-    if (!spreads) {
-      return heeds(one, Policy.module(dispatcher));
+    if (!sharesCapacity) {
+      return decorate(one, Policy.ofDispatcher(dispatcher));
     }
     one.sharing =
         new StateGossip(
@@ -120,63 +120,65 @@
             own.split(),
             time.now());
     one.sharing.view(new java.util.HashSet<>(view.members().stream().map(Member::name).toList()));
-    one.holdings =
+    one.capacityLeases =
         new CapacityLeases(
-            new CapacityOptions(WHOLE, 0.1, all.length, 0.25, LEASE.times(0.25), 16),
+            new CapacityOptions(WHOLE, 0.1, processes.length, 0.25, LEASE.times(0.25), 16),
             under(i),
             own.split());
-    if (one.life == 1) {
+    if (one.incarnation == 1) {
       // The fleet was formed long before the run begins.
-      one.holdings.follow(time.now().minus(LEASE.times(2)));
+      one.capacityLeases.follow(time.now().minus(LEASE.times(2)));
     }
-    dispatcher.setSharingDispatchers((double) WHOLE / one.holdings.usable(time.now()));
-    turn(i, one.life);
-    return heeds(one, Policy.module(dispatcher));
+    dispatcher.setSharingDispatchers((double) WHOLE / one.capacityLeases.usable(time.now()));
+    turn(i, one.incarnation);
+    return decorate(one, Policy.ofDispatcher(dispatcher));
   }
 
   /** The policy, with what engines tell it told to its fleet as well. */
-  private Policy heeds(One one, Policy policy) {
-    if (one.reports == null) {
+  private Policy decorate(FleetMember one, Policy policy) {
+    if (one.loadReports == null) {
       return policy;
     }
-    return new Policy.Passing(policy) {
+    return new Policy.DelegatingPolicy(policy) {
       @Override
-      public Placement after(AttemptOutcome outcome, Timestamp now) {
+      public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
         if (outcome.inFlightAtEngine() >= 0) {
-          one.reports.told(
+          one.loadReports.told(
               new LoadReports.LoadReport(
                   outcome.engine(),
                   Math.max(0, outcome.inFlightAtEngine() - Math.max(0, outcome.queuedAtEngine())),
                   now));
         }
-        return super.after(outcome, now);
+        return super.completeAttempt(outcome, now);
       }
     };
   }
 
-  private void asks(int i, int life) {
-    if (all[i].life == life) {
-      says(all[i].reports.due(view, teller(i), time.now()));
-      time.at(all[i].reports.wake().us(), () -> asks(i, life));
+  private void startExchange(int i, int life) {
+    if (processes[i].incarnation == life) {
+      send(processes[i].loadReports.due(view, header(i), time.now()));
+      time.at(processes[i].loadReports.wake().us(), () -> startExchange(i, life));
     }
   }
 
-  private MessageHeader teller(int i) {
+  private MessageHeader header(int i) {
     return new MessageHeader(view.members().get(i), 0, view.id(), true);
   }
 
-  private void says(List<LoadReports.OutgoingMessage> tells) {
+  private void send(List<LoadReports.OutgoingMessage> tells) {
     for (LoadReports.OutgoingMessage tell : tells) {
       int to = number(tell.to());
       after(
           to,
           () -> {
-            says(all[to].reports.heard(tell.word(), view, teller(to), time.now()));
-            all[to]
-                .reports
+            send(processes[to].loadReports.heard(tell.word(), view, header(to), time.now()));
+            processes[to]
+                .loadReports
                 .news()
                 .forEach(
-                    r -> all[to].dispatcher.updateEngineLoad(r.engine(), r.inFlight(), r.at()));
+                    r ->
+                        processes[to].dispatcher.updateEngineLoad(
+                            r.engine(), r.inFlight(), r.at()));
           });
     }
   }
@@ -200,7 +202,7 @@
 
       @Override
       public MessageHeader teller() {
-        return EmulatedFleet.this.teller(i);
+        return EmulatedFleet.this.header(i);
       }
 
       @Override
@@ -220,7 +222,7 @@
 
       @Override
       public Double demand(MemberName of) {
-        KnownFigures known = all[i].sharing.known(of, time.now());
+        KnownFigures known = processes[i].sharing.known(of, time.now());
         Long said = known == null ? null : known.figures().byName().get(FleetCoordinator.DEMAND);
         return said == null ? null : Double.valueOf(FleetCoordinator.demand(said));
       }
@@ -229,49 +231,49 @@
 
   /** One turn of a dispatcher's fleet thread. */
   private void turn(int i, int life) {
-    One one = all[i];
-    if (one.life != life) {
+    FleetMember one = processes[i];
+    if (one.incarnation != life) {
       return;
     }
     Timestamp now = time.now();
     double rate = one.demand.told(one.dispatcher.offeredLoad(), now);
-    one.holdings.needs(rate);
+    one.capacityLeases.needs(rate);
     one.sharing.say(
         new MemberFigures(Map.of(FleetCoordinator.DEMAND, FleetCoordinator.figure(rate))));
     shares(i, one.sharing.due(now));
-    one.holdings.follow(now).forEach(t -> says(t.to(), t.word()));
-    tells(one);
+    one.capacityLeases.follow(now).forEach(t -> send(t.to(), t.word()));
+    publishFigures(one);
     time.after(LEASE.times(0.25), () -> turn(i, life));
   }
 
-  private void tells(One one) {
+  private void publishFigures(FleetMember one) {
     one.dispatcher.setSharingDispatchers(
-        (double) WHOLE / Math.max(1, one.holdings.usable(time.now())));
+        (double) WHOLE / Math.max(1, one.capacityLeases.usable(time.now())));
   }
 
   private void shares(int from, List<StateGossip.Send> sends) {
     for (StateGossip.Send send : sends) {
       int to = Integer.parseInt(send.to().value().substring(1));
-      after(to, () -> shares(to, all[to].sharing.heard(send.message(), time.now())));
+      after(to, () -> shares(to, processes[to].sharing.heard(send.message(), time.now())));
     }
   }
 
-  private void says(InetSocketAddress address, CapacityLeaseMessage word) {
+  private void send(InetSocketAddress address, CapacityLeaseMessage word) {
     int to = number(address);
     after(
         to,
         () -> {
-          all[to].holdings.heard(word, time.now()).forEach(t -> says(t.to(), t.word()));
-          tells(all[to]);
+          processes[to].capacityLeases.heard(word, time.now()).forEach(t -> send(t.to(), t.word()));
+          publishFigures(processes[to]);
         });
   }
 
   private void after(int to, Runnable what) {
-    int life = all[to].life;
+    int life = processes[to].incarnation;
     time.after(
         new TimeSpan(Math.round(ONE_WAY_US * chance.nextDouble(0.5, 1.5))),
         () -> {
-          if (all[to].life == life) {
+          if (processes[to].incarnation == life) {
             what.run();
           }
         });
--- a/src/main/java/cobaltseam/emulator/EmulatedSite.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedSite.java
@@ -19,11 +19,11 @@
     @JsonProperty("name") String name,
     @JsonProperty("engines") Engines engines,
     @JsonProperty("dispatchers") int dispatchers,
-    @JsonProperty("profiles") List<Profile> profiles,
-    @JsonProperty("holders") List<Tenant> holders,
+    @JsonProperty("profiles") List<RequestClass> requestClasses,
+    @JsonProperty("holders") List<Tenant> tenants,
     @JsonProperty("load") Load load,
-    @JsonProperty("net") Network net,
-    @JsonProperty("roster") Discovery roster,
+    @JsonProperty("net") Network network,
+    @JsonProperty("roster") Discovery discovery,
     @JsonProperty("limits") Limits limits) {
   /**
    * The engines: how many, their cores, the spread of their speeds around 1, threads a core up to
@@ -39,8 +39,8 @@
       @JsonProperty("knee") double knee,
       @JsonProperty("fall") double fall,
       @JsonProperty("sessions") int sessions,
-      @JsonProperty("coldFrom") double coldFrom,
-      @JsonProperty("warmS") double warmS,
+      @JsonProperty("coldFrom") double slowStartFraction,
+      @JsonProperty("warmS") double slowStartS,
       @JsonProperty("memoryMb") double memoryMb,
       @JsonProperty("spill") double spill,
       @JsonProperty("warmSets") int warmSets,
@@ -50,31 +50,31 @@
       @JsonProperty("errors") double errors) {}
 
   /** One profile of commands, by its part of all that come. */
-  public record Profile(
+  public record RequestClass(
       @JsonProperty("name") String name,
       @JsonProperty("part") double part,
       @JsonProperty("threads") int threads,
       @JsonProperty("workMs") double workMs,
       @JsonProperty("cv") double cv,
-      @JsonProperty("benefit") double benefit,
-      @JsonProperty("lateBenefit") double lateBenefit,
-      @JsonProperty("targetMs") double targetMs,
-      @JsonProperty("timeoutMs") double timeoutMs,
-      @JsonProperty("stretch") double stretch,
-      @JsonProperty("repeat") RetrySafety repeat,
-      @JsonProperty("scope") DeduplicationScope scope,
-      @JsonProperty("rememberedMs") double rememberedMs,
+      @JsonProperty("benefit") double priorityWeight,
+      @JsonProperty("lateBenefit") double latePriorityWeight,
+      @JsonProperty("targetMs") double objectiveMs,
+      @JsonProperty("timeoutMs") double deadlineMs,
+      @JsonProperty("stretch") double objectivePerWork,
+      @JsonProperty("repeat") RetrySafety retrySafety,
+      @JsonProperty("scope") DeduplicationScope deduplicationScope,
+      @JsonProperty("rememberedMs") double deduplicationWindowMs,
       @JsonProperty("memoryMb") double memoryMb,
       @JsonProperty("inOrder") boolean inOrder,
       @JsonProperty("badPlans") double badPlans,
       @JsonProperty("badTimes") double badTimes,
       @JsonProperty("locations") List<String> locations) {
-    TimeSpan target() {
-      return ms(targetMs);
+    TimeSpan objective() {
+      return ms(objectiveMs);
     }
 
-    TimeSpan timeout() {
-      return ms(timeoutMs);
+    TimeSpan deadline() {
+      return ms(deadlineMs);
     }
   }
 
@@ -120,17 +120,17 @@
 
   /** What a dispatcher may do. */
   public record Limits(
-      @JsonProperty("mostSends") int mostSends,
-      @JsonProperty("cancels") boolean cancels,
+      @JsonProperty("mostSends") int maxAttempts,
+      @JsonProperty("cancels") boolean canCancel,
       @JsonProperty("progressMs") double progressMs,
-      @JsonProperty("comeBackMs") double comeBackMs,
+      @JsonProperty("comeBackMs") double maxRetryAfterMs,
       @JsonProperty("drainGraceMs") double drainGraceMs,
-      @JsonProperty("fallMultiple") double fallMultiple,
-      @JsonProperty("fallWindowMs") double fallWindowMs,
-      @JsonProperty("keyRestMs") double keyRestMs,
-      @JsonProperty("furtherFree") Double furtherFree,
-      @JsonProperty("furtherRatio") Double furtherRatio,
-      @JsonProperty("furtherWindowMs") double furtherWindowMs) {}
+      @JsonProperty("fallMultiple") double slowStartLimitFactor,
+      @JsonProperty("fallWindowMs") double slowStartWindowMs,
+      @JsonProperty("keyRestMs") double sequenceKeyRestMs,
+      @JsonProperty("furtherFree") Double freeRetries,
+      @JsonProperty("furtherRatio") Double retryRatio,
+      @JsonProperty("furtherWindowMs") double retryWindowMs) {}
 
   static final String KIND = "emulated";
 
@@ -143,20 +143,20 @@
     return new Deployment(
         number,
         dispatchers,
-        profiles.stream()
+        requestClasses.stream()
             .map(
                 p ->
                     new Deployment.RequestClass(
                         new RequestClassId(p.name()),
                         p.threads(),
-                        p.benefit(),
-                        p.lateBenefit(),
-                        p.target(),
-                        p.stretch(),
-                        p.timeout(),
-                        p.repeat(),
-                        p.scope(),
-                        ms(p.rememberedMs()),
+                        p.priorityWeight(),
+                        p.latePriorityWeight(),
+                        p.objective(),
+                        p.objectivePerWork(),
+                        p.deadline(),
+                        p.retrySafety(),
+                        p.deduplicationScope(),
+                        ms(p.deduplicationWindowMs()),
                         p.inOrder(),
                         p.locations() == null
                             ? null
@@ -166,24 +166,24 @@
                         null))
             .toList(),
         List.of(new MachineType(new MachineTypeId(KIND), engines.cores(), engines.memoryMb())),
-        holders.stream().map(h -> new Quota(new TenantId(h.name()), h.perSecond())).toList(),
+        tenants.stream().map(h -> new Quota(new TenantId(h.name()), h.perSecond())).toList(),
         0.05,
         new Rules(
-            engines.coldFrom(),
-            ms(engines.warmS() * 1000),
-            limits.fallMultiple(),
-            ms(limits.fallWindowMs()),
-            ms(limits.keyRestMs()),
-            limits.furtherFree(),
-            limits.furtherRatio(),
-            limits.furtherFree() == null ? null : ms(limits.furtherWindowMs())),
+            engines.slowStartFraction(),
+            ms(engines.slowStartS() * 1000),
+            limits.slowStartLimitFactor(),
+            ms(limits.slowStartWindowMs()),
+            ms(limits.sequenceKeyRestMs()),
+            limits.freeRetries(),
+            limits.retryRatio(),
+            limits.freeRetries() == null ? null : ms(limits.retryWindowMs())),
         new Capabilities(
             new TimeSpan(1000),
-            limits.mostSends(),
-            limits.cancels(),
+            limits.maxAttempts(),
+            limits.canCancel(),
             false,
-            limits.comeBackMs() > 0,
-            ms(limits.comeBackMs()),
+            limits.maxRetryAfterMs() > 0,
+            ms(limits.maxRetryAfterMs()),
             ms(limits.progressMs())));
   }
 
@@ -193,10 +193,10 @@
    */
   double capacity() {
     double mean =
-        profiles.stream()
+        requestClasses.stream()
                 .mapToDouble(p -> p.part() * p.workMs() * (1 + p.badPlans() * (p.badTimes() - 1)))
                 .sum()
-            / profiles.stream().mapToDouble(Profile::part).sum();
+            / requestClasses.stream().mapToDouble(RequestClass::part).sum();
     return engines.count() * engines.cores() * 1000 / mean;
   }
 }
--- a/src/main/java/cobaltseam/emulator/EmulatedSites.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedSites.java
@@ -66,11 +66,11 @@
     }
     List<String> wrong = new ArrayList<>();
     if (world.engines() == null
-        || world.profiles() == null
-        || world.holders() == null
+        || world.requestClasses() == null
+        || world.tenants() == null
         || world.load() == null
-        || world.net() == null
-        || world.roster() == null
+        || world.network() == null
+        || world.discovery() == null
         || world.limits() == null) {
       throw new InvalidInputException(
           "world "
@@ -84,23 +84,23 @@
     bound(wrong, "engines.knee", e.knee(), 1, 100);
     bound(wrong, "engines.fall", e.fall(), 0, 10);
     bound(wrong, "engines.sessions", e.sessions(), 1, 1_000_000);
-    bound(wrong, "engines.coldFrom", e.coldFrom(), 0.01, 1);
+    bound(wrong, "engines.coldFrom", e.slowStartFraction(), 0.01, 1);
     bound(wrong, "engines.locations", e.locations(), 1, e.count());
     bound(wrong, "engines.groups", e.groups(), 1, e.count());
     bound(wrong, "dispatchers", world.dispatchers(), 1, 10_000);
-    bound(wrong, "profiles", world.profiles().size(), 1, 100);
-    for (EmulatedSite.Profile p : world.profiles()) {
+    bound(wrong, "profiles", world.requestClasses().size(), 1, 100);
+    for (EmulatedSite.RequestClass p : world.requestClasses()) {
       bound(wrong, p.name() + ".part", p.part(), 0, 1e9);
       bound(wrong, p.name() + ".threads", p.threads(), 1, 1024);
       bound(wrong, p.name() + ".workMs", p.workMs(), 0.001, 1e7);
       bound(wrong, p.name() + ".cv", p.cv(), 0, 10);
-      bound(wrong, p.name() + ".targetMs", p.targetMs(), 1, 1e7);
-      bound(wrong, p.name() + ".timeoutMs", p.timeoutMs(), p.targetMs(), 1e7);
+      bound(wrong, p.name() + ".targetMs", p.objectiveMs(), 1, 1e7);
+      bound(wrong, p.name() + ".timeoutMs", p.deadlineMs(), p.objectiveMs(), 1e7);
       bound(wrong, p.name() + ".badPlans", p.badPlans(), 0, 1);
     }
     bound(wrong, "load.perSecond", world.load().perSecond(), 0, 1e7);
     bound(wrong, "load.swing", world.load().swing(), 0, 0.99);
-    bound(wrong, "net.jitter", world.net().jitter(), 0, 1);
+    bound(wrong, "net.jitter", world.network().jitter(), 0, 1);
     if (!wrong.isEmpty()) {
       throw new InvalidInputException("world " + name + ":\n" + String.join("\n", wrong));
     }
--- a/src/main/java/cobaltseam/emulator/EngineModel.java
+++ b/src/main/java/cobaltseam/emulator/EngineModel.java
@@ -55,7 +55,7 @@
   }
 
   /** Whether it is there, and how. */
-  enum Life {
+  enum ProcessState {
     RUNS,
     DIED,
     VANISHED
@@ -69,7 +69,7 @@
   private final PriorityQueue<Job> jobs = new PriorityQueue<>();
   private final Map<DataSetId, Boolean> warm;
   private final double speed;
-  Life life = Life.RUNS;
+  ProcessState life = ProcessState.RUNS;
 
   /** The factor of faults on its speed; zero while it hangs. */
   double slowed = 1;
@@ -129,10 +129,10 @@
 
   /** The part of its work that it can do, from its start on. */
   double warmth() {
-    double since = (time.nowUs() - startedUs) / (terms.warmS() * 1e6);
-    return since >= 1 || terms.warmS() <= 0
+    double since = (time.nowUs() - startedUs) / (terms.slowStartS() * 1e6);
+    return since >= 1 || terms.slowStartS() <= 0
         ? 1
-        : terms.coldFrom() + (1 - terms.coldFrom()) * Math.max(0, since);
+        : terms.slowStartFraction() + (1 - terms.slowStartFraction()) * Math.max(0, since);
   }
 
   /** Work a microsecond that all its threads do together. */
@@ -155,7 +155,7 @@
             * Math.max(
                 LEAST_WORK, 1 - terms.fall() * Math.max(0, t / terms.cores() - terms.knee()));
     double all = work * speed * slowed * warmth();
-    return life != Life.RUNS || all <= 0 ? Double.POSITIVE_INFINITY : t / all;
+    return life != ProcessState.RUNS || all <= 0 ? Double.POSITIVE_INFINITY : t / all;
   }
 
   /** Takes a job in; false where it has no session left. */
@@ -220,7 +220,7 @@
   /** What changes its pace is about to change, or has changed: call it before and after. */
   void advance() {
     long now = time.nowUs();
-    if (threads > 0 && now > lastUs && life == Life.RUNS) {
+    if (threads > 0 && now > lastUs && life == ProcessState.RUNS) {
       double all = capacity() * (now - lastUs);
       served += all / threads;
       workDone += all;
@@ -231,7 +231,7 @@
   void plan() {
     Timeline.cancel(next);
     next = null;
-    double rate = threads > 0 && life == Life.RUNS ? capacity() / threads : 0;
+    double rate = threads > 0 && life == ProcessState.RUNS ? capacity() / threads : 0;
     if (rate > 0) {
       long in = (long) Math.ceil(Math.max(0, jobs.peek().endsAt - served) / rate);
       // While it warms up its pace changes: it is looked at again soon.
--- a/src/main/java/cobaltseam/emulator/Experiment.java
+++ b/src/main/java/cobaltseam/emulator/Experiment.java
@@ -216,7 +216,7 @@
                 run.plan.seconds(),
                 run.seed)
             .run();
-    List<OutcomeCounts.Row> rows = r.tally().rows();
+    List<OutcomeCounts.ClassOutcome> rows = r.counts().rows();
     org.HdrHistogram.Histogram all = new org.HdrHistogram.Histogram(3_600_000_000L, 2);
     rows.forEach(row -> all.add(row.latency));
     return new ResultsFile.RunResult(
@@ -225,25 +225,26 @@
         run.plan.figure(),
         run.value,
         run.seed,
-        r.tally().goodput(),
-        r.tally().offered(),
-        sum(rows, x -> x.inTarget),
+        r.counts().goodput(),
+        r.counts().offered(),
+        sum(rows, x -> x.withinObjective),
         sum(rows, x -> x.late),
         sum(rows, x -> x.shed),
         sum(rows, x -> x.failed),
-        sum(rows, x -> x.unheard),
+        sum(rows, x -> x.unanswered),
         all.getValueAtPercentile(50) / 1000.0,
         all.getValueAtPercentile(99) / 1000.0,
-        r.brokenRules(),
-        r.tally().taken(),
-        r.tally().sends(),
-        r.tally().further(),
+        r.violationCount(),
+        r.counts().admitted(),
+        r.counts().attempts(),
+        r.counts().retries(),
         r.realS(),
         r.hash());
   }
 
   private static long sum(
-      List<OutcomeCounts.Row> rows, java.util.function.ToLongFunction<OutcomeCounts.Row> of) {
+      List<OutcomeCounts.ClassOutcome> rows,
+      java.util.function.ToLongFunction<OutcomeCounts.ClassOutcome> of) {
     return rows.stream().mapToLong(of).sum();
   }
 
@@ -257,7 +258,7 @@
     rows.stream()
         .collect(
             Collectors.groupingBy(
-                r -> String.format(Locale.ROOT, "%s | %s | %s", r.world(), r.value(), r.policy()),
+                r -> String.format(Locale.ROOT, "%s | %s | %s", r.site(), r.value(), r.policy()),
                 TreeMap::new,
                 Collectors.toList()))
         .forEach(
@@ -297,7 +298,7 @@
       if (with != null) {
         differences
             .computeIfAbsent(
-                r.world()
+                r.site()
                     + " | "
                     + (policyA == null ? r.policy() : policyA + " against " + policyB)
                     + " | "
@@ -328,7 +329,7 @@
   }
 
   private static String pair(ResultsFile.RunResult r, boolean anyPolicy) {
-    return r.world()
+    return r.site()
         + " "
         + (anyPolicy ? "" : r.policy())
         + " "
--- a/src/main/java/cobaltseam/emulator/Fault.java
+++ b/src/main/java/cobaltseam/emulator/Fault.java
@@ -17,7 +17,7 @@
     @JsonProperty("lengthS") double lengthS,
     @JsonProperty("engines") List<Integer> engines,
     @JsonProperty("size") double size,
-    @JsonProperty("who") int who) {
+    @JsonProperty("who") int target) {
   private static final double SHORTEST_S = 0.1;
 
   /** What goes wrong. */
@@ -64,10 +64,10 @@
     for (int e = 0; e < engines.size() && engines.size() > 1; e++) {
       List<Integer> fewer = new ArrayList<>(engines);
       fewer.remove(e);
-      forms.add(new Fault(kind, atS, lengthS, fewer, size, who));
+      forms.add(new Fault(kind, atS, lengthS, fewer, size, target));
     }
     if (lengthS / 2 >= SHORTEST_S) {
-      forms.add(new Fault(kind, atS, lengthS / 2, engines, size, who));
+      forms.add(new Fault(kind, atS, lengthS / 2, engines, size, target));
     }
     return forms;
   }
@@ -105,7 +105,7 @@
           };
       int who =
           kind == Kind.FLOOD
-              ? chance.nextInt(Math.max(1, world.holders().size()))
+              ? chance.nextInt(Math.max(1, world.tenants().size()))
               : chance.nextInt(world.dispatchers());
       faults.add(new Fault(kind, at, length, engines, size, who));
     }
--- a/src/main/java/cobaltseam/emulator/FaultScript.java
+++ b/src/main/java/cobaltseam/emulator/FaultScript.java
@@ -39,10 +39,10 @@
     for (Fault f : faults) {
       boolean engines = f.engines().stream().allMatch(e -> e >= 0 && e < world.engines().count());
       boolean who =
-          f.who() >= 0
+          f.target() >= 0
               && (f.kind() == Fault.Kind.FLOOD
-                  ? f.who() < world.holders().size()
-                  : f.who() < world.dispatchers());
+                  ? f.target() < world.tenants().size()
+                  : f.target() < world.dispatchers());
       if (!engines || !who || !(f.atS() >= 0) || !(f.lengthS() > 0) || !(f.size() > 0)) {
         throw new InvalidInputException(
             file
@@ -69,7 +69,7 @@
                     f.lengthS(),
                     f.engines(),
                     f.size(),
-                    f.who()))
+                    f.target()))
         .collect(Collectors.joining("\n"));
   }
 }
--- a/src/main/java/cobaltseam/emulator/InvariantChecker.java
+++ b/src/main/java/cobaltseam/emulator/InvariantChecker.java
@@ -32,27 +32,27 @@
   }
 
   /** One broken rule: when, by which dispatcher, on which command, and what was seen. */
-  record Broken(Rule rule, double atS, int dispatcher, String command, String what) {}
+  record Violation(Rule rule, double atS, int dispatcher, String command, String what) {}
 
   /** How a command can end for its client. */
-  enum Final {
+  enum FinalAnswer {
     ANSWERED,
     SHED,
     FAILED
   }
 
-  private static final class Seen {
-    EmulatedSite.Profile profile;
+  private static final class ObservedRequest {
+    EmulatedSite.RequestClass profile;
     String key;
     long takenUs;
     long timeoutUs;
-    Final told;
+    FinalAnswer told;
     boolean gone;
     int out;
-    final List<Sent> sends = new ArrayList<>();
+    final List<ObservedAttempt> sends = new ArrayList<>();
   }
 
-  private static final class Sent {
+  private static final class ObservedAttempt {
     EngineModel engine;
     long atUs;
     long ranUs = -1;
@@ -60,15 +60,15 @@
     long endedUs;
   }
 
-  private record Told(EndpointState standing, long atUs) {}
+  private record NotifiedState(EndpointState standing, long atUs) {}
 
-  private static final int MOST_KEPT = 100;
+  private static final int MAX_RECORDED = 100;
   private static final long SLACK_US = 50_000;
 
-  private final EmulatedSite world;
+  private final EmulatedSite site;
   private final Timeline time;
-  private final List<Map<RequestId, Seen>> seen = new ArrayList<>();
-  private final List<Map<EngineId, Told>> told = new ArrayList<>();
+  private final List<Map<RequestId, ObservedRequest>> seen = new ArrayList<>();
+  private final List<Map<EngineId, NotifiedState>> told = new ArrayList<>();
   private final List<Deque<Long>> taken = new ArrayList<>();
   private final List<Deque<Long>> further = new ArrayList<>();
 
@@ -77,11 +77,11 @@
 
   private final List<Map<String, Long>> rests = new ArrayList<>();
   private final Map<EngineId, Deque<double[]>> cold = new HashMap<>();
-  private final List<Broken> broken = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
   private final Map<Rule, Long> counts = new EnumMap<>(Rule.class);
 
   InvariantChecker(EmulatedSite world, Timeline time) {
-    this.world = world;
+    this.site = world;
     this.time = time;
     for (int i = 0; i < world.dispatchers(); i++) {
       seen.add(new HashMap<>());
@@ -93,17 +93,17 @@
     }
   }
 
-  private void broken(Rule rule, int dispatcher, RequestId command, String what) {
+  private void violations(Rule rule, int dispatcher, RequestId command, String what) {
     counts.merge(rule, 1L, Long::sum);
-    if (broken.size() < MOST_KEPT) {
-      broken.add(
-          new Broken(
+    if (violations.size() < MAX_RECORDED) {
+      violations.add(
+          new Violation(
               rule, time.nowUs() / 1e6, dispatcher, command == null ? "" : command.value(), what));
     }
   }
 
-  List<Broken> broken() {
-    return broken;
+  List<Violation> violations() {
+    return violations;
   }
 
   long count(Rule rule) {
@@ -115,18 +115,18 @@
   }
 
   void listed(int dispatcher, EngineId engine, EndpointState standing) {
-    Told before = told.get(dispatcher).get(engine);
+    NotifiedState before = told.get(dispatcher).get(engine);
     // A drain counts from when it was first told, however often it is told again.
     if (before == null
         || before.standing != standing
             && (before.standing == EndpointState.UP || standing == EndpointState.UP)) {
-      told.get(dispatcher).put(engine, new Told(standing, time.nowUs()));
+      told.get(dispatcher).put(engine, new NotifiedState(standing, time.nowUs()));
     }
   }
 
   void taken(
-      int dispatcher, RequestId id, EmulatedSite.Profile profile, String key, long timeoutUs) {
-    Seen s = new Seen();
+      int dispatcher, RequestId id, EmulatedSite.RequestClass profile, String key, long timeoutUs) {
+    ObservedRequest s = new ObservedRequest();
     s.profile = profile;
     s.key = key;
     s.takenUs = time.nowUs();
@@ -141,23 +141,23 @@
   /** A send leaves; the number under which its outcome is told, or -1. */
   int sent(int dispatcher, RequestId id, EngineModel engine) {
     long now = time.nowUs();
-    Seen s = seen.get(dispatcher).get(id);
+    ObservedRequest s = seen.get(dispatcher).get(id);
     if (s == null) {
-      broken(Rule.LOST, dispatcher, id, "a send for a command that is over or was never taken");
+      violations(Rule.LOST, dispatcher, id, "a send for a command that is over or was never taken");
       return -1;
     }
     if (s.told != null) {
-      broken(Rule.LOST, dispatcher, id, "a send after its final answer " + s.told);
+      violations(Rule.LOST, dispatcher, id, "a send after its final answer " + s.told);
     }
     if (s.out > 0) {
-      broken(Rule.TWICE, dispatcher, id, "a send while another is out");
+      violations(Rule.TWICE, dispatcher, id, "a send while another is out");
     }
-    Told standing = told.get(dispatcher).get(engine.id);
+    NotifiedState standing = told.get(dispatcher).get(engine.id);
     if (standing == null) {
-      broken(Rule.DRAIN, dispatcher, id, "a send to an engine that was never listed");
+      violations(Rule.DRAIN, dispatcher, id, "a send to an engine that was never listed");
     } else if (standing.standing != EndpointState.UP
-        && now - standing.atUs > EmulatedSite.ms(world.limits().drainGraceMs()).us()) {
-      broken(
+        && now - standing.atUs > EmulatedSite.ms(site.limits().drainGraceMs()).us()) {
+      violations(
           Rule.DRAIN,
           dispatcher,
           id,
@@ -167,7 +167,7 @@
               + standing.standing);
     }
     if (s.profile.locations() != null && !s.profile.locations().contains(engine.location.value())) {
-      broken(Rule.PLACEMENT, dispatcher, id, "a send to " + engine.location.value());
+      violations(Rule.PLACEMENT, dispatcher, id, "a send to " + engine.location.value());
     }
     if (!s.sends.isEmpty()) {
       repeated(dispatcher, id, s, engine, now);
@@ -175,7 +175,7 @@
     if (s.profile.inOrder() && s.key != null) {
       ordered(dispatcher, id, s, now);
     }
-    Sent sent = new Sent();
+    ObservedAttempt sent = new ObservedAttempt();
     sent.engine = engine;
     sent.atUs = now;
     s.sends.add(sent);
@@ -183,32 +183,33 @@
     return s.sends.size() - 1;
   }
 
-  private void repeated(int dispatcher, RequestId id, Seen s, EngineModel engine, long now) {
-    Sent first =
+  private void repeated(
+      int dispatcher, RequestId id, ObservedRequest s, EngineModel engine, long now) {
+    ObservedAttempt first =
         s.sends.stream()
             .filter(x -> x.ending == null || !x.ending.neverRan())
             .findFirst()
             .orElse(null);
-    if (first != null && s.profile.repeat() == RetrySafety.NOT_IDEMPOTENT) {
-      broken(
+    if (first != null && s.profile.retrySafety() == RetrySafety.NOT_IDEMPOTENT) {
+      violations(
           Rule.TWICE, dispatcher, id, "another send of a non-replayable command that may have run");
-    } else if (first != null && s.profile.repeat() == RetrySafety.IDEMPOTENT_WITH_KEY) {
+    } else if (first != null && s.profile.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY) {
       boolean same =
-          s.profile.scope() == DeduplicationScope.ALL
-              || s.profile.scope() == DeduplicationScope.GROUP
+          s.profile.deduplicationScope() == DeduplicationScope.ALL
+              || s.profile.deduplicationScope() == DeduplicationScope.GROUP
                   && first.engine.group.equals(engine.group)
-              || s.profile.scope() == DeduplicationScope.LOCATION
+              || s.profile.deduplicationScope() == DeduplicationScope.LOCATION
                   && first.engine.location.equals(engine.location);
-      if (!same || now - first.atUs > EmulatedSite.ms(s.profile.rememberedMs()).us()) {
-        broken(
+      if (!same || now - first.atUs > EmulatedSite.ms(s.profile.deduplicationWindowMs()).us()) {
+        violations(
             Rule.TWICE,
             dispatcher,
             id,
             "a uniqued command sent again outside what drops its repeats");
       }
     }
-    if (world.limits().furtherFree() != null) {
-      long window = EmulatedSite.ms(world.limits().furtherWindowMs()).us();
+    if (site.limits().freeRetries() != null) {
+      long window = EmulatedSite.ms(site.limits().retryWindowMs()).us();
       Deque<Long> sends = further.get(dispatcher);
       Deque<Long> came = taken.get(dispatcher);
       sends.addLast(now);
@@ -218,19 +219,19 @@
       while (!came.isEmpty() && came.peekFirst() <= now - window) {
         came.pollFirst();
       }
-      double allowed = world.limits().furtherFree() + world.limits().furtherRatio() * came.size();
+      double allowed = site.limits().freeRetries() + site.limits().retryRatio() * came.size();
       if (sends.size() > allowed) {
-        broken(Rule.BUDGET, dispatcher, id, sends.size() + " further sends of " + allowed);
+        violations(Rule.BUDGET, dispatcher, id, sends.size() + " further sends of " + allowed);
       }
     }
   }
 
-  private void ordered(int dispatcher, RequestId id, Seen s, long now) {
+  private void ordered(int dispatcher, RequestId id, ObservedRequest s, long now) {
     for (RequestId other : lines.get(dispatcher).getOrDefault(s.key, new ArrayDeque<>())) {
       if (other.equals(id)) {
         break;
       }
-      broken(
+      violations(
           Rule.ORDER,
           dispatcher,
           id,
@@ -238,7 +239,7 @@
       break;
     }
     if (now < rests.get(dispatcher).getOrDefault(s.key, 0L)) {
-      broken(Rule.ORDER, dispatcher, id, "a send while its key rests");
+      violations(Rule.ORDER, dispatcher, id, "a send while its key rests");
     }
   }
 
@@ -247,7 +248,7 @@
    * Each send weighs its profile's mean work, since no dispatcher could know more.
    */
   boolean pushesOver(EngineModel engine, double workUs) {
-    long window = EmulatedSite.ms(world.limits().fallWindowMs()).us();
+    long window = EmulatedSite.ms(site.limits().slowStartWindowMs()).us();
     if (engine.warmth() >= 1 || window <= 0) {
       cold.remove(engine.id);
       return false;
@@ -259,9 +260,9 @@
     }
     double sum = work.stream().mapToDouble(w -> w[1]).sum();
     double most =
-        world.limits().fallMultiple() * engine.warmth() * world.engines().cores() * window;
-    if (sum > most && work.size() > world.engines().cores()) {
-      broken(
+        site.limits().slowStartLimitFactor() * engine.warmth() * site.engines().cores() * window;
+    if (sum > most && work.size() > site.engines().cores()) {
+      violations(
           Rule.COLD,
           -1,
           null,
@@ -277,22 +278,22 @@
 
   /** A send ran to its end. */
   void ran(int dispatcher, RequestId id, int send) {
-    Seen s = seen.get(dispatcher).get(id);
+    ObservedRequest s = seen.get(dispatcher).get(id);
     if (s != null && send >= 0) {
       s.sends.get(send).ranUs = time.nowUs();
       long runs = s.sends.stream().filter(x -> x.ranUs >= 0).count();
-      if (runs > 1 && s.profile.repeat() == RetrySafety.NOT_IDEMPOTENT) {
-        broken(Rule.TWICE, dispatcher, id, "it ran twice");
+      if (runs > 1 && s.profile.retrySafety() == RetrySafety.NOT_IDEMPOTENT) {
+        violations(Rule.TWICE, dispatcher, id, "it ran twice");
       }
     }
   }
 
   void outcome(int dispatcher, RequestId id, int send, AttemptResult ending) {
-    Seen s = seen.get(dispatcher).get(id);
+    ObservedRequest s = seen.get(dispatcher).get(id);
     if (s == null || send < 0) {
       return;
     }
-    Sent sent = s.sends.get(send);
+    ObservedAttempt sent = s.sends.get(send);
     sent.ending = ending;
     sent.endedUs = time.nowUs();
     s.out--;
@@ -303,51 +304,51 @@
             || ending == AttemptResult.CANCELLED)) {
       rests
           .get(dispatcher)
-          .put(s.key, time.nowUs() + EmulatedSite.ms(world.limits().keyRestMs()).us());
+          .put(s.key, time.nowUs() + EmulatedSite.ms(site.limits().sequenceKeyRestMs()).us());
     }
     over(dispatcher, id, s);
   }
 
-  void answered(int dispatcher, RequestId id, Final told) {
-    Seen s = seen.get(dispatcher).get(id);
+  void answered(int dispatcher, RequestId id, FinalAnswer told) {
+    ObservedRequest s = seen.get(dispatcher).get(id);
     if (s == null || s.told != null) {
-      broken(Rule.LOST, dispatcher, id, "a second final answer, " + told);
+      violations(Rule.LOST, dispatcher, id, "a second final answer, " + told);
       return;
     }
     s.told = told;
     if (time.nowUs() > s.timeoutUs + SLACK_US) {
-      broken(
+      violations(
           Rule.LOST,
           dispatcher,
           id,
           "a final answer " + (time.nowUs() - s.timeoutUs) / 1000 + " ms after the client timeout");
     }
-    if (told == Final.SHED
-        && s.profile.repeat() != RetrySafety.IDEMPOTENT
-        && !(s.profile.repeat() == RetrySafety.IDEMPOTENT_WITH_KEY
-            && s.profile.scope() == DeduplicationScope.ALL)
+    if (told == FinalAnswer.SHED
+        && s.profile.retrySafety() != RetrySafety.IDEMPOTENT
+        && !(s.profile.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY
+            && s.profile.deduplicationScope() == DeduplicationScope.ALL)
         && s.sends.stream().anyMatch(x -> x.ending == null || !x.ending.neverRan())) {
-      broken(Rule.TWICE, dispatcher, id, "shed though it may have run");
+      violations(Rule.TWICE, dispatcher, id, "shed though it may have run");
     }
-    if (told == Final.ANSWERED && s.sends.stream().noneMatch(x -> x.ranUs >= 0)) {
-      broken(Rule.LOST, dispatcher, id, "answered though no engine ran it");
+    if (told == FinalAnswer.ANSWERED && s.sends.stream().noneMatch(x -> x.ranUs >= 0)) {
+      violations(Rule.LOST, dispatcher, id, "answered though no engine ran it");
     }
     over(dispatcher, id, s);
   }
 
   /** Its client has waited for its whole timeout. */
   void departed(int dispatcher, RequestId id, boolean stoodStill) {
-    Seen s = seen.get(dispatcher).get(id);
+    ObservedRequest s = seen.get(dispatcher).get(id);
     if (s != null && s.told == null) {
       if (!stoodStill) {
-        broken(Rule.LOST, dispatcher, id, "no final answer within the client timeout");
+        violations(Rule.LOST, dispatcher, id, "no final answer within the client timeout");
       }
       s.gone = true;
       over(dispatcher, id, s);
     }
   }
 
-  private void over(int dispatcher, RequestId id, Seen s) {
+  private void over(int dispatcher, RequestId id, ObservedRequest s) {
     if ((s.told != null || s.gone) && s.out == 0) {
       seen.get(dispatcher).remove(id);
       if (s.profile.inOrder() && s.key != null) {
--- a/src/main/java/cobaltseam/emulator/OutcomeCounts.java
+++ b/src/main/java/cobaltseam/emulator/OutcomeCounts.java
@@ -7,35 +7,35 @@
 /** What clients got, by profile and by second. */
 public final class OutcomeCounts {
   /** One profile's figures: commands as first asked, however often they were asked again. */
-  public static final class Row {
+  public static final class ClassOutcome {
     public long offered;
-    public long inTarget;
+    public long withinObjective;
     public long late;
     public long shed;
     public long failed;
-    public long unheard;
-    public double benefitOffered;
-    public double benefitGot;
+    public long unanswered;
+    public double weightOffered;
+    public double weightServed;
 
     /** From the first asking to the answer, in microseconds, two digits of it true. */
     public final Histogram latency = new Histogram(3_600_000_000L, 2);
   }
 
-  private final List<Row> rows = new ArrayList<>();
+  private final List<ClassOutcome> rows = new ArrayList<>();
   private final List<double[]> seconds = new ArrayList<>();
   private double busiest, idlest;
   private long looks;
-  long taken;
-  long sends;
-  long further;
+  long admitted;
+  long attempts;
+  long retries;
 
   OutcomeCounts(int profiles) {
     for (int i = 0; i < profiles; i++) {
-      rows.add(new Row());
+      rows.add(new ClassOutcome());
     }
   }
 
-  Row row(int profile) {
+  ClassOutcome row(int profile) {
     return rows.get(profile);
   }
 
@@ -49,15 +49,15 @@
 
   void offered(int profile, double benefit, long us) {
     rows.get(profile).offered++;
-    rows.get(profile).benefitOffered += benefit;
+    rows.get(profile).weightOffered += benefit;
     second(us)[0] += benefit;
   }
 
   void answered(int profile, double benefit, boolean inTarget, long latencyUs, long askedUs) {
-    Row row = rows.get(profile);
-    row.inTarget += inTarget ? 1 : 0;
+    ClassOutcome row = rows.get(profile);
+    row.withinObjective += inTarget ? 1 : 0;
     row.late += inTarget ? 0 : 1;
-    row.benefitGot += benefit;
+    row.weightServed += benefit;
     row.latency.recordValue(Math.min(latencyUs, 3_600_000_000L));
     second(askedUs)[1] += benefit;
   }
@@ -91,11 +91,11 @@
 
   /** Benefit got of benefit offered: the goodput. */
   public double goodput() {
-    double offered = rows.stream().mapToDouble(r -> r.benefitOffered).sum();
-    return offered == 0 ? 0 : rows.stream().mapToDouble(r -> r.benefitGot).sum() / offered;
+    double offered = rows.stream().mapToDouble(r -> r.weightOffered).sum();
+    return offered == 0 ? 0 : rows.stream().mapToDouble(r -> r.weightServed).sum() / offered;
   }
 
-  public List<Row> rows() {
+  public List<ClassOutcome> rows() {
     return rows;
   }
 
@@ -104,16 +104,16 @@
     return seconds;
   }
 
-  public long taken() {
-    return taken;
+  public long admitted() {
+    return admitted;
   }
 
-  public long sends() {
-    return sends;
+  public long attempts() {
+    return attempts;
   }
 
-  public long further() {
-    return further;
+  public long retries() {
+    return retries;
   }
 
   public long offered() {
--- a/src/main/java/cobaltseam/emulator/Policy.java
+++ b/src/main/java/cobaltseam/emulator/Policy.java
@@ -14,21 +14,21 @@
 interface Policy {
   Placement place(Request command, Timestamp now);
 
-  Placement after(AttemptOutcome outcome, Timestamp now);
+  Placement completeAttempt(AttemptOutcome outcome, Timestamp now);
 
-  NextStep pause(Timestamp now);
+  NextStep next(Timestamp now);
 
-  void listed(List<EndpointStatus> list, boolean whole, Timestamp now);
+  void updateEndpoints(List<EndpointStatus> list, boolean whole, Timestamp now);
 
-  void progressed(RequestId command, int send, double share, Timestamp now);
+  void updateProgress(RequestId command, int send, double share, Timestamp now);
 
-  void departed(RequestId command, Timestamp now);
+  void clientLeft(RequestId command, Timestamp now);
 
   /** Another one, and what is done beside it. */
-  class Passing implements Policy {
+  class DelegatingPolicy implements Policy {
     private final Policy to;
 
-    Passing(Policy to) {
+    DelegatingPolicy(Policy to) {
       this.to = to;
     }
 
@@ -38,33 +38,33 @@
     }
 
     @Override
-    public Placement after(AttemptOutcome outcome, Timestamp now) {
-      return to.after(outcome, now);
+    public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
+      return to.completeAttempt(outcome, now);
     }
 
     @Override
-    public NextStep pause(Timestamp now) {
-      return to.pause(now);
+    public NextStep next(Timestamp now) {
+      return to.next(now);
     }
 
     @Override
-    public void listed(List<EndpointStatus> list, boolean whole, Timestamp now) {
-      to.listed(list, whole, now);
+    public void updateEndpoints(List<EndpointStatus> list, boolean whole, Timestamp now) {
+      to.updateEndpoints(list, whole, now);
     }
 
     @Override
-    public void progressed(RequestId command, int send, double share, Timestamp now) {
-      to.progressed(command, send, share, now);
+    public void updateProgress(RequestId command, int send, double share, Timestamp now) {
+      to.updateProgress(command, send, share, now);
     }
 
     @Override
-    public void departed(RequestId command, Timestamp now) {
-      to.departed(command, now);
+    public void clientLeft(RequestId command, Timestamp now) {
+      to.clientLeft(command, now);
     }
   }
 
   /** The decision module itself. */
-  static Policy module(Dispatcher d) {
+  static Policy ofDispatcher(Dispatcher d) {
     return new Policy() {
       @Override
       public Placement place(Request command, Timestamp now) {
@@ -72,27 +72,27 @@
       }
 
       @Override
-      public Placement after(AttemptOutcome outcome, Timestamp now) {
+      public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
         return d.completeAttempt(outcome, now);
       }
 
       @Override
-      public NextStep pause(Timestamp now) {
+      public NextStep next(Timestamp now) {
         return d.next(now);
       }
 
       @Override
-      public void listed(List<EndpointStatus> list, boolean whole, Timestamp now) {
+      public void updateEndpoints(List<EndpointStatus> list, boolean whole, Timestamp now) {
         d.updateEndpoints(list, whole, now);
       }
 
       @Override
-      public void progressed(RequestId command, int send, double share, Timestamp now) {
+      public void updateProgress(RequestId command, int send, double share, Timestamp now) {
         d.updateProgress(command, send, share, now);
       }
 
       @Override
-      public void departed(RequestId command, Timestamp now) {
+      public void clientLeft(RequestId command, Timestamp now) {
         d.clientLeft(command, now);
       }
     };
--- a/src/main/java/cobaltseam/emulator/ResultsFile.java
+++ b/src/main/java/cobaltseam/emulator/ResultsFile.java
@@ -27,34 +27,34 @@
 final class ResultsFile {
   /** One run: what was played, and what came of it. Latencies in milliseconds, of all answers. */
   record RunResult(
-      @JsonProperty("world") String world,
+      @JsonProperty("world") String site,
       @JsonProperty("policy") String policy,
       @JsonProperty("figure") String figure,
       @JsonProperty("value") double value,
       @JsonProperty("seed") long seed,
       @JsonProperty("goodput") double goodput,
       @JsonProperty("offered") long offered,
-      @JsonProperty("inTarget") long inTarget,
+      @JsonProperty("inTarget") long withinObjective,
       @JsonProperty("late") long late,
       @JsonProperty("shed") long shed,
       @JsonProperty("failed") long failed,
-      @JsonProperty("unheard") long unheard,
+      @JsonProperty("unheard") long unanswered,
       @JsonProperty("medianMs") double medianMs,
       @JsonProperty("p99Ms") double p99Ms,
       @JsonProperty("brokenRules") long brokenRules,
-      @JsonProperty("taken") long taken,
-      @JsonProperty("sends") long sends,
-      @JsonProperty("further") long further,
+      @JsonProperty("taken") long admitted,
+      @JsonProperty("sends") long attempts,
+      @JsonProperty("further") long retries,
       @JsonProperty("realS") double realS,
       @JsonProperty("hash") long hash) {
     String key() {
-      return world + " " + policy + " " + figure + " " + value + " " + seed;
+      return site + " " + policy + " " + figure + " " + value + " " + seed;
     }
   }
 
   private static final List<String> TEXTS = List.of("world", "policy", "figure");
   private static final List<Function<RunResult, String>> TEXT =
-      List.of(RunResult::world, RunResult::policy, RunResult::figure);
+      List.of(RunResult::site, RunResult::policy, RunResult::figure);
   private static final List<String> NUMBERS =
       List.of("value", "goodput", "median_ms", "p99_ms", "real_s");
   private static final List<ToDoubleFunction<RunResult>> NUMBER =
@@ -82,15 +82,15 @@
       List.of(
           RunResult::seed,
           RunResult::offered,
-          RunResult::inTarget,
+          RunResult::withinObjective,
           RunResult::late,
           RunResult::shed,
           RunResult::failed,
-          RunResult::unheard,
+          RunResult::unanswered,
           RunResult::brokenRules,
-          RunResult::taken,
-          RunResult::sends,
-          RunResult::further,
+          RunResult::admitted,
+          RunResult::attempts,
+          RunResult::retries,
           RunResult::hash);
 
   /** Held for good, or its level would be forgotten with it. */
--- a/src/main/java/cobaltseam/emulator/Simulation.java
+++ b/src/main/java/cobaltseam/emulator/Simulation.java
@@ -31,29 +31,29 @@
  */
 public final class Simulation implements EngineLink {
   /** Makes the policy of one dispatcher. */
-  interface Policies {
+  interface PolicyFactory {
     Policy of(Deployment told, long seed, Simulation truth);
   }
 
   /** What a run came to. */
   public record Result(
-      OutcomeCounts tally,
-      List<String> broken,
-      long brokenRules,
+      OutcomeCounts counts,
+      List<String> violations,
+      long violationCount,
       long events,
       double virtualS,
       double realS,
       long hash) {
     /** Commands taken for each second that the run took. */
     public double pace() {
-      return realS <= 0 ? 0 : tally.taken() / realS;
+      return realS <= 0 ? 0 : counts.admitted() / realS;
     }
   }
 
   /** One thing that a client wants, over all its askings. */
-  private static final class Ask {
-    int profile;
-    int holder;
+  private static final class ClientRequest {
+    int requestClass;
+    int tenant;
     long firstUs;
     Order order;
     double estimateUs;
@@ -72,14 +72,14 @@
   private static final int KEYS = 64;
   private static final long FNV_PRIME = 0x100000001b3L;
 
-  private final EmulatedSite world;
+  private final EmulatedSite site;
   private final Timeline time = new Timeline(new Timestamp(START_US));
-  private final InvariantChecker referee;
-  private final OutcomeCounts tally;
-  private final Policies policies;
+  private final InvariantChecker invariants;
+  private final OutcomeCounts counts;
+  private final PolicyFactory policies;
   private final List<EngineModel> engines = new ArrayList<>();
-  private final List<EndpointState> standings = new ArrayList<>();
-  private final List<EmulatedDispatcher> hosts = new ArrayList<>();
+  private final List<EndpointState> endpointStates = new ArrayList<>();
+  private final List<EmulatedDispatcher> dispatchers = new ArrayList<>();
   private final List<Set<Integer>> partitioned = new ArrayList<>();
   private final long[] heardUntil;
   private final long[] lives;
@@ -90,29 +90,30 @@
   private final RandomGenerator plans;
   private final RandomGenerator seeds;
   private final double[] profileParts;
-  private final double[] holderParts;
+  private final double[] tenantParts;
   private final double[] dataParts;
 
   /** Sums of the dispatchers' parts of the traffic; null where all carry alike. */
-  private final double[] hostParts;
+  private final double[] dispatcherParts;
 
-  private EmulatedFleet fellowship;
+  private EmulatedFleet fleet;
   private final double[] flooded;
   private final double endS;
-  private int rosterStops;
+  private int discoveryStoppedUntil;
   private double badPlans;
   private double badTimes = 10;
   private long asked;
   private long hash = 0xcbf29ce484222325L;
   private boolean coming = true;
 
-  Simulation(EmulatedSite world, Policies policies, List<Fault> faults, double seconds, long seed) {
-    this.world = world;
+  Simulation(
+      EmulatedSite world, PolicyFactory policies, List<Fault> faults, double seconds, long seed) {
+    this.site = world;
     this.policies = policies;
     endS = seconds;
-    referee = new InvariantChecker(world, time);
-    tally = new OutcomeCounts(world.profiles().size());
-    hostParts = hostParts(world);
+    invariants = new InvariantChecker(world, time);
+    counts = new OutcomeCounts(world.requestClasses().size());
+    dispatcherParts = dispatcherParts(world);
     SplittableRandom all = new SplittableRandom(seed);
     arrivals = all.split();
     works = all.split();
@@ -133,17 +134,18 @@
               speed,
               world.engines(),
               time));
-      standings.add(EndpointState.UP);
+      endpointStates.add(EndpointState.UP);
     }
     for (int i = 0; i < world.dispatchers(); i++) {
-      hosts.add(new EmulatedDispatcher(i, time, this, referee, tally));
+      dispatchers.add(new EmulatedDispatcher(i, time, this, invariants, counts));
       partitioned.add(new HashSet<>());
       start(i);
     }
     profileParts =
-        cumulative(world.profiles().stream().mapToDouble(EmulatedSite.Profile::part).toArray());
-    holderParts = world.holders().stream().mapToDouble(EmulatedSite.Tenant::part).toArray();
-    flooded = new double[Math.max(1, holderParts.length)];
+        cumulative(
+            world.requestClasses().stream().mapToDouble(EmulatedSite.RequestClass::part).toArray());
+    tenantParts = world.tenants().stream().mapToDouble(EmulatedSite.Tenant::part).toArray();
+    flooded = new double[Math.max(1, tenantParts.length)];
     Arrays.fill(flooded, 1);
     double[] sets = new double[Math.max(0, world.load().dataSets())];
     for (int i = 0; i < sets.length; i++) {
@@ -160,11 +162,11 @@
     for (int i = 0; i < world.load().closedClients(); i++) {
       time.at(
           START_US + Math.round(arrivals.nextDouble() * world.load().thinkMs() * 1000),
-          () -> ask(true));
+          () -> issueRequest(true));
     }
   }
 
-  private static double[] hostParts(EmulatedSite world) {
+  private static double[] dispatcherParts(EmulatedSite world) {
     Double skew = world.load().dispatcherSkew();
     if (skew == null || skew == 0) {
       return null;
@@ -178,23 +180,23 @@
 
   /** The part of all traffic that a dispatcher gets. */
   double trafficOf(int dispatcher) {
-    if (hostParts == null) {
-      return 1.0 / world.dispatchers();
+    if (dispatcherParts == null) {
+      return 1.0 / site.dispatchers();
     }
-    double before = dispatcher == 0 ? 0 : hostParts[dispatcher - 1];
-    return (hostParts[dispatcher] - before) / hostParts[hostParts.length - 1];
+    double before = dispatcher == 0 ? 0 : dispatcherParts[dispatcher - 1];
+    return (dispatcherParts[dispatcher] - before) / dispatcherParts[dispatcherParts.length - 1];
   }
 
   /** The dispatchers as one fleet, for policies that have one. */
-  EmulatedFleet fellowship(boolean spreads, double newsMs) {
-    fellowship = fellowship == null ? new EmulatedFleet(world, time, spreads, newsMs) : fellowship;
-    return fellowship;
+  EmulatedFleet withFleet(boolean spreads, double newsMs) {
+    fleet = fleet == null ? new EmulatedFleet(site, time, spreads, newsMs) : fleet;
+    return fleet;
   }
 
   private void look() {
-    tally.looked(
+    counts.looked(
         engines.stream()
-            .filter(e -> e.life == EngineModel.Life.RUNS)
+            .filter(e -> e.life == EngineModel.ProcessState.RUNS)
             .mapToDouble(EngineModel::threads)
             .toArray());
     time.at(time.nowUs() + LOOK_US, this::look);
@@ -216,13 +218,16 @@
     time.run(new Timestamp(at(endS)));
     coming = false;
     double longest =
-        world.profiles().stream().mapToDouble(EmulatedSite.Profile::timeoutMs).max().orElse(0)
+        site.requestClasses().stream()
+                .mapToDouble(EmulatedSite.RequestClass::deadlineMs)
+                .max()
+                .orElse(0)
             / 1000;
     time.run(new Timestamp(at(endS + longest * 2 + 1)));
     return new Result(
-        tally,
-        referee.broken().stream().map(InvariantChecker.Broken::toString).toList(),
-        referee.all(),
+        counts,
+        invariants.violations().stream().map(InvariantChecker.Violation::toString).toList(),
+        invariants.all(),
         time.happened(),
         (time.nowUs() - START_US) / 1e6,
         (System.nanoTime() - started) / 1e9,
@@ -230,12 +235,12 @@
   }
 
   InvariantChecker referee() {
-    return referee;
+    return invariants;
   }
 
   /** What is so at engines, for a policy that may see it. */
-  Baseline.Truth truth() {
-    return new Baseline.Truth() {
+  Baseline.TrueState truth() {
+    return new Baseline.TrueState() {
       @Override
       public double pace(EngineId engine) {
         return engine(engine).pace(1);
@@ -245,7 +250,7 @@
       public boolean hasRoom(EngineId engine, int threads) {
         EngineModel e = engine(engine);
         return e.threads() == 0
-            || e.threads() + threads <= world.engines().cores() * world.engines().knee();
+            || e.threads() + threads <= site.engines().cores() * site.engines().knee();
       }
     };
   }
@@ -257,14 +262,14 @@
   // ---- clients
 
   private double rate() {
-    EmulatedSite.Load load = world.load();
+    EmulatedSite.Load load = site.load();
     double t = (time.nowUs() - START_US) / 1e6;
     double swing =
         load.swingS() > 0 ? 1 + load.swing() * Math.sin(2 * Math.PI * t / load.swingS()) : 1;
     boolean burst = load.burstEveryS() > 0 && t % load.burstEveryS() < load.burstS();
     double flood = 1;
-    for (int i = 0; i < holderParts.length; i++) {
-      flood += holderParts[i] * (flooded[i] - 1) / Arrays.stream(holderParts).sum();
+    for (int i = 0; i < tenantParts.length; i++) {
+      flood += tenantParts[i] * (flooded[i] - 1) / Arrays.stream(tenantParts).sum();
     }
     return load.perSecond() * swing * (burst ? load.burstTimes() : 1) * flood;
   }
@@ -273,7 +278,7 @@
     if (!coming) {
       return;
     }
-    ask(false);
+    issueRequest(false);
     double gap = -Math.log(1 - arrivals.nextDouble()) / rate();
     time.at(time.nowUs() + Math.max(0, Math.round(gap * 1e6)), this::nextArrival);
   }
@@ -283,18 +288,18 @@
     return Math.min(sums.length - 1, found >= 0 ? found + 1 : -found - 1);
   }
 
-  private int holder() {
-    if (holderParts.length == 0) {
+  private int drawTenant() {
+    if (tenantParts.length == 0) {
       return -1;
     }
-    double[] parts = holderParts.clone();
+    double[] parts = tenantParts.clone();
     for (int i = 0; i < parts.length; i++) {
       parts[i] *= flooded[i];
     }
     return draw(cumulative(parts), arrivals.nextDouble());
   }
 
-  private double workUs(EmulatedSite.Profile p) {
+  private double workUs(EmulatedSite.RequestClass p) {
     double mean = p.workMs() * 1000;
     if (p.cv() == 0) {
       return mean;
@@ -306,42 +311,42 @@
     return mean * Math.exp(works.nextGaussian() * Math.sqrt(variance) - variance / 2);
   }
 
-  private void ask(boolean closed) {
+  private void issueRequest(boolean closed) {
     if (!coming) {
       return;
     }
-    Ask ask = new Ask();
-    ask.profile = draw(profileParts, arrivals.nextDouble());
-    ask.holder = holder();
+    ClientRequest ask = new ClientRequest();
+    ask.requestClass = draw(profileParts, arrivals.nextDouble());
+    ask.tenant = drawTenant();
     ask.firstUs = time.nowUs();
     ask.closed = closed;
-    ask.retriesLeft = world.load().retries();
-    EmulatedSite.Profile p = world.profiles().get(ask.profile);
+    ask.retriesLeft = site.load().retries();
+    EmulatedSite.RequestClass p = site.requestClasses().get(ask.requestClass);
     DataSetId data =
         dataParts.length == 0 ? null : new DataSetId(draw(dataParts, works.nextDouble()));
     ask.order = new Order(p, workUs(p), p.memoryMb(), data);
     ask.estimateUs =
-        ask.order.workUs() * Math.exp(world.load().estimateError() * works.nextGaussian());
+        ask.order.workUs() * Math.exp(site.load().estimateError() * works.nextGaussian());
     ask.key = p.inOrder() ? "k" + works.nextInt(KEYS) : null;
-    tally.offered(ask.profile, p.benefit(), ask.firstUs - START_US);
+    counts.offered(ask.requestClass, p.priorityWeight(), ask.firstUs - START_US);
     attempt(ask);
   }
 
-  private void attempt(Ask ask) {
-    EmulatedSite.Profile p = ask.order.profile();
+  private void attempt(ClientRequest ask) {
+    EmulatedSite.RequestClass p = ask.order.profile();
     EmulatedDispatcher host =
-        hosts.get(
-            hostParts == null
-                ? arrivals.nextInt(hosts.size())
-                : draw(hostParts, arrivals.nextDouble()));
-    long there = time.nowUs() + Math.round(world.net().clientMs() * 1000);
-    long until = time.nowUs() + p.timeout().us();
+        dispatchers.get(
+            dispatcherParts == null
+                ? arrivals.nextInt(dispatchers.size())
+                : draw(dispatcherParts, arrivals.nextDouble()));
+    long there = time.nowUs() + Math.round(site.network().clientMs() * 1000);
+    long until = time.nowUs() + p.deadline().us();
     RequestId id = new RequestId("c" + asked++);
     Request command =
         new Request(
             id,
             new RequestClassId(p.name()),
-            ask.holder < 0 ? null : new TenantId(world.holders().get(ask.holder).name()),
+            ask.tenant < 0 ? null : new TenantId(site.tenants().get(ask.tenant).name()),
             ask.key == null ? null : new SequenceKey(ask.key),
             new Timestamp(until),
             new TimeSpan(Math.round(ask.estimateUs)),
@@ -353,28 +358,28 @@
         () -> {
           if (!host.isUp()) {
             told[0] = true;
-            again(ask, TimeSpan.ZERO, () -> tally.row(ask.profile).failed++);
+            retryLater(ask, TimeSpan.ZERO, () -> counts.row(ask.requestClass).failed++);
             return;
           }
-          host.take(
+          host.admit(
               command,
               ask.order,
               ask.key,
-              new EmulatedDispatcher.Asker() {
+              new EmulatedDispatcher.ResponseListener() {
                 @Override
-                public void told(InvariantChecker.Final what, TimeSpan comeBack) {
+                public void onFinalAnswer(InvariantChecker.FinalAnswer what, TimeSpan comeBack) {
                   time.after(
-                      EmulatedSite.ms(world.net().clientMs()),
+                      EmulatedSite.ms(site.network().clientMs()),
                       () -> {
                         if (!told[0]) {
                           told[0] = true;
-                          Simulation.this.told(ask, what, comeBack);
+                          Simulation.this.onFinalAnswer(ask, what, comeBack);
                         }
                       });
                 }
 
                 @Override
-                public boolean gone() {
+                public boolean hasClientLeft() {
                   return told[0];
                 }
               });
@@ -384,41 +389,43 @@
         () -> {
           if (!told[0]) {
             told[0] = true;
-            host.departed(id);
-            tally.row(ask.profile).unheard++;
+            host.clientLeft(id);
+            counts.row(ask.requestClass).unanswered++;
             over(ask);
           }
         });
   }
 
-  private void told(Ask ask, InvariantChecker.Final what, TimeSpan comeBack) {
-    EmulatedSite.Profile p = ask.order.profile();
+  private void onFinalAnswer(
+      ClientRequest ask, InvariantChecker.FinalAnswer what, TimeSpan comeBack) {
+    EmulatedSite.RequestClass p = ask.order.profile();
     note(what.ordinal() + 31L * time.nowUs());
     switch (what) {
       case ANSWERED -> {
         long latency = time.nowUs() - ask.firstUs;
-        double target = p.target().us() + p.stretch() * ask.order.workUs() / p.threads();
-        boolean in = latency <= Math.min(target, p.timeout().us());
-        tally.answered(
-            ask.profile,
-            p.benefit() * (in ? 1 : p.lateBenefit()),
+        double target =
+            p.objective().us() + p.objectivePerWork() * ask.order.workUs() / p.threads();
+        boolean in = latency <= Math.min(target, p.deadline().us());
+        counts.answered(
+            ask.requestClass,
+            p.priorityWeight() * (in ? 1 : p.latePriorityWeight()),
             in,
             latency,
             ask.firstUs - START_US);
         over(ask);
       }
-      case SHED -> again(ask, comeBack, () -> tally.row(ask.profile).shed++);
+      case SHED -> retryLater(ask, comeBack, () -> counts.row(ask.requestClass).shed++);
       default -> {
-        tally.row(ask.profile).failed++;
+        counts.row(ask.requestClass).failed++;
         over(ask);
       }
     }
   }
 
-  private void again(Ask ask, TimeSpan comeBack, Runnable otherwise) {
+  private void retryLater(ClientRequest ask, TimeSpan comeBack, Runnable otherwise) {
     TimeSpan wait =
         comeBack.max(EmulatedSite.ms(LONGEST_RETRY_S * 1000)).times(0.5 + arrivals.nextDouble());
-    boolean inTime = time.nowUs() + wait.us() < ask.firstUs + ask.order.profile().timeout().us();
+    boolean inTime = time.nowUs() + wait.us() < ask.firstUs + ask.order.profile().deadline().us();
     if (ask.retriesLeft > 0 && inTime) {
       ask.retriesLeft--;
       time.after(wait, () -> attempt(ask));
@@ -428,16 +435,16 @@
     }
   }
 
-  private void over(Ask ask) {
+  private void over(ClientRequest ask) {
     if (ask.closed) {
-      time.after(EmulatedSite.ms(world.load().thinkMs()), () -> ask(true));
+      time.after(EmulatedSite.ms(site.load().thinkMs()), () -> issueRequest(true));
     }
   }
 
   // ---- the network and engines
 
   private TimeSpan delay() {
-    EmulatedSite.Network net = world.net();
+    EmulatedSite.Network net = site.network();
     return EmulatedSite.ms(net.oneWayMs() * (1 + net.jitter() * (2 * network.nextDouble() - 1)));
   }
 
@@ -451,36 +458,36 @@
   }
 
   @Override
-  public void send(EmulatedDispatcher from, EmulatedDispatcher.Out out, Order order) {
+  public void send(EmulatedDispatcher from, EmulatedDispatcher.Attempt out, Order order) {
     note(out.engine.id.value() * 1_000_003 + time.nowUs());
-    EmulatedSite.Profile p = order.profile();
+    EmulatedSite.RequestClass p = order.profile();
     boolean bad = plans.nextDouble() < Math.max(p.badPlans(), badPlans);
     double work = order.workUs() * (bad ? badPlans > p.badPlans() ? badTimes : p.badTimes() : 1);
-    boolean fails = plans.nextDouble() < Math.max(out.engine.failing, world.engines().errors());
+    boolean fails = plans.nextDouble() < Math.max(out.engine.failing, site.engines().errors());
     time.after(delay(), () -> arrive(from, out, order, work, fails));
   }
 
   private void arrive(
       EmulatedDispatcher from,
-      EmulatedDispatcher.Out out,
+      EmulatedDispatcher.Attempt out,
       Order order,
       double work,
       boolean fails) {
     EngineModel engine = out.engine;
-    if (out.over || cut(from, engine) || engine.life == EngineModel.Life.VANISHED) {
+    if (out.isOver || cut(from, engine) || engine.life == EngineModel.ProcessState.VANISHED) {
       return;
     }
-    if (engine.life == EngineModel.Life.DIED) {
-      back(from, out, AttemptResult.UNREACHABLE, -1);
+    if (engine.life == EngineModel.ProcessState.DIED) {
+      deliverOutcome(from, out, AttemptResult.UNREACHABLE, -1);
       return;
     }
     if (fails) {
-      back(from, out, AttemptResult.ERROR, engine.running());
+      deliverOutcome(from, out, AttemptResult.ERROR, engine.running());
       return;
     }
-    if (referee.pushesOver(engine, order.profile().workMs() * 1000)) {
+    if (invariants.pushesOver(engine, order.profile().workMs() * 1000)) {
       die(engine, false);
-      back(from, out, AttemptResult.UNREACHABLE, -1);
+      deliverOutcome(from, out, AttemptResult.UNREACHABLE, -1);
       return;
     }
     int threads = order.profile().threads();
@@ -490,43 +497,43 @@
             work,
             order.memoryMb(),
             () -> {
-              referee.ran(from.number, from.command(out), out.seen);
+              invariants.ran(from.number, from.command(out), out.seen);
               if (!(engine.losing > 0 && plans.nextDouble() < engine.losing)) {
-                back(from, out, AttemptResult.COMPLETED, engine.running());
+                deliverOutcome(from, out, AttemptResult.COMPLETED, engine.running());
               }
             },
-            () -> back(from, out, AttemptResult.CONNECTION_LOST, -1));
+            () -> deliverOutcome(from, out, AttemptResult.CONNECTION_LOST, -1));
     if (!engine.begin(job, order.data())) {
-      back(from, out, AttemptResult.CAPACITY_EXCEEDED, engine.running());
+      deliverOutcome(from, out, AttemptResult.CAPACITY_EXCEEDED, engine.running());
       return;
     }
     out.job = job;
-    if (world.limits().progressMs() > 0) {
-      time.after(EmulatedSite.ms(world.limits().progressMs()), () -> progress(from, out));
+    if (site.limits().progressMs() > 0) {
+      time.after(EmulatedSite.ms(site.limits().progressMs()), () -> progress(from, out));
     }
   }
 
-  private void progress(EmulatedDispatcher from, EmulatedDispatcher.Out out) {
-    if (!out.over && !cut(from, out.engine) && out.engine.life == EngineModel.Life.RUNS) {
+  private void progress(EmulatedDispatcher from, EmulatedDispatcher.Attempt out) {
+    if (!out.isOver && !cut(from, out.engine) && out.engine.life == EngineModel.ProcessState.RUNS) {
       double share = out.engine.progress(out.job);
       if (share < 1) {
-        time.after(delay(), () -> from.progressed(out, share));
-        time.after(EmulatedSite.ms(world.limits().progressMs()), () -> progress(from, out));
+        time.after(delay(), () -> from.updateProgress(out, share));
+        time.after(EmulatedSite.ms(site.limits().progressMs()), () -> progress(from, out));
       }
     }
   }
 
   /** Word of a send goes back to its dispatcher, unless the way is cut. */
-  private void back(
-      EmulatedDispatcher to, EmulatedDispatcher.Out out, AttemptResult ending, double inHand) {
+  private void deliverOutcome(
+      EmulatedDispatcher to, EmulatedDispatcher.Attempt out, AttemptResult ending, double inHand) {
     if (!cut(to, out.engine)) {
-      time.after(delay(), () -> to.ended(out, ending, inHand));
+      time.after(delay(), () -> to.completeAttempt(out, ending, inHand));
     }
   }
 
   @Override
-  public void giveUp(EmulatedDispatcher from, EmulatedDispatcher.Out out) {
-    if (world.limits().cancels()) {
+  public void giveUp(EmulatedDispatcher from, EmulatedDispatcher.Attempt out) {
+    if (site.limits().canCancel()) {
       time.after(
           delay(),
           () -> {
@@ -541,40 +548,40 @@
 
   private void start(int dispatcher) {
     lives[dispatcher]++;
-    EmulatedDispatcher host = hosts.get(dispatcher);
-    host.start(policies.of(world.deployment(dispatcher), seeds.nextLong(), this));
+    EmulatedDispatcher host = dispatchers.get(dispatcher);
+    host.start(policies.of(site.deployment(dispatcher), seeds.nextLong(), this));
     List<EndpointStatus> all = new ArrayList<>();
     for (int i = 0; i < engines.size(); i++) {
-      all.add(listing(i));
+      all.add(endpointStatus(i));
     }
-    host.listed(all, true);
+    host.updateEndpoints(all, true);
   }
 
-  private EndpointStatus listing(int engine) {
+  private EndpointStatus endpointStatus(int engine) {
     EngineModel e = engines.get(engine);
     return new EndpointStatus(
         e.id,
         e.location,
         new MachineTypeId(EmulatedSite.KIND),
         e.group,
-        standings.get(engine),
+        endpointStates.get(engine),
         new Timestamp(Math.max(0, e.startedUs)));
   }
 
   /** An engine's line has changed: each dispatcher hears of it late, and in order. */
   private void changed(int engine, EndpointState to) {
-    standings.set(engine, to);
-    if (rosterStops > 0) {
+    endpointStates.set(engine, to);
+    if (discoveryStoppedUntil > 0) {
       untold.add(engine);
       return;
     }
-    tell(engine);
+    notifyDispatchers(engine);
   }
 
-  private void tell(int engine) {
-    EndpointStatus line = listing(engine);
-    for (EmulatedDispatcher host : hosts) {
-      double late = world.roster().lagMs() + network.nextDouble() * world.roster().spreadMs();
+  private void notifyDispatchers(int engine) {
+    EndpointStatus line = endpointStatus(engine);
+    for (EmulatedDispatcher host : dispatchers) {
+      double late = site.discovery().lagMs() + network.nextDouble() * site.discovery().spreadMs();
       long when = Math.max(heardUntil[host.number] + 1, time.nowUs() + Math.round(late * 1000));
       heardUntil[host.number] = when;
       long life = lives[host.number];
@@ -582,7 +589,7 @@
           when,
           () -> {
             if (lives[host.number] == life) {
-              host.listed(List.of(line), false);
+              host.updateEndpoints(List.of(line), false);
             }
           });
     }
@@ -590,16 +597,16 @@
 
   private void die(EngineModel engine, boolean silent) {
     engine.advance();
-    engine.life = silent ? EngineModel.Life.VANISHED : EngineModel.Life.DIED;
+    engine.life = silent ? EngineModel.ProcessState.VANISHED : EngineModel.ProcessState.DIED;
     List<EngineModel.Job> dropped = engine.drop();
     if (!silent) {
       dropped.forEach(j -> j.cut.run());
     }
     int number = (int) engine.id.value() - 1;
     time.after(
-        EmulatedSite.ms(silent ? world.roster().lagMs() * 2 : 0),
+        EmulatedSite.ms(silent ? site.discovery().lagMs() * 2 : 0),
         () -> {
-          if (engine.life != EngineModel.Life.RUNS) {
+          if (engine.life != EngineModel.ProcessState.RUNS) {
             changed(number, EndpointState.GONE);
           }
         });
@@ -607,8 +614,8 @@
 
   private void returns(int number) {
     EngineModel engine = engines.get(number);
-    if (engine.life != EngineModel.Life.RUNS) {
-      engine.life = EngineModel.Life.RUNS;
+    if (engine.life != EngineModel.ProcessState.RUNS) {
+      engine.life = EngineModel.ProcessState.RUNS;
       engine.startedUs = time.nowUs();
       engine.advance();
       changed(number, EndpointState.UP);
@@ -640,7 +647,7 @@
           f.engines()
               .forEach(
                   e -> {
-                    if (engines.get(e).life == EngineModel.Life.RUNS) {
+                    if (engines.get(e).life == EngineModel.ProcessState.RUNS) {
                       die(engines.get(e), f.kind() == Fault.Kind.VANISH);
                       time.at(end, () -> returns(e));
                     }
@@ -649,12 +656,12 @@
           f.engines()
               .forEach(
                   e -> {
-                    if (engines.get(e).life == EngineModel.Life.RUNS) {
+                    if (engines.get(e).life == EngineModel.ProcessState.RUNS) {
                       changed(e, EndpointState.DRAINING);
                       time.at(
                           end,
                           () -> {
-                            if (engines.get(e).life == EngineModel.Life.RUNS) {
+                            if (engines.get(e).life == EngineModel.ProcessState.RUNS) {
                               die(engines.get(e), false);
                             }
                           });
@@ -662,37 +669,37 @@
                     }
                   });
       case PARTITION -> {
-        Set<Integer> of = partitioned.get(f.who());
+        Set<Integer> of = partitioned.get(f.target());
         of.addAll(f.engines());
         time.at(end, () -> of.removeAll(f.engines()));
       }
       case PAUSE -> {
-        hosts.get(f.who()).standStill(true);
-        time.at(end, () -> hosts.get(f.who()).standStill(false));
+        dispatchers.get(f.target()).standStill(true);
+        time.at(end, () -> dispatchers.get(f.target()).standStill(false));
       }
       case KILL -> {
-        if (hosts.get(f.who()).isUp()) {
-          hosts.get(f.who()).kill();
-          lives[f.who()]++;
-          time.at(end, () -> start(f.who()));
+        if (dispatchers.get(f.target()).isUp()) {
+          dispatchers.get(f.target()).kill();
+          lives[f.target()]++;
+          time.at(end, () -> start(f.target()));
         }
       }
       case ROSTER_STOPS -> {
-        rosterStops++;
+        discoveryStoppedUntil++;
         time.at(
             end,
             () -> {
-              if (--rosterStops == 0) {
+              if (--discoveryStoppedUntil == 0) {
                 List<Integer> due = List.copyOf(untold);
                 untold.clear();
-                due.stream().distinct().forEach(this::tell);
+                due.stream().distinct().forEach(this::notifyDispatchers);
               }
             });
       }
       case FLOOD -> {
-        if (f.who() < holderParts.length) {
-          flooded[f.who()] = f.size();
-          time.at(end, () -> flooded[f.who()] = 1);
+        if (f.target() < tenantParts.length) {
+          flooded[f.target()] = f.size();
+          time.at(end, () -> flooded[f.target()] = 1);
         }
       }
       case BAD_PLANS -> {
--- a/src/main/java/cobaltseam/fleet/ActivationRecord.java
+++ b/src/main/java/cobaltseam/fleet/ActivationRecord.java
@@ -11,11 +11,11 @@
  * One line of a process's own record: on which editions of the agreed document it acts from a
  * moment on.
  *
- * @param editions number and hash of each; one if it acts on that alone, several if it reads
+ * @param versions number and hash of each; one if it acts on that alone, several if it reads
  *     between them, none if it acts on nothing that could contradict another: stepped back,
  *     standing still or dead
  */
-public record ActivationRecord(double atS, int process, List<String> editions) {
+public record ActivationRecord(double atS, int process, List<String> versions) {
   /**
    * Two processes and how long they acted on editions that contradict each other; the longest of
    * all.
@@ -25,12 +25,12 @@
   }
 
   private boolean contradicts(ActivationRecord other, Set<String> harmless) {
-    return !editions.isEmpty()
-        && !other.editions.isEmpty()
-        && editions.stream()
+    return !versions.isEmpty()
+        && !other.versions.isEmpty()
+        && versions.stream()
             .noneMatch(
                 e ->
-                    other.editions.stream()
+                    other.versions.stream()
                         .anyMatch(
                             o ->
                                 o.equals(e)
@@ -73,7 +73,7 @@
                     a.atS,
                     a.process,
                     b.process,
-                    (before == null ? List.of() : before.editions) + " against " + b.editions);
+                    (before == null ? List.of() : before.versions) + " against " + b.versions);
           }
         }
       }
@@ -88,7 +88,7 @@
                 endS,
                 one,
                 other,
-                acting.get(one).editions + " against " + acting.get(other).editions);
+                acting.get(one).versions + " against " + acting.get(other).versions);
       }
     }
     return longest;
@@ -98,7 +98,7 @@
   public static List<String> twoUnderOneNumber(List<ActivationRecord> record) {
     Map<String, Set<String>> byNumber = new HashMap<>();
     for (ActivationRecord a : record) {
-      a.editions.forEach(
+      a.versions.forEach(
           e ->
               byNumber
                   .computeIfAbsent(e.substring(0, e.lastIndexOf(':')), n -> new TreeSet<>())
--- a/src/main/java/cobaltseam/fleet/AgreementHunt.java
+++ b/src/main/java/cobaltseam/fleet/AgreementHunt.java
@@ -55,17 +55,17 @@
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
   /** What one run came to. */
-  record Verdict(
+  record RunVerdict(
       List<String> broken,
       boolean lostMajority,
       ActivationRecord.Contradiction longest,
-      long editions,
+      long versions,
       double lastS) {}
 
-  static Verdict play(
-      VirtualFleet.Plan plan, List<Fault> troubles, double seconds, double everyS, long seed) {
-    VirtualFleet fleet = new VirtualFleet(plan, troubles, seed);
-    fleet.agrees(TERMS, CLOCKS);
+  static RunVerdict play(
+      VirtualFleet.Plan plan, List<Fault> faults, double seconds, double everyS, long seed) {
+    VirtualFleet fleet = new VirtualFleet(plan, faults, seed);
+    fleet.enableAgreement(TERMS, CLOCKS);
     SplittableRandom chance = new SplittableRandom(seed);
     int proposals = 0;
     Set<String> harmless = new HashSet<>();
@@ -87,7 +87,7 @@
       fleet.run(s);
       calm = fleet.isSettled() ? calm + 1 : 0;
     }
-    List<String> broken = new ArrayList<>(ActivationRecord.twoUnderOneNumber(fleet.acted()));
+    List<String> broken = new ArrayList<>(ActivationRecord.twoUnderOneNumber(fleet.activations()));
     double last = 0;
     if (!fleet.lostMajority()) {
       // Messages flow again: a proposal gets through, and all act on it.
@@ -114,16 +114,17 @@
       }
     }
     ActivationRecord.Contradiction longest =
-        ActivationRecord.longest(fleet.acted(), harmless, fleet.now());
+        ActivationRecord.longest(fleet.activations(), harmless, fleet.now());
     if (longest.seconds() > TERMS.contradiction().us() / 1e6) {
       broken.add("contradiction for " + longest);
     }
-    long editions = fleet.acted().stream().flatMap(a -> a.editions().stream()).distinct().count();
-    return new Verdict(broken, fleet.lostMajority(), longest, editions, last);
+    long editions =
+        fleet.activations().stream().flatMap(a -> a.versions().stream()).distinct().count();
+    return new RunVerdict(broken, fleet.lostMajority(), longest, editions, last);
   }
 
   /** The run of a seed. */
-  static Verdict one(FleetCommand.Common common, double everyS, long seed) {
+  static RunVerdict one(FleetCommand.Common common, double everyS, long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     int processes =
         common.processes > 0
@@ -158,13 +159,13 @@
   public Integer call() {
     long from = System.nanoTime();
     PrintWriter out = spec.commandLine().getOut();
-    List<Verdict> all = Collections.synchronizedList(new ArrayList<>());
+    List<RunVerdict> all = Collections.synchronizedList(new ArrayList<>());
     Map<ActivationRecord.Contradiction, Long> seeds = Collections.synchronizedMap(new HashMap<>());
     LongStream.range(common.seed, common.seed + runs)
         .parallel()
         .forEach(
             seed -> {
-              Verdict v = one(common, everyS, seed);
+              RunVerdict v = one(common, everyS, seed);
               all.add(v);
               seeds.put(v.longest, seed);
               if (!v.broken.isEmpty()) {
@@ -188,7 +189,7 @@
     }
     long broken = all.stream().filter(v -> !v.broken.isEmpty()).count();
     List<Double> last =
-        all.stream().filter(v -> !v.lostMajority).map(Verdict::lastS).sorted().toList();
+        all.stream().filter(v -> !v.lostMajority).map(RunVerdict::lastS).sorted().toList();
     out.printf(
         Locale.ROOT,
         "%d runs, seeds from %d: %d broken, %d that lost a majority, %d editions acted on; longest contradiction %.3f s; the "
@@ -196,8 +197,8 @@
         all.size(),
         common.seed,
         broken,
-        all.stream().filter(Verdict::lostMajority).count(),
-        all.stream().mapToLong(Verdict::editions).sum(),
+        all.stream().filter(RunVerdict::lostMajority).count(),
+        all.stream().mapToLong(RunVerdict::versions).sum(),
         longest.seconds(),
         last.isEmpty() ? 0 : last.get(last.size() / 2),
         last.isEmpty() ? 0 : last.get(last.size() - 1),
--- a/src/main/java/cobaltseam/fleet/CapacityHunt.java
+++ b/src/main/java/cobaltseam/fleet/CapacityHunt.java
@@ -50,16 +50,20 @@
    * What one run came to: the most that might be used, as a share of the whole, and how far the
    * last needs were missed.
    */
-  record Verdict(
-      List<String> broken, boolean lostMajority, boolean twoLines, double most, double missed) {}
+  record RunVerdict(
+      List<String> broken,
+      boolean lostMajority,
+      boolean twoLines,
+      double peakUsage,
+      double missed) {}
 
   static CapacityOptions terms(int processes) {
     return new CapacityOptions(WHOLE, 0.1, processes, 0.25, new TimeSpan(500_000), 16);
   }
 
-  static Verdict play(VirtualFleet.Plan plan, List<Fault> troubles, double seconds, long seed) {
-    VirtualFleet fleet = new VirtualFleet(plan, troubles, seed);
-    fleet.divides(terms(plan.processes()), LEASE, CLOCKS);
+  static RunVerdict play(VirtualFleet.Plan plan, List<Fault> faults, double seconds, long seed) {
+    VirtualFleet fleet = new VirtualFleet(plan, faults, seed);
+    fleet.enableCapacityLeases(terms(plan.processes()), LEASE, CLOCKS);
     SplittableRandom chance = new SplittableRandom(seed);
     for (double s = 0; s < seconds; s += chance.nextDouble(0.1, 6)) {
       fleet.run(s);
@@ -76,7 +80,7 @@
     boolean settled = fleet.isSettled();
     fleet.run(s + FOLLOWS_WITHIN);
     List<String> broken = new ArrayList<>();
-    VirtualFleet.Most most = fleet.most();
+    VirtualFleet.PeakUsage most = fleet.peakUsage();
     if (most.amount() > WHOLE) {
       broken.add(
           String.format(
@@ -89,12 +93,12 @@
     if (!fleet.lostMajority() && missed > NEAR) {
       broken.add("parts miss needs by " + missed + " of the whole");
     }
-    return new Verdict(
+    return new RunVerdict(
         broken, fleet.lostMajority(), most.twoLines(), (double) most.amount() / WHOLE, missed);
   }
 
   /** The run of a seed. */
-  static Verdict one(FleetCommand.Common common, long seed) {
+  static RunVerdict one(FleetCommand.Common common, long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     int processes =
         common.processes > 0
@@ -112,12 +116,12 @@
   public Integer call() {
     long from = System.nanoTime();
     PrintWriter out = spec.commandLine().getOut();
-    List<Verdict> all = Collections.synchronizedList(new ArrayList<>());
+    List<RunVerdict> all = Collections.synchronizedList(new ArrayList<>());
     LongStream.range(common.seed, common.seed + runs)
         .parallel()
         .forEach(
             seed -> {
-              Verdict v = one(common, seed);
+              RunVerdict v = one(common, seed);
               all.add(v);
               if (!v.broken.isEmpty()) {
                 synchronized (out) {
@@ -134,7 +138,7 @@
             });
     long broken = all.stream().filter(v -> !v.broken.isEmpty()).count();
     List<Double> missed =
-        all.stream().filter(v -> !v.lostMajority).map(Verdict::missed).sorted().toList();
+        all.stream().filter(v -> !v.lostMajority).map(RunVerdict::missed).sorted().toList();
     out.printf(
         Locale.ROOT,
         "%d runs, seeds from %d: %d broken, %d that lost a majority, %d with two lines; the most used at once %.6f of the whole; "
@@ -142,9 +146,9 @@
         all.size(),
         common.seed,
         broken,
-        all.stream().filter(Verdict::lostMajority).count(),
-        all.stream().filter(Verdict::twoLines).count(),
-        all.stream().mapToDouble(Verdict::most).max().orElse(0),
+        all.stream().filter(RunVerdict::lostMajority).count(),
+        all.stream().filter(RunVerdict::twoLines).count(),
+        all.stream().mapToDouble(RunVerdict::peakUsage).max().orElse(0),
         missed.isEmpty() ? 0 : missed.get(missed.size() / 2),
         missed.isEmpty() ? 0 : missed.get(missed.size() - 1),
         (System.nanoTime() - from) / 1e9);
--- a/src/main/java/cobaltseam/fleet/Partitions.java
+++ b/src/main/java/cobaltseam/fleet/CapacityUsage.java
@@ -11,22 +11,22 @@
  * a part is used and until when at the longest. All on one machine, so that their clocks are one.
  * It knows nothing of how parts come about.
  */
-final class Partitions {
+final class CapacityUsage {
   /**
    * One process might use these parts from a moment on, each until its own: in microseconds, in
    * order.
    */
-  record Line(int process, long fromUs, long[] untilUs, double[] parts) {
+  record UsageRecord(int process, long fromUs, long[] untilUs, double[] amounts) {
     double at(long us) {
-      for (int i = 0; i < parts.length; i++) {
+      for (int i = 0; i < amounts.length; i++) {
         if (us < untilUs[i]) {
-          return parts[i];
+          return amounts[i];
         }
       }
       return 0;
     }
 
-    static Line read(int process, long fromUs, String steps) {
+    static UsageRecord read(int process, long fromUs, String steps) {
       String[] all = steps.split(" ");
       long[] until = new long[all.length];
       double[] parts = new double[all.length];
@@ -34,79 +34,79 @@
         parts[i] = Double.parseDouble(all[i].substring(0, all[i].indexOf('@')));
         until[i] = Long.parseLong(all[i].substring(all[i].indexOf('@') + 1));
       }
-      return new Line(process, fromUs, until, parts);
+      return new UsageRecord(process, fromUs, until, parts);
     }
   }
 
-  private record Used(long fromUs, long untilUs, double part) {}
+  private record UsageInterval(long fromUs, long untilUs, double amount) {}
 
   /** The most that was used at one time, and when. */
-  record Most(double part, long atUs) {}
+  record PeakUsage(double amount, long atUs) {}
 
-  private final List<Used> used = new ArrayList<>();
+  private final List<UsageInterval> used = new ArrayList<>();
 
   /** The last line of each process, until another one takes its place. */
-  private final Map<Integer, Line> last = new HashMap<>();
+  private final Map<Integer, UsageRecord> last = new HashMap<>();
 
   /** A process says what it may use from a moment on. */
-  synchronized void uses(Line line) {
-    ends(line.process, line.fromUs);
+  synchronized void record(UsageRecord line) {
+    recordEnd(line.process, line.fromUs);
     last.put(line.process, line);
   }
 
   /** A process uses nothing from a moment on: it was killed, or stands still. */
-  synchronized void ends(int process, long atUs) {
-    Line before = last.remove(process);
+  synchronized void recordEnd(int process, long atUs) {
+    UsageRecord before = last.remove(process);
     if (before != null) {
       add(before, atUs);
     }
   }
 
-  private void add(Line line, long endsUs) {
+  private void add(UsageRecord line, long endsUs) {
     long from = line.fromUs;
-    for (int i = 0; i < line.parts.length; i++) {
+    for (int i = 0; i < line.amounts.length; i++) {
       long until = Math.min(line.untilUs[i], endsUs);
       if (from < until) {
-        used.add(new Used(from, until, line.parts[i]));
+        used.add(new UsageInterval(from, until, line.amounts[i]));
         from = until;
       }
     }
   }
 
   /** A process that stood still goes on with what it may use by then, until it says otherwise. */
-  synchronized void goesOn(Line with, long atUs) {
+  synchronized void recordUntil(UsageRecord with, long atUs) {
     if (with != null) {
       last.put(
           with.process,
-          new Line(with.process, Math.max(with.fromUs, atUs), with.untilUs, with.parts));
+          new UsageRecord(with.process, Math.max(with.fromUs, atUs), with.untilUs, with.amounts));
     }
   }
 
-  synchronized Line now(int process) {
+  synchronized UsageRecord currentAmount(int process) {
     return last.get(process);
   }
 
   /** The most of all times, up to now. */
-  synchronized Most most(long nowUs) {
+  synchronized PeakUsage peak(long nowUs) {
     record Edge(long atUs, boolean begins, double part) {}
     List<Edge> edges = new ArrayList<>();
-    List<Used> before = List.copyOf(used);
+    List<UsageInterval> before = List.copyOf(used);
     last.values().forEach(l -> add(l, nowUs));
-    List<Used> all = List.copyOf(used);
+    List<UsageInterval> all = List.copyOf(used);
     used.clear();
     used.addAll(before);
-    for (Used u : all) {
+    for (UsageInterval u : all) {
       if (u.fromUs < u.untilUs) {
-        edges.add(new Edge(u.fromUs, true, u.part));
-        edges.add(new Edge(u.untilUs, false, u.part));
+        edges.add(new Edge(u.fromUs, true, u.amount));
+        edges.add(new Edge(u.untilUs, false, u.amount));
       }
     }
     edges.sort(Comparator.comparingLong(Edge::atUs).thenComparing(Edge::begins));
     double sum = 0;
-    Most most = new Most(0, 0);
+    PeakUsage most = new PeakUsage(0, 0);
     for (Edge e : edges) {
       sum += e.begins ? e.part : -e.part;
-      most = sum > most.part ? new Most(sum, e.atUs) : most;
+      most = sum > most.amount ? new PeakUsage(sum, e.atUs) : most;
     }
     return most;
   }
--- a/src/main/java/cobaltseam/fleet/Fault.java
+++ b/src/main/java/cobaltseam/fleet/Fault.java
@@ -15,8 +15,8 @@
     @JsonProperty("kind") Kind kind,
     @JsonProperty("atS") double atS,
     @JsonProperty("lengthS") double lengthS,
-    @JsonProperty("who") List<Integer> who,
-    @JsonProperty("others") List<Integer> others,
+    @JsonProperty("who") List<Integer> processes,
+    @JsonProperty("others") List<Integer> otherSide,
     @JsonProperty("size") double size) {
   private static final double SHORTEST_S = 0.1;
 
@@ -74,7 +74,7 @@
     STALE;
 
     /** Whether processes end by it. */
-    boolean ends() {
+    boolean endsProcess() {
       return this == KILL || this == TERM || this == GONE || this == LOSE || this == STALE;
     }
 
@@ -84,8 +84,8 @@
   }
 
   public Fault {
-    who = List.copyOf(who);
-    others = List.copyOf(others);
+    processes = List.copyOf(processes);
+    otherSide = List.copyOf(otherSide);
   }
 
   double endS() {
@@ -93,29 +93,34 @@
   }
 
   /** Whether it acts on a datagram from one to another at this moment. */
-  boolean between(int from, int to, double s) {
+  boolean affects(int from, int to, double s) {
     if (s < atS || s >= endS()) {
       return false;
     }
     return switch (kind) {
       case LOSS, DELAY, DOUBLE -> true;
-      case LOSS_IN -> who.contains(to);
-      case CUT -> who.contains(from) && other(to) || who.contains(to) && other(from);
-      case ONE_WAY -> who.contains(from) && other(to);
-      case RING -> who.contains(from) && who.get((who.indexOf(from) + 1) % who.size()) == to;
+      case LOSS_IN -> processes.contains(to);
+      case CUT ->
+          processes.contains(from) && isOnOtherSide(to)
+              || processes.contains(to) && isOnOtherSide(from);
+      case ONE_WAY -> processes.contains(from) && isOnOtherSide(to);
+      case RING ->
+          processes.contains(from)
+              && processes.get((processes.indexOf(from) + 1) % processes.size()) == to;
       default -> false;
     };
   }
 
   /** What becomes of one datagram: how often it comes, and how much later each time, in seconds. */
-  record Fate(int times, double delayS) {}
+  record DatagramFate(int copies, double delayS) {}
 
   /** The fate of a datagram from one to another at this moment, under all that goes wrong then. */
-  static Fate fate(List<Fault> troubles, int from, int to, double s, SplittableRandom chance) {
+  static DatagramFate fate(
+      List<Fault> faults, int from, int to, double s, SplittableRandom chance) {
     int times = 1;
     double delay = 0;
-    for (Fault t : troubles) {
-      if (!t.between(from, to, s)) {
+    for (Fault t : faults) {
+      if (!t.affects(from, to, s)) {
         continue;
       }
       switch (t.kind) {
@@ -126,23 +131,23 @@
         default -> {}
       }
     }
-    return new Fate(times, delay);
+    return new DatagramFate(times, delay);
   }
 
-  private boolean other(int process) {
-    return !who.contains(process) && (others.isEmpty() || others.contains(process));
+  private boolean isOnOtherSide(int process) {
+    return !processes.contains(process) && (otherSide.isEmpty() || otherSide.contains(process));
   }
 
   /** The next simpler forms: one process fewer, or half as long. */
   List<Fault> simpler() {
     List<Fault> forms = new ArrayList<>();
-    for (int p = 0; p < who.size() && who.size() > 1; p++) {
-      List<Integer> fewer = new ArrayList<>(who);
+    for (int p = 0; p < processes.size() && processes.size() > 1; p++) {
+      List<Integer> fewer = new ArrayList<>(processes);
       fewer.remove(p);
-      forms.add(new Fault(kind, atS, lengthS, fewer, others, size));
+      forms.add(new Fault(kind, atS, lengthS, fewer, otherSide, size));
     }
     if (lengthS / 2 >= SHORTEST_S) {
-      forms.add(new Fault(kind, atS, lengthS / 2, who, others, size));
+      forms.add(new Fault(kind, atS, lengthS / 2, processes, otherSide, size));
     }
     return forms;
   }
@@ -152,16 +157,16 @@
    * them that hits one process alone finds an old one. Against that there is no promise, only that
    * it is seen where a peer can know.
    */
-  public static List<Fault> withFolders(List<Fault> troubles, boolean copiedBack, long seed) {
+  public static List<Fault> withFolders(List<Fault> faults, boolean copiedBack, long seed) {
     SplittableRandom chance = new SplittableRandom(~seed);
     List<Fault> with = new ArrayList<>();
     boolean old = false;
-    for (Fault t : troubles) {
+    for (Fault t : faults) {
       boolean loses = chance.nextInt(4) == 0 && !copiedBack;
-      boolean stale = copiedBack && !old && t.who.size() == 1 && t.kind == Kind.KILL;
+      boolean stale = copiedBack && !old && t.processes.size() == 1 && t.kind == Kind.KILL;
       old |= stale;
       Kind kind = t.kind == Kind.KILL && (loses || stale) ? stale ? Kind.STALE : Kind.LOSE : t.kind;
-      with.add(new Fault(kind, t.atS, t.lengthS, t.who, t.others, t.size));
+      with.add(new Fault(kind, t.atS, t.lengthS, t.processes, t.otherSide, t.size));
     }
     return with;
   }
@@ -172,7 +177,7 @@
    */
   public static List<Fault> drawn(int processes, double seconds, int number, long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    List<Fault> troubles = new ArrayList<>();
+    List<Fault> faults = new ArrayList<>();
     for (int i = 0; i < number; i++) {
       Kind kind = DRAWN.get(chance.nextInt(DRAWN.size()));
       double at = chance.nextDouble(0.2, 0.7) * seconds;
@@ -210,8 +215,8 @@
           };
       // A majority that is gone for good has no successor without an operator.
       boolean forGood = kind == Kind.GONE && who.size() > (processes - 1) / 2;
-      troubles.add(new Fault(forGood ? Kind.PAUSE : kind, at, length, who, others, size));
+      faults.add(new Fault(forGood ? Kind.PAUSE : kind, at, length, who, others, size));
     }
-    return troubles;
+    return faults;
   }
 }
--- a/src/main/java/cobaltseam/fleet/FaultRelays.java
+++ b/src/main/java/cobaltseam/fleet/FaultRelays.java
@@ -22,9 +22,10 @@
  * script for that link and direction.
  */
 final class FaultRelays implements AutoCloseable {
-  private record Late(long atNs, long turn, int to, byte[] bytes) implements Comparable<Late> {
+  private record DelayedDatagram(long atNs, long turn, int to, byte[] bytes)
+      implements Comparable<DelayedDatagram> {
     @Override
-    public int compareTo(Late other) {
+    public int compareTo(DelayedDatagram other) {
       int order = Long.compare(atNs, other.atNs);
       return order != 0 ? order : Long.compare(turn, other.turn);
     }
@@ -38,15 +39,15 @@
   private final List<InetSocketAddress> seen = new ArrayList<>();
   private final List<InetSocketAddress> heard = new ArrayList<>();
   private final Map<SocketAddress, Integer> senders = new HashMap<>();
-  private final PriorityQueue<Late> late = new PriorityQueue<>();
+  private final PriorityQueue<DelayedDatagram> late = new PriorityQueue<>();
   private final SplittableRandom chance;
   private volatile long since;
-  private volatile List<Fault> troubles;
+  private volatile List<Fault> faults;
   private long turns;
   private volatile long passed, kept;
 
-  FaultRelays(int processes, List<Fault> troubles, long seed, long since) throws IOException {
-    this.troubles = troubles;
+  FaultRelays(int processes, List<Fault> faults, long seed, long since) throws IOException {
+    this.faults = faults;
     this.since = since;
     chance = new SplittableRandom(seed);
     InetAddress loopback = InetAddress.getByName("127.0.0.1");
@@ -128,7 +129,7 @@
         }
         selector.selectedKeys().clear();
         while (!late.isEmpty() && late.peek().atNs <= System.nanoTime()) {
-          Late l = late.poll();
+          DelayedDatagram l = late.poll();
           pass(l.to, l.bytes);
         }
       } catch (ClosedSelectorException e) {
@@ -141,15 +142,15 @@
   }
 
   private void rule(int from, int to, byte[] bytes) throws IOException {
-    Fault.Fate fate =
-        from < 0 ? new Fault.Fate(1, 0) : Fault.fate(troubles, from, to, seconds(), chance);
-    kept += fate.times() == 0 ? 1 : 0;
-    for (int n = 0; n < fate.times(); n++) {
+    Fault.DatagramFate fate =
+        from < 0 ? new Fault.DatagramFate(1, 0) : Fault.fate(faults, from, to, seconds(), chance);
+    kept += fate.copies() == 0 ? 1 : 0;
+    for (int n = 0; n < fate.copies(); n++) {
       if (fate.delayS() == 0) {
         pass(to, bytes);
       } else if (late.size() < MOST_LATE) {
         late.add(
-            new Late(
+            new DelayedDatagram(
                 System.nanoTime() + (long) (fate.delayS() * 1e9 * (1 + n)), turns++, to, bytes));
       }
     }
--- a/src/main/java/cobaltseam/fleet/FaultScript.java
+++ b/src/main/java/cobaltseam/fleet/FaultScript.java
@@ -16,7 +16,7 @@
 /**
  * Troubles as a file that people can read and change: TOML, a table each, as the emulator's faults.
  */
-record FaultScript(@JsonProperty("troubles") List<Fault> troubles) {
+record FaultScript(@JsonProperty("troubles") List<Fault> faults) {
   private static final TomlMapper TOML =
       TomlMapper.builder()
           .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
@@ -37,11 +37,11 @@
     } catch (IOException e) {
       throw new InvalidInputException(file + " can't be read: " + e.getMessage());
     }
-    List<Fault> troubles = script.troubles == null ? List.of() : script.troubles;
-    for (Fault t : troubles) {
+    List<Fault> faults = script.faults == null ? List.of() : script.faults;
+    for (Fault t : faults) {
       boolean known =
-          t.who().stream().allMatch(p -> p >= 0 && p < processes)
-              && t.others().stream().allMatch(p -> p >= 0 && p < processes);
+          t.processes().stream().allMatch(p -> p >= 0 && p < processes)
+              && t.otherSide().stream().allMatch(p -> p >= 0 && p < processes);
       if (!known || !(t.atS() >= 0) || !(t.lengthS() > 0) || !(t.size() > 0)) {
         throw new InvalidInputException(
             file
@@ -52,12 +52,12 @@
                 + ", atS from 0, lengthS and size above 0 are allowed");
       }
     }
-    return troubles;
+    return faults;
   }
 
   /** The same as text. */
-  static String write(List<Fault> troubles) {
-    return troubles.stream()
+  static String write(List<Fault> faults) {
+    return faults.stream()
         .map(
             t ->
                 String.format(
@@ -66,8 +66,8 @@
                     t.kind().label(),
                     t.atS(),
                     t.lengthS(),
-                    t.who(),
-                    t.others(),
+                    t.processes(),
+                    t.otherSide(),
                     t.size()))
         .collect(Collectors.joining("\n"));
   }
--- a/src/main/java/cobaltseam/fleet/FleetCommand.java
+++ b/src/main/java/cobaltseam/fleet/FleetCommand.java
@@ -53,7 +53,7 @@
   private static final int MOST_FEW = 9;
 
   /** What one run came to. */
-  record Verdict(List<String> broken, boolean lostMajority, double settledS) {
+  record RunVerdict(List<String> broken, boolean lostMajority, double settledS) {
     /**
      * Without a majority of its last view a fleet waits for its operator: then only what must never
      * be counts.
@@ -70,8 +70,8 @@
     }
   }
 
-  static Verdict virtual(VirtualFleet.Plan plan, List<Fault> troubles, double seconds, long seed) {
-    VirtualFleet fleet = new VirtualFleet(plan, troubles, seed);
+  static RunVerdict virtual(VirtualFleet.Plan plan, List<Fault> faults, double seconds, long seed) {
+    VirtualFleet fleet = new VirtualFleet(plan, faults, seed);
     fleet.run(seconds);
     int calm = 0;
     double s = seconds;
@@ -79,8 +79,8 @@
       fleet.run(s);
       calm = fleet.isSettled() ? calm + 1 : 0;
     }
-    return new Verdict(
-        InvariantChecker.check(fleet.happenings(), fleet.live(), true),
+    return new RunVerdict(
+        InvariantChecker.check(fleet.recordedEvents(), fleet.live(), true),
         fleet.lostMajority(),
         s - seconds);
   }
@@ -89,23 +89,23 @@
    * The same between real processes; a majority may be lost wherever troubles end more than a
    * minority.
    */
-  static Verdict real(RealFleet.Plan plan, List<Fault> troubles, long seed, Path folder)
+  static RunVerdict real(RealFleet.Plan plan, List<Fault> faults, long seed, Path folder)
       throws IOException, InterruptedException {
-    try (RealFleet fleet = new RealFleet(plan, troubles, seed, folder)) {
+    try (RealFleet fleet = new RealFleet(plan, faults, seed, folder)) {
       fleet.startAll();
       if (fleet.awaitSettled(REAL_SETTLES_WITHIN) < 0) {
-        return new Verdict(
+        return new RunVerdict(
             List.of("no first view within " + REAL_SETTLES_WITHIN + " s"), false, -1);
       }
-      fleet.beginsNow();
+      fleet.startClock();
       fleet.play();
       double settled =
           fleet.awaitSettled(
-              mayLoseMajority(plan.processes(), troubles, plan.folders())
+              mayLoseMajority(plan.processes(), faults, plan.withPersistence())
                   ? 10
                   : REAL_SETTLES_WITHIN);
-      return new Verdict(
-          InvariantChecker.check(fleet.happenings(), fleet.live(), true),
+      return new RunVerdict(
+          InvariantChecker.check(fleet.recordedEvents(), fleet.live(), true),
           settled < 0 && fleet.lostMajority(),
           settled);
     }
@@ -114,15 +114,15 @@
   /**
    * Whether so many processes end, each counted once, that those who never ended are no majority.
    */
-  static boolean mayLoseMajority(int processes, List<Fault> troubles, boolean folders) {
+  static boolean mayLoseMajority(int processes, List<Fault> faults, boolean folders) {
     long ended =
-        troubles.stream()
+        faults.stream()
             .filter(
                 t ->
-                    t.kind().ends()
+                    t.kind().endsProcess()
                         && !(folders
                             && (t.kind() == Fault.Kind.KILL || t.kind() == Fault.Kind.TERM)))
-            .flatMap(t -> t.who().stream())
+            .flatMap(t -> t.processes().stream())
             .distinct()
             .count();
     return processes - ended < processes / 2 + 1;
@@ -156,7 +156,7 @@
         paramLabel = "N",
         defaultValue = "4",
         description = "drawn by the seed; default: ${DEFAULT-VALUE}")
-    int troubles;
+    int faultCount;
 
     @Option(
         names = "--script",
@@ -185,7 +185,7 @@
     Path folder;
 
     List<Fault> drawn(long of, int among) {
-      return script != null ? FaultScript.read(script, among) : drawn(of, among, troubles);
+      return script != null ? FaultScript.read(script, among) : drawn(of, among, faultCount);
     }
 
     List<Fault> drawn(long of, int among, int number) {
@@ -193,7 +193,7 @@
       return folders ? Fault.withFolders(drawn, copiedBack, of) : drawn;
     }
 
-    Verdict verdict(List<Fault> script, int among, long of)
+    RunVerdict verdict(List<Fault> script, int among, long of)
         throws IOException, InterruptedException {
       if (!real) {
         VirtualFleet.Plan plan = VirtualFleet.Plan.of(among);
@@ -206,8 +206,8 @@
     }
   }
 
-  private static void tell(
-      PrintWriter out, long seed, int processes, Verdict v, List<Fault> troubles) {
+  private static void print(
+      PrintWriter out, long seed, int processes, RunVerdict v, List<Fault> faults) {
     out.println(
         "seed "
             + seed
@@ -220,7 +220,7 @@
             + String.format(Locale.ROOT, ", settled after %.1f s", v.settledS()));
     v.broken().forEach(b -> out.println("  " + b));
     if (v.isBroken()) {
-      out.println(FaultScript.write(troubles).indent(2));
+      out.println(FaultScript.write(faults).indent(2));
     }
     out.flush();
   }
@@ -237,8 +237,8 @@
     @Override
     public Integer call() throws Exception {
       List<Fault> troubles = common.drawn(common.seed, common.processes);
-      Verdict v = common.verdict(troubles, common.processes, common.seed);
-      tell(spec.commandLine().getOut(), common.seed, common.processes, v, troubles);
+      RunVerdict v = common.verdict(troubles, common.processes, common.seed);
+      print(spec.commandLine().getOut(), common.seed, common.processes, v, troubles);
       return v.isBroken() ? 1 : 0;
     }
   }
@@ -325,12 +325,12 @@
               ? common.drawn(seed, processes)
               : common.drawn(seed, processes, 1 + chance.nextInt(6));
       try {
-        Verdict v = common.verdict(troubles, processes, seed);
+        RunVerdict v = common.verdict(troubles, processes, seed);
         done.incrementAndGet();
         if (v.isBroken()) {
           broken.incrementAndGet();
           synchronized (this) {
-            tell(spec.commandLine().getOut(), seed, processes, v, troubles);
+            print(spec.commandLine().getOut(), seed, processes, v, troubles);
           }
         } else if (v.lostMajority()) {
           lost.incrementAndGet();
@@ -473,18 +473,18 @@
       fleet.run(FORMED);
       long before = fleet.newestNumber();
       long sent = fleet.sent();
-      int from = fleet.happenings().size();
+      int from = fleet.recordedEvents().size();
       int majority = 0;
       int looks = 0;
       for (double s = FORMED; s < FORMED + common.seconds; s += 5) {
         fleet.run(s);
         for (int i = 0; i < common.processes; i += Math.max(1, common.processes / 10)) {
-          majority += fleet.standing(i) == cobaltseam.membership.QuorumState.MAJORITY ? 1 : 0;
+          majority += fleet.quorumState(i) == cobaltseam.membership.QuorumState.MAJORITY ? 1 : 0;
           looks++;
         }
       }
       long out =
-          fleet.happenings().subList(from, fleet.happenings().size()).stream()
+          fleet.recordedEvents().subList(from, fleet.recordedEvents().size()).stream()
               .filter(h -> h.view() == null)
               .count();
       return new Row(
@@ -572,7 +572,7 @@
         s += 0.02;
         fleet.run(s);
       }
-      return (s - at) / VirtualFleet.Plan.of(common.processes).periodS();
+      return (s - at) / VirtualFleet.Plan.of(common.processes).healthCheckIntervalS();
     }
 
     private List<Double> real() throws IOException, InterruptedException {
--- a/src/main/java/cobaltseam/fleet/InvariantChecker.java
+++ b/src/main/java/cobaltseam/fleet/InvariantChecker.java
@@ -23,22 +23,21 @@
   private final List<String> broken = new ArrayList<>();
 
   /** What broke, each with when and between whom; empty if nothing did. */
-  public static List<String> check(
-      List<RecordedEvent> happenings, Set<Live> live, boolean settles) {
+  public static List<String> check(List<RecordedEvent> events, Set<Live> live, boolean settles) {
     InvariantChecker checker = new InvariantChecker();
-    checker.oneSetANumber(happenings);
-    checker.numbersRise(happenings);
-    checker.successors(happenings);
+    checker.oneSetANumber(events);
+    checker.numbersRise(events);
+    checker.successors(events);
     if (settles) {
-      checker.settled(happenings, live);
+      checker.settled(events, live);
     }
     return checker.broken;
   }
 
   /** Two processes never hold differing sets under one number. */
-  private void oneSetANumber(List<RecordedEvent> happenings) {
+  private void oneSetANumber(List<RecordedEvent> events) {
     Map<String, RecordedEvent> first = new HashMap<>();
-    for (RecordedEvent h : happenings) {
+    for (RecordedEvent h : events) {
       RecordedEvent other = h.view() == null ? null : first.putIfAbsent(h.view(), h);
       if (other != null && !other.members().equals(h.members())) {
         broken.add(
@@ -70,14 +69,15 @@
   }
 
   /** In one process, numbers of one line only rise. */
-  private void numbersRise(List<RecordedEvent> happenings) {
+  private void numbersRise(List<RecordedEvent> events) {
     Map<String, Long> highest = new HashMap<>();
     Set<Integer> resumes = new HashSet<>();
-    for (RecordedEvent h : happenings) {
-      if (h.started()) {
+    for (RecordedEvent h : events) {
+      if (h.isStart()) {
         resumes.add(h.process());
       } else if (h.view() != null) {
-        Long before = highest.put(h.process() + "#" + h.birth() + line(h.view()), number(h.view()));
+        Long before =
+            highest.put(h.process() + "#" + h.incarnation() + line(h.view()), number(h.view()));
         // One that goes on from its folder begins with the view that it had.
         boolean again = before != null && before == number(h.view()) && resumes.remove(h.process());
         if (before != null && before >= number(h.view()) && !again) {
@@ -97,17 +97,18 @@
   }
 
   /** A view holds whom it holds it, and each number follows one that somebody held. */
-  private void successors(List<RecordedEvent> happenings) {
+  private void successors(List<RecordedEvent> events) {
     Set<String> held = new TreeSet<>();
-    happenings.stream().filter(h -> h.view() != null).forEach(h -> held.add(h.view()));
-    for (RecordedEvent h : happenings) {
+    events.stream().filter(h -> h.view() != null).forEach(h -> held.add(h.view()));
+    for (RecordedEvent h : events) {
       if (h.view() != null
           && number(h.view()) > 1
           && !held.contains(line(h.view()) + "/" + (number(h.view()) - 1))) {
         broken.add(
             "no predecessor: " + h.view() + " at process " + h.process() + ", " + h.atS() + " s");
       }
-      if (h.view() != null && h.members().stream().noneMatch(m -> m.endsWith("#" + h.birth()))) {
+      if (h.view() != null
+          && h.members().stream().noneMatch(m -> m.endsWith("#" + h.incarnation()))) {
         broken.add(
             "a view of others: " + h.view() + " at process " + h.process() + ", " + h.atS() + " s");
       }
@@ -115,9 +116,9 @@
   }
 
   /** Once messages flow again: one view at all that live, and it holds just these. */
-  private void settled(List<RecordedEvent> happenings, Set<Live> live) {
+  private void settled(List<RecordedEvent> events, Set<Live> live) {
     Map<String, RecordedEvent> last = new HashMap<>();
-    happenings.forEach(h -> last.put(h.process() + "#" + h.birth(), h));
+    events.forEach(h -> last.put(h.process() + "#" + h.incarnation(), h));
     Set<String> views = new TreeSet<>();
     Set<String> alive = new TreeSet<>();
     live.forEach(l -> alive.add(l.identity()));
--- a/src/main/java/cobaltseam/fleet/RealFleet.java
+++ b/src/main/java/cobaltseam/fleet/RealFleet.java
@@ -45,10 +45,10 @@
    */
   public record Plan(
       int processes,
-      int periodMs,
-      double patience,
-      int founders,
-      boolean folders,
+      int healthCheckIntervalMs,
+      double healthCheckTimeoutMs,
+      int bootstrapMembers,
+      boolean withPersistence,
       String own,
       Engines engines) {
     public static Plan of(int processes) {
@@ -56,16 +56,23 @@
     }
 
     public Plan withFolders() {
-      return new Plan(processes, periodMs, patience, founders, true, own, engines);
+      return new Plan(
+          processes,
+          healthCheckIntervalMs,
+          healthCheckTimeoutMs,
+          bootstrapMembers,
+          true,
+          own,
+          engines);
     }
 
     /** All agree on the settings. */
-    public Plan agreeing(int ms) {
+    public Plan withAgreement(int ms) {
       return with("[agreement]\ncontradiction_ms = " + ms);
     }
 
     /** Parts of the engines follow demand, and what each uses is logged. */
-    public Plan spreading(int leaseMs) {
+    public Plan withCapacityLeases(int leaseMs) {
       return with(
           "[spread]\nby = \"demand\"\nlease_ms = "
               + leaseMs
@@ -74,11 +81,24 @@
 
     public Plan with(String lines) {
       return new Plan(
-          processes, periodMs, patience, founders, folders, own + "\n" + lines, engines);
+          processes,
+          healthCheckIntervalMs,
+          healthCheckTimeoutMs,
+          bootstrapMembers,
+          withPersistence,
+          own + "\n" + lines,
+          engines);
     }
 
     public Plan with(Engines at) {
-      return new Plan(processes, periodMs, patience, founders, folders, own, at);
+      return new Plan(
+          processes,
+          healthCheckIntervalMs,
+          healthCheckTimeoutMs,
+          bootstrapMembers,
+          withPersistence,
+          own,
+          at);
     }
   }
 
@@ -92,7 +112,7 @@
                     + "\"model\":\"m\",\"state\":\"in_service\",\"boot_ms\":0}]}}"));
   }
 
-  private static final class One {
+  private static final class ProcessRecord {
     Process process;
 
     /** The birth that it last told, and the view; zero and null before. */
@@ -110,30 +130,30 @@
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int SLICE_MS = 100;
   private final Plan plan;
-  private final List<Fault> troubles;
+  private final List<Fault> faults;
   private final Path folder;
   private final long made = System.nanoTime();
   private volatile long since = made;
   private final FaultRelays relays;
-  private final One[] all;
+  private final ProcessRecord[] all;
   private final int[] ports;
-  private final List<RecordedEvent> happenings = new ArrayList<>();
+  private final List<RecordedEvent> recordedEvents = new ArrayList<>();
   private final List<String> errors = new ArrayList<>();
   private final List<String> acts = new ArrayList<>();
   private final List<ActivationRecord> actings = new ArrayList<>();
-  private final Partitions parts = new Partitions();
-  private final Map<Integer, Partitions.Line> stoppedWith = new HashMap<>();
+  private final CapacityUsage parts = new CapacityUsage();
+  private final Map<Integer, CapacityUsage.UsageRecord> stoppedWith = new HashMap<>();
 
-  public RealFleet(Plan plan, List<Fault> troubles, long seed, Path folder) throws IOException {
+  public RealFleet(Plan plan, List<Fault> faults, long seed, Path folder) throws IOException {
     this.plan = plan;
-    this.troubles = List.copyOf(troubles);
+    this.faults = List.copyOf(faults);
     this.folder = folder;
-    relays = new FaultRelays(plan.processes, this.troubles, seed, since);
-    all = new One[plan.processes];
+    relays = new FaultRelays(plan.processes, this.faults, seed, since);
+    all = new ProcessRecord[plan.processes];
     ports = new int[plan.processes];
     List<ServerSocket> free = new ArrayList<>();
     for (int i = 0; i < all.length; i++) {
-      all[i] = new One();
+      all[i] = new ProcessRecord();
       ServerSocket listens = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
       free.add(listens);
       ports[i] = listens.getLocalPort();
@@ -182,7 +202,7 @@
             .mapToObj(s -> "\"" + text(relays.seenAt(s)) + "\"")
             .collect(Collectors.joining(", "));
     String founders =
-        IntStream.range(0, plan.founders)
+        IntStream.range(0, plan.bootstrapMembers)
             .mapToObj(f -> "\"" + name(f) + "\"")
             .collect(Collectors.joining(", "));
     Files.writeString(
@@ -207,13 +227,13 @@
                 text(relays.seenAt(i)),
                 seeds,
                 founders,
-                plan.periodMs,
-                plan.patience,
-                plan.folders ? "folder = \"kept\"" : ""));
+                plan.healthCheckIntervalMs,
+                plan.healthCheckTimeoutMs,
+                plan.withPersistence ? "folder = \"kept\"" : ""));
   }
 
   /** Where a process keeps what it promised. */
-  public Path kept(int i) {
+  public Path stateFolder(int i) {
     return folder.resolve(name(i)).resolve("kept");
   }
 
@@ -225,12 +245,12 @@
     Files.writeString(
         file,
         Files.readString(file).replaceAll("\"most_tries\":[0-9]+", "\"most_tries\":" + mostSends));
-    acted("hangup", i);
+    activations("hangup", i);
     signal(i, "HUP");
   }
 
   /** On which editions of the settings all acted, each by its own log. */
-  public synchronized List<ActivationRecord> acted() {
+  public synchronized List<ActivationRecord> activations() {
     return List.copyOf(actings);
   }
 
@@ -241,13 +261,13 @@
 
   /** The part of the engines that a process uses now; 0 if none. */
   public double part(int i) {
-    Partitions.Line now = parts.now(i);
+    CapacityUsage.UsageRecord now = parts.currentAmount(i);
     return now == null ? 0 : now.at(us());
   }
 
   /** The most of the engines that all used at one time, by their logs. */
-  public double mostUsed() {
-    return parts.most(us()).part();
+  public double peakUsage() {
+    return parts.peak(us()).amount();
   }
 
   private static long us() {
@@ -264,10 +284,10 @@
   }
 
   /** Adds lines to the membership of a process's own file, and has it read that. */
-  public void rewrite(int i, String more) throws IOException, InterruptedException {
+  public void appendSettings(int i, String more) throws IOException, InterruptedException {
     Files.writeString(
         folder.resolve(name(i)).resolve("cobaltseam.toml"), more + "\n", StandardOpenOption.APPEND);
-    acted("hangup", i);
+    activations("hangup", i);
     signal(i, "HUP");
   }
 
@@ -275,7 +295,7 @@
    * The script's time begins now, and not with the first start: founders that end before there is a
    * view found none.
    */
-  public void beginsNow() {
+  public void startClock() {
     since = System.nanoTime();
     relays.since(since);
   }
@@ -286,12 +306,12 @@
     return (System.nanoTime() - since) / 1e9;
   }
 
-  private synchronized void acted(String what, int i) {
+  private synchronized void activations(String what, int i) {
     acts.add(String.format(java.util.Locale.ROOT, "%.3f %s %s", now(), what, name(i)));
   }
 
   public void start(int i) throws IOException {
-    One one = all[i];
+    ProcessRecord one = all[i];
     ProcessBuilder builder =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -323,7 +343,7 @@
     }
     Process process = builder.start();
     one.process = process;
-    acted("start", i);
+    activations("start", i);
     int start = one.starts;
     Path file = folder.resolve(name(i)).resolve("log-" + start + ".jsonl");
     Thread reader = new Thread(() -> read(i, start, process, file), "log");
@@ -340,17 +360,17 @@
         keep.write(line);
         keep.newLine();
         if (line.startsWith("{")) {
-          heard(i, start, JSON.readTree(line));
+          readLogLine(i, start, JSON.readTree(line));
         }
       }
     } catch (IOException e) {
       // Killed in the middle of a line: its log ends there.
-      acted("log ends", i);
+      activations("log ends", i);
     }
   }
 
-  private synchronized void heard(int i, int start, JsonNode line) {
-    One one = all[i];
+  private synchronized void readLogLine(int i, int start, JsonNode line) {
+    ProcessRecord one = all[i];
     String event = line.path("event").asText();
     one.events.merge(event, 1, Integer::sum);
     if (line.path("level").asText().equals("ERROR")) {
@@ -359,7 +379,7 @@
     boolean former = start != one.starts;
     if (event.equals("membership.opened") && !former) {
       one.birth = line.path("birth").asLong();
-      happenings.add(new RecordedEvent(now(), i, one.birth, null, List.of(), true));
+      recordedEvents.add(new RecordedEvent(now(), i, one.birth, null, List.of(), true));
     } else if (event.equals("membership.view")) {
       String view = line.path("view").asText();
       long birth = line.path("birth").asLong();
@@ -367,7 +387,7 @@
           Arrays.stream(line.path("members").asText().split(" "))
               .filter(m -> !m.isEmpty())
               .toList();
-      happenings.add(
+      recordedEvents.add(
           new RecordedEvent(now(), i, birth, view.equals("none") ? null : view, members));
       if (!former) {
         one.birth = birth;
@@ -385,7 +405,8 @@
                   .toList();
       acts(i, one.acts);
     } else if (event.equals("spread.parts") && !former && !one.stopped) {
-      parts.uses(Partitions.Line.read(i, line.path("us").asLong(), line.path("steps").asText()));
+      parts.record(
+          CapacityUsage.UsageRecord.read(i, line.path("us").asLong(), line.path("steps").asText()));
     } else if (event.equals("membership.standing") && !former) {
       one.standing = line.path("standing").asText();
     }
@@ -406,35 +427,35 @@
   }
 
   public void kill(int i) throws InterruptedException {
-    acted("kill", i);
+    activations("kill", i);
     all[i].process.destroyForcibly().waitFor();
-    parts.ends(i, us());
+    parts.recordEnd(i, us());
     acts(i, List.of());
   }
 
   /** SIGTERM. */
-  public void end(int i) throws InterruptedException, IOException {
-    acted("term", i);
+  public void terminate(int i) throws InterruptedException, IOException {
+    activations("term", i);
     signal(i, "TERM");
   }
 
-  public void stop(int i) throws IOException, InterruptedException {
-    acted("stop", i);
+  public void suspend(int i) throws IOException, InterruptedException {
+    activations("stop", i);
     signal(i, "STOP");
     // What it wrote before it stood still is read first.
     TimeUnit.MILLISECONDS.sleep(50);
     all[i].stopped = true;
-    stoppedWith.put(i, parts.now(i));
-    parts.ends(i, us());
+    stoppedWith.put(i, parts.currentAmount(i));
+    parts.recordEnd(i, us());
     acts(i, List.of());
   }
 
-  public void go(int i) throws IOException, InterruptedException {
+  public void resume(int i) throws IOException, InterruptedException {
     acts(i, all[i].acts);
-    parts.goesOn(stoppedWith.remove(i), us());
+    parts.recordUntil(stoppedWith.remove(i), us());
     all[i].stopped = false;
     signal(i, "CONT");
-    acted("cont", i);
+    activations("cont", i);
   }
 
   public boolean isAlive(int i) {
@@ -448,8 +469,8 @@
     return ports[i];
   }
 
-  public synchronized List<RecordedEvent> happenings() {
-    return List.copyOf(happenings);
+  public synchronized List<RecordedEvent> recordedEvents() {
+    return List.copyOf(recordedEvents);
   }
 
   /**
@@ -459,7 +480,7 @@
     return List.copyOf(errors);
   }
 
-  public synchronized String standing(int i) {
+  public synchronized String quorumState(int i) {
     return all[i].standing;
   }
 
@@ -492,7 +513,7 @@
    */
   public synchronized boolean lostMajority() {
     Map<String, RecordedEvent> newest = new HashMap<>();
-    for (RecordedEvent h : happenings) {
+    for (RecordedEvent h : recordedEvents) {
       if (h.view() != null) {
         newest.merge(
             InvariantChecker.line(h.view()),
@@ -551,7 +572,7 @@
   }
 
   /** Says bytes to a process in nobody's name. */
-  public void say(int to, byte[] bytes) throws IOException {
+  public void sendDatagram(int to, byte[] bytes) throws IOException {
     relays.say(to, bytes);
   }
 
@@ -562,12 +583,12 @@
    * it is over.
    */
   public void play() throws IOException, InterruptedException {
-    double end = troubles.stream().mapToDouble(Fault::endS).max().orElse(0);
+    double end = faults.stream().mapToDouble(Fault::endS).max().orElse(0);
     Set<String> done = new LinkedHashSet<>();
     while (now() < end + 0.01) {
-      for (int t = 0; t < troubles.size(); t++) {
-        Fault trouble = troubles.get(t);
-        for (int p : trouble.who()) {
+      for (int t = 0; t < faults.size(); t++) {
+        Fault trouble = faults.get(t);
+        for (int p : trouble.processes()) {
           follow(trouble, p, t + "/" + p, done);
         }
       }
@@ -575,7 +596,7 @@
     }
     for (int i = 0; i < all.length; i++) {
       if (all[i].stopped) {
-        go(i);
+        resume(i);
       }
     }
     try (BufferedWriter to = Files.newBufferedWriter(folder.resolve("acts.txt"))) {
@@ -594,32 +615,32 @@
     switch (t.kind()) {
       case PAUSE -> {
         if (during && done.add(key + "stop")) {
-          stop(p);
+          suspend(p);
         } else if (over && done.add(key + "go") && all[p].stopped) {
-          go(p);
+          resume(p);
         }
       }
       case SLOW -> {
         boolean rests = during && now() * 1000 % SLICE_MS > SLICE_MS * t.size();
         if (during && rests != all[p].stopped) {
           if (rests) {
-            stop(p);
+            suspend(p);
           } else {
-            go(p);
+            resume(p);
           }
         } else if (over && done.add(key + "go") && all[p].stopped) {
-          go(p);
+          resume(p);
         }
       }
       case KILL, GONE, TERM, LOSE, STALE -> {
         if (t.kind() == Fault.Kind.STALE && now() >= t.atS() / 2 && done.add(key + "copy")) {
           copy(
-              kept(p).resolve(PersistentStateCodec.FILE_NAME),
+              stateFolder(p).resolve(PersistentStateCodec.FILE_NAME),
               folder.resolve(name(p)).resolve("earlier"));
         }
         if (during && done.add(key + "end") && isAlive(p)) {
           if (t.kind() == Fault.Kind.TERM) {
-            end(p);
+            terminate(p);
           } else {
             kill(p);
           }
@@ -633,11 +654,11 @@
           }
           if (!isAlive(p)) {
             if (t.kind() == Fault.Kind.LOSE) {
-              Files.deleteIfExists(kept(p).resolve(PersistentStateCodec.FILE_NAME));
+              Files.deleteIfExists(stateFolder(p).resolve(PersistentStateCodec.FILE_NAME));
             } else if (t.kind() == Fault.Kind.STALE) {
               copy(
                   folder.resolve(name(p)).resolve("earlier"),
-                  kept(p).resolve(PersistentStateCodec.FILE_NAME));
+                  stateFolder(p).resolve(PersistentStateCodec.FILE_NAME));
             }
             start(p);
           }
@@ -655,13 +676,14 @@
   }
 
   private boolean goneForGood(int p) {
-    return troubles.stream()
-        .anyMatch(t -> t.kind() == Fault.Kind.GONE && t.who().contains(p) && t.atS() <= now());
+    return faults.stream()
+        .anyMatch(
+            t -> t.kind() == Fault.Kind.GONE && t.processes().contains(p) && t.atS() <= now());
   }
 
   @Override
   public void close() throws IOException {
-    for (One one : all) {
+    for (ProcessRecord one : all) {
       if (one.process != null) {
         one.process.destroyForcibly();
       }
--- a/src/main/java/cobaltseam/fleet/RecordedEvent.java
+++ b/src/main/java/cobaltseam/fleet/RecordedEvent.java
@@ -8,10 +8,10 @@
  * @param process its number in the fleet; the birth tells which process of that number
  * @param view the view's id, or null where it holds none
  * @param members name and birth of each
- * @param started whether a process starts here
+ * @param isStart whether a process starts here
  */
 public record RecordedEvent(
-    double atS, int process, long birth, String view, List<String> members, boolean started) {
+    double atS, int process, long incarnation, String view, List<String> members, boolean isStart) {
   public RecordedEvent(double atS, int process, long birth, String view, List<String> members) {
     this(atS, process, birth, view, members, false);
   }
--- a/src/main/java/cobaltseam/fleet/VirtualFleet.java
+++ b/src/main/java/cobaltseam/fleet/VirtualFleet.java
@@ -45,18 +45,25 @@
   /** What a fleet is made of. */
   public record Plan(
       int processes,
-      double periodS,
-      double patience,
-      int founders,
+      double healthCheckIntervalS,
+      double healthCheckTimeoutS,
+      int bootstrapMembers,
       double startWithinS,
-      double longestSendS,
-      boolean folders) {
+      double maxSendDelayS,
+      boolean withPersistence) {
     public static Plan of(int processes) {
       return new Plan(processes, 1, 2, Math.min(3, processes), 1, 5, false);
     }
 
     public Plan withFolders() {
-      return new Plan(processes, periodS, patience, founders, startWithinS, longestSendS, true);
+      return new Plan(
+          processes,
+          healthCheckIntervalS,
+          healthCheckTimeoutS,
+          bootstrapMembers,
+          startWithinS,
+          maxSendDelayS,
+          true);
     }
   }
 
@@ -79,8 +86,8 @@
     Membership membership;
     ConfigurationAgreement agreement;
     StateGossip sharing;
-    CapacityLeases holdings;
-    FleetCoordinator ground;
+    CapacityLeases capacityLeases;
+    FleetCoordinator coordinator;
 
     /** Of its clock, over that of the world. */
     double rate = 1;
@@ -96,7 +103,7 @@
     double wake = Double.MAX_VALUE;
 
     /** What its folder holds, held half a run before, and is being written. */
-    PersistentState kept, earlier;
+    PersistentState persistentState, earlierState;
 
     MembershipAction.Persist writing;
 
@@ -134,33 +141,33 @@
   private static final double SLOWEST_WRITE = 0.02;
   private static final int MOST_UNREAD = 4096;
   private final Plan plan;
-  private final List<Fault> troubles;
+  private final List<Fault> faults;
   private final SplittableRandom chance;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private final Process[] processes;
   private final List<InetSocketAddress> addresses = new ArrayList<>();
   private final Map<InetSocketAddress, Integer> byAddress = new HashMap<>();
-  private final List<RecordedEvent> happenings = new ArrayList<>();
+  private final List<RecordedEvent> recordedEvents = new ArrayList<>();
   private final Map<String, Integer> notes = new HashMap<>();
   private double now;
   private long turns;
-  private long births;
+  private long incarnations;
   private long sent;
 
   /** The newest view of each line, by whoever came to hold it first. */
   private final Map<Long, View> newest = new LinkedHashMap<>();
 
   private boolean lostMajority;
-  private ConfigurationAgreement.AgreementOptions agreed;
-  private Lease.LeaseOptions leases;
-  private cobaltseam.capacity.CapacityOptions divided;
+  private ConfigurationAgreement.AgreementOptions agreementOptions;
+  private Lease.LeaseOptions leaseOptions;
+  private cobaltseam.capacity.CapacityOptions capacityOptions;
   private double[] demands;
-  private Most most = new Most(0, 0, false);
-  private final List<ActivationRecord> acted = new ArrayList<>();
+  private PeakUsage peakUsage = new PeakUsage(0, 0, false);
+  private final List<ActivationRecord> activations = new ArrayList<>();
 
-  public VirtualFleet(Plan plan, List<Fault> troubles, long seed) {
+  public VirtualFleet(Plan plan, List<Fault> faults, long seed) {
     this.plan = plan;
-    this.troubles = troubles;
+    this.faults = faults;
     chance = new SplittableRandom(seed);
     processes = new Process[plan.processes];
     for (int i = 0; i < processes.length; i++) {
@@ -169,8 +176,8 @@
       byAddress.put(addresses.get(i), i);
       at(chance.nextDouble() * plan.startWithinS, i, 0, null);
     }
-    for (Fault t : troubles) {
-      for (int p : t.who()) {
+    for (Fault t : faults) {
+      for (int p : t.processes()) {
         switch (t.kind()) {
           case KILL, TERM, GONE, PAUSE, SLOW, LOSE, STALE -> {
             if (t.kind() == Fault.Kind.STALE) {
@@ -210,8 +217,8 @@
 
   // ---- what is asked
 
-  public List<RecordedEvent> happenings() {
-    return happenings;
+  public List<RecordedEvent> recordedEvents() {
+    return recordedEvents;
   }
 
   public double now() {
@@ -231,7 +238,7 @@
     return processes[i].alive;
   }
 
-  public QuorumState standing(int i) {
+  public QuorumState quorumState(int i) {
     return processes[i].membership.standing();
   }
 
@@ -240,9 +247,9 @@
   }
 
   /** An operator has a process found another line in place of this view. */
-  public void foundAnew(int i, ViewId said) {
-    processes[i].ground.foundAnew(said, moment(i));
-    wakes(i);
+  public void bootstrapAgain(int i, ViewId said) {
+    processes[i].coordinator.foundAnew(said, moment(i));
+    scheduleWake(i);
   }
 
   public int carriers(int i) {
@@ -297,28 +304,28 @@
   private void play(Event e) {
     Process p = processes[e.process];
     if (e.life == TROUBLED) {
-      troubled(e.process);
+      injectFault(e.process);
     } else if (e.life == COPIES) {
-      p.earlier = p.kept;
+      p.earlierState = p.persistentState;
     } else if (e.keep != null) {
       if (p.alive && stands(e.process)) {
         // A disk goes on writing while its process stands still; the process hears of it later.
         events.add(new Event(now + SLOWEST_WRITE, turns++, e.process, e.life, null, e.keep));
       } else if (p.alive && e.life == p.life && p.writing == e.keep) {
-        p.kept = e.keep.what();
+        p.persistentState = e.keep.what();
         p.writing = null;
-        p.ground.kept(e.keep.number(), moment(e.process));
-        wakes(e.process);
+        p.coordinator.kept(e.keep.number(), moment(e.process));
+        scheduleWake(e.process);
       }
     } else if (e.message != null) {
       if (!p.alive || e.life != p.life) {
         // Late for a former process: the one that has its address now gets it.
         if (p.alive) {
-          hears(e.process, e.message);
+          deliver(e.process, e.message);
         }
         return;
       }
-      hears(e.process, e.message);
+      deliver(e.process, e.message);
     } else if (!p.started && e.life == 0) {
       start(e.process);
     } else if (p.alive && e.life == p.life && e.at >= p.wake) {
@@ -331,8 +338,8 @@
 
   /** Whether a process stands still now, and until when if it runs in turns. */
   private boolean stands(int i) {
-    for (Fault t : troubles) {
-      if (t.who().contains(i) && now >= t.atS() && now < t.endS()) {
+    for (Fault t : faults) {
+      if (t.processes().contains(i) && now >= t.atS() && now < t.endS()) {
         if (t.kind() == Fault.Kind.PAUSE) {
           return true;
         }
@@ -345,7 +352,7 @@
     return false;
   }
 
-  private void hears(int i, PeerMessage message) {
+  private void deliver(int i, PeerMessage message) {
     Process p = processes[i];
     if (stands(i)) {
       if (p.unread.size() < MOST_UNREAD) {
@@ -353,16 +360,16 @@
       }
       return;
     }
-    if (p.wake < now - plan.periodS / 2) {
+    if (p.wake < now - plan.healthCheckIntervalS / 2) {
       due(i);
     }
-    p.ground.heard(message, moment(i));
-    wakes(i);
+    p.coordinator.heard(message, moment(i));
+    scheduleWake(i);
   }
 
   private void due(int i) {
-    processes[i].ground.due(moment(i));
-    wakes(i);
+    processes[i].coordinator.due(moment(i));
+    scheduleWake(i);
   }
 
   private void start(int i) {
@@ -374,38 +381,40 @@
     p.unread.clear();
     List<InetSocketAddress> seeds = new ArrayList<>();
     List<MemberName> founders = new ArrayList<>();
-    for (int f = 0; f < Math.max(plan.founders, Math.min(8, plan.processes)); f++) {
+    for (int f = 0; f < Math.max(plan.bootstrapMembers, Math.min(8, plan.processes)); f++) {
       seeds.add(addresses.get(f));
-      if (f < plan.founders) {
+      if (f < plan.bootstrapMembers) {
         founders.add(name(f));
       }
     }
     MembershipOptions terms =
         new MembershipOptions(
-            new TimeSpan(Math.round(plan.periodS * 1e6)),
-            plan.patience,
+            new TimeSpan(Math.round(plan.healthCheckIntervalS * 1e6)),
+            plan.healthCheckTimeoutS,
             3,
             founders,
             seeds,
-            new TimeSpan(Math.round(plan.longestSendS * 1e6)));
-    Member self = new Member(name(i), new Incarnation(++births), addresses.get(i));
+            new TimeSpan(Math.round(plan.maxSendDelayS * 1e6)));
+    Member self = new Member(name(i), new Incarnation(++incarnations), addresses.get(i));
     p.membership =
-        plan.folders
-            ? Membership.lasting(terms, self, p.kept, chance.split())
+        plan.withPersistence
+            ? Membership.lasting(terms, self, p.persistentState, chance.split())
             : new Membership(terms, self, chance.split());
-    happenings.add(
+    recordedEvents.add(
         new RecordedEvent(
             now, i, p.membership.self().incarnation().value(), null, List.of(), true));
-    Lease lease = leases == null ? null : new Lease(leases, p.membership, chance.split());
-    if (agreed != null) {
-      p.agreement = new ConfigurationAgreement(agreed, p.membership, lease, TEXTS, chance.split());
+    Lease lease =
+        leaseOptions == null ? null : new Lease(leaseOptions, p.membership, chance.split());
+    if (agreementOptions != null) {
+      p.agreement =
+          new ConfigurationAgreement(agreementOptions, p.membership, lease, TEXTS, chance.split());
       p.agreement.own("first".getBytes(StandardCharsets.UTF_8));
-      if (p.kept != null) {
-        p.kept.documents().forEach(p.agreement::knows);
+      if (p.persistentState != null) {
+        p.persistentState.documents().forEach(p.agreement::knows);
       }
-      acts(i, null);
+      recordActivation(i, null);
     }
-    if (divided != null) {
+    if (capacityOptions != null) {
       p.sharing =
           new StateGossip(
               p.membership.self().name(),
@@ -414,46 +423,48 @@
               chance.split(),
               moment(i));
     }
-    p.ground = new FleetCoordinator(p.membership, lease, p.agreement, p.sharing, out(i, p));
-    if (divided != null) {
-      p.holdings = new CapacityLeases(divided, p.ground.under(), chance.split());
-      p.ground.holds(p.holdings);
+    p.coordinator = new FleetCoordinator(p.membership, lease, p.agreement, p.sharing, out(i, p));
+    if (capacityOptions != null) {
+      p.capacityLeases = new CapacityLeases(capacityOptions, p.coordinator.under(), chance.split());
+      p.coordinator.holds(p.capacityLeases);
       needs(i, demands[i]);
     }
-    p.ground.start(moment(i));
-    wakes(i);
+    p.coordinator.start(moment(i));
+    scheduleWake(i);
   }
 
   /** A trouble of a process begins or ends. */
-  private void troubled(int i) {
+  private void injectFault(int i) {
     Process p = processes[i];
-    for (Fault t : troubles) {
-      boolean dies = t.kind().ends();
-      if (dies && t.who().contains(i) && Math.abs(t.atS() - now) < 1e-9 && p.alive) {
+    for (Fault t : faults) {
+      boolean dies = t.kind().endsProcess();
+      if (dies && t.processes().contains(i) && Math.abs(t.atS() - now) < 1e-9 && p.alive) {
         if (t.kind() == Fault.Kind.TERM && !stands(i)) {
-          p.ground.leave(moment(i));
+          p.coordinator.leave(moment(i));
         }
         p.alive = false;
-        acts(i, null);
+        recordActivation(i, null);
         if (p.writing != null && chance.nextBoolean()) {
-          p.kept = p.writing.what();
+          p.persistentState = p.writing.what();
         }
         p.writing = null;
         p.resumes =
-            plan.folders
-                && p.kept != null
+            plan.withPersistence
+                && p.persistentState != null
                 && (t.kind() == Fault.Kind.KILL || t.kind() == Fault.Kind.TERM);
-        p.kept =
-            t.kind() == Fault.Kind.LOSE ? null : t.kind() == Fault.Kind.STALE ? p.earlier : p.kept;
+        p.persistentState =
+            t.kind() == Fault.Kind.LOSE
+                ? null
+                : t.kind() == Fault.Kind.STALE ? p.earlierState : p.persistentState;
         newest.values().forEach(this::lost);
       } else if (t.kind() == Fault.Kind.GONE
-          && t.who().contains(i)
+          && t.processes().contains(i)
           && Math.abs(t.atS() - now) < 1e-9) {
         p.resumes = false;
         newest.values().forEach(this::lost);
       } else if (dies
           && t.kind() != Fault.Kind.GONE
-          && t.who().contains(i)
+          && t.processes().contains(i)
           && Math.abs(t.endS() - now) < 1e-9
           && !p.alive
           && !staysDead(i)) {
@@ -461,15 +472,15 @@
       }
     }
     if (p.alive && stands(i)) {
-      acts(i, null);
+      recordActivation(i, null);
     } else if (p.alive) {
       if (p.agreement != null) {
-        p.ground.follow(moment(i));
-        acts(i, p.agreement.acting());
+        p.coordinator.follow(moment(i));
+        recordActivation(i, p.agreement.acting());
       }
       due(i);
       while (!p.unread.isEmpty() && p.alive) {
-        hears(i, p.unread.poll());
+        deliver(i, p.unread.poll());
       }
     }
   }
@@ -501,17 +512,18 @@
   }
 
   private boolean staysDead(int i) {
-    return troubles.stream()
+    return faults.stream()
         .anyMatch(
             t ->
-                t.who().contains(i)
+                t.processes().contains(i)
                     && t.atS() <= now
-                    && (t.kind() == Fault.Kind.GONE || t.kind().ends() && now < t.endS() - 1e-9));
+                    && (t.kind() == Fault.Kind.GONE
+                        || t.kind().endsProcess() && now < t.endS() - 1e-9));
   }
 
   private void note(int i, View view) {
     Process p = processes[i];
-    happenings.add(
+    recordedEvents.add(
         new RecordedEvent(
             now,
             i,
@@ -527,7 +539,7 @@
     return new FleetCoordinator.EffectSink() {
       @Override
       public void tell(InetSocketAddress to, PeerMessage message) {
-        VirtualFleet.this.tell(i, to, message);
+        VirtualFleet.this.send(i, to, message);
       }
 
       @Override
@@ -555,7 +567,7 @@
       @Override
       public void doing(AgreementEffect doing) {
         if (doing instanceof AgreementEffect.Activate on) {
-          acts(i, on.on());
+          recordActivation(i, on.on());
         } else if (doing instanceof AgreementEffect.EventRecorded noted) {
           notes.merge(noted.event().label(), 1, Integer::sum);
         }
@@ -563,12 +575,12 @@
     };
   }
 
-  private void wakes(int i) {
+  private void scheduleWake(int i) {
     Process p = processes[i];
-    if (divided != null) {
+    if (capacityOptions != null) {
       weigh();
     }
-    Timestamp wake = p.ground.wake(moment(i));
+    Timestamp wake = p.coordinator.wake(moment(i));
     if (wake == null) {
       return;
     }
@@ -585,10 +597,10 @@
    * From the next start of each process on, all hold parts of a whole; clocks run up to this part
    * apart.
    */
-  public void divides(
+  public void enableCapacityLeases(
       cobaltseam.capacity.CapacityOptions terms, Lease.LeaseOptions under, double clocksApart) {
-    divided = terms;
-    leases = under;
+    capacityOptions = terms;
+    leaseOptions = under;
     demands = new double[processes.length];
     for (Process p : processes) {
       p.rate = 1 + clocksApart * (chance.nextDouble() - 0.5);
@@ -598,8 +610,8 @@
   /** What a process needs from now on. */
   public void needs(int i, double demand) {
     demands[i] = demand;
-    if (processes[i].holdings != null) {
-      processes[i].holdings.needs(demand);
+    if (processes[i].capacityLeases != null) {
+      processes[i].capacityLeases.needs(demand);
       processes[i].sharing.say(
           new MemberFigures(Map.of(FleetCoordinator.DEMAND, FleetCoordinator.figure(demand))));
     }
@@ -608,17 +620,19 @@
   /** What a process may use at this moment; nothing while it stands still. */
   public long usable(int i) {
     Process p = processes[i];
-    return p.alive && p.holdings != null && !stands(i) ? p.holdings.usable(moment(i)) : 0;
+    return p.alive && p.capacityLeases != null && !stands(i)
+        ? p.capacityLeases.usable(moment(i))
+        : 0;
   }
 
   /**
    * The most that all together might use at any moment, when, and whether there ever were two lines
    * of views at once.
    */
-  public record Most(long amount, double atS, boolean twoLines) {}
+  public record PeakUsage(long amount, double atS, boolean twoLines) {}
 
-  public Most most() {
-    return most;
+  public PeakUsage peakUsage() {
+    return peakUsage;
   }
 
   /**
@@ -633,32 +647,33 @@
       alive += processes[i].alive ? 1 : 0;
     }
     double missed = 0;
-    long settled = divided.whole() - divided.alonePart() * divided.processes();
+    long settled =
+        capacityOptions.whole() - capacityOptions.alonePart() * capacityOptions.processes();
     for (int i = 0; i < processes.length && sum > 0; i++) {
       if (processes[i].alive) {
         double even = (double) settled / alive;
         double due =
-            divided.alonePart()
-                + divided.floor() * even
-                + (1 - divided.floor()) * settled * demands[i] / sum;
+            capacityOptions.alonePart()
+                + capacityOptions.floor() * even
+                + (1 - capacityOptions.floor()) * settled * demands[i] / sum;
         missed += Math.abs(usable(i) - due);
       }
     }
-    return missed / 2 / divided.whole();
+    return missed / 2 / capacityOptions.whole();
   }
 
   private void weigh() {
     long all = 0;
     long line = 0;
-    boolean two = most.twoLines;
+    boolean two = peakUsage.twoLines;
     for (int i = 0; i < processes.length; i++) {
       all += usable(i);
       View view = processes[i].alive ? processes[i].membership.view() : null;
       two |= view != null && line != 0 && line != view.id().lineage();
       line = view == null ? line : view.id().lineage();
     }
-    boolean more = all > most.amount && !two;
-    most = new Most(more ? all : most.amount, more ? now : most.atS, two);
+    boolean more = all > peakUsage.amount && !two;
+    peakUsage = new PeakUsage(more ? all : peakUsage.amount, more ? now : peakUsage.atS, two);
   }
 
   // ---- the agreed document
@@ -667,9 +682,9 @@
    * From the next start of each process on, all agree on a document; clocks run up to this part
    * apart.
    */
-  public void agrees(ConfigurationAgreement.AgreementOptions terms, double clocksApart) {
-    agreed = terms;
-    leases = new Lease.LeaseOptions(terms.contradiction(), terms.clockRates());
+  public void enableAgreement(ConfigurationAgreement.AgreementOptions terms, double clocksApart) {
+    agreementOptions = terms;
+    leaseOptions = new Lease.LeaseOptions(terms.contradiction(), terms.clockRates());
     for (Process p : processes) {
       p.rate = 1 + clocksApart * (chance.nextDouble() - 0.5);
     }
@@ -681,8 +696,8 @@
       return "it is not there";
     }
     String why = processes[i].agreement.propose(content, expect, moment(i));
-    processes[i].ground.follow(moment(i));
-    wakes(i);
+    processes[i].coordinator.follow(moment(i));
+    scheduleWake(i);
     return why;
   }
 
@@ -691,15 +706,15 @@
   }
 
   /** What all acted on, in the order in which it was. */
-  public List<ActivationRecord> acted() {
-    return acted;
+  public List<ActivationRecord> activations() {
+    return activations;
   }
 
-  private void acts(int i, ActiveConfiguration on) {
+  private void recordActivation(int i, ActiveConfiguration on) {
     long line =
         processes[i].membership.view() == null ? 0 : processes[i].membership.view().id().lineage();
     boolean back = on == null || on.mode() == ActiveConfiguration.Mode.BACK;
-    acted.add(
+    activations.add(
         new ActivationRecord(
             now,
             i,
@@ -710,15 +725,15 @@
                     .toList()));
   }
 
-  private void tell(int from, InetSocketAddress address, PeerMessage message) {
+  private void send(int from, InetSocketAddress address, PeerMessage message) {
     Integer to = byAddress.get(address);
     sent++;
     if (to == null) {
       return;
     }
-    Fault.Fate fate = Fault.fate(troubles, from, to, now, chance);
+    Fault.DatagramFate fate = Fault.fate(faults, from, to, now, chance);
     double delay = 0.0003 + 0.001 * chance.nextDouble() + fate.delayS();
-    for (int n = 0; n < fate.times(); n++) {
+    for (int n = 0; n < fate.copies(); n++) {
       at(now + delay * (1 + n * chance.nextDouble()), to, processes[to].life, message);
     }
   }
--- a/src/test/java/cobaltseam/emulator/ExperimentTest.java
+++ b/src/test/java/cobaltseam/emulator/ExperimentTest.java
@@ -115,7 +115,7 @@
                     .anyMatch(
                         f ->
                             f.kind() == Fault.Kind.PARTITION
-                                && f.who() == 2
+                                && f.target() == 2
                                 && f.engines().contains(6)
                                 && f.lengthS() >= 3),
             Fault::simpler);
--- a/src/test/java/cobaltseam/emulator/RefereeTest.java
+++ b/src/test/java/cobaltseam/emulator/RefereeTest.java
@@ -48,28 +48,28 @@
     }
 
     @Override
-    public Placement after(AttemptOutcome outcome, Timestamp now) {
-      return module.after(outcome, now);
+    public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
+      return module.completeAttempt(outcome, now);
     }
 
     @Override
-    public NextStep pause(Timestamp now) {
-      return module.pause(now);
+    public NextStep next(Timestamp now) {
+      return module.next(now);
     }
 
     @Override
-    public void listed(List<EndpointStatus> list, boolean whole, Timestamp now) {
-      module.listed(list, whole, now);
+    public void updateEndpoints(List<EndpointStatus> list, boolean whole, Timestamp now) {
+      module.updateEndpoints(list, whole, now);
     }
 
     @Override
-    public void progressed(RequestId command, int send, double share, Timestamp now) {
-      module.progressed(command, send, share, now);
+    public void updateProgress(RequestId command, int send, double share, Timestamp now) {
+      module.updateProgress(command, send, share, now);
     }
 
     @Override
-    public void departed(RequestId command, Timestamp now) {
-      module.departed(command, now);
+    public void clientLeft(RequestId command, Timestamp now) {
+      module.clientLeft(command, now);
     }
   }
 
@@ -86,7 +86,7 @@
     Simulation s =
         new Simulation(
             world,
-            (told, of, truth) -> mutation.of(Policy.module(new Dispatcher(told, of))),
+            (told, of, truth) -> mutation.of(Policy.ofDispatcher(new Dispatcher(told, of))),
             faults,
             SECONDS,
             seed);
@@ -99,11 +99,11 @@
         w.name(),
         w.engines(),
         w.dispatchers(),
-        w.profiles(),
-        w.holders(),
+        w.requestClasses(),
+        w.tenants(),
         w.load(),
-        w.net(),
-        w.roster(),
+        w.network(),
+        w.discovery(),
         limits);
   }
 
@@ -112,14 +112,14 @@
     return with(
         hall(),
         new EmulatedSite.Limits(
-            l.mostSends(),
-            l.cancels(),
+            l.maxAttempts(),
+            l.canCancel(),
             l.progressMs(),
-            l.comeBackMs(),
+            l.maxRetryAfterMs(),
             l.drainGraceMs(),
-            l.fallMultiple(),
-            l.fallWindowMs(),
-            l.keyRestMs(),
+            l.slowStartLimitFactor(),
+            l.slowStartWindowMs(),
+            l.sequenceKeyRestMs(),
             2.0,
             0.02,
             2000));
@@ -130,7 +130,7 @@
     for (long seed = 1; seed <= 12; seed++) {
       EmulatedSite world = seed % 3 == 0 ? budgeted() : hall();
       InvariantChecker referee = play(world, Fault.drawn(world, SECONDS, 8, seed), m -> m, seed);
-      assertEquals(0, referee.all(), "seed " + seed + ": " + referee.broken());
+      assertEquals(0, referee.all(), "seed " + seed + ": " + referee.violations());
     }
   }
 
@@ -170,8 +170,9 @@
             m ->
                 new Mutant(m) {
                   @Override
-                  public void listed(List<EndpointStatus> list, boolean whole, Timestamp now) {
-                    module.listed(
+                  public void updateEndpoints(
+                      List<EndpointStatus> list, boolean whole, Timestamp now) {
+                    module.updateEndpoints(
                         list.stream()
                             .map(
                                 l ->
@@ -215,8 +216,8 @@
                   }
 
                   @Override
-                  public NextStep pause(Timestamp now) {
-                    return twice != null ? NextStep.placeAgain(twice) : module.pause(now);
+                  public NextStep next(Timestamp now) {
+                    return twice != null ? NextStep.placeAgain(twice) : module.next(now);
                   }
                 },
             1);
@@ -234,8 +235,8 @@
                   private int after;
 
                   @Override
-                  public Placement after(AttemptOutcome outcome, Timestamp now) {
-                    Placement p = module.after(outcome, now);
+                  public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
+                    Placement p = module.completeAttempt(outcome, now);
                     return p.decision() == Decision.SHED && ++after > 0 ? Placement.queue() : p;
                   }
 
@@ -260,8 +261,8 @@
               private final List<Request> again = new ArrayList<>();
 
               @Override
-              public Placement after(AttemptOutcome outcome, Timestamp now) {
-                Placement p = module.after(outcome, now);
+              public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
+                Placement p = module.completeAttempt(outcome, now);
                 if (outcome.result() == AttemptOutcome.AttemptResult.ERROR
                     && p.decision() != Decision.QUEUE) {
                   again.add(commands.get(outcome.request()));
@@ -271,8 +272,8 @@
               }
 
               @Override
-              public NextStep pause(Timestamp now) {
-                return again.isEmpty() ? module.pause(now) : NextStep.placeAgain(again.get(0));
+              public NextStep next(Timestamp now) {
+                return again.isEmpty() ? module.next(now) : NextStep.placeAgain(again.get(0));
               }
 
               @Override
@@ -289,8 +290,8 @@
         m ->
             new Mutant(m) {
               @Override
-              public Placement after(AttemptOutcome outcome, Timestamp now) {
-                Placement p = module.after(outcome, now);
+              public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
+                Placement p = module.completeAttempt(outcome, now);
                 return p.decision() == Decision.FAIL ? Placement.shed(TimeSpan.ZERO) : p;
               }
             };
@@ -310,14 +311,14 @@
               }
             };
     assertTrue(play(hall(), List.of(), hasty, 2).count(Rule.ORDER) > 0);
-    EmulatedSite.Profile first = hall().profiles().get(0);
+    EmulatedSite.RequestClass first = hall().requestClasses().get(0);
     EmulatedSite placed =
         new EmulatedSite(
             "placed",
             hall().engines(),
             hall().dispatchers(),
             List.of(
-                new EmulatedSite.Profile(
+                new EmulatedSite.RequestClass(
                     first.name(),
                     1,
                     first.threads(),
@@ -325,21 +326,21 @@
                     first.cv(),
                     1,
                     0,
-                    first.targetMs(),
-                    first.timeoutMs(),
+                    first.objectiveMs(),
+                    first.deadlineMs(),
                     0,
-                    first.repeat(),
-                    first.scope(),
+                    first.retrySafety(),
+                    first.deduplicationScope(),
                     0,
                     0,
                     false,
                     0,
                     1,
                     List.of("l1"))),
-            hall().holders(),
+            hall().tenants(),
             hall().load(),
-            hall().net(),
-            hall().roster(),
+            hall().network(),
+            hall().discovery(),
             hall().limits());
     assertEquals(0, play(placed, List.of(), m -> m, 2).all());
     Mutation anywhere =
@@ -355,7 +356,7 @@
             };
     assertTrue(play(placed, List.of(), anywhere, 2).count(Rule.PLACEMENT) > 0);
     EmulatedSite unbudgeted = hall();
-    Mutation spends = m -> Policy.module(new Dispatcher(unbudgeted.deployment(0), 3));
+    Mutation spends = m -> Policy.ofDispatcher(new Dispatcher(unbudgeted.deployment(0), 3));
     assertTrue(play(budgeted(), failing, spends, 2).count(Rule.BUDGET) > 0);
   }
 
@@ -367,14 +368,14 @@
         with(
             hall(),
             new EmulatedSite.Limits(
-                l.mostSends(),
-                l.cancels(),
+                l.maxAttempts(),
+                l.canCancel(),
                 l.progressMs(),
-                l.comeBackMs(),
+                l.maxRetryAfterMs(),
                 l.drainGraceMs(),
                 0.3,
-                l.fallWindowMs(),
-                l.keyRestMs(),
+                l.slowStartWindowMs(),
+                l.sequenceKeyRestMs(),
                 null,
                 null,
                 0));
--- a/src/test/java/cobaltseam/emulator/TheoryTest.java
+++ b/src/test/java/cobaltseam/emulator/TheoryTest.java
@@ -27,7 +27,7 @@
         new EmulatedSite.Engines(1, cores, 0, 1000, 0, sessions, 1, 0, 0, 0, 0, 0, 1, 1, 0),
         1,
         List.of(
-            new EmulatedSite.Profile(
+            new EmulatedSite.RequestClass(
                 "only",
                 1,
                 1,
@@ -65,7 +65,7 @@
     for (int seed = 0; seed < SEEDS; seed++) {
       Simulation.Result r =
           new Simulation(world, EmulateCommand.policies("random"), List.of(), seconds, seed).run();
-      assertEquals(0, r.brokenRules(), r.broken().toString());
+      assertEquals(0, r.violationCount(), r.violations().toString());
       values.add(figure.applyAsDouble(r));
     }
     double mean = values.stream().mapToDouble(v -> v).average().orElseThrow();
@@ -74,7 +74,7 @@
   }
 
   private static double meanMs(Simulation.Result r) {
-    return r.tally().rows().get(0).latency.getMean() / 1000;
+    return r.counts().rows().get(0).latency.getMean() / 1000;
   }
 
   private static void within(double expected, double[] found, double rounding) {
@@ -125,7 +125,7 @@
         interval(
             world(4, 1, 60, 4),
             2000,
-            r -> (double) r.tally().rows().get(0).shed / r.tally().offered()),
+            r -> (double) r.counts().rows().get(0).shed / r.counts().offered()),
         0.01);
   }
 }
--- a/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
@@ -23,7 +23,7 @@
 
   private static VirtualFleet fleet(int processes, long seed, Fault... troubles) {
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(processes), List.of(troubles), seed);
-    fleet.agrees(AgreementHunt.TERMS, AgreementHunt.CLOCKS);
+    fleet.enableAgreement(AgreementHunt.TERMS, AgreementHunt.CLOCKS);
     fleet.run(FORMED - 0.01);
     for (int i = 0; i < processes; i++) {
       assertEquals(Mode.PLAIN, fleet.acting(i).mode(), "formed, all act on a first edition");
@@ -48,9 +48,9 @@
 
   private static void kept(VirtualFleet fleet) {
     ActivationRecord.Contradiction longest =
-        ActivationRecord.longest(fleet.acted(), Set.of(), fleet.now());
+        ActivationRecord.longest(fleet.activations(), Set.of(), fleet.now());
     assertTrue(longest.seconds() <= T, longest.toString());
-    assertEquals(List.of(), ActivationRecord.twoUnderOneNumber(fleet.acted()));
+    assertEquals(List.of(), ActivationRecord.twoUnderOneNumber(fleet.activations()));
   }
 
   @Test
@@ -150,7 +150,7 @@
     for (long seed = 1; seed <= 60; seed++) {
       for (boolean folders : new boolean[] {false, true}) {
         VirtualFleet.Plan plan = VirtualFleet.Plan.of(folders ? 4 : 7);
-        AgreementHunt.Verdict v =
+        AgreementHunt.RunVerdict v =
             AgreementHunt.play(
                 folders ? plan.withFolders() : plan,
                 Fault.drawn(plan.processes(), 60, 4, seed),
@@ -180,13 +180,14 @@
     for (int seed = 0; seed < 40; seed++) {
       VirtualFleet fleet =
           new VirtualFleet(VirtualFleet.Plan.of(5), List.of(trouble(Kind.CUT, 20, 3, 4)), seed);
-      fleet.agrees(terms, clocks);
+      fleet.enableAgreement(terms, clocks);
       fleet.run(FORMED + 0.01);
       fleet.propose(0, text("rule a"), -1);
       fleet.run(FORMED + 20);
       longest =
           Math.max(
-              longest, ActivationRecord.longest(fleet.acted(), Set.of(), fleet.now()).seconds());
+              longest,
+              ActivationRecord.longest(fleet.activations(), Set.of(), fleet.now()).seconds());
     }
     return longest;
   }
