--- a/src/test/java/cobaltseam/fleet/RealFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/RealFleetTest.java
@@ -48,8 +48,8 @@
     do {
       boolean settled = fleet.awaitSettled(LONG_S) >= 0;
       assertEquals(List.of(), fleet.errors());
-      assertTrue(settled, "not one view of the living: " + fleet.happenings());
-      broken = List.copyOf(InvariantChecker.check(fleet.happenings(), fleet.live(), true));
+      assertTrue(settled, "not one view of the living: " + fleet.recordedEvents());
+      broken = List.copyOf(InvariantChecker.check(fleet.recordedEvents(), fleet.live(), true));
       Thread.sleep(broken.isEmpty() ? 0 : 50);
     } while (!broken.isEmpty() && System.nanoTime() - from < LONG_S * 1e9);
     assertEquals(List.of(), broken);
@@ -97,7 +97,7 @@
       fleet.start(1);
       settles(fleet);
       awaitShown(fleet, 3, "engines_shared_over", "4");
-      fleet.end(2);
+      fleet.terminate(2);
       for (long from = System.nanoTime(); fleet.isAlive(2); ) {
         assertTrue(System.nanoTime() - from < LONG_S * 1e9, "SIGTERM does not end it");
         Thread.sleep(20);
@@ -118,13 +118,13 @@
       fleet.startAll();
       settles(fleet);
       String before = fleet.view(2);
-      fleet.stop(2);
+      fleet.suspend(2);
       for (long from = System.nanoTime(); fleet.members(0).size() != 3; ) {
         assertTrue(System.nanoTime() - from < LONG_S * 1e9, "not taken out");
         Thread.sleep(20);
       }
       assertEquals(before, fleet.view(2), "it knows nothing of it");
-      fleet.go(2);
+      fleet.resume(2);
       settles(fleet);
       assertTrue(fleet.events(2, "membership.stood_still") > 0);
     }
@@ -159,8 +159,8 @@
       for (int i = 0; i < 4; i++) {
         fleet.kill(i);
       }
-      Files.delete(fleet.kept(3).resolve("seat"));
-      Files.write(fleet.kept(2).resolve("seat.new"), new byte[] {1, 2, 3});
+      Files.delete(fleet.stateFolder(3).resolve("seat"));
+      Files.write(fleet.stateFolder(2).resolve("seat.new"), new byte[] {1, 2, 3});
       fleet.startAll();
       settles(fleet);
       assertTrue(fleet.view(0).startsWith(line + "/"), fleet.view(0));
@@ -177,7 +177,7 @@
       fleet.startAll();
       settles(fleet);
       String old = fleet.view(3);
-      fleet.rewrite(3, "found_anew = \"" + old + "\"");
+      fleet.appendSettings(3, "found_anew = \"" + old + "\"");
       awaitLogged(fleet, 3, "membership.not_founded_anew");
       assertEquals(old, fleet.view(3), "all live");
       for (int i = 0; i < 3; i++) {
@@ -188,7 +188,7 @@
       // enough.
       for (long from = System.nanoTime(); fleet.events(3, "membership.founded_anew") == 0; ) {
         assertTrue(System.nanoTime() - from < LONG_S * 1e9, "not founded: " + show(fleet, 3));
-        fleet.rewrite(3, "");
+        fleet.appendSettings(3, "");
         Thread.sleep(500);
       }
       settles(fleet);
@@ -213,13 +213,16 @@
         new RealFleet(RealFleet.Plan.of(3).withFolders(), List.of(), 7, folder)) {
       // Where the folder should be there is a file; and one folder is taken from under a running
       // process.
-      Files.createDirectories(fleet.kept(0).getParent());
-      Files.write(fleet.kept(0), new byte[] {1});
+      Files.createDirectories(fleet.stateFolder(0).getParent());
+      Files.write(fleet.stateFolder(0), new byte[] {1});
       fleet.startAll();
       settles(fleet);
       awaitLogged(fleet, 0, "membership.folder_refused");
       for (Path file :
-          List.of(fleet.kept(1).resolve("seat"), fleet.kept(1).resolve("lock"), fleet.kept(1))) {
+          List.of(
+              fleet.stateFolder(1).resolve("seat"),
+              fleet.stateFolder(1).resolve("lock"),
+              fleet.stateFolder(1))) {
         Files.delete(file);
       }
       fleet.kill(2);
@@ -242,7 +245,7 @@
       }
       assertTrue(
           System.nanoTime() - from < LONG_S * 1e9,
-          "edition " + number + " is not acted on by all: " + fleet.acted());
+          "edition " + number + " is not acted on by all: " + fleet.activations());
       Thread.sleep(20);
     }
   }
@@ -254,13 +257,14 @@
             new Fault(Kind.CUT, 2, 8, List.of(3, 4), List.of(), 1),
             new Fault(Kind.PAUSE, 12, 4, List.of(1), List.of(), 1),
             new Fault(Kind.LOSS, 10, 8, List.of(), List.of(), 0.2));
-    try (RealFleet fleet = new RealFleet(RealFleet.Plan.of(5).agreeing(1000), script, 8, folder)) {
+    try (RealFleet fleet =
+        new RealFleet(RealFleet.Plan.of(5).withAgreement(1000), script, 8, folder)) {
       fleet.startAll();
       // Before anything is agreed none acts on its own file plainly: the fleet may act on another.
       awaitLogged(fleet, 0, "agreement.starts_back");
       settles(fleet);
       allAct(fleet, 1, 0, 1, 2, 3, 4);
-      fleet.beginsNow();
+      fleet.startClock();
       Thread player =
           new Thread(
               () -> {
@@ -287,7 +291,7 @@
       player.join();
       for (long from = System.nanoTime();
           fleet.acts(2).isEmpty() || !fleet.acts(2).get(0).contains("/3:"); ) {
-        assertTrue(System.nanoTime() - from < LONG_S * 1e9, "not proposed: " + fleet.acted());
+        assertTrue(System.nanoTime() - from < LONG_S * 1e9, "not proposed: " + fleet.activations());
         fleet.settings(2, 1);
         Thread.sleep(1000);
       }
@@ -304,11 +308,11 @@
               "agreement"));
       assertTrue(said.toString().contains("acts  plain on [3:"), said.toString());
       ActivationRecord.Contradiction longest =
-          ActivationRecord.longest(fleet.acted(), Set.of(), fleet.clock());
+          ActivationRecord.longest(fleet.activations(), Set.of(), fleet.clock());
       // Its own logs are read a little late, so that a few ms may seem to overlap; the bound is
       // that of the settings.
       assertTrue(longest.seconds() <= 1, longest.toString());
-      assertEquals(List.of(), ActivationRecord.twoUnderOneNumber(fleet.acted()));
+      assertEquals(List.of(), ActivationRecord.twoUnderOneNumber(fleet.activations()));
     }
   }
 
@@ -354,13 +358,14 @@
             new Fault(Kind.KILL, 15, 2, List.of(4), List.of(), 1),
             new Fault(Kind.ONE_WAY, 18, 3, List.of(2), List.of(), 1));
     AtomicBoolean over = new AtomicBoolean();
-    try (RealFleet fleet = new RealFleet(RealFleet.Plan.of(5).spreading(1000), script, 9, folder)) {
+    try (RealFleet fleet =
+        new RealFleet(RealFleet.Plan.of(5).withCapacityLeases(1000), script, 9, folder)) {
       fleet.startAll();
       settles(fleet);
       asks(fleet, 0, 200, over);
       // Each has a tenth of a fifth whatever it knows, and a quarter of its even part of the rest.
       awaitPart(fleet, 0, 0.6);
-      fleet.beginsNow();
+      fleet.startClock();
       Thread player =
           new Thread(
               () -> {
@@ -390,8 +395,8 @@
           rows = client.show("spread");
         }
       }
-      assertTrue(fleet.mostUsed() <= 1 + 1e-9, "used at once: " + fleet.mostUsed());
-      assertTrue(fleet.mostUsed() > 0.9, "the record holds what was used: " + fleet.mostUsed());
+      assertTrue(fleet.peakUsage() <= 1 + 1e-9, "used at once: " + fleet.peakUsage());
+      assertTrue(fleet.peakUsage() > 0.9, "the record holds what was used: " + fleet.peakUsage());
     } finally {
       over.set(true);
     }
@@ -411,7 +416,9 @@
                   BusStandIn.target(2, two.address(), "in_service")));
       List<Fault> script = List.of(new Fault(Kind.LOSS, 0, 60, List.of(), List.of(), 0.3));
       RealFleet.Plan plan =
-          RealFleet.Plan.of(4).spreading(1000).with(new RealFleet.Engines(bus.address(), known));
+          RealFleet.Plan.of(4)
+              .withCapacityLeases(1000)
+              .with(new RealFleet.Engines(bus.address(), known));
       try (RealFleet fleet = new RealFleet(plan, script, 10, folder)) {
         fleet.startAll();
         settles(fleet);
@@ -437,7 +444,7 @@
             asked.get(),
             ends.values().stream().mapToInt(Integer::intValue).sum(),
             "each has one ending: " + ends);
-        assertTrue(fleet.mostUsed() <= 1 + 1e-9, "used at once: " + fleet.mostUsed());
+        assertTrue(fleet.peakUsage() <= 1 + 1e-9, "used at once: " + fleet.peakUsage());
       }
     } finally {
       over.set(true);
@@ -486,10 +493,10 @@
         two.failing(true);
         awaitBegun(engines, 1200);
         fleet.kill(1);
-        fleet.stop(2);
+        fleet.suspend(2);
         Thread.sleep(1000);
         fleet.start(1);
-        fleet.go(2);
+        fleet.resume(2);
         awaitBegun(engines, 2400);
         over.set(true);
         for (Thread client : clients) {
@@ -627,11 +634,11 @@
       byte[] taken =
           new MessageCodec("rig", null, 0).write(new MembershipMessage.StateRequest(teller, null));
       for (int i = 0; i < 50; i++) {
-        fleet.say(0, foreign);
-        fleet.say(0, new byte[] {1, 2, 3});
-        fleet.say(0, new byte[0]);
-        fleet.say(0, older);
-        fleet.say(0, taken);
+        fleet.sendDatagram(0, foreign);
+        fleet.sendDatagram(0, new byte[] {1, 2, 3});
+        fleet.sendDatagram(0, new byte[0]);
+        fleet.sendDatagram(0, older);
+        fleet.sendDatagram(0, taken);
       }
       awaitShown(fleet, 0, "datagrams_refused_other_fleet", "50");
       settles(fleet);
--- a/src/test/java/cobaltseam/fleet/SpreadFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/SpreadFleetTest.java
@@ -19,7 +19,7 @@
   private static VirtualFleet fleet(
       int processes, long seed, Lease.LeaseOptions lease, double clocks, Fault... troubles) {
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(processes), List.of(troubles), seed);
-    fleet.divides(CapacityHunt.terms(processes), lease, clocks);
+    fleet.enableCapacityLeases(CapacityHunt.terms(processes), lease, clocks);
     fleet.run(FORMED - 0.01);
     return fleet;
   }
@@ -34,8 +34,8 @@
 
   private static void kept(VirtualFleet fleet) {
     assertTrue(
-        fleet.most().amount() <= CapacityHunt.WHOLE && !fleet.most().twoLines(),
-        fleet.most().toString());
+        fleet.peakUsage().amount() <= CapacityHunt.WHOLE && !fleet.peakUsage().twoLines(),
+        fleet.peakUsage().toString());
   }
 
   private static List<Integer> upTo(int from, int to) {
@@ -117,7 +117,7 @@
     for (long seed = 1; seed <= 25; seed++) {
       for (boolean folders : new boolean[] {false, true}) {
         VirtualFleet.Plan plan = VirtualFleet.Plan.of(folders ? 4 : 7);
-        CapacityHunt.Verdict v =
+        CapacityHunt.RunVerdict v =
             CapacityHunt.play(
                 folders ? plan.withFolders() : plan,
                 Fault.drawn(plan.processes(), 60, 4, seed),
@@ -136,7 +136,7 @@
       fleet.needs(3, 40);
       fleet.needs(1, 10);
       fleet.run(FORMED + 30);
-      most = Math.max(most, (double) fleet.most().amount() / CapacityHunt.WHOLE);
+      most = Math.max(most, (double) fleet.peakUsage().amount() / CapacityHunt.WHOLE);
     }
     return most;
   }
--- a/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
@@ -36,7 +36,7 @@
   private static void kept(VirtualFleet fleet, double until) {
     fleet.run(until);
     assertTrue(fleet.isSettled(), "not one view of the living by " + until + " s");
-    assertEquals(List.of(), InvariantChecker.check(fleet.happenings(), fleet.live(), true));
+    assertEquals(List.of(), InvariantChecker.check(fleet.recordedEvents(), fleet.live(), true));
   }
 
   @Test
@@ -78,8 +78,8 @@
     assertEquals(5, fleet.view(2).members().size());
     fleet.run(FORMED + 20.0001);
     assertTrue(
-        fleet.standing(2) != QuorumState.MAJORITY,
-        "at its first moment it is " + fleet.standing(2));
+        fleet.quorumState(2) != QuorumState.MAJORITY,
+        "at its first moment it is " + fleet.quorumState(2));
     kept(fleet, FORMED + 60);
   }
 
@@ -101,9 +101,9 @@
       VirtualFleet fleet = fleet(9, cut, trouble(Kind.CUT, 40, 1, first(cut)));
       fleet.run(FORMED + 8);
       for (int i = 0; i < cut; i++) {
-        assertEquals(QuorumState.MINORITY, fleet.standing(i), cut + " cut off, process " + i);
+        assertEquals(QuorumState.MINORITY, fleet.quorumState(i), cut + " cut off, process " + i);
       }
-      assertEquals(QuorumState.MAJORITY, fleet.standing(8));
+      assertEquals(QuorumState.MAJORITY, fleet.quorumState(8));
       fleet.run(FORMED + 20);
       assertEquals(9 - cut, fleet.view(8).members().size());
       assertEquals(9, fleet.view(0).members().size(), "a minority installs nothing");
@@ -118,7 +118,7 @@
       VirtualFleet fleet = fleet(100, 5, trouble(Kind.CUT, 60, 1, who));
       fleet.run(FORMED + 25);
       for (int i : who) {
-        assertEquals(QuorumState.MINORITY, fleet.standing(i), cut + " cut off");
+        assertEquals(QuorumState.MINORITY, fleet.quorumState(i), cut + " cut off");
       }
     }
   }
@@ -132,7 +132,7 @@
     fleet.run(FORMED + 29);
     for (int i = 0; i < 9; i++) {
       assertEquals(before, number(fleet, i));
-      assertEquals(QuorumState.MINORITY, fleet.standing(i));
+      assertEquals(QuorumState.MINORITY, fleet.quorumState(i));
     }
     kept(fleet, FORMED + 90);
     assertEquals(before, number(fleet, 0), "all came back: nobody had to be taken out");
@@ -164,7 +164,8 @@
       fleet.run(FORMED + 119);
       assertEquals(before + 1, number(fleet, 0), t.kind() + ": one change of view in two minutes");
       assertEquals(6, fleet.view(0).members().size());
-      assertTrue(fleet.standing(3) != QuorumState.MAJORITY, "and it knows: " + fleet.standing(3));
+      assertTrue(
+          fleet.quorumState(3) != QuorumState.MAJORITY, "and it knows: " + fleet.quorumState(3));
       kept(fleet, FORMED + 300);
     }
   }
@@ -233,9 +234,9 @@
     long before = number(fleet, 4);
     fleet.run(FORMED + 120);
     assertEquals(before, number(fleet, 4));
-    assertEquals(QuorumState.MINORITY, fleet.standing(4));
-    assertEquals(QuorumState.NONE, fleet.standing(1), "what it was forgot what it promised");
-    assertEquals(List.of(), InvariantChecker.check(fleet.happenings(), fleet.live(), false));
+    assertEquals(QuorumState.MINORITY, fleet.quorumState(4));
+    assertEquals(QuorumState.NONE, fleet.quorumState(1), "what it was forgot what it promised");
+    assertEquals(List.of(), InvariantChecker.check(fleet.recordedEvents(), fleet.live(), false));
   }
 
   @Test
@@ -270,7 +271,7 @@
     fleet.run(FORMED + 0.3001);
     assertEquals(
         QuorumState.UNSURE,
-        fleet.standing(2),
+        fleet.quorumState(2),
         "it may have an old folder: it hears a majority first");
     kept(fleet, FORMED + 30);
     assertEquals(before, fleet.view(0));
@@ -331,13 +332,13 @@
         fleet(5, 14, cut, new Fault(Kind.CUT, FORMED + 30, 30, List.of(0), List.of(1, 2), 1));
     fleet.run(FORMED + 2);
     ViewId old = fleet.view(3).id();
-    fleet.foundAnew(3, old);
+    fleet.bootstrapAgain(3, old);
     assertEquals(old, fleet.view(3).id(), "too early");
     fleet.run(FORMED + 60);
-    fleet.foundAnew(3, new ViewId(old.lineage(), old.number() + 7));
-    fleet.foundAnew(1, fleet.view(1).id());
+    fleet.bootstrapAgain(3, new ViewId(old.lineage(), old.number() + 7));
+    fleet.bootstrapAgain(1, fleet.view(1).id());
     assertEquals(2, fleet.notes().get("not_founded_anew") - 1, "another view, and a majority");
-    fleet.foundAnew(3, old);
+    fleet.bootstrapAgain(3, old);
     fleet.run(FORMED + 90);
     assertTrue(fleet.view(3).id().lineage() > old.lineage());
     assertEquals(fleet.view(3), fleet.view(4), "whoever is left comes to it");
@@ -350,7 +351,7 @@
   void drawnScriptsWithFoldersBreakNothing() {
     for (long seed = 300_000; seed < 300_060; seed++) {
       List<Fault> script = Fault.withFolders(Fault.drawn(5, 60, 5, seed), false, seed);
-      FleetCommand.Verdict v =
+      FleetCommand.RunVerdict v =
           FleetCommand.virtual(VirtualFleet.Plan.of(5).withFolders(), script, 60, seed);
       assertFalse(v.isBroken(), "seed " + seed + ": " + v.broken());
     }
@@ -390,7 +391,7 @@
   void drawnScriptsAtFixedSeedsBreakNothing() {
     for (long seed : new long[] {127, 227, 267, 3777, 3918, 20909, 64028}) {
       for (int processes : new int[] {3, 9}) {
-        FleetCommand.Verdict v =
+        FleetCommand.RunVerdict v =
             FleetCommand.virtual(
                 VirtualFleet.Plan.of(processes), Fault.drawn(processes, 60, 5, seed), 60, seed);
         assertFalse(v.isBroken(), "seed " + seed + ": " + v.broken());
