--- a/src/main/java/cobaltseam/emulator/Baseline.java
+++ b/src/main/java/cobaltseam/emulator/Baseline.java
@@ -85,8 +85,8 @@
    */
   private final TreeSet<OpenRequest> held =
       new TreeSet<>(
-          Comparator.comparingDouble((OpenRequest o) -> -o.density)
-              .thenComparing(o -> o.command.id().value()));
+          Comparator.comparingDouble((OpenRequest request) -> -request.density)
+              .thenComparing(request -> request.command.id().value()));
 
   private final TrueState truth;
   private List<EndpointStatus> list = List.of();
@@ -119,73 +119,78 @@
 
   @Override
   public Placement place(Request command, Timestamp now) {
-    OpenRequest o = open.get(command.id());
-    if (o == null) {
-      o = new OpenRequest();
-      o.command = command;
-      o.profile = profiles.get(command.requestClass().value());
-      o.taken = now;
-      open.put(command.id(), o);
-      if (o.profile.inOrder() && command.sequenceKey() != null) {
-        lines.computeIfAbsent(command.sequenceKey(), k -> new ArrayDeque<>()).add(o);
+    OpenRequest request = open.get(command.id());
+    if (request == null) {
+      request = new OpenRequest();
+      request.command = command;
+      request.profile = profiles.get(command.requestClass().value());
+      request.taken = now;
+      open.put(command.id(), request);
+      if (request.profile.inOrder() && command.sequenceKey() != null) {
+        lines.computeIfAbsent(command.sequenceKey(), k -> new ArrayDeque<>()).add(request);
       }
     }
-    if (o.out != null) {
+    if (request.out != null) {
       return Placement.queue();
     }
     TimeSpan left = command.deadline().since(now).minus(told.capabilities().clockTick().times(2));
-    if (left.isPositive() && waits(o, now)) {
+    if (left.isPositive() && waits(request, now)) {
       return Placement.queue();
     }
-    EngineId engine = left.isPositive() ? pick(o) : null;
+    EngineId engine = left.isPositive() ? pick(request) : null;
     double us = 0;
     if (engine != null && choice == EngineChoice.CLAIRVOYANT) {
-      boolean room = truth.hasRoom(engine, o.profile.threads());
-      us = truth.pace(engine) * command.work().us() / o.profile.threads();
+      boolean room = truth.hasRoom(engine, request.profile.threads());
+      us = truth.pace(engine) * command.work().us() / request.profile.threads();
       Timestamp target =
-          o.taken
-              .plus(o.profile.latencyObjective())
-              .plus(command.work().times(o.profile.objectivePerWork() / o.profile.threads()));
-      double least = command.work().us() / (double) o.profile.threads();
+          request
+              .taken
+              .plus(request.profile.latencyObjective())
+              .plus(
+                  command
+                      .work()
+                      .times(request.profile.objectivePerWork() / request.profile.threads()));
+      double least = command.work().us() / (double) request.profile.threads();
       if (!now.plus(new TimeSpan(Math.round(Math.min(least, 1e12)))).isBefore(target)) {
-        return giveUp(o);
+        return giveUp(request);
       }
       if (!room || !(us * SLACK < target.since(now).us())) {
-        o.density = o.profile.priorityWeight() / Math.max(1, command.work().us());
-        held.add(o);
+        request.density = request.profile.priorityWeight() / Math.max(1, command.work().us());
+        held.add(request);
         return Placement.queue();
       }
     }
     if (engine == null) {
-      return giveUp(o);
+      return giveUp(request);
     }
-    held.remove(o);
+    held.remove(request);
     // The clairvoyant one would also see that an engine has gone, and not wait for it.
     left =
         choice == EngineChoice.CLAIRVOYANT
-            ? left.min(new TimeSpan(Math.round(SEEN_AFTER * us)).max(o.profile.latencyObjective()))
+            ? left.min(
+                new TimeSpan(Math.round(SEEN_AFTER * us)).max(request.profile.latencyObjective()))
             : left;
-    o.out = engine;
-    o.sends++;
+    request.out = engine;
+    request.sends++;
     inHand.merge(engine, 1, Integer::sum);
     return Placement.send(engine, left, -1);
   }
 
-  private Placement giveUp(OpenRequest o) {
-    remove(o);
-    return o.mayHaveRun && o.profile.retrySafety() != Deployment.RetrySafety.IDEMPOTENT
+  private Placement giveUp(OpenRequest request) {
+    remove(request);
+    return request.mayHaveRun && request.profile.retrySafety() != Deployment.RetrySafety.IDEMPOTENT
         ? Placement.fail()
         : Placement.shed(told.capabilities().maxRetryAfter());
   }
 
-  private void remove(OpenRequest o) {
-    open.remove(o.command.id());
-    again.remove(o);
-    held.remove(o);
+  private void remove(OpenRequest request) {
+    open.remove(request.command.id());
+    again.remove(request);
+    held.remove(request);
     Deque<OpenRequest> line =
-        o.command.sequenceKey() == null ? null : lines.get(o.command.sequenceKey());
-    if (line != null && line.remove(o) && line.isEmpty()) {
-      lines.remove(o.command.sequenceKey());
+        request.command.sequenceKey() == null ? null : lines.get(request.command.sequenceKey());
+    if (line != null && line.remove(request) && line.isEmpty()) {
+      lines.remove(request.command.sequenceKey());
     } else if (line != null
         && !line.isEmpty()
         && line.peek().out == null
@@ -195,30 +200,32 @@
   }
 
   /** Whether one in order has to wait for an earlier one of its key, or for the key to rest. */
-  private boolean waits(OpenRequest o, Timestamp now) {
+  private boolean waits(OpenRequest request, Timestamp now) {
     Deque<OpenRequest> line =
-        o.profile.inOrder() && o.command.sequenceKey() != null
-            ? lines.get(o.command.sequenceKey())
+        request.profile.inOrder() && request.command.sequenceKey() != null
+            ? lines.get(request.command.sequenceKey())
             : null;
     if (line == null) {
       return false;
     }
-    Timestamp rest = rests.get(o.command.sequenceKey());
+    Timestamp rest = rests.get(request.command.sequenceKey());
     if (rest != null && !now.isBefore(rest)) {
-      rests.remove(o.command.sequenceKey());
+      rests.remove(request.command.sequenceKey());
       rest = null;
     }
-    if (line.peek() == o && rest != null && !resting.contains(o)) {
-      resting.add(o);
+    if (line.peek() == request && rest != null && !resting.contains(request)) {
+      resting.add(request);
     }
-    return line.peek() != o || rest != null;
+    return line.peek() != request || rest != null;
   }
 
-  private EngineId pick(OpenRequest o) {
+  private EngineId pick(OpenRequest request) {
     List<EndpointStatus> to =
-        o.profile.locations() == null
+        request.profile.locations() == null
             ? list
-            : list.stream().filter(l -> o.profile.locations().contains(l.location())).toList();
+            : list.stream()
+                .filter(l -> request.profile.locations().contains(l.location()))
+                .toList();
     if (to.isEmpty()) {
       return null;
     }
@@ -235,7 +242,9 @@
           least(
               to,
               e ->
-                  truth.hasRoom(e, o.profile.threads()) ? truth.pace(e) : Double.POSITIVE_INFINITY);
+                  truth.hasRoom(e, request.profile.threads())
+                      ? truth.pace(e)
+                      : Double.POSITIVE_INFINITY);
     };
   }
 
@@ -260,46 +269,47 @@
 
   @Override
   public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
-    OpenRequest o = open.get(outcome.request());
-    if (o == null || o.out == null) {
+    OpenRequest request = open.get(outcome.request());
+    if (request == null || request.out == null) {
       return Placement.queue();
     }
-    inHand.merge(o.out, -1, Integer::sum);
+    inHand.merge(request.out, -1, Integer::sum);
     if (outcome.inFlightAtEngine() >= 0) {
-      reported.put(o.out, outcome.inFlightAtEngine());
+      reported.put(request.out, outcome.inFlightAtEngine());
     }
-    o.out = null;
+    request.out = null;
     AttemptOutcome.AttemptResult ending = outcome.result();
-    o.mayHaveRun |= !ending.neverRan();
-    if (o.profile.inOrder()
-        && o.command.sequenceKey() != null
+    request.mayHaveRun |= !ending.neverRan();
+    if (request.profile.inOrder()
+        && request.command.sequenceKey() != null
         && (ending == AttemptOutcome.AttemptResult.TIMED_OUT
             || ending == AttemptOutcome.AttemptResult.CONNECTION_LOST
             || ending == AttemptOutcome.AttemptResult.CANCELLED)) {
       rests.put(
-          o.command.sequenceKey(),
+          request.command.sequenceKey(),
           now.plus(told.rules().sequenceKeyRest()).plus(told.capabilities().clockTick()));
     }
     if (outcome.isLast() || ending == AttemptOutcome.AttemptResult.COMPLETED) {
-      remove(o);
+      remove(request);
       return Placement.queue();
     }
-    boolean repeats = o.profile.retrySafety() == Deployment.RetrySafety.IDEMPOTENT || !o.mayHaveRun;
+    boolean repeats =
+        request.profile.retrySafety() == Deployment.RetrySafety.IDEMPOTENT || !request.mayHaveRun;
     if (!repeats
-        || o.sends >= told.capabilities().maxAttempts()
+        || request.sends >= told.capabilities().maxAttempts()
         || told.rules().freeRetries() != null
-        || o.profile.inOrder()) {
-      return giveUp(o);
+        || request.profile.inOrder()) {
+      return giveUp(request);
     }
-    again.add(o);
+    again.add(request);
     return Placement.queue();
   }
 
   @Override
   public NextStep next(Timestamp now) {
-    OpenRequest o = again.poll();
-    if (o != null) {
-      return NextStep.placeAgain(o.command);
+    OpenRequest request = again.poll();
+    if (request != null) {
+      return NextStep.placeAgain(request.command);
     }
     TimeSpan wait = null;
     for (OpenRequest r : List.copyOf(resting)) {
@@ -345,9 +355,9 @@
 
   @Override
   public void clientLeft(RequestId command, Timestamp now) {
-    OpenRequest o = open.get(command);
-    if (o != null && o.out == null) {
-      remove(o);
+    OpenRequest request = open.get(command);
+    if (request != null && request.out == null) {
+      remove(request);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/cobaltseam/emulator/EmulatePoliciesCommand.java
@@ -0,0 +1,73 @@
+package cobaltseam.emulator;
+
+import java.io.PrintWriter;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.Callable;
+import java.util.stream.IntStream;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** The module beside the baselines, on the same seeds. */
+@Command(
+    name = "policies",
+    description = "The same worlds, faults and seeds under each policy.",
+    mixinStandardHelpOptions = true)
+final class EmulatePoliciesCommand implements Callable<Integer> {
+  @CommandLine.Mixin EmulateOptions common;
+
+  @Option(
+      names = "--runs",
+      paramLabel = "N",
+      defaultValue = "8",
+      description = "seeds; default: ${DEFAULT-VALUE}")
+  int runs;
+
+  @Option(
+      names = "--policies",
+      paramLabel = "NAMES",
+      split = ",",
+      defaultValue =
+          "module,random,round-robin,least-in-hand,two-choices,shortest-late,clairvoyant",
+      description = "default: ${DEFAULT-VALUE}")
+  List<String> names;
+
+  @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+  @Override
+  public Integer call() {
+    PrintWriter out = spec.commandLine().getOut();
+    EmulatedSite world = common.world();
+    out.println(
+        "| policy | emulated goodput, mean of seeds | least | rules broken | busiest engine over the mean | idlest | commands a second and core |");
+    out.println("| --- | --- | --- | --- | --- | --- | --- |");
+    for (String name : names) {
+      List<Simulation.Result> results =
+          IntStream.range(0, runs)
+              .parallel()
+              .mapToObj(
+                  i ->
+                      new Simulation(
+                              world,
+                              PolicyCatalog.named(name),
+                              common.drawn(world, common.seed + i),
+                              common.seconds,
+                              common.seed + i)
+                          .run())
+              .toList();
+      out.printf(
+          Locale.ROOT,
+          "| %s | %.4f | %.4f | %d | %.2f | %.2f | %.0f |%n",
+          name,
+          results.stream().mapToDouble(r -> r.counts().goodput()).average().orElse(0),
+          results.stream().mapToDouble(r -> r.counts().goodput()).min().orElse(0),
+          results.stream().mapToLong(Simulation.Result::violationCount).sum(),
+          results.stream().mapToDouble(r -> r.counts().busiest()).average().orElse(0),
+          results.stream().mapToDouble(r -> r.counts().idlest()).average().orElse(0),
+          results.stream().mapToDouble(Simulation.Result::pace).average().orElse(0));
+      out.flush();
+    }
+    return 0;
+  }
+}
--- /dev/null
+++ b/src/main/java/cobaltseam/emulator/EmulateRunCommand.java
@@ -0,0 +1,97 @@
+package cobaltseam.emulator;
+
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.Callable;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** One run. */
+@Command(
+    name = "run",
+    description = "One run: what clients got, rules broken, and how fast it went.",
+    mixinStandardHelpOptions = true)
+final class EmulateRunCommand implements Callable<Integer> {
+  @CommandLine.Mixin EmulateOptions common;
+
+  @Option(
+      names = "--policy",
+      paramLabel = "NAME",
+      defaultValue = "module",
+      description = "default: ${DEFAULT-VALUE}")
+  String policy;
+
+  @Option(
+      names = "--chart",
+      paramLabel = "FILE",
+      description = "writes benefit by second, with the faults, as SVG")
+  Path chart;
+
+  @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+  @Override
+  public Integer call() throws IOException {
+    PrintWriter out = spec.commandLine().getOut();
+    EmulatedSite world = common.world();
+    List<Fault> faults = common.drawn(world, common.seed);
+    faults.forEach(
+        f ->
+            out.printf(
+                Locale.ROOT,
+                "fault: %s from %.1f s for %.1f s on %d engines, size %.2f, who %d%n",
+                f.kind().label(),
+                f.atS(),
+                f.lengthS(),
+                f.engines().size(),
+                f.size(),
+                f.target()));
+    Simulation.Result result =
+        new Simulation(world, PolicyCatalog.named(policy), faults, common.seconds, common.seed)
+            .run();
+    out.println(
+        "| profile | offered | in target | late | shed | failed | unheard | median, ms | 99th, ms |");
+    out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    for (int i = 0; i < world.requestClasses().size(); i++) {
+      OutcomeCounts.ClassOutcome row = result.counts().rows().get(i);
+      out.printf(
+          Locale.ROOT,
+          "| %s | %d | %d | %d | %d | %d | %d | %.1f | %.1f |%n",
+          world.requestClasses().get(i).name(),
+          row.offered,
+          row.withinObjective,
+          row.late,
+          row.shed,
+          row.failed,
+          row.unanswered,
+          row.latency.getValueAtPercentile(50) / 1000.0,
+          row.latency.getValueAtPercentile(99) / 1000.0);
+    }
+    out.printf(
+        Locale.ROOT,
+        "emulated goodput %.4f; %d taken, %d sends, %d further; %d rules broken; %.0f s in %.2f s: %.0f commands a second; "
+            + "decisions %016x%n",
+        result.counts().goodput(),
+        result.counts().admitted(),
+        result.counts().attempts(),
+        result.counts().retries(),
+        result.violationCount(),
+        result.virtualS(),
+        result.realS(),
+        result.pace(),
+        result.hash());
+    result.violations().forEach(out::println);
+    out.flush();
+    if (chart != null) {
+      Charts.series(
+          chart,
+          world.name() + ", " + policy + ", seed " + common.seed + " (emulated)",
+          result.counts().seconds(),
+          faults);
+    }
+    return result.violationCount() == 0 ? 0 : 1;
+  }
+}
--- a/src/main/java/cobaltseam/emulator/EmulatedDispatcher.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedDispatcher.java
@@ -100,12 +100,12 @@
     soon = null;
     waiting.clear();
     standsStill = false;
-    for (InFlightRequest c : inFlight.values()) {
-      if (c.current != null) {
-        c.current.isOver = true;
-        Timeline.cancel(c.current.timeout);
+    for (InFlightRequest inFlightRequest : inFlight.values()) {
+      if (inFlightRequest.current != null) {
+        inFlightRequest.current.isOver = true;
+        Timeline.cancel(inFlightRequest.current.timeout);
         // Its connections are reset: engines give up what is open on them.
-        link.giveUp(this, c.current);
+        link.giveUp(this, inFlightRequest.current);
       }
     }
     inFlight.clear();
@@ -155,31 +155,31 @@
           if (asker.hasClientLeft()) {
             return;
           }
-          InFlightRequest c = new InFlightRequest();
-          c.request = command;
-          c.listener = asker;
-          c.order = order;
-          inFlight.put(command.id(), c);
+          InFlightRequest inFlightRequest = new InFlightRequest();
+          inFlightRequest.request = command;
+          inFlightRequest.listener = asker;
+          inFlightRequest.order = order;
+          inFlight.put(command.id(), inFlightRequest);
           counts.admitted++;
           invariants.taken(number, command.id(), order.profile(), key, command.deadline().us());
-          carryOut(c, policy.place(command, time.now()));
+          carryOut(inFlightRequest, policy.place(command, time.now()));
           follow();
         });
   }
 
   /** Its client waits no longer. */
   void clientLeft(RequestId id) {
-    InFlightRequest c = inFlight.get(id);
-    if (c == null || c.listener == null) {
+    InFlightRequest inFlightRequest = inFlight.get(id);
+    if (inFlightRequest == null || inFlightRequest.listener == null) {
       return;
     }
     invariants.departed(number, id, standsStill || policy == null);
-    c.listener = null;
+    inFlightRequest.listener = null;
     receive(
         () -> {
           policy.clientLeft(id, time.now());
-          if (c.current != null) {
-            giveUp(c.current, AttemptResult.CANCELLED);
+          if (inFlightRequest.current != null) {
+            giveUp(inFlightRequest.current, AttemptResult.CANCELLED);
           } else {
             inFlight.remove(id);
           }
@@ -187,43 +187,44 @@
         });
   }
 
-  private void carryOut(InFlightRequest c, Placement p) {
-    if (c.listener == null) {
+  private void carryOut(InFlightRequest inFlightRequest, Placement placement) {
+    if (inFlightRequest.listener == null) {
       return;
     }
-    switch (p.decision()) {
-      case SEND -> send(c, p);
-      case SHED -> end(c, InvariantChecker.FinalAnswer.SHED, p.retryAfter());
-      case FAIL -> end(c, InvariantChecker.FinalAnswer.FAILED, TimeSpan.ZERO);
+    switch (placement.decision()) {
+      case SEND -> send(inFlightRequest, placement);
+      case SHED -> end(inFlightRequest, InvariantChecker.FinalAnswer.SHED, placement.retryAfter());
+      case FAIL -> end(inFlightRequest, InvariantChecker.FinalAnswer.FAILED, TimeSpan.ZERO);
       default -> {}
     }
   }
 
-  private void end(InFlightRequest c, InvariantChecker.FinalAnswer what, TimeSpan comeBack) {
-    ResponseListener asker = c.listener;
-    c.listener = null;
-    invariants.answered(number, c.request.id(), what);
-    if (c.current == null) {
-      inFlight.remove(c.request.id());
+  private void end(
+      InFlightRequest inFlightRequest, InvariantChecker.FinalAnswer what, TimeSpan comeBack) {
+    ResponseListener asker = inFlightRequest.listener;
+    inFlightRequest.listener = null;
+    invariants.answered(number, inFlightRequest.request.id(), what);
+    if (inFlightRequest.current == null) {
+      inFlight.remove(inFlightRequest.request.id());
     }
     asker.onFinalAnswer(what, comeBack);
   }
 
-  private void send(InFlightRequest c, Placement p) {
+  private void send(InFlightRequest inFlightRequest, Placement placement) {
     Attempt out = new Attempt();
-    out.request = c;
-    out.number = c.attempts++;
-    out.engine = link.engine(p.engine());
+    out.request = inFlightRequest;
+    out.number = inFlightRequest.attempts++;
+    out.engine = link.engine(placement.engine());
     out.sentUs = time.nowUs();
-    out.seen = invariants.sent(number, c.request.id(), out.engine);
+    out.seen = invariants.sent(number, inFlightRequest.request.id(), out.engine);
     counts.attempts++;
     counts.retries += out.number > 0 ? 1 : 0;
-    c.current = out;
+    inFlightRequest.current = out;
     out.timeout =
         time.at(
-            out.sentUs + Math.max(1, p.attemptTimeout().us()),
+            out.sentUs + Math.max(1, placement.attemptTimeout().us()),
             () -> receive(() -> giveUp(out, AttemptResult.TIMED_OUT)));
-    link.send(this, out, c.order);
+    link.send(this, out, inFlightRequest.order);
   }
 
   RequestId command(Attempt out) {
@@ -258,14 +259,14 @@
     }
     out.isOver = true;
     Timeline.cancel(out.timeout);
-    InFlightRequest c = out.request;
-    c.current = null;
-    invariants.outcome(number, c.request.id(), out.seen, ending);
-    ResponseListener answered = ending == AttemptResult.COMPLETED ? c.listener : null;
-    boolean over = ending == AttemptResult.COMPLETED || c.listener == null;
+    InFlightRequest inFlightRequest = out.request;
+    inFlightRequest.current = null;
+    invariants.outcome(number, inFlightRequest.request.id(), out.seen, ending);
+    ResponseListener answered = ending == AttemptResult.COMPLETED ? inFlightRequest.listener : null;
+    boolean over = ending == AttemptResult.COMPLETED || inFlightRequest.listener == null;
     AttemptOutcome outcome =
         new AttemptOutcome(
-            c.request.id(),
+            inFlightRequest.request.id(),
             out.number,
             out.engine.id,
             ending,
@@ -276,11 +277,11 @@
             reportedInHand < 0 ? -1 : 0,
             reportedInHand);
     if (answered != null) {
-      end(c, InvariantChecker.FinalAnswer.ANSWERED, TimeSpan.ZERO);
+      end(inFlightRequest, InvariantChecker.FinalAnswer.ANSWERED, TimeSpan.ZERO);
     }
-    carryOut(c, policy.completeAttempt(outcome, time.now()));
-    if (c.listener == null) {
-      inFlight.remove(c.request.id());
+    carryOut(inFlightRequest, policy.completeAttempt(outcome, time.now()));
+    if (inFlightRequest.listener == null) {
+      inFlight.remove(inFlightRequest.request.id());
     }
     follow();
   }
@@ -325,15 +326,17 @@
                 });
         return;
       }
-      InFlightRequest c = pause.request() == null ? null : inFlight.get(pause.request().id());
-      if (pause.request() != null && c == null) {
+      InFlightRequest inFlightRequest =
+          pause.request() == null ? null : inFlight.get(pause.request().id());
+      if (pause.request() != null && inFlightRequest == null) {
         policy.clientLeft(pause.request().id(), time.now());
       } else if (pause.cancelAttempt() >= 0) {
-        if (c.current != null && c.current.number == pause.cancelAttempt()) {
-          giveUp(c.current, AttemptResult.CANCELLED);
+        if (inFlightRequest.current != null
+            && inFlightRequest.current.number == pause.cancelAttempt()) {
+          giveUp(inFlightRequest.current, AttemptResult.CANCELLED);
         }
-      } else if (c != null) {
-        carryOut(c, policy.place(pause.request(), time.now()));
+      } else if (inFlightRequest != null) {
+        carryOut(inFlightRequest, policy.place(pause.request(), time.now()));
       }
     }
     throw new IllegalStateException("the policy names the same thing without end");
--- a/src/main/java/cobaltseam/emulator/EmulatedFleet.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedFleet.java
@@ -72,21 +72,22 @@
     reportIntervalUs = newsMs > 0 ? EmulatedSite.ms(newsMs) : null;
     List<Member> members = new ArrayList<>();
     processes = new FleetMember[world.dispatchers()];
-    for (int i = 0; i < processes.length; i++) {
-      processes[i] = new FleetMember();
-      members.add(new Member(name(i), new Incarnation(1), address(i)));
+    for (int index = 0; index < processes.length; index++) {
+      processes[index] = new FleetMember();
+      members.add(new Member(name(index), new Incarnation(1), address(index)));
     }
     view = new View(new ViewId(1, 1), members, null);
   }
 
-  private static MemberName name(int i) {
-    return new MemberName(String.format("n%05d", i));
+  private static MemberName name(int index) {
+    return new MemberName(String.format("n%05d", index));
   }
 
-  private static InetSocketAddress address(int i) {
+  private static InetSocketAddress address(int index) {
     try {
       return new InetSocketAddress(
-          InetAddress.getByAddress(new byte[] {10, (byte) (i >> 16), (byte) (i >> 8), (byte) i}),
+          InetAddress.getByAddress(
+              new byte[] {10, (byte) (index >> 16), (byte) (index >> 8), (byte) index}),
           1);
     } catch (UnknownHostException e) {
       throw new IllegalStateException(e);
@@ -95,8 +96,8 @@
 
   /** A dispatcher starts, or starts anew as the same member. */
   Policy join(Deployment told, Dispatcher dispatcher, long seed) {
-    int i = told.dispatcherIndex();
-    FleetMember one = processes[i];
+    int index = told.dispatcherIndex();
+    FleetMember one = processes[index];
     one.incarnation++;
     one.dispatcher = dispatcher;
     one.demand = new DemandEstimate(WINDOW);
@@ -107,14 +108,14 @@
               new LoadReports.LoadReportOptions(reportIntervalUs, ASKS_NEWS, NEWS_END, CLOCKS),
               own.split(),
               time.now());
-      startExchange(i, one.incarnation);
+      startExchange(index, one.incarnation);
     }
     if (!sharesCapacity) {
       return decorate(one, Policy.ofDispatcher(dispatcher));
     }
     one.sharing =
         new StateGossip(
-            name(i),
+            name(index),
             new Incarnation(1),
             new cobaltseam.sharing.GossipOptions(ROUND, ASKED, ROUND.times(10), MOST_BYTES, CLOCKS),
             own.split(),
@@ -123,14 +124,14 @@
     one.capacityLeases =
         new CapacityLeases(
             new CapacityOptions(WHOLE, 0.1, processes.length, 0.25, LEASE.times(0.25), 16),
-            under(i),
+            under(index),
             own.split());
     if (one.incarnation == 1) {
       // The fleet was formed long before the run begins.
       one.capacityLeases.follow(time.now().minus(LEASE.times(2)));
     }
     dispatcher.setSharingDispatchers((double) WHOLE / one.capacityLeases.usable(time.now()));
-    turn(i, one.incarnation);
+    turn(index, one.incarnation);
     return decorate(one, Policy.ofDispatcher(dispatcher));
   }
 
@@ -154,15 +155,15 @@
     };
   }
 
-  private void startExchange(int i, int life) {
-    if (processes[i].incarnation == life) {
-      send(processes[i].loadReports.due(view, header(i), time.now()));
-      time.at(processes[i].loadReports.wake().us(), () -> startExchange(i, life));
+  private void startExchange(int index, int life) {
+    if (processes[index].incarnation == life) {
+      send(processes[index].loadReports.due(view, header(index), time.now()));
+      time.at(processes[index].loadReports.wake().us(), () -> startExchange(index, life));
     }
   }
 
-  private MessageHeader header(int i) {
-    return new MessageHeader(view.members().get(i), 0, view.id(), true);
+  private MessageHeader header(int index) {
+    return new MessageHeader(view.members().get(index), 0, view.id(), true);
   }
 
   private void send(List<LoadReports.OutgoingMessage> tells) {
@@ -184,11 +185,11 @@
   }
 
   private static int number(InetSocketAddress address) {
-    byte[] a = address.getAddress().getAddress();
-    return (a[1] & 0xff) << 16 | (a[2] & 0xff) << 8 | a[3] & 0xff;
+    byte[] amount = address.getAddress().getAddress();
+    return (amount[1] & 0xff) << 16 | (amount[2] & 0xff) << 8 | amount[3] & 0xff;
   }
 
-  private CapacityLeases.LeaseContext under(int i) {
+  private CapacityLeases.LeaseContext under(int index) {
     return new CapacityLeases.LeaseContext() {
       @Override
       public View view() {
@@ -197,12 +198,12 @@
 
       @Override
       public Member self() {
-        return view.members().get(i);
+        return view.members().get(index);
       }
 
       @Override
       public MessageHeader teller() {
-        return EmulatedFleet.this.header(i);
+        return EmulatedFleet.this.header(index);
       }
 
       @Override
@@ -222,7 +223,7 @@
 
       @Override
       public Double demand(MemberName of) {
-        KnownFigures known = processes[i].sharing.known(of, time.now());
+        KnownFigures known = processes[index].sharing.known(of, time.now());
         Long said = known == null ? null : known.figures().byName().get(FleetCoordinator.DEMAND);
         return said == null ? null : Double.valueOf(FleetCoordinator.demand(said));
       }
@@ -230,8 +231,8 @@
   }
 
   /** One turn of a dispatcher's fleet thread. */
-  private void turn(int i, int life) {
-    FleetMember one = processes[i];
+  private void turn(int index, int life) {
+    FleetMember one = processes[index];
     if (one.incarnation != life) {
       return;
     }
@@ -240,10 +241,10 @@
     one.capacityLeases.needs(rate);
     one.sharing.say(
         new MemberFigures(Map.of(FleetCoordinator.DEMAND, FleetCoordinator.figure(rate))));
-    shares(i, one.sharing.due(now));
+    shares(index, one.sharing.due(now));
     one.capacityLeases.follow(now).forEach(t -> send(t.to(), t.word()));
     publishFigures(one);
-    time.after(LEASE.times(0.25), () -> turn(i, life));
+    time.after(LEASE.times(0.25), () -> turn(index, life));
   }
 
   private void publishFigures(FleetMember one) {
--- a/src/main/java/cobaltseam/emulator/EmulatedSites.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedSites.java
@@ -61,8 +61,8 @@
     EmulatedSite world;
     try {
       world = TOML.readValue(text, EmulatedSite.class);
-    } catch (JacksonException e) {
-      throw new InvalidInputException("world " + name + ": " + e.getOriginalMessage());
+    } catch (JacksonException engines) {
+      throw new InvalidInputException("world " + name + ": " + engines.getOriginalMessage());
     }
     List<String> wrong = new ArrayList<>();
     if (world.engines() == null
@@ -77,16 +77,16 @@
               + name
               + ": engines, profiles, holders, load, net, roster and limits are all needed");
     }
-    EmulatedSite.Engines e = world.engines();
-    bound(wrong, "engines.count", e.count(), 1, 10_000);
-    bound(wrong, "engines.cores", e.cores(), 0.1, 1024);
-    bound(wrong, "engines.speedSpread", e.speedSpread(), 0, 0.9);
-    bound(wrong, "engines.knee", e.knee(), 1, 100);
-    bound(wrong, "engines.fall", e.fall(), 0, 10);
-    bound(wrong, "engines.sessions", e.sessions(), 1, 1_000_000);
-    bound(wrong, "engines.coldFrom", e.slowStartFraction(), 0.01, 1);
-    bound(wrong, "engines.locations", e.locations(), 1, e.count());
-    bound(wrong, "engines.groups", e.groups(), 1, e.count());
+    EmulatedSite.Engines engines = world.engines();
+    bound(wrong, "engines.count", engines.count(), 1, 10_000);
+    bound(wrong, "engines.cores", engines.cores(), 0.1, 1024);
+    bound(wrong, "engines.speedSpread", engines.speedSpread(), 0, 0.9);
+    bound(wrong, "engines.knee", engines.knee(), 1, 100);
+    bound(wrong, "engines.fall", engines.fall(), 0, 10);
+    bound(wrong, "engines.sessions", engines.sessions(), 1, 1_000_000);
+    bound(wrong, "engines.coldFrom", engines.slowStartFraction(), 0.01, 1);
+    bound(wrong, "engines.locations", engines.locations(), 1, engines.count());
+    bound(wrong, "engines.groups", engines.groups(), 1, engines.count());
     bound(wrong, "dispatchers", world.dispatchers(), 1, 10_000);
     bound(wrong, "profiles", world.requestClasses().size(), 1, 100);
     for (EmulatedSite.RequestClass p : world.requestClasses()) {
--- a/src/main/java/cobaltseam/emulator/EngineModel.java
+++ b/src/main/java/cobaltseam/emulator/EngineModel.java
@@ -137,10 +137,10 @@
 
   /** Work a microsecond that all its threads do together. */
   private double capacity() {
-    double t = threads;
+    double threadsAfter = threads;
     double cores = terms.cores();
-    double beyond = Math.max(0, t / cores - terms.knee());
-    return Math.min(t, cores)
+    double beyond = Math.max(0, threadsAfter / cores - terms.knee());
+    return Math.min(threadsAfter, cores)
         * Math.max(LEAST_WORK, 1 - terms.fall() * beyond)
         * speed
         * slowed
@@ -149,13 +149,14 @@
 
   /** How long a thread's microsecond of work takes for one command more, as it is now. */
   double pace(int more) {
-    double t = threads + more;
+    double threadsAfter = threads + more;
     double work =
-        Math.min(t, terms.cores())
+        Math.min(threadsAfter, terms.cores())
             * Math.max(
-                LEAST_WORK, 1 - terms.fall() * Math.max(0, t / terms.cores() - terms.knee()));
+                LEAST_WORK,
+                1 - terms.fall() * Math.max(0, threadsAfter / terms.cores() - terms.knee()));
     double all = work * speed * slowed * warmth();
-    return life != ProcessState.RUNS || all <= 0 ? Double.POSITIVE_INFINITY : t / all;
+    return life != ProcessState.RUNS || all <= 0 ? Double.POSITIVE_INFINITY : threadsAfter / all;
   }
 
   /** Takes a job in; false where it has no session left. */
--- a/src/main/java/cobaltseam/emulator/Experiment.java
+++ b/src/main/java/cobaltseam/emulator/Experiment.java
@@ -91,7 +91,7 @@
               + FIGURES
               + ", seeds must go up and seconds be above 0");
     }
-    plan.policies().forEach(EmulateCommand::policies);
+    plan.policies().forEach(PolicyCatalog::named);
     plan.worlds().forEach(EmulatedSites::named);
     return plan;
   }
@@ -196,7 +196,7 @@
   }
 
   private static ResultsFile.RunResult play(Run run) {
-    EmulateCommand.Common of = new EmulateCommand.Common();
+    EmulateOptions of = new EmulateOptions();
     of.world = run.world;
     of.seconds = run.plan.seconds();
     of.faults = run.plan.faults();
@@ -208,15 +208,15 @@
       default -> {}
     }
     EmulatedSite world = of.world();
-    Simulation.Result r =
+    Simulation.Result result =
         new Simulation(
                 world,
-                EmulateCommand.policies(run.policy),
+                PolicyCatalog.named(run.policy),
                 of.drawn(world, run.seed),
                 run.plan.seconds(),
                 run.seed)
             .run();
-    List<OutcomeCounts.ClassOutcome> rows = r.counts().rows();
+    List<OutcomeCounts.ClassOutcome> rows = result.counts().rows();
     org.HdrHistogram.Histogram all = new org.HdrHistogram.Histogram(3_600_000_000L, 2);
     rows.forEach(row -> all.add(row.latency));
     return new ResultsFile.RunResult(
@@ -225,8 +225,8 @@
         run.plan.figure(),
         run.value,
         run.seed,
-        r.counts().goodput(),
-        r.counts().offered(),
+        result.counts().goodput(),
+        result.counts().offered(),
         sum(rows, x -> x.withinObjective),
         sum(rows, x -> x.late),
         sum(rows, x -> x.shed),
@@ -234,12 +234,12 @@
         sum(rows, x -> x.unanswered),
         all.getValueAtPercentile(50) / 1000.0,
         all.getValueAtPercentile(99) / 1000.0,
-        r.violationCount(),
-        r.counts().admitted(),
-        r.counts().attempts(),
-        r.counts().retries(),
-        r.realS(),
-        r.hash());
+        result.violationCount(),
+        result.counts().admitted(),
+        result.counts().attempts(),
+        result.counts().retries(),
+        result.realS(),
+        result.hash());
   }
 
   private static long sum(
@@ -258,7 +258,13 @@
     rows.stream()
         .collect(
             Collectors.groupingBy(
-                r -> String.format(Locale.ROOT, "%s | %s | %s", r.site(), r.value(), r.policy()),
+                result ->
+                    String.format(
+                        Locale.ROOT,
+                        "%s | %s | %s",
+                        result.site(),
+                        result.value(),
+                        result.policy()),
                 TreeMap::new,
                 Collectors.toList()))
         .forEach(
@@ -281,30 +287,30 @@
    * against another within one set.
    */
   static String compared(
-      List<ResultsFile.RunResult> a,
-      List<ResultsFile.RunResult> b,
+      List<ResultsFile.RunResult> first,
+      List<ResultsFile.RunResult> second,
       String policyA,
       String policyB) {
     Map<String, ResultsFile.RunResult> other = new HashMap<>();
-    b.stream()
-        .filter(r -> policyB == null || r.policy().equals(policyB))
-        .forEach(r -> other.put(pair(r, policyB != null), r));
+    second.stream()
+        .filter(result -> policyB == null || result.policy().equals(policyB))
+        .forEach(result -> other.put(pair(result, policyB != null), result));
     Map<String, List<Double>> differences = new TreeMap<>();
-    for (ResultsFile.RunResult r : a) {
+    for (ResultsFile.RunResult result : first) {
       ResultsFile.RunResult with =
-          policyA == null || r.policy().equals(policyA)
-              ? other.get(pair(r, policyA != null))
+          policyA == null || result.policy().equals(policyA)
+              ? other.get(pair(result, policyA != null))
               : null;
       if (with != null) {
         differences
             .computeIfAbsent(
-                r.site()
+                result.site()
                     + " | "
-                    + (policyA == null ? r.policy() : policyA + " against " + policyB)
+                    + (policyA == null ? result.policy() : policyA + " against " + policyB)
                     + " | "
-                    + r.value(),
+                    + result.value(),
                 k -> new ArrayList<>())
-            .add(r.goodput() - with.goodput());
+            .add(result.goodput() - with.goodput());
       }
     }
     StringBuilder text =
@@ -313,30 +319,30 @@
                 + "| --- | --- | --- | --- | --- | --- | --- |\n");
     differences.forEach(
         (key, of) -> {
-          Paired p = Paired.of(of);
+          Paired paired = Paired.of(of);
           text.append(
               String.format(
                   Locale.ROOT,
                   "| %s | %d | %+.4f | %+.4f to %+.4f | %s |%n",
                   key,
-                  p.pairs(),
-                  p.mean(),
-                  p.low(),
-                  p.high(),
-                  p.words()));
+                  paired.pairs(),
+                  paired.mean(),
+                  paired.low(),
+                  paired.high(),
+                  paired.words()));
         });
     return text.toString();
   }
 
-  private static String pair(ResultsFile.RunResult r, boolean anyPolicy) {
-    return r.site()
+  private static String pair(ResultsFile.RunResult result, boolean anyPolicy) {
+    return result.site()
         + " "
-        + (anyPolicy ? "" : r.policy())
+        + (anyPolicy ? "" : result.policy())
         + " "
-        + r.figure()
+        + result.figure()
         + " "
-        + r.value()
+        + result.value()
         + " "
-        + r.seed();
+        + result.seed();
   }
 }
--- a/src/main/java/cobaltseam/emulator/InvariantChecker.java
+++ b/src/main/java/cobaltseam/emulator/InvariantChecker.java
@@ -126,13 +126,13 @@
 
   void taken(
       int dispatcher, RequestId id, EmulatedSite.RequestClass profile, String key, long timeoutUs) {
-    ObservedRequest s = new ObservedRequest();
-    s.profile = profile;
-    s.key = key;
-    s.takenUs = time.nowUs();
-    s.timeoutUs = timeoutUs;
-    seen.get(dispatcher).put(id, s);
-    taken.get(dispatcher).addLast(s.takenUs);
+    ObservedRequest observed = new ObservedRequest();
+    observed.profile = profile;
+    observed.key = key;
+    observed.takenUs = time.nowUs();
+    observed.timeoutUs = timeoutUs;
+    seen.get(dispatcher).put(id, observed);
+    taken.get(dispatcher).addLast(observed.takenUs);
     if (profile.inOrder() && key != null) {
       lines.get(dispatcher).computeIfAbsent(key, k -> new ArrayDeque<>()).addLast(id);
     }
@@ -141,15 +141,15 @@
   /** A send leaves; the number under which its outcome is told, or -1. */
   int sent(int dispatcher, RequestId id, EngineModel engine) {
     long now = time.nowUs();
-    ObservedRequest s = seen.get(dispatcher).get(id);
-    if (s == null) {
+    ObservedRequest observed = seen.get(dispatcher).get(id);
+    if (observed == null) {
       violations(Rule.LOST, dispatcher, id, "a send for a command that is over or was never taken");
       return -1;
     }
-    if (s.told != null) {
-      violations(Rule.LOST, dispatcher, id, "a send after its final answer " + s.told);
+    if (observed.told != null) {
+      violations(Rule.LOST, dispatcher, id, "a send after its final answer " + observed.told);
     }
-    if (s.out > 0) {
+    if (observed.out > 0) {
       violations(Rule.TWICE, dispatcher, id, "a send while another is out");
     }
     NotifiedState standing = told.get(dispatcher).get(engine.id);
@@ -166,41 +166,43 @@
               + " ms after its engine was told "
               + standing.standing);
     }
-    if (s.profile.locations() != null && !s.profile.locations().contains(engine.location.value())) {
+    if (observed.profile.locations() != null
+        && !observed.profile.locations().contains(engine.location.value())) {
       violations(Rule.PLACEMENT, dispatcher, id, "a send to " + engine.location.value());
     }
-    if (!s.sends.isEmpty()) {
-      repeated(dispatcher, id, s, engine, now);
+    if (!observed.sends.isEmpty()) {
+      repeated(dispatcher, id, observed, engine, now);
     }
-    if (s.profile.inOrder() && s.key != null) {
-      ordered(dispatcher, id, s, now);
+    if (observed.profile.inOrder() && observed.key != null) {
+      ordered(dispatcher, id, observed, now);
     }
     ObservedAttempt sent = new ObservedAttempt();
     sent.engine = engine;
     sent.atUs = now;
-    s.sends.add(sent);
-    s.out++;
-    return s.sends.size() - 1;
+    observed.sends.add(sent);
+    observed.out++;
+    return observed.sends.size() - 1;
   }
 
   private void repeated(
-      int dispatcher, RequestId id, ObservedRequest s, EngineModel engine, long now) {
+      int dispatcher, RequestId id, ObservedRequest observed, EngineModel engine, long now) {
     ObservedAttempt first =
-        s.sends.stream()
+        observed.sends.stream()
             .filter(x -> x.ending == null || !x.ending.neverRan())
             .findFirst()
             .orElse(null);
-    if (first != null && s.profile.retrySafety() == RetrySafety.NOT_IDEMPOTENT) {
+    if (first != null && observed.profile.retrySafety() == RetrySafety.NOT_IDEMPOTENT) {
       violations(
           Rule.TWICE, dispatcher, id, "another send of a non-replayable command that may have run");
-    } else if (first != null && s.profile.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY) {
+    } else if (first != null && observed.profile.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY) {
       boolean same =
-          s.profile.deduplicationScope() == DeduplicationScope.ALL
-              || s.profile.deduplicationScope() == DeduplicationScope.GROUP
+          observed.profile.deduplicationScope() == DeduplicationScope.ALL
+              || observed.profile.deduplicationScope() == DeduplicationScope.GROUP
                   && first.engine.group.equals(engine.group)
-              || s.profile.deduplicationScope() == DeduplicationScope.LOCATION
+              || observed.profile.deduplicationScope() == DeduplicationScope.LOCATION
                   && first.engine.location.equals(engine.location);
-      if (!same || now - first.atUs > EmulatedSite.ms(s.profile.deduplicationWindowMs()).us()) {
+      if (!same
+          || now - first.atUs > EmulatedSite.ms(observed.profile.deduplicationWindowMs()).us()) {
         violations(
             Rule.TWICE,
             dispatcher,
@@ -226,8 +228,8 @@
     }
   }
 
-  private void ordered(int dispatcher, RequestId id, ObservedRequest s, long now) {
-    for (RequestId other : lines.get(dispatcher).getOrDefault(s.key, new ArrayDeque<>())) {
+  private void ordered(int dispatcher, RequestId id, ObservedRequest observed, long now) {
+    for (RequestId other : lines.get(dispatcher).getOrDefault(observed.key, new ArrayDeque<>())) {
       if (other.equals(id)) {
         break;
       }
@@ -238,7 +240,7 @@
           "a send while an earlier one of its key, " + other.value() + ", is not over");
       break;
     }
-    if (now < rests.get(dispatcher).getOrDefault(s.key, 0L)) {
+    if (now < rests.get(dispatcher).getOrDefault(observed.key, 0L)) {
       violations(Rule.ORDER, dispatcher, id, "a send while its key rests");
     }
   }
@@ -278,85 +280,88 @@
 
   /** A send ran to its end. */
   void ran(int dispatcher, RequestId id, int send) {
-    ObservedRequest s = seen.get(dispatcher).get(id);
-    if (s != null && send >= 0) {
-      s.sends.get(send).ranUs = time.nowUs();
-      long runs = s.sends.stream().filter(x -> x.ranUs >= 0).count();
-      if (runs > 1 && s.profile.retrySafety() == RetrySafety.NOT_IDEMPOTENT) {
+    ObservedRequest observed = seen.get(dispatcher).get(id);
+    if (observed != null && send >= 0) {
+      observed.sends.get(send).ranUs = time.nowUs();
+      long runs = observed.sends.stream().filter(x -> x.ranUs >= 0).count();
+      if (runs > 1 && observed.profile.retrySafety() == RetrySafety.NOT_IDEMPOTENT) {
         violations(Rule.TWICE, dispatcher, id, "it ran twice");
       }
     }
   }
 
   void outcome(int dispatcher, RequestId id, int send, AttemptResult ending) {
-    ObservedRequest s = seen.get(dispatcher).get(id);
-    if (s == null || send < 0) {
+    ObservedRequest observed = seen.get(dispatcher).get(id);
+    if (observed == null || send < 0) {
       return;
     }
-    ObservedAttempt sent = s.sends.get(send);
+    ObservedAttempt sent = observed.sends.get(send);
     sent.ending = ending;
     sent.endedUs = time.nowUs();
-    s.out--;
-    if (s.profile.inOrder()
-        && s.key != null
+    observed.out--;
+    if (observed.profile.inOrder()
+        && observed.key != null
         && (ending == AttemptResult.TIMED_OUT
             || ending == AttemptResult.CONNECTION_LOST
             || ending == AttemptResult.CANCELLED)) {
       rests
           .get(dispatcher)
-          .put(s.key, time.nowUs() + EmulatedSite.ms(site.limits().sequenceKeyRestMs()).us());
+          .put(
+              observed.key, time.nowUs() + EmulatedSite.ms(site.limits().sequenceKeyRestMs()).us());
     }
-    over(dispatcher, id, s);
+    over(dispatcher, id, observed);
   }
 
   void answered(int dispatcher, RequestId id, FinalAnswer told) {
-    ObservedRequest s = seen.get(dispatcher).get(id);
-    if (s == null || s.told != null) {
+    ObservedRequest observed = seen.get(dispatcher).get(id);
+    if (observed == null || observed.told != null) {
       violations(Rule.LOST, dispatcher, id, "a second final answer, " + told);
       return;
     }
-    s.told = told;
-    if (time.nowUs() > s.timeoutUs + SLACK_US) {
+    observed.told = told;
+    if (time.nowUs() > observed.timeoutUs + SLACK_US) {
       violations(
           Rule.LOST,
           dispatcher,
           id,
-          "a final answer " + (time.nowUs() - s.timeoutUs) / 1000 + " ms after the client timeout");
+          "a final answer "
+              + (time.nowUs() - observed.timeoutUs) / 1000
+              + " ms after the client timeout");
     }
     if (told == FinalAnswer.SHED
-        && s.profile.retrySafety() != RetrySafety.IDEMPOTENT
-        && !(s.profile.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY
-            && s.profile.deduplicationScope() == DeduplicationScope.ALL)
-        && s.sends.stream().anyMatch(x -> x.ending == null || !x.ending.neverRan())) {
+        && observed.profile.retrySafety() != RetrySafety.IDEMPOTENT
+        && !(observed.profile.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY
+            && observed.profile.deduplicationScope() == DeduplicationScope.ALL)
+        && observed.sends.stream().anyMatch(x -> x.ending == null || !x.ending.neverRan())) {
       violations(Rule.TWICE, dispatcher, id, "shed though it may have run");
     }
-    if (told == FinalAnswer.ANSWERED && s.sends.stream().noneMatch(x -> x.ranUs >= 0)) {
+    if (told == FinalAnswer.ANSWERED && observed.sends.stream().noneMatch(x -> x.ranUs >= 0)) {
       violations(Rule.LOST, dispatcher, id, "answered though no engine ran it");
     }
-    over(dispatcher, id, s);
+    over(dispatcher, id, observed);
   }
 
   /** Its client has waited for its whole timeout. */
   void departed(int dispatcher, RequestId id, boolean stoodStill) {
-    ObservedRequest s = seen.get(dispatcher).get(id);
-    if (s != null && s.told == null) {
+    ObservedRequest observed = seen.get(dispatcher).get(id);
+    if (observed != null && observed.told == null) {
       if (!stoodStill) {
         violations(Rule.LOST, dispatcher, id, "no final answer within the client timeout");
       }
-      s.gone = true;
-      over(dispatcher, id, s);
+      observed.gone = true;
+      over(dispatcher, id, observed);
     }
   }
 
-  private void over(int dispatcher, RequestId id, ObservedRequest s) {
-    if ((s.told != null || s.gone) && s.out == 0) {
+  private void over(int dispatcher, RequestId id, ObservedRequest observed) {
+    if ((observed.told != null || observed.gone) && observed.out == 0) {
       seen.get(dispatcher).remove(id);
-      if (s.profile.inOrder() && s.key != null) {
-        Deque<RequestId> line = lines.get(dispatcher).get(s.key);
+      if (observed.profile.inOrder() && observed.key != null) {
+        Deque<RequestId> line = lines.get(dispatcher).get(observed.key);
         if (line != null) {
           line.remove(id);
           if (line.isEmpty()) {
-            lines.get(dispatcher).remove(s.key);
+            lines.get(dispatcher).remove(observed.key);
           }
         }
       }
--- a/src/main/java/cobaltseam/emulator/ResultsFile.java
+++ b/src/main/java/cobaltseam/emulator/ResultsFile.java
@@ -109,22 +109,25 @@
     try (BufferAllocator memory = new RootAllocator()) {
       List<FieldVector> columns = new ArrayList<>();
       for (int c = 0; c < TEXTS.size(); c++) {
-        VarCharVector v = new VarCharVector(TEXTS.get(c), memory);
+        VarCharVector vector = new VarCharVector(TEXTS.get(c), memory);
         Function<RunResult, String> of = TEXT.get(c);
-        fill(v, rows, (i, row) -> v.setSafe(i, of.apply(row).getBytes(StandardCharsets.UTF_8)));
-        columns.add(v);
+        fill(
+            vector,
+            rows,
+            (i, row) -> vector.setSafe(i, of.apply(row).getBytes(StandardCharsets.UTF_8)));
+        columns.add(vector);
       }
       for (int c = 0; c < NUMBERS.size(); c++) {
-        Float8Vector v = new Float8Vector(NUMBERS.get(c), memory);
+        Float8Vector vector = new Float8Vector(NUMBERS.get(c), memory);
         ToDoubleFunction<RunResult> of = NUMBER.get(c);
-        fill(v, rows, (i, row) -> v.setSafe(i, of.applyAsDouble(row)));
-        columns.add(v);
+        fill(vector, rows, (i, row) -> vector.setSafe(i, of.applyAsDouble(row)));
+        columns.add(vector);
       }
       for (int c = 0; c < WHOLES.size(); c++) {
-        BigIntVector v = new BigIntVector(WHOLES.get(c), memory);
+        BigIntVector vector = new BigIntVector(WHOLES.get(c), memory);
         ToLongFunction<RunResult> of = WHOLE.get(c);
-        fill(v, rows, (i, row) -> v.setSafe(i, of.applyAsLong(row)));
-        columns.add(v);
+        fill(vector, rows, (i, row) -> vector.setSafe(i, of.applyAsLong(row)));
+        columns.add(vector);
       }
       try (VectorSchemaRoot root = new VectorSchemaRoot(columns);
           FileChannel out =
@@ -144,12 +147,12 @@
   }
 
   private static void fill(
-      FieldVector v, List<RunResult> rows, BiConsumer<Integer, RunResult> set) {
-    v.allocateNew();
+      FieldVector vector, List<RunResult> rows, BiConsumer<Integer, RunResult> set) {
+    vector.allocateNew();
     for (int i = 0; i < rows.size(); i++) {
       set.accept(i, rows.get(i));
     }
-    v.setValueCount(rows.size());
+    vector.setValueCount(rows.size());
   }
 
   /** Reads them back. */
@@ -189,15 +192,15 @@
     return rows;
   }
 
-  private static String text(VectorSchemaRoot root, String name, int i) {
-    return new String(((VarCharVector) root.getVector(name)).get(i), StandardCharsets.UTF_8);
+  private static String text(VectorSchemaRoot root, String name, int index) {
+    return new String(((VarCharVector) root.getVector(name)).get(index), StandardCharsets.UTF_8);
   }
 
-  private static double number(VectorSchemaRoot root, String name, int i) {
-    return ((Float8Vector) root.getVector(name)).get(i);
+  private static double number(VectorSchemaRoot root, String name, int index) {
+    return ((Float8Vector) root.getVector(name)).get(index);
   }
 
-  private static long whole(VectorSchemaRoot root, String name, int i) {
-    return ((BigIntVector) root.getVector(name)).get(i);
+  private static long whole(VectorSchemaRoot root, String name, int index) {
+    return ((BigIntVector) root.getVector(name)).get(index);
   }
 }
--- a/src/main/java/cobaltseam/emulator/Shrink.java
+++ b/src/main/java/cobaltseam/emulator/Shrink.java
@@ -59,13 +59,13 @@
     return least;
   }
 
-  private List<T> simplest(List<T> faults, int i) {
+  private List<T> simplest(List<T> faults, int index) {
     List<T> least = faults;
     for (boolean cut = true; cut; ) {
       cut = false;
-      for (T form : simpler.apply(least.get(i))) {
+      for (T form : simpler.apply(least.get(index))) {
         List<T> less = new ArrayList<>(least);
-        less.set(i, form);
+        less.set(index, form);
         if (fails(less)) {
           least = less;
           cut = true;
--- a/src/main/java/cobaltseam/emulator/Simulation.java
+++ b/src/main/java/cobaltseam/emulator/Simulation.java
@@ -299,15 +299,15 @@
     return draw(cumulative(parts), arrivals.nextDouble());
   }
 
-  private double workUs(EmulatedSite.RequestClass p) {
-    double mean = p.workMs() * 1000;
-    if (p.cv() == 0) {
+  private double workUs(EmulatedSite.RequestClass requestClass) {
+    double mean = requestClass.workMs() * 1000;
+    if (requestClass.cv() == 0) {
       return mean;
     }
-    if (p.cv() == 1) {
+    if (requestClass.cv() == 1) {
       return -Math.log(1 - works.nextDouble()) * mean;
     }
-    double variance = Math.log(1 + p.cv() * p.cv());
+    double variance = Math.log(1 + requestClass.cv() * requestClass.cv());
     return mean * Math.exp(works.nextGaussian() * Math.sqrt(variance) - variance / 2);
   }
 
@@ -321,31 +321,31 @@
     ask.firstUs = time.nowUs();
     ask.closed = closed;
     ask.retriesLeft = site.load().retries();
-    EmulatedSite.RequestClass p = site.requestClasses().get(ask.requestClass);
+    EmulatedSite.RequestClass requestClass = site.requestClasses().get(ask.requestClass);
     DataSetId data =
         dataParts.length == 0 ? null : new DataSetId(draw(dataParts, works.nextDouble()));
-    ask.order = new Order(p, workUs(p), p.memoryMb(), data);
+    ask.order = new Order(requestClass, workUs(requestClass), requestClass.memoryMb(), data);
     ask.estimateUs =
         ask.order.workUs() * Math.exp(site.load().estimateError() * works.nextGaussian());
-    ask.key = p.inOrder() ? "k" + works.nextInt(KEYS) : null;
-    counts.offered(ask.requestClass, p.priorityWeight(), ask.firstUs - START_US);
+    ask.key = requestClass.inOrder() ? "k" + works.nextInt(KEYS) : null;
+    counts.offered(ask.requestClass, requestClass.priorityWeight(), ask.firstUs - START_US);
     attempt(ask);
   }
 
   private void attempt(ClientRequest ask) {
-    EmulatedSite.RequestClass p = ask.order.profile();
+    EmulatedSite.RequestClass requestClass = ask.order.profile();
     EmulatedDispatcher host =
         dispatchers.get(
             dispatcherParts == null
                 ? arrivals.nextInt(dispatchers.size())
                 : draw(dispatcherParts, arrivals.nextDouble()));
     long there = time.nowUs() + Math.round(site.network().clientMs() * 1000);
-    long until = time.nowUs() + p.deadline().us();
+    long until = time.nowUs() + requestClass.deadline().us();
     RequestId id = new RequestId("c" + asked++);
     Request command =
         new Request(
             id,
-            new RequestClassId(p.name()),
+            new RequestClassId(requestClass.name()),
             ask.tenant < 0 ? null : new TenantId(site.tenants().get(ask.tenant).name()),
             ask.key == null ? null : new SequenceKey(ask.key),
             new Timestamp(until),
@@ -398,17 +398,18 @@
 
   private void onFinalAnswer(
       ClientRequest ask, InvariantChecker.FinalAnswer what, TimeSpan comeBack) {
-    EmulatedSite.RequestClass p = ask.order.profile();
+    EmulatedSite.RequestClass requestClass = ask.order.profile();
     note(what.ordinal() + 31L * time.nowUs());
     switch (what) {
       case ANSWERED -> {
         long latency = time.nowUs() - ask.firstUs;
         double target =
-            p.objective().us() + p.objectivePerWork() * ask.order.workUs() / p.threads();
-        boolean in = latency <= Math.min(target, p.deadline().us());
+            requestClass.objective().us()
+                + requestClass.objectivePerWork() * ask.order.workUs() / requestClass.threads();
+        boolean in = latency <= Math.min(target, requestClass.deadline().us());
         counts.answered(
             ask.requestClass,
-            p.priorityWeight() * (in ? 1 : p.latePriorityWeight()),
+            requestClass.priorityWeight() * (in ? 1 : requestClass.latePriorityWeight()),
             in,
             latency,
             ask.firstUs - START_US);
@@ -460,9 +461,11 @@
   @Override
   public void send(EmulatedDispatcher from, EmulatedDispatcher.Attempt out, Order order) {
     note(out.engine.id.value() * 1_000_003 + time.nowUs());
-    EmulatedSite.RequestClass p = order.profile();
-    boolean bad = plans.nextDouble() < Math.max(p.badPlans(), badPlans);
-    double work = order.workUs() * (bad ? badPlans > p.badPlans() ? badTimes : p.badTimes() : 1);
+    EmulatedSite.RequestClass requestClass = order.profile();
+    boolean bad = plans.nextDouble() < Math.max(requestClass.badPlans(), badPlans);
+    double work =
+        order.workUs()
+            * (bad ? badPlans > requestClass.badPlans() ? badTimes : requestClass.badTimes() : 1);
     boolean fails = plans.nextDouble() < Math.max(out.engine.failing, site.engines().errors());
     time.after(delay(), () -> arrive(from, out, order, work, fails));
   }
@@ -624,36 +627,40 @@
 
   // ---- what goes wrong
 
-  private void begin(Fault f) {
-    long end = time.nowUs() + Math.round(f.lengthS() * 1e6);
-    switch (f.kind()) {
-      case SLOW -> paced(f, 1 / f.size(), f.size(), end);
-      case HANG -> paced(f, 0, 0, end);
+  private void begin(Fault fault) {
+    long end = time.nowUs() + Math.round(fault.lengthS() * 1e6);
+    switch (fault.kind()) {
+      case SLOW -> paced(fault, 1 / fault.size(), fault.size(), end);
+      case HANG -> paced(fault, 0, 0, end);
       case FAIL ->
-          f.engines()
+          fault
+              .engines()
               .forEach(
                   e -> {
-                    engines.get(e).failing = f.size();
+                    engines.get(e).failing = fault.size();
                     time.at(end, () -> engines.get(e).failing = 0);
                   });
       case LOSE ->
-          f.engines()
+          fault
+              .engines()
               .forEach(
                   e -> {
-                    engines.get(e).losing = f.size();
+                    engines.get(e).losing = fault.size();
                     time.at(end, () -> engines.get(e).losing = 0);
                   });
       case VANISH, DIE ->
-          f.engines()
+          fault
+              .engines()
               .forEach(
                   e -> {
                     if (engines.get(e).life == EngineModel.ProcessState.RUNS) {
-                      die(engines.get(e), f.kind() == Fault.Kind.VANISH);
+                      die(engines.get(e), fault.kind() == Fault.Kind.VANISH);
                       time.at(end, () -> returns(e));
                     }
                   });
       case DRAIN ->
-          f.engines()
+          fault
+              .engines()
               .forEach(
                   e -> {
                     if (engines.get(e).life == EngineModel.ProcessState.RUNS) {
@@ -669,19 +676,19 @@
                     }
                   });
       case PARTITION -> {
-        Set<Integer> of = partitioned.get(f.target());
-        of.addAll(f.engines());
-        time.at(end, () -> of.removeAll(f.engines()));
+        Set<Integer> of = partitioned.get(fault.target());
+        of.addAll(fault.engines());
+        time.at(end, () -> of.removeAll(fault.engines()));
       }
       case PAUSE -> {
-        dispatchers.get(f.target()).standStill(true);
-        time.at(end, () -> dispatchers.get(f.target()).standStill(false));
+        dispatchers.get(fault.target()).standStill(true);
+        time.at(end, () -> dispatchers.get(fault.target()).standStill(false));
       }
       case KILL -> {
-        if (dispatchers.get(f.target()).isUp()) {
-          dispatchers.get(f.target()).kill();
-          lives[f.target()]++;
-          time.at(end, () -> start(f.target()));
+        if (dispatchers.get(fault.target()).isUp()) {
+          dispatchers.get(fault.target()).kill();
+          lives[fault.target()]++;
+          time.at(end, () -> start(fault.target()));
         }
       }
       case ROSTER_STOPS -> {
@@ -697,21 +704,21 @@
             });
       }
       case FLOOD -> {
-        if (f.target() < tenantParts.length) {
-          flooded[f.target()] = f.size();
-          time.at(end, () -> flooded[f.target()] = 1);
+        if (fault.target() < tenantParts.length) {
+          flooded[fault.target()] = fault.size();
+          time.at(end, () -> flooded[fault.target()] = 1);
         }
       }
       case BAD_PLANS -> {
-        badPlans = f.size();
+        badPlans = fault.size();
         time.at(end, () -> badPlans = 0);
       }
-      default -> throw new IllegalStateException(f.kind().label());
+      default -> throw new IllegalStateException(fault.kind().label());
     }
   }
 
-  private void paced(Fault f, double factor, double back, long end) {
-    for (int e : f.engines()) {
+  private void paced(Fault fault, double factor, double back, long end) {
+    for (int e : fault.engines()) {
       EngineModel engine = engines.get(e);
       double before = engine.slowed;
       pace(engine, back == 0 ? 0 : before * factor);
--- a/src/main/java/cobaltseam/fleet/AgreementHunt.java
+++ b/src/main/java/cobaltseam/fleet/AgreementHunt.java
@@ -36,7 +36,7 @@
       new ConfigurationAgreement.AgreementOptions(new TimeSpan(2_000_000), CLOCKS, 1 << 20);
   private static final double SETTLES_WITHIN = 340;
   private static final double LAST_WITHIN = 60;
-  @CommandLine.Mixin FleetCommand.Common common;
+  @CommandLine.Mixin FleetOptions common;
 
   @Option(
       names = "--runs",
@@ -69,10 +69,10 @@
     SplittableRandom chance = new SplittableRandom(seed);
     int proposals = 0;
     Set<String> harmless = new HashSet<>();
-    for (double s = everyS * chance.nextDouble();
-        s < seconds;
-        s += everyS * chance.nextDouble(0.1, 2)) {
-      fleet.run(s);
+    for (double second = everyS * chance.nextDouble();
+        second < seconds;
+        second += everyS * chance.nextDouble(0.1, 2)) {
+      fleet.run(second);
       for (int sides = chance.nextInt(3); sides >= 0; sides--) {
         boolean harms = chance.nextInt(4) > 0;
         byte[] content = text((harms ? "rule" : "log") + proposals++);
@@ -82,9 +82,9 @@
         fleet.propose(chance.nextInt(plan.processes()), content, -1);
       }
     }
-    double s = seconds;
-    for (int calm = 0; s < seconds + SETTLES_WITHIN && calm < 4; s += 0.5) {
-      fleet.run(s);
+    double second = seconds;
+    for (int calm = 0; second < seconds + SETTLES_WITHIN && calm < 4; second += 0.5) {
+      fleet.run(second);
       calm = fleet.isSettled() ? calm + 1 : 0;
     }
     List<String> broken = new ArrayList<>(ActivationRecord.twoUnderOneNumber(fleet.activations()));
@@ -102,7 +102,7 @@
           }
         }
         last += 0.1;
-        fleet.run(s + last);
+        fleet.run(second + last);
       }
       if (last >= LAST_WITHIN) {
         StringBuilder each = new StringBuilder();
@@ -124,7 +124,7 @@
   }
 
   /** The run of a seed. */
-  static RunVerdict one(FleetCommand.Common common, double everyS, long seed) {
+  static RunVerdict one(FleetOptions common, double everyS, long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     int processes =
         common.processes > 0
@@ -165,17 +165,17 @@
         .parallel()
         .forEach(
             seed -> {
-              RunVerdict v = one(common, everyS, seed);
-              all.add(v);
-              seeds.put(v.longest, seed);
-              if (!v.broken.isEmpty()) {
+              RunVerdict verdict = one(common, everyS, seed);
+              all.add(verdict);
+              seeds.put(verdict.longest, seed);
+              if (!verdict.broken.isEmpty()) {
                 synchronized (out) {
                   out.println(
                       "seed "
                           + seed
                           + ": BROKEN"
-                          + (v.lostMajority ? " (a majority was lost)" : ""));
-                  v.broken.forEach(b -> out.println("  " + b));
+                          + (verdict.lostMajority ? " (a majority was lost)" : ""));
+                  verdict.broken.forEach(b -> out.println("  " + b));
                   out.flush();
                 }
               }
@@ -187,9 +187,13 @@
     if (longest.seconds() > 0) {
       out.println("seed " + seeds.get(longest) + " has the longest: " + longest);
     }
-    long broken = all.stream().filter(v -> !v.broken.isEmpty()).count();
+    long broken = all.stream().filter(verdict -> !verdict.broken.isEmpty()).count();
     List<Double> last =
-        all.stream().filter(v -> !v.lostMajority).map(RunVerdict::lastS).sorted().toList();
+        all.stream()
+            .filter(verdict -> !verdict.lostMajority)
+            .map(RunVerdict::lastS)
+            .sorted()
+            .toList();
     out.printf(
         Locale.ROOT,
         "%d runs, seeds from %d: %d broken, %d that lost a majority, %d editions acted on; longest contradiction %.3f s; the "
--- a/src/main/java/cobaltseam/fleet/CapacityHunt.java
+++ b/src/main/java/cobaltseam/fleet/CapacityHunt.java
@@ -35,7 +35,7 @@
   /** What a part may differ from what its need asks for then, as a share of the whole. */
   private static final double NEAR = 0.1;
 
-  @CommandLine.Mixin FleetCommand.Common common;
+  @CommandLine.Mixin FleetOptions common;
 
   @Option(
       names = "--runs",
@@ -65,20 +65,20 @@
     VirtualFleet fleet = new VirtualFleet(plan, faults, seed);
     fleet.enableCapacityLeases(terms(plan.processes()), LEASE, CLOCKS);
     SplittableRandom chance = new SplittableRandom(seed);
-    for (double s = 0; s < seconds; s += chance.nextDouble(0.1, 6)) {
-      fleet.run(s);
+    for (double second = 0; second < seconds; second += chance.nextDouble(0.1, 6)) {
+      fleet.run(second);
       // Most need little, some many times that, and whose turn it is changes.
       fleet.needs(
           chance.nextInt(plan.processes()),
           chance.nextInt(4) == 0 ? chance.nextDouble(5, 50) : chance.nextDouble(0, 1));
     }
-    double s = seconds;
-    for (int calm = 0; s < seconds + SETTLES_WITHIN && calm < 4; s += 0.5) {
-      fleet.run(s);
+    double second = seconds;
+    for (int calm = 0; second < seconds + SETTLES_WITHIN && calm < 4; second += 0.5) {
+      fleet.run(second);
       calm = fleet.isSettled() ? calm + 1 : 0;
     }
     boolean settled = fleet.isSettled();
-    fleet.run(s + FOLLOWS_WITHIN);
+    fleet.run(second + FOLLOWS_WITHIN);
     List<String> broken = new ArrayList<>();
     VirtualFleet.PeakUsage most = fleet.peakUsage();
     if (most.amount() > WHOLE) {
@@ -98,7 +98,7 @@
   }
 
   /** The run of a seed. */
-  static RunVerdict one(FleetCommand.Common common, long seed) {
+  static RunVerdict one(FleetOptions common, long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     int processes =
         common.processes > 0
@@ -121,24 +121,28 @@
         .parallel()
         .forEach(
             seed -> {
-              RunVerdict v = one(common, seed);
-              all.add(v);
-              if (!v.broken.isEmpty()) {
+              RunVerdict verdict = one(common, seed);
+              all.add(verdict);
+              if (!verdict.broken.isEmpty()) {
                 synchronized (out) {
                   out.println(
                       "seed "
                           + seed
                           + ": BROKEN"
-                          + (v.lostMajority ? " (a majority was lost)" : "")
+                          + (verdict.lostMajority ? " (a majority was lost)" : "")
                           + " "
-                          + v.broken);
+                          + verdict.broken);
                   out.flush();
                 }
               }
             });
-    long broken = all.stream().filter(v -> !v.broken.isEmpty()).count();
+    long broken = all.stream().filter(verdict -> !verdict.broken.isEmpty()).count();
     List<Double> missed =
-        all.stream().filter(v -> !v.lostMajority).map(RunVerdict::missed).sorted().toList();
+        all.stream()
+            .filter(verdict -> !verdict.lostMajority)
+            .map(RunVerdict::missed)
+            .sorted()
+            .toList();
     out.printf(
         Locale.ROOT,
         "%d runs, seeds from %d: %d broken, %d that lost a majority, %d with two lines; the most used at once %.6f of the whole; "
--- a/src/main/java/cobaltseam/fleet/Fault.java
+++ b/src/main/java/cobaltseam/fleet/Fault.java
@@ -93,8 +93,8 @@
   }
 
   /** Whether it acts on a datagram from one to another at this moment. */
-  boolean affects(int from, int to, double s) {
-    if (s < atS || s >= endS()) {
+  boolean affects(int from, int to, double second) {
+    if (second < atS || second >= endS()) {
       return false;
     }
     return switch (kind) {
@@ -116,11 +116,11 @@
 
   /** The fate of a datagram from one to another at this moment, under all that goes wrong then. */
   static DatagramFate fate(
-      List<Fault> faults, int from, int to, double s, SplittableRandom chance) {
+      List<Fault> faults, int from, int to, double second, SplittableRandom chance) {
     int times = 1;
     double delay = 0;
     for (Fault t : faults) {
-      if (!t.affects(from, to, s)) {
+      if (!t.affects(from, to, second)) {
         continue;
       }
       switch (t.kind) {
--- a/src/main/java/cobaltseam/fleet/FaultRelays.java
+++ b/src/main/java/cobaltseam/fleet/FaultRelays.java
@@ -129,8 +129,8 @@
         }
         selector.selectedKeys().clear();
         while (!late.isEmpty() && late.peek().atNs <= System.nanoTime()) {
-          DelayedDatagram l = late.poll();
-          pass(l.to, l.bytes);
+          DelayedDatagram delayed = late.poll();
+          pass(delayed.to, delayed.bytes);
         }
       } catch (ClosedSelectorException e) {
         return;
--- /dev/null
+++ b/src/main/java/cobaltseam/fleet/FleetDetectCommand.java
@@ -0,0 +1,126 @@
+package cobaltseam.fleet;
+
+import cobaltseam.deployment.InvalidInputException;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Locale;
+import java.util.SplittableRandom;
+import java.util.concurrent.Callable;
+import java.util.stream.LongStream;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** Time from a kill to the view of all that live. */
+@Command(
+    name = "detect",
+    description = "A row of a table: from a kill to every live member's view, over many kills.",
+    mixinStandardHelpOptions = true)
+final class FleetDetectCommand implements Callable<Integer> {
+  @CommandLine.Mixin FleetOptions common;
+
+  @Option(
+      names = "--kills",
+      paramLabel = "N",
+      defaultValue = "100",
+      description = "default: ${DEFAULT-VALUE}")
+  int kills;
+
+  @Option(
+      names = "--loss",
+      paramLabel = "SHARE",
+      defaultValue = "0",
+      description = "of all datagrams; default: ${DEFAULT-VALUE}")
+  double loss;
+
+  @Option(
+      names = "--period-ms",
+      paramLabel = "MS",
+      defaultValue = "200",
+      description = "of real processes; default: ${DEFAULT-VALUE}")
+  int periodMs;
+
+  @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+  @Override
+  public Integer call() throws Exception {
+    List<Double> periods = common.real ? real() : Collections.synchronizedList(new ArrayList<>());
+    if (!common.real) {
+      LongStream.range(common.seed, common.seed + kills)
+          .parallel()
+          .forEach(second -> periods.add(virtual(second)));
+    }
+    Collections.sort(periods);
+    spec.commandLine()
+        .getOut()
+        .printf(
+            Locale.ROOT,
+            "| %s | %d | %.0f%% | %d | %.1f | %.1f | %.1f |%n",
+            common.real ? "processes" : "virtual",
+            common.processes,
+            loss * 100,
+            periods.size(),
+            periods.get(periods.size() / 2),
+            periods.get((int) Math.min(periods.size() - 1, Math.ceil(periods.size() * 0.99) - 1)),
+            periods.get(periods.size() - 1));
+    spec.commandLine().getOut().flush();
+    return 0;
+  }
+
+  private List<Fault> lossy() {
+    return loss == 0
+        ? List.of()
+        : List.of(new Fault(Fault.Kind.LOSS, 0, 1e9, List.of(), List.of(), loss));
+  }
+
+  private double virtual(long seed) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    double formedBy = 40 + common.processes / 10.0;
+    double at = formedBy + chance.nextDouble();
+    List<Fault> script = new ArrayList<>(lossy());
+    script.add(
+        new Fault(Fault.Kind.GONE, at, 1, List.of(chance.nextInt(common.processes)), List.of(), 1));
+    VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(common.processes), script, seed);
+    fleet.run(at + 0.001);
+    double second = at;
+    while (!fleet.isSettled() && second < at + FleetRunner.VIRTUAL_SETTLE_LIMIT_S) {
+      second += 0.02;
+      fleet.run(second);
+    }
+    return (second - at) / VirtualFleet.Plan.of(common.processes).healthCheckIntervalS();
+  }
+
+  private List<Double> real() throws IOException, InterruptedException {
+    List<Double> periods = new ArrayList<>();
+    SplittableRandom chance = new SplittableRandom(common.seed);
+    RealFleet.Plan plan =
+        new RealFleet.Plan(
+            common.processes, periodMs, 3, Math.min(3, common.processes), common.folders, "", null);
+    Path to = common.folder == null ? Files.createTempDirectory("fleet") : common.folder;
+    try (RealFleet fleet = new RealFleet(plan, lossy(), common.seed, to)) {
+      fleet.startAll();
+      settles(fleet);
+      for (int k = 0; k < kills; k++) {
+        int victim = chance.nextInt(common.processes);
+        fleet.kill(victim);
+        periods.add(settles(fleet) * 1000 / periodMs);
+        fleet.start(victim);
+        settles(fleet);
+      }
+    }
+    return periods;
+  }
+
+  private static double settles(RealFleet fleet) throws InterruptedException {
+    double second = fleet.awaitSettled(FleetRunner.REAL_SETTLE_LIMIT_S);
+    if (second < 0) {
+      throw new InvalidInputException(
+          "the fleet did not become one within " + FleetRunner.REAL_SETTLE_LIMIT_S + " s");
+    }
+    return second;
+  }
+}
--- /dev/null
+++ b/src/main/java/cobaltseam/fleet/FleetRunCommand.java
@@ -0,0 +1,25 @@
+package cobaltseam.fleet;
+
+import java.util.List;
+import java.util.concurrent.Callable;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+
+/** One run. */
+@Command(
+    name = "run",
+    description = "One run: what broke, when and between whom.",
+    mixinStandardHelpOptions = true)
+final class FleetRunCommand implements Callable<Integer> {
+  @CommandLine.Mixin FleetOptions common;
+  @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+  @Override
+  public Integer call() throws Exception {
+    List<Fault> troubles = common.drawn(common.seed, common.processes);
+    RunVerdict verdict = common.verdict(troubles, common.processes, common.seed);
+    FleetRunner.print(
+        spec.commandLine().getOut(), common.seed, common.processes, verdict, troubles);
+    return verdict.isBroken() ? 1 : 0;
+  }
+}
--- /dev/null
+++ b/src/main/java/cobaltseam/fleet/FleetRunner.java
@@ -0,0 +1,100 @@
+package cobaltseam.fleet;
+
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Locale;
+
+/** Plays one fleet under a script of faults and checks what its members recorded. */
+final class FleetRunner {
+  /** Virtual seconds after the last fault within which a fleet has to be one again. */
+  static final double VIRTUAL_SETTLE_LIMIT_S = 340;
+
+  /** The same for real processes. */
+  static final double REAL_SETTLE_LIMIT_S = 90;
+
+  static final int MAX_HUNTED_PROCESSES = 9;
+
+  static RunVerdict playVirtual(
+      VirtualFleet.Plan plan, List<Fault> faults, double seconds, long seed) {
+    VirtualFleet fleet = new VirtualFleet(plan, faults, seed);
+    fleet.run(seconds);
+    int calm = 0;
+    double second = seconds;
+    for (; second < seconds + VIRTUAL_SETTLE_LIMIT_S && calm < 4; second += 0.5) {
+      fleet.run(second);
+      calm = fleet.isSettled() ? calm + 1 : 0;
+    }
+    return new RunVerdict(
+        InvariantChecker.check(fleet.recordedEvents(), fleet.live(), true),
+        fleet.lostMajority(),
+        second - seconds);
+  }
+
+  /**
+   * The same between real processes; a majority may be lost wherever faults end more than a
+   * minority.
+   */
+  static RunVerdict playReal(RealFleet.Plan plan, List<Fault> faults, long seed, Path folder)
+      throws IOException, InterruptedException {
+    try (RealFleet fleet = new RealFleet(plan, faults, seed, folder)) {
+      fleet.startAll();
+      if (fleet.awaitSettled(REAL_SETTLE_LIMIT_S) < 0) {
+        return new RunVerdict(
+            List.of("no first view within " + REAL_SETTLE_LIMIT_S + " s"), false, -1);
+      }
+      fleet.startClock();
+      fleet.play();
+      double settled =
+          fleet.awaitSettled(
+              mayLoseMajority(plan.processes(), faults, plan.withPersistence())
+                  ? 10
+                  : REAL_SETTLE_LIMIT_S);
+      return new RunVerdict(
+          InvariantChecker.check(fleet.recordedEvents(), fleet.live(), true),
+          settled < 0 && fleet.lostMajority(),
+          settled);
+    }
+  }
+
+  /**
+   * Whether so many processes end, each counted once, that those who never ended are no majority.
+   */
+  static boolean mayLoseMajority(int processes, List<Fault> faults, boolean folders) {
+    long ended =
+        faults.stream()
+            .filter(
+                t ->
+                    t.kind().endsProcess()
+                        && !(folders
+                            && (t.kind() == Fault.Kind.KILL || t.kind() == Fault.Kind.TERM)))
+            .flatMap(t -> t.processes().stream())
+            .distinct()
+            .count();
+    return processes - ended < processes / 2 + 1;
+  }
+
+  static void print(
+      PrintWriter out, long seed, int processes, RunVerdict verdict, List<Fault> faults) {
+    out.println(
+        "seed "
+            + seed
+            + ", "
+            + processes
+            + " processes: "
+            + (verdict.isBroken()
+                ? "BROKEN"
+                : verdict.lostMajority() && !verdict.broken().isEmpty()
+                    ? "a majority was lost"
+                    : "kept")
+            + String.format(Locale.ROOT, ", settled after %.1f s", verdict.settledS()));
+    verdict.broken().forEach(b -> out.println("  " + b));
+    if (verdict.isBroken()) {
+      out.println(FaultScript.write(faults).indent(2));
+    }
+    out.flush();
+  }
+
+  private FleetRunner() {}
+}
--- a/src/main/java/cobaltseam/fleet/InvariantChecker.java
+++ b/src/main/java/cobaltseam/fleet/InvariantChecker.java
@@ -37,12 +37,12 @@
   /** Two processes never hold differing sets under one number. */
   private void oneSetANumber(List<RecordedEvent> events) {
     Map<String, RecordedEvent> first = new HashMap<>();
-    for (RecordedEvent h : events) {
-      RecordedEvent other = h.view() == null ? null : first.putIfAbsent(h.view(), h);
-      if (other != null && !other.members().equals(h.members())) {
+    for (RecordedEvent event : events) {
+      RecordedEvent other = event.view() == null ? null : first.putIfAbsent(event.view(), event);
+      if (other != null && !other.members().equals(event.members())) {
         broken.add(
             "one number, two sets: "
-                + h.view()
+                + event.view()
                 + " is "
                 + other.members()
                 + " at process "
@@ -50,11 +50,11 @@
                 + " ("
                 + other.atS()
                 + " s) and "
-                + h.members()
+                + event.members()
                 + " at process "
-                + h.process()
+                + event.process()
                 + " ("
-                + h.atS()
+                + event.atS()
                 + " s)");
       }
     }
@@ -72,24 +72,27 @@
   private void numbersRise(List<RecordedEvent> events) {
     Map<String, Long> highest = new HashMap<>();
     Set<Integer> resumes = new HashSet<>();
-    for (RecordedEvent h : events) {
-      if (h.isStart()) {
-        resumes.add(h.process());
-      } else if (h.view() != null) {
+    for (RecordedEvent event : events) {
+      if (event.isStart()) {
+        resumes.add(event.process());
+      } else if (event.view() != null) {
         Long before =
-            highest.put(h.process() + "#" + h.incarnation() + line(h.view()), number(h.view()));
+            highest.put(
+                event.process() + "#" + event.incarnation() + line(event.view()),
+                number(event.view()));
         // One that goes on from its folder begins with the view that it had.
-        boolean again = before != null && before == number(h.view()) && resumes.remove(h.process());
-        if (before != null && before >= number(h.view()) && !again) {
+        boolean again =
+            before != null && before == number(event.view()) && resumes.remove(event.process());
+        if (before != null && before >= number(event.view()) && !again) {
           broken.add(
               "numbers fall: process "
-                  + h.process()
+                  + event.process()
                   + " had "
                   + before
                   + " and holds "
-                  + h.view()
+                  + event.view()
                   + " at "
-                  + h.atS()
+                  + event.atS()
                   + " s");
         }
       }
@@ -99,18 +102,30 @@
   /** A view holds whom it holds it, and each number follows one that somebody held. */
   private void successors(List<RecordedEvent> events) {
     Set<String> held = new TreeSet<>();
-    events.stream().filter(h -> h.view() != null).forEach(h -> held.add(h.view()));
-    for (RecordedEvent h : events) {
-      if (h.view() != null
-          && number(h.view()) > 1
-          && !held.contains(line(h.view()) + "/" + (number(h.view()) - 1))) {
+    events.stream().filter(event -> event.view() != null).forEach(event -> held.add(event.view()));
+    for (RecordedEvent event : events) {
+      if (event.view() != null
+          && number(event.view()) > 1
+          && !held.contains(line(event.view()) + "/" + (number(event.view()) - 1))) {
         broken.add(
-            "no predecessor: " + h.view() + " at process " + h.process() + ", " + h.atS() + " s");
+            "no predecessor: "
+                + event.view()
+                + " at process "
+                + event.process()
+                + ", "
+                + event.atS()
+                + " s");
       }
-      if (h.view() != null
-          && h.members().stream().noneMatch(m -> m.endsWith("#" + h.incarnation()))) {
+      if (event.view() != null
+          && event.members().stream().noneMatch(m -> m.endsWith("#" + event.incarnation()))) {
         broken.add(
-            "a view of others: " + h.view() + " at process " + h.process() + ", " + h.atS() + " s");
+            "a view of others: "
+                + event.view()
+                + " at process "
+                + event.process()
+                + ", "
+                + event.atS()
+                + " s");
       }
     }
   }
@@ -118,22 +133,22 @@
   /** Once messages flow again: one view at all that live, and it holds just these. */
   private void settled(List<RecordedEvent> events, Set<Live> live) {
     Map<String, RecordedEvent> last = new HashMap<>();
-    events.forEach(h -> last.put(h.process() + "#" + h.incarnation(), h));
+    events.forEach(event -> last.put(event.process() + "#" + event.incarnation(), event));
     Set<String> views = new TreeSet<>();
     Set<String> alive = new TreeSet<>();
     live.forEach(l -> alive.add(l.identity()));
     for (Live l : live) {
-      RecordedEvent h = last.get(l.process() + "#" + l.birth());
-      if (h == null || h.view() == null) {
+      RecordedEvent event = last.get(l.process() + "#" + l.birth());
+      if (event == null || event.view() == null) {
         broken.add("not taken in: " + l);
-      } else if (views.add(h.view()) && !new TreeSet<>(h.members()).equals(alive)) {
+      } else if (views.add(event.view()) && !new TreeSet<>(event.members()).equals(alive)) {
         broken.add(
             "not just the living: "
-                + h.view()
+                + event.view()
                 + " of process "
                 + l.process()
                 + " is "
-                + h.members()
+                + event.members()
                 + ", alive "
                 + alive);
       }
--- a/src/main/java/cobaltseam/fleet/RealFleet.java
+++ b/src/main/java/cobaltseam/fleet/RealFleet.java
@@ -152,17 +152,17 @@
     all = new ProcessRecord[plan.processes];
     ports = new int[plan.processes];
     List<ServerSocket> free = new ArrayList<>();
-    for (int i = 0; i < all.length; i++) {
-      all[i] = new ProcessRecord();
+    for (int index = 0; index < all.length; index++) {
+      all[index] = new ProcessRecord();
       ServerSocket listens = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
       free.add(listens);
-      ports[i] = listens.getLocalPort();
+      ports[index] = listens.getLocalPort();
     }
     for (ServerSocket each : free) {
       each.close();
     }
-    for (int i = 0; i < all.length; i++) {
-      configure(i);
+    for (int index = 0; index < all.length; index++) {
+      configure(index);
     }
   }
 
@@ -170,12 +170,12 @@
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  public static String name(int i) {
-    return String.format("n%03d", i);
+  public static String name(int index) {
+    return String.format("n%03d", index);
   }
 
-  private void configure(int i) throws IOException {
-    Path own = Files.createDirectories(folder.resolve(name(i)));
+  private void configure(int index) throws IOException {
+    Path own = Files.createDirectories(folder.resolve(name(index)));
     Engines engines = plan.engines == null ? Engines.DEAD : plan.engines;
     Files.writeString(
         own.resolve("config.json"),
@@ -189,14 +189,14 @@
                 "connect_timeout_us":250000,"conn_idle_us":30000000,"streams_per_conn":32}}}
                 """
             .formatted(
-                name(i),
-                ports[i],
-                0x8c1f30d27a5be964L + i,
+                name(index),
+                ports[index],
+                0x8c1f30d27a5be964L + index,
                 text(engines.bus()),
                 engines.known().size(),
                 String.join(",", engines.known()),
                 plan.processes,
-                i));
+                index));
     String seeds =
         IntStream.range(0, Math.min(8, plan.processes))
             .mapToObj(s -> "\"" + text(relays.seenAt(s)) + "\"")
@@ -223,8 +223,8 @@
                 """
             .formatted(
                 plan.own,
-                text(relays.listensAt(i)),
-                text(relays.seenAt(i)),
+                text(relays.listensAt(index)),
+                text(relays.seenAt(index)),
                 seeds,
                 founders,
                 plan.healthCheckIntervalMs,
@@ -233,20 +233,20 @@
   }
 
   /** Where a process keeps what it promised. */
-  public Path stateFolder(int i) {
-    return folder.resolve(name(i)).resolve("kept");
+  public Path stateFolder(int index) {
+    return folder.resolve(name(index)).resolve("kept");
   }
 
   /**
    * Writes another number of sends a command into a process's configuration, and has it read that.
    */
-  public void settings(int i, int mostSends) throws IOException, InterruptedException {
-    Path file = folder.resolve(name(i)).resolve("config.json");
+  public void settings(int index, int mostSends) throws IOException, InterruptedException {
+    Path file = folder.resolve(name(index)).resolve("config.json");
     Files.writeString(
         file,
         Files.readString(file).replaceAll("\"most_tries\":[0-9]+", "\"most_tries\":" + mostSends));
-    activations("hangup", i);
-    signal(i, "HUP");
+    activations("hangup", index);
+    signal(index, "HUP");
   }
 
   /** On which editions of the settings all acted, each by its own log. */
@@ -255,13 +255,13 @@
   }
 
   /** The editions that a process acts on now; none if it stepped back or is gone. */
-  public synchronized List<String> acts(int i) {
-    return isAlive(i) ? all[i].acts : List.of();
+  public synchronized List<String> acts(int index) {
+    return isAlive(index) ? all[index].acts : List.of();
   }
 
   /** The part of the engines that a process uses now; 0 if none. */
-  public double part(int i) {
-    CapacityUsage.UsageRecord now = parts.currentAmount(i);
+  public double part(int index) {
+    CapacityUsage.UsageRecord now = parts.currentAmount(index);
     return now == null ? 0 : now.at(us());
   }
 
@@ -279,16 +279,18 @@
     return (System.nanoTime() - made) / 1e9;
   }
 
-  private synchronized void acts(int i, List<String> editions) {
-    actings.add(new ActivationRecord(clock(), i, editions));
+  private synchronized void acts(int index, List<String> editions) {
+    actings.add(new ActivationRecord(clock(), index, editions));
   }
 
   /** Adds lines to the membership of a process's own file, and has it read that. */
-  public void appendSettings(int i, String more) throws IOException, InterruptedException {
+  public void appendSettings(int index, String more) throws IOException, InterruptedException {
     Files.writeString(
-        folder.resolve(name(i)).resolve("cobaltseam.toml"), more + "\n", StandardOpenOption.APPEND);
-    activations("hangup", i);
-    signal(i, "HUP");
+        folder.resolve(name(index)).resolve("cobaltseam.toml"),
+        more + "\n",
+        StandardOpenOption.APPEND);
+    activations("hangup", index);
+    signal(index, "HUP");
   }
 
   /**
@@ -306,12 +308,12 @@
     return (System.nanoTime() - since) / 1e9;
   }
 
-  private synchronized void activations(String what, int i) {
-    acts.add(String.format(java.util.Locale.ROOT, "%.3f %s %s", now(), what, name(i)));
+  private synchronized void activations(String what, int index) {
+    acts.add(String.format(java.util.Locale.ROOT, "%.3f %s %s", now(), what, name(index)));
   }
 
-  public void start(int i) throws IOException {
-    ProcessRecord one = all[i];
+  public void start(int index) throws IOException {
+    ProcessRecord one = all[index];
     ProcessBuilder builder =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -326,11 +328,11 @@
                 Main.class.getName(),
                 "serve",
                 "--config",
-                folder.resolve(name(i)).resolve("cobaltseam.toml").toString())
+                folder.resolve(name(index)).resolve("cobaltseam.toml").toString())
             .redirectErrorStream(true);
     builder
         .environment()
-        .put("GW_CONFIG", folder.resolve(name(i)).resolve("config.json").toString());
+        .put("GW_CONFIG", folder.resolve(name(index)).resolve("config.json").toString());
     builder.environment().keySet().removeAll(List.of("GW_NAME", "GW_LISTEN", "COBALTSEAM_CONFIG"));
     synchronized (this) {
       one.birth = 0;
@@ -343,15 +345,15 @@
     }
     Process process = builder.start();
     one.process = process;
-    activations("start", i);
+    activations("start", index);
     int start = one.starts;
-    Path file = folder.resolve(name(i)).resolve("log-" + start + ".jsonl");
-    Thread reader = new Thread(() -> read(i, start, process, file), "log");
+    Path file = folder.resolve(name(index)).resolve("log-" + start + ".jsonl");
+    Thread reader = new Thread(() -> read(index, start, process, file), "log");
     reader.setDaemon(true);
     reader.start();
   }
 
-  private void read(int i, int start, Process process, Path file) {
+  private void read(int index, int start, Process process, Path file) {
     try (BufferedReader lines =
             new BufferedReader(
                 new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
@@ -360,26 +362,26 @@
         keep.write(line);
         keep.newLine();
         if (line.startsWith("{")) {
-          readLogLine(i, start, JSON.readTree(line));
+          readLogLine(index, start, JSON.readTree(line));
         }
       }
     } catch (IOException e) {
       // Killed in the middle of a line: its log ends there.
-      activations("log ends", i);
+      activations("log ends", index);
     }
   }
 
-  private synchronized void readLogLine(int i, int start, JsonNode line) {
-    ProcessRecord one = all[i];
+  private synchronized void readLogLine(int index, int start, JsonNode line) {
+    ProcessRecord one = all[index];
     String event = line.path("event").asText();
     one.events.merge(event, 1, Integer::sum);
     if (line.path("level").asText().equals("ERROR")) {
-      errors.add(name(i) + ": " + line);
+      errors.add(name(index) + ": " + line);
     }
     boolean former = start != one.starts;
     if (event.equals("membership.opened") && !former) {
       one.birth = line.path("birth").asLong();
-      recordedEvents.add(new RecordedEvent(now(), i, one.birth, null, List.of(), true));
+      recordedEvents.add(new RecordedEvent(now(), index, one.birth, null, List.of(), true));
     } else if (event.equals("membership.view")) {
       String view = line.path("view").asText();
       long birth = line.path("birth").asLong();
@@ -388,7 +390,7 @@
               .filter(m -> !m.isEmpty())
               .toList();
       recordedEvents.add(
-          new RecordedEvent(now(), i, birth, view.equals("none") ? null : view, members));
+          new RecordedEvent(now(), index, birth, view.equals("none") ? null : view, members));
       if (!former) {
         one.birth = birth;
         one.view = view.equals("none") ? null : view;
@@ -403,10 +405,11 @@
               : Arrays.stream(line.path("editions").asText().split(" "))
                   .map(e -> of + "/" + e)
                   .toList();
-      acts(i, one.acts);
+      acts(index, one.acts);
     } else if (event.equals("spread.parts") && !former && !one.stopped) {
       parts.record(
-          CapacityUsage.UsageRecord.read(i, line.path("us").asLong(), line.path("steps").asText()));
+          CapacityUsage.UsageRecord.read(
+              index, line.path("us").asLong(), line.path("steps").asText()));
     } else if (event.equals("membership.standing") && !former) {
       one.standing = line.path("standing").asText();
     }
@@ -414,59 +417,59 @@
   }
 
   public void startAll() throws IOException {
-    for (int i = 0; i < all.length; i++) {
-      start(i);
+    for (int index = 0; index < all.length; index++) {
+      start(index);
     }
   }
 
-  private void signal(int i, String name) throws IOException, InterruptedException {
-    Process process = all[i].process;
+  private void signal(int index, String name) throws IOException, InterruptedException {
+    Process process = all[index].process;
     if (process != null && process.isAlive()) {
       new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
   }
 
-  public void kill(int i) throws InterruptedException {
-    activations("kill", i);
-    all[i].process.destroyForcibly().waitFor();
-    parts.recordEnd(i, us());
-    acts(i, List.of());
+  public void kill(int index) throws InterruptedException {
+    activations("kill", index);
+    all[index].process.destroyForcibly().waitFor();
+    parts.recordEnd(index, us());
+    acts(index, List.of());
   }
 
   /** SIGTERM. */
-  public void terminate(int i) throws InterruptedException, IOException {
-    activations("term", i);
-    signal(i, "TERM");
+  public void terminate(int index) throws InterruptedException, IOException {
+    activations("term", index);
+    signal(index, "TERM");
   }
 
-  public void suspend(int i) throws IOException, InterruptedException {
-    activations("stop", i);
-    signal(i, "STOP");
+  public void suspend(int index) throws IOException, InterruptedException {
+    activations("stop", index);
+    signal(index, "STOP");
     // What it wrote before it stood still is read first.
     TimeUnit.MILLISECONDS.sleep(50);
-    all[i].stopped = true;
-    stoppedWith.put(i, parts.currentAmount(i));
-    parts.recordEnd(i, us());
-    acts(i, List.of());
+    all[index].stopped = true;
+    stoppedWith.put(index, parts.currentAmount(index));
+    parts.recordEnd(index, us());
+    acts(index, List.of());
   }
 
-  public void resume(int i) throws IOException, InterruptedException {
-    acts(i, all[i].acts);
-    parts.recordUntil(stoppedWith.remove(i), us());
-    all[i].stopped = false;
-    signal(i, "CONT");
-    activations("cont", i);
+  public void resume(int index) throws IOException, InterruptedException {
+    acts(index, all[index].acts);
+    parts.recordUntil(stoppedWith.remove(index), us());
+    all[index].stopped = false;
+    signal(index, "CONT");
+    activations("cont", index);
   }
 
-  public boolean isAlive(int i) {
-    return all[i].process != null && all[i].process.isAlive();
+  public boolean isAlive(int index) {
+    return all[index].process != null && all[index].process.isAlive();
   }
 
   // ---- what is asked
 
   /** Where a process takes clients. */
-  public int port(int i) {
-    return ports[i];
+  public int port(int index) {
+    return ports[index];
   }
 
   public synchronized List<RecordedEvent> recordedEvents() {
@@ -480,28 +483,28 @@
     return List.copyOf(errors);
   }
 
-  public synchronized String quorumState(int i) {
-    return all[i].standing;
+  public synchronized String quorumState(int index) {
+    return all[index].standing;
   }
 
-  public synchronized String view(int i) {
-    return all[i].view;
+  public synchronized String view(int index) {
+    return all[index].view;
   }
 
-  public synchronized List<String> members(int i) {
-    return all[i].members;
+  public synchronized List<String> members(int index) {
+    return all[index].members;
   }
 
   /** How often a process logged an event, over all its lives. */
-  public synchronized int events(int i, String event) {
-    return all[i].events.getOrDefault(event, 0);
+  public synchronized int events(int index, String event) {
+    return all[index].events.getOrDefault(event, 0);
   }
 
   public synchronized Set<InvariantChecker.Live> live() {
     Set<InvariantChecker.Live> live = new LinkedHashSet<>();
-    for (int i = 0; i < all.length; i++) {
-      if (isAlive(i)) {
-        live.add(new InvariantChecker.Live(i, name(i), all[i].birth));
+    for (int index = 0; index < all.length; index++) {
+      if (isAlive(index)) {
+        live.add(new InvariantChecker.Live(index, name(index), all[index].birth));
       }
     }
     return live;
@@ -563,8 +566,8 @@
     return (System.nanoTime() - from) / 1e9;
   }
 
-  public double processorMs(int i) {
-    return all[i].process.toHandle().info().totalCpuDuration().orElseThrow().toNanos() / 1e6;
+  public double processorMs(int index) {
+    return all[index].process.toHandle().info().totalCpuDuration().orElseThrow().toNanos() / 1e6;
   }
 
   public long datagrams() {
@@ -594,9 +597,9 @@
       }
       TimeUnit.MILLISECONDS.sleep(5);
     }
-    for (int i = 0; i < all.length; i++) {
-      if (all[i].stopped) {
-        resume(i);
+    for (int index = 0; index < all.length; index++) {
+      if (all[index].stopped) {
+        resume(index);
       }
     }
     try (BufferedWriter to = Files.newBufferedWriter(folder.resolve("acts.txt"))) {
@@ -608,59 +611,61 @@
     }
   }
 
-  private void follow(Fault t, int p, String key, Set<String> done)
+  private void follow(Fault fault, int index, String key, Set<String> done)
       throws IOException, InterruptedException {
-    boolean during = now() >= t.atS() && now() < t.endS();
-    boolean over = now() >= t.endS();
-    switch (t.kind()) {
+    boolean during = now() >= fault.atS() && now() < fault.endS();
+    boolean over = now() >= fault.endS();
+    switch (fault.kind()) {
       case PAUSE -> {
         if (during && done.add(key + "stop")) {
-          suspend(p);
-        } else if (over && done.add(key + "go") && all[p].stopped) {
-          resume(p);
+          suspend(index);
+        } else if (over && done.add(key + "go") && all[index].stopped) {
+          resume(index);
         }
       }
       case SLOW -> {
-        boolean rests = during && now() * 1000 % SLICE_MS > SLICE_MS * t.size();
-        if (during && rests != all[p].stopped) {
+        boolean rests = during && now() * 1000 % SLICE_MS > SLICE_MS * fault.size();
+        if (during && rests != all[index].stopped) {
           if (rests) {
-            suspend(p);
+            suspend(index);
           } else {
-            resume(p);
+            resume(index);
           }
-        } else if (over && done.add(key + "go") && all[p].stopped) {
-          resume(p);
+        } else if (over && done.add(key + "go") && all[index].stopped) {
+          resume(index);
         }
       }
       case KILL, GONE, TERM, LOSE, STALE -> {
-        if (t.kind() == Fault.Kind.STALE && now() >= t.atS() / 2 && done.add(key + "copy")) {
+        if (fault.kind() == Fault.Kind.STALE
+            && now() >= fault.atS() / 2
+            && done.add(key + "copy")) {
           copy(
-              stateFolder(p).resolve(PersistentStateCodec.FILE_NAME),
-              folder.resolve(name(p)).resolve("earlier"));
+              stateFolder(index).resolve(PersistentStateCodec.FILE_NAME),
+              folder.resolve(name(index)).resolve("earlier"));
         }
-        if (during && done.add(key + "end") && isAlive(p)) {
-          if (t.kind() == Fault.Kind.TERM) {
-            terminate(p);
+        if (during && done.add(key + "end") && isAlive(index)) {
+          if (fault.kind() == Fault.Kind.TERM) {
+            terminate(index);
           } else {
-            kill(p);
+            kill(index);
           }
         } else if (over
-            && t.kind() != Fault.Kind.GONE
+            && fault.kind() != Fault.Kind.GONE
             && done.contains(key + "end")
             && done.add(key + "start")
-            && !goneForGood(p)) {
-          if (isAlive(p) && t.kind() == Fault.Kind.TERM) {
-            all[p].process.destroyForcibly().waitFor();
+            && !goneForGood(index)) {
+          if (isAlive(index) && fault.kind() == Fault.Kind.TERM) {
+            all[index].process.destroyForcibly().waitFor();
           }
-          if (!isAlive(p)) {
-            if (t.kind() == Fault.Kind.LOSE) {
-              Files.deleteIfExists(stateFolder(p).resolve(PersistentStateCodec.FILE_NAME));
-            } else if (t.kind() == Fault.Kind.STALE) {
+          if (!isAlive(index)) {
+            if (fault.kind() == Fault.Kind.LOSE) {
+              Files.deleteIfExists(stateFolder(index).resolve(PersistentStateCodec.FILE_NAME));
+            } else if (fault.kind() == Fault.Kind.STALE) {
               copy(
-                  folder.resolve(name(p)).resolve("earlier"),
-                  stateFolder(p).resolve(PersistentStateCodec.FILE_NAME));
+                  folder.resolve(name(index)).resolve("earlier"),
+                  stateFolder(index).resolve(PersistentStateCodec.FILE_NAME));
             }
-            start(p);
+            start(index);
           }
         }
       }
@@ -675,10 +680,10 @@
     }
   }
 
-  private boolean goneForGood(int p) {
+  private boolean goneForGood(int index) {
     return faults.stream()
         .anyMatch(
-            t -> t.kind() == Fault.Kind.GONE && t.processes().contains(p) && t.atS() <= now());
+            t -> t.kind() == Fault.Kind.GONE && t.processes().contains(index) && t.atS() <= now());
   }
 
   @Override
--- a/src/main/java/cobaltseam/fleet/VirtualFleet.java
+++ b/src/main/java/cobaltseam/fleet/VirtualFleet.java
@@ -170,21 +170,21 @@
     this.faults = faults;
     chance = new SplittableRandom(seed);
     processes = new Process[plan.processes];
-    for (int i = 0; i < processes.length; i++) {
-      processes[i] = new Process();
-      addresses.add(address(i));
-      byAddress.put(addresses.get(i), i);
-      at(chance.nextDouble() * plan.startWithinS, i, 0, null);
+    for (int index = 0; index < processes.length; index++) {
+      processes[index] = new Process();
+      addresses.add(address(index));
+      byAddress.put(addresses.get(index), index);
+      at(chance.nextDouble() * plan.startWithinS, index, 0, null);
     }
     for (Fault t : faults) {
-      for (int p : t.processes()) {
+      for (int process : t.processes()) {
         switch (t.kind()) {
           case KILL, TERM, GONE, PAUSE, SLOW, LOSE, STALE -> {
             if (t.kind() == Fault.Kind.STALE) {
-              at(t.atS() / 2, p, COPIES, null);
+              at(t.atS() / 2, process, COPIES, null);
             }
-            at(t.atS(), p, TROUBLED, null);
-            at(t.endS(), p, TROUBLED, null);
+            at(t.atS(), process, TROUBLED, null);
+            at(t.endS(), process, TROUBLED, null);
           }
           default -> {}
         }
@@ -192,18 +192,19 @@
     }
   }
 
-  private static InetSocketAddress address(int i) {
+  private static InetSocketAddress address(int index) {
     try {
       return new InetSocketAddress(
-          InetAddress.getByAddress(new byte[] {10, (byte) (i >> 16), (byte) (i >> 8), (byte) i}),
+          InetAddress.getByAddress(
+              new byte[] {10, (byte) (index >> 16), (byte) (index >> 8), (byte) index}),
           PORT);
-    } catch (UnknownHostException e) {
-      throw new IllegalStateException(e);
+    } catch (UnknownHostException event) {
+      throw new IllegalStateException(event);
     }
   }
 
-  static MemberName name(int i) {
-    return new MemberName(String.format("n%04d", i));
+  static MemberName name(int index) {
+    return new MemberName(String.format("n%04d", index));
   }
 
   private void at(double when, int process, long life, PeerMessage message) {
@@ -211,8 +212,8 @@
   }
 
   /** What a process's own clock says; each may run at a rate of its own. */
-  private Timestamp moment(int i) {
-    return new Timestamp(Math.round(now * 1e6 * processes[i].rate));
+  private Timestamp moment(int index) {
+    return new Timestamp(Math.round(now * 1e6 * processes[index].rate));
   }
 
   // ---- what is asked
@@ -234,34 +235,34 @@
     return notes;
   }
 
-  public boolean isAlive(int i) {
-    return processes[i].alive;
+  public boolean isAlive(int index) {
+    return processes[index].alive;
   }
 
-  public QuorumState quorumState(int i) {
-    return processes[i].membership.standing();
+  public QuorumState quorumState(int index) {
+    return processes[index].membership.standing();
   }
 
-  public View view(int i) {
-    return processes[i].membership.view();
+  public View view(int index) {
+    return processes[index].membership.view();
   }
 
   /** An operator has a process found another line in place of this view. */
-  public void bootstrapAgain(int i, ViewId said) {
-    processes[i].coordinator.foundAnew(said, moment(i));
-    scheduleWake(i);
+  public void bootstrapAgain(int index, ViewId said) {
+    processes[index].coordinator.foundAnew(said, moment(index));
+    scheduleWake(index);
   }
 
-  public int carriers(int i) {
-    return processes[i].membership.carriers(moment(i));
+  public int carriers(int index) {
+    return processes[index].membership.carriers(moment(index));
   }
 
   public Set<InvariantChecker.Live> live() {
     Set<InvariantChecker.Live> live = new LinkedHashSet<>();
-    for (int i = 0; i < processes.length; i++) {
-      if (processes[i].alive) {
-        Member self = processes[i].membership.self();
-        live.add(new InvariantChecker.Live(i, self.name().value(), self.incarnation().value()));
+    for (int index = 0; index < processes.length; index++) {
+      if (processes[index].alive) {
+        Member self = processes[index].membership.self();
+        live.add(new InvariantChecker.Live(index, self.name().value(), self.incarnation().value()));
       }
     }
     return live;
@@ -281,8 +282,8 @@
       first = view;
     }
     for (Member m : first == null ? List.<Member>of() : first.members()) {
-      int i = byAddress.get(m.peerAddress());
-      if (!processes[i].alive || !processes[i].membership.self().equals(m)) {
+      int index = byAddress.get(m.peerAddress());
+      if (!processes[index].alive || !processes[index].membership.self().equals(m)) {
         return false;
       }
     }
@@ -294,57 +295,58 @@
   /** Plays until this moment. */
   public void run(double until) {
     while (!events.isEmpty() && events.peek().at <= until) {
-      Event e = events.poll();
-      now = Math.max(now, e.at);
-      play(e);
+      Event event = events.poll();
+      now = Math.max(now, event.at);
+      play(event);
     }
     now = until;
   }
 
-  private void play(Event e) {
-    Process p = processes[e.process];
-    if (e.life == TROUBLED) {
-      injectFault(e.process);
-    } else if (e.life == COPIES) {
-      p.earlierState = p.persistentState;
-    } else if (e.keep != null) {
-      if (p.alive && stands(e.process)) {
+  private void play(Event event) {
+    Process process = processes[event.process];
+    if (event.life == TROUBLED) {
+      injectFault(event.process);
+    } else if (event.life == COPIES) {
+      process.earlierState = process.persistentState;
+    } else if (event.keep != null) {
+      if (process.alive && stands(event.process)) {
         // A disk goes on writing while its process stands still; the process hears of it later.
-        events.add(new Event(now + SLOWEST_WRITE, turns++, e.process, e.life, null, e.keep));
-      } else if (p.alive && e.life == p.life && p.writing == e.keep) {
-        p.persistentState = e.keep.what();
-        p.writing = null;
-        p.coordinator.kept(e.keep.number(), moment(e.process));
-        scheduleWake(e.process);
+        events.add(
+            new Event(now + SLOWEST_WRITE, turns++, event.process, event.life, null, event.keep));
+      } else if (process.alive && event.life == process.life && process.writing == event.keep) {
+        process.persistentState = event.keep.what();
+        process.writing = null;
+        process.coordinator.kept(event.keep.number(), moment(event.process));
+        scheduleWake(event.process);
       }
-    } else if (e.message != null) {
-      if (!p.alive || e.life != p.life) {
+    } else if (event.message != null) {
+      if (!process.alive || event.life != process.life) {
         // Late for a former process: the one that has its address now gets it.
-        if (p.alive) {
-          deliver(e.process, e.message);
+        if (process.alive) {
+          deliver(event.process, event.message);
         }
         return;
       }
-      deliver(e.process, e.message);
-    } else if (!p.started && e.life == 0) {
-      start(e.process);
-    } else if (p.alive && e.life == p.life && e.at >= p.wake) {
-      if (stands(e.process)) {
+      deliver(event.process, event.message);
+    } else if (!process.started && event.life == 0) {
+      start(event.process);
+    } else if (process.alive && event.life == process.life && event.at >= process.wake) {
+      if (stands(event.process)) {
         return;
       }
-      due(e.process);
+      due(event.process);
     }
   }
 
   /** Whether a process stands still now, and until when if it runs in turns. */
-  private boolean stands(int i) {
+  private boolean stands(int index) {
     for (Fault t : faults) {
-      if (t.processes().contains(i) && now >= t.atS() && now < t.endS()) {
+      if (t.processes().contains(index) && now >= t.atS() && now < t.endS()) {
         if (t.kind() == Fault.Kind.PAUSE) {
           return true;
         }
         if (t.kind() == Fault.Kind.SLOW && now * 10 % 1 > t.size()) {
-          at(Math.floor(now * 10 + 1) / 10 + 1e-6, i, TROUBLED, null);
+          at(Math.floor(now * 10 + 1) / 10 + 1e-6, index, TROUBLED, null);
           return true;
         }
       }
@@ -352,33 +354,33 @@
     return false;
   }
 
-  private void deliver(int i, PeerMessage message) {
-    Process p = processes[i];
-    if (stands(i)) {
-      if (p.unread.size() < MOST_UNREAD) {
-        p.unread.add(message);
+  private void deliver(int index, PeerMessage message) {
+    Process process = processes[index];
+    if (stands(index)) {
+      if (process.unread.size() < MOST_UNREAD) {
+        process.unread.add(message);
       }
       return;
     }
-    if (p.wake < now - plan.healthCheckIntervalS / 2) {
-      due(i);
+    if (process.wake < now - plan.healthCheckIntervalS / 2) {
+      due(index);
     }
-    p.coordinator.heard(message, moment(i));
-    scheduleWake(i);
+    process.coordinator.heard(message, moment(index));
+    scheduleWake(index);
   }
 
-  private void due(int i) {
-    processes[i].coordinator.due(moment(i));
-    scheduleWake(i);
+  private void due(int index) {
+    processes[index].coordinator.due(moment(index));
+    scheduleWake(index);
   }
 
-  private void start(int i) {
-    Process p = processes[i];
-    p.started = true;
-    p.alive = true;
-    p.resumes = false;
-    p.life++;
-    p.unread.clear();
+  private void start(int index) {
+    Process process = processes[index];
+    process.started = true;
+    process.alive = true;
+    process.resumes = false;
+    process.life++;
+    process.unread.clear();
     List<InetSocketAddress> seeds = new ArrayList<>();
     List<MemberName> founders = new ArrayList<>();
     for (int f = 0; f < Math.max(plan.bootstrapMembers, Math.min(8, plan.processes)); f++) {
@@ -395,92 +397,99 @@
             founders,
             seeds,
             new TimeSpan(Math.round(plan.maxSendDelayS * 1e6)));
-    Member self = new Member(name(i), new Incarnation(++incarnations), addresses.get(i));
-    p.membership =
+    Member self = new Member(name(index), new Incarnation(++incarnations), addresses.get(index));
+    process.membership =
         plan.withPersistence
-            ? Membership.lasting(terms, self, p.persistentState, chance.split())
+            ? Membership.lasting(terms, self, process.persistentState, chance.split())
             : new Membership(terms, self, chance.split());
     recordedEvents.add(
         new RecordedEvent(
-            now, i, p.membership.self().incarnation().value(), null, List.of(), true));
+            now, index, process.membership.self().incarnation().value(), null, List.of(), true));
     Lease lease =
-        leaseOptions == null ? null : new Lease(leaseOptions, p.membership, chance.split());
+        leaseOptions == null ? null : new Lease(leaseOptions, process.membership, chance.split());
     if (agreementOptions != null) {
-      p.agreement =
-          new ConfigurationAgreement(agreementOptions, p.membership, lease, TEXTS, chance.split());
-      p.agreement.own("first".getBytes(StandardCharsets.UTF_8));
-      if (p.persistentState != null) {
-        p.persistentState.documents().forEach(p.agreement::knows);
+      process.agreement =
+          new ConfigurationAgreement(
+              agreementOptions, process.membership, lease, TEXTS, chance.split());
+      process.agreement.own("first".getBytes(StandardCharsets.UTF_8));
+      if (process.persistentState != null) {
+        process.persistentState.documents().forEach(process.agreement::knows);
       }
-      recordActivation(i, null);
+      recordActivation(index, null);
     }
     if (capacityOptions != null) {
-      p.sharing =
+      process.sharing =
           new StateGossip(
-              p.membership.self().name(),
-              p.membership.self().incarnation(),
+              process.membership.self().name(),
+              process.membership.self().incarnation(),
               SHARING,
               chance.split(),
-              moment(i));
+              moment(index));
     }
-    p.coordinator = new FleetCoordinator(p.membership, lease, p.agreement, p.sharing, out(i, p));
+    process.coordinator =
+        new FleetCoordinator(
+            process.membership, lease, process.agreement, process.sharing, out(index, process));
     if (capacityOptions != null) {
-      p.capacityLeases = new CapacityLeases(capacityOptions, p.coordinator.under(), chance.split());
-      p.coordinator.holds(p.capacityLeases);
-      needs(i, demands[i]);
+      process.capacityLeases =
+          new CapacityLeases(capacityOptions, process.coordinator.under(), chance.split());
+      process.coordinator.holds(process.capacityLeases);
+      needs(index, demands[index]);
     }
-    p.coordinator.start(moment(i));
-    scheduleWake(i);
+    process.coordinator.start(moment(index));
+    scheduleWake(index);
   }
 
   /** A trouble of a process begins or ends. */
-  private void injectFault(int i) {
-    Process p = processes[i];
+  private void injectFault(int index) {
+    Process process = processes[index];
     for (Fault t : faults) {
       boolean dies = t.kind().endsProcess();
-      if (dies && t.processes().contains(i) && Math.abs(t.atS() - now) < 1e-9 && p.alive) {
-        if (t.kind() == Fault.Kind.TERM && !stands(i)) {
-          p.coordinator.leave(moment(i));
+      if (dies
+          && t.processes().contains(index)
+          && Math.abs(t.atS() - now) < 1e-9
+          && process.alive) {
+        if (t.kind() == Fault.Kind.TERM && !stands(index)) {
+          process.coordinator.leave(moment(index));
         }
-        p.alive = false;
-        recordActivation(i, null);
-        if (p.writing != null && chance.nextBoolean()) {
-          p.persistentState = p.writing.what();
+        process.alive = false;
+        recordActivation(index, null);
+        if (process.writing != null && chance.nextBoolean()) {
+          process.persistentState = process.writing.what();
         }
-        p.writing = null;
-        p.resumes =
+        process.writing = null;
+        process.resumes =
             plan.withPersistence
-                && p.persistentState != null
+                && process.persistentState != null
                 && (t.kind() == Fault.Kind.KILL || t.kind() == Fault.Kind.TERM);
-        p.persistentState =
+        process.persistentState =
             t.kind() == Fault.Kind.LOSE
                 ? null
-                : t.kind() == Fault.Kind.STALE ? p.earlierState : p.persistentState;
+                : t.kind() == Fault.Kind.STALE ? process.earlierState : process.persistentState;
         newest.values().forEach(this::lost);
       } else if (t.kind() == Fault.Kind.GONE
-          && t.processes().contains(i)
+          && t.processes().contains(index)
           && Math.abs(t.atS() - now) < 1e-9) {
-        p.resumes = false;
+        process.resumes = false;
         newest.values().forEach(this::lost);
       } else if (dies
           && t.kind() != Fault.Kind.GONE
-          && t.processes().contains(i)
+          && t.processes().contains(index)
           && Math.abs(t.endS() - now) < 1e-9
-          && !p.alive
-          && !staysDead(i)) {
-        start(i);
+          && !process.alive
+          && !staysDead(index)) {
+        start(index);
       }
     }
-    if (p.alive && stands(i)) {
-      recordActivation(i, null);
-    } else if (p.alive) {
-      if (p.agreement != null) {
-        p.coordinator.follow(moment(i));
-        recordActivation(i, p.agreement.acting());
+    if (process.alive && stands(index)) {
+      recordActivation(index, null);
+    } else if (process.alive) {
+      if (process.agreement != null) {
+        process.coordinator.follow(moment(index));
+        recordActivation(index, process.agreement.acting());
       }
-      due(i);
-      while (!p.unread.isEmpty() && p.alive) {
-        deliver(i, p.unread.poll());
+      due(index);
+      while (!process.unread.isEmpty() && process.alive) {
+        deliver(index, process.unread.poll());
       }
     }
   }
@@ -504,52 +513,53 @@
         view.members().stream()
             .filter(
                 m -> {
-                  Process p = processes[byAddress.get(m.peerAddress())];
-                  return (p.alive || p.resumes) && p.membership.self().equals(m);
+                  Process process = processes[byAddress.get(m.peerAddress())];
+                  return (process.alive || process.resumes) && process.membership.self().equals(m);
                 })
             .count();
     lostMajority |= live < view.majority();
   }
 
-  private boolean staysDead(int i) {
+  private boolean staysDead(int index) {
     return faults.stream()
         .anyMatch(
             t ->
-                t.processes().contains(i)
+                t.processes().contains(index)
                     && t.atS() <= now
                     && (t.kind() == Fault.Kind.GONE
                         || t.kind().endsProcess() && now < t.endS() - 1e-9));
   }
 
-  private void note(int i, View view) {
-    Process p = processes[i];
+  private void note(int index, View view) {
+    Process process = processes[index];
     recordedEvents.add(
         new RecordedEvent(
             now,
-            i,
-            p.membership.self().incarnation().value(),
+            index,
+            process.membership.self().incarnation().value(),
             view == null ? null : view.id().toString(),
             view == null
                 ? List.of()
                 : view.members().stream().map(m -> m.name() + "#" + m.incarnation()).toList()));
   }
 
-  private FleetCoordinator.EffectSink out(int i, Process p) {
-    long life = p.life;
+  private FleetCoordinator.EffectSink out(int index, Process process) {
+    long life = process.life;
     return new FleetCoordinator.EffectSink() {
       @Override
       public void tell(InetSocketAddress to, PeerMessage message) {
-        VirtualFleet.this.send(i, to, message);
+        VirtualFleet.this.send(index, to, message);
       }
 
       @Override
       public void act(MembershipAction act) {
         if (act instanceof MembershipAction.Persist keep) {
-          p.writing = keep;
+          process.writing = keep;
           events.add(
-              new Event(now + SLOWEST_WRITE * chance.nextDouble(), turns++, i, life, null, keep));
+              new Event(
+                  now + SLOWEST_WRITE * chance.nextDouble(), turns++, index, life, null, keep));
         } else if (act instanceof MembershipAction.ViewInstalled installed) {
-          note(i, installed.view());
+          note(index, installed.view());
           View view = installed.view();
           if (view != null
               && newest.merge(
@@ -567,7 +577,7 @@
       @Override
       public void doing(AgreementEffect doing) {
         if (doing instanceof AgreementEffect.Activate on) {
-          recordActivation(i, on.on());
+          recordActivation(index, on.on());
         } else if (doing instanceof AgreementEffect.EventRecorded noted) {
           notes.merge(noted.event().label(), 1, Integer::sum);
         }
@@ -575,19 +585,19 @@
     };
   }
 
-  private void scheduleWake(int i) {
-    Process p = processes[i];
+  private void scheduleWake(int index) {
+    Process process = processes[index];
     if (capacityOptions != null) {
       weigh();
     }
-    Timestamp wake = p.coordinator.wake(moment(i));
+    Timestamp wake = process.coordinator.wake(moment(index));
     if (wake == null) {
       return;
     }
-    double at = Math.max(now + 1e-6, wake.us() / 1e6 / p.rate);
-    if (at < p.wake || p.wake <= now) {
-      p.wake = at;
-      at(at, i, p.life, null);
+    double at = Math.max(now + 1e-6, wake.us() / 1e6 / process.rate);
+    if (at < process.wake || process.wake <= now) {
+      process.wake = at;
+      at(at, index, process.life, null);
     }
   }
 
@@ -602,26 +612,26 @@
     capacityOptions = terms;
     leaseOptions = under;
     demands = new double[processes.length];
-    for (Process p : processes) {
-      p.rate = 1 + clocksApart * (chance.nextDouble() - 0.5);
+    for (Process process : processes) {
+      process.rate = 1 + clocksApart * (chance.nextDouble() - 0.5);
     }
   }
 
   /** What a process needs from now on. */
-  public void needs(int i, double demand) {
-    demands[i] = demand;
-    if (processes[i].capacityLeases != null) {
-      processes[i].capacityLeases.needs(demand);
-      processes[i].sharing.say(
+  public void needs(int index, double demand) {
+    demands[index] = demand;
+    if (processes[index].capacityLeases != null) {
+      processes[index].capacityLeases.needs(demand);
+      processes[index].sharing.say(
           new MemberFigures(Map.of(FleetCoordinator.DEMAND, FleetCoordinator.figure(demand))));
     }
   }
 
   /** What a process may use at this moment; nothing while it stands still. */
-  public long usable(int i) {
-    Process p = processes[i];
-    return p.alive && p.capacityLeases != null && !stands(i)
-        ? p.capacityLeases.usable(moment(i))
+  public long usable(int index) {
+    Process process = processes[index];
+    return process.alive && process.capacityLeases != null && !stands(index)
+        ? process.capacityLeases.usable(moment(index))
         : 0;
   }
 
@@ -642,21 +652,21 @@
   public double missed() {
     double sum = 0;
     int alive = 0;
-    for (int i = 0; i < processes.length; i++) {
-      sum += processes[i].alive ? demands[i] : 0;
-      alive += processes[i].alive ? 1 : 0;
+    for (int index = 0; index < processes.length; index++) {
+      sum += processes[index].alive ? demands[index] : 0;
+      alive += processes[index].alive ? 1 : 0;
     }
     double missed = 0;
     long settled =
         capacityOptions.whole() - capacityOptions.alonePart() * capacityOptions.processes();
-    for (int i = 0; i < processes.length && sum > 0; i++) {
-      if (processes[i].alive) {
+    for (int index = 0; index < processes.length && sum > 0; index++) {
+      if (processes[index].alive) {
         double even = (double) settled / alive;
         double due =
             capacityOptions.alonePart()
                 + capacityOptions.floor() * even
-                + (1 - capacityOptions.floor()) * settled * demands[i] / sum;
-        missed += Math.abs(usable(i) - due);
+                + (1 - capacityOptions.floor()) * settled * demands[index] / sum;
+        missed += Math.abs(usable(index) - due);
       }
     }
     return missed / 2 / capacityOptions.whole();
@@ -666,9 +676,9 @@
     long all = 0;
     long line = 0;
     boolean two = peakUsage.twoLines;
-    for (int i = 0; i < processes.length; i++) {
-      all += usable(i);
-      View view = processes[i].alive ? processes[i].membership.view() : null;
+    for (int index = 0; index < processes.length; index++) {
+      all += usable(index);
+      View view = processes[index].alive ? processes[index].membership.view() : null;
       two |= view != null && line != 0 && line != view.id().lineage();
       line = view == null ? line : view.id().lineage();
     }
@@ -685,24 +695,24 @@
   public void enableAgreement(ConfigurationAgreement.AgreementOptions terms, double clocksApart) {
     agreementOptions = terms;
     leaseOptions = new Lease.LeaseOptions(terms.contradiction(), terms.clockRates());
-    for (Process p : processes) {
-      p.rate = 1 + clocksApart * (chance.nextDouble() - 0.5);
+    for (Process process : processes) {
+      process.rate = 1 + clocksApart * (chance.nextDouble() - 0.5);
     }
   }
 
   /** A process proposes a document; why it can't, or null. */
-  public String propose(int i, byte[] content, long expect) {
-    if (!processes[i].alive || stands(i)) {
+  public String propose(int index, byte[] content, long expect) {
+    if (!processes[index].alive || stands(index)) {
       return "it is not there";
     }
-    String why = processes[i].agreement.propose(content, expect, moment(i));
-    processes[i].coordinator.follow(moment(i));
-    scheduleWake(i);
+    String why = processes[index].agreement.propose(content, expect, moment(index));
+    processes[index].coordinator.follow(moment(index));
+    scheduleWake(index);
     return why;
   }
 
-  public ActiveConfiguration acting(int i) {
-    return processes[i].agreement.acting();
+  public ActiveConfiguration acting(int index) {
+    return processes[index].agreement.acting();
   }
 
   /** What all acted on, in the order in which it was. */
@@ -710,18 +720,20 @@
     return activations;
   }
 
-  private void recordActivation(int i, ActiveConfiguration on) {
+  private void recordActivation(int index, ActiveConfiguration on) {
     long line =
-        processes[i].membership.view() == null ? 0 : processes[i].membership.view().id().lineage();
+        processes[index].membership.view() == null
+            ? 0
+            : processes[index].membership.view().id().lineage();
     boolean back = on == null || on.mode() == ActiveConfiguration.Mode.BACK;
     activations.add(
         new ActivationRecord(
             now,
-            i,
+            index,
             back
                 ? List.of()
                 : on.versions().stream()
-                    .map(e -> line + "/" + e.number() + ":" + e.hash())
+                    .map(event -> line + "/" + event.number() + ":" + event.hash())
                     .toList()));
   }
 
--- a/src/test/java/cobaltseam/emulator/TheoryTest.java
+++ b/src/test/java/cobaltseam/emulator/EngineModelTheoryTest.java
@@ -13,7 +13,7 @@
  * The emulator's engines where theory tells what must come out: runs of many commands, within
  * stated intervals.
  */
-class TheoryTest {
+class EngineModelTheoryTest {
   private static final double WORK_MS = 100;
   private static final int SEEDS = 10;
 
@@ -63,18 +63,18 @@
       java.util.function.ToDoubleFunction<Simulation.Result> figure) {
     List<Double> values = new ArrayList<>();
     for (int seed = 0; seed < SEEDS; seed++) {
-      Simulation.Result r =
-          new Simulation(world, EmulateCommand.policies("random"), List.of(), seconds, seed).run();
-      assertEquals(0, r.violationCount(), r.violations().toString());
-      values.add(figure.applyAsDouble(r));
+      Simulation.Result result =
+          new Simulation(world, PolicyCatalog.named("random"), List.of(), seconds, seed).run();
+      assertEquals(0, result.violationCount(), result.violations().toString());
+      values.add(figure.applyAsDouble(result));
     }
     double mean = values.stream().mapToDouble(v -> v).average().orElseThrow();
     double variance = values.stream().mapToDouble(v -> (v - mean) * (v - mean)).sum() / (SEEDS - 1);
     return new double[] {mean, 3.25 * Math.sqrt(variance / SEEDS)};
   }
 
-  private static double meanMs(Simulation.Result r) {
-    return r.counts().rows().get(0).latency.getMean() / 1000;
+  private static double meanMs(Simulation.Result result) {
+    return result.counts().rows().get(0).latency.getMean() / 1000;
   }
 
   private static void within(double expected, double[] found, double rounding) {
@@ -92,7 +92,7 @@
     for (double cv : new double[] {0, 1, 2}) {
       within(
           WORK_MS / (1 - 0.7),
-          interval(world(1, cv, 7, 1_000_000), 6000, TheoryTest::meanMs),
+          interval(world(1, cv, 7, 1_000_000), 6000, EngineModelTheoryTest::meanMs),
           0.01);
     }
   }
@@ -109,7 +109,8 @@
     }
     double waits = term / (1 - 0.8) / (sum + term / (1 - 0.8));
     double expected = WORK_MS + waits * WORK_MS / (4 * (1 - 0.8));
-    within(expected, interval(world(4, 1, 32, 1_000_000), 4000, TheoryTest::meanMs), 0.01);
+    within(
+        expected, interval(world(4, 1, 32, 1_000_000), 4000, EngineModelTheoryTest::meanMs), 0.01);
   }
 
   /** An overloaded loss system, M/M/c/c: by Erlang's formula for loss. */
@@ -125,7 +126,7 @@
         interval(
             world(4, 1, 60, 4),
             2000,
-            r -> (double) r.counts().rows().get(0).shed / r.counts().offered()),
+            result -> (double) result.counts().rows().get(0).shed / result.counts().offered()),
         0.01);
   }
 }
--- a/src/test/java/cobaltseam/emulator/RefereeTest.java
+++ b/src/test/java/cobaltseam/emulator/InvariantCheckerTest.java
@@ -29,7 +29,7 @@
  * The real module in the emulator keeps the rules, and the same seed decides the same; mutants of
  * it are caught.
  */
-class RefereeTest {
+class InvariantCheckerTest {
   private static final double SECONDS = 20;
 
   /** The module with something broken. */
@@ -83,43 +83,43 @@
 
   private static InvariantChecker play(
       EmulatedSite world, List<Fault> faults, Mutation mutation, long seed) {
-    Simulation s =
+    Simulation site =
         new Simulation(
             world,
             (told, of, truth) -> mutation.of(Policy.ofDispatcher(new Dispatcher(told, of))),
             faults,
             SECONDS,
             seed);
-    s.run();
-    return s.referee();
+    site.run();
+    return site.referee();
   }
 
-  private static EmulatedSite with(EmulatedSite w, EmulatedSite.Limits limits) {
+  private static EmulatedSite with(EmulatedSite site, EmulatedSite.Limits limits) {
     return new EmulatedSite(
-        w.name(),
-        w.engines(),
-        w.dispatchers(),
-        w.requestClasses(),
-        w.tenants(),
-        w.load(),
-        w.network(),
-        w.discovery(),
+        site.name(),
+        site.engines(),
+        site.dispatchers(),
+        site.requestClasses(),
+        site.tenants(),
+        site.load(),
+        site.network(),
+        site.discovery(),
         limits);
   }
 
   private static EmulatedSite budgeted() {
-    EmulatedSite.Limits l = hall().limits();
+    EmulatedSite.Limits load = hall().limits();
     return with(
         hall(),
         new EmulatedSite.Limits(
-            l.maxAttempts(),
-            l.canCancel(),
-            l.progressMs(),
-            l.maxRetryAfterMs(),
-            l.drainGraceMs(),
-            l.slowStartLimitFactor(),
-            l.slowStartWindowMs(),
-            l.sequenceKeyRestMs(),
+            load.maxAttempts(),
+            load.canCancel(),
+            load.progressMs(),
+            load.maxRetryAfterMs(),
+            load.drainGraceMs(),
+            load.slowStartLimitFactor(),
+            load.slowStartWindowMs(),
+            load.sequenceKeyRestMs(),
             2.0,
             0.02,
             2000));
@@ -138,13 +138,13 @@
   void theSameSeedDecidesTheSameAndAnotherDoesNot() {
     List<Fault> faults = Fault.drawn(hall(), SECONDS, 8, 5);
     long one =
-        new Simulation(hall(), EmulateCommand.policies("module"), faults, SECONDS, 5).run().hash();
+        new Simulation(hall(), PolicyCatalog.named("module"), faults, SECONDS, 5).run().hash();
     assertEquals(
         one,
-        new Simulation(hall(), EmulateCommand.policies("module"), faults, SECONDS, 5).run().hash());
+        new Simulation(hall(), PolicyCatalog.named("module"), faults, SECONDS, 5).run().hash());
     assertNotEquals(
         one,
-        new Simulation(hall(), EmulateCommand.policies("module"), faults, SECONDS, 6).run().hash());
+        new Simulation(hall(), PolicyCatalog.named("module"), faults, SECONDS, 6).run().hash());
     assertEquals(faults, Fault.drawn(hall(), SECONDS, 8, 5));
   }
 
@@ -363,26 +363,26 @@
   @Test
   void coldEnginesThatAreFloodedAreSeen() {
     List<Fault> faults = List.of(new Fault(Fault.Kind.DIE, 3, 2, List.of(0, 1, 2, 3), 1, 0));
-    EmulatedSite.Limits l = hall().limits();
+    EmulatedSite.Limits load = hall().limits();
     EmulatedSite strict =
         with(
             hall(),
             new EmulatedSite.Limits(
-                l.maxAttempts(),
-                l.canCancel(),
-                l.progressMs(),
-                l.maxRetryAfterMs(),
-                l.drainGraceMs(),
+                load.maxAttempts(),
+                load.canCancel(),
+                load.progressMs(),
+                load.maxRetryAfterMs(),
+                load.drainGraceMs(),
                 0.3,
-                l.slowStartWindowMs(),
-                l.sequenceKeyRestMs(),
+                load.slowStartWindowMs(),
+                load.sequenceKeyRestMs(),
                 null,
                 null,
                 0));
-    Simulation s =
-        new Simulation(strict, EmulateCommand.policies("least-in-hand"), faults, SECONDS, 3);
-    s.run();
-    assertTrue(s.referee().count(Rule.COLD) > 0);
+    Simulation site =
+        new Simulation(strict, PolicyCatalog.named("least-in-hand"), faults, SECONDS, 3);
+    site.run();
+    assertTrue(site.referee().count(Rule.COLD) > 0);
   }
 
   @Test
--- a/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
@@ -130,7 +130,7 @@
   void aChosenDocumentOutlivesThoseThatProposedIt() {
     // Before votes hung on the document, its proposer and another that had it ended, and the rest
     // held an edition of nothing.
-    FleetCommand.Common common = new FleetCommand.Common();
+    FleetOptions common = new FleetOptions();
     common.seconds = 60;
     assertEquals(List.of(), AgreementHunt.one(common, 3, 1012).broken());
   }
@@ -139,7 +139,7 @@
   void aLeaseThatEndsWhileSomethingElseWaitsIsSeenAtOnce() {
     // Cut off with a successor accepted, its lease could not be asked for again, and its end was
     // passed over by up to an eighth of it.
-    FleetCommand.Common common = new FleetCommand.Common();
+    FleetOptions common = new FleetOptions();
     common.seconds = 60;
     common.folders = true;
     assertEquals(0, AgreementHunt.one(common, 3, 5944).longest().seconds());
@@ -150,14 +150,14 @@
     for (long seed = 1; seed <= 60; seed++) {
       for (boolean folders : new boolean[] {false, true}) {
         VirtualFleet.Plan plan = VirtualFleet.Plan.of(folders ? 4 : 7);
-        AgreementHunt.RunVerdict v =
+        AgreementHunt.RunVerdict verdict =
             AgreementHunt.play(
                 folders ? plan.withFolders() : plan,
                 Fault.drawn(plan.processes(), 60, 4, seed),
                 60,
                 3,
                 seed);
-        assertEquals(List.of(), v.broken(), "seed " + seed);
+        assertEquals(List.of(), verdict.broken(), "seed " + seed);
       }
     }
   }
--- a/src/test/java/cobaltseam/fleet/SpreadFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/CapacityFleetTest.java
@@ -13,7 +13,7 @@
 /**
  * A whole that a fleet divides by need, in virtual time on the real modules: one seed, one history.
  */
-class SpreadFleetTest {
+class CapacityFleetTest {
   private static final double FORMED = 30;
 
   private static VirtualFleet fleet(
@@ -28,8 +28,8 @@
     return new Fault(kind, FORMED, length, who, List.of(), 1);
   }
 
-  private static double part(VirtualFleet fleet, int i) {
-    return (double) fleet.usable(i) / CapacityHunt.WHOLE;
+  private static double part(VirtualFleet fleet, int index) {
+    return (double) fleet.usable(index) / CapacityHunt.WHOLE;
   }
 
   private static void kept(VirtualFleet fleet) {
@@ -40,8 +40,8 @@
 
   private static List<Integer> upTo(int from, int to) {
     List<Integer> who = new ArrayList<>();
-    for (int i = from; i < to; i++) {
-      who.add(i);
+    for (int index = from; index < to; index++) {
+      who.add(index);
     }
     return who;
   }
@@ -49,9 +49,9 @@
   @Test
   void partsFollowNeedsAndGoBackWithinALease() {
     VirtualFleet fleet = fleet(10, 1, CapacityHunt.LEASE, CapacityHunt.CLOCKS);
-    for (int i = 0; i < 10; i++) {
-      assertEquals(0.1, part(fleet, i), 0.01, "nobody needs anything: all alike");
-      fleet.needs(i, i == 3 ? 30 : 1);
+    for (int index = 0; index < 10; index++) {
+      assertEquals(0.1, part(fleet, index), 0.01, "nobody needs anything: all alike");
+      fleet.needs(index, index == 3 ? 30 : 1);
     }
     fleet.run(FORMED + 6);
     assertTrue(part(fleet, 3) > 0.5, "it carries three quarters of all: " + part(fleet, 3));
@@ -91,8 +91,8 @@
             CapacityHunt.CLOCKS,
             trouble(Kind.KILL, 15, upTo(0, 4)),
             new Fault(Kind.LOSS, FORMED, 30, List.of(), List.of(), 0.3));
-    for (int i = 0; i < 12; i++) {
-      fleet.needs(i, i % 3 == 0 ? 20 : 1);
+    for (int index = 0; index < 12; index++) {
+      fleet.needs(index, index % 3 == 0 ? 20 : 1);
     }
     fleet.run(FORMED + 100);
     assertTrue(fleet.isSettled());
@@ -117,13 +117,13 @@
     for (long seed = 1; seed <= 25; seed++) {
       for (boolean folders : new boolean[] {false, true}) {
         VirtualFleet.Plan plan = VirtualFleet.Plan.of(folders ? 4 : 7);
-        CapacityHunt.RunVerdict v =
+        CapacityHunt.RunVerdict verdict =
             CapacityHunt.play(
                 folders ? plan.withFolders() : plan,
                 Fault.drawn(plan.processes(), 60, 4, seed),
                 60,
                 seed);
-        assertEquals(List.of(), v.broken(), "seed " + seed);
+        assertEquals(List.of(), verdict.broken(), "seed " + seed);
       }
     }
   }
--- a/src/test/java/cobaltseam/fleet/CheckerTest.java
+++ b/src/test/java/cobaltseam/fleet/InvariantCheckerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The checker finds each thing that must not be; it is given what no sound fleet notes. */
-class CheckerTest {
+class InvariantCheckerTest {
   private static final Set<Live> LIVE = Set.of(new Live(0, "a", 1), new Live(1, "b", 2));
 
   private static RecordedEvent held(int process, long birth, String view, String... members) {
--- a/src/test/java/cobaltseam/fleet/RealFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/RealFleetTest.java
@@ -55,16 +55,18 @@
     assertEquals(List.of(), broken);
   }
 
-  private static Map<String, String> show(RealFleet fleet, int i) throws Exception {
+  private static Map<String, String> show(RealFleet fleet, int index) throws Exception {
     try (ClientStandIn client =
-        new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(i)), 10_000)) {
+        new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(index)), 10_000)) {
       return client.show("members");
     }
   }
 
-  private static void awaitShown(RealFleet fleet, int i, String row, String text) throws Exception {
-    for (long from = System.nanoTime(); !show(fleet, i).getOrDefault(row, "").contains(text); ) {
-      assertTrue(System.nanoTime() - from < LONG_S * 1e9, row + ": " + show(fleet, i));
+  private static void awaitShown(RealFleet fleet, int index, String row, String text)
+      throws Exception {
+    for (long from = System.nanoTime();
+        !show(fleet, index).getOrDefault(row, "").contains(text); ) {
+      assertTrue(System.nanoTime() - from < LONG_S * 1e9, row + ": " + show(fleet, index));
       Thread.sleep(50);
     }
   }
@@ -156,8 +158,8 @@
       settles(fleet);
       String line = fleet.view(0).substring(0, fleet.view(0).indexOf('/'));
       List<String> before = fleet.members(0);
-      for (int i = 0; i < 4; i++) {
-        fleet.kill(i);
+      for (int index = 0; index < 4; index++) {
+        fleet.kill(index);
       }
       Files.delete(fleet.stateFolder(3).resolve("seat"));
       Files.write(fleet.stateFolder(2).resolve("seat.new"), new byte[] {1, 2, 3});
@@ -180,8 +182,8 @@
       fleet.appendSettings(3, "found_anew = \"" + old + "\"");
       awaitLogged(fleet, 3, "membership.not_founded_anew");
       assertEquals(old, fleet.view(3), "all live");
-      for (int i = 0; i < 3; i++) {
-        fleet.kill(i);
+      for (int index = 0; index < 3; index++) {
+        fleet.kill(index);
       }
       awaitShown(fleet, 3, "standing", "minority");
       // Asked for again and again in the same words, it follows once the three were silent for long
@@ -199,9 +201,9 @@
     }
   }
 
-  private static void awaitLogged(RealFleet fleet, int i, String event)
+  private static void awaitLogged(RealFleet fleet, int index, String event)
       throws InterruptedException {
-    for (long from = System.nanoTime(); fleet.events(i, event) == 0; ) {
+    for (long from = System.nanoTime(); fleet.events(index, event) == 0; ) {
       assertTrue(System.nanoTime() - from < LONG_S * 1e9, event);
       Thread.sleep(20);
     }
@@ -237,8 +239,9 @@
       throws InterruptedException {
     for (long from = System.nanoTime(); ; ) {
       boolean all = true;
-      for (int i : processes) {
-        all &= fleet.acts(i).size() == 1 && fleet.acts(i).get(0).contains("/" + number + ":");
+      for (int index : processes) {
+        all &=
+            fleet.acts(index).size() == 1 && fleet.acts(index).get(0).contains("/" + number + ":");
       }
       if (all) {
         return;
@@ -341,9 +344,10 @@
     return client;
   }
 
-  private static void awaitPart(RealFleet fleet, int i, double least) throws InterruptedException {
-    for (long from = System.nanoTime(); fleet.part(i) < least; ) {
-      assertTrue(System.nanoTime() - from < LONG_S * 1e9, i + " holds " + fleet.part(i));
+  private static void awaitPart(RealFleet fleet, int index, double least)
+      throws InterruptedException {
+    for (long from = System.nanoTime(); fleet.part(index) < least; ) {
+      assertTrue(System.nanoTime() - from < LONG_S * 1e9, index + " holds " + fleet.part(index));
       Thread.sleep(20);
     }
   }
@@ -483,8 +487,8 @@
         Map<Ledger.End, Integer> ends = new ConcurrentHashMap<>();
         AtomicInteger asked = new AtomicInteger();
         List<Thread> clients = new java.util.ArrayList<>();
-        for (int i = 0; i < 12; i++) {
-          clients.add(client(fleet, i % 3, ends, asked, over));
+        for (int index = 0; index < 12; index++) {
+          clients.add(client(fleet, index % 3, ends, asked, over));
         }
         awaitBegun(engines, 400);
         // Two of three fail all that they get; then one process ends and another stands still with
@@ -522,8 +526,8 @@
                 + most);
         settles(fleet);
         int denied = 0;
-        for (int i = 0; i < 3; i++) {
-          denied += Integer.parseInt(shown(fleet, i, "repeats").getOrDefault("denied", "0"));
+        for (int index = 0; index < 3; index++) {
+          denied += Integer.parseInt(shown(fleet, index, "repeats").getOrDefault("denied", "0"));
         }
         assertTrue(denied > 0, "without the cap more would have been sent again");
         assertTrue(further > 0, "and within it some were");
@@ -542,24 +546,25 @@
     }
   }
 
-  private static Map<String, String> shown(RealFleet fleet, int i, String what) throws Exception {
+  private static Map<String, String> shown(RealFleet fleet, int index, String what)
+      throws Exception {
     try (ClientStandIn client =
-        new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(i)), 10_000)) {
+        new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(index)), 10_000)) {
       return client.show(what);
     }
   }
 
-  private static Map<String, String> shown(RealFleet fleet, int i) throws Exception {
+  private static Map<String, String> shown(RealFleet fleet, int index) throws Exception {
     try (ClientStandIn client =
-        new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(i)), 10_000)) {
+        new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(index)), 10_000)) {
       return client.show("spread");
     }
   }
 
-  private static void awaitNews(RealFleet fleet, int i, int engines) throws Exception {
+  private static void awaitNews(RealFleet fleet, int index, int engines) throws Exception {
     for (long from = System.nanoTime();
-        !shown(fleet, i).get("engines_reported").equals(Integer.toString(engines)); ) {
-      assertTrue(System.nanoTime() - from < LONG_S * 1e9, i + ": " + shown(fleet, i));
+        !shown(fleet, index).get("engines_reported").equals(Integer.toString(engines)); ) {
+      assertTrue(System.nanoTime() - from < LONG_S * 1e9, index + ": " + shown(fleet, index));
       Thread.sleep(20);
     }
   }
@@ -633,7 +638,7 @@
                       null));
       byte[] taken =
           new MessageCodec("rig", null, 0).write(new MembershipMessage.StateRequest(teller, null));
-      for (int i = 0; i < 50; i++) {
+      for (int index = 0; index < 50; index++) {
         fleet.sendDatagram(0, foreign);
         fleet.sendDatagram(0, new byte[] {1, 2, 3});
         fleet.sendDatagram(0, new byte[0]);
--- a/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
@@ -351,9 +351,9 @@
   void drawnScriptsWithFoldersBreakNothing() {
     for (long seed = 300_000; seed < 300_060; seed++) {
       List<Fault> script = Fault.withFolders(Fault.drawn(5, 60, 5, seed), false, seed);
-      FleetCommand.RunVerdict v =
-          FleetCommand.virtual(VirtualFleet.Plan.of(5).withFolders(), script, 60, seed);
-      assertFalse(v.isBroken(), "seed " + seed + ": " + v.broken());
+      RunVerdict verdict =
+          FleetRunner.playVirtual(VirtualFleet.Plan.of(5).withFolders(), script, 60, seed);
+      assertFalse(verdict.isBroken(), "seed " + seed + ": " + verdict.broken());
     }
   }
 
@@ -375,15 +375,15 @@
     VirtualFleet fleet = fleet(5, 13, trouble(Kind.GONE, 1, 1, 3, 4));
     fleet.run(FORMED - 0.1);
     assertEquals(5, fleet.carriers(0));
-    double s = FORMED;
+    double second = FORMED;
     while (fleet.view(0).members().size() == 5) {
-      s += 0.05;
-      fleet.run(s);
+      second += 0.05;
+      fleet.run(second);
     }
     assertEquals(5, fleet.carriers(0), "their sends may still hold engines");
-    fleet.run(s + 4.9);
+    fleet.run(second + 4.9);
     assertEquals(5, fleet.carriers(0));
-    fleet.run(s + 5.2);
+    fleet.run(second + 5.2);
     assertEquals(3, fleet.carriers(0), "the longest send has ended");
   }
 
@@ -391,10 +391,10 @@
   void drawnScriptsAtFixedSeedsBreakNothing() {
     for (long seed : new long[] {127, 227, 267, 3777, 3918, 20909, 64028}) {
       for (int processes : new int[] {3, 9}) {
-        FleetCommand.RunVerdict v =
-            FleetCommand.virtual(
+        RunVerdict verdict =
+            FleetRunner.playVirtual(
                 VirtualFleet.Plan.of(processes), Fault.drawn(processes, 60, 5, seed), 60, seed);
-        assertFalse(v.isBroken(), "seed " + seed + ": " + v.broken());
+        assertFalse(verdict.isBroken(), "seed " + seed + ": " + verdict.broken());
       }
     }
   }
