--- a/src/main/java/cobaltseam/fleet/VirtualFleet.java
+++ b/src/main/java/cobaltseam/fleet/VirtualFleet.java
@@ -38,8 +38,8 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet of the real membership in virtual time, under a script of troubles. One seed, one
- * history.
+ * A fleet of the real membership in virtual time, under a script of faults. The same seed gives the
+ * same history.
  */
 public final class VirtualFleet {
   /** What a fleet is made of. */
@@ -51,10 +51,12 @@
       double startWithinS,
       double maxSendDelayS,
       boolean withPersistence) {
+    /** The usual plan of so many processes, without persistence. */
     public static Plan of(int processes) {
       return new Plan(processes, 1, 2, Math.min(3, processes), 1, 5, false);
     }
 
+    /** The same with a persistent state for each process. */
     public Plan withFolders() {
       return new Plan(
           processes,
@@ -89,25 +91,30 @@
     CapacityLeases capacityLeases;
     FleetCoordinator coordinator;
 
-    /** Of its clock, over that of the world. */
+    /** Rate of its clock over that of virtual time. */
     double rate = 1;
 
-    /** Which process of this number it is; events of a former one are void. */
+    /** Number of the process under this index; events of a former process are void. */
     long life;
 
-    boolean alive, started;
+    boolean alive;
+    boolean started;
 
-    /** While it is dead: whether it comes back as the same member. */
+    /** While it is dead: whether it will restart as the same member. */
     boolean resumes;
 
     double wake = Double.MAX_VALUE;
 
-    /** What its folder holds, held half a run before, and is being written. */
-    PersistentState persistentState, earlierState;
+    /** The state in its folder. */
+    PersistentState persistentState;
 
+    /** The persistent state of half a run before. */
+    PersistentState earlierState;
+
+    /** The write that is under way. */
     MembershipAction.Persist writing;
 
-    /** What came while it stood still. */
+    /** Messages that arrived while it was suspended. */
     final Deque<PeerMessage> unread = new ArrayDeque<>();
   }
 
@@ -136,10 +143,10 @@
   private static final cobaltseam.sharing.GossipOptions SHARING =
       new cobaltseam.sharing.GossipOptions(
           new TimeSpan(500_000), 3, new TimeSpan(10_000_000), 8192, 0.001);
-  private static final long TROUBLED = -1;
-  private static final long COPIES = -2;
-  private static final double SLOWEST_WRITE = 0.02;
-  private static final int MOST_UNREAD = 4096;
+  private static final long FAULT_EVENT = -1;
+  private static final long COPY_STATE_EVENT = -2;
+  private static final double MAX_WRITE_S = 0.02;
+  private static final int MAX_UNREAD_MESSAGES = 4096;
   private final Plan plan;
   private final List<Fault> faults;
   private final SplittableRandom chance;
@@ -165,6 +172,7 @@
   private PeakUsage peakUsage = new PeakUsage(0, 0, false);
   private final List<ActivationRecord> activations = new ArrayList<>();
 
+  /** Prepares a fleet; {@link #run} plays it. */
   public VirtualFleet(Plan plan, List<Fault> faults, long seed) {
     this.plan = plan;
     this.faults = faults;
@@ -176,15 +184,15 @@
       byAddress.put(addresses.get(index), index);
       at(chance.nextDouble() * plan.startWithinS, index, 0, null);
     }
-    for (Fault t : faults) {
-      for (int process : t.processes()) {
-        switch (t.kind()) {
+    for (Fault fault : faults) {
+      for (int process : fault.processes()) {
+        switch (fault.kind()) {
           case KILL, TERM, GONE, PAUSE, SLOW, LOSE, STALE -> {
-            if (t.kind() == Fault.Kind.STALE) {
-              at(t.atS() / 2, process, COPIES, null);
+            if (fault.kind() == Fault.Kind.STALE) {
+              at(fault.atS() / 2, process, COPY_STATE_EVENT, null);
             }
-            at(t.atS(), process, TROUBLED, null);
-            at(t.endS(), process, TROUBLED, null);
+            at(fault.atS(), process, FAULT_EVENT, null);
+            at(fault.endS(), process, FAULT_EVENT, null);
           }
           default -> {}
         }
@@ -198,8 +206,8 @@
           InetAddress.getByAddress(
               new byte[] {10, (byte) (index >> 16), (byte) (index >> 8), (byte) index}),
           PORT);
-    } catch (UnknownHostException event) {
-      throw new IllegalStateException(event);
+    } catch (UnknownHostException e) {
+      throw new IllegalStateException("an address of four bytes is always valid", e);
     }
   }
 
@@ -218,14 +226,17 @@
 
   // ---- what is asked
 
+  /** All events that members recorded so far, in order. */
   public List<RecordedEvent> recordedEvents() {
     return recordedEvents;
   }
 
+  /** The virtual time, in seconds from the start. */
   public double now() {
     return now;
   }
 
+  /** The number of datagrams sent so far. */
   public long sent() {
     return sent;
   }
@@ -235,14 +246,17 @@
     return notes;
   }
 
+  /** Whether a process runs, suspended or not. */
   public boolean isAlive(int index) {
     return processes[index].alive;
   }
 
+  /** The quorum state that a process believes in. */
   public QuorumState quorumState(int index) {
     return processes[index].membership.standing();
   }
 
+  /** The view that a process holds, or null. */
   public View view(int index) {
     return processes[index].membership.view();
   }
@@ -253,10 +267,12 @@
     scheduleWake(index);
   }
 
+  /** Over how many members a process shares the engines now. */
   public int carriers(int index) {
     return processes[index].membership.carriers(moment(index));
   }
 
+  /** The processes that run now. */
   public Set<InvariantChecker.Live> live() {
     Set<InvariantChecker.Live> live = new LinkedHashSet<>();
     for (int index = 0; index < processes.length; index++) {
@@ -304,15 +320,15 @@
 
   private void play(Event event) {
     Process process = processes[event.process];
-    if (event.life == TROUBLED) {
+    if (event.life == FAULT_EVENT) {
       injectFault(event.process);
-    } else if (event.life == COPIES) {
+    } else if (event.life == COPY_STATE_EVENT) {
       process.earlierState = process.persistentState;
     } else if (event.keep != null) {
-      if (process.alive && stands(event.process)) {
+      if (process.alive && isSuspended(event.process)) {
         // A disk goes on writing while its process stands still; the process hears of it later.
         events.add(
-            new Event(now + SLOWEST_WRITE, turns++, event.process, event.life, null, event.keep));
+            new Event(now + MAX_WRITE_S, turns++, event.process, event.life, null, event.keep));
       } else if (process.alive && event.life == process.life && process.writing == event.keep) {
         process.persistentState = event.keep.what();
         process.writing = null;
@@ -331,22 +347,22 @@
     } else if (!process.started && event.life == 0) {
       start(event.process);
     } else if (process.alive && event.life == process.life && event.at >= process.wake) {
-      if (stands(event.process)) {
+      if (isSuspended(event.process)) {
         return;
       }
       due(event.process);
     }
   }
 
-  /** Whether a process stands still now, and until when if it runs in turns. */
-  private boolean stands(int index) {
-    for (Fault t : faults) {
-      if (t.processes().contains(index) && now >= t.atS() && now < t.endS()) {
-        if (t.kind() == Fault.Kind.PAUSE) {
+  /** Whether a process is suspended now; one that runs in turns is scheduled for its next turn. */
+  private boolean isSuspended(int index) {
+    for (Fault fault : faults) {
+      if (fault.processes().contains(index) && now >= fault.atS() && now < fault.endS()) {
+        if (fault.kind() == Fault.Kind.PAUSE) {
           return true;
         }
-        if (t.kind() == Fault.Kind.SLOW && now * 10 % 1 > t.size()) {
-          at(Math.floor(now * 10 + 1) / 10 + 1e-6, index, TROUBLED, null);
+        if (fault.kind() == Fault.Kind.SLOW && now * 10 % 1 > fault.size()) {
+          at(Math.floor(now * 10 + 1) / 10 + 1e-6, index, FAULT_EVENT, null);
           return true;
         }
       }
@@ -356,8 +372,8 @@
 
   private void deliver(int index, PeerMessage message) {
     Process process = processes[index];
-    if (stands(index)) {
-      if (process.unread.size() < MOST_UNREAD) {
+    if (isSuspended(index)) {
+      if (process.unread.size() < MAX_UNREAD_MESSAGES) {
         process.unread.add(message);
       }
       return;
@@ -374,6 +390,24 @@
     scheduleWake(index);
   }
 
+  private MembershipOptions membershipOptions() {
+    List<InetSocketAddress> seeds = new ArrayList<>();
+    List<MemberName> bootstrapMembers = new ArrayList<>();
+    for (int f = 0; f < Math.max(plan.bootstrapMembers, Math.min(8, plan.processes)); f++) {
+      seeds.add(addresses.get(f));
+      if (f < plan.bootstrapMembers) {
+        bootstrapMembers.add(name(f));
+      }
+    }
+    return new MembershipOptions(
+        new TimeSpan(Math.round(plan.healthCheckIntervalS * 1e6)),
+        plan.healthCheckTimeoutS,
+        3,
+        bootstrapMembers,
+        seeds,
+        new TimeSpan(Math.round(plan.maxSendDelayS * 1e6)));
+  }
+
   private void start(int index) {
     Process process = processes[index];
     process.started = true;
@@ -381,41 +415,19 @@
     process.resumes = false;
     process.life++;
     process.unread.clear();
-    List<InetSocketAddress> seeds = new ArrayList<>();
-    List<MemberName> founders = new ArrayList<>();
-    for (int f = 0; f < Math.max(plan.bootstrapMembers, Math.min(8, plan.processes)); f++) {
-      seeds.add(addresses.get(f));
-      if (f < plan.bootstrapMembers) {
-        founders.add(name(f));
-      }
-    }
-    MembershipOptions terms =
-        new MembershipOptions(
-            new TimeSpan(Math.round(plan.healthCheckIntervalS * 1e6)),
-            plan.healthCheckTimeoutS,
-            3,
-            founders,
-            seeds,
-            new TimeSpan(Math.round(plan.maxSendDelayS * 1e6)));
+    MembershipOptions options = membershipOptions();
     Member self = new Member(name(index), new Incarnation(++incarnations), addresses.get(index));
     process.membership =
         plan.withPersistence
-            ? Membership.lasting(terms, self, process.persistentState, chance.split())
-            : new Membership(terms, self, chance.split());
+            ? Membership.lasting(options, self, process.persistentState, chance.split())
+            : new Membership(options, self, chance.split());
     recordedEvents.add(
         new RecordedEvent(
             now, index, process.membership.self().incarnation().value(), null, List.of(), true));
     Lease lease =
         leaseOptions == null ? null : new Lease(leaseOptions, process.membership, chance.split());
     if (agreementOptions != null) {
-      process.agreement =
-          new ConfigurationAgreement(
-              agreementOptions, process.membership, lease, TEXTS, chance.split());
-      process.agreement.own("first".getBytes(StandardCharsets.UTF_8));
-      if (process.persistentState != null) {
-        process.persistentState.documents().forEach(process.agreement::knows);
-      }
-      recordActivation(index, null);
+      startAgreement(index, lease);
     }
     if (capacityOptions != null) {
       process.sharing =
@@ -439,16 +451,28 @@
     scheduleWake(index);
   }
 
-  /** A trouble of a process begins or ends. */
+  private void startAgreement(int index, Lease lease) {
+    Process process = processes[index];
+    process.agreement =
+        new ConfigurationAgreement(
+            agreementOptions, process.membership, lease, TEXTS, chance.split());
+    process.agreement.own("first".getBytes(StandardCharsets.UTF_8));
+    if (process.persistentState != null) {
+      process.persistentState.documents().forEach(process.agreement::knows);
+    }
+    recordActivation(index, null);
+  }
+
+  /** A fault of a process begins or ends. */
   private void injectFault(int index) {
     Process process = processes[index];
-    for (Fault t : faults) {
-      boolean dies = t.kind().endsProcess();
+    for (Fault fault : faults) {
+      boolean dies = fault.kind().endsProcess();
       if (dies
-          && t.processes().contains(index)
-          && Math.abs(t.atS() - now) < 1e-9
+          && fault.processes().contains(index)
+          && Math.abs(fault.atS() - now) < 1e-9
           && process.alive) {
-        if (t.kind() == Fault.Kind.TERM && !stands(index)) {
+        if (fault.kind() == Fault.Kind.TERM && !isSuspended(index)) {
           process.coordinator.leave(moment(index));
         }
         process.alive = false;
@@ -460,27 +484,27 @@
         process.resumes =
             plan.withPersistence
                 && process.persistentState != null
-                && (t.kind() == Fault.Kind.KILL || t.kind() == Fault.Kind.TERM);
+                && (fault.kind() == Fault.Kind.KILL || fault.kind() == Fault.Kind.TERM);
         process.persistentState =
-            t.kind() == Fault.Kind.LOSE
+            fault.kind() == Fault.Kind.LOSE
                 ? null
-                : t.kind() == Fault.Kind.STALE ? process.earlierState : process.persistentState;
+                : fault.kind() == Fault.Kind.STALE ? process.earlierState : process.persistentState;
         newest.values().forEach(this::lost);
-      } else if (t.kind() == Fault.Kind.GONE
-          && t.processes().contains(index)
-          && Math.abs(t.atS() - now) < 1e-9) {
+      } else if (fault.kind() == Fault.Kind.GONE
+          && fault.processes().contains(index)
+          && Math.abs(fault.atS() - now) < 1e-9) {
         process.resumes = false;
         newest.values().forEach(this::lost);
       } else if (dies
-          && t.kind() != Fault.Kind.GONE
-          && t.processes().contains(index)
-          && Math.abs(t.endS() - now) < 1e-9
+          && fault.kind() != Fault.Kind.GONE
+          && fault.processes().contains(index)
+          && Math.abs(fault.endS() - now) < 1e-9
           && !process.alive
           && !staysDead(index)) {
         start(index);
       }
     }
-    if (process.alive && stands(index)) {
+    if (process.alive && isSuspended(index)) {
       recordActivation(index, null);
     } else if (process.alive) {
       if (process.agreement != null) {
@@ -523,11 +547,11 @@
   private boolean staysDead(int index) {
     return faults.stream()
         .anyMatch(
-            t ->
-                t.processes().contains(index)
-                    && t.atS() <= now
-                    && (t.kind() == Fault.Kind.GONE
-                        || t.kind().endsProcess() && now < t.endS() - 1e-9));
+            fault ->
+                fault.processes().contains(index)
+                    && fault.atS() <= now
+                    && (fault.kind() == Fault.Kind.GONE
+                        || fault.kind().endsProcess() && now < fault.endS() - 1e-9));
   }
 
   private void note(int index, View view) {
@@ -556,8 +580,7 @@
         if (act instanceof MembershipAction.Persist keep) {
           process.writing = keep;
           events.add(
-              new Event(
-                  now + SLOWEST_WRITE * chance.nextDouble(), turns++, index, life, null, keep));
+              new Event(now + MAX_WRITE_S * chance.nextDouble(), turns++, index, life, null, keep));
         } else if (act instanceof MembershipAction.ViewInstalled installed) {
           note(index, installed.view());
           View view = installed.view();
@@ -588,7 +611,7 @@
   private void scheduleWake(int index) {
     Process process = processes[index];
     if (capacityOptions != null) {
-      weigh();
+      recordUsage();
     }
     Timestamp wake = process.coordinator.wake(moment(index));
     if (wake == null) {
@@ -630,7 +653,7 @@
   /** What a process may use at this moment; nothing while it stands still. */
   public long usable(int index) {
     Process process = processes[index];
-    return process.alive && process.capacityLeases != null && !stands(index)
+    return process.alive && process.capacityLeases != null && !isSuspended(index)
         ? process.capacityLeases.usable(moment(index))
         : 0;
   }
@@ -641,6 +664,7 @@
    */
   public record PeakUsage(long amount, double atS, boolean twoLines) {}
 
+  /** The largest use of capacity so far. */
   public PeakUsage peakUsage() {
     return peakUsage;
   }
@@ -672,7 +696,7 @@
     return missed / 2 / capacityOptions.whole();
   }
 
-  private void weigh() {
+  private void recordUsage() {
     long all = 0;
     long line = 0;
     boolean two = peakUsage.twoLines;
@@ -702,7 +726,7 @@
 
   /** A process proposes a document; why it can't, or null. */
   public String propose(int index, byte[] content, long expect) {
-    if (!processes[index].alive || stands(index)) {
+    if (!processes[index].alive || isSuspended(index)) {
       return "it is not there";
     }
     String why = processes[index].agreement.propose(content, expect, moment(index));
@@ -711,6 +735,7 @@
     return why;
   }
 
+  /** The configuration that is active at a process. */
   public ActiveConfiguration acting(int index) {
     return processes[index].agreement.acting();
   }
@@ -733,7 +758,7 @@
             back
                 ? List.of()
                 : on.versions().stream()
-                    .map(event -> line + "/" + event.number() + ":" + event.hash())
+                    .map(version -> line + "/" + version.number() + ":" + version.hash())
                     .toList()));
   }
 
