--- a/src/main/java/cobaltseam/emulator/Simulation.java
+++ b/src/main/java/cobaltseam/emulator/Simulation.java
@@ -1,7 +1,6 @@
 package cobaltseam.emulator;
 
 import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
-import cobaltseam.dispatch.DataSetId;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.EndpointStatus;
 import cobaltseam.dispatch.EndpointStatus.EndpointState;
@@ -9,15 +8,9 @@
 import cobaltseam.dispatch.GroupId;
 import cobaltseam.dispatch.LocationId;
 import cobaltseam.dispatch.MachineTypeId;
-import cobaltseam.dispatch.Request;
-import cobaltseam.dispatch.RequestClassId;
-import cobaltseam.dispatch.RequestId;
-import cobaltseam.dispatch.SequenceKey;
-import cobaltseam.dispatch.TenantId;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -25,9 +18,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One run of a world in virtual time: clients, dispatchers, the network, engines, the list of
- * engines, and what goes wrong. The same world, policy, faults and seed give the same run, event by
- * event.
+ * One run of an emulated site in virtual time: dispatchers, the network, engines, discovery and
+ * faults; {@link ClientTraffic} brings the requests. The same site, policy, faults and seed give
+ * the same run, event by event.
  */
 public final class Simulation implements EngineLink {
   /** Makes the policy of one dispatcher. */
@@ -50,141 +43,80 @@
     }
   }
 
-  /** One thing that a client wants, over all its askings. */
-  private static final class ClientRequest {
-    int requestClass;
-    int tenant;
-    long firstUs;
-    Order order;
-    double estimateUs;
-    String key;
-    int retriesLeft;
-    boolean closed;
-  }
-
-  private static final long START_US = 1_000_000_000L;
-  private static final double LONGEST_RETRY_S = 0.05;
-
   /** From when on and how often it is looked how even the engines are loaded. */
-  private static final long LOOK_FROM_US = START_US + 10_000_000;
+  private static final long SAMPLE_FROM_US = Timeline.START_US + 10_000_000;
 
-  private static final long LOOK_US = 200_000;
-  private static final int KEYS = 64;
-  private static final long FNV_PRIME = 0x100000001b3L;
+  private static final long SAMPLE_INTERVAL_US = 200_000;
 
   private final EmulatedSite site;
-  private final Timeline time = new Timeline(new Timestamp(START_US));
+  private final Timeline time = new Timeline(new Timestamp(Timeline.START_US));
   private final InvariantChecker invariants;
   private final OutcomeCounts counts;
   private final PolicyFactory policies;
+  private final ClientTraffic traffic;
+  private final EventHash decisions = new EventHash();
   private final List<EngineModel> engines = new ArrayList<>();
   private final List<EndpointState> endpointStates = new ArrayList<>();
   private final List<EmulatedDispatcher> dispatchers = new ArrayList<>();
   private final List<Set<Integer>> partitioned = new ArrayList<>();
-  private final long[] heardUntil;
-  private final long[] lives;
-  private final List<Integer> untold = new ArrayList<>();
-  private final RandomGenerator arrivals;
-  private final RandomGenerator works;
+  private final long[] notifiedUntilUs;
+  private final long[] incarnations;
+  private final List<Integer> unsentUpdates = new ArrayList<>();
   private final RandomGenerator network;
   private final RandomGenerator plans;
   private final RandomGenerator seeds;
-  private final double[] profileParts;
-  private final double[] tenantParts;
-  private final double[] dataParts;
-
-  /** Sums of the dispatchers' parts of the traffic; null where all carry alike. */
-  private final double[] dispatcherParts;
 
   private EmulatedFleet fleet;
-  private final double[] flooded;
   private final double endS;
-  private int discoveryStoppedUntil;
+  private int discoveryStops;
   private double badPlans;
   private double badTimes = 10;
-  private long asked;
-  private long hash = 0xcbf29ce484222325L;
-  private boolean coming = true;
 
   Simulation(
-      EmulatedSite world, PolicyFactory policies, List<Fault> faults, double seconds, long seed) {
-    this.site = world;
+      EmulatedSite site, PolicyFactory policies, List<Fault> faults, double seconds, long seed) {
+    this.site = site;
     this.policies = policies;
     endS = seconds;
-    invariants = new InvariantChecker(world, time);
-    counts = new OutcomeCounts(world.requestClasses().size());
-    dispatcherParts = dispatcherParts(world);
+    invariants = new InvariantChecker(site, time);
+    counts = new OutcomeCounts(site.requestClasses().size());
     SplittableRandom all = new SplittableRandom(seed);
-    arrivals = all.split();
-    works = all.split();
+    RandomGenerator arrivals = all.split();
+    RandomGenerator works = all.split();
     network = all.split();
     plans = all.split();
     seeds = all.split();
     RandomGenerator speeds = all.split();
-    heardUntil = new long[world.dispatchers()];
-    lives = new long[world.dispatchers()];
-    for (int i = 0; i < world.engines().count(); i++) {
+    traffic = new ClientTraffic(site, time, dispatchers, counts, decisions, arrivals, works);
+    notifiedUntilUs = new long[site.dispatchers()];
+    incarnations = new long[site.dispatchers()];
+    for (int i = 0; i < site.engines().count(); i++) {
       double speed =
-          Math.max(0.1, 1 + world.engines().speedSpread() * (2 * speeds.nextDouble() - 1));
+          Math.max(0.1, 1 + site.engines().speedSpread() * (2 * speeds.nextDouble() - 1));
       engines.add(
           new EngineModel(
               new EngineId(i + 1L),
-              new LocationId("l" + i % world.engines().locations()),
-              new GroupId(i % world.engines().groups()),
+              new LocationId("l" + i % site.engines().locations()),
+              new GroupId(i % site.engines().groups()),
               speed,
-              world.engines(),
+              site.engines(),
               time));
       endpointStates.add(EndpointState.UP);
     }
-    for (int i = 0; i < world.dispatchers(); i++) {
+    for (int i = 0; i < site.dispatchers(); i++) {
       dispatchers.add(new EmulatedDispatcher(i, time, this, invariants, counts));
       partitioned.add(new HashSet<>());
       start(i);
     }
-    profileParts =
-        cumulative(
-            world.requestClasses().stream().mapToDouble(EmulatedSite.RequestClass::part).toArray());
-    tenantParts = world.tenants().stream().mapToDouble(EmulatedSite.Tenant::part).toArray();
-    flooded = new double[Math.max(1, tenantParts.length)];
-    Arrays.fill(flooded, 1);
-    double[] sets = new double[Math.max(0, world.load().dataSets())];
-    for (int i = 0; i < sets.length; i++) {
-      sets[i] = 1 / Math.pow(i + 1, world.load().skew());
-    }
-    dataParts = cumulative(sets);
     for (Fault fault : faults) {
-      time.at(at(fault.atS()), () -> begin(fault));
-    }
-    time.at(LOOK_FROM_US, this::look);
-    if (world.load().perSecond() > 0) {
-      time.at(START_US, this::nextArrival);
-    }
-    for (int i = 0; i < world.load().closedClients(); i++) {
-      time.at(
-          START_US + Math.round(arrivals.nextDouble() * world.load().thinkMs() * 1000),
-          () -> issueRequest(true));
+      time.at(at(fault.atS()), () -> inject(fault));
     }
-  }
-
-  private static double[] dispatcherParts(EmulatedSite world) {
-    Double skew = world.load().dispatcherSkew();
-    if (skew == null || skew == 0) {
-      return null;
-    }
-    double[] parts = new double[world.dispatchers()];
-    for (int i = 0; i < parts.length; i++) {
-      parts[i] = 1 / Math.pow(i + 1, skew);
-    }
-    return cumulative(parts);
+    time.at(SAMPLE_FROM_US, this::sampleLoad);
+    traffic.start();
   }
 
   /** The part of all traffic that a dispatcher gets. */
   double trafficOf(int dispatcher) {
-    if (dispatcherParts == null) {
-      return 1.0 / site.dispatchers();
-    }
-    double before = dispatcher == 0 ? 0 : dispatcherParts[dispatcher - 1];
-    return (dispatcherParts[dispatcher] - before) / dispatcherParts[dispatcherParts.length - 1];
+    return traffic.partOf(dispatcher);
   }
 
   /** The dispatchers as one fleet, for policies that have one. */
@@ -193,30 +125,24 @@
     return fleet;
   }
 
-  private void look() {
+  private void sampleLoad() {
     counts.looked(
         engines.stream()
             .filter(e -> e.life == EngineModel.ProcessState.RUNS)
             .mapToDouble(EngineModel::threads)
             .toArray());
-    time.at(time.nowUs() + LOOK_US, this::look);
-  }
-
-  private static double[] cumulative(double[] parts) {
-    double[] sums = parts.clone();
-    Arrays.parallelPrefix(sums, Double::sum);
-    return sums;
+    time.at(time.nowUs() + SAMPLE_INTERVAL_US, this::sampleLoad);
   }
 
   private static long at(double seconds) {
-    return START_US + Math.round(seconds * 1e6);
+    return Timeline.START_US + Math.round(seconds * 1e6);
   }
 
   /** Runs it: clients come until the end, and all that was asked gets the time it may take. */
   Result run() {
     long started = System.nanoTime();
     time.run(new Timestamp(at(endS)));
-    coming = false;
+    traffic.stop();
     double longest =
         site.requestClasses().stream()
                 .mapToDouble(EmulatedSite.RequestClass::deadlineMs)
@@ -229,9 +155,9 @@
         invariants.violations().stream().map(InvariantChecker.Violation::toString).toList(),
         invariants.all(),
         time.happened(),
-        (time.nowUs() - START_US) / 1e6,
+        (time.nowUs() - Timeline.START_US) / 1e6,
         (System.nanoTime() - started) / 1e9,
-        hash);
+        decisions.value());
   }
 
   InvariantChecker referee() {
@@ -255,193 +181,6 @@
     };
   }
 
-  private void note(long what) {
-    hash = (hash ^ what) * FNV_PRIME;
-  }
-
-  // ---- clients
-
-  private double rate() {
-    EmulatedSite.Load load = site.load();
-    double t = (time.nowUs() - START_US) / 1e6;
-    double swing =
-        load.swingS() > 0 ? 1 + load.swing() * Math.sin(2 * Math.PI * t / load.swingS()) : 1;
-    boolean burst = load.burstEveryS() > 0 && t % load.burstEveryS() < load.burstS();
-    double flood = 1;
-    for (int i = 0; i < tenantParts.length; i++) {
-      flood += tenantParts[i] * (flooded[i] - 1) / Arrays.stream(tenantParts).sum();
-    }
-    return load.perSecond() * swing * (burst ? load.burstTimes() : 1) * flood;
-  }
-
-  private void nextArrival() {
-    if (!coming) {
-      return;
-    }
-    issueRequest(false);
-    double gap = -Math.log(1 - arrivals.nextDouble()) / rate();
-    time.at(time.nowUs() + Math.max(0, Math.round(gap * 1e6)), this::nextArrival);
-  }
-
-  private static int draw(double[] sums, double unit) {
-    int found = Arrays.binarySearch(sums, unit * sums[sums.length - 1]);
-    return Math.min(sums.length - 1, found >= 0 ? found + 1 : -found - 1);
-  }
-
-  private int drawTenant() {
-    if (tenantParts.length == 0) {
-      return -1;
-    }
-    double[] parts = tenantParts.clone();
-    for (int i = 0; i < parts.length; i++) {
-      parts[i] *= flooded[i];
-    }
-    return draw(cumulative(parts), arrivals.nextDouble());
-  }
-
-  private double workUs(EmulatedSite.RequestClass requestClass) {
-    double mean = requestClass.workMs() * 1000;
-    if (requestClass.cv() == 0) {
-      return mean;
-    }
-    if (requestClass.cv() == 1) {
-      return -Math.log(1 - works.nextDouble()) * mean;
-    }
-    double variance = Math.log(1 + requestClass.cv() * requestClass.cv());
-    return mean * Math.exp(works.nextGaussian() * Math.sqrt(variance) - variance / 2);
-  }
-
-  private void issueRequest(boolean closed) {
-    if (!coming) {
-      return;
-    }
-    ClientRequest ask = new ClientRequest();
-    ask.requestClass = draw(profileParts, arrivals.nextDouble());
-    ask.tenant = drawTenant();
-    ask.firstUs = time.nowUs();
-    ask.closed = closed;
-    ask.retriesLeft = site.load().retries();
-    EmulatedSite.RequestClass requestClass = site.requestClasses().get(ask.requestClass);
-    DataSetId data =
-        dataParts.length == 0 ? null : new DataSetId(draw(dataParts, works.nextDouble()));
-    ask.order = new Order(requestClass, workUs(requestClass), requestClass.memoryMb(), data);
-    ask.estimateUs =
-        ask.order.workUs() * Math.exp(site.load().estimateError() * works.nextGaussian());
-    ask.key = requestClass.inOrder() ? "k" + works.nextInt(KEYS) : null;
-    counts.offered(ask.requestClass, requestClass.priorityWeight(), ask.firstUs - START_US);
-    attempt(ask);
-  }
-
-  private void attempt(ClientRequest ask) {
-    EmulatedSite.RequestClass requestClass = ask.order.profile();
-    EmulatedDispatcher host =
-        dispatchers.get(
-            dispatcherParts == null
-                ? arrivals.nextInt(dispatchers.size())
-                : draw(dispatcherParts, arrivals.nextDouble()));
-    long there = time.nowUs() + Math.round(site.network().clientMs() * 1000);
-    long until = time.nowUs() + requestClass.deadline().us();
-    RequestId id = new RequestId("c" + asked++);
-    Request command =
-        new Request(
-            id,
-            new RequestClassId(requestClass.name()),
-            ask.tenant < 0 ? null : new TenantId(site.tenants().get(ask.tenant).name()),
-            ask.key == null ? null : new SequenceKey(ask.key),
-            new Timestamp(until),
-            new TimeSpan(Math.round(ask.estimateUs)),
-            ask.order.data(),
-            ask.order.memoryMb());
-    boolean[] told = {false};
-    time.at(
-        there,
-        () -> {
-          if (!host.isUp()) {
-            told[0] = true;
-            retryLater(ask, TimeSpan.ZERO, () -> counts.row(ask.requestClass).failed++);
-            return;
-          }
-          host.admit(
-              command,
-              ask.order,
-              ask.key,
-              new EmulatedDispatcher.ResponseListener() {
-                @Override
-                public void onFinalAnswer(InvariantChecker.FinalAnswer what, TimeSpan comeBack) {
-                  time.after(
-                      EmulatedSite.ms(site.network().clientMs()),
-                      () -> {
-                        if (!told[0]) {
-                          told[0] = true;
-                          Simulation.this.onFinalAnswer(ask, what, comeBack);
-                        }
-                      });
-                }
-
-                @Override
-                public boolean hasClientLeft() {
-                  return told[0];
-                }
-              });
-        });
-    time.at(
-        until,
-        () -> {
-          if (!told[0]) {
-            told[0] = true;
-            host.clientLeft(id);
-            counts.row(ask.requestClass).unanswered++;
-            over(ask);
-          }
-        });
-  }
-
-  private void onFinalAnswer(
-      ClientRequest ask, InvariantChecker.FinalAnswer what, TimeSpan comeBack) {
-    EmulatedSite.RequestClass requestClass = ask.order.profile();
-    note(what.ordinal() + 31L * time.nowUs());
-    switch (what) {
-      case ANSWERED -> {
-        long latency = time.nowUs() - ask.firstUs;
-        double target =
-            requestClass.objective().us()
-                + requestClass.objectivePerWork() * ask.order.workUs() / requestClass.threads();
-        boolean in = latency <= Math.min(target, requestClass.deadline().us());
-        counts.answered(
-            ask.requestClass,
-            requestClass.priorityWeight() * (in ? 1 : requestClass.latePriorityWeight()),
-            in,
-            latency,
-            ask.firstUs - START_US);
-        over(ask);
-      }
-      case SHED -> retryLater(ask, comeBack, () -> counts.row(ask.requestClass).shed++);
-      default -> {
-        counts.row(ask.requestClass).failed++;
-        over(ask);
-      }
-    }
-  }
-
-  private void retryLater(ClientRequest ask, TimeSpan comeBack, Runnable otherwise) {
-    TimeSpan wait =
-        comeBack.max(EmulatedSite.ms(LONGEST_RETRY_S * 1000)).times(0.5 + arrivals.nextDouble());
-    boolean inTime = time.nowUs() + wait.us() < ask.firstUs + ask.order.profile().deadline().us();
-    if (ask.retriesLeft > 0 && inTime) {
-      ask.retriesLeft--;
-      time.after(wait, () -> attempt(ask));
-    } else {
-      otherwise.run();
-      over(ask);
-    }
-  }
-
-  private void over(ClientRequest ask) {
-    if (ask.closed) {
-      time.after(EmulatedSite.ms(site.load().thinkMs()), () -> issueRequest(true));
-    }
-  }
-
   // ---- the network and engines
 
   private TimeSpan delay() {
@@ -454,13 +193,13 @@
     return engines.get((int) id.value() - 1);
   }
 
-  private boolean cut(EmulatedDispatcher host, EngineModel engine) {
+  private boolean isPartitioned(EmulatedDispatcher host, EngineModel engine) {
     return partitioned.get(host.number).contains((int) engine.id.value() - 1);
   }
 
   @Override
   public void send(EmulatedDispatcher from, EmulatedDispatcher.Attempt out, Order order) {
-    note(out.engine.id.value() * 1_000_003 + time.nowUs());
+    decisions.add(out.engine.id.value() * 1_000_003 + time.nowUs());
     EmulatedSite.RequestClass requestClass = order.profile();
     boolean bad = plans.nextDouble() < Math.max(requestClass.badPlans(), badPlans);
     double work =
@@ -477,7 +216,9 @@
       double work,
       boolean fails) {
     EngineModel engine = out.engine;
-    if (out.isOver || cut(from, engine) || engine.life == EngineModel.ProcessState.VANISHED) {
+    if (out.isOver
+        || isPartitioned(from, engine)
+        || engine.life == EngineModel.ProcessState.VANISHED) {
       return;
     }
     if (engine.life == EngineModel.ProcessState.DIED) {
@@ -517,7 +258,9 @@
   }
 
   private void progress(EmulatedDispatcher from, EmulatedDispatcher.Attempt out) {
-    if (!out.isOver && !cut(from, out.engine) && out.engine.life == EngineModel.ProcessState.RUNS) {
+    if (!out.isOver
+        && !isPartitioned(from, out.engine)
+        && out.engine.life == EngineModel.ProcessState.RUNS) {
       double share = out.engine.progress(out.job);
       if (share < 1) {
         time.after(delay(), () -> from.updateProgress(out, share));
@@ -526,10 +269,10 @@
     }
   }
 
-  /** Word of a send goes back to its dispatcher, unless the way is cut. */
+  /** The outcome of an attempt travels back to its dispatcher, unless the two are partitioned. */
   private void deliverOutcome(
       EmulatedDispatcher to, EmulatedDispatcher.Attempt out, AttemptResult ending, double inHand) {
-    if (!cut(to, out.engine)) {
+    if (!isPartitioned(to, out.engine)) {
       time.after(delay(), () -> to.completeAttempt(out, ending, inHand));
     }
   }
@@ -540,17 +283,17 @@
       time.after(
           delay(),
           () -> {
-            if (out.job != null && !cut(from, out.engine)) {
+            if (out.job != null && !isPartitioned(from, out.engine)) {
               out.engine.cancel(out.job);
             }
           });
     }
   }
 
-  // ---- the list
+  // ---- discovery
 
   private void start(int dispatcher) {
-    lives[dispatcher]++;
+    incarnations[dispatcher]++;
     EmulatedDispatcher host = dispatchers.get(dispatcher);
     host.start(policies.of(site.deployment(dispatcher), seeds.nextLong(), this));
     List<EndpointStatus> all = new ArrayList<>();
@@ -571,11 +314,11 @@
         new Timestamp(Math.max(0, e.startedUs)));
   }
 
-  /** An engine's line has changed: each dispatcher hears of it late, and in order. */
-  private void changed(int engine, EndpointState to) {
+  /** An endpoint has changed its state: each dispatcher is notified late, and in order. */
+  private void changeState(int engine, EndpointState to) {
     endpointStates.set(engine, to);
-    if (discoveryStoppedUntil > 0) {
-      untold.add(engine);
+    if (discoveryStops > 0) {
+      unsentUpdates.add(engine);
       return;
     }
     notifyDispatchers(engine);
@@ -585,13 +328,14 @@
     EndpointStatus line = endpointStatus(engine);
     for (EmulatedDispatcher host : dispatchers) {
       double late = site.discovery().lagMs() + network.nextDouble() * site.discovery().spreadMs();
-      long when = Math.max(heardUntil[host.number] + 1, time.nowUs() + Math.round(late * 1000));
-      heardUntil[host.number] = when;
-      long life = lives[host.number];
+      long when =
+          Math.max(notifiedUntilUs[host.number] + 1, time.nowUs() + Math.round(late * 1000));
+      notifiedUntilUs[host.number] = when;
+      long life = incarnations[host.number];
       time.at(
           when,
           () -> {
-            if (lives[host.number] == life) {
+            if (incarnations[host.number] == life) {
               host.updateEndpoints(List.of(line), false);
             }
           });
@@ -610,71 +354,32 @@
         EmulatedSite.ms(silent ? site.discovery().lagMs() * 2 : 0),
         () -> {
           if (engine.life != EngineModel.ProcessState.RUNS) {
-            changed(number, EndpointState.GONE);
+            changeState(number, EndpointState.GONE);
           }
         });
   }
 
-  private void returns(int number) {
+  private void restart(int number) {
     EngineModel engine = engines.get(number);
     if (engine.life != EngineModel.ProcessState.RUNS) {
       engine.life = EngineModel.ProcessState.RUNS;
       engine.startedUs = time.nowUs();
       engine.advance();
-      changed(number, EndpointState.UP);
+      changeState(number, EndpointState.UP);
     }
   }
 
-  // ---- what goes wrong
+  // ---- faults
 
-  private void begin(Fault fault) {
+  private void inject(Fault fault) {
     long end = time.nowUs() + Math.round(fault.lengthS() * 1e6);
     switch (fault.kind()) {
       case SLOW -> paced(fault, 1 / fault.size(), fault.size(), end);
       case HANG -> paced(fault, 0, 0, end);
-      case FAIL ->
-          fault
-              .engines()
-              .forEach(
-                  e -> {
-                    engines.get(e).failing = fault.size();
-                    time.at(end, () -> engines.get(e).failing = 0);
-                  });
-      case LOSE ->
-          fault
-              .engines()
-              .forEach(
-                  e -> {
-                    engines.get(e).losing = fault.size();
-                    time.at(end, () -> engines.get(e).losing = 0);
-                  });
-      case VANISH, DIE ->
-          fault
-              .engines()
-              .forEach(
-                  e -> {
-                    if (engines.get(e).life == EngineModel.ProcessState.RUNS) {
-                      die(engines.get(e), fault.kind() == Fault.Kind.VANISH);
-                      time.at(end, () -> returns(e));
-                    }
-                  });
-      case DRAIN ->
-          fault
-              .engines()
-              .forEach(
-                  e -> {
-                    if (engines.get(e).life == EngineModel.ProcessState.RUNS) {
-                      changed(e, EndpointState.DRAINING);
-                      time.at(
-                          end,
-                          () -> {
-                            if (engines.get(e).life == EngineModel.ProcessState.RUNS) {
-                              die(engines.get(e), false);
-                            }
-                          });
-                      time.at(end + (end - time.nowUs()), () -> returns(e));
-                    }
-                  });
+      case FAIL -> failAttempts(fault, end);
+      case LOSE -> loseAnswers(fault, end);
+      case VANISH, DIE -> takeDown(fault, end);
+      case DRAIN -> drain(fault, end);
       case PARTITION -> {
         Set<Integer> of = partitioned.get(fault.target());
         of.addAll(fault.engines());
@@ -687,26 +392,15 @@
       case KILL -> {
         if (dispatchers.get(fault.target()).isUp()) {
           dispatchers.get(fault.target()).kill();
-          lives[fault.target()]++;
+          incarnations[fault.target()]++;
           time.at(end, () -> start(fault.target()));
         }
       }
-      case ROSTER_STOPS -> {
-        discoveryStoppedUntil++;
-        time.at(
-            end,
-            () -> {
-              if (--discoveryStoppedUntil == 0) {
-                List<Integer> due = List.copyOf(untold);
-                untold.clear();
-                due.stream().distinct().forEach(this::notifyDispatchers);
-              }
-            });
-      }
+      case ROSTER_STOPS -> stopDiscovery(end);
       case FLOOD -> {
-        if (fault.target() < tenantParts.length) {
-          flooded[fault.target()] = fault.size();
-          time.at(end, () -> flooded[fault.target()] = 1);
+        if (traffic.hasTenant(fault.target())) {
+          traffic.setTenantLoad(fault.target(), fault.size());
+          time.at(end, () -> traffic.setTenantLoad(fault.target(), 1));
         }
       }
       case BAD_PLANS -> {
@@ -717,6 +411,58 @@
     }
   }
 
+  private void failAttempts(Fault fault, long end) {
+    for (int number : fault.engines()) {
+      engines.get(number).failing = fault.size();
+      time.at(end, () -> engines.get(number).failing = 0);
+    }
+  }
+
+  private void loseAnswers(Fault fault, long end) {
+    for (int number : fault.engines()) {
+      engines.get(number).losing = fault.size();
+      time.at(end, () -> engines.get(number).losing = 0);
+    }
+  }
+
+  private void takeDown(Fault fault, long end) {
+    for (int number : fault.engines()) {
+      if (engines.get(number).life == EngineModel.ProcessState.RUNS) {
+        die(engines.get(number), fault.kind() == Fault.Kind.VANISH);
+        time.at(end, () -> restart(number));
+      }
+    }
+  }
+
+  private void drain(Fault fault, long end) {
+    for (int number : fault.engines()) {
+      if (engines.get(number).life == EngineModel.ProcessState.RUNS) {
+        changeState(number, EndpointState.DRAINING);
+        time.at(end, () -> dieIfRunning(number));
+        time.at(end + (end - time.nowUs()), () -> restart(number));
+      }
+    }
+  }
+
+  private void dieIfRunning(int number) {
+    if (engines.get(number).life == EngineModel.ProcessState.RUNS) {
+      die(engines.get(number), false);
+    }
+  }
+
+  private void stopDiscovery(long end) {
+    discoveryStops++;
+    time.at(end, this::resumeDiscovery);
+  }
+
+  private void resumeDiscovery() {
+    if (--discoveryStops == 0) {
+      List<Integer> due = List.copyOf(unsentUpdates);
+      unsentUpdates.clear();
+      due.stream().distinct().forEach(this::notifyDispatchers);
+    }
+  }
+
   private void paced(Fault fault, double factor, double back, long end) {
     for (int e : fault.engines()) {
       EngineModel engine = engines.get(e);
--- a/src/main/java/cobaltseam/emulator/Timeline.java
+++ b/src/main/java/cobaltseam/emulator/Timeline.java
@@ -9,6 +9,9 @@
  * the same.
  */
 final class Timeline {
+  /** The virtual time at which every run starts, in microseconds. */
+  static final long START_US = 1_000_000_000L;
+
   /** Something set for a moment, to be taken back by who set it. */
   static final class Entry implements Comparable<Entry> {
     private final long at;
