--- a/src/test/java/cobaltseam/dispatch/MoveTest.java
+++ b/src/test/java/cobaltseam/dispatch/MoveTest.java
@@ -221,7 +221,7 @@
     move(w, with(World.RULES, World.MEANS, World.profile("p", 1)));
     List.copyOf(w.out.values()).forEach(o -> w.end(o, AttemptResult.COMPLETED, true));
     w.pass(new TimeSpan(10_000_000));
-    assertTrue(w.dispatcher.idle(), "nothing is held, out or counted");
+    assertTrue(w.dispatcher.isIdle(), "nothing is held, out or counted");
     assertTrue(w.finals.isEmpty(), "every one was answered: " + w.finals);
   }
 
@@ -400,7 +400,7 @@
     anew.end(anew.sends.get(0), AttemptResult.COMPLETED, true);
     assertEquals(2, anew.sends.size());
     anew.end(anew.sends.get(1), AttemptResult.COMPLETED, true);
-    assertTrue(anew.dispatcher.idle());
+    assertTrue(anew.dispatcher.isIdle());
   }
 
   @Test
--- a/src/test/java/cobaltseam/dispatch/RulesTest.java
+++ b/src/test/java/cobaltseam/dispatch/RulesTest.java
@@ -294,7 +294,7 @@
     for (Seen cmd : seen.values()) {
       assertTrue(over(world, cmd), "a command without a final answer: " + cmd.command);
     }
-    assertTrue(world.dispatcher.idle(), "no budget leaks");
+    assertTrue(world.dispatcher.isIdle(), "no budget leaks");
     assertTrue(world.sends.size() > 100, "a day with some sends");
   }
 
