--- a/src/main/java/cobaltseam/adapter/SimulatedDispatcher.java
+++ b/src/main/java/cobaltseam/adapter/SimulatedDispatcher.java
@@ -23,101 +23,103 @@
 import java.io.IOException;
 import java.util.List;
 
-/** One life of one dispatcher on the wire: its module, its one timer, and what it has to write. */
+/** One dispatcher of the simulator, from its start to its stop, with its only timer. */
 final class SimulatedDispatcher {
-  /** One message of the reply. */
-  interface Message {
+  /** Writes one decision of the reply as a JSON object. */
+  interface WireDecision {
     void write(JsonGenerator out) throws IOException;
   }
 
-  private static final int HINT_VALID = 1;
-  private static final int SHARE_DONE = 1;
-  private static final int SPILLS = 2;
-  private static final int WAITS = 3;
-  private static final double FOR_A_LOAD = 2;
+  private static final int ESTIMATE_VALID_FLAG = 1;
+  private static final int PROGRESS_REPORT = 1;
+  private static final int MEMORY_SHORTFALL_REPORT = 2;
+  private static final int BLOCKED_REPORT = 3;
+  private static final double BLOCKED_BY_LOAD = 2;
 
-  /** The wire's rank where none is named. */
-  private static final int UNHEEDED_RANK = 1;
+  /** The priority that the protocol requires where the policy names none. */
+  private static final int DEFAULT_RANK = 1;
 
-  private static final int NOTE_MEMORY_STEPS = 4096;
-  private static final int NOTE_MEMORY_MB = 4;
+  /** An answer's usage is its work in milliseconds times this, plus its memory in steps. */
+  private static final int USAGE_MEMORY_RANGE = 4096;
+
+  private static final int MEMORY_STEP_MB = 4;
 
   private final Dispatcher dispatcher;
-  private final boolean subscribes;
-  private final int queueAt;
-  private final int inHandAt;
-  private List<Message> reply;
-  private long timers;
-  private Timestamp wake;
+  private final boolean watchesEndpoints;
+  private final int queuedColumn;
+  private final int inFlightColumn;
+  private List<WireDecision> reply;
+  private long lastTimer;
+  private Timestamp timerDueAt;
 
-  SimulatedDispatcher(JsonObjectReader born, List<Message> reply) {
-    JsonObjectReader told = born.object("settings");
-    Deployment deployment = DeploymentReader.read(told);
+  SimulatedDispatcher(JsonObjectReader born, List<WireDecision> reply) {
+    JsonObjectReader settings = born.object("settings");
+    Deployment deployment = DeploymentReader.read(settings);
     dispatcher = new Dispatcher(deployment, born.whole("nonce64"));
-    List<String> reported =
-        told.has("load_report") && told.object("load_report").has("fields")
-            ? told.object("load_report").texts("fields")
+    List<String> loadColumns =
+        settings.has("load_report") && settings.object("load_report").has("fields")
+            ? settings.object("load_report").texts("fields")
             : List.of();
-    queueAt = reported.indexOf(DeploymentReader.QUEUE_REPORT);
-    inHandAt = reported.indexOf(DeploymentReader.IN_HAND_REPORT);
-    subscribes = told.text("discovery", "").equals("subscribe");
+    queuedColumn = loadColumns.indexOf(DeploymentReader.QUEUE_REPORT);
+    inFlightColumn = loadColumns.indexOf(DeploymentReader.IN_HAND_REPORT);
+    watchesEndpoints = settings.text("discovery", "").equals("subscribe");
     this.reply = reply;
-    if (subscribes) {
-      subscribe();
+    if (watchesEndpoints) {
+      watchEndpoints();
     }
   }
 
-  /** Where this batch's messages go. */
-  void answerInto(List<Message> messages) {
-    reply = messages;
+  /** Sets the list that the decisions of this batch are added to. */
+  void setReply(List<WireDecision> decisions) {
+    reply = decisions;
   }
 
-  private void subscribe() {
-    add("track", out -> out.writeBooleanField("enable", true));
+  private void watchEndpoints() {
+    addDecision("track", out -> out.writeBooleanField("enable", true));
   }
 
-  void accepted(JsonObjectReader f, Timestamp now) {
-    boolean hint = (f.whole("attrs", 0) & HINT_VALID) != 0;
-    String share = f.text("project", null);
-    Request command =
+  void acceptRequest(JsonObjectReader event, Timestamp now) {
+    boolean hasEstimate = (event.whole("attrs", 0) & ESTIMATE_VALID_FLAG) != 0;
+    String tenant = event.text("project", null);
+    Request request =
         new Request(
-            new RequestId(f.text("op_id")),
-            new RequestClassId(f.text("kind")),
-            share == null || share.equals("0") ? null : new TenantId(share),
-            f.has("order_key") ? new SequenceKey(f.text("order_key")) : null,
-            new Timestamp(f.whole("due_us")),
-            new TimeSpan(hint ? f.whole("guess_us", 0) : 0),
-            f.has("table_group") ? new DataSetId((long) f.number("table_group")) : null,
-            f.number("mem_mb", 0));
-    write(command.id(), dispatcher.place(command, now));
+            new RequestId(event.text("op_id")),
+            new RequestClassId(event.text("kind")),
+            tenant == null || tenant.equals("0") ? null : new TenantId(tenant),
+            event.has("order_key") ? new SequenceKey(event.text("order_key")) : null,
+            new Timestamp(event.whole("due_us")),
+            new TimeSpan(hasEstimate ? event.whole("guess_us", 0) : 0),
+            event.has("table_group") ? new DataSetId((long) event.number("table_group")) : null,
+            event.number("mem_mb", 0));
+    addPlacement(request.id(), dispatcher.place(request, now));
   }
 
-  void ended(JsonObjectReader f, Timestamp now) {
-    long note = f.whole("note", 0);
-    AttemptResult ending = ending(f.text("verdict"));
-    boolean told = ending == AttemptResult.COMPLETED && note > 0;
-    RequestId id = new RequestId(f.text("op_id"));
+  void completeAttempt(JsonObjectReader event, Timestamp now) {
+    long usage = event.whole("note", 0);
+    AttemptResult result = attemptResult(event.text("verdict"));
+    boolean hasUsage = result == AttemptResult.COMPLETED && usage > 0;
+    RequestId id = new RequestId(event.text("op_id"));
     AttemptOutcome outcome =
         new AttemptOutcome(
             id,
-            (int) f.whole("copy"),
-            new EngineId(f.whole("node")),
-            ending,
-            new TimeSpan(f.whole("duration_us", 0)),
-            f.flag("settled"),
-            new TimeSpan(told ? note / NOTE_MEMORY_STEPS * 1000 : -1),
-            told ? note % NOTE_MEMORY_STEPS * NOTE_MEMORY_MB : -1,
-            reported(f, queueAt),
-            reported(f, inHandAt));
-    write(id, dispatcher.completeAttempt(outcome, now));
+            (int) event.whole("copy"),
+            new EngineId(event.whole("node")),
+            result,
+            new TimeSpan(event.whole("duration_us", 0)),
+            event.flag("settled"),
+            new TimeSpan(hasUsage ? usage / USAGE_MEMORY_RANGE * 1000 : -1),
+            hasUsage ? usage % USAGE_MEMORY_RANGE * MEMORY_STEP_MB : -1,
+            loadReport(event, queuedColumn),
+            loadReport(event, inFlightColumn));
+    addPlacement(id, dispatcher.completeAttempt(outcome, now));
   }
 
-  private static double reported(JsonObjectReader f, int at) {
-    List<Double> row = f.numbers("gauge");
-    return at >= 0 && at < row.size() ? row.get(at) : -1;
+  private static double loadReport(JsonObjectReader event, int column) {
+    List<Double> row = event.numbers("gauge");
+    return column >= 0 && column < row.size() ? row.get(column) : -1;
   }
 
-  private static AttemptResult ending(String verdict) {
+  private static AttemptResult attemptResult(String verdict) {
     return switch (verdict) {
       case "pass" -> AttemptResult.COMPLETED;
       case "fault" -> AttemptResult.ERROR;
@@ -131,119 +133,133 @@
     };
   }
 
-  void listed(JsonObjectReader f, List<EndpointStatus> list, Timestamp now) {
-    switch (f.text("kind")) {
+  void updateEndpoints(JsonObjectReader event, List<EndpointStatus> list, Timestamp now) {
+    switch (event.text("kind")) {
       case "incr" -> dispatcher.updateEndpoints(list, false, now);
       case "total", "warm_copy" -> dispatcher.updateEndpoints(list, true, now);
       case "lost" -> {
-        if (subscribes) {
-          subscribe();
+        if (watchesEndpoints) {
+          watchEndpoints();
         }
       }
-      default -> throw new InvalidInputException("sync: unknown 'kind' " + f.text("kind"));
+      default -> throw new InvalidInputException("sync: unknown 'kind' " + event.text("kind"));
     }
   }
 
-  void departed(JsonObjectReader f, Timestamp now) {
-    dispatcher.clientLeft(new RequestId(f.text("op_id")), now);
+  void clientLeft(JsonObjectReader event, Timestamp now) {
+    dispatcher.clientLeft(new RequestId(event.text("op_id")), now);
   }
 
-  /** A note of a send that is out. */
-  void noted(JsonObjectReader f, Timestamp now) {
-    RequestId id = new RequestId(f.text("op_id"));
-    int send = (int) f.whole("copy", 0);
-    double amount = f.number("amount", 0);
-    switch ((int) f.whole("what")) {
-      case SHARE_DONE -> dispatcher.updateProgress(id, send, amount, now);
-      case SPILLS -> dispatcher.updateMemoryShortfall(id, send, amount);
-      case WAITS -> {
-        if (amount == FOR_A_LOAD) {
-          dispatcher.markBlocked(id, send, now);
+  /** A report of an attempt in flight: of its progress, a memory shortfall or a wait. */
+  void updateAttempt(JsonObjectReader event, Timestamp now) {
+    RequestId id = new RequestId(event.text("op_id"));
+    int attempt = (int) event.whole("copy", 0);
+    double amount = event.number("amount", 0);
+    switch ((int) event.whole("what")) {
+      case PROGRESS_REPORT -> dispatcher.updateProgress(id, attempt, amount, now);
+      case MEMORY_SHORTFALL_REPORT -> dispatcher.updateMemoryShortfall(id, attempt, amount);
+      case BLOCKED_REPORT -> {
+        if (amount == BLOCKED_BY_LOAD) {
+          dispatcher.markBlocked(id, attempt, now);
         }
       }
       default -> {}
     }
   }
 
-  void elapsed(JsonObjectReader f) {
-    if (f.whole("name") == timers) {
-      wake = null;
+  void timerElapsed(JsonObjectReader event) {
+    if (event.whole("name") == lastTimer) {
+      timerDueAt = null;
     }
   }
 
-  /** Follows the module until it names a span to wait, and sets the timer to it. */
-  void follow(Timestamp now) {
-    NextStep pause = dispatcher.next(now);
-    while (pause.delay() != null && !pause.delay().isPositive()) {
-      if (pause.cancelAttempt() >= 0) {
-        String id = pause.request().id().value();
-        int send = pause.cancelAttempt();
-        add(
-            "recall",
-            out -> {
-              out.writeStringField("op_id", id);
-              out.writeNumberField("copy", send);
-            });
-      } else if (pause.request() != null) {
-        write(pause.request().id(), dispatcher.place(pause.request(), now));
-      } else if (pause.healthCheck() != null) {
-        long engine = pause.healthCheck().value();
-        add("ping", out -> out.writeNumberField("node", engine));
+  /** Does what the policy asks for until it names a delay, and sets the timer to that. */
+  void followNextSteps(Timestamp now) {
+    NextStep step = dispatcher.next(now);
+    while (step.delay() != null && !step.delay().isPositive()) {
+      if (step.cancelAttempt() >= 0) {
+        addCancellation(step.request().id(), step.cancelAttempt());
+      } else if (step.request() != null) {
+        addPlacement(step.request().id(), dispatcher.place(step.request(), now));
+      } else if (step.healthCheck() != null) {
+        long engine = step.healthCheck().value();
+        addDecision("ping", out -> out.writeNumberField("node", engine));
       }
-      pause = dispatcher.next(now);
+      step = dispatcher.next(now);
     }
-    if (pause.delay() != null && (wake == null || now.plus(pause.delay()).isBefore(wake))) {
-      wake = now.plus(pause.delay());
-      long name = ++timers;
-      long us = pause.delay().us();
-      add(
-          "schedule",
-          out -> {
-            out.writeNumberField("name", name);
-            out.writeNumberField("from_now_us", us);
-          });
+    if (step.delay() != null) {
+      setTimer(step.delay(), now);
     }
   }
 
-  void fault(RuntimeException e) {
-    add("exception", out -> out.writeStringField("reason_text", e.toString()));
+  private void addCancellation(RequestId id, int attempt) {
+    addDecision(
+        "recall",
+        out -> {
+          out.writeStringField("op_id", id.value());
+          out.writeNumberField("copy", attempt);
+        });
   }
 
-  private void write(RequestId id, Placement p) {
-    switch (p.decision()) {
-      case SEND -> {
-        if (p.priority() >= 0 || p.memoryGrantMb() > 0) {
-          add(
-              "provide",
-              out -> {
-                out.writeStringField("op_id", id.value());
-                out.writeNumberField("grant_mb", Math.round(p.memoryGrantMb()));
-                out.writeNumberField("rank", p.priority() >= 0 ? p.priority() : UNHEEDED_RANK);
-              });
-        }
-        add(
-            "try",
-            out -> {
-              out.writeStringField("op_id", id.value());
-              out.writeNumberField("node", p.engine().value());
-              out.writeNumberField("max_wait_us", p.attemptTimeout().us());
-            });
-      }
+  /** Sets a timer unless one is due as early; one that is replaced still elapses, to no effect. */
+  private void setTimer(TimeSpan delay, Timestamp now) {
+    Timestamp dueAt = now.plus(delay);
+    if (timerDueAt != null && !dueAt.isBefore(timerDueAt)) {
+      return;
+    }
+    timerDueAt = dueAt;
+    long name = ++lastTimer;
+    addDecision(
+        "schedule",
+        out -> {
+          out.writeNumberField("name", name);
+          out.writeNumberField("from_now_us", delay.us());
+        });
+  }
+
+  /** Tells the simulator of an exception in the policy. */
+  void reportFault(RuntimeException exception) {
+    addDecision("exception", out -> out.writeStringField("reason_text", exception.toString()));
+  }
+
+  private void addPlacement(RequestId id, Placement placement) {
+    switch (placement.decision()) {
+      case SEND -> addAttempt(id, placement);
       case SHED ->
-          add(
+          addDecision(
               "bounce",
               out -> {
                 out.writeStringField("op_id", id.value());
-                if (p.retryAfter().isPositive()) {
-                  out.writeNumberField("come_back_us", p.retryAfter().us());
+                if (placement.retryAfter().isPositive()) {
+                  out.writeNumberField("come_back_us", placement.retryAfter().us());
                 }
               });
-      case FAIL -> add("error", out -> out.writeStringField("op_id", id.value()));
+      case FAIL -> addDecision("error", out -> out.writeStringField("op_id", id.value()));
       default -> {}
     }
   }
 
-  private void add(String name, Message fields) {
+  private void addAttempt(RequestId id, Placement placement) {
+    if (placement.priority() >= 0 || placement.memoryGrantMb() > 0) {
+      int rank = placement.priority() >= 0 ? placement.priority() : DEFAULT_RANK;
+      addDecision(
+          "provide",
+          out -> {
+            out.writeStringField("op_id", id.value());
+            out.writeNumberField("grant_mb", Math.round(placement.memoryGrantMb()));
+            out.writeNumberField("rank", rank);
+          });
+    }
+    addDecision(
+        "try",
+        out -> {
+          out.writeStringField("op_id", id.value());
+          out.writeNumberField("node", placement.engine().value());
+          out.writeNumberField("max_wait_us", placement.attemptTimeout().us());
+        });
+  }
+
+  private void addDecision(String name, WireDecision fields) {
     reply.add(
         out -> {
           out.writeStartObject();
--- a/src/main/java/cobaltseam/adapter/SimulatorAdapter.java
+++ b/src/main/java/cobaltseam/adapter/SimulatorAdapter.java
@@ -24,15 +24,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Speaks the simulator's wire: a batch of events a line in, a line of decisions out. */
+/** Speaks the simulator's protocol: reads a batch of events a line, writes a line of decisions. */
 public final class SimulatorAdapter {
   private final JsonFactory json = new JsonFactory();
-  private final Map<Long, SimulatedDispatcher> instances = new HashMap<>();
-  private final Map<Long, List<EndpointStatus>> rosters = new HashMap<>();
+  private final Map<Long, SimulatedDispatcher> dispatchers = new HashMap<>();
+  private final Map<Long, List<EndpointStatus>> endpointLists = new HashMap<>();
 
   /**
-   * Answers batches until the input ends; throws {@link InvalidInputException} on what it can't
-   * take.
+   * Answers batches until the input ends.
+   *
+   * @throws InvalidInputException if a line is not a valid batch; says what is wrong with it
+   * @throws IOException if reading or writing fails
    */
   public void run(InputStream in, OutputStream out) throws IOException {
     BufferedReader lines =
@@ -44,37 +46,37 @@
       JsonObjectReader batch;
       try (JsonParser parser = json.createParser(line)) {
         batch = JsonObjectReader.of(parser);
-      } catch (JsonProcessingException e) {
-        throw new InvalidInputException("a line is not JSON: " + e.getOriginalMessage());
+      } catch (JsonProcessingException exception) {
+        throw new InvalidInputException("a line is not JSON: " + exception.getOriginalMessage());
       }
-      answer(batch, writer);
+      answerBatch(batch, writer);
       writer.writeRaw('\n');
       writer.flush();
       out.flush();
     }
   }
 
-  private void answer(JsonObjectReader batch, JsonGenerator out) throws IOException {
+  private void answerBatch(JsonObjectReader batch, JsonGenerator out) throws IOException {
     Timestamp now = new Timestamp(batch.whole("time_us"));
-    Map<Long, List<SimulatedDispatcher.Message>> replies = new LinkedHashMap<>();
+    Map<Long, List<SimulatedDispatcher.WireDecision>> replies = new LinkedHashMap<>();
     for (JsonObjectReader group : batch.objects("groups")) {
       long number = group.whole("dispatcher");
-      List<SimulatedDispatcher.Message> reply =
+      List<SimulatedDispatcher.WireDecision> reply =
           replies.computeIfAbsent(number, n -> new ArrayList<>());
       for (JsonObjectReader event : group.objects("events")) {
         String name = event.onlyName();
-        take(number, name, event.object(name), reply, now);
+        handleEvent(number, name, event.object(name), reply, now);
       }
     }
     out.writeStartObject();
     out.writeArrayFieldStart("groups");
-    for (Map.Entry<Long, List<SimulatedDispatcher.Message>> reply : replies.entrySet()) {
+    for (Map.Entry<Long, List<SimulatedDispatcher.WireDecision>> reply : replies.entrySet()) {
       if (!reply.getValue().isEmpty()) {
         out.writeStartObject();
         out.writeNumberField("dispatcher", reply.getKey());
         out.writeArrayFieldStart("decisions");
-        for (SimulatedDispatcher.Message message : reply.getValue()) {
-          message.write(out);
+        for (SimulatedDispatcher.WireDecision decision : reply.getValue()) {
+          decision.write(out);
         }
         out.writeEndArray();
         out.writeEndObject();
@@ -84,66 +86,67 @@
     out.writeEndObject();
   }
 
-  private void take(
+  private void handleEvent(
       long number,
       String name,
-      JsonObjectReader f,
-      List<SimulatedDispatcher.Message> reply,
+      JsonObjectReader event,
+      List<SimulatedDispatcher.WireDecision> reply,
       Timestamp now) {
     if (name.equals("roster")) {
-      rosters.put(f.whole("ref"), roster(f));
+      endpointLists.put(event.whole("ref"), endpointList(event));
       return;
     }
     if (name.equals("stop")) {
-      // What this life still had to write must not reach the next one.
-      instances.remove(number);
+      // Decisions of the stopped dispatcher must not reach the one that starts in its place.
+      dispatchers.remove(number);
       reply.clear();
       return;
     }
     if (name.equals("born")) {
-      instances.put(number, new SimulatedDispatcher(f, reply));
+      dispatchers.put(number, new SimulatedDispatcher(event, reply));
       return;
     }
-    SimulatedDispatcher instance = instances.get(number);
-    if (instance == null) {
+    SimulatedDispatcher dispatcher = dispatchers.get(number);
+    if (dispatcher == null) {
       throw new InvalidInputException(name + ": dispatcher " + number + " was not born");
     }
     try {
-      instance.answerInto(reply);
+      dispatcher.setReply(reply);
       switch (name) {
-        case "accept" -> instance.accepted(f, now);
-        case "verdict" -> instance.ended(f, now);
-        case "sync" -> instance.listed(f, rosters.getOrDefault(f.whole("ref", 0), List.of()), now);
-        case "withdrawn" -> instance.departed(f, now);
-        case "elapsed" -> instance.elapsed(f);
-        case "change" -> instance.noted(f, now);
+        case "accept" -> dispatcher.acceptRequest(event, now);
+        case "verdict" -> dispatcher.completeAttempt(event, now);
+        case "sync" ->
+            dispatcher.updateEndpoints(
+                event, endpointLists.getOrDefault(event.whole("ref", 0), List.of()), now);
+        case "withdrawn" -> dispatcher.clientLeft(event, now);
+        case "elapsed" -> dispatcher.timerElapsed(event);
+        case "change" -> dispatcher.updateAttempt(event, now);
         case "check_result", "peer", "first_byte" -> {}
         default -> throw new InvalidInputException("unknown event '" + name + "'");
       }
-      instance.follow(now);
-    } catch (InvalidInputException e) {
-      throw e;
-    } catch (RuntimeException e) {
-      instance.fault(e);
+      dispatcher.followNextSteps(now);
+    } catch (InvalidInputException exception) {
+      throw exception;
+    } catch (RuntimeException exception) {
+      dispatcher.reportFault(exception);
     }
   }
 
-  private static List<EndpointStatus> roster(JsonObjectReader f) {
+  private static List<EndpointStatus> endpointList(JsonObjectReader event) {
     List<EndpointStatus> list = new ArrayList<>();
-    for (JsonObjectReader entry : f.objects("nodes_list")) {
-      String standing = entry.text("lifecycle");
+    for (JsonObjectReader entry : event.objects("nodes_list")) {
+      String state = entry.text("lifecycle");
       list.add(
           new EndpointStatus(
               new EngineId(entry.whole("node")),
               new LocationId(entry.text("failure_domain", "")),
               new MachineTypeId(entry.text("model", "")),
               new GroupId(entry.whole("block", 0)),
-              switch (standing) {
+              switch (state) {
                 case "up" -> EndpointStatus.EndpointState.UP;
                 case "draining" -> EndpointStatus.EndpointState.DRAINING;
                 case "removed" -> EndpointStatus.EndpointState.GONE;
-                default ->
-                    throw new InvalidInputException("roster: unknown 'lifecycle' " + standing);
+                default -> throw new InvalidInputException("roster: unknown 'lifecycle' " + state);
               },
               new Timestamp(entry.whole("launched_us", 0))));
     }
--- a/src/main/java/cobaltseam/dispatch/AttemptOutcome.java
+++ b/src/main/java/cobaltseam/dispatch/AttemptOutcome.java
@@ -1,9 +1,15 @@
 package cobaltseam.dispatch;
 
 /**
- * How one send ended. {@code over} is true when nothing more is owed for the command. The work and
- * memory that an answer needed, and the engine's queue and commands in hand, are below zero where
- * they are not told.
+ * How one attempt ended.
+ *
+ * @param attempt the number of the attempt, from 0 for each request
+ * @param isLast whether the request needs nothing more
+ * @param workDone the time on one engine thread that an answer took; below zero if unknown
+ * @param memoryUsedMb the memory that an answer needed, in megabytes; below zero if unknown
+ * @param queuedAtEngine requests queued at the engine, of all dispatchers; below zero if unknown
+ * @param inFlightAtEngine requests in flight at the engine with those queued, of all dispatchers;
+ *     below zero if unknown
  */
 public record AttemptOutcome(
     RequestId request,
@@ -16,7 +22,7 @@
     double memoryUsedMb,
     double queuedAtEngine,
     double inFlightAtEngine) {
-  /** What became of a send, and whether that proves that it never ran. */
+  /** What became of an attempt. */
   public enum AttemptResult {
     COMPLETED(false),
     ERROR(false),
@@ -33,6 +39,7 @@
       this.neverRan = neverRan;
     }
 
+    /** Whether the result proves that no engine ran the request. */
     public boolean neverRan() {
       return neverRan;
     }
--- a/src/main/java/cobaltseam/dispatch/DataSetId.java
+++ b/src/main/java/cobaltseam/dispatch/DataSetId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names the data set that a command reads. */
+/** Names the data set that a request reads. */
 public record DataSetId(long value) {}
--- a/src/main/java/cobaltseam/dispatch/Deployment.java
+++ b/src/main/java/cobaltseam/dispatch/Deployment.java
@@ -2,7 +2,15 @@
 
 import java.util.List;
 
-/** What a dispatcher is told of its deployment when it starts; absent figures are null. */
+/**
+ * What a dispatcher has to know of its deployment. Figures that the deployment does not set are
+ * null.
+ *
+ * @param dispatcherIndex this dispatcher's number among all, from 0
+ * @param dispatcherCount how many dispatchers share the engines
+ * @param overQuotaWeight the factor to the priority weight of a request over its tenant's quota
+ * @param place where this dispatcher runs
+ */
 public record Deployment(
     int dispatcherIndex,
     int dispatcherCount,
@@ -13,34 +21,46 @@
     Rules rules,
     Capabilities capabilities,
     Place place) {
+  /** A deployment in which the dispatcher's own location is unknown. */
   public Deployment(
-      int number,
-      int dispatchers,
-      List<RequestClass> profiles,
-      List<MachineType> kinds,
-      List<Quota> shares,
-      double overShareWorth,
+      int dispatcherIndex,
+      int dispatcherCount,
+      List<RequestClass> requestClasses,
+      List<MachineType> machineTypes,
+      List<Quota> quotas,
+      double overQuotaWeight,
       Rules rules,
-      Capabilities means) {
-    this(number, dispatchers, profiles, kinds, shares, overShareWorth, rules, means, Place.UNKNOWN);
+      Capabilities capabilities) {
+    this(
+        dispatcherIndex,
+        dispatcherCount,
+        requestClasses,
+        machineTypes,
+        quotas,
+        overQuotaWeight,
+        rules,
+        capabilities,
+        Place.UNKNOWN);
   }
 
   /**
-   * Where this dispatcher stands, if that is told, and whether sends to other locations cost
-   * something.
+   * Where this dispatcher runs.
+   *
+   * @param location null if unknown
+   * @param crossingCosts whether traffic to other locations has a price
    */
   public record Place(LocationId location, boolean crossingCosts) {
     public static final Place UNKNOWN = new Place(null, false);
   }
 
-  /** How often a command may run. */
+  /** Whether a request may run more than once, the least strict first. */
   public enum RetrySafety {
     IDEMPOTENT,
     IDEMPOTENT_WITH_KEY,
     NOT_IDEMPOTENT
   }
 
-  /** The engines that drop repeats of a uniqued command. */
+  /** The engines that deduplicate a request with an idempotency key. */
   public enum DeduplicationScope {
     ALL,
     LOCATION,
@@ -48,9 +68,21 @@
   }
 
   /**
-   * A class of commands. The latency target grows by {@code stretch} times the work over the
-   * threads. Null locations or kinds mean any. A load holds its data set on its engine until it
-   * ends; commands of profiles that wait, and read that set there, stand still meanwhile.
+   * A class of requests.
+   *
+   * @param threads engine threads that a request uses
+   * @param priorityWeight the weight of an answer within the latency objective
+   * @param latePriorityWeight the factor to that of a later answer; zero if it is of no use
+   * @param objectivePerWork the latency objective grows by this times the work per thread
+   * @param deadline how long a client waits, from when its request is accepted
+   * @param deduplicationScope null if engines do not deduplicate
+   * @param deduplicationWindow how long engines remember an idempotency key
+   * @param inOrder whether requests with the same key run in the order in which they are accepted
+   * @param locations where requests may run; null if anywhere
+   * @param machineTypes what requests may run on; null if on any
+   * @param loadsDataSet whether a request loads its data set, and holds it on its engine until it
+   *     ends
+   * @param waitsForLoads whether a request that reads the data set there waits meanwhile
    */
   public record RequestClass(
       RequestClassId id,
@@ -68,46 +100,58 @@
       List<MachineTypeId> machineTypes,
       boolean loadsDataSet,
       boolean waitsForLoads) {
+    /** A class of requests that neither load data sets nor wait for loads. */
     public RequestClass(
         RequestClassId id,
         int threads,
-        double benefit,
-        double lateBenefit,
-        TimeSpan latencyTarget,
-        double stretch,
-        TimeSpan clientTimeout,
-        RetrySafety repeat,
-        DeduplicationScope scope,
-        TimeSpan remembered,
+        double priorityWeight,
+        double latePriorityWeight,
+        TimeSpan latencyObjective,
+        double objectivePerWork,
+        TimeSpan deadline,
+        RetrySafety retrySafety,
+        DeduplicationScope deduplicationScope,
+        TimeSpan deduplicationWindow,
         boolean inOrder,
         List<LocationId> locations,
-        List<MachineTypeId> onKinds) {
+        List<MachineTypeId> machineTypes) {
       this(
           id,
           threads,
-          benefit,
-          lateBenefit,
-          latencyTarget,
-          stretch,
-          clientTimeout,
-          repeat,
-          scope,
-          remembered,
+          priorityWeight,
+          latePriorityWeight,
+          latencyObjective,
+          objectivePerWork,
+          deadline,
+          retrySafety,
+          deduplicationScope,
+          deduplicationWindow,
           inOrder,
           locations,
-          onKinds,
+          machineTypes,
           false,
           false);
     }
   }
 
-  /** A kind of machine; a memory of zero is not told. */
+  /** A type of machine; a memory of zero megabytes is unknown. */
   public record MachineType(MachineTypeId id, double cores, double memoryMb) {}
 
-  /** One holder's part of the service; the rate counts all dispatchers. */
+  /** The requests per second that a tenant may send to all dispatchers together. */
   public record Quota(TenantId tenant, double perSecond) {}
 
-  /** The figures of the rules. */
+  /**
+   * The figures of the rules.
+   *
+   * @param slowStartFraction the part of its work that an engine can do at its start, from 0 to 1
+   * @param slowStartDuration the time until it can do all of it
+   * @param slowStartLimitFactor how many times what it can do it may be sent within a window
+   * @param slowStartWindow the length of that window
+   * @param sequenceKeyRest how long a key rests after an attempt that may still run
+   * @param freeRetries retries in a window beyond the ratio; null without a retry budget
+   * @param retryRatio retries for each accepted request of a window; null without a retry budget
+   * @param retryWindow the length of that window; null without a retry budget
+   */
   public record Rules(
       double slowStartFraction,
       TimeSpan slowStartDuration,
@@ -119,8 +163,16 @@
       TimeSpan retryWindow) {}
 
   /**
-   * What a dispatcher may do here, how fine its clock is, how often progress, spills and waits are
-   * told (zero: never), and whether engines heed a grant of memory.
+   * What a dispatcher may do in this deployment.
+   *
+   * @param clockTick how fine its clock is
+   * @param maxAttempts attempts of one request, with the first
+   * @param canCancel whether an attempt can be cancelled, and a time-out ends its work
+   * @param hasEnginePriorities whether engines heed a priority
+   * @param allowsRetryAfter whether a client may be told when to retry
+   * @param maxRetryAfter the longest such delay
+   * @param progressInterval how often engines report progress, spills and waits; zero for never
+   * @param hasMemoryGrants whether engines heed a grant of memory
    */
   public record Capabilities(
       TimeSpan clockTick,
@@ -131,15 +183,24 @@
       TimeSpan maxRetryAfter,
       TimeSpan progressInterval,
       boolean hasMemoryGrants) {
+    /** Capabilities of a deployment whose engines heed grants of memory. */
     public Capabilities(
-        TimeSpan tick,
-        int mostSends,
-        boolean cancels,
-        boolean priorities,
-        boolean comeBack,
-        TimeSpan longestComeBack,
-        TimeSpan noteEvery) {
-      this(tick, mostSends, cancels, priorities, comeBack, longestComeBack, noteEvery, true);
+        TimeSpan clockTick,
+        int maxAttempts,
+        boolean canCancel,
+        boolean hasEnginePriorities,
+        boolean allowsRetryAfter,
+        TimeSpan maxRetryAfter,
+        TimeSpan progressInterval) {
+      this(
+          clockTick,
+          maxAttempts,
+          canCancel,
+          hasEnginePriorities,
+          allowsRetryAfter,
+          maxRetryAfter,
+          progressInterval,
+          true);
     }
   }
 }
--- a/src/main/java/cobaltseam/dispatch/EndpointStatus.java
+++ b/src/main/java/cobaltseam/dispatch/EndpointStatus.java
@@ -1,6 +1,10 @@
 package cobaltseam.dispatch;
 
-/** One line of the list of engines. A start of zero means long ago. */
+/**
+ * One engine's line of the endpoint list.
+ *
+ * @param startedAt when the engine started; zero if long ago
+ */
 public record EndpointStatus(
     EngineId engine,
     LocationId location,
@@ -8,7 +12,7 @@
     GroupId group,
     EndpointState state,
     Timestamp startedAt) {
-  /** What the list says of an engine. */
+  /** The state of an engine by the endpoint list; a later constant overrules an earlier one. */
   public enum EndpointState {
     UP,
     DRAINING,
--- a/src/main/java/cobaltseam/dispatch/MachineTypeId.java
+++ b/src/main/java/cobaltseam/dispatch/MachineTypeId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names one kind of machine. */
+/** Names one type of machine. */
 public record MachineTypeId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/Request.java
+++ b/src/main/java/cobaltseam/dispatch/Request.java
@@ -1,9 +1,14 @@
 package cobaltseam.dispatch;
 
 /**
- * A command as it was taken. Its work is the estimated time on one thread, zero where none is
- * given, and so its memory. The key and the data set are null where the command has none, the share
- * where the deployment has none.
+ * A request as it was accepted.
+ *
+ * @param tenant null if the deployment has no quotas
+ * @param sequenceKey null if the request has no order to keep
+ * @param deadline when its client stops waiting
+ * @param work the estimated time on one engine thread; zero if unknown
+ * @param dataSet null if it reads none, or if unknown
+ * @param memoryMb the estimated memory, in megabytes; zero if unknown
  */
 public record Request(
     RequestId id,
--- a/src/main/java/cobaltseam/dispatch/RequestClassId.java
+++ b/src/main/java/cobaltseam/dispatch/RequestClassId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names one profile of commands. */
+/** Names one class of requests. */
 public record RequestClassId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/RequestId.java
+++ b/src/main/java/cobaltseam/dispatch/RequestId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names the caller's name for one command. */
+/** The caller's name for one request; not used for another while that one is open. */
 public record RequestId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/SequenceKey.java
+++ b/src/main/java/cobaltseam/dispatch/SequenceKey.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names what commands that run in turn have in common. */
+/** Names what requests that have to run one after another have in common. */
 public record SequenceKey(String value) {}
--- a/src/main/java/cobaltseam/dispatch/TenantId.java
+++ b/src/main/java/cobaltseam/dispatch/TenantId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names one holder of a share of the service. */
+/** Names one tenant, which may have a quota. */
 public record TenantId(String value) {}
--- a/src/test/java/cobaltseam/adapter/AdapterTest.java
+++ b/src/test/java/cobaltseam/adapter/SimulatorAdapterTest.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The wire, on a short exchange written for these tests. */
-class AdapterTest {
+/** The simulator's protocol, in short exchanges written for these tests. */
+class SimulatorAdapterTest {
   private static final String BORN =
       """
             {"born":{"nonce64":18446744073709551615,"settings":{"balancers":1,"position":0,"tick_us":1000,
@@ -23,7 +23,7 @@
             "limits":{"most_tries":2,"cancel":true},"rules":{},"load_report":{"fields":["busy_reqs"]}}}}
             """
           .replace("\n", "");
-  private static final String LIST =
+  private static final String ENDPOINT_LIST =
       """
             {"roster":{"ref":3,"nodes_list":[{"node":77,"failure_domain":"z","model":"m","lifecycle":"up"}]}},
             {"sync":{"index":1,"kind":"warm_copy","ref":3}}"""
@@ -36,17 +36,21 @@
     return out.toString(StandardCharsets.UTF_8).lines().toList();
   }
 
-  private static String batch(long us, String events) {
-    return "{\"time_us\":" + us + ",\"groups\":[{\"dispatcher\":4,\"events\":[" + events + "]}]}";
+  private static String batch(long timeUs, String events) {
+    return "{\"time_us\":"
+        + timeUs
+        + ",\"groups\":[{\"dispatcher\":4,\"events\":["
+        + events
+        + "]}]}";
   }
 
-  private static String accept(String id) {
+  private static String acceptEvent(String id) {
     return "{\"accept\":{\"op_id\":\""
         + id
         + "\",\"kind\":\"look\",\"due_us\":2001000,\"guess_us\":9000,\"attrs\":1}}";
   }
 
-  private static String verdict(String id, String how) {
+  private static String verdictEvent(String id, String how) {
     return "{\"verdict\":{\"op_id\":\""
         + id
         + "\",\"copy\":0,\"node\":77,\"verdict\":\""
@@ -55,15 +59,16 @@
   }
 
   @Test
-  void aCommandGoesOutWithItsTermsAndEndsOnce() throws IOException {
+  void sendsARequestWithPriorityAndTimeoutAndCompletesItOnce() throws IOException {
     List<String> out =
         run(
             "{\"time_us\":500,\"groups\":[]}",
-            batch(1000, BORN + "," + LIST + "," + accept("a")),
-            batch(11000, verdict("a", "pass").replace("\"copy\"", "\"settled\":true,\"copy\"")),
+            batch(1000, BORN + "," + ENDPOINT_LIST + "," + acceptEvent("a")),
+            batch(
+                11000, verdictEvent("a", "pass").replace("\"copy\"", "\"settled\":true,\"copy\"")),
             batch(
                 12000,
-                verdict("a", "pass")
+                verdictEvent("a", "pass")
                     + ",{\"withdrawn\":{\"op_id\":\"a\"}},{\"elapsed\":{\"name\":99}}"));
     assertEquals("{\"groups\":[]}", out.get(0));
     assertTrue(
@@ -76,16 +81,30 @@
   }
 
   @Test
-  void aFullDispatcherSetsOneTimerAndForgetsAllAtItsStop() throws IOException {
+  void saturatedDispatcherSetsOneTimerAndStopDiscardsItsState() throws IOException {
     String five =
-        accept("a") + "," + accept("b") + "," + accept("c") + "," + accept("d") + "," + accept("e");
+        acceptEvent("a")
+            + ","
+            + acceptEvent("b")
+            + ","
+            + acceptEvent("c")
+            + ","
+            + acceptEvent("d")
+            + ","
+            + acceptEvent("e");
     List<String> out =
         run(
-            batch(1000, BORN + "," + LIST + "," + five),
+            batch(1000, BORN + "," + ENDPOINT_LIST + "," + five),
             batch(
                 2000,
-                verdict("a", "fault") + ",{\"stop\":{}}," + BORN + "," + LIST + "," + accept("f")),
-            batch(3000, verdict("b", "pass")));
+                verdictEvent("a", "fault")
+                    + ",{\"stop\":{}},"
+                    + BORN
+                    + ","
+                    + ENDPOINT_LIST
+                    + ","
+                    + acceptEvent("f")),
+            batch(3000, verdictEvent("b", "pass")));
     assertEquals(4, out.get(0).split("\\{\"try\"").length - 1);
     assertEquals(1, out.get(0).split("\\{\"schedule\"").length - 1);
     assertEquals(1, out.get(1).split("\\{\"try\"").length - 1);
@@ -94,8 +113,8 @@
   }
 
   @Test
-  void badInputIsNamed() {
-    for (String[] bad :
+  void invalidInputIsRejectedWithItsCause() {
+    for (String[] input :
         new String[][] {
           {"{\"time_us\":1", "not JSON"},
           {"[]", "not a JSON object"},
@@ -105,14 +124,14 @@
           {batch(1, BORN + ",{\"accept\":{\"kind\":\"look\"}}"), "'op_id' is missing"},
           {batch(1, BORN.replace("read_like", "maybe")), "unknown 'repeat' maybe"}
         }) {
-      String said = assertThrows(InvalidInputException.class, () -> run(bad[0])).getMessage();
-      assertTrue(said.contains(bad[1]), said);
+      String message = assertThrows(InvalidInputException.class, () -> run(input[0])).getMessage();
+      assertTrue(message.contains(input[1]), message);
     }
   }
 
   @Test
-  void aFaultInTheModuleIsReported() throws IOException {
-    List<String> out = run(batch(1000, BORN + "," + accept("a").replace("look", "other")));
+  void exceptionInTheDispatcherIsReported() throws IOException {
+    List<String> out = run(batch(1000, BORN + "," + acceptEvent("a").replace("look", "other")));
     assertTrue(out.get(0).contains("{\"exception\":{\"reason_text\":"), out.get(0));
   }
 }
