--- /dev/null
+++ b/src/test/java/cobaltseam/dispatch/BorrowingTest.java
@@ -0,0 +1,96 @@
+package cobaltseam.dispatch;
+
+import static cobaltseam.dispatch.DispatcherScenarios.WORK_US;
+import static cobaltseam.dispatch.DispatcherScenarios.answerRequests;
+import static cobaltseam.dispatch.DispatcherScenarios.newDriver;
+import static cobaltseam.dispatch.DispatcherScenarios.submitBurst;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
+import cobaltseam.dispatch.DispatcherDriver.SentAttempt;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** When a dispatcher uses more than its even share of an engine. */
+class BorrowingTest {
+  @Test
+  void answersAtUsualSpeedAllowBorrowingAndSlowOnesEndIt() {
+    DispatcherDriver driver = newDriver(0, 4, 1, 4);
+    answerRequests(driver, 30, WORK_US);
+    submitBurst(driver);
+    assertEquals(16, driver.inFlight.size(), "the whole figure");
+    driver.advance(new TimeSpan(WORK_US * 6));
+    for (SentAttempt attempt : List.copyOf(driver.inFlight.values())) {
+      driver.complete(attempt, AttemptResult.COMPLETED, true);
+    }
+    List.copyOf(driver.inFlight.values())
+        .forEach(attempt -> driver.complete(attempt, AttemptResult.COMPLETED, true));
+    submitBurst(driver);
+    assertTrue(driver.inFlight.size() <= 4, "back to the share, not " + driver.inFlight.size());
+  }
+
+  @Test
+  void loadReportedToOtherDispatchersEndsBorrowing() {
+    DispatcherDriver driver = newDriver(0, 4, 1, 4);
+    driver.reportedInFlight = 1;
+    answerRequests(driver, 30, WORK_US);
+    submitBurst(driver);
+    int borrowed = driver.inFlight.size();
+    assertTrue(borrowed > 4, "it borrows: " + borrowed);
+    driver = newDriver(0, 4, 1, 4);
+    driver.reportedInFlight = 1;
+    answerRequests(driver, 30, WORK_US);
+    driver.dispatcher.updateEngineLoad(new EngineId(4), 16, driver.now.plus(new TimeSpan(1)));
+    submitBurst(driver);
+    assertTrue(driver.inFlight.size() < borrowed, "others fill it: " + driver.inFlight.size());
+    driver = newDriver(0, 4, 1, 4);
+    driver.reportedInFlight = 1;
+    answerRequests(driver, 30, WORK_US);
+    driver.dispatcher.updateEngineLoad(
+        new EngineId(4), 16, driver.now.minus(new TimeSpan(1_000_000)));
+    submitBurst(driver);
+    assertEquals(borrowed, driver.inFlight.size(), "older than what it told here");
+  }
+
+  /**
+   * The traffic of a dispatcher that stopped: over the share here, but what engines report leaves
+   * room for it.
+   */
+  @Test
+  void requestsOverQuotaBorrowOnlyWhereLoadReportsLeaveCapacity() {
+    assertTrue(inFlightOverQuota(-1) <= 4, "nothing is reported");
+    assertTrue(inFlightOverQuota(20) <= 4, "others use it");
+    int idle = inFlightOverQuota(0);
+    assertTrue(idle > 8 && idle < 16, "most of the whole figure, never all: " + idle);
+  }
+
+  private static int inFlightOverQuota(double inHand) {
+    DispatcherDriver driver = newDriver(0, 4, 1, 4);
+    driver.reportedInFlight = inHand;
+    answerRequests(driver, 60, WORK_US);
+    for (int i = 0; i < 100; i++) {
+      driver.submit("p", WORK_US);
+      List.copyOf(driver.inFlight.values())
+          .forEach(attempt -> driver.complete(attempt, AttemptResult.COMPLETED, true));
+    }
+    for (int i = 0; i < 30; i++) {
+      driver.submit("p", WORK_US);
+    }
+    return driver.inFlight.size();
+  }
+
+  @Test
+  void answersReadLateDoNotCountAsSlow() {
+    DispatcherDriver driver = newDriver(0, 4, 1, 4);
+    answerRequests(driver, 30, WORK_US);
+    submitBurst(driver);
+    assertEquals(16, driver.inFlight.size());
+    driver.now = driver.now.plus(new TimeSpan(20 * WORK_US));
+    for (SentAttempt attempt : List.copyOf(driver.inFlight.values())) {
+      driver.complete(attempt, AttemptResult.COMPLETED, true);
+    }
+    submitBurst(driver);
+    assertEquals(16, driver.inFlight.size(), "it stood still; nothing is given back");
+  }
+}
--- /dev/null
+++ b/src/test/java/cobaltseam/dispatch/DispatchRulesModelTest.java
@@ -0,0 +1,416 @@
+package cobaltseam.dispatch;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
+import cobaltseam.dispatch.Deployment.Capabilities;
+import cobaltseam.dispatch.Deployment.DeduplicationScope;
+import cobaltseam.dispatch.Deployment.RequestClass;
+import cobaltseam.dispatch.Deployment.RetrySafety;
+import cobaltseam.dispatch.Deployment.Rules;
+import cobaltseam.dispatch.EndpointStatus.EndpointState;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** A slow, plain model of the seven rules beside the module, on generated days. */
+class DispatchRulesModelTest {
+  private static final double USUAL_WORK_US = 170_000;
+  private static final Rules RULES =
+      new Rules(
+          0.3,
+          new TimeSpan(15_000_000),
+          2,
+          new TimeSpan(3_000_000),
+          new TimeSpan(400_000),
+          2.0,
+          0.2,
+          new TimeSpan(2_000_000));
+
+  /**
+   * What became of one command, as the model saw it; it keeps everything and looks it all through.
+   */
+  private static final class ObservedRequest {
+    Request request;
+    Timestamp acceptedAt;
+    boolean clientLeft;
+    final List<AttemptResult> results = new ArrayList<>();
+    final List<Timestamp> endedAt = new ArrayList<>();
+  }
+
+  private final Map<RequestId, ObservedRequest> observed = new LinkedHashMap<>();
+  private final Map<EngineId, EndpointStatus> listed = new HashMap<>();
+  private final Map<RequestClassId, RequestClass> requestClasses = new HashMap<>();
+  private final Map<RequestId, List<DispatcherDriver.SentAttempt>> attemptsOf = new HashMap<>();
+  private DispatcherDriver driver;
+  private int dispatchers;
+  private int engines;
+
+  private static boolean isFinished(DispatcherDriver driver, ObservedRequest request) {
+    return request.clientLeft
+        || driver.finalAnswers.containsKey(request.request.id())
+        || request.results.contains(AttemptResult.COMPLETED);
+  }
+
+  private void checkAttempt(DispatcherDriver.SentAttempt attempt) {
+    ObservedRequest observedRequest = observed.get(attempt.request().id());
+    RequestClass requestClass = requestClasses.get(attempt.request().requestClass());
+    EndpointStatus engine = listed.get(attempt.engine());
+    List<DispatcherDriver.SentAttempt> earlier =
+        attemptsOf.computeIfAbsent(attempt.request().id(), k -> new ArrayList<>());
+    assertEquals(EndpointState.UP, engine.state(), "drains are kept");
+    assertTrue(
+        requestClass.locations() == null || requestClass.locations().contains(engine.location()),
+        "placement by location");
+    assertTrue(
+        requestClass.machineTypes() == null
+            || requestClass.machineTypes().contains(engine.machineType()),
+        "placement by kind");
+    assertEquals(earlier.size(), observedRequest.results.size(), "one send at a time");
+    assertTrue(earlier.size() < 4, "no more sends than allowed");
+    assertTrue(
+        !observedRequest.clientLeft && !observedRequest.results.contains(AttemptResult.COMPLETED),
+        "nothing after the end");
+    assertTrue(
+        driver.finalAnswers.get(observedRequest.request.id()) == null,
+        "nothing after the final answer");
+    assertTrue(
+        attempt.sentAt().plus(attempt.timeout()).isBefore(observedRequest.request.deadline()),
+        "ends before the client");
+    DispatcherDriver.SentAttempt first = null;
+    for (int i = 0; i < earlier.size() && first == null; i++) {
+      first = observedRequest.results.get(i).neverRan() ? null : earlier.get(i);
+    }
+    if (first != null) {
+      assertTrue(requestClass.retrySafety() != RetrySafety.NOT_IDEMPOTENT, "no effect twice");
+      EndpointStatus ran = listed.get(first.engine());
+      if (requestClass.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY) {
+        assertTrue(
+            attempt.sentAt().since(first.sentAt()).compareTo(requestClass.deduplicationWindow())
+                <= 0,
+            "while it is remembered");
+        assertTrue(
+            requestClass.deduplicationScope() != DeduplicationScope.LOCATION
+                || ran.location().equals(engine.location()),
+            "same location");
+        assertTrue(
+            requestClass.deduplicationScope() != DeduplicationScope.GROUP
+                || ran.group().equals(engine.group()),
+            "same group");
+      }
+    }
+    if (!earlier.isEmpty()) {
+      Timestamp from = attempt.sentAt().minus(RULES.retryWindow());
+      long retries =
+          driver.attempts.stream()
+              .filter(s -> s.number() > 0 && !s.sentAt().isBefore(from))
+              .count();
+      long accepted = observed.values().stream().filter(s -> from.isBefore(s.acceptedAt)).count();
+      assertTrue(
+          retries <= RULES.freeRetries() + RULES.retryRatio() * accepted,
+          "further sends in budget");
+    }
+    checkKeyOrder(observedRequest, requestClass, attempt);
+    checkSlowStart(engine, requestClass, attempt);
+    earlier.add(attempt);
+  }
+
+  private void checkKeyOrder(
+      ObservedRequest observedRequest,
+      RequestClass requestClass,
+      DispatcherDriver.SentAttempt attempt) {
+    if (!requestClass.inOrder()) {
+      return;
+    }
+    for (ObservedRequest other : observed.values()) {
+      if (other == observedRequest) {
+        return;
+      }
+      if (!requestClasses.get(other.request.requestClass()).inOrder()
+          || !other.request.sequenceKey().equals(observedRequest.request.sequenceKey())) {
+        continue;
+      }
+      assertTrue(isFinished(driver, other), "an earlier one of the key is not over");
+      assertTrue(
+          !driver.inFlight.containsKey(other.request.id()),
+          "an earlier one has a send without outcome");
+      for (int i = 0; i < other.results.size(); i++) {
+        AttemptResult result = other.results.get(i);
+        if (result == AttemptResult.TIMED_OUT
+            || result == AttemptResult.CONNECTION_LOST
+            || result == AttemptResult.CANCELLED) {
+          assertTrue(
+              !attempt.sentAt().isBefore(other.endedAt.get(i).plus(RULES.sequenceKeyRest())),
+              "the key rests");
+        }
+      }
+    }
+  }
+
+  /**
+   * In any window: this dispatcher's part of a cold engine's allowance, growing evenly, and one
+   * command ahead.
+   */
+  private void checkSlowStart(
+      EndpointStatus engine, RequestClass requestClass, DispatcherDriver.SentAttempt attempt) {
+    if (engine.startedAt().us() == 0
+        || attempt.sentAt().since(engine.startedAt()).compareTo(RULES.slowStartDuration()) >= 0) {
+      return;
+    }
+    Timestamp from = attempt.sentAt().minus(RULES.slowStartWindow());
+    double sentWorkUs =
+        driver.attempts.stream()
+            .filter(
+                s ->
+                    s.engine().equals(attempt.engine())
+                        && !s.sentAt().isBefore(from)
+                        && engine.startedAt().isBefore(s.sentAt()))
+            .mapToDouble(s -> USUAL_WORK_US)
+            .sum();
+    double cores = engine.machineType().value().equals("k8") ? 8 : 4;
+    double warmth =
+        RULES.slowStartFraction()
+            + (1 - RULES.slowStartFraction())
+                * attempt.sentAt().since(engine.startedAt()).over(RULES.slowStartDuration());
+    double maxWorkUs =
+        RULES.slowStartLimitFactor() * warmth * cores * RULES.slowStartWindow().us() / dispatchers
+            + USUAL_WORK_US;
+    assertTrue(sentWorkUs <= maxWorkUs, "a cold engine is sent " + sentWorkUs + " of " + maxWorkUs);
+  }
+
+  private void checkFinalAnswer(RequestId id) {
+    ObservedRequest observedRequest = observed.get(id);
+    RequestClass requestClass = requestClasses.get(observedRequest.request.requestClass());
+    Placement placement = driver.finalAnswers.get(id);
+    assertTrue(
+        driver.now.isBefore(observedRequest.request.deadline()), "the final answer is in time");
+    assertTrue(
+        !observedRequest.clientLeft && !observedRequest.results.contains(AttemptResult.COMPLETED),
+        "one final answer");
+    if (placement.decision() == Placement.Decision.SHED) {
+      boolean mayHaveRun = observedRequest.results.stream().anyMatch(result -> !result.neverRan());
+      assertTrue(
+          !mayHaveRun
+              || requestClass.retrySafety() == RetrySafety.IDEMPOTENT
+              || requestClass.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY
+                  && requestClass.deduplicationScope() == DeduplicationScope.ALL,
+          "shed only where harmless");
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
+  void dispatcherKeepsTheRulesOfTheModel(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    RequestClass[] allClasses = {
+      DispatcherDriver.requestClass("p", 1),
+      DispatcherDriver.requestClass(
+          "wide",
+          4,
+          RetrySafety.IDEMPOTENT,
+          DeduplicationScope.ALL,
+          false,
+          null,
+          List.of(new MachineTypeId("k8"))),
+      DispatcherDriver.requestClass(
+          "once", 1, RetrySafety.NOT_IDEMPOTENT, DeduplicationScope.ALL, false, null, null),
+      DispatcherDriver.requestClass(
+          "here",
+          1,
+          RetrySafety.IDEMPOTENT_WITH_KEY,
+          DeduplicationScope.LOCATION,
+          false,
+          null,
+          null),
+      DispatcherDriver.requestClass(
+          "there",
+          2,
+          RetrySafety.IDEMPOTENT_WITH_KEY,
+          DeduplicationScope.GROUP,
+          false,
+          List.of(new LocationId("l1")),
+          null),
+      DispatcherDriver.requestClass(
+          "anywhere",
+          1,
+          RetrySafety.IDEMPOTENT_WITH_KEY,
+          DeduplicationScope.ALL,
+          false,
+          null,
+          null),
+      DispatcherDriver.requestClass(
+          "turns",
+          1,
+          RetrySafety.values()[(int) seed % 3],
+          DeduplicationScope.ALL,
+          true,
+          null,
+          null)
+    };
+    for (RequestClass requestClass : allClasses) {
+      requestClasses.put(requestClass.id(), requestClass);
+    }
+    Capabilities capabilities =
+        new Capabilities(
+            DispatcherDriver.TICK,
+            4,
+            seed % 3 != 0,
+            true,
+            seed % 5 != 0,
+            new TimeSpan(500_000),
+            new TimeSpan(seed % 7 > 2 ? 200_000 : 0));
+    // Some days: hundreds of dispatchers, tens of engines, a dispatcher that stands still, lost
+    // answers.
+    dispatchers = seed % 4 == 0 ? 300 : 3;
+    engines = seed % 4 < 2 ? 40 : 6;
+    driver =
+        new DispatcherDriver(
+            DispatcherDriver.deployment(
+                (int) seed % 3, dispatchers, RULES, capabilities, allClasses),
+            seed);
+    driver.onAttempt = this::checkAttempt;
+    driver.onFinalAnswer = this::checkFinalAnswer;
+    AttemptResult[] allResults = AttemptResult.values();
+    for (int step = 0; step < 3000; step++) {
+      if (seed % 4 == 1 && random.nextInt(200) == 0) {
+        driver.now =
+            driver.now.plus(new TimeSpan(random.nextInt(400) * DispatcherDriver.TICK.us()));
+      }
+      driver.advance(new TimeSpan(DispatcherDriver.TICK.us() * random.nextInt(3)));
+      timeOutAttempts();
+      int action = random.nextInt(100);
+      if (step == 0 || action < 2) {
+        updateEndpoints(random, step == 0 || action < 1);
+      } else if (action < 56) {
+        submit(allClasses[random.nextInt(allClasses.length)], random);
+      } else if (action < 97 && !driver.inFlight.isEmpty()) {
+        DispatcherDriver.SentAttempt attempt =
+            List.copyOf(driver.inFlight.values()).get(random.nextInt(driver.inFlight.size()));
+        complete(
+            attempt,
+            seed % 4 == 1 && random.nextInt(9) == 0
+                ? AttemptResult.TIMED_OUT
+                : random.nextInt(3) > 0
+                    ? AttemptResult.COMPLETED
+                    : allResults[random.nextInt(allResults.length)]);
+      } else if (action < 98 && !driver.inFlight.isEmpty()) {
+        DispatcherDriver.SentAttempt attempt =
+            List.copyOf(driver.inFlight.values()).get(random.nextInt(driver.inFlight.size()));
+        driver.dispatcher.updateProgress(
+            attempt.request().id(),
+            attempt.number() - random.nextInt(2),
+            random.nextDouble(),
+            driver.now);
+        driver.followNextSteps();
+      } else if (action < 99 && !observed.isEmpty()) {
+        leave(List.copyOf(observed.values()).get(random.nextInt(observed.size())));
+      } else if (action == 99 && !observed.isEmpty()) {
+        // Others take and leave traffic, and so does this one: nothing more is sent for what it
+        // had.
+        driver.dispatcher.setSharingDispatchers(random.nextDouble() * dispatchers);
+        driver.dispatcher.withdraw(
+            List.copyOf(observed.keySet()).get(random.nextInt(observed.size())), driver.now);
+        driver.followNextSteps();
+      }
+    }
+    for (int i = 0; i < 1200; i++) {
+      driver.advance(DispatcherDriver.TICK);
+      timeOutAttempts();
+    }
+    for (ObservedRequest observedRequest : observed.values()) {
+      assertTrue(
+          isFinished(driver, observedRequest),
+          "a command without a final answer: " + observedRequest.request);
+    }
+    assertTrue(driver.dispatcher.isIdle(), "no budget leaks");
+    assertTrue(driver.attempts.size() > 100, "a day with some sends");
+  }
+
+  private void timeOutAttempts() {
+    for (DispatcherDriver.SentAttempt attempt : List.copyOf(driver.inFlight.values())) {
+      if (!driver.now.isBefore(attempt.sentAt().plus(attempt.timeout()))) {
+        complete(attempt, AttemptResult.TIMED_OUT);
+      } else if (driver.cancellations.remove(attempt.request().id())) {
+        complete(attempt, AttemptResult.CANCELLED);
+      }
+    }
+  }
+
+  private void complete(DispatcherDriver.SentAttempt attempt, AttemptResult result) {
+    ObservedRequest observedRequest = observed.get(attempt.request().id());
+    observedRequest.results.add(result);
+    observedRequest.endedAt.add(driver.now);
+    driver.complete(
+        attempt, result, result == AttemptResult.COMPLETED || isFinished(driver, observedRequest));
+    if (driver.now.us() % 7 == 0) {
+      driver.inFlight.remove(attempt.request().id(), attempt);
+      driver.dispatcher.completeAttempt(
+          new AttemptOutcome(
+              attempt.request().id(),
+              attempt.number(),
+              attempt.engine(),
+              AttemptResult.ERROR,
+              TimeSpan.ZERO,
+              false,
+              new TimeSpan(-1),
+              -1,
+              -1,
+              -1),
+          driver.now);
+    }
+  }
+
+  private void submit(RequestClass requestClass, SplittableRandom random) {
+    long work =
+        random.nextInt(10) == 0
+            ? 0
+            : random.nextInt(50) == 0 ? 1L << 50 : 20_000 + random.nextInt(300_000);
+    Request newRequest =
+        driver.newRequest(
+            requestClass.id().value(),
+            requestClass.inOrder() ? "k" + random.nextInt(3) : null,
+            work);
+    ObservedRequest observedRequest = new ObservedRequest();
+    observedRequest.request = newRequest;
+    observedRequest.acceptedAt = driver.now;
+    observed.put(newRequest.id(), observedRequest);
+    driver.submit(newRequest);
+  }
+
+  private void leave(ObservedRequest observedRequest) {
+    if (!isFinished(driver, observedRequest)) {
+      observedRequest.clientLeft = true;
+    }
+    driver.dispatcher.clientLeft(observedRequest.request.id(), driver.now);
+    driver.followNextSteps();
+  }
+
+  private void updateEndpoints(SplittableRandom random, boolean complete) {
+    List<EndpointStatus> endpoints = new ArrayList<>();
+    for (long id = 1; id <= engines; id++) {
+      if (complete || random.nextInt(3) == 0) {
+        EndpointState state =
+            random.nextInt(4) > 0
+                ? EndpointState.UP
+                : random.nextBoolean() ? EndpointState.DRAINING : EndpointState.GONE;
+        EndpointStatus earlier = listed.get(new EngineId(id));
+        long startedUs =
+            earlier == null
+                ? random.nextBoolean() ? 0 : driver.now.us()
+                : random.nextInt(9) > 0 ? earlier.startedAt().us() : driver.now.us();
+        endpoints.add(DispatcherDriver.status(id, state, startedUs));
+      }
+    }
+    if (complete) {
+      listed.clear();
+    }
+    endpoints.forEach(line -> listed.put(line.engine(), line));
+    driver.updateEndpoints(complete, endpoints.toArray(new EndpointStatus[0]));
+  }
+}
--- /dev/null
+++ b/src/test/java/cobaltseam/dispatch/EngineChoiceTest.java
@@ -0,0 +1,154 @@
+package cobaltseam.dispatch;
+
+import static cobaltseam.dispatch.DispatcherDriver.RULES;
+import static cobaltseam.dispatch.DispatcherDriver.deployment;
+import static cobaltseam.dispatch.DispatcherDriver.requestClass;
+import static cobaltseam.dispatch.DispatcherDriver.status;
+import static cobaltseam.dispatch.DispatcherDriver.up;
+import static cobaltseam.dispatch.DispatcherScenarios.WITH_REPORTS;
+import static cobaltseam.dispatch.DispatcherScenarios.WORK_US;
+import static cobaltseam.dispatch.DispatcherScenarios.answerRequests;
+import static cobaltseam.dispatch.DispatcherScenarios.attemptedEngines;
+import static cobaltseam.dispatch.DispatcherScenarios.newDriver;
+import static cobaltseam.dispatch.DispatcherScenarios.submitBurst;
+import static cobaltseam.dispatch.DispatcherScenarios.submitOne;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
+import cobaltseam.dispatch.DispatcherDriver.SentAttempt;
+import cobaltseam.dispatch.EndpointStatus.EndpointState;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Which engine runs a request, and which requests wait. */
+class EngineChoiceTest {
+  @Test
+  void tiesAreBrokenByEngineIdFromTheDispatcherIndex() {
+    DispatcherDriver driver = newDriver(1, 4, 1, 8, 4, 6);
+    driver.submit("p", WORK_US);
+    driver.submit("p", WORK_US);
+    driver.submit("p", WORK_US);
+    assertEquals(List.of(6L, 8L, 4L), attemptedEngines(driver));
+  }
+
+  @Test
+  void engineWithMostBudgetLeftPerCoreIsChosen() {
+    // Engine 3 has half the cores: after one thread each it has less left per core.
+    DispatcherDriver driver = newDriver(0, 1, 1, 3, 4);
+    for (int i = 0; i < 6; i++) {
+      driver.submit("p", WORK_US);
+    }
+    assertEquals(2, attemptedEngines(driver).stream().filter(engine -> engine == 3).count());
+  }
+
+  @Test
+  void withoutAnswersARequestIsQueuedBeyondTheEvenShare() {
+    DispatcherDriver driver = newDriver(0, 4, 1, 4);
+    for (int i = 0; i < 6; i++) {
+      driver.submit("p", WORK_US);
+    }
+    assertEquals(4, driver.inFlight.size(), "16 threads over 4 dispatchers");
+  }
+
+  @Test
+  void enginesAreSharedOverDispatchersThatCarryTraffic() {
+    DispatcherDriver driver = newDriver(0, 4, 1, 4);
+    driver.dispatcher.setSharingDispatchers(2);
+    submitBurst(driver);
+    assertEquals(8, driver.inFlight.size(), "16 threads over 2 dispatchers");
+    driver.dispatcher.setSharingDispatchers(1);
+    driver.followNextSteps();
+    assertEquals(16, driver.inFlight.size(), "all of it for the only one");
+    driver.dispatcher.setSharingDispatchers(0);
+    driver.followNextSteps();
+    assertEquals(16, driver.inFlight.size(), "never more than an engine's whole figure");
+  }
+
+  @Test
+  void outcomeFreesThreadsForTheOldestQueuedRequestThatFits() {
+    DispatcherDriver driver = newDriver(0, 8, 2, 4);
+    driver.submit("p", WORK_US);
+    driver.submit("p", WORK_US);
+    Request wide = driver.submit("wide", WORK_US);
+    Request old = driver.submit("p", WORK_US);
+    driver.submit("p", WORK_US);
+    driver.complete(driver.inFlight.values().iterator().next(), AttemptResult.CANCELLED, true);
+    assertTrue(
+        driver.inFlight.containsKey(old.id()),
+        "the wide one fits nowhere and blocks none behind it");
+    assertTrue(!driver.inFlight.containsKey(wide.id()));
+    assertEquals(2, driver.inFlight.size());
+  }
+
+  @Test
+  void shareBelowOneRequestsThreadsIsKeptInTheMeanAndOneAtATime() {
+    DispatcherDriver driver = newDriver(0, 64, 1, 4);
+    driver.reportedInFlight = 16;
+    int busy = 0;
+    for (int i = 0; i < 2000; i++) {
+      driver.submit("p", 10 * WORK_US);
+      assertTrue(driver.inFlight.size() <= 1);
+      busy += driver.inFlight.size();
+      driver.advance(new TimeSpan(WORK_US));
+      List.copyOf(driver.inFlight.values()).stream()
+          .filter(attempt -> driver.now.since(attempt.sentAt()).us() >= 10 * WORK_US)
+          .forEach(attempt -> driver.complete(attempt, AttemptResult.CANCELLED, true));
+    }
+    assertTrue(
+        busy > 250 && busy < 800,
+        "full engines get a quarter of a thread in the mean, not " + busy / 2000.0);
+  }
+
+  @Test
+  void memoryBeyondARequestsThreadsCountsAsThreads() {
+    DispatcherDriver driver = newDriver(0, 2, 1, 4);
+    driver.memoryMb = 4096;
+    for (int i = 0; i < 8; i++) {
+      driver.submit("p", WORK_US);
+    }
+    assertEquals(2, driver.inFlight.size(), "half of four at 4 GB in 16");
+  }
+
+  @Test
+  void restartedEngineIsNotFlooded() {
+    DispatcherDriver driver = newDriver(0, 2, 1, 5);
+    answerRequests(driver, 30, WORK_US);
+    driver.updateEndpoints(false, status(4, EndpointState.UP, driver.now.us()));
+    int at = driver.attempts.size();
+    for (int i = 0; i < 20; i++) {
+      driver.submit("p", WORK_US);
+    }
+    assertTrue(
+        attemptedEngines(driver).stream().skip(at).noneMatch(engine -> engine == 4),
+        "nothing is saved up at the start");
+    driver.advance(new TimeSpan(1_000_000));
+    answerRequests(driver, 30, WORK_US);
+    assertTrue(
+        attemptedEngines(driver).stream().skip(at).anyMatch(engine -> engine == 4),
+        "and it is used as it warms");
+  }
+
+  @Test
+  void engineInTheHomeLocationWinsTies() {
+    Deployment withoutLocation = deployment(1, 1, RULES, WITH_REPORTS, requestClass("p", 1));
+    Deployment withLocation =
+        new Deployment(
+            withoutLocation.dispatcherIndex(),
+            withoutLocation.dispatcherCount(),
+            withoutLocation.requestClasses(),
+            withoutLocation.machineTypes(),
+            withoutLocation.quotas(),
+            withoutLocation.overQuotaWeight(),
+            withoutLocation.rules(),
+            withoutLocation.capabilities(),
+            new Deployment.Place(new LocationId("l1"), true));
+    DispatcherDriver driver = new DispatcherDriver(withLocation, 7);
+    driver.updateEndpoints(true, up(1), up(2), up(4), up(5));
+    for (int i = 0; i < 2; i++) {
+      SentAttempt attempt = submitOne(driver);
+      assertEquals(
+          1, attempt.engine().value() % 3, "engines 1 and 4 stand at l1: " + attempt.engine());
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/cobaltseam/dispatch/LoadSheddingTest.java
@@ -0,0 +1,202 @@
+package cobaltseam.dispatch;
+
+import static cobaltseam.dispatch.DispatcherScenarios.NO_CANCEL;
+import static cobaltseam.dispatch.DispatcherScenarios.WITH_REPORTS;
+import static cobaltseam.dispatch.DispatcherScenarios.WORK_US;
+import static cobaltseam.dispatch.DispatcherScenarios.answerRequests;
+import static cobaltseam.dispatch.DispatcherScenarios.newDriver;
+import static cobaltseam.dispatch.DispatcherScenarios.submitOne;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
+import cobaltseam.dispatch.DispatcherDriver.SentAttempt;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+
+/** Which requests are shed in overload, over quota or without engines, and which are not. */
+class LoadSheddingTest {
+  @Test
+  void requestWithAShorterDeadlineIsServed() {
+    DispatcherDriver driver = newDriver(0, 2, 1, 4);
+    answerRequests(driver, 20, WORK_US);
+    Request hasty =
+        new Request(
+            new RequestId("hasty"),
+            new RequestClassId("p"),
+            null,
+            null,
+            driver.now.plus(new TimeSpan(1_000_000)),
+            new TimeSpan(WORK_US),
+            null,
+            0);
+    driver.submit(hasty);
+    assertTrue(
+        driver.inFlight.containsKey(hasty.id()), "a short wait is no proof that it asked before");
+  }
+
+  @Test
+  void requestWithoutEnginesIsQueuedAndShedInTime() {
+    DispatcherDriver driver = newDriver(0, 3, 1);
+    Request request = driver.submit("p", WORK_US);
+    assertTrue(driver.finalAnswers.isEmpty());
+    driver.advance(new TimeSpan(4_500_000));
+    assertEquals(Placement.Decision.SHED, driver.finalAnswers.get(request.id()).decision());
+  }
+
+  @Test
+  void queuedRequestOfLeastWeightPerThreadIsShedFirst() {
+    DispatcherDriver driver = newDriver(0, 4, 4, 4);
+    for (int i = 0; i < 4; i++) {
+      driver.submit("p", WORK_US);
+    }
+    Request heavy = driver.submit("wide", 20 * WORK_US);
+    assertTrue(driver.finalAnswers.isEmpty(), "one alone is no queue");
+    for (int i = 0; i < 60; i++) {
+      driver.submit("wide", WORK_US);
+    }
+    assertEquals(
+        heavy.id(),
+        driver.finalAnswers.keySet().iterator().next(),
+        "least benefit for its threads goes first");
+    assertTrue(driver.finalAnswers.get(heavy.id()).retryAfter().isPositive());
+    assertTrue(driver.finalAnswers.size() < 60);
+  }
+
+  @Test
+  void requestsOverQuotaAreShedUnderOverload() {
+    DispatcherDriver driver = newDriver(0, 4, 1, 4);
+    answerRequests(driver, 60, WORK_US);
+    int before = driver.attempts.size();
+    for (int i = 0; i < 40; i++) {
+      driver.submit("p", WORK_US);
+    }
+    assertTrue(driver.attempts.size() - before > 4, "what is within its share borrows");
+    driver.advance(new TimeSpan(8 * WORK_US));
+    List.copyOf(driver.inFlight.values())
+        .forEach(attempt -> driver.complete(attempt, AttemptResult.COMPLETED, true));
+    int finals = driver.finalAnswers.size();
+    for (int i = 0; i < 400; i++) {
+      driver.submit("p", WORK_US);
+    }
+    assertTrue(
+        driver.finalAnswers.size() - finals > 300,
+        "over the share and under strain it is shed at once");
+  }
+
+  @Test
+  void tenantWithAFewRequestsPerSecondStaysWithinQuota() {
+    DispatcherDriver driver = newDriver(0, 100, 1, 4, 5, 6, 8, 9, 10);
+    for (int i = 0; i < 60; i++) {
+      driver.submit("p", WORK_US);
+      driver.advance(new TimeSpan(WORK_US));
+      List.copyOf(driver.inFlight.values())
+          .forEach(attempt -> driver.complete(attempt, AttemptResult.COMPLETED, true));
+      driver.advance(new TimeSpan(3 * WORK_US));
+    }
+    assertTrue(
+        driver.finalAnswers.size() < 6,
+        "a few a second of two holders are served: " + driver.finalAnswers.size());
+  }
+
+  @Test
+  void inOverloadAPartOfEqualRequestsIsServed() {
+    DispatcherDriver driver = newDriver(0, 2, 1, 4, 5, 6, 8);
+    answerRequests(driver, 30, WORK_US);
+    answerRequests(driver, 40, 2 * WORK_US);
+    int finals = driver.finalAnswers.size();
+    int sends = driver.attempts.size();
+    answerRequests(driver, 100, 2 * WORK_US);
+    assertTrue(
+        driver.finalAnswers.size() - finals > 20 && driver.attempts.size() - sends > 20,
+        "neither all nor none");
+  }
+
+  @Test
+  void lowEstimatesAreNoOverloadWhileEnginesReportCapacity() {
+    assertEquals(
+        0, shedWithLatencyFourTimesTheEstimate(0.2), "room on every engine: nothing is too dear");
+    int shed = shedWithLatencyFourTimesTheEstimate(30);
+    assertTrue(shed > 20, shed + " sheds: the same answers from full engines are overload");
+  }
+
+  /** Sheds among the later commands of a day on which engines report this many in hand. */
+  private static int shedWithLatencyFourTimesTheEstimate(double inFlight) {
+    DispatcherDriver driver = newDriver(WITH_REPORTS, 1, 1, 2, 4);
+    driver.reportedInFlight = inFlight;
+    SplittableRandom random = new SplittableRandom(3);
+    int before = 0;
+    for (int i = 0; i < 200; i++) {
+      before = i == 100 ? driver.finalAnswers.size() : before;
+      int sent = driver.attempts.size();
+      driver.submit("p", WORK_US);
+      if (driver.attempts.size() > sent) {
+        SentAttempt attempt = driver.attempts.get(sent);
+        driver.advance(new TimeSpan(4 * WORK_US - random.nextLong(WORK_US / 4)));
+        driver.complete(attempt, AttemptResult.COMPLETED, true);
+      }
+    }
+    return driver.finalAnswers.size() - before;
+  }
+
+  /**
+   * Of a hundred commands that come while answers take three times the usual, how many are shed as
+   * they come.
+   */
+  private static long shedAtOnce(boolean failing) {
+    DispatcherDriver driver = newDriver(WITH_REPORTS, 1, 1, 2, 5, 6);
+    driver.reportedInFlight = 1;
+    for (int i = 0; i < 60; i++) {
+      SentAttempt attempt = submitOne(driver);
+      driver.advance(new TimeSpan(WORK_US));
+      driver.complete(attempt, AttemptResult.COMPLETED, true);
+    }
+    long before = 0;
+    for (int i = 0; i < 100; i++) {
+      int sent = driver.attempts.size();
+      long shed = driver.finalAnswers.size();
+      Request request = driver.submit("p", WORK_US);
+      before += driver.finalAnswers.size() - shed;
+      if (driver.attempts.size() == sent) {
+        continue;
+      }
+      boolean fails = failing && i % 4 != 0;
+      driver.advance(new TimeSpan(fails ? WORK_US / 10 : 3 * WORK_US));
+      if (driver.inFlight.containsKey(request.id())) {
+        driver.complete(
+            driver.inFlight.get(request.id()),
+            fails ? AttemptResult.ERROR : AttemptResult.COMPLETED,
+            true);
+      }
+    }
+    return before;
+  }
+
+  @Test
+  void failingEnginesReportNoCapacity() {
+    // Reports come with answers alone. Before, a pool of which most did not answer looked empty by
+    // the rest, and nothing was shed.
+    long alone = shedAtOnce(false);
+    long beside = shedAtOnce(true);
+    assertEquals(0, alone, "slow, but all engines tell of room");
+    assertTrue(beside > 0, "slow, and most of all fails");
+  }
+
+  @Test
+  void shedHasNoRetryAfterWhereTheDeploymentAllowsNone() {
+    DispatcherDriver driver = newDriver(NO_CANCEL, 2, 1);
+    driver.submit("p", WORK_US);
+    // Every send is turned away unseen until the sends are spent; then it is given up.
+    while (!driver.inFlight.isEmpty()) {
+      driver.complete(
+          driver.inFlight.values().iterator().next(), AttemptResult.CAPACITY_EXCEEDED, false);
+      driver.advance(new TimeSpan(20_000));
+    }
+    // Turned away unseen, it never ran: the one answer is a shed, and it names no time.
+    assertEquals(1, driver.finalAnswers.size(), "one final answer");
+    Placement placement = driver.finalAnswers.values().iterator().next();
+    assertEquals(Placement.Decision.SHED, placement.decision());
+    assertEquals(TimeSpan.ZERO, placement.retryAfter());
+  }
+}
--- /dev/null
+++ b/src/test/java/cobaltseam/dispatch/SettingsChangeTest.java
@@ -0,0 +1,174 @@
+package cobaltseam.dispatch;
+
+import static cobaltseam.dispatch.DispatcherDriver.CAPABILITIES;
+import static cobaltseam.dispatch.DispatcherDriver.RULES;
+import static cobaltseam.dispatch.DispatcherDriver.TICK;
+import static cobaltseam.dispatch.DispatcherDriver.deployment;
+import static cobaltseam.dispatch.DispatcherDriver.requestClass;
+import static cobaltseam.dispatch.DispatcherDriver.status;
+import static cobaltseam.dispatch.DispatcherDriver.up;
+import static cobaltseam.dispatch.DispatcherScenarios.NO_CANCEL;
+import static cobaltseam.dispatch.DispatcherScenarios.WORK_US;
+import static cobaltseam.dispatch.DispatcherScenarios.applySettings;
+import static cobaltseam.dispatch.DispatcherScenarios.newBusyDriver;
+import static cobaltseam.dispatch.DispatcherScenarios.newDriver;
+import static cobaltseam.dispatch.DispatcherScenarios.soleDispatcher;
+import static cobaltseam.dispatch.DispatcherScenarios.withMaxAttempts;
+import static cobaltseam.dispatch.DispatcherScenarios.withRetryBudget;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
+import cobaltseam.dispatch.Deployment.Capabilities;
+import cobaltseam.dispatch.Deployment.Rules;
+import cobaltseam.dispatch.DispatcherDriver.SentAttempt;
+import cobaltseam.dispatch.EndpointStatus.EndpointState;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What applying other settings keeps of engines, estimates and requests in flight. */
+class SettingsChangeTest {
+  @Test
+  void engineEstimatesAreKeptAcrossASettingsChange() {
+    DispatcherDriver earlier = newDriver(CAPABILITIES, 2, 1, 2);
+    EndpointStatus warmingEngine = status(5, EndpointState.UP, earlier.now.us() - 1_000_000);
+    earlier.updateEndpoints(false, warmingEngine);
+    for (int i = 0; i < 30; i++) {
+      earlier.submit("p", WORK_US);
+      for (SentAttempt attempt : List.copyOf(earlier.inFlight.values())) {
+        earlier.complete(
+            attempt,
+            attempt.engine().value() == 1 ? AttemptResult.ERROR : AttemptResult.COMPLETED,
+            attempt.engine().value() != 1);
+      }
+    }
+    DispatcherDriver freshDriver = new DispatcherDriver(fiftyDispatchers(), 9);
+    freshDriver.now = earlier.now;
+    freshDriver.updateEndpoints(true, up(1), up(2), warmingEngine);
+    earlier.dispatcher.applySettings(fiftyDispatchers(), earlier.now);
+    int[] attemptsAfterChange = attemptsPerEngine(earlier);
+    int[] attemptsAfresh = attemptsPerEngine(freshDriver);
+    assertTrue(
+        attemptsAfterChange[1] + attemptsAfterChange[2] > 0,
+        "the list went along: nothing to hear before the first send");
+    assertTrue(
+        attemptsAfterChange[1] < attemptsAfresh[1],
+        "engine 1 still known as failing: "
+            + attemptsAfterChange[1]
+            + " against "
+            + attemptsAfresh[1]);
+  }
+
+  /** Other settings for the same engines: fifty dispatchers, and a budget of further sends. */
+  private static Deployment fiftyDispatchers() {
+    return deployment(0, 50, withRetryBudget(2.0, 0.2), NO_CANCEL, requestClass("p", 1));
+  }
+
+  /** Sends to each engine in the first second, while engine 1 still fails. */
+  private static int[] attemptsPerEngine(DispatcherDriver driver) {
+    int[] sentTo = new int[6];
+    for (int i = 0; i < 20; i++) {
+      driver.submit("p", WORK_US);
+      for (SentAttempt attempt : List.copyOf(driver.inFlight.values())) {
+        sentTo[(int) attempt.engine().value()]++;
+        driver.complete(
+            attempt,
+            attempt.engine().value() == 1 ? AttemptResult.ERROR : AttemptResult.COMPLETED,
+            attempt.engine().value() != 1);
+      }
+      driver.advance(new TimeSpan(50_000));
+    }
+    return sentTo;
+  }
+
+  @Test
+  void attemptsInFlightEndOnceAndFreeTheirThreads() {
+    DispatcherDriver driver =
+        newBusyDriver(soleDispatcher(RULES, CAPABILITIES, requestClass("p", 1)), 12, up(1));
+    assertEquals(12, driver.inFlight.size());
+    applySettings(driver, soleDispatcher(RULES, CAPABILITIES, requestClass("p", 1)));
+    applySettings(driver, soleDispatcher(RULES, withMaxAttempts(2), requestClass("p", 2)));
+    driver.advance(new TimeSpan(10_000));
+    applySettings(driver, soleDispatcher(RULES, CAPABILITIES, requestClass("p", 1)));
+    List.copyOf(driver.inFlight.values())
+        .forEach(attempt -> driver.complete(attempt, AttemptResult.COMPLETED, true));
+    driver.advance(new TimeSpan(10_000_000));
+    assertTrue(driver.dispatcher.isIdle(), "nothing is held, out or counted");
+    assertTrue(driver.finalAnswers.isEmpty(), "every one was answered: " + driver.finalAnswers);
+  }
+
+  @Test
+  void queuedRequestsKeepTheirOrder() {
+    DispatcherDriver driver =
+        newBusyDriver(soleDispatcher(RULES, CAPABILITIES, requestClass("p", 8)), 5, up(1));
+    assertEquals(2, driver.attempts.size(), "sixteen threads");
+    applySettings(driver, soleDispatcher(RULES, CAPABILITIES, requestClass("p", 16)));
+    driver.complete(driver.attempts.get(0), AttemptResult.COMPLETED, true);
+    assertEquals(2, driver.attempts.size(), "the other one still holds eight of them");
+    driver.complete(driver.attempts.get(1), AttemptResult.COMPLETED, true);
+    assertEquals(3, driver.attempts.size(), "sixteen wide now, and alone there");
+    assertEquals("c2", driver.attempts.get(2).request().id().value(), "the oldest that was held");
+  }
+
+  @Test
+  void warmingEngineIsSentNoMoreThanBothSettingsAllow() {
+    double both = workSentDuringWarmup(slowWarmup(), fastWarmup());
+    double least =
+        Math.min(
+            workSentDuringWarmup(slowWarmup(), slowWarmup()),
+            workSentDuringWarmup(fastWarmup(), fastWarmup()));
+    assertTrue(both > 0 && both <= least * 1.05, both + " s of work against " + least);
+  }
+
+  private static Rules slowWarmup() {
+    return new Rules(
+        0.1, new TimeSpan(15_000_000), 2, new TimeSpan(3_000_000), TimeSpan.ZERO, null, null, null);
+  }
+
+  private static Rules fastWarmup() {
+    return new Rules(
+        0.5, new TimeSpan(2_000_000), 1, new TimeSpan(3_000_000), TimeSpan.ZERO, null, null, null);
+  }
+
+  /** Seconds of work sent to an engine that started with the move, within the next two seconds. */
+  private static double workSentDuringWarmup(Rules earlier, Rules after) {
+    DispatcherDriver driver =
+        new DispatcherDriver(soleDispatcher(earlier, CAPABILITIES, requestClass("p", 1)), 3);
+    driver.updateEndpoints(true, status(1, EndpointState.UP, driver.now.us()));
+    driver.advance(new TimeSpan(500_000));
+    applySettings(driver, soleDispatcher(after, CAPABILITIES, requestClass("p", 1)));
+    for (int i = 0; i < 200; i++) {
+      driver.submit("p", WORK_US);
+      List.copyOf(driver.inFlight.values())
+          .forEach(attempt -> driver.complete(attempt, AttemptResult.COMPLETED, true));
+      driver.advance(new TimeSpan(10_000));
+    }
+    return driver.attempts.size() * WORK_US / 1e6;
+  }
+
+  @Test
+  void nothingIsCancelledWhereTheNewSettingsAllowNoCancellation() {
+    Capabilities withReports =
+        new Capabilities(TICK, 4, true, false, true, new TimeSpan(500_000), new TimeSpan(200_000));
+    DispatcherDriver driver =
+        newBusyDriver(soleDispatcher(RULES, withReports, requestClass("p", 1)), 1, up(1));
+    applySettings(driver, soleDispatcher(RULES, NO_CANCEL, requestClass("p", 1)));
+    driver.advance(new TimeSpan(3_000_000));
+    assertTrue(driver.cancellations.isEmpty(), "called off: " + driver.cancellations);
+    DispatcherDriver unchangedDriver =
+        newBusyDriver(soleDispatcher(RULES, withReports, requestClass("p", 1)), 1, up(1));
+    unchangedDriver.advance(new TimeSpan(3_000_000));
+    assertEquals(1, unchangedDriver.cancellations.size(), "without the move it is");
+  }
+
+  @Test
+  void sharingDispatchersAreKeptAcrossASettingsChange() {
+    DispatcherDriver driver =
+        newBusyDriver(deployment(0, 4, RULES, CAPABILITIES, requestClass("p", 8)), 0, up(1));
+    driver.dispatcher.setSharingDispatchers(1);
+    applySettings(driver, deployment(0, 8, RULES, CAPABILITIES, requestClass("p", 8)));
+    driver.submit("p", WORK_US);
+    driver.submit("p", WORK_US);
+    assertEquals(2, driver.attempts.size(), "alone on both sides of the move: the whole engine");
+  }
+}
