--- a/src/test/java/cobaltseam/dispatch/AttemptTimeoutTest.java
+++ b/src/test/java/cobaltseam/dispatch/AttemptTimeoutTest.java
@@ -19,15 +19,15 @@
 class AttemptTimeoutTest {
   @Test
   void withoutCancellationAnAttemptMayTakeAllTheUsefulTime() {
-    // A cut send runs on where nothing can be called off: a second one would only add its work.
+    // Without cancellation a timed out attempt runs on: another would only add its work.
     DispatcherDriver driver = newDriver(NO_CANCEL, 2, 1, 2);
     driver.submit("p", WORK_US);
     SentAttempt first = driver.attempts.get(0);
-    // The target is 1 s plus twice the work, 1.2 s, and it has no late benefit: of use until 1.25
-    // times that.
+    // The objective is 1 s plus twice the work, 1.2 s, and a late answer has no weight: an attempt
+    // is of use until 1.25 times that.
     assertEquals(1_500_000, first.timeout().us(), 10_000, "timeout " + first.timeout());
     driver.advance(new TimeSpan(1_400_000));
-    assertEquals(1, driver.attempts.size(), "nothing sent again while the first may still answer");
+    assertEquals(1, driver.attempts.size(), "no retry while the first attempt may still answer");
   }
 
   @Test
@@ -53,10 +53,10 @@
     driver.followNextSteps();
     assertEquals(List.of(bad.id()), driver.cancellations);
     driver.complete(driver.inFlight.get(bad.id()), AttemptResult.CANCELLED, false);
-    assertTrue(driver.inFlight.containsKey(bad.id()), "and sent again");
+    assertTrue(driver.inFlight.containsKey(bad.id()), "and retried");
   }
 
-  /** Notes are rough: one told to be at 0.99 may still need a good part of what it took so far. */
+  /** Reports are rough: at 0.99 an attempt may still need a good part of its time so far. */
   @Test
   void almostFinishedAttemptIsNotCancelledForARoughReport() {
     DispatcherDriver driver = newDriver(0, 1, 1, 4);
@@ -69,8 +69,7 @@
     for (int i = 0; i < 10; i++) {
       driver.advance(new TimeSpan(WORK_US / 50));
     }
-    assertEquals(
-        List.of(command.id()), driver.cancellations, "but neither is it waited for without end");
+    assertEquals(List.of(command.id()), driver.cancellations, "but its time is bounded");
   }
 
   @Test
@@ -83,7 +82,7 @@
       driver.dispatcher.withdraw(new RequestId("c" + i), driver.now);
     }
     driver.followNextSteps();
-    assertEquals(14, driver.finalAnswers.size(), "what was held has its answer");
+    assertEquals(14, driver.finalAnswers.size(), "all queued requests have their final answer");
     assertTrue(
         driver.finalAnswers.values().stream()
             .allMatch(p -> p.decision() == Placement.Decision.SHED));
@@ -91,7 +90,7 @@
     assertEquals(Placement.Decision.SHED, driver.finalAnswers.get(out.get(0).id()).decision());
     driver.complete(driver.inFlight.get(out.get(1).id()), AttemptResult.COMPLETED, true);
     assertEquals(
-        18, driver.attempts.size() + driver.finalAnswers.size() - 1, "nothing was sent again");
+        18, driver.attempts.size() + driver.finalAnswers.size() - 1, "nothing was retried");
   }
 
   @Test
@@ -100,12 +99,12 @@
     driver.dispatcher.setRemainingRetries(1);
     Request first = driver.submit("p", WORK_US);
     driver.complete(driver.inFlight.get(first.id()), AttemptResult.ERROR, false);
-    assertEquals(2, driver.attempts.size(), "one was left");
+    assertEquals(2, driver.attempts.size(), "one retry was left");
     driver.dispatcher.setRemainingRetries(0);
     driver.complete(driver.inFlight.get(first.id()), AttemptResult.ERROR, false);
     assertEquals(Placement.Decision.SHED, driver.finalAnswers.get(first.id()).decision());
     driver.submit("p", WORK_US);
     driver.advance(new TimeSpan(1_000_000));
-    assertEquals(3, driver.attempts.size(), "first sends go on");
+    assertEquals(3, driver.attempts.size(), "first attempts go on");
   }
 }
--- a/src/test/java/cobaltseam/dispatch/BlockedAttemptTest.java
+++ b/src/test/java/cobaltseam/dispatch/BlockedAttemptTest.java
@@ -28,7 +28,7 @@
     SentAttempt attempt = submitOne(driver);
     driver.dispatcher.markBlocked(attempt.request().id(), attempt.number(), driver.now);
     driver.followNextSteps();
-    assertEquals(List.of(attempt.request().id()), driver.cancellations, "called off at once");
+    assertEquals(List.of(attempt.request().id()), driver.cancellations, "cancelled at once");
     driver.complete(attempt, AttemptResult.CANCELLED, false);
     SentAttempt next = driver.attempts.get(driver.attempts.size() - 1);
     assertEquals(attempt.request().id(), next.request().id());
@@ -37,7 +37,7 @@
 
   @Test
   void requestBlockedOnAllEnginesKeepsItsAttempts() {
-    // Two engines hold what it reads: going to and fro between them took five sends within
+    // Loads on both engines block it: going back and forth would use up all attempts within
     // milliseconds.
     DispatcherDriver driver = newDriver(WITH_REPORTS, 1, 1, 2);
     SentAttempt attempt = submitOne(driver);
@@ -50,12 +50,12 @@
       }
       driver.advance(TICK);
     }
-    assertEquals(2, driver.attempts.size(), "one send to each, and the second stays");
+    assertEquals(2, driver.attempts.size(), "one attempt on each, and the second stays");
   }
 
   @Test
   void blockedAttemptThatMustNotRunTwiceStays() {
-    // It has no call-off that could be brought forward: asking for one ended the dispatcher.
+    // No cancellation is planned for it that could be brought forward.
     RequestClass notIdempotent =
         requestClass("p", 1, RetrySafety.NOT_IDEMPOTENT, DeduplicationScope.ALL, false, null, null);
     DispatcherDriver driver =
--- a/src/test/java/cobaltseam/dispatch/BorrowingTest.java
+++ b/src/test/java/cobaltseam/dispatch/BorrowingTest.java
@@ -19,7 +19,7 @@
     DispatcherDriver driver = newDriver(0, 4, 1, 4);
     answerRequests(driver, 30, WORK_US);
     submitBurst(driver);
-    assertEquals(16, driver.inFlight.size(), "the whole figure");
+    assertEquals(16, driver.inFlight.size(), "all threads of the engine");
     driver.advance(new TimeSpan(WORK_US * 6));
     for (SentAttempt attempt : List.copyOf(driver.inFlight.values())) {
       driver.complete(attempt, AttemptResult.COMPLETED, true);
@@ -43,26 +43,27 @@
     answerRequests(driver, 30, WORK_US);
     driver.dispatcher.updateEngineLoad(new EngineId(4), 16, driver.now.plus(new TimeSpan(1)));
     submitBurst(driver);
-    assertTrue(driver.inFlight.size() < borrowed, "others fill it: " + driver.inFlight.size());
+    assertTrue(
+        driver.inFlight.size() < borrowed, "others use its capacity: " + driver.inFlight.size());
     driver = newDriver(0, 4, 1, 4);
     driver.reportedInFlight = 1;
     answerRequests(driver, 30, WORK_US);
     driver.dispatcher.updateEngineLoad(
         new EngineId(4), 16, driver.now.minus(new TimeSpan(1_000_000)));
     submitBurst(driver);
-    assertEquals(borrowed, driver.inFlight.size(), "older than what it told here");
+    assertEquals(borrowed, driver.inFlight.size(), "an older report is ignored");
   }
 
   /**
-   * The traffic of a dispatcher that stopped: over the share here, but what engines report leaves
-   * room for it.
+   * The traffic of a dispatcher that stopped is over quota here, but the load that engines report
+   * leaves capacity for it.
    */
   @Test
   void requestsOverQuotaBorrowOnlyWhereLoadReportsLeaveCapacity() {
     assertTrue(inFlightOverQuota(-1) <= 4, "nothing is reported");
     assertTrue(inFlightOverQuota(20) <= 4, "others use it");
     int idle = inFlightOverQuota(0);
-    assertTrue(idle > 8 && idle < 16, "most of the whole figure, never all: " + idle);
+    assertTrue(idle > 8 && idle < 16, "most threads of the engine, never all: " + idle);
   }
 
   private static int inFlightOverQuota(double inHand) {
@@ -91,6 +92,6 @@
       driver.complete(attempt, AttemptResult.COMPLETED, true);
     }
     submitBurst(driver);
-    assertEquals(16, driver.inFlight.size(), "it stood still; nothing is given back");
+    assertEquals(16, driver.inFlight.size(), "it was paused: nothing is given back");
   }
 }
--- a/src/test/java/cobaltseam/dispatch/DispatchRulesModelTest.java
+++ b/src/test/java/cobaltseam/dispatch/DispatchRulesModelTest.java
@@ -9,6 +9,7 @@
 import cobaltseam.dispatch.Deployment.RequestClass;
 import cobaltseam.dispatch.Deployment.RetrySafety;
 import cobaltseam.dispatch.Deployment.Rules;
+import cobaltseam.dispatch.DispatcherDriver.SentAttempt;
 import cobaltseam.dispatch.EndpointStatus.EndpointState;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A slow, plain model of the seven rules beside the module, on generated days. */
+/** Checks every decision against a slow, plain model of the seven rules, on generated days. */
 class DispatchRulesModelTest {
   private static final double USUAL_WORK_US = 170_000;
   private static final Rules RULES =
@@ -33,9 +34,7 @@
           0.2,
           new TimeSpan(2_000_000));
 
-  /**
-   * What became of one command, as the model saw it; it keeps everything and looks it all through.
-   */
+  /** What became of one request. The model forgets nothing, and searches it all each time. */
   private static final class ObservedRequest {
     Request request;
     Timestamp acceptedAt;
@@ -47,7 +46,7 @@
   private final Map<RequestId, ObservedRequest> observed = new LinkedHashMap<>();
   private final Map<EngineId, EndpointStatus> listed = new HashMap<>();
   private final Map<RequestClassId, RequestClass> requestClasses = new HashMap<>();
-  private final Map<RequestId, List<DispatcherDriver.SentAttempt>> attemptsOf = new HashMap<>();
+  private final Map<RequestId, List<SentAttempt>> attemptsOf = new HashMap<>();
   private DispatcherDriver driver;
   private int dispatchers;
   private int engines;
@@ -58,22 +57,22 @@
         || request.results.contains(AttemptResult.COMPLETED);
   }
 
-  private void checkAttempt(DispatcherDriver.SentAttempt attempt) {
+  private void checkAttempt(SentAttempt attempt) {
     ObservedRequest observedRequest = observed.get(attempt.request().id());
     RequestClass requestClass = requestClasses.get(attempt.request().requestClass());
     EndpointStatus engine = listed.get(attempt.engine());
-    List<DispatcherDriver.SentAttempt> earlier =
+    List<SentAttempt> earlier =
         attemptsOf.computeIfAbsent(attempt.request().id(), k -> new ArrayList<>());
-    assertEquals(EndpointState.UP, engine.state(), "drains are kept");
+    assertEquals(EndpointState.UP, engine.state(), "sent to engines that are up only");
     assertTrue(
         requestClass.locations() == null || requestClass.locations().contains(engine.location()),
         "placement by location");
     assertTrue(
         requestClass.machineTypes() == null
             || requestClass.machineTypes().contains(engine.machineType()),
-        "placement by kind");
-    assertEquals(earlier.size(), observedRequest.results.size(), "one send at a time");
-    assertTrue(earlier.size() < 4, "no more sends than allowed");
+        "placement by machine type");
+    assertEquals(earlier.size(), observedRequest.results.size(), "one attempt at a time");
+    assertTrue(earlier.size() < 4, "no more attempts than allowed");
     assertTrue(
         !observedRequest.clientLeft && !observedRequest.results.contains(AttemptResult.COMPLETED),
         "nothing after the end");
@@ -82,49 +81,54 @@
         "nothing after the final answer");
     assertTrue(
         attempt.sentAt().plus(attempt.timeout()).isBefore(observedRequest.request.deadline()),
-        "ends before the client");
-    DispatcherDriver.SentAttempt first = null;
-    for (int i = 0; i < earlier.size() && first == null; i++) {
-      first = observedRequest.results.get(i).neverRan() ? null : earlier.get(i);
-    }
-    if (first != null) {
-      assertTrue(requestClass.retrySafety() != RetrySafety.NOT_IDEMPOTENT, "no effect twice");
-      EndpointStatus ran = listed.get(first.engine());
-      if (requestClass.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY) {
-        assertTrue(
-            attempt.sentAt().since(first.sentAt()).compareTo(requestClass.deduplicationWindow())
-                <= 0,
-            "while it is remembered");
-        assertTrue(
-            requestClass.deduplicationScope() != DeduplicationScope.LOCATION
-                || ran.location().equals(engine.location()),
-            "same location");
-        assertTrue(
-            requestClass.deduplicationScope() != DeduplicationScope.GROUP
-                || ran.group().equals(engine.group()),
-            "same group");
+        "times out before the deadline");
+    for (int i = 0; i < earlier.size(); i++) {
+      if (!observedRequest.results.get(i).neverRan()) {
+        checkRetrySafety(earlier.get(i), attempt);
+        break;
       }
     }
     if (!earlier.isEmpty()) {
-      Timestamp from = attempt.sentAt().minus(RULES.retryWindow());
-      long retries =
-          driver.attempts.stream()
-              .filter(s -> s.number() > 0 && !s.sentAt().isBefore(from))
-              .count();
-      long accepted = observed.values().stream().filter(s -> from.isBefore(s.acceptedAt)).count();
-      assertTrue(
-          retries <= RULES.freeRetries() + RULES.retryRatio() * accepted,
-          "further sends in budget");
+      checkRetryBudget(attempt);
     }
     checkKeyOrder(observedRequest, requestClass, attempt);
     checkSlowStart(engine, requestClass, attempt);
     earlier.add(attempt);
   }
 
+  /** That a request which may have run before is sent again only where that does no harm. */
+  private void checkRetrySafety(SentAttempt first, SentAttempt attempt) {
+    RequestClass requestClass = requestClasses.get(attempt.request().requestClass());
+    EndpointStatus engine = listed.get(attempt.engine());
+    assertTrue(requestClass.retrySafety() != RetrySafety.NOT_IDEMPOTENT, "no effect twice");
+    EndpointStatus ran = listed.get(first.engine());
+    if (requestClass.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY) {
+      assertTrue(
+          attempt.sentAt().since(first.sentAt()).compareTo(requestClass.deduplicationWindow()) <= 0,
+          "within the deduplication window");
+      assertTrue(
+          requestClass.deduplicationScope() != DeduplicationScope.LOCATION
+              || ran.location().equals(engine.location()),
+          "same location");
+      assertTrue(
+          requestClass.deduplicationScope() != DeduplicationScope.GROUP
+              || ran.group().equals(engine.group()),
+          "same group");
+    }
+  }
+
+  private void checkRetryBudget(SentAttempt attempt) {
+    Timestamp from = attempt.sentAt().minus(RULES.retryWindow());
+    long retries =
+        driver.attempts.stream().filter(s -> s.number() > 0 && !s.sentAt().isBefore(from)).count();
+    long accepted = observed.values().stream().filter(s -> from.isBefore(s.acceptedAt)).count();
+    assertTrue(
+        retries <= RULES.freeRetries() + RULES.retryRatio() * accepted,
+        "retries within the budget");
+  }
+
   private void checkKeyOrder(
-      ObservedRequest observedRequest,
-      RequestClass requestClass,
-      DispatcherDriver.SentAttempt attempt) {
+      ObservedRequest observedRequest, RequestClass requestClass, SentAttempt attempt) {
     if (!requestClass.inOrder()) {
       return;
     }
@@ -136,10 +140,10 @@
           || !other.request.sequenceKey().equals(observedRequest.request.sequenceKey())) {
         continue;
       }
-      assertTrue(isFinished(driver, other), "an earlier one of the key is not over");
+      assertTrue(isFinished(driver, other), "an earlier request of the key is not finished");
       assertTrue(
           !driver.inFlight.containsKey(other.request.id()),
-          "an earlier one has a send without outcome");
+          "an earlier request of the key has an attempt in flight");
       for (int i = 0; i < other.results.size(); i++) {
         AttemptResult result = other.results.get(i);
         if (result == AttemptResult.TIMED_OUT
@@ -154,11 +158,11 @@
   }
 
   /**
-   * In any window: this dispatcher's part of a cold engine's allowance, growing evenly, and one
-   * command ahead.
+   * That in any window a warming engine is sent no more than this dispatcher's part of what it may
+   * be sent, which grows evenly, and one request ahead of it.
    */
   private void checkSlowStart(
-      EndpointStatus engine, RequestClass requestClass, DispatcherDriver.SentAttempt attempt) {
+      EndpointStatus engine, RequestClass requestClass, SentAttempt attempt) {
     if (engine.startedAt().us() == 0
         || attempt.sentAt().since(engine.startedAt()).compareTo(RULES.slowStartDuration()) >= 0) {
       return;
@@ -181,7 +185,8 @@
     double maxWorkUs =
         RULES.slowStartLimitFactor() * warmth * cores * RULES.slowStartWindow().us() / dispatchers
             + USUAL_WORK_US;
-    assertTrue(sentWorkUs <= maxWorkUs, "a cold engine is sent " + sentWorkUs + " of " + maxWorkUs);
+    assertTrue(
+        sentWorkUs <= maxWorkUs, "a warming engine is sent " + sentWorkUs + " of " + maxWorkUs);
   }
 
   private void checkFinalAnswer(RequestId id) {
@@ -200,7 +205,7 @@
               || requestClass.retrySafety() == RetrySafety.IDEMPOTENT
               || requestClass.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY
                   && requestClass.deduplicationScope() == DeduplicationScope.ALL,
-          "shed only where harmless");
+          "shed only where a client may safely retry");
     }
   }
 
@@ -208,7 +213,89 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
   void dispatcherKeepsTheRulesOfTheModel(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    RequestClass[] allClasses = {
+    RequestClass[] allClasses = allClasses(seed);
+    for (RequestClass requestClass : allClasses) {
+      requestClasses.put(requestClass.id(), requestClass);
+    }
+    // Some days have hundreds of dispatchers, tens of engines, a dispatcher that is paused or lost
+    // answers.
+    dispatchers = seed % 4 == 0 ? 300 : 3;
+    engines = seed % 4 < 2 ? 40 : 6;
+    driver =
+        new DispatcherDriver(
+            DispatcherDriver.deployment(
+                (int) seed % 3, dispatchers, RULES, capabilities(seed), allClasses),
+            seed);
+    driver.onAttempt = this::checkAttempt;
+    driver.onFinalAnswer = this::checkFinalAnswer;
+    for (int step = 0; step < 3000; step++) {
+      if (seed % 4 == 1 && random.nextInt(200) == 0) {
+        driver.now =
+            driver.now.plus(new TimeSpan(random.nextInt(400) * DispatcherDriver.TICK.us()));
+      }
+      driver.advance(new TimeSpan(DispatcherDriver.TICK.us() * random.nextInt(3)));
+      timeOutAttempts();
+      act(random, step == 0, seed % 4 == 1, allClasses);
+    }
+    for (int i = 0; i < 1200; i++) {
+      driver.advance(DispatcherDriver.TICK);
+      timeOutAttempts();
+    }
+    for (ObservedRequest observedRequest : observed.values()) {
+      assertTrue(
+          isFinished(driver, observedRequest),
+          "a request without a final answer: " + observedRequest.request);
+    }
+    assertTrue(driver.dispatcher.isIdle(), "no thread budget leaks");
+    assertTrue(driver.attempts.size() > 100, "a day with some attempts");
+  }
+
+  private void act(
+      SplittableRandom random, boolean first, boolean losesAnswers, RequestClass[] allClasses) {
+    int action = random.nextInt(100);
+    if (first || action < 2) {
+      updateEndpoints(random, first || action < 1);
+    } else if (action < 56) {
+      submit(allClasses[random.nextInt(allClasses.length)], random);
+    } else if (action < 97 && !driver.inFlight.isEmpty()) {
+      complete(anyInFlight(random), anyResult(random, losesAnswers));
+    } else if (action < 98 && !driver.inFlight.isEmpty()) {
+      SentAttempt attempt = anyInFlight(random);
+      driver.dispatcher.updateProgress(
+          attempt.request().id(),
+          attempt.number() - random.nextInt(2),
+          random.nextDouble(),
+          driver.now);
+      driver.followNextSteps();
+    } else if (action < 99 && !observed.isEmpty()) {
+      leave(List.copyOf(observed.values()).get(random.nextInt(observed.size())));
+    } else if (action == 99 && !observed.isEmpty()) {
+      // Other dispatchers take over traffic or leave it, and so does this one: it sends no more
+      // attempts of the requests that it had.
+      driver.dispatcher.setSharingDispatchers(random.nextDouble() * dispatchers);
+      driver.dispatcher.withdraw(
+          List.copyOf(observed.keySet()).get(random.nextInt(observed.size())), driver.now);
+      driver.followNextSteps();
+    }
+  }
+
+  private SentAttempt anyInFlight(SplittableRandom random) {
+    return List.copyOf(driver.inFlight.values()).get(random.nextInt(driver.inFlight.size()));
+  }
+
+  private static AttemptResult anyResult(SplittableRandom random, boolean losesAnswers) {
+    if (losesAnswers && random.nextInt(9) == 0) {
+      return AttemptResult.TIMED_OUT;
+    }
+    if (random.nextInt(3) > 0) {
+      return AttemptResult.COMPLETED;
+    }
+    AttemptResult[] all = AttemptResult.values();
+    return all[random.nextInt(all.length)];
+  }
+
+  private static RequestClass[] allClasses(long seed) {
+    return new RequestClass[] {
       DispatcherDriver.requestClass("p", 1),
       DispatcherDriver.requestClass(
           "wide",
@@ -253,87 +340,21 @@
           null,
           null)
     };
-    for (RequestClass requestClass : allClasses) {
-      requestClasses.put(requestClass.id(), requestClass);
-    }
-    Capabilities capabilities =
-        new Capabilities(
-            DispatcherDriver.TICK,
-            4,
-            seed % 3 != 0,
-            true,
-            seed % 5 != 0,
-            new TimeSpan(500_000),
-            new TimeSpan(seed % 7 > 2 ? 200_000 : 0));
-    // Some days: hundreds of dispatchers, tens of engines, a dispatcher that stands still, lost
-    // answers.
-    dispatchers = seed % 4 == 0 ? 300 : 3;
-    engines = seed % 4 < 2 ? 40 : 6;
-    driver =
-        new DispatcherDriver(
-            DispatcherDriver.deployment(
-                (int) seed % 3, dispatchers, RULES, capabilities, allClasses),
-            seed);
-    driver.onAttempt = this::checkAttempt;
-    driver.onFinalAnswer = this::checkFinalAnswer;
-    AttemptResult[] allResults = AttemptResult.values();
-    for (int step = 0; step < 3000; step++) {
-      if (seed % 4 == 1 && random.nextInt(200) == 0) {
-        driver.now =
-            driver.now.plus(new TimeSpan(random.nextInt(400) * DispatcherDriver.TICK.us()));
-      }
-      driver.advance(new TimeSpan(DispatcherDriver.TICK.us() * random.nextInt(3)));
-      timeOutAttempts();
-      int action = random.nextInt(100);
-      if (step == 0 || action < 2) {
-        updateEndpoints(random, step == 0 || action < 1);
-      } else if (action < 56) {
-        submit(allClasses[random.nextInt(allClasses.length)], random);
-      } else if (action < 97 && !driver.inFlight.isEmpty()) {
-        DispatcherDriver.SentAttempt attempt =
-            List.copyOf(driver.inFlight.values()).get(random.nextInt(driver.inFlight.size()));
-        complete(
-            attempt,
-            seed % 4 == 1 && random.nextInt(9) == 0
-                ? AttemptResult.TIMED_OUT
-                : random.nextInt(3) > 0
-                    ? AttemptResult.COMPLETED
-                    : allResults[random.nextInt(allResults.length)]);
-      } else if (action < 98 && !driver.inFlight.isEmpty()) {
-        DispatcherDriver.SentAttempt attempt =
-            List.copyOf(driver.inFlight.values()).get(random.nextInt(driver.inFlight.size()));
-        driver.dispatcher.updateProgress(
-            attempt.request().id(),
-            attempt.number() - random.nextInt(2),
-            random.nextDouble(),
-            driver.now);
-        driver.followNextSteps();
-      } else if (action < 99 && !observed.isEmpty()) {
-        leave(List.copyOf(observed.values()).get(random.nextInt(observed.size())));
-      } else if (action == 99 && !observed.isEmpty()) {
-        // Others take and leave traffic, and so does this one: nothing more is sent for what it
-        // had.
-        driver.dispatcher.setSharingDispatchers(random.nextDouble() * dispatchers);
-        driver.dispatcher.withdraw(
-            List.copyOf(observed.keySet()).get(random.nextInt(observed.size())), driver.now);
-        driver.followNextSteps();
-      }
-    }
-    for (int i = 0; i < 1200; i++) {
-      driver.advance(DispatcherDriver.TICK);
-      timeOutAttempts();
-    }
-    for (ObservedRequest observedRequest : observed.values()) {
-      assertTrue(
-          isFinished(driver, observedRequest),
-          "a command without a final answer: " + observedRequest.request);
-    }
-    assertTrue(driver.dispatcher.isIdle(), "no budget leaks");
-    assertTrue(driver.attempts.size() > 100, "a day with some sends");
+  }
+
+  private static Capabilities capabilities(long seed) {
+    return new Capabilities(
+        DispatcherDriver.TICK,
+        4,
+        seed % 3 != 0,
+        true,
+        seed % 5 != 0,
+        new TimeSpan(500_000),
+        new TimeSpan(seed % 7 > 2 ? 200_000 : 0));
   }
 
   private void timeOutAttempts() {
-    for (DispatcherDriver.SentAttempt attempt : List.copyOf(driver.inFlight.values())) {
+    for (SentAttempt attempt : List.copyOf(driver.inFlight.values())) {
       if (!driver.now.isBefore(attempt.sentAt().plus(attempt.timeout()))) {
         complete(attempt, AttemptResult.TIMED_OUT);
       } else if (driver.cancellations.remove(attempt.request().id())) {
@@ -342,7 +363,7 @@
     }
   }
 
-  private void complete(DispatcherDriver.SentAttempt attempt, AttemptResult result) {
+  private void complete(SentAttempt attempt, AttemptResult result) {
     ObservedRequest observedRequest = observed.get(attempt.request().id());
     observedRequest.results.add(result);
     observedRequest.endedAt.add(driver.now);
--- a/src/test/java/cobaltseam/dispatch/DispatcherDriver.java
+++ b/src/test/java/cobaltseam/dispatch/DispatcherDriver.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Drives one dispatcher as an adapter would and keeps what it said; the helper of all tests. */
+/** Drives one dispatcher as a caller would and records its decisions. */
 final class DispatcherDriver {
-  /** One send without outcome. */
+  /** One attempt, as the dispatcher asked for it. */
   record SentAttempt(
       Request request,
       int number,
@@ -48,8 +48,8 @@
   final List<RequestId> cancellations = new ArrayList<>();
   TimeSpan delay;
 
-  /** Told of each send and each final answer as it is said. */
-  Consumer<SentAttempt> onAttempt = out -> {};
+  /** Called with each attempt and each final answer as it is decided. */
+  Consumer<SentAttempt> onAttempt = attempt -> {};
 
   Consumer<RequestId> onFinalAnswer = id -> {};
   private int requestNumbers;
@@ -79,7 +79,7 @@
         capabilities);
   }
 
-  /** A replayable profile on some threads with a latency target of a second. */
+  /** An idempotent class on some threads with a latency objective of a second. */
   static RequestClass requestClass(String name, int threads) {
     return requestClass(
         name, threads, RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, false, null, null);
@@ -140,7 +140,7 @@
         memoryMb);
   }
 
-  /** A new command of a profile, taken now. */
+  /** Submits a new request of a class now. */
   Request submit(String requestClass, long workUs) {
     Request request = newRequest(requestClass, null, workUs);
     submit(request);
@@ -173,7 +173,7 @@
     return placement;
   }
 
-  /** Lets time pass in ticks, asking the dispatcher whenever its pause is over. */
+  /** Lets time pass in ticks, and asks the dispatcher whenever its delay is over. */
   void advance(TimeSpan span) {
     Timestamp until = now.plus(span);
     while (now.isBefore(until)) {
@@ -186,7 +186,7 @@
   void followNextSteps() {
     for (int steps = 0; ; steps++) {
       if (steps > 100_000) {
-        throw new AssertionError("pause names the same thing without end");
+        throw new AssertionError("the dispatcher asks for the same step without end");
       }
       NextStep step = dispatcher.next(now);
       delay = step.delay();
@@ -210,7 +210,7 @@
             new SentAttempt(
                 request, number, placement.engine(), now, placement.attemptTimeout(), placement);
         if (inFlight.put(request.id(), attempt) != null) {
-          throw new AssertionError("two sends at once for " + request.id());
+          throw new AssertionError("two attempts at once for " + request.id());
         }
         attempts.add(attempt);
         onAttempt.accept(attempt);
--- a/src/test/java/cobaltseam/dispatch/EngineChoiceTest.java
+++ b/src/test/java/cobaltseam/dispatch/EngineChoiceTest.java
@@ -59,10 +59,10 @@
     assertEquals(8, driver.inFlight.size(), "16 threads over 2 dispatchers");
     driver.dispatcher.setSharingDispatchers(1);
     driver.followNextSteps();
-    assertEquals(16, driver.inFlight.size(), "all of it for the only one");
+    assertEquals(16, driver.inFlight.size(), "all threads for the only dispatcher");
     driver.dispatcher.setSharingDispatchers(0);
     driver.followNextSteps();
-    assertEquals(16, driver.inFlight.size(), "never more than an engine's whole figure");
+    assertEquals(16, driver.inFlight.size(), "never more than an engine's threads");
   }
 
   @Test
@@ -121,7 +121,7 @@
     }
     assertTrue(
         attemptedEngines(driver).stream().skip(at).noneMatch(engine -> engine == 4),
-        "nothing is saved up at the start");
+        "no allowance is saved up at the start");
     driver.advance(new TimeSpan(1_000_000));
     answerRequests(driver, 30, WORK_US);
     assertTrue(
--- a/src/test/java/cobaltseam/dispatch/LoadSheddingTest.java
+++ b/src/test/java/cobaltseam/dispatch/LoadSheddingTest.java
@@ -33,7 +33,7 @@
             0);
     driver.submit(hasty);
     assertTrue(
-        driver.inFlight.containsKey(hasty.id()), "a short wait is no proof that it asked before");
+        driver.inFlight.containsKey(hasty.id()), "a short deadline does not make it a retry");
   }
 
   @Test
@@ -52,14 +52,14 @@
       driver.submit("p", WORK_US);
     }
     Request heavy = driver.submit("wide", 20 * WORK_US);
-    assertTrue(driver.finalAnswers.isEmpty(), "one alone is no queue");
+    assertTrue(driver.finalAnswers.isEmpty(), "a single request is no queue");
     for (int i = 0; i < 60; i++) {
       driver.submit("wide", WORK_US);
     }
     assertEquals(
         heavy.id(),
         driver.finalAnswers.keySet().iterator().next(),
-        "least benefit for its threads goes first");
+        "least weight for its threads goes first");
     assertTrue(driver.finalAnswers.get(heavy.id()).retryAfter().isPositive());
     assertTrue(driver.finalAnswers.size() < 60);
   }
@@ -72,7 +72,7 @@
     for (int i = 0; i < 40; i++) {
       driver.submit("p", WORK_US);
     }
-    assertTrue(driver.attempts.size() - before > 4, "what is within its share borrows");
+    assertTrue(driver.attempts.size() - before > 4, "requests within quota borrow");
     driver.advance(new TimeSpan(8 * WORK_US));
     List.copyOf(driver.inFlight.values())
         .forEach(attempt -> driver.complete(attempt, AttemptResult.COMPLETED, true));
@@ -81,8 +81,7 @@
       driver.submit("p", WORK_US);
     }
     assertTrue(
-        driver.finalAnswers.size() - finals > 300,
-        "over the share and under strain it is shed at once");
+        driver.finalAnswers.size() - finals > 300, "over quota and in overload it is shed at once");
   }
 
   @Test
@@ -97,7 +96,7 @@
     }
     assertTrue(
         driver.finalAnswers.size() < 6,
-        "a few a second of two holders are served: " + driver.finalAnswers.size());
+        "a few a second of two tenants are served: " + driver.finalAnswers.size());
   }
 
   @Test
@@ -116,12 +115,12 @@
   @Test
   void lowEstimatesAreNoOverloadWhileEnginesReportCapacity() {
     assertEquals(
-        0, shedWithLatencyFourTimesTheEstimate(0.2), "room on every engine: nothing is too dear");
+        0, shedWithLatencyFourTimesTheEstimate(0.2), "capacity on every engine: nothing is shed");
     int shed = shedWithLatencyFourTimesTheEstimate(30);
     assertTrue(shed > 20, shed + " sheds: the same answers from full engines are overload");
   }
 
-  /** Sheds among the later commands of a day on which engines report this many in hand. */
+  /** Shed requests among the later ones, while engines report this many in flight. */
   private static int shedWithLatencyFourTimesTheEstimate(double inFlight) {
     DispatcherDriver driver = newDriver(WITH_REPORTS, 1, 1, 2, 4);
     driver.reportedInFlight = inFlight;
@@ -140,10 +139,7 @@
     return driver.finalAnswers.size() - before;
   }
 
-  /**
-   * Of a hundred commands that come while answers take three times the usual, how many are shed as
-   * they come.
-   */
+  /** How many of a hundred requests are shed at once while answers take three times the usual. */
   private static long shedAtOnce(boolean failing) {
     DispatcherDriver driver = newDriver(WITH_REPORTS, 1, 1, 2, 5, 6);
     driver.reportedInFlight = 1;
@@ -175,25 +171,25 @@
 
   @Test
   void failingEnginesReportNoCapacity() {
-    // Reports come with answers alone. Before, a pool of which most did not answer looked empty by
-    // the rest, and nothing was shed.
+    // Reports come with answers alone: a pool of which most does not answer must not look empty by
+    // the rest.
     long alone = shedAtOnce(false);
     long beside = shedAtOnce(true);
-    assertEquals(0, alone, "slow, but all engines tell of room");
-    assertTrue(beside > 0, "slow, and most of all fails");
+    assertEquals(0, alone, "slow, but all engines report capacity");
+    assertTrue(beside > 0, "slow, and most attempts fail");
   }
 
   @Test
   void shedHasNoRetryAfterWhereTheDeploymentAllowsNone() {
     DispatcherDriver driver = newDriver(NO_CANCEL, 2, 1);
     driver.submit("p", WORK_US);
-    // Every send is turned away unseen until the sends are spent; then it is given up.
+    // Every attempt is rejected before it runs until none is left; then the request is given up.
     while (!driver.inFlight.isEmpty()) {
       driver.complete(
           driver.inFlight.values().iterator().next(), AttemptResult.CAPACITY_EXCEEDED, false);
       driver.advance(new TimeSpan(20_000));
     }
-    // Turned away unseen, it never ran: the one answer is a shed, and it names no time.
+    // It never ran: the one final answer is a shed, without a retry delay.
     assertEquals(1, driver.finalAnswers.size(), "one final answer");
     Placement placement = driver.finalAnswers.values().iterator().next();
     assertEquals(Placement.Decision.SHED, placement.decision());
--- a/src/test/java/cobaltseam/dispatch/MemoryGrantTest.java
+++ b/src/test/java/cobaltseam/dispatch/MemoryGrantTest.java
@@ -27,7 +27,7 @@
     assertTrue(grant > 0 && grant <= 5 * driver.memoryMb, "grant " + grant);
   }
 
-  /** Forty commands, each answered with this need of memory. */
+  /** Forty requests, each answered with this use of memory. */
   private static void answerWithMemoryUse(DispatcherDriver driver, double usedMb) {
     for (int i = 0; i < 40; i++) {
       driver.submit("p", WORK_US);
@@ -51,7 +51,7 @@
 
   @Test
   void memoryGrantFollowsReportedUseOverTheEstimate() {
-    // Estimates lie low by half for this profile: the engine's own grant, a quarter over them,
+    // Estimates are half of the need of this class: the engine's own grant, a quarter over them,
     // spills.
     DispatcherDriver driver = newDriver(CAPABILITIES, 2, 1, 2);
     assertEquals(
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Commands whose need is twice the estimate: short of their grant they spill, and no answer tells
-   * the need.
+   * Submits requests that need twice their estimate: with a smaller grant they spill, and no answer
+   * reports the use.
    */
   private static double grantAfter(DispatcherDriver driver, int requests) {
     double needMb = 2 * driver.memoryMb;
--- a/src/test/java/cobaltseam/dispatch/SettingsChangeRulesTest.java
+++ b/src/test/java/cobaltseam/dispatch/SettingsChangeRulesTest.java
@@ -67,23 +67,21 @@
         newBusyDriver(soleDispatcher(RULES, CAPABILITIES, inLocations(HERE)), 17, up(1), up(2));
     assertEquals(16, driver.inFlight.size());
     applySettings(driver, soleDispatcher(RULES, CAPABILITIES, inLocations(THERE)));
-    assertEquals(1, driver.finalAnswers.size(), "told at once");
+    assertEquals(1, driver.finalAnswers.size(), "answered at once");
     assertEquals(
         Placement.Decision.SHED, driver.finalAnswers.values().iterator().next().decision());
     assertTrue(
         driver.finalAnswers.values().iterator().next().retryAfter().isPositive(),
-        "with a time to come back");
+        "with a retry delay");
     driver.complete(driver.attempts.get(0), AttemptResult.COMPLETED, true);
     driver.complete(driver.attempts.get(1), AttemptResult.CAPACITY_EXCEEDED, false);
     assertEquals(
-        2,
-        driver.finalAnswers.size(),
-        "its placements have no engine in common: given up, not sent there");
+        2, driver.finalAnswers.size(), "no engine is allowed by both settings: given up, not sent");
     driver.submit("p", WORK_US);
     assertEquals(
         2,
         driver.attempts.get(driver.attempts.size() - 1).engine().value(),
-        "a new one goes by the new placement");
+        "a new request goes by the new settings");
   }
 
   @Test
@@ -102,7 +100,7 @@
             .filter(s -> s.request().requestClass().value().equals("p"))
             .count();
     assertEquals(
-        6, attemptsOfClass, "the held one and the one that found no room were sent as they began");
+        6, attemptsOfClass, "the queued request and the rejected one go on by their own settings");
     assertThrows(
         IllegalArgumentException.class,
         () -> driver.dispatcher.place(driver.newRequest("p", null, WORK_US), driver.now));
@@ -130,7 +128,7 @@
             first
                 + " then "
                 + second
-                + ": after 300 ms only what is replayable may run again (engines remember 200 ms)");
+                + ": after 300 ms only idempotent requests may run again (keys are remembered for 200 ms)");
       }
     }
   }
@@ -147,9 +145,9 @@
     applySettings(driver, looseDeployment);
     driver.submit("p", WORK_US);
     driver.complete(driver.attempts.get(0), AttemptResult.CONNECTION_LOST, false);
-    assertEquals(2, driver.attempts.size(), "it stood under the strict kind for 10 ms: no repeat");
+    assertEquals(2, driver.attempts.size(), "it was under the strict settings for 10 ms: no retry");
     driver.complete(driver.attempts.get(1), AttemptResult.CONNECTION_LOST, false);
-    assertEquals(3, driver.attempts.size(), "taken after the change back: replayable");
+    assertEquals(3, driver.attempts.size(), "accepted after the change back: idempotent");
   }
 
   @Test
@@ -168,7 +166,7 @@
       driver.complete(driver.attempts.get(i), AttemptResult.CAPACITY_EXCEEDED, false);
     }
     assertEquals(
-        4, driver.attempts.size(), "taken under two sends: no third after more are allowed");
+        4, driver.attempts.size(), "accepted with two attempts: no third after more are allowed");
   }
 
   @Test
@@ -184,15 +182,15 @@
       driver.complete(
           driver.inFlight.values().iterator().next(), AttemptResult.CAPACITY_EXCEEDED, false);
     }
-    assertEquals(14, driver.attempts.size(), "four further sends");
+    assertEquals(14, driver.attempts.size(), "four retries");
     applySettings(
         driver, soleDispatcher(withRetryBudget(2, 0), CAPABILITIES, requestClass("p", 1)));
     driver.complete(
         driver.inFlight.values().iterator().next(), AttemptResult.CAPACITY_EXCEEDED, false);
-    assertEquals(14, driver.attempts.size(), "none while four lie in the window");
+    assertEquals(14, driver.attempts.size(), "none while four are in the window");
     applySettings(
         driver, soleDispatcher(withRetryBudget(40, 0), CAPABILITIES, requestClass("p", 1)));
-    assertEquals(14, driver.attempts.size(), "the smaller ones hold for their window");
+    assertEquals(14, driver.attempts.size(), "the smaller budgets apply for their window");
     DispatcherDriver later =
         newBusyDriver(
             soleDispatcher(withRetryBudget(0, 0), CAPABILITIES, requestClass("p", 1)),
@@ -227,9 +225,7 @@
     freshDriver.submit(freshDriver.newRequest("p", "key", WORK_US));
     applySettings(freshDriver, soleDispatcher(RULES, CAPABILITIES, ordered));
     assertEquals(
-        1,
-        freshDriver.attempts.size(),
-        "one thread fits now beside none, but the first is still out");
+        1, freshDriver.attempts.size(), "another one would fit, but the first is still in flight");
     freshDriver.complete(freshDriver.attempts.get(0), AttemptResult.COMPLETED, true);
     assertEquals(2, freshDriver.attempts.size());
     freshDriver.complete(freshDriver.attempts.get(1), AttemptResult.COMPLETED, true);
--- a/src/test/java/cobaltseam/dispatch/SettingsChangeTest.java
+++ b/src/test/java/cobaltseam/dispatch/SettingsChangeTest.java
@@ -50,7 +50,7 @@
     int[] attemptsAfresh = attemptsPerEngine(freshDriver);
     assertTrue(
         attemptsAfterChange[1] + attemptsAfterChange[2] > 0,
-        "the list went along: nothing to hear before the first send");
+        "the endpoint list is kept: attempts need no new one");
     assertTrue(
         attemptsAfterChange[1] < attemptsAfresh[1],
         "engine 1 still known as failing: "
@@ -59,12 +59,12 @@
             + attemptsAfresh[1]);
   }
 
-  /** Other settings for the same engines: fifty dispatchers, and a budget of further sends. */
+  /** Other settings for the same engines: fifty dispatchers, and a retry budget. */
   private static Deployment fiftyDispatchers() {
     return deployment(0, 50, withRetryBudget(2.0, 0.2), NO_CANCEL, requestClass("p", 1));
   }
 
-  /** Sends to each engine in the first second, while engine 1 still fails. */
+  /** Attempts on each engine in the first second, while engine 1 still fails. */
   private static int[] attemptsPerEngine(DispatcherDriver driver) {
     int[] sentTo = new int[6];
     for (int i = 0; i < 20; i++) {
@@ -93,7 +93,7 @@
     List.copyOf(driver.inFlight.values())
         .forEach(attempt -> driver.complete(attempt, AttemptResult.COMPLETED, true));
     driver.advance(new TimeSpan(10_000_000));
-    assertTrue(driver.dispatcher.isIdle(), "nothing is held, out or counted");
+    assertTrue(driver.dispatcher.isIdle(), "nothing is queued, in flight or counted");
     assertTrue(driver.finalAnswers.isEmpty(), "every one was answered: " + driver.finalAnswers);
   }
 
@@ -104,10 +104,10 @@
     assertEquals(2, driver.attempts.size(), "sixteen threads");
     applySettings(driver, soleDispatcher(RULES, CAPABILITIES, requestClass("p", 16)));
     driver.complete(driver.attempts.get(0), AttemptResult.COMPLETED, true);
-    assertEquals(2, driver.attempts.size(), "the other one still holds eight of them");
+    assertEquals(2, driver.attempts.size(), "the other one still uses eight of them");
     driver.complete(driver.attempts.get(1), AttemptResult.COMPLETED, true);
-    assertEquals(3, driver.attempts.size(), "sixteen wide now, and alone there");
-    assertEquals("c2", driver.attempts.get(2).request().id().value(), "the oldest that was held");
+    assertEquals(3, driver.attempts.size(), "sixteen threads now, and alone there");
+    assertEquals("c2", driver.attempts.get(2).request().id().value(), "the oldest that was queued");
   }
 
   @Test
@@ -130,7 +130,7 @@
         0.5, new TimeSpan(2_000_000), 1, new TimeSpan(3_000_000), TimeSpan.ZERO, null, null, null);
   }
 
-  /** Seconds of work sent to an engine that started with the move, within the next two seconds. */
+  /** Seconds of work sent to an engine that has just started, in two seconds after the change. */
   private static double workSentDuringWarmup(Rules earlier, Rules after) {
     DispatcherDriver driver =
         new DispatcherDriver(soleDispatcher(earlier, CAPABILITIES, requestClass("p", 1)), 3);
@@ -154,11 +154,11 @@
         newBusyDriver(soleDispatcher(RULES, withReports, requestClass("p", 1)), 1, up(1));
     applySettings(driver, soleDispatcher(RULES, NO_CANCEL, requestClass("p", 1)));
     driver.advance(new TimeSpan(3_000_000));
-    assertTrue(driver.cancellations.isEmpty(), "called off: " + driver.cancellations);
+    assertTrue(driver.cancellations.isEmpty(), "cancelled: " + driver.cancellations);
     DispatcherDriver unchangedDriver =
         newBusyDriver(soleDispatcher(RULES, withReports, requestClass("p", 1)), 1, up(1));
     unchangedDriver.advance(new TimeSpan(3_000_000));
-    assertEquals(1, unchangedDriver.cancellations.size(), "without the move it is");
+    assertEquals(1, unchangedDriver.cancellations.size(), "without the change it is cancelled");
   }
 
   @Test
@@ -169,6 +169,6 @@
     applySettings(driver, deployment(0, 8, RULES, CAPABILITIES, requestClass("p", 8)));
     driver.submit("p", WORK_US);
     driver.submit("p", WORK_US);
-    assertEquals(2, driver.attempts.size(), "alone on both sides of the move: the whole engine");
+    assertEquals(2, driver.attempts.size(), "alone before and after the change: all threads");
   }
 }
