--- a/src/main/java/cobaltseam/dispatch/Dispatcher.java
+++ b/src/main/java/cobaltseam/dispatch/Dispatcher.java
@@ -22,10 +22,11 @@
  * at usual speed, the budget there may grow up to all of the engine's threads.
  *
  * <p>Where to read on: {@link ThreadBudgets} chooses engines, {@link EngineHealth} assesses them,
- * {@link EngineWarmup} starts them slowly, {@link OutcomeRecorder} learns from outcomes, {@link
- * AttemptTimeouts} ends attempts, {@link RetryAllowance} bounds retries, {@link LoadShedder} and
- * {@link TenantQuotas} shed load, {@link KeySequences} keeps order, {@link MemoryNeed} grants
- * memory and {@link RequestQueue} holds what waits.
+ * {@link EngineWarmup} starts them slowly, {@link RequestAdmission} accepts requests, {@link
+ * OutcomeRecorder} learns from outcomes, {@link AttemptTimeouts} ends attempts, {@link
+ * RetryAllowance} bounds retries, {@link LoadShedder} and {@link TenantQuotas} shed load, {@link
+ * KeySequences} keeps order, {@link MemoryNeed} grants memory and {@link RequestQueue} holds what
+ * waits.
  *
  * <p>An instance knows its own traffic and shares nothing. It is not thread safe.
  */
@@ -41,8 +42,8 @@
   private final ThreadBudgets budgets;
   private final AttemptTimeouts timeouts;
   private final LoadShedder shedder;
+  private final RequestAdmission admission;
   private PolicySettings settings;
-  private double offeredWorkUs;
 
   /**
    * Starts with no engines; nothing is sent before {@link #updateEndpoints}.
@@ -58,6 +59,7 @@
     budgets = new ThreadBudgets(engines, health, settings);
     timeouts = new AttemptTimeouts(health, settings);
     shedder = new LoadShedder(budgets, health, requestClasses, random, settings);
+    admission = new RequestAdmission(requestClasses, quotas, health, shedder);
     retries.addBudget(deployment.rules());
     requestClasses.applySettings(deployment, settings.shortestObjective(), Set.of());
     quotas.applyQuotas(deployment.quotas(), settings.dispatcherCount());
@@ -257,7 +259,7 @@
 
   /** The work of all requests accepted so far, in microseconds of one thread. */
   public double offeredLoad() {
-    return offeredWorkUs;
+    return admission.offeredWorkUs();
   }
 
   /** Whether nothing is queued, in flight or counted anywhere. */
@@ -358,23 +360,7 @@
   // ---- the life of a request
 
   private TrackedRequest accept(Request request, Timestamp now) {
-    RequestClassStats requestClass = requestClasses.get(request.requestClass());
-    if (requestClass == null || requestClass.isRetired()) {
-      throw new IllegalArgumentException("unknown profile " + request.requestClass().value());
-    }
-    long number = queue.nextArrivalNumber();
-    if (request.work().isPositive()) {
-      // An estimate beyond all that its client waits for does not show what is usual.
-      double most = (double) requestClass.threads() * requestClass.definition().deadline().us();
-      requestClass.learnWork(Math.min(request.work().us(), most));
-    }
-    boolean overQuota = quotas.exceedsQuota(request.tenant(), queue.arrivals(), now);
-    TrackedRequest tracked = new TrackedRequest(request, requestClass, number, overQuota, now);
-    tracked.checkLate(health.expectedLatency(tracked), now);
-    if (shedder.shouldShedNew(tracked, queue.arrivals())) {
-      tracked.drop();
-    }
-    offeredWorkUs += tracked.workUs();
+    TrackedRequest tracked = admission.accept(request, now);
     retries.recordAccepted(now);
     sequences.forgetRested(now);
     queue.addOpen(tracked);
--- a/src/main/java/cobaltseam/dispatch/RequestQueue.java
+++ b/src/main/java/cobaltseam/dispatch/RequestQueue.java
@@ -13,16 +13,6 @@
   private final Map<RequestId, TrackedRequest> open = new HashMap<>();
   private final TreeSet<TrackedRequest> queued =
       new TreeSet<>(Comparator.comparingLong(TrackedRequest::arrivalNumber));
-  private long arrivals;
-
-  /** The number of the next request; also counts those accepted. */
-  long nextArrivalNumber() {
-    return arrivals++;
-  }
-
-  long arrivals() {
-    return arrivals;
-  }
 
   /** Null if it is not open. */
   TrackedRequest get(RequestId id) {
