--- a/src/main/java/cobaltseam/deployment/DeploymentReader.java
+++ b/src/main/java/cobaltseam/deployment/DeploymentReader.java
@@ -9,143 +9,172 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Turns the wire's start-up parameters into what a dispatcher is told of its deployment. */
+/** Turns the platform's start-up parameters into a {@link Deployment}. */
 public final class DeploymentReader {
-  /**
-   * The names in load reports of what an engine holds waiting for memory, and of all that it holds.
-   */
+  /** The name, in load reports of engines, of the requests that wait for memory. */
   public static final String QUEUE_REPORT = "pending";
 
+  /** The name, in load reports of engines, of all requests in flight, waiting ones included. */
   public static final String IN_HAND_REPORT = "busy_reqs";
 
   private DeploymentReader() {}
 
-  public static Deployment read(JsonObjectReader told) {
-    JsonObjectReader family = told.object("family_info");
+  /**
+   * Reads a deployment from the platform's parameters.
+   *
+   * @throws InvalidInputException if a field is missing or can't be used
+   */
+  public static Deployment read(JsonObjectReader parameters) {
+    JsonObjectReader family = parameters.object("family_info");
+    List<Deployment.RequestClass> requestClasses = requestClasses(parameters, family);
+    List<Deployment.MachineType> machineTypes = machineTypes(parameters, family);
+    List<Deployment.Quota> quotas = quotas(parameters);
+    requireKnownMachineTypes(requestClasses, machineTypes);
+    return new Deployment(
+        (int) parameters.whole("position"),
+        (int) parameters.whole("balancers"),
+        requestClasses,
+        machineTypes,
+        quotas,
+        parameters.number("over_share_worth", 1),
+        rules(parameters.object("rules")),
+        capabilities(parameters, parameters.object("limits"), family),
+        place(parameters));
+  }
+
+  private static List<Deployment.RequestClass> requestClasses(
+      JsonObjectReader parameters, JsonObjectReader family) {
     List<Double> threads = family.numbers("width_by_class");
-    List<Boolean> loads = family.flags("writes_tables");
-    List<Boolean> waits = family.flags("waits_for_loads");
-    List<Deployment.RequestClass> profiles = new ArrayList<>();
-    for (JsonObjectReader f : told.objects("classes")) {
-      int index = profiles.size();
-      profiles.add(
-          profile(
-              f,
+    List<Boolean> isLoad = family.flags("writes_tables");
+    List<Boolean> waitsForLoads = family.flags("waits_for_loads");
+    List<Deployment.RequestClass> requestClasses = new ArrayList<>();
+    for (JsonObjectReader fields : parameters.objects("classes")) {
+      int index = requestClasses.size();
+      requestClasses.add(
+          requestClass(
+              fields,
               index < threads.size() ? threads.get(index).intValue() : 1,
-              index < loads.size() && loads.get(index),
-              index < waits.size() && waits.get(index)));
+              index < isLoad.size() && isLoad.get(index),
+              index < waitsForLoads.size() && waitsForLoads.get(index)));
     }
+    return requestClasses;
+  }
+
+  private static Deployment.RequestClass requestClass(
+      JsonObjectReader fields, int threads, boolean isLoad, boolean waitsForLoads) {
+    return new Deployment.RequestClass(
+        new RequestClassId(fields.text("name")),
+        threads,
+        fields.number("importance", 1),
+        fields.number("late_value", 0),
+        span(fields, "aim_us"),
+        fields.number("aim_stretch", 0),
+        span(fields, "hard_limit_us"),
+        retrySafety(fields.text("repeat")),
+        deduplicationScope(fields.text("key_scope", "all")),
+        new TimeSpan(fields.whole("window_us", 0)),
+        fields.flag("in_order"),
+        fields.has("confined_to")
+            ? fields.texts("confined_to").stream().map(LocationId::new).toList()
+            : null,
+        fields.has("runs_on")
+            ? fields.texts("runs_on").stream().map(MachineTypeId::new).toList()
+            : null,
+        isLoad,
+        waitsForLoads);
+  }
+
+  private static Deployment.RetrySafety retrySafety(String repeat) {
+    return switch (repeat) {
+      case "read_like" -> Deployment.RetrySafety.IDEMPOTENT;
+      case "idempotency_key" -> Deployment.RetrySafety.IDEMPOTENT_WITH_KEY;
+      case "non_idempotent" -> Deployment.RetrySafety.NOT_IDEMPOTENT;
+      default -> throw new InvalidInputException("classes: unknown 'repeat' " + repeat);
+    };
+  }
+
+  private static Deployment.DeduplicationScope deduplicationScope(String scope) {
+    return switch (scope) {
+      case "all" -> Deployment.DeduplicationScope.ALL;
+      case "zone" -> Deployment.DeduplicationScope.LOCATION;
+      case "cell" -> Deployment.DeduplicationScope.GROUP;
+      default -> throw new InvalidInputException("classes: unknown 'key_scope' " + scope);
+    };
+  }
+
+  private static List<Deployment.MachineType> machineTypes(
+      JsonObjectReader parameters, JsonObjectReader family) {
     List<Double> cores = family.numbers("cores_by_kind");
-    List<Double> memory = family.numbers("ram_of_kind_mb");
-    List<Deployment.MachineType> kinds = new ArrayList<>();
-    for (String kind : told.texts("machine_types")) {
-      int index = kinds.size();
-      kinds.add(
+    List<Double> memoryMb = family.numbers("ram_of_kind_mb");
+    List<Deployment.MachineType> machineTypes = new ArrayList<>();
+    for (String name : parameters.texts("machine_types")) {
+      int index = machineTypes.size();
+      machineTypes.add(
           new Deployment.MachineType(
-              new MachineTypeId(kind),
+              new MachineTypeId(name),
               index < cores.size() ? cores.get(index) : 1,
-              index < memory.size() ? memory.get(index) : 0));
+              index < memoryMb.size() ? memoryMb.get(index) : 0));
     }
-    List<Deployment.Quota> shares = new ArrayList<>();
-    if (told.has("projects")) {
-      for (JsonObjectReader f : told.objects("projects")) {
-        shares.add(new Deployment.Quota(new TenantId(f.text("name")), f.number("quota_rps", 0)));
+    return machineTypes;
+  }
+
+  private static List<Deployment.Quota> quotas(JsonObjectReader parameters) {
+    List<Deployment.Quota> quotas = new ArrayList<>();
+    if (parameters.has("projects")) {
+      for (JsonObjectReader fields : parameters.objects("projects")) {
+        quotas.add(
+            new Deployment.Quota(new TenantId(fields.text("name")), fields.number("quota_rps", 0)));
       }
     }
-    for (Deployment.RequestClass p : profiles) {
-      if (p.machineTypes() != null
-          && !kinds.stream()
-              .map(Deployment.MachineType::id)
-              .toList()
-              .containsAll(p.machineTypes())) {
+    return quotas;
+  }
+
+  private static void requireKnownMachineTypes(
+      List<Deployment.RequestClass> requestClasses, List<Deployment.MachineType> machineTypes) {
+    List<MachineTypeId> known = machineTypes.stream().map(Deployment.MachineType::id).toList();
+    for (Deployment.RequestClass requestClass : requestClasses) {
+      if (requestClass.machineTypes() != null && !known.containsAll(requestClass.machineTypes())) {
         throw new InvalidInputException(
-            "classes: 'runs_on' of " + p.id().value() + " names a kind not in 'machine_types'");
+            "classes: 'runs_on' of "
+                + requestClass.id().value()
+                + " names a kind not in 'machine_types'");
       }
     }
-    return new Deployment(
-        (int) told.whole("position"),
-        (int) told.whole("balancers"),
-        profiles,
-        kinds,
-        shares,
-        told.number("over_share_worth", 1),
-        rules(told.object("rules")),
-        means(told, told.object("limits"), family),
-        place(told));
-  }
-
-  private static Deployment.Place place(JsonObjectReader told) {
-    String zone = told.text("zone", null);
-    boolean costs = told.has("prices") && told.object("prices").number("cross_zone", 0) > 0;
-    return zone == null
-        ? Deployment.Place.UNKNOWN
-        : new Deployment.Place(new LocationId(zone), costs);
   }
 
-  private static Deployment.RequestClass profile(
-      JsonObjectReader f, int threads, boolean load, boolean waits) {
-    String repeat = f.text("repeat");
-    String scope = f.text("key_scope", "all");
-    return new Deployment.RequestClass(
-        new RequestClassId(f.text("name")),
-        threads,
-        f.number("importance", 1),
-        f.number("late_value", 0),
-        span(f, "aim_us"),
-        f.number("aim_stretch", 0),
-        span(f, "hard_limit_us"),
-        switch (repeat) {
-          case "read_like" -> Deployment.RetrySafety.IDEMPOTENT;
-          case "idempotency_key" -> Deployment.RetrySafety.IDEMPOTENT_WITH_KEY;
-          case "non_idempotent" -> Deployment.RetrySafety.NOT_IDEMPOTENT;
-          default -> throw new InvalidInputException("classes: unknown 'repeat' " + repeat);
-        },
-        switch (scope) {
-          case "all" -> Deployment.DeduplicationScope.ALL;
-          case "zone" -> Deployment.DeduplicationScope.LOCATION;
-          case "cell" -> Deployment.DeduplicationScope.GROUP;
-          default -> throw new InvalidInputException("classes: unknown 'key_scope' " + scope);
-        },
-        new TimeSpan(f.whole("window_us", 0)),
-        f.flag("in_order"),
-        f.has("confined_to") ? f.texts("confined_to").stream().map(LocationId::new).toList() : null,
-        f.has("runs_on") ? f.texts("runs_on").stream().map(MachineTypeId::new).toList() : null,
-        load,
-        waits);
-  }
-
-  private static Deployment.Rules rules(JsonObjectReader f) {
-    // The budget of further sends binds where it is given: a figure that can't be kept is refused.
-    if (f.has("counted_over_us")
-        && (f.whole("counted_over_us") <= 0
-            || f.number("spare_attempts", 0) < 0
-            || f.number("repeat_ratio", 0) < 0)) {
+  private static Deployment.Rules rules(JsonObjectReader fields) {
+    boolean hasRetryBudget = fields.has("counted_over_us");
+    // The retry budget binds where it is given, so one that can't be kept is an error.
+    if (hasRetryBudget
+        && (fields.whole("counted_over_us") <= 0
+            || fields.number("spare_attempts", 0) < 0
+            || fields.number("repeat_ratio", 0) < 0)) {
       throw new InvalidInputException(
           "rules: 'counted_over_us' above 0, 'spare_attempts' and 'repeat_ratio' not below 0");
     }
     return new Deployment.Rules(
-        f.number("cold_from", 1),
-        new TimeSpan(f.whole("warm_within_us", 0)),
-        f.number("fall_multiple", 1),
-        new TimeSpan(f.whole("overload_for_us", 0)),
-        new TimeSpan(f.whole("key_rest_us", 0)),
-        f.has("counted_over_us") ? f.number("spare_attempts", 0) : null,
-        f.has("counted_over_us") ? f.number("repeat_ratio", 0) : null,
-        f.has("counted_over_us") ? span(f, "counted_over_us") : null);
+        fields.number("cold_from", 1),
+        new TimeSpan(fields.whole("warm_within_us", 0)),
+        fields.number("fall_multiple", 1),
+        new TimeSpan(fields.whole("overload_for_us", 0)),
+        new TimeSpan(fields.whole("key_rest_us", 0)),
+        hasRetryBudget ? fields.number("spare_attempts", 0) : null,
+        hasRetryBudget ? fields.number("repeat_ratio", 0) : null,
+        hasRetryBudget ? span(fields, "counted_over_us") : null);
   }
 
-  private static Deployment.Capabilities means(
-      JsonObjectReader told, JsonObjectReader limits, JsonObjectReader family) {
-    String whenShort = family.text("out_of_memory", "shrink");
-    if (!List.of("wait", "shrink", "page").contains(whenShort)) {
-      throw new InvalidInputException("family_info: unknown 'out_of_memory' " + whenShort);
+  private static Deployment.Capabilities capabilities(
+      JsonObjectReader parameters, JsonObjectReader limits, JsonObjectReader family) {
+    String outOfMemory = family.text("out_of_memory", "shrink");
+    if (!List.of("wait", "shrink", "page").contains(outOfMemory)) {
+      throw new InvalidInputException("family_info: unknown 'out_of_memory' " + outOfMemory);
     }
     if (limits.whole("most_tries", 1) < 1 || limits.whole("max_retry_after_us", 0) < 0) {
       throw new InvalidInputException(
           "limits: 'most_tries' at least 1, 'max_retry_after_us' not below 0");
     }
     return new Deployment.Capabilities(
-        span(told, "tick_us"),
+        span(parameters, "tick_us"),
         (int) limits.whole("most_tries", 1),
         limits.flag("cancel"),
         family.flag("ranks_heeded"),
@@ -155,7 +184,16 @@
         family.flag("takes_grants"));
   }
 
-  private static TimeSpan span(JsonObjectReader f, String name) {
-    return new TimeSpan(f.whole(name));
+  private static Deployment.Place place(JsonObjectReader parameters) {
+    String zone = parameters.text("zone", null);
+    boolean isCrossZonePriced =
+        parameters.has("prices") && parameters.object("prices").number("cross_zone", 0) > 0;
+    return zone == null
+        ? Deployment.Place.UNKNOWN
+        : new Deployment.Place(new LocationId(zone), isCrossZonePriced);
+  }
+
+  private static TimeSpan span(JsonObjectReader fields, String name) {
+    return new TimeSpan(fields.whole(name));
   }
 }
--- a/src/main/java/cobaltseam/deployment/InvalidInputException.java
+++ b/src/main/java/cobaltseam/deployment/InvalidInputException.java
@@ -1,10 +1,15 @@
 package cobaltseam.deployment;
 
-/** A message that the adapter can't take; its text says what is wrong with it. */
+/** Input from outside that can't be used; the message names the field and what is wrong with it. */
 public final class InvalidInputException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  public InvalidInputException(String what) {
-    super(what);
+  /**
+   * Creates the exception.
+   *
+   * @param message the field, and what is wrong with it
+   */
+  public InvalidInputException(String message) {
+    super(message);
   }
 }
--- a/src/main/java/cobaltseam/deployment/JsonObjectReader.java
+++ b/src/main/java/cobaltseam/deployment/JsonObjectReader.java
@@ -8,7 +8,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** One JSON object of the wire, asked for its fields by name and type. */
+/**
+ * One JSON object, read completely; its fields are read by name and type.
+ *
+ * <p>Every method that reads a field throws {@link InvalidInputException} if the field is missing,
+ * unless it says what is returned then, or if it has another type. A field that is null counts as
+ * missing.
+ */
 public final class JsonObjectReader {
   private final String where;
   private final Map<String, Object> values;
@@ -18,7 +24,12 @@
     this.values = values;
   }
 
-  /** Reads a whole line, which must hold one object. */
+  /**
+   * Reads a line, which has to hold exactly one object.
+   *
+   * @throws InvalidInputException if it holds anything else
+   * @throws IOException if it is not JSON
+   */
   public static JsonObjectReader of(JsonParser line) throws IOException {
     if (line.nextToken() != JsonToken.START_OBJECT) {
       throw new InvalidInputException("a line is not a JSON object");
@@ -53,7 +64,7 @@
       case VALUE_STRING:
         return in.getText();
       case VALUE_NUMBER_INT:
-        // The whole range of a token or seed, 64 bits, kept as they are.
+        // Unsigned numbers of 64 bits, such as tokens and seeds, keep all their bits.
         return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
             ? (Object) in.getBigIntegerValue()
             : (Object) in.getLongValue();
@@ -68,11 +79,12 @@
     }
   }
 
+  /** Whether the object has this field, with a value that is not null. */
   public boolean has(String name) {
     return values.get(name) != null;
   }
 
-  /** The name of a message's one field. */
+  /** The name of the only field; an object with more or fewer fields can't be used. */
   public String onlyName() {
     if (values.size() != 1) {
       throw new InvalidInputException(
@@ -89,42 +101,50 @@
     return value;
   }
 
-  private <T> T as(Class<T> type, String name, String what) {
+  private <T> T as(Class<T> type, String name, String expected) {
     Object value = required(name);
     if (!type.isInstance(value)) {
-      throw new InvalidInputException(where + ": '" + name + "' is not " + what);
+      throw new InvalidInputException(where + ": '" + name + "' is not " + expected);
     }
     return type.cast(value);
   }
 
+  /** The text in a field. */
   public String text(String name) {
     return as(String.class, name, "text");
   }
 
-  public String text(String name, String absent) {
-    return has(name) ? String.valueOf(values.get(name)) : absent;
+  /** The value of a field as text, or a default if the field is missing. */
+  public String text(String name, String defaultValue) {
+    return has(name) ? String.valueOf(values.get(name)) : defaultValue;
   }
 
+  /** The number in a field as an integer; a fraction is cut off. */
   public long whole(String name) {
     return as(Number.class, name, "a number").longValue();
   }
 
-  public long whole(String name, long absent) {
-    return has(name) ? whole(name) : absent;
+  /** The number in a field as an integer, or a default if the field is missing. */
+  public long whole(String name, long defaultValue) {
+    return has(name) ? whole(name) : defaultValue;
   }
 
+  /** The number in a field. */
   public double number(String name) {
     return as(Number.class, name, "a number").doubleValue();
   }
 
-  public double number(String name, double absent) {
-    return has(name) ? number(name) : absent;
+  /** The number in a field, or a default if the field is missing. */
+  public double number(String name, double defaultValue) {
+    return has(name) ? number(name) : defaultValue;
   }
 
+  /** The boolean in a field; false if the field is missing. */
   public boolean flag(String name) {
     return has(name) && as(Boolean.class, name, "true or false");
   }
 
+  /** The object in a field. */
   public JsonObjectReader object(String name) {
     Map<String, Object> read = new LinkedHashMap<>();
     Map<?, ?> object = as(Map.class, name, "an object");
@@ -132,6 +152,7 @@
     return new JsonObjectReader(name, read);
   }
 
+  /** The objects of an array. */
   public List<JsonObjectReader> objects(String name) {
     List<JsonObjectReader> read = new ArrayList<>();
     for (Object item : as(List.class, name, "an array")) {
@@ -146,6 +167,7 @@
     return read;
   }
 
+  /** The items of an array as text. */
   public List<String> texts(String name) {
     List<String> read = new ArrayList<>();
     for (Object item : as(List.class, name, "an array")) {
@@ -154,30 +176,31 @@
     return read;
   }
 
-  /** The numbers of an array; none where it is absent. */
+  /** The numbers of an array; none if the field is missing. */
   public List<Double> numbers(String name) {
     List<Double> read = new ArrayList<>();
     if (has(name)) {
       for (Object item : as(List.class, name, "an array")) {
-        if (!(item instanceof Number n)) {
+        if (!(item instanceof Number number)) {
           throw new InvalidInputException(
               where + ": '" + name + "' holds something that is not a number");
         }
-        read.add(n.doubleValue());
+        read.add(number.doubleValue());
       }
     }
     return read;
   }
 
+  /** The booleans of an array; none if the field is missing. */
   public List<Boolean> flags(String name) {
     List<Boolean> read = new ArrayList<>();
     if (has(name)) {
       for (Object item : as(List.class, name, "an array")) {
-        if (!(item instanceof Boolean b)) {
+        if (!(item instanceof Boolean flag)) {
           throw new InvalidInputException(
               where + ": '" + name + "' holds something that is not true or false");
         }
-        read.add(b);
+        read.add(flag);
       }
     }
     return read;
--- a/src/main/java/cobaltseam/service/Attempt.java
+++ b/src/main/java/cobaltseam/service/Attempt.java
@@ -6,50 +6,56 @@
 import cobaltseam.postgres.Statement;
 import cobaltseam.resp.Result;
 
-/** One send of a command, from its hand-over to the engines until its one outcome. */
+/** One attempt of a request on one engine, until its one outcome; the event-loop thread's own. */
 final class Attempt {
-  final RequestId command;
+  final RequestId requestId;
   final int number;
   final EngineId engine;
   final Statement statement;
-  final Timestamp at;
-  final Timestamp until;
+  final Timestamp startedAt;
 
-  /** It must not begin later than this; null if it may begin at any time. */
+  /** When it times out. */
+  final Timestamp deadline;
+
+  /** It must not be written later than this; null if it may be written at any time. */
   Timestamp startBy;
 
   Timers.Timer timeout;
+
+  /** The connection that it is or will be written to; null if none could be had. */
   EngineConnection connection;
 
-  /** Its place among what was written to its connection; zero while it is not. */
-  long position;
+  /** Its place among the messages written to its connection, from 1; zero while not written. */
+  long writePosition;
 
-  boolean over;
+  boolean hasEnded;
 
   /** Null until the first page has come. */
   Result result;
 
-  /** The engine's load as last reported, below zero where it was not. */
-  double queue = -1;
+  /** Requests queued on the engine as last reported with this attempt; below zero if never. */
+  double reportedQueue = -1;
 
-  double inHand = -1;
+  /** Requests in flight on the engine as last reported with this attempt; below zero if never. */
+  double reportedInFlight = -1;
 
   Attempt(
-      RequestId command,
+      RequestId requestId,
       int number,
       EngineId engine,
       Statement statement,
-      Timestamp at,
-      Timestamp until) {
-    this.command = command;
+      Timestamp startedAt,
+      Timestamp deadline) {
+    this.requestId = requestId;
     this.number = number;
     this.engine = engine;
     this.statement = statement;
-    this.at = at;
-    this.until = until;
+    this.startedAt = startedAt;
+    this.deadline = deadline;
   }
 
-  String call() {
+  /** The id of the request on the engines' wire. */
+  String callId() {
     return statement.call();
   }
 }
--- a/src/main/java/cobaltseam/service/BoundedAcceptor.java
+++ b/src/main/java/cobaltseam/service/BoundedAcceptor.java
@@ -7,57 +7,57 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * Accepts clients no faster than room is made for them: beyond its bound one is accepted only after
- * another has closed, or a while has passed. Connections that come by hundreds would otherwise take
- * the descriptors that the engines' connections need, before anything can give way.
+ * Accepts clients no faster than others are evicted: above its bound a client is accepted only
+ * after another connection was closed, or after a short delay. Hundreds of connections at once
+ * would otherwise take the descriptors that connections to engines need, before any can be evicted.
  */
 final class BoundedAcceptor extends NioSocketAcceptor {
-  private static final int WAIT_MS = 20;
+  private static final int MAX_WAIT_MS = 20;
 
   private final Object changed = new Object();
-  private final int most;
-  private int open;
-  private int waits;
+  private final int maxOpen;
+  private int openConnections;
+  private int delayedAccepts;
 
-  BoundedAcceptor(Executor threads, IoProcessor<NioSession> processor, int most) {
+  BoundedAcceptor(Executor threads, IoProcessor<NioSession> processor, int maxOpen) {
     super(threads, processor);
-    this.most = most;
+    this.maxOpen = maxOpen;
   }
 
   @Override
   protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle)
       throws Exception {
     synchronized (changed) {
-      if (open >= most) {
-        waits++;
-        changed.wait(WAIT_MS);
+      if (openConnections >= maxOpen) {
+        delayedAccepts++;
+        changed.wait(MAX_WAIT_MS);
       }
     }
     NioSession session = super.accept(processor, handle);
     if (session != null) {
-      count(1);
-      session.getCloseFuture().addListener(closed -> count(-1));
+      addOpen(1);
+      session.getCloseFuture().addListener(closed -> addOpen(-1));
     }
     return session;
   }
 
-  /** Clients' connections that are open, whether or not anything was read from them yet. */
-  int open() {
+  /** The number of client connections that are accepted and not closed. */
+  int openConnections() {
     synchronized (changed) {
-      return open;
+      return openConnections;
     }
   }
 
-  /** How often one was not accepted at once. */
-  int waits() {
+  /** How often a connection was not accepted at once. */
+  int delayedAccepts() {
     synchronized (changed) {
-      return waits;
+      return delayedAccepts;
     }
   }
 
-  private void count(int more) {
+  private void addOpen(int change) {
     synchronized (changed) {
-      open += more;
+      openConnections += change;
       changed.notifyAll();
     }
   }
--- /dev/null
+++ b/src/main/java/cobaltseam/service/ClientReplies.java
@@ -0,0 +1,73 @@
+package cobaltseam.service;
+
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.postgres.Replies;
+import cobaltseam.resp.Result;
+import java.nio.charset.StandardCharsets;
+import java.util.Collections;
+
+/** Builds the replies that clients get to their statements. */
+final class ClientReplies {
+  private static final int MIN_COLUMNS = 3;
+  private static final String INSERT = "insert";
+  private static final int US_PER_MS = 1000;
+  private static final String SHUTTING_DOWN =
+      "this dispatcher shuts down, trying again elsewhere is harmless";
+
+  private ClientReplies() {}
+
+  /** The rows of a result, one a line of its pages, and the tag of the statement. */
+  static Replies rows(Result result, byte[] statement) {
+    Replies replies =
+        new Replies().columns(Collections.nCopies(result.columns(MIN_COLUMNS), "column"));
+    for (byte[] page : result.pages()) {
+      int rowStart = 0;
+      for (int i = 0; i < page.length; i++) {
+        if (page[i] == '\n') {
+          replies.row(page, rowStart, i);
+          rowStart = i + 1;
+        }
+      }
+    }
+    int length = Math.min(statement.length, INSERT.length());
+    boolean isInsert =
+        new String(statement, 0, length, StandardCharsets.US_ASCII).equalsIgnoreCase(INSERT);
+    return replies.complete((isInsert ? "INSERT 0 " : "SELECT ") + result.rowCount());
+  }
+
+  static Replies shed(TimeSpan retryAfter) {
+    return new Replies()
+        .error("ERROR", Replies.SHED, "shed, trying again is harmless" + retryAdvice(retryAfter));
+  }
+
+  static Replies failed() {
+    return new Replies().error("ERROR", Replies.FAILED, "failed");
+  }
+
+  /** The refusal of a statement, or with severity FATAL of a connection, during a shutdown. */
+  static Replies shuttingDown(String severity) {
+    return new Replies().error(severity, Replies.STANDS_BY, SHUTTING_DOWN);
+  }
+
+  /** The refusal of a statement where another dispatcher is active. */
+  static Replies standingBy(TimeSpan retryAfter) {
+    return new Replies()
+        .error(
+            "ERROR",
+            Replies.STANDS_BY,
+            "another dispatcher is active here, trying again is harmless"
+                + retryAdvice(retryAfter));
+  }
+
+  static Replies unsupportedMessage(char type) {
+    return new Replies()
+        .error(
+            "ERROR",
+            Replies.NOT_SPOKEN,
+            "only simple queries are spoken here, not message '" + type + "'");
+  }
+
+  private static String retryAdvice(TimeSpan retryAfter) {
+    return retryAfter.isPositive() ? ", pushback=" + retryAfter.us() / US_PER_MS : "";
+  }
+}
--- a/src/main/java/cobaltseam/service/Clock.java
+++ b/src/main/java/cobaltseam/service/Clock.java
@@ -4,7 +4,10 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
-/** The system's Unix clock as it stood at the start, carried on by the clock that no one sets. */
+/**
+ * The system's time at the start, continued by a monotonic clock: microseconds since the Unix epoch
+ * that never go back, even if the system's time is set.
+ */
 final class Clock {
   private static final int NANOS_PER_MICRO = 1000;
 
@@ -15,7 +18,7 @@
     return new Timestamp(us());
   }
 
-  /** The same as a number, for a path that allocates nothing. */
+  /** The same in microseconds, for code that must not allocate. */
   long us() {
     return startUs + (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
   }
--- a/src/main/java/cobaltseam/service/Counters.java
+++ b/src/main/java/cobaltseam/service/Counters.java
@@ -3,9 +3,9 @@
 import java.util.Locale;
 import java.util.concurrent.atomic.AtomicLongArray;
 
-/** Counts what the service takes in, sends and answers; from any thread. */
+/** Counts events of the service; from any thread. */
 final class Counters {
-  /** What is counted, under the name that is printed. */
+  /** The counters; their names are printed in lower case. */
   enum Count {
     CLIENTS_OPENED,
     CLIENTS_CLOSED,
@@ -77,23 +77,23 @@
 
   private final AtomicLongArray counts = new AtomicLongArray(Count.values().length);
 
-  void add(Count what) {
-    counts.getAndIncrement(what.ordinal());
+  void add(Count count) {
+    counts.getAndIncrement(count.ordinal());
   }
 
-  void add(Count what, long times) {
-    counts.getAndAdd(what.ordinal(), times);
+  void add(Count count, long times) {
+    counts.getAndAdd(count.ordinal(), times);
   }
 
-  long of(Count what) {
-    return counts.get(what.ordinal());
+  long of(Count count) {
+    return counts.get(count.ordinal());
   }
 
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder("counters");
-    for (Count what : Count.values()) {
-      text.append(' ').append(what.label()).append('=').append(of(what));
+    for (Count count : Count.values()) {
+      text.append(' ').append(count.label()).append('=').append(of(count));
     }
     return text.toString();
   }
--- a/src/main/java/cobaltseam/service/DispatcherService.java
+++ b/src/main/java/cobaltseam/service/DispatcherService.java
@@ -20,140 +20,155 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Supplier;
 import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import sun.misc.Signal;
-import sun.misc.SignalHandler;
 
-/**
- * One dispatcher on sockets: its start, the loop of the thread that owns all state, and its stop.
- */
+/** One dispatcher on sockets: puts its parts together, starts them, and shuts them down. */
 public final class DispatcherService {
   private static final System.Logger LOG = System.getLogger(DispatcherService.class.getName());
 
-  /** New connections and commands may still come for this long after a stop is asked for. */
-  private static final TimeSpan STOP_AFTER = new TimeSpan(700_000);
-
   /**
-   * What is still in hand this long after nothing more is taken is given up while there is time to
-   * say so: the platform may kill a process 3 s after {@link #STOP_AFTER}.
+   * New connections and requests are admitted for this long after a stop was asked for, in
+   * microseconds.
    */
-  private static final TimeSpan GIVE_UP_AFTER = new TimeSpan(2_700_000);
+  private static final TimeSpan SHUTDOWN_DELAY_US = new TimeSpan(700_000);
 
   /**
-   * A start waits this long at most for what the event bus has to tell; without it, it serves by
-   * the configuration's list.
+   * Requests that are open this long after the last was admitted are abandoned while there is time
+   * for their answer: the platform may kill a process 3 s after {@link #SHUTDOWN_DELAY_US}.
    */
-  private static final TimeSpan CATCH_UP_WITHIN = new TimeSpan(1_000_000);
-
-  /** A shutdown waits this long at most for clients to close, once nothing is owed to any. */
-  private static final TimeSpan LEAVE_WITHIN = new TimeSpan(2_500_000);
-
-  private static final TimeSpan LONGEST_WAIT = new TimeSpan(1_000_000);
+  private static final TimeSpan ABANDON_AFTER_US = new TimeSpan(2_700_000);
 
   /**
-   * A deadline that passed this long ago tells that the process was held up. Nothing may begin
-   * later than 0.1 s after its client has gone, so a client's end must not lie unread for longer
-   * than this.
+   * A start waits at most this long for the endpoint watch, in microseconds; without it, it serves
+   * by the endpoint list of the configuration.
    */
-  private static final TimeSpan HELD_UP = new TimeSpan(50_000);
-
-  private static final String HANG_UP = "HUP";
-  static final int MOST_AT_ONCE = 1024;
-  private static final int BACKLOG = 1024;
-  private static final int LARGEST_READ = 1 << 14;
+  private static final TimeSpan CATCH_UP_TIMEOUT_US = new TimeSpan(1_000_000);
 
-  private ServiceConfiguration told;
-
-  /** The own file, where one is named, and what takes part in a hall by it; else null. */
-  private Path own;
+  /**
+   * A shutdown waits at most this long for clients to close after the last answer, in microseconds.
+   */
+  private static final TimeSpan CLIENTS_CLOSE_TIMEOUT_US = new TimeSpan(2_500_000);
 
-  private VirtualAddressService hall;
+  private static final int ACCEPT_BACKLOG = 1024;
+  private static final int MAX_READ_BYTES = 1 << 14;
 
-  /** What takes part in a fleet, where the own file has one; else null. */
-  private FleetService fleetNode;
+  /** Null unless virtual addresses are on. */
+  private VirtualAddressService virtualAddresses;
 
-  /** Between the fleet's thread and this service's; null without a fleet. */
-  private FleetBridge bridge;
+  /** Null unless the fleet is on. */
+  private FleetService fleet;
 
-  /** Whether the fleet agrees on the settings of decisions. */
-  private boolean agrees;
+  /** Between the fleet's thread and the event loop; null without a fleet. */
+  private FleetBridge fleetBridge;
 
   private final Clock clock = new Clock();
-  private final Timers deadlines = new Timers();
+  private final Timers timers = new Timers();
   private final Counters counters = new Counters();
   final EventLoopQueue inbox = new EventLoopQueue(counters);
   private final CountDownLatch ended = new CountDownLatch(1);
   private final ExecutorService threads = Executors.newCachedThreadPool(DispatcherService::thread);
 
-  /** One for both sides: the process has one core. */
+  /** One I/O thread for clients and engines: the process has one core. */
   final SocketProcessor processor = new SocketProcessor(threads);
 
   final BoundedAcceptor acceptor;
-  private final NioSocketConnector toEngines = new NioSocketConnector(threads, processor);
-  private final NioSocketConnector toBus = new NioSocketConnector(threads, processor);
+  private final NioSocketConnector engineConnector = new NioSocketConnector(threads, processor);
+  private final NioSocketConnector watchConnector = new NioSocketConnector(threads, processor);
   private final EngineConnections engines;
-  private final RequestTable commands;
+  private final RequestTable requests;
   private final ClientSessions clients;
-  private final EndpointWatch bus;
-
-  /** Whether it follows the list of engines. */
-  private boolean follows;
-
-  /** Whether it takes nothing more. */
-  private boolean leaves;
-
-  /** When it ends at the latest; null until it takes nothing more and nothing is open. */
-  private Timestamp leaveBy;
-
-  DispatcherService(ServiceConfiguration told) {
-    this.told = told;
-    engines = new EngineConnections(told, toEngines, processor, inbox, clock, deadlines, counters);
-    commands =
-        new RequestTable(told.deployment(), told.seed(), engines, deadlines, clock, counters);
+  private final EndpointWatch endpointWatch;
+  private final ConfigurationReloader reloader;
+  private final EventLoop eventLoop;
+
+  /** Whether the endpoint list is followed. */
+  private boolean isWatching;
+
+  /** Whether no new request is admitted. */
+  private boolean isShuttingDown;
+
+  /** When the service ends at the latest; null until it shuts down and no request is open. */
+  private Timestamp endDeadline;
+
+  DispatcherService(ServiceConfiguration configuration) {
+    engines =
+        new EngineConnections(
+            configuration, engineConnector, processor, inbox, clock, timers, counters);
+    requests =
+        new RequestTable(
+            configuration.deployment(), configuration.seed(), engines, timers, clock, counters);
     clients =
         new ClientSessions(
-            told,
-            commands,
-            new SplittableRandom(~told.seed()),
+            configuration,
+            requests,
+            new SplittableRandom(~configuration.seed()),
             processor,
             inbox,
             clock,
-            deadlines,
+            timers,
             counters);
-    bus = new EndpointWatch(told, toBus, inbox, clock, deadlines, counters, commands::listed);
-    acceptor = new BoundedAcceptor(threads, processor, ClientSessions.mostAccepted(told));
-    tune(toEngines.getSessionConfig());
-    tune(toBus.getSessionConfig());
-    tune(acceptor.getSessionConfig());
+    endpointWatch =
+        new EndpointWatch(
+            configuration,
+            watchConnector,
+            inbox,
+            clock,
+            timers,
+            counters,
+            requests::updateEndpoints);
+    reloader =
+        new ConfigurationReloader(configuration, engines, requests, endpointWatch, inbox, counters);
+    eventLoop = new EventLoop(inbox, processor, clock, timers, counters, new LoopSteps());
+    acceptor =
+        new BoundedAcceptor(
+            threads, processor, ClientConnections.maxAccepted(configuration.maxSockets()));
+    configure(engineConnector.getSessionConfig());
+    configure(watchConnector.getSessionConfig());
+    configure(acceptor.getSessionConfig());
     acceptor.setReuseAddress(true);
-    // Or what is in hand would be cut when the last listener closes.
+    // Or open requests would be cut off when the last listener closes.
     acceptor.setCloseOnDeactivation(false);
-    acceptor.setBacklog(BACKLOG);
-    acceptor.setHandler(clients);
+    acceptor.setBacklog(ACCEPT_BACKLOG);
+    acceptor.setHandler(clients.ioHandler());
   }
 
+  private static Thread thread(Runnable task) {
+    Thread thread = new Thread(task, "io");
+    thread.setDaemon(true);
+    return thread;
+  }
+
+  private static void configure(SocketSessionConfig sessions) {
+    sessions.setTcpNoDelay(true);
+    sessions.setKeepAlive(true);
+    sessions.setMaxReadBufferSize(MAX_READ_BYTES);
+  }
+
+  // ---- entry points of the process
+
   /**
-   * Serves until the process is told to stop.
+   * Serves until the process is asked to stop.
    *
-   * @param own the file that tells what is on beyond the platform's configuration, or null
+   * @param settingsFile our own settings file, which names what is on beyond the platform's
+   *     configuration, or null
+   * @throws IOException if a file can't be read or an address can't be listened on
    */
-  public static void run(Path own) throws IOException, InterruptedException {
-    Settings setup = own == null ? null : SettingsReader.read(own);
-    if (setup != null && setup.jsonLog()) {
+  public static void run(Path settingsFile) throws IOException, InterruptedException {
+    Settings settings = settingsFile == null ? null : SettingsReader.read(settingsFile);
+    if (settings != null && settings.jsonLog()) {
       JsonLines.install();
     }
-    ServiceConfiguration told = ServiceConfiguration.read(System.getenv());
-    Warmup.run(told);
-    DispatcherService service = new DispatcherService(told);
-    service.own = own;
-    if (setup != null && setup.hall() != null) {
-      service.joins(setup.hall());
+    ServiceConfiguration configuration = ServiceConfiguration.read(System.getenv());
+    Warmup.run(configuration);
+    DispatcherService service = new DispatcherService(configuration);
+    service.reloader.setSettingsFile(settingsFile);
+    if (settings != null && settings.hall() != null) {
+      service.joins(settings.hall());
     }
-    if (setup != null && setup.fleet() != null) {
-      service.joinsFleet(setup, Files.readAllBytes(Path.of(System.getenv("GW_CONFIG"))));
+    if (settings != null && settings.fleet() != null) {
+      service.joinsFleet(settings, Files.readAllBytes(Path.of(System.getenv("GW_CONFIG"))));
     }
     service.readAnewOnHangUp(System.getenv());
     Runtime.getRuntime()
@@ -166,12 +181,12 @@
                 },
                 "stop"));
     try {
-      service.catchUp();
+      service.awaitEndpointUpdates();
       service.open();
       LOG.log(
           Level.INFO,
           "{0} serves on {1}",
-          Field.of("name", told.name()),
+          Field.of("name", configuration.name()),
           Field.of("address", service.address()),
           Field.event("service.started"));
       service.loop();
@@ -181,28 +196,30 @@
   }
 
   /**
-   * Checks a configuration: opens a service on a free loopback port, asks it one empty query, and
-   * ends.
+   * Tests a configuration: opens a service on a free loopback port, sends it one empty query, ends
+   * it and prints its counters.
+   *
+   * @throws IOException if no port can be opened
    */
   public static void rehearse() throws IOException, InterruptedException {
-    ServiceConfiguration told = ServiceConfiguration.read(System.getenv());
-    Warmup.run(told);
+    ServiceConfiguration configuration = ServiceConfiguration.read(System.getenv());
+    Warmup.run(configuration);
     DispatcherService service =
         new DispatcherService(
-            told.movedTo(
+            configuration.withAddresses(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                told.bus(),
-                told.known()));
+                configuration.watchAddress(),
+                configuration.knownEvents()));
     service.open();
-    Thread asker = new Thread(service::askOnce);
-    asker.start();
+    Thread client = new Thread(service::sendEmptyQuery);
+    client.start();
     service.loop();
-    asker.join();
+    client.join();
     service.close();
-    System.out.println(told.name() + ": " + service.counters);
+    System.out.println(configuration.name() + ": " + service.counters);
   }
 
-  private void askOnce() {
+  private void sendEmptyQuery() {
     try (Socket socket = new Socket(address().getAddress(), address().getPort())) {
       OutputStream out = socket.getOutputStream();
       out.write(new byte[] {0, 0, 0, 9, 0, 3, 0, 0, 0, 'Q', 0, 0, 0, 5, 0, 'X', 0, 0, 0, 4});
@@ -213,328 +230,223 @@
     stop();
   }
 
-  private static Thread thread(Runnable task) {
-    Thread thread = new Thread(task, "io");
-    thread.setDaemon(true);
-    return thread;
-  }
-
-  private static void tune(SocketSessionConfig sessions) {
-    sessions.setTcpNoDelay(true);
-    sessions.setKeepAlive(true);
-    sessions.setMaxReadBufferSize(LARGEST_READ);
-  }
-
   /**
-   * Hears what the event bus has to tell beyond the configuration, before clients come: that was
-   * written before this process started, and an engine that drained since must not be sent to.
+   * Describes in one line what the configuration that this environment names would serve.
+   *
+   * @throws cobaltseam.deployment.InvalidInputException if it can't be used
    */
-  void catchUp() throws InterruptedException {
-    follow();
-    Timestamp by = clock.now().plus(CATCH_UP_WITHIN);
-    deadlines.set(by, () -> {});
-    while (!bus.isCaughtUp(clock.now()) && clock.now().isBefore(by)) {
-      turn();
-    }
-  }
-
-  private void follow() {
-    if (!follows) {
-      follows = true;
-      told.known().forEach(commands::listed);
-      bus.connect();
-    }
-  }
-
-  /** Takes clients in. */
-  void open() throws IOException {
-    follow();
-    if (hall == null || hall.answersStandingBy()) {
-      acceptor.bind(told.listen());
-    }
-    if (hall != null) {
-      hall.open();
-    }
-    if (fleetNode != null) {
-      fleetNode.open();
-    }
-  }
-
-  /** SIGHUP: reads the configuration anew; one that can't be used changes nothing. */
-  void readAnewOnHangUp(Map<String, String> environment) {
-    SignalHandler before = Signal.handle(new Signal(HANG_UP), signal -> readAnew(environment));
-    if (before == SignalHandler.SIG_IGN) {
-      // As under nohup: the machine then installs no handler, and SIGHUP would do nothing, unsaid.
-      LOG.log(
-          Level.WARNING,
-          "SIGHUP was ignored at the start and stays so: the configuration is never read anew",
-          Field.event("configuration.deaf"));
-    }
-  }
-
-  /** One reading at a time, or an older one could overtake a newer. */
-  private synchronized void readAnew(Map<String, String> environment) {
-    try {
-      ServiceConfiguration anew = ServiceConfiguration.read(environment);
-      Settings setup = own == null ? null : SettingsReader.read(own);
-      byte[] document =
-          !agrees
-              ? null
-              : AgreedConfiguration.document(
-                  Files.readAllBytes(Path.of(environment.get("GW_CONFIG"))));
-      inbox.post(
-          null,
-          () -> {
-            renewed(anew, document);
-            if (setup != null) {
-              renewed(setup);
-            }
-          });
-    } catch (IOException | RuntimeException e) {
-      inbox.post(null, () -> counters.add(Count.CONFIGURATIONS_UNUSABLE));
-      LOG.log(
-          Level.ERROR,
-          "the configuration stays as it was: {0}",
-          Field.of("reason", e.getMessage()),
-          Field.event("configuration.unusable"));
-    }
-  }
-
-  private void renewed(ServiceConfiguration read, byte[] document) {
-    boolean asks = document != null && !fleetNode.isEnded();
-    if (asks) {
-      // Not this file moves the module, but the fleet, once it has agreed on what the file says.
-      fleetNode.propose(document);
-    }
-    ServiceConfiguration anew = asks && bridge.acts() != null ? read.with(bridge.acts()) : read;
-    if (!anew.name().equals(told.name()) || !anew.listen().equals(told.listen())) {
-      LOG.log(
-          Level.WARNING,
-          "name and address stay until the next start",
-          Field.event("configuration.partly"));
-    }
-    if (!asks && !anew.deployment().equals(told.deployment())) {
-      commands.moveTo(anew.deployment());
-      LOG.log(
-          Level.INFO,
-          "other settings of decisions act from now on, with {0} commands in hand",
-          Field.of("inHand", commands.inHand()),
-          Field.event("configuration.moved"));
-    }
-    counters.add(Count.CONFIGURATIONS_READ);
-    told = anew;
-    engines.renewed(anew);
-    bus.told(anew.known());
-    bus.moved(anew.bus());
-    LOG.log(
-        Level.INFO,
-        "{0} has read its configuration anew; the event bus is at {1}",
-        Field.of("name", told.name()),
-        Field.of("bus", anew.bus()),
-        Field.event("configuration.read"));
-  }
-
-  private void renewed(Settings setup) {
-    if (fleetNode != null && setup.fleet() != null) {
-      fleetNode.renewed(setup.fleet());
-    } else if (fleetNode != null || setup.fleet() != null) {
-      LOG.log(
-          Level.WARNING,
-          "whether membership is on stays until the next start",
-          Field.event("configuration.partly"));
-    }
-    if (hall != null && setup.hall() != null) {
-      hall.renewed(setup.hall());
-    } else if (hall != null || setup.hall() != null) {
-      LOG.log(
-          Level.WARNING,
-          "whether mastership is on stays until the next start",
-          Field.event("configuration.partly"));
-    }
-  }
-
-  /** What a configuration would serve, in one line. */
   public static String check(Map<String, String> environment) {
-    ServiceConfiguration told = ServiceConfiguration.read(environment);
-    return told.name()
+    ServiceConfiguration configuration = ServiceConfiguration.read(environment);
+    return configuration.name()
         + " on "
-        + told.listen()
+        + configuration.listen()
         + ", event bus "
-        + told.bus()
+        + configuration.watchAddress()
         + ", "
-        + told.deployment().dispatcherCount()
+        + configuration.deployment().dispatcherCount()
         + " dispatchers, "
-        + told.deployment().requestClasses().size()
+        + configuration.deployment().requestClasses().size()
         + " profiles, limits "
-        + told.sockets()
+        + configuration.maxSockets()
         + " descriptors and "
-        + (told.memoryBytes() >> 20)
+        + (configuration.memoryBytes() >> 20)
         + " MB";
   }
 
-  /** Takes part in a hall from the start on. */
-  void joins(Settings.VirtualAddressSettings with) {
-    joins(with, this::report);
+  // ---- the start
+
+  /** Turns virtual addresses on; to be called before {@link #open}. */
+  void joins(Settings.VirtualAddressSettings settings) {
+    joins(settings, this::healthReport);
   }
 
   void joins(
-      Settings.VirtualAddressSettings with, Supplier<VirtualAddressService.HealthReport> fitness) {
-    hall =
+      Settings.VirtualAddressSettings settings,
+      Supplier<VirtualAddressService.HealthReport> healthReport) {
+    virtualAddresses =
         new VirtualAddressService(
-            with, told, fitness, commands, clients, acceptor, inbox, clock, deadlines, counters);
+            settings,
+            reloader.configuration(),
+            healthReport,
+            requests,
+            clients,
+            acceptor,
+            inbox,
+            clock,
+            timers,
+            counters);
+    reloader.setVirtualAddresses(virtualAddresses);
   }
 
-  /** Takes part in a fleet from the start on. */
-  void joinsFleet(Settings setup, byte[] configuration) {
-    agrees = setup.agreed() != null;
-    bridge = new FleetBridge(commands, inbox, clock, told.deployment(), hall != null);
-    fleetNode =
+  /** Turns the fleet on; to be called before {@link #open}, and after {@link #joins}. */
+  void joinsFleet(Settings settings, byte[] configurationFile) {
+    ServiceConfiguration configuration = reloader.configuration();
+    boolean isAgreementOn = settings.agreed() != null;
+    boolean hasVirtualAddresses = virtualAddresses != null;
+    fleetBridge =
+        new FleetBridge(requests, inbox, clock, configuration.deployment(), hasVirtualAddresses);
+    fleet =
         new FleetService(
-            setup,
-            told,
-            agrees ? AgreedConfiguration.document(configuration) : null,
-            bridge,
+            settings,
+            configuration,
+            isAgreementOn ? AgreedConfiguration.document(configurationFile) : null,
+            fleetBridge,
             clients,
-            hall != null,
+            hasVirtualAddresses,
             clock,
             counters);
+    reloader.setFleet(fleet, fleetBridge, isAgreementOn);
   }
 
-  /** What this dispatcher's fitness is judged by. */
-  private VirtualAddressService.HealthReport report() {
+  /** What the health score of this dispatcher is computed from. */
+  private VirtualAddressService.HealthReport healthReport() {
     return new VirtualAddressService.HealthReport(
-        bus.silent(clock.now()),
+        endpointWatch.silence(clock.now()),
         engines.inService(),
         engines.failing(),
-        (double) (clients.open() + engines.openConnections()) / told.sockets());
+        (double) (clients.open() + engines.openConnections())
+            / reloader.configuration().maxSockets());
   }
 
-  InetSocketAddress address() {
-    return acceptor.getLocalAddress();
+  /** From now on SIGHUP has the configuration read again. */
+  void readAnewOnHangUp(Map<String, String> environment) {
+    reloader.reloadOnHangUp(environment);
   }
 
-  /** Runs what is handed over and what is due, until it is to stop and nothing is open. */
-  void loop() throws InterruptedException {
-    while (!isOver()) {
-      turn();
+  /**
+   * Waits, before clients come, for the events of the endpoint watch that are newer than the
+   * configuration: an engine that was drained since must not be sent to.
+   */
+  void awaitEndpointUpdates() throws InterruptedException {
+    watchEndpoints();
+    Timestamp deadline = clock.now().plus(CATCH_UP_TIMEOUT_US);
+    timers.set(deadline, () -> {});
+    while (!endpointWatch.isCaughtUp(clock.now()) && clock.now().isBefore(deadline)) {
+      eventLoop.runTurn();
     }
-    ended.countDown();
   }
 
-  /** Hears what has come, does what is due, and follows the policy. */
-  private void turn() throws InterruptedException {
-    // All that has come is heard before a deadline acts on what has not, or is decided on: a
-    // process
-    // that was held up would else give up sends whose answers lie here.
-    hear(deadlines.untilNext(clock.now(), LONGEST_WAIT));
-    if (deadlines.overdue(clock.now()).compareTo(HELD_UP) > 0 && hasConnections()) {
-      hearUnread();
+  private void watchEndpoints() {
+    if (!isWatching) {
+      isWatching = true;
+      reloader.configuration().knownEvents().forEach(requests::updateEndpoints);
+      endpointWatch.connect();
     }
-    doDue();
-    commands.follow();
   }
 
-  /** Hears what was handed over, waiting this long at most for the first of it. */
-  private void hear(TimeSpan most) throws InterruptedException {
-    Runnable task = inbox.next(most);
-    for (int heard = 1;
-        task != null;
-        task = heard++ < MOST_AT_ONCE ? inbox.next(TimeSpan.ZERO) : null) {
-      look();
-      task.run();
+  /**
+   * Accepts clients.
+   *
+   * @throws IOException if an address can't be listened on
+   */
+  void open() throws IOException {
+    watchEndpoints();
+    if (virtualAddresses == null || virtualAddresses.answersStandingBy()) {
+      acceptor.bind(reloader.configuration().listen());
+    }
+    if (virtualAddresses != null) {
+      virtualAddresses.open();
+    }
+    if (fleet != null) {
+      fleet.open();
     }
-    look();
   }
 
-  private boolean hasConnections() {
-    return acceptor.getManagedSessionCount()
-            + toEngines.getManagedSessionCount()
-            + toBus.getManagedSessionCount()
-        > 0;
+  /** The address that clients connect to. */
+  InetSocketAddress address() {
+    return acceptor.getLocalAddress();
   }
 
-  /** Has the I/O thread read all that came while the process was held up, and hears it. */
-  private void hearUnread() throws InterruptedException {
-    AtomicBoolean allHeard = new AtomicBoolean();
-    processor.afterReading(() -> inbox.post(null, () -> allHeard.set(true)));
-    Timestamp by = clock.now().plus(LONGEST_WAIT);
-    for (Timestamp now = clock.now(); !allHeard.get() && now.isBefore(by); now = clock.now()) {
-      hear(by.since(now));
+  // ---- the event loop
+
+  /** Runs the event loop on this thread until the service was asked to stop and has ended. */
+  void loop() throws InterruptedException {
+    while (!isOver()) {
+      eventLoop.runTurn();
     }
+    ended.countDown();
   }
 
-  private void doDue() {
-    for (Runnable due = deadlines.due(clock.now()); due != null; due = deadlines.due(clock.now())) {
-      try {
-        due.run();
-      } catch (RuntimeException e) {
-        counters.add(Count.FAULTS);
-        LOG.log(Level.ERROR, "a fault at a deadline", e);
+  private final class LoopSteps implements EventLoop.Steps {
+    @Override
+    public void checkAuthority() {
+      if (virtualAddresses != null) {
+        virtualAddresses.look();
+      }
+      if (fleetBridge != null) {
+        fleetBridge.look();
       }
     }
+
+    @Override
+    public boolean hasConnections() {
+      return acceptor.getManagedSessionCount()
+              + engineConnector.getManagedSessionCount()
+              + watchConnector.getManagedSessionCount()
+          > 0;
+    }
+
+    @Override
+    public void runNextSteps() {
+      requests.runNextSteps();
+    }
+  }
+
+  /** How many requests were completed; to be called after the loop has ended. */
+  long completedRequests() {
+    return counters.of(Count.COMMANDS_ANSWERED);
   }
 
+  // ---- the shutdown
+
   /**
-   * Whether it was asked to stop, nothing is open, and its clients have gone or had long enough to
-   * go.
+   * Whether a stop was asked for, no request is open, and the clients have gone or had long enough
+   * to go.
    */
   private boolean isOver() {
-    if (!leaves || !commands.isEmpty()) {
+    if (!isShuttingDown || !requests.isEmpty()) {
       return false;
     }
-    if (leaveBy == null) {
-      // Not before: while a request is in hand, its cancel request may come on a new connection.
+    if (endDeadline == null) {
+      // Not before: while a request is open, its cancel request may come on a new connection.
       acceptor.unbind();
-      clients.endIdle();
-      leaveBy = clock.now().plus(LEAVE_WITHIN);
-      deadlines.set(leaveBy, () -> {});
-    }
-    return acceptor.open() == 0 || !clock.now().isBefore(leaveBy);
-  }
-
-  /** Before anything is heard or decided: what a process that stood still has to know first. */
-  private void look() {
-    if (hall != null) {
-      hall.look();
-    }
-    if (bridge != null) {
-      bridge.look();
+      clients.closeIdle();
+      endDeadline = clock.now().plus(CLIENTS_CLOSE_TIMEOUT_US);
+      timers.set(endDeadline, () -> {});
     }
+    return acceptor.openConnections() == 0 || !clock.now().isBefore(endDeadline);
   }
 
-  /** Commands answered; to be asked when the loop has ended. */
-  long answered() {
-    return counters.of(Count.COMMANDS_ANSWERED);
+  /** Asks the loop to end as soon as no request is open; from any thread. */
+  void endWhenIdle() {
+    inbox.post(null, () -> shutDownAfter(TimeSpan.ZERO));
   }
 
-  /** Asks the loop to end once nothing is open. */
-  void end() {
-    inbox.post(null, () -> leave(TimeSpan.ZERO));
-  }
-
-  /** Takes nothing more after this span, and ends once nothing is open. */
-  private void leave(TimeSpan after) {
-    deadlines.set(
-        clock.now().plus(after),
+  private void shutDownAfter(TimeSpan delay) {
+    timers.set(
+        clock.now().plus(delay),
         () -> {
-          leaves = true;
+          isShuttingDown = true;
           clients.shutDown();
         });
-    deadlines.set(clock.now().plus(after).plus(GIVE_UP_AFTER), commands::giveUp);
+    timers.set(clock.now().plus(delay).plus(ABANDON_AFTER_US), requests::abandonAll);
   }
 
-  /** Asks the loop to end: it goes on serving until nothing is open. Returns when it has ended. */
+  /**
+   * Asks the loop to end, and returns when it has: it goes on serving until no request is open.
+   * From any thread but the event loop's.
+   */
   void stop() {
     inbox.post(
         null,
         () -> {
-          if (hall != null) {
-            hall.leave();
+          if (virtualAddresses != null) {
+            virtualAddresses.leave();
           }
-          if (fleetNode != null) {
-            fleetNode.leave();
+          if (fleet != null) {
+            fleet.leave();
           }
-          leave(STOP_AFTER);
+          shutDownAfter(SHUTDOWN_DELAY_US);
         });
     try {
       ended.await();
@@ -543,17 +455,17 @@
     }
   }
 
-  /** Closes what is open; for a service that ends before its process does. */
+  /** Closes all sockets and threads; for a service that ends before its process does. */
   void close() {
-    if (hall != null) {
-      hall.close();
+    if (virtualAddresses != null) {
+      virtualAddresses.close();
     }
-    if (fleetNode != null) {
-      fleetNode.close();
+    if (fleet != null) {
+      fleet.close();
     }
     acceptor.dispose();
-    toEngines.dispose();
-    toBus.dispose();
+    engineConnector.dispose();
+    watchConnector.dispose();
     processor.dispose();
     threads.shutdownNow();
   }
--- a/src/main/java/cobaltseam/service/EndpointWatch.java
+++ b/src/main/java/cobaltseam/service/EndpointWatch.java
@@ -21,64 +21,75 @@
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.SocketConnector;
 
-/** Follows the event bus from the last event known, over as many connections as that takes. */
+/**
+ * Watches the endpoint list on the platform's event bus, from the last event known on: reads events
+ * on the I/O thread, and passes them to a listener on the event-loop thread. A connection that is
+ * lost or silent is replaced by a new one.
+ */
 final class EndpointWatch {
-  private static final String LIFE = "life";
-  private static final String LINE = "line";
-  private static final String UNHEARD = "unheard";
-  private static final int LONGEST_LINE = 1 << 20;
+  private static final String NUMBER_ATTRIBUTE = "life";
+  private static final String LINE_ATTRIBUTE = "line";
+  private static final String UNPROCESSED_ATTRIBUTE = "unheard";
+  private static final int MAX_LINE_BYTES = 1 << 20;
 
-  /** The bus writes at least this often. */
-  private static final TimeSpan BEAT = new TimeSpan(1_000_000);
+  /** The event bus writes at least this often; in microseconds, like those below. */
+  private static final TimeSpan HEARTBEAT_PERIOD_US = new TimeSpan(1_000_000);
 
-  private static final TimeSpan SILENCE = BEAT.times(2.5);
-  private static final TimeSpan RETRY = BEAT.times(0.25);
+  private static final TimeSpan SILENCE_TIMEOUT_US = HEARTBEAT_PERIOD_US.times(2.5);
+  private static final TimeSpan RECONNECT_BACKOFF_US = HEARTBEAT_PERIOD_US.times(0.25);
 
   private InetSocketAddress address;
   private final SocketConnector connector;
   private final EventLoopQueue inbox;
   private final Clock clock;
-  private final Timers deadlines;
+  private final Timers timers;
   private final Counters counters;
   private final RateLimitedLog log;
   private final Consumer<WatchEvent> listener;
   private final JsonFactory json = new JsonFactory();
-  private long last;
-  private long askedAnewFrom = -1;
 
-  /** Whether the last number heard on this connection lay beyond the last event. */
-  private boolean behind;
+  /** The offset of the last event that was processed or skipped. */
+  private long lastOffset;
 
-  /** Counts connections; what an earlier one still says is passed over. */
-  private long life;
+  /** The last offset at which missing events were requested again, or -1. */
+  private long refetchedFrom = -1;
+
+  /** Whether the last offset received alone on this connection lay beyond the last event. */
+  private boolean isOffsetAhead;
+
+  /** Numbers connections; what an earlier one still brings is ignored. */
+  private long connectionNumber;
 
   private ConnectFuture future;
-  private Timers.Timer next;
-  private Timestamp heard;
 
-  /** When it was first asked; null until then. */
-  private Timestamp askedAt;
+  /** The timeout of the connection, or the start of the next one. */
+  private Timers.Timer nextTimer;
+
+  private Timestamp lastReceivedAt;
+
+  /** When events were first requested; null until then. */
+  private Timestamp firstRequestedAt;
 
-  private boolean numberHeard;
+  private boolean hasReceivedOffset;
 
   EndpointWatch(
-      ServiceConfiguration told,
+      ServiceConfiguration configuration,
       SocketConnector connector,
       EventLoopQueue inbox,
       Clock clock,
-      Timers deadlines,
+      Timers timers,
       Counters counters,
       Consumer<WatchEvent> listener) {
-    address = told.bus();
-    last = told.knownOffset();
+    address = configuration.watchAddress();
+    lastOffset = configuration.knownOffset();
     this.connector = connector;
     this.inbox = inbox;
     this.clock = clock;
-    this.deadlines = deadlines;
+    this.timers = timers;
     this.counters = counters;
     log = new RateLimitedLog(System.getLogger(EndpointWatch.class.getName()), clock);
     this.listener = listener;
-    heard = clock.now();
+    lastReceivedAt = clock.now();
     connector.setHandler(new WatchConnectionHandler());
   }
 
@@ -87,21 +98,21 @@
   private final class WatchConnectionHandler extends IoHandlerAdapter {
     @Override
     public void sessionCreated(IoSession session) {
-      session.setAttribute(LINE, new ByteArrayOutputStream());
-      session.setAttribute(UNHEARD, new AtomicInteger());
+      session.setAttribute(LINE_ATTRIBUTE, new ByteArrayOutputStream());
+      session.setAttribute(UNPROCESSED_ATTRIBUTE, new AtomicInteger());
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      ByteArrayOutputStream line = (ByteArrayOutputStream) session.getAttribute(LINE);
-      long from = (Long) session.getAttribute(LIFE);
-      AtomicInteger unheard = (AtomicInteger) session.getAttribute(UNHEARD);
-      IoBuffer in = (IoBuffer) message;
-      while (in.hasRemaining()) {
-        byte b = in.get();
-        if (b != '\n') {
-          line.write(b);
-          if (line.size() > LONGEST_LINE) {
+      ByteArrayOutputStream line = (ByteArrayOutputStream) session.getAttribute(LINE_ATTRIBUTE);
+      long number = (Long) session.getAttribute(NUMBER_ATTRIBUTE);
+      AtomicInteger unprocessedBytes = (AtomicInteger) session.getAttribute(UNPROCESSED_ATTRIBUTE);
+      IoBuffer input = (IoBuffer) message;
+      while (input.hasRemaining()) {
+        byte next = input.get();
+        if (next != '\n') {
+          line.write(next);
+          if (line.size() > MAX_LINE_BYTES) {
             session.closeNow();
             return;
           }
@@ -109,15 +120,15 @@
           String text = line.toString(StandardCharsets.UTF_8).strip();
           line.reset();
           int size = text.length() + 1;
-          if (unheard.addAndGet(size) > 2 * LONGEST_LINE) {
+          if (unprocessedBytes.addAndGet(size) > 2 * MAX_LINE_BYTES) {
             session.closeNow();
             return;
           }
           inbox.post(
               session,
               () -> {
-                unheard.addAndGet(-size);
-                said(from, text);
+                unprocessedBytes.addAndGet(-size);
+                processLine(number, text);
               });
         }
       }
@@ -125,8 +136,8 @@
 
     @Override
     public void sessionClosed(IoSession session) {
-      long from = (Long) session.getAttribute(LIFE);
-      inbox.post(null, () -> lost(from, "closed"));
+      long number = (Long) session.getAttribute(NUMBER_ATTRIBUTE);
+      inbox.post(null, () -> reconnect(number, "closed"));
     }
 
     @Override
@@ -137,85 +148,94 @@
 
   // ---- connections
 
+  /** Opens a connection, and requests the events behind the last one known. */
   void connect() {
-    long mine = ++life;
-    future = connector.connect(address, (session, f) -> session.setAttribute(LIFE, mine));
-    future.addListener((ConnectFuture f) -> inbox.post(null, () -> connected(mine, f)));
-    next = deadlines.set(clock.now().plus(BEAT), () -> lost(mine, "no connection"));
+    long number = ++connectionNumber;
+    future =
+        connector.connect(
+            address, (session, connecting) -> session.setAttribute(NUMBER_ATTRIBUTE, number));
+    future.addListener(
+        (ConnectFuture connecting) -> inbox.post(null, () -> connected(number, connecting)));
+    nextTimer =
+        timers.set(clock.now().plus(HEARTBEAT_PERIOD_US), () -> reconnect(number, "no connection"));
   }
 
   /**
-   * Whether what the bus had when it was first asked has come: its number has, or there was time
-   * enough for it.
+   * Whether the events that the event bus had at the first request have come: its last offset has
+   * come, or there was enough time for it.
    */
   boolean isCaughtUp(Timestamp now) {
-    return numberHeard || askedAt != null && now.since(askedAt).compareTo(RETRY) >= 0;
+    return hasReceivedOffset
+        || firstRequestedAt != null
+            && now.since(firstRequestedAt).compareTo(RECONNECT_BACKOFF_US) >= 0;
   }
 
-  /** How long the bus has said nothing; since the start, if it never did. */
-  TimeSpan silent(Timestamp now) {
-    return now.since(heard);
+  /** How long ago the last line came; since the start, if none ever did. */
+  TimeSpan silence(Timestamp now) {
+    return now.since(lastReceivedAt);
   }
 
-  /** The bus is at another address from now on; its numbers go on there. */
-  void moved(InetSocketAddress to) {
-    if (!to.equals(address)) {
-      address = to;
-      leave();
+  /** From now on the event bus is at this address; the offsets go on there. */
+  void moveTo(InetSocketAddress newAddress) {
+    if (!newAddress.equals(address)) {
+      address = newAddress;
+      disconnect();
       connect();
     }
   }
 
   /**
-   * Events told by other means: of these, each that follows what is known, or tells the whole list.
+   * Processes events from the configuration: each that follows the last one known, or that holds
+   * the complete list.
    */
-  void told(List<WatchEvent> events) {
+  void applyEvents(List<WatchEvent> events) {
     for (WatchEvent event : events) {
-      if (event.offset() > last && (event.whole() || event.offset() == last + 1)) {
-        last = event.offset();
+      if (event.offset() > lastOffset && (event.isComplete() || event.offset() == lastOffset + 1)) {
+        lastOffset = event.offset();
         listener.accept(event);
       }
     }
   }
 
-  private void connected(long mine, ConnectFuture f) {
-    if (!f.isConnected()) {
-      lost(mine, "no connection");
-    } else if (mine != life) {
-      f.getSession().closeNow();
+  private void connected(long number, ConnectFuture connecting) {
+    if (!connecting.isConnected()) {
+      reconnect(number, "no connection");
+    } else if (number != connectionNumber) {
+      connecting.getSession().closeNow();
     } else {
       counters.add(Count.BUS_CONNECTIONS);
-      f.getSession()
-          .write(IoBuffer.wrap(("from " + last + "\n").getBytes(StandardCharsets.US_ASCII)));
-      await(mine);
-      if (askedAt == null) {
-        askedAt = clock.now();
-        // Ends a wait for what it tells.
-        deadlines.set(askedAt.plus(RETRY), () -> {});
+      connecting
+          .getSession()
+          .write(IoBuffer.wrap(("from " + lastOffset + "\n").getBytes(StandardCharsets.US_ASCII)));
+      restartSilenceTimeout(number);
+      if (firstRequestedAt == null) {
+        firstRequestedAt = clock.now();
+        // Wakes the event loop, which waits at the start for the first events.
+        timers.set(firstRequestedAt.plus(RECONNECT_BACKOFF_US), () -> {});
       }
     }
   }
 
-  private void await(long mine) {
-    deadlines.cancel(next);
-    next = deadlines.set(clock.now().plus(SILENCE), () -> lost(mine, "silent"));
+  private void restartSilenceTimeout(long number) {
+    timers.cancel(nextTimer);
+    nextTimer = timers.set(clock.now().plus(SILENCE_TIMEOUT_US), () -> reconnect(number, "silent"));
   }
 
-  private void lost(long mine, String why) {
-    if (mine != life) {
+  private void reconnect(long number, String reason) {
+    if (number != connectionNumber) {
       return;
     }
     log.warn(
-        "event bus: {0}; asking again from {1}",
-        Field.of("reason", why), Field.of("offset", last), Field.event("bus.lost"));
-    leave();
-    next = deadlines.set(clock.now().plus(RETRY), this::connect);
+        "endpoint watch lost: {0}; requesting events again from offset {1}",
+        Field.of("reason", reason), Field.of("offset", lastOffset), Field.event("bus.lost"));
+    disconnect();
+    nextTimer = timers.set(clock.now().plus(RECONNECT_BACKOFF_US), this::connect);
   }
 
-  private void leave() {
-    life++;
-    behind = false;
-    deadlines.cancel(next);
+  private void disconnect() {
+    connectionNumber++;
+    isOffsetAhead = false;
+    timers.cancel(nextTimer);
     if (future.isConnected()) {
       future.getSession().closeNow();
     } else {
@@ -225,71 +245,74 @@
 
   // ---- lines
 
-  private void said(long mine, String line) {
-    if (mine != life || line.isEmpty()) {
+  private void processLine(long number, String line) {
+    if (number != connectionNumber || line.isEmpty()) {
       return;
     }
-    await(mine);
-    heard = clock.now();
+    restartSilenceTimeout(number);
+    lastReceivedAt = clock.now();
     try {
       if (line.matches("[0-9]{1,18}")) {
-        number(mine, Long.parseLong(line));
+        processOffset(number, Long.parseLong(line));
       } else {
-        event(mine, line);
+        processEvent(number, line);
       }
     } catch (IOException | InvalidInputException e) {
       log.warn(
-          "event bus: a line can''t be used: {0}",
+          "endpoint watch: a line can''t be used: {0}",
           Field.of("reason", e.getMessage()), Field.event("bus.line_unusable"));
     }
   }
 
   /**
-   * The number of the last event, alone: all up to it should have come. One more beat is waited for
-   * where events were asked for anew, as the number may overtake them: passed over, a drain among
-   * them would never be heard.
+   * Processes the offset of the last event, sent alone as a heartbeat: all events up to it should
+   * have come. Where missing events were requested again, they are skipped only at the next
+   * heartbeat, since the offset may overtake them, and a drain among them would be lost.
    */
-  private void number(long mine, long number) {
-    numberHeard = true;
-    boolean again = behind;
-    behind = number > last;
-    if (behind && !missing(mine) && again) {
-      last = number;
-      behind = false;
+  private void processOffset(long connection, long offset) {
+    hasReceivedOffset = true;
+    boolean wasAhead = isOffsetAhead;
+    isOffsetAhead = offset > lastOffset;
+    if (isOffsetAhead && !requestMissing(connection) && wasAhead) {
+      lastOffset = offset;
+      isOffsetAhead = false;
     }
   }
 
-  private void event(long mine, String line) throws IOException {
+  private void processEvent(long number, String line) throws IOException {
     JsonObjectReader event;
     try (JsonParser parser = json.createParser(line)) {
       event = JsonObjectReader.of(parser);
     }
-    long offset = event.whole(WatchEvent.OFFSET);
-    boolean whole =
-        event.has(WatchEvent.EVENT) && event.object(WatchEvent.EVENT).flag(WatchEvent.WHOLE);
-    // A whole list makes up for what is missing before it.
-    if (offset <= last || offset > last + 1 && !whole && missing(mine)) {
+    long offset = event.whole(WatchEvent.OFFSET_FIELD);
+    boolean isComplete =
+        event.has(WatchEvent.EVENT_FIELD)
+            && event.object(WatchEvent.EVENT_FIELD).flag(WatchEvent.COMPLETE_FIELD);
+    // A complete list makes up for events that are missing before it.
+    if (offset <= lastOffset || offset > lastOffset + 1 && !isComplete && requestMissing(number)) {
       return;
     }
-    last = offset;
-    behind = false;
+    lastOffset = offset;
+    isOffsetAhead = false;
     counters.add(Count.BUS_EVENTS);
-    if (event.has(WatchEvent.EVENT)) {
+    if (event.has(WatchEvent.EVENT_FIELD)) {
       listener.accept(WatchEvent.of(event));
     }
   }
 
   /**
-   * Events are missing: asks for them anew, but only once, or one that can't be used would hold up
-   * all.
+   * Requests missing events again, but only once: one that can't be used would otherwise hold up
+   * all that follow.
+   *
+   * @return whether they were requested
    */
-  private boolean missing(long mine) {
-    if (askedAnewFrom == last) {
+  private boolean requestMissing(long number) {
+    if (refetchedFrom == lastOffset) {
       return false;
     }
-    askedAnewFrom = last;
+    refetchedFrom = lastOffset;
     counters.add(Count.BUS_GAPS);
-    lost(mine, "events are missing");
+    reconnect(number, "events are missing");
     return true;
   }
 }
--- a/src/main/java/cobaltseam/service/EngineConnection.java
+++ b/src/main/java/cobaltseam/service/EngineConnection.java
@@ -9,82 +9,88 @@
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.session.IoSession;
 
-/** One connection to one engine, and the sends that are out on it. */
+/** One connection to one engine, and the attempts on it; the event-loop thread's own. */
 final class EngineConnection {
-  /** Ids of ended sends that are remembered, so that late answers are known. */
-  private static final int REMEMBERED = 256;
+  /** Call ids of abandoned attempts that are remembered, so that late answers are recognized. */
+  private static final int MAX_ABANDONED_IDS = 256;
 
-  /**
-   * Answers that nobody asked for which an engine may write between two sends on one connection.
-   */
-  private static final int MOST_UNASKED = 256;
+  /** Answers to unknown call ids that an engine may write between two of our own writes. */
+  private static final int MAX_UNSOLICITED_ANSWERS = 256;
 
-  /** What may wait to be written before no more is sent this way. */
-  private static final int MOST_WAITING = 1 << 18;
+  /** Unwritten bytes from which on no further attempt uses this connection. */
+  private static final int MAX_UNWRITTEN_BYTES = 1 << 18;
 
   final EngineId engine;
-  final Timestamp opened;
-  final Map<String, Attempt> sends = new HashMap<>();
-  private final Map<String, Boolean> ended =
+  final Timestamp openedAt;
+
+  /** The attempts on this connection by call id. */
+  final Map<String, Attempt> attempts = new HashMap<>();
+
+  private final Map<String, Boolean> abandonedIds =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-          return size() > REMEMBERED;
+          return size() > MAX_ABANDONED_IDS;
         }
       };
+
+  /** Its key in the table of all connections. */
   long key;
+
   ConnectFuture future;
   Timers.Timer connectTimeout;
 
-  /** Null until it is up. */
+  /** Null until it is connected. */
   IoSession session;
 
-  Timestamp heard;
+  Timestamp receivedAt;
   Timestamp idleSince;
-  private long written;
-  private int unasked;
+  private long writtenMessages;
+  private int unsolicitedAnswers;
 
-  EngineConnection(EngineId engine, Timestamp opened) {
+  EngineConnection(EngineId engine, Timestamp openedAt) {
     this.engine = engine;
-    this.opened = opened;
-    heard = opened;
-    idleSince = opened;
+    this.openedAt = openedAt;
+    receivedAt = openedAt;
+    idleSince = openedAt;
   }
 
-  /** Writes and counts; the count at which this has gone out whole. */
+  /**
+   * Writes a message.
+   *
+   * @return how many messages the session has written once this one is completely out
+   */
   long write(byte[] bytes) {
     session.write(IoBuffer.wrap(bytes));
-    unasked = 0;
-    return ++written;
+    unsolicitedAnswers = 0;
+    return ++writtenMessages;
   }
 
-  /**
-   * Counts an answer that nobody asked for; whether there are so many that they seem to have no
-   * end.
-   */
-  boolean isFlooded() {
-    return ++unasked > MOST_UNASKED;
+  /** Counts an answer to an unknown call id; whether there are now too many of them. */
+  boolean isFloodedByAnswer() {
+    return ++unsolicitedAnswers > MAX_UNSOLICITED_ANSWERS;
   }
 
   /**
-   * Whether a further send of this id may go this way: each id only once, or its answers were mixed
-   * up.
+   * Whether a further attempt may use this connection. Each call id may use it only once, or the
+   * answers to two attempts would be mixed up.
    */
-  boolean takes(String id, int most) {
-    return sends.size() < most
-        && !sends.containsKey(id)
-        && !ended.containsKey(id)
+  boolean canTake(String callId, int maxAttempts) {
+    return attempts.size() < maxAttempts
+        && !attempts.containsKey(callId)
+        && !abandonedIds.containsKey(callId)
         && (session == null
-            || session.isActive() && session.getScheduledWriteBytes() < MOST_WAITING);
+            || session.isActive() && session.getScheduledWriteBytes() < MAX_UNWRITTEN_BYTES);
   }
 
-  void remember(String id) {
-    ended.put(id, true);
+  /** An answer with this call id may still come, and is then ignored. */
+  void addAbandoned(String callId) {
+    abandonedIds.put(callId, true);
   }
 
-  boolean remembers(String id) {
-    return ended.containsKey(id);
+  boolean isAbandoned(String callId) {
+    return abandonedIds.containsKey(callId);
   }
 }
--- a/src/main/java/cobaltseam/service/EventLoopQueue.java
+++ b/src/main/java/cobaltseam/service/EventLoopQueue.java
@@ -9,9 +9,9 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * What other threads hand over to the one that owns all state. It never holds them up: a flood from
- * one peer would else stop what comes from all others. Who hands over bounds what each peer may
- * have in here.
+ * The tasks that other threads post to the event-loop thread. Posting never blocks, since a flood
+ * from one peer would otherwise stop input from all others. Whoever posts bounds what each peer may
+ * have in this queue.
  */
 final class EventLoopQueue {
   private static final System.Logger LOG = System.getLogger(EventLoopQueue.class.getName());
@@ -23,7 +23,12 @@
     this.counters = counters;
   }
 
-  /** Hands a task over; what it throws ends no more than this connection. */
+  /**
+   * Posts a task; from any thread. An exception in it closes this connection and has no other
+   * effect.
+   *
+   * @param connection may be null
+   */
   void post(IoSession connection, Runnable task) {
     tasks.add(
         () -> {
@@ -39,14 +44,16 @@
         });
   }
 
-  /** Tasks that were handed over and not taken yet. */
+  /** The number of posted tasks that were not taken yet. */
   int size() {
     return tasks.size();
   }
 
-  /** The next task, or null if none comes within this span. */
-  Runnable next(TimeSpan most) throws InterruptedException {
+  /** Takes the next task, or returns null if none comes within this time. */
+  Runnable next(TimeSpan maxWait) throws InterruptedException {
     Runnable task = tasks.poll();
-    return task != null || !most.isPositive() ? task : tasks.poll(most.us(), TimeUnit.MICROSECONDS);
+    return task != null || !maxWait.isPositive()
+        ? task
+        : tasks.poll(maxWait.us(), TimeUnit.MICROSECONDS);
   }
 }
--- a/src/main/java/cobaltseam/service/RateLimitedLog.java
+++ b/src/main/java/cobaltseam/service/RateLimitedLog.java
@@ -5,41 +5,47 @@
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 
-/** Warnings about peers, a few a second: a peer could else have any number of lines written. */
+/**
+ * Logs warnings about peers, at most a few a second, since a peer could otherwise cause any number
+ * of lines.
+ */
 final class RateLimitedLog {
-  private static final TimeSpan SECOND = new TimeSpan(1_000_000);
-  private static final int LINES = 5;
+  private static final TimeSpan WINDOW_US = new TimeSpan(1_000_000);
+  private static final int MAX_LINES_PER_WINDOW = 5;
 
-  private final Logger to;
+  private final Logger logger;
   private final Clock clock;
-  private Timestamp since;
-  private int lines;
-  private long leftOut;
+  private Timestamp windowStart;
+  private int linesInWindow;
+  private long suppressedLines;
 
-  RateLimitedLog(Logger to, Clock clock) {
-    this.to = to;
+  RateLimitedLog(Logger logger, Clock clock) {
+    this.logger = logger;
     this.clock = clock;
   }
 
   /**
-   * Whether a line was written; else it is counted, and the number told with the next one that is.
+   * Logs a warning, or counts it as suppressed if there were too many in this second; the count is
+   * logged before the next warning.
+   *
+   * @return whether it was logged
    */
-  boolean warn(String format, Object... what) {
+  boolean warn(String format, Object... fields) {
     Timestamp now = clock.now();
-    if (since == null || now.since(since).compareTo(SECOND) >= 0) {
-      since = now;
-      lines = 0;
+    if (windowStart == null || now.since(windowStart).compareTo(WINDOW_US) >= 0) {
+      windowStart = now;
+      linesInWindow = 0;
     }
-    if (lines == LINES) {
-      leftOut++;
+    if (linesInWindow == MAX_LINES_PER_WINDOW) {
+      suppressedLines++;
       return false;
     }
-    if (leftOut > 0) {
-      to.log(Level.WARNING, "{0} lines like the next one were left out", leftOut);
-      leftOut = 0;
+    if (suppressedLines > 0) {
+      logger.log(Level.WARNING, "{0} lines like the next one were suppressed", suppressedLines);
+      suppressedLines = 0;
     }
-    lines++;
-    to.log(Level.WARNING, format, what);
+    linesInWindow++;
+    logger.log(Level.WARNING, format, fields);
     return true;
   }
 }
--- a/src/main/java/cobaltseam/service/RequestTable.java
+++ b/src/main/java/cobaltseam/service/RequestTable.java
@@ -2,16 +2,13 @@
 
 import cobaltseam.dispatch.AttemptOutcome;
 import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
-import cobaltseam.dispatch.DataSetId;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.Dispatcher;
 import cobaltseam.dispatch.EngineId;
 import cobaltseam.dispatch.NextStep;
 import cobaltseam.dispatch.Placement;
 import cobaltseam.dispatch.Request;
-import cobaltseam.dispatch.RequestClassId;
 import cobaltseam.dispatch.RequestId;
-import cobaltseam.dispatch.TenantId;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.postgres.Statement;
@@ -19,452 +16,472 @@
 import cobaltseam.service.Counters.Count;
 import java.lang.System.Logger.Level;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** The commands in hand: asks the module for each, and carries out what it says. */
+/**
+ * The open requests, on the event-loop thread: asks the decision module about each, carries out
+ * what it decides, and gives each its one final answer.
+ */
 final class RequestTable implements EngineConnections.Listener {
-  /** Who waits for the final answer of a command. */
+  /** Gets the final answer of a request: at most one of the first three is called, once. */
   interface ResponseHandle {
     void complete(Result result);
 
-    void shed(TimeSpan comeBack);
+    /**
+     * The request was shed and did not run.
+     *
+     * @param retryAfter when a retry is worthwhile; zero if nothing is known
+     */
+    void shed(TimeSpan retryAfter);
 
     void fail();
 
     /**
-     * Whether nobody waits any more, as far as the I/O thread has read; this may run ahead of
-     * {@link #departed}.
+     * Whether nobody waits any more, as far as the I/O thread has read; this may be known before
+     * {@link #clientLeft} is called.
      */
     boolean hasClientLeft();
   }
 
   private static final System.Logger LOG = System.getLogger(RequestTable.class.getName());
-  private static final int US_PER_MS = 1000;
-  private static final int MOST_OPEN = 1 << 16;
+  private static final int MAX_OPEN_REQUESTS = 1 << 16;
 
   /**
-   * After a fault of the module it is asked again after this, not at once, or one fault would
-   * repeat.
+   * After a fault the decision module is asked again only after this, or the fault would repeat.
    */
-  private static final TimeSpan AFTER_FAULT = new TimeSpan(100_000);
+  private static final TimeSpan FAULT_BACKOFF_US = new TimeSpan(100_000);
 
-  /** One command: while it is open someone waits, and beyond that a send may be out. */
+  /** One request, until it has its final answer and no attempt of it runs. */
   private static final class InFlightRequest {
+    final RequestId id;
+    final Statement statement;
     long key;
-    RequestId id;
-    Statement statement;
+
+    /** Null once the request has its final answer or its client has left. */
     ResponseHandle responseHandle;
-    int sends;
-    Attempt out;
+
+    int attemptCount;
+
+    /** The attempt that runs, or null. */
+    Attempt attempt;
+
+    InFlightRequest(Statement statement, ResponseHandle responseHandle) {
+      id = new RequestId(statement.call());
+      this.statement = statement;
+      this.responseHandle = responseHandle;
+    }
+
+    /** Whether the client has left, though the event loop has not processed that yet. */
+    boolean hasClientLeft() {
+      return responseHandle != null && responseHandle.hasClientLeft();
+    }
   }
 
   private final Dispatcher dispatcher;
   private final EngineConnections engines;
-  private final Timers deadlines;
+  private final Timers timers;
   private final Clock clock;
   private final Counters counters;
-  private final Set<String> profiles = new HashSet<>();
-  private final Set<String> shares = new HashSet<>();
-  private final SlotTable<InFlightRequest> slots = new SlotTable<>(MOST_OPEN);
-  private final Map<RequestId, InFlightRequest> byId = new HashMap<>();
-  private Timers.Timer wake;
+  private final StatementTranslator translator;
+  private final SlotTable<InFlightRequest> slots = new SlotTable<>(MAX_OPEN_REQUESTS);
+  private final Map<RequestId, InFlightRequest> requestsById = new HashMap<>();
+  private Timers.Timer nextStepTimer;
 
   /** Whether this dispatcher may send at this moment; by default always. */
   private BooleanSupplier maySend = () -> true;
 
-  /** Hears what engines tell of the commands that they hold; null where nobody does. */
-  private FleetBridge reports;
+  /** Receives the load that engines report with attempts; null without a fleet. */
+  private FleetBridge loadReports;
 
-  /** Caps further sends over the fleet; null where it does not. */
-  private FleetBridge caps;
+  /** Limits retries over the whole fleet; null where it does not. */
+  private FleetBridge retryLimit;
 
-  /** Whether the module was told something and not yet asked what follows. */
-  private boolean news;
+  /** Whether the decision module was notified of something and has to be asked what follows. */
+  private boolean isNextStepDue;
 
   RequestTable(
       Deployment deployment,
       long seed,
       EngineConnections engines,
-      Timers deadlines,
+      Timers timers,
       Clock clock,
       Counters counters) {
     dispatcher = new Dispatcher(deployment, seed);
-    known(deployment);
+    translator = new StatementTranslator(deployment);
     this.engines = engines;
-    this.deadlines = deadlines;
+    this.timers = timers;
     this.clock = clock;
     this.counters = counters;
-    engines.listener(this);
+    engines.setListener(this);
   }
 
-  private void known(Deployment deployment) {
-    profiles.clear();
-    shares.clear();
-    deployment.requestClasses().forEach(p -> profiles.add(p.id().value()));
-    deployment.quotas().forEach(s -> shares.add(s.tenant().value()));
-  }
+  // ---- settings and the state of engines and fleet
 
   /**
-   * Moves to other settings of decisions at once, between two turns of the loop, whatever is in
-   * hand: {@link Dispatcher#applySettings} says which of them then count for what.
+   * Applies other settings of the decision module at once, whatever requests are open: {@link
+   * Dispatcher#applySettings} says which settings then count for them.
    */
   void moveTo(Deployment deployment) {
     dispatcher.applySettings(deployment, clock.now());
-    known(deployment);
+    translator.applySettings(deployment);
     counters.add(Count.CONFIGURATIONS_MOVED);
-    news = true;
+    isNextStepDue = true;
   }
 
-  /** Commands that have no final answer yet. */
-  int inHand() {
-    return byId.size();
-  }
-
-  /** Before each send it is asked whether this dispatcher still may. */
+  /** Before each attempt this is asked whether the dispatcher may still send. */
   void sendsWhile(BooleanSupplier allowed) {
     maySend = allowed;
   }
 
-  /** The engines are shared over so many dispatchers from now on. */
+  /** From now on the capacity of the engines is shared among so many dispatchers. */
   void sharedOver(double dispatchers) {
     dispatcher.setSharingDispatchers(dispatchers);
-    news = true;
+    isNextStepDue = true;
   }
 
-  /** The work of all commands taken so far, in microseconds of one thread. */
+  /** The work of all requests admitted so far, in microseconds of one thread. */
   double offered() {
     return dispatcher.offeredLoad();
   }
 
-  /** Has the fleet hear what engines tell of the commands that they hold. */
+  /** From now on the fleet receives the load that engines report with attempts. */
   void reportsTo(FleetBridge bridge) {
-    reports = bridge;
+    loadReports = bridge;
   }
 
-  /** Has the fleet cap further sends. */
+  /** From now on the fleet limits retries. */
   void cappedBy(FleetBridge bridge) {
-    caps = bridge;
+    retryLimit = bridge;
   }
 
-  private void capped() {
-    if (caps != null) {
-      dispatcher.setRemainingRetries(caps.furtherLeft());
-    }
-  }
-
-  /**
-   * What an engine told another dispatcher of the commands that it holds, at this moment or later.
-   */
+  /** The load that an engine reported to another dispatcher at this time or later. */
   void reported(EngineId engine, double inHand, Timestamp at) {
     dispatcher.updateEngineLoad(engine, inHand, at);
-    news = true;
+    isNextStepDue = true;
   }
 
-  /**
-   * Sends nothing more for a command: held, it is given up at once; out, its answer still counts.
-   */
-  void withdraw(long key) {
-    InFlightRequest c = slots.get(key);
-    if (c != null && c.responseHandle != null) {
-      counters.add(Count.MASTERSHIP_COMMANDS_WITHDRAWN);
-      TimeSpan left = dispatcher.withdraw(c.id, clock.now());
-      if (c.out != null && left != null) {
-        engines.letTake(c.out, clock.now().plus(left));
-      }
-      news = true;
-    }
+  /** Applies a change of the endpoint list, or the complete list. */
+  void updateEndpoints(WatchEvent event) {
+    engines.updateEndpoints(event);
+    Timestamp now = clock.now();
+    dispatcher.updateEndpoints(event.endpoints(), event.isComplete(), now);
+    isNextStepDue = true;
   }
 
-  /**
-   * Gives up all that is in hand: nothing more is sent, what is out is called off, and each has its
-   * final answer.
-   */
-  void giveUp() {
-    for (InFlightRequest c : List.copyOf(byId.values())) {
-      dispatcher.withdraw(c.id, clock.now());
-      if (c.out != null) {
-        engines.callOff(c.out);
-      }
-    }
-    news = true;
-  }
+  // ---- requests
 
-  /** Whether nobody waits for an answer. */
-  boolean isEmpty() {
-    return byId.isEmpty();
+  /** How many requests have no final answer yet. */
+  int inHand() {
+    return requestsById.size();
   }
 
-  void listed(WatchEvent event) {
-    engines.listed(event);
-    Timestamp now = clock.now();
-    dispatcher.updateEndpoints(event.list(), event.whole(), now);
-    news = true;
+  boolean isEmpty() {
+    return requestsById.isEmpty();
   }
 
-  /** Why a statement can't be taken in as a command, or null. */
-  String unusable(Statement s) {
-    if (!profiles.contains(s.profile())) {
-      return "an unknown profile";
-    }
-    if (s.share() != null && !shares.isEmpty() && !shares.contains(s.share())) {
-      return "an unknown holder of a share";
+  /** Why a statement can't become a request, or null if it can. */
+  String rejectionReason(Statement statement) {
+    String reason = translator.rejectionReason(statement);
+    if (reason != null) {
+      return reason;
     }
-    return byId.containsKey(new RequestId(s.call())) ? "a call that is in hand already" : null;
+    boolean isOpen = requestsById.containsKey(new RequestId(statement.call()));
+    return isOpen ? "a call that is in hand already" : null;
   }
 
   /**
-   * Takes in a command that can be used. Its key, or NONE where none is free. It awaits {@link
-   * #start}.
+   * Adds the request of a statement that can be used; it waits for {@link #start}.
+   *
+   * @return its key, or NONE if too many requests are open
    */
-  long take(Statement s, ResponseHandle responseHandle) {
-    InFlightRequest c = new InFlightRequest();
-    c.id = new RequestId(s.call());
-    c.statement = s;
-    c.responseHandle = responseHandle;
-    c.key = slots.take(c);
-    if (c.key != SlotTable.NONE) {
+  long add(Statement statement, ResponseHandle responseHandle) {
+    InFlightRequest request = new InFlightRequest(statement, responseHandle);
+    request.key = slots.add(request);
+    if (request.key != SlotTable.NONE) {
       counters.add(Count.COMMANDS_TAKEN);
-      byId.put(c.id, c);
+      requestsById.put(request.id, request);
     }
-    return c.key;
+    return request.key;
   }
 
   /**
-   * Asks the module for a command that was read whole at this moment; its response handle may hear
-   * at once.
+   * Has the decision module place a request; its response handle may be called at once.
+   *
+   * @param readAt when its statement was read completely
    */
-  void start(long key, Timestamp read) {
-    InFlightRequest c = slots.get(key);
-    Statement s = c.statement;
-    Request command =
-        new Request(
-            c.id,
-            new RequestClassId(s.profile()),
-            s.share() != null && shares.contains(s.share()) ? new TenantId(s.share()) : null,
-            null,
-            read.plus(new TimeSpan(s.timeToLiveMs() * US_PER_MS)),
-            new TimeSpan(Math.round(s.workMs() * US_PER_MS)),
-            s.dataSet() < 0 ? null : new DataSetId(s.dataSet()),
-            s.memoryMb());
-    place(c, command);
-    news = true;
+  void start(long key, Timestamp readAt) {
+    InFlightRequest request = slots.get(key);
+    place(request, translator.toRequest(request.statement, readAt));
+    isNextStepDue = true;
   }
 
-  /**
-   * Asks the module where a command goes, unless its client has left: nothing is begun for one that
-   * is gone.
-   */
-  private void place(InFlightRequest c, Request command) {
-    if (isLeft(c)) {
-      departed(c.key);
+  /** Has the decision module place a request, unless its client has left: then nothing is sent. */
+  private void place(InFlightRequest inFlight, Request request) {
+    if (inFlight.hasClientLeft()) {
+      clientLeft(inFlight.key);
     } else {
-      carryOut(c, () -> dispatcher.place(command, clock.now()));
+      decide(inFlight, () -> dispatcher.place(request, clock.now()));
     }
   }
 
-  /** Nobody waits for this command any more. */
-  void departed(long key) {
-    InFlightRequest c = slots.get(key);
-    if (c == null || c.responseHandle == null) {
+  /** The client of this request has left or cancelled it: it gets no answer. */
+  void clientLeft(long key) {
+    InFlightRequest request = slots.get(key);
+    if (request == null || request.responseHandle == null) {
       return;
     }
     counters.add(Count.COMMANDS_DEPARTED);
-    c.responseHandle = null;
-    dispatcher.clientLeft(c.id, clock.now());
-    if (c.out != null) {
-      engines.callOff(c.out);
+    request.responseHandle = null;
+    dispatcher.clientLeft(request.id, clock.now());
+    if (request.attempt != null) {
+      engines.cancel(request.attempt);
     } else {
-      forget(c);
+      remove(request);
     }
-    news = true;
+    isNextStepDue = true;
   }
 
-  /** Whether its client has gone, though nothing was heard of that yet. */
-  private static boolean isLeft(InFlightRequest c) {
-    return c.responseHandle != null && c.responseHandle.hasClientLeft();
+  /** Starts no further attempt of a request: a queued one is shed, a running attempt counts. */
+  void withdraw(long key) {
+    InFlightRequest request = slots.get(key);
+    if (request != null && request.responseHandle != null) {
+      counters.add(Count.MASTERSHIP_COMMANDS_WITHDRAWN);
+      TimeSpan remaining = dispatcher.withdraw(request.id, clock.now());
+      if (request.attempt != null && remaining != null) {
+        engines.extendTimeout(request.attempt, clock.now().plus(remaining));
+      }
+      isNextStepDue = true;
+    }
   }
 
+  /** Cancels all attempts and starts no more, so that each open request has its final answer. */
+  void abandonAll() {
+    for (InFlightRequest request : List.copyOf(requestsById.values())) {
+      dispatcher.withdraw(request.id, clock.now());
+      if (request.attempt != null) {
+        engines.cancel(request.attempt);
+      }
+    }
+    isNextStepDue = true;
+  }
+
+  private void remove(InFlightRequest request) {
+    requestsById.remove(request.id);
+    slots.free(request.key);
+  }
+
+  // ---- attempts
+
   @Override
-  public boolean isWanted(Attempt send) {
-    InFlightRequest c = byId.get(send.command);
-    return c != null && c.out == send && c.responseHandle != null && !isLeft(c);
+  public boolean isAwaited(Attempt attempt) {
+    InFlightRequest request = requestsById.get(attempt.requestId);
+    return request != null
+        && request.attempt == attempt
+        && request.responseHandle != null
+        && !request.hasClientLeft();
   }
 
   @Override
-  public void progressed(Attempt send, double share, Timestamp now) {
-    if (share >= 0) {
-      dispatcher.updateProgress(send.command, send.number, share, now);
-      news = true;
+  public void progressed(Attempt attempt, double progress, Timestamp now) {
+    if (progress >= 0) {
+      dispatcher.updateProgress(attempt.requestId, attempt.number, progress, now);
+      isNextStepDue = true;
     }
   }
 
   @Override
-  public void spills(Attempt send, double missingMb) {
-    dispatcher.updateMemoryShortfall(send.command, send.number, missingMb);
+  public void memoryShort(Attempt attempt, double missingMb) {
+    dispatcher.updateMemoryShortfall(attempt.requestId, attempt.number, missingMb);
   }
 
   @Override
-  public void blocked(Attempt send, Timestamp now) {
-    dispatcher.markBlocked(send.command, send.number, now);
-    news = true;
+  public void blocked(Attempt attempt, Timestamp now) {
+    dispatcher.markBlocked(attempt.requestId, attempt.number, now);
+    isNextStepDue = true;
   }
 
   @Override
-  public void ended(Attempt send, AttemptResult ending, Timestamp now) {
-    InFlightRequest c = byId.get(send.command);
-    if (c == null || c.out != send) {
+  public void ended(Attempt attempt, AttemptResult result, Timestamp now) {
+    InFlightRequest request = requestsById.get(attempt.requestId);
+    if (request == null || request.attempt != attempt) {
       return;
     }
-    c.out = null;
-    if (reports != null && send.inHand >= 0) {
-      reports.heard(send.engine, Math.max(0, send.inHand - Math.max(0, send.queue)), now);
+    request.attempt = null;
+    publishLoad(attempt, now);
+    ResponseHandle completed = null;
+    if (result == AttemptResult.COMPLETED) {
+      completed = request.responseHandle;
+      request.responseHandle = null;
     }
-    ResponseHandle answered = ending == AttemptResult.COMPLETED ? c.responseHandle : null;
-    c.responseHandle = ending == AttemptResult.COMPLETED ? null : c.responseHandle;
-    boolean over = c.responseHandle == null;
+    boolean isOver = request.responseHandle == null;
     AttemptOutcome outcome =
         new AttemptOutcome(
-            c.id,
-            send.number,
-            send.engine,
-            ending,
-            now.since(send.at),
-            over,
+            request.id,
+            attempt.number,
+            attempt.engine,
+            result,
+            now.since(attempt.startedAt),
+            isOver,
             new TimeSpan(-1),
             -1,
-            send.queue,
-            send.inHand);
-    carryOut(c, () -> dispatcher.completeAttempt(outcome, now));
-    if (over) {
-      forget(c);
+            attempt.reportedQueue,
+            attempt.reportedInFlight);
+    decide(request, () -> dispatcher.completeAttempt(outcome, now));
+    if (isOver) {
+      remove(request);
     }
-    if (answered != null) {
+    if (completed != null) {
       counters.add(Count.COMMANDS_ANSWERED);
-      answered.complete(send.result);
+      completed.complete(attempt.result);
     }
-    news = true;
+    isNextStepDue = true;
   }
 
-  private void forget(InFlightRequest c) {
-    byId.remove(c.id);
-    slots.free(c.key);
+  private void publishLoad(Attempt attempt, Timestamp now) {
+    if (loadReports != null && attempt.reportedInFlight >= 0) {
+      double running = Math.max(0, attempt.reportedInFlight - Math.max(0, attempt.reportedQueue));
+      loadReports.heard(attempt.engine, running, now);
+    }
   }
 
+  // ---- decisions
+
   /**
-   * Follows the module, where there is news for it, until it names a span to wait; wakes up after
-   * that.
+   * Carries out the next steps of the decision module if it was notified of anything, until it
+   * names a delay; a timer then has it asked again.
    */
-  void follow() {
-    if (!news) {
+  void runNextSteps() {
+    if (!isNextStepDue) {
       return;
     }
-    news = false;
-    TimeSpan wait;
+    isNextStepDue = false;
+    TimeSpan delay;
     try {
-      wait = followed(counters.of(Count.FAULTS));
+      delay = runStepsUntilDelay(counters.of(Count.FAULTS));
     } catch (RuntimeException e) {
-      fault(e);
-      wait = AFTER_FAULT;
+      recordFault(e);
+      delay = FAULT_BACKOFF_US;
     }
-    deadlines.cancel(wake);
-    wake = wait == null ? null : deadlines.set(clock.now().plus(wait), () -> news = true);
+    timers.cancel(nextStepTimer);
+    nextStepTimer =
+        delay == null ? null : timers.set(clock.now().plus(delay), () -> isNextStepDue = true);
   }
 
-  private TimeSpan followed(long faults) {
+  private TimeSpan runStepsUntilDelay(long faultsBefore) {
     Timestamp now = clock.now();
-    capped();
-    NextStep pause = dispatcher.next(now);
-    while (pause.delay() != null && !pause.delay().isPositive()) {
-      if (counters.of(Count.FAULTS) > faults) {
-        return AFTER_FAULT;
-      }
-      InFlightRequest c = pause.request() == null ? null : byId.get(pause.request().id());
-      if (pause.cancelAttempt() >= 0
-          && c != null
-          && c.out != null
-          && c.out.number == pause.cancelAttempt()) {
-        engines.callOff(c.out);
-      } else if (pause.request() != null && c == null) {
-        dispatcher.clientLeft(pause.request().id(), now);
-      } else if (pause.request() != null) {
-        place(c, pause.request());
-      } else if (pause.healthCheck() != null) {
-        engines.probe(pause.healthCheck(), now);
+    updateRemainingRetries();
+    NextStep step = dispatcher.next(now);
+    while (step.delay() != null && !step.delay().isPositive()) {
+      if (counters.of(Count.FAULTS) > faultsBefore) {
+        return FAULT_BACKOFF_US;
       }
+      run(step, now);
       now = clock.now();
-      capped();
-      pause = dispatcher.next(now);
+      updateRemainingRetries();
+      step = dispatcher.next(now);
+    }
+    return step.delay();
+  }
+
+  private void run(NextStep step, Timestamp now) {
+    Request request = step.request();
+    InFlightRequest inFlight = request == null ? null : requestsById.get(request.id());
+    if (step.cancelAttempt() >= 0
+        && inFlight != null
+        && inFlight.attempt != null
+        && inFlight.attempt.number == step.cancelAttempt()) {
+      engines.cancel(inFlight.attempt);
+    } else if (request != null && inFlight == null) {
+      dispatcher.clientLeft(request.id(), now);
+    } else if (request != null) {
+      place(inFlight, request);
+    } else if (step.healthCheck() != null) {
+      engines.checkHealth(step.healthCheck(), now);
     }
-    return pause.delay();
-  }
-
-  private void fault(RuntimeException e) {
-    counters.add(Count.FAULTS);
-    LOG.log(Level.ERROR, "a fault in a decision", e);
   }
 
-  /** Asks the module for one command; a fault of its code fails this command and no other. */
-  private void carryOut(InFlightRequest c, Supplier<Placement> asked) {
-    Placement p;
-    capped();
+  /** Asks for a decision on one request; a fault in it fails this request and no other. */
+  private void decide(InFlightRequest request, Supplier<Placement> decision) {
+    Placement placement;
+    updateRemainingRetries();
     try {
-      p = asked.get();
+      placement = decision.get();
     } catch (RuntimeException e) {
-      fault(e);
-      p = Placement.fail();
-      deadlines.set(clock.now(), () -> dispatcher.clientLeft(c.id, clock.now()));
+      recordFault(e);
+      placement = Placement.fail();
+      timers.set(clock.now(), () -> dispatcher.clientLeft(request.id, clock.now()));
     }
-    if (c == null || c.responseHandle == null) {
-      return;
+    if (request.responseHandle != null) {
+      carryOut(request, placement);
     }
-    switch (p.decision()) {
-      case SEND ->
-          c.out =
-              maySend.getAsBoolean() && isWithinCap(c)
-                  ? engines.send(c.id, c.sends++, p, c.statement, clock.now())
-                  : engines.neverSend(c.id, c.sends++, p.engine(), c.statement, clock.now());
+  }
+
+  private void carryOut(InFlightRequest request, Placement placement) {
+    switch (placement.decision()) {
+      case SEND -> startAttempt(request, placement);
       case SHED -> {
-        denied(c);
+        recordDeniedRetry(request);
         counters.add(Count.COMMANDS_SHED);
-        ResponseHandle responseHandle = c.responseHandle;
-        forget(c);
-        responseHandle.shed(p.retryAfter());
+        ResponseHandle responseHandle = request.responseHandle;
+        remove(request);
+        responseHandle.shed(placement.retryAfter());
       }
       case FAIL -> {
-        denied(c);
+        recordDeniedRetry(request);
         counters.add(Count.COMMANDS_FAILED);
-        ResponseHandle responseHandle = c.responseHandle;
-        forget(c);
+        ResponseHandle responseHandle = request.responseHandle;
+        remove(request);
         responseHandle.fail();
       }
       default -> {}
     }
   }
 
-  private boolean isWithinCap(InFlightRequest c) {
-    if (caps == null) {
+  private void startAttempt(InFlightRequest request, Placement placement) {
+    boolean isAllowed = maySend.getAsBoolean() && isWithinRetryLimit(request);
+    int number = request.attemptCount++;
+    request.attempt =
+        isAllowed
+            ? engines.send(request.id, number, placement, request.statement, clock.now())
+            : engines.neverSend(
+                request.id, number, placement.engine(), request.statement, clock.now());
+  }
+
+  private void recordFault(RuntimeException e) {
+    counters.add(Count.FAULTS);
+    LOG.log(Level.ERROR, "a fault in a decision", e);
+  }
+
+  // ---- the fleet's limit of retries
+
+  private void updateRemainingRetries() {
+    if (retryLimit != null) {
+      dispatcher.setRemainingRetries(retryLimit.furtherLeft());
+    }
+  }
+
+  /** Counts an attempt that is about to start; whether the limit allows it. */
+  private boolean isWithinRetryLimit(InFlightRequest request) {
+    if (retryLimit == null) {
       return true;
     }
-    if (c.sends == 0) {
-      caps.first();
+    if (request.attemptCount == 0) {
+      retryLimit.first();
       return true;
     }
-    return caps.takesFurther();
+    return retryLimit.takesFurther();
   }
 
   /**
-   * One that was sent and is given up while nothing is left to be sent again may have been given up
-   * for that.
+   * Counts a request that ends after an attempt while no retry is left, perhaps because of that.
    */
-  private void denied(InFlightRequest c) {
-    if (caps != null && c.sends > 0 && caps.furtherLeft() < 1) {
+  private void recordDeniedRetry(InFlightRequest request) {
+    if (retryLimit != null && request.attemptCount > 0 && retryLimit.furtherLeft() < 1) {
       counters.add(Count.REPEATS_DENIED);
-      caps.denied();
+      retryLimit.denied();
     }
   }
 }
--- a/src/main/java/cobaltseam/service/ServiceConfiguration.java
+++ b/src/main/java/cobaltseam/service/ServiceConfiguration.java
@@ -16,77 +16,95 @@
 import java.util.Map;
 
 /**
- * What the service is told by its configuration file: where it stands, and the deployment around
- * it.
+ * The platform's configuration file of the service; maps the platform's field names to our own.
+ *
+ * @param listen where clients connect
+ * @param watchAddress the event bus, which brings the endpoint list
+ * @param maxSockets how many descriptors the process may have
+ * @param memoryBytes the memory of the process
+ * @param knownOffset the offset of the last event that the file holds
+ * @param knownEvents the events of the endpoint list that the file holds
+ * @param maxConnectionIdle the time after which engines close an idle connection; zero for never
+ * @param attemptsPerConnection how many attempts may share a connection to an engine, at least 1
  */
 record ServiceConfiguration(
     String name,
     InetSocketAddress listen,
-    InetSocketAddress bus,
+    InetSocketAddress watchAddress,
     long seed,
-    int sockets,
+    int maxSockets,
     long memoryBytes,
     long knownOffset,
-    List<WatchEvent> known,
+    List<WatchEvent> knownEvents,
     Deployment deployment,
     TimeSpan connectTimeout,
-    TimeSpan connectionIdle,
-    int sendsPerConnection) {
-  private static final int HEX = 16;
+    TimeSpan maxConnectionIdle,
+    int attemptsPerConnection) {
+  private static final int HEX_RADIX = 16;
 
-  /** What a process has at least, where nothing is told. */
-  private static final long LEAST_MEMORY_MB = 32;
+  /** Assumed where the file names no limit. */
+  private static final long MIN_MEMORY_MB = 32;
 
-  private static final int LAST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
-  /** Reads the file that the environment names; what it also names must agree. */
+  /**
+   * Reads the file that the environment variable GW_CONFIG names; GW_NAME and GW_LISTEN, if set,
+   * have to agree with it.
+   *
+   * @throws InvalidInputException if the file can't be read or used
+   */
   static ServiceConfiguration read(Map<String, String> environment) {
     String path = environment.get("GW_CONFIG");
     if (path == null || path.isEmpty()) {
       throw new InvalidInputException("GW_CONFIG names no configuration file");
     }
-    JsonObjectReader told;
+    JsonObjectReader document;
     try (JsonParser parser = new JsonFactory().createParser(new File(path))) {
-      told = JsonObjectReader.of(parser);
+      document = JsonObjectReader.of(parser);
     } catch (JsonProcessingException e) {
       throw new InvalidInputException(path + " is not JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
       throw new InvalidInputException(path + " can't be read: " + e.getMessage());
     }
-    ServiceConfiguration read = of(told);
-    agree(environment, "GW_NAME", read.name);
-    agree(environment, "GW_LISTEN", told.text("listen"));
+    ServiceConfiguration read = of(document);
+    requireSame(environment, "GW_NAME", read.name);
+    requireSame(environment, "GW_LISTEN", document.text("listen"));
     return read;
   }
 
-  private static void agree(Map<String, String> environment, String variable, String value) {
+  private static void requireSame(Map<String, String> environment, String variable, String value) {
     if (!value.equals(environment.getOrDefault(variable, value))) {
       throw new InvalidInputException(
           variable + " is " + environment.get(variable) + ", the configuration has " + value);
     }
   }
 
-  static ServiceConfiguration of(JsonObjectReader told) {
-    JsonObjectReader settings = told.object("settings");
+  /**
+   * Reads the configuration from its JSON document.
+   *
+   * @throws InvalidInputException if a field is missing or can't be used
+   */
+  static ServiceConfiguration of(JsonObjectReader document) {
+    JsonObjectReader settings = document.object("settings");
     JsonObjectReader limits = settings.object("limits");
-    JsonObjectReader known = told.object("known");
+    JsonObjectReader known = document.object("known");
     List<WatchEvent> events = new ArrayList<>();
     for (JsonObjectReader event : known.objects("batch")) {
-      if (event.has(WatchEvent.EVENT)) {
+      if (event.has(WatchEvent.EVENT_FIELD)) {
         events.add(WatchEvent.of(event));
       }
     }
-    String seed = told.text("seed");
+    String seed = document.text("seed");
     if (!seed.matches("[0-9a-fA-F]{1,16}")) {
       throw new InvalidInputException("'seed' is not 16 hex digits");
     }
     return new ServiceConfiguration(
-        told.text("name"),
-        address(told.text("listen")),
-        address(told.text("bus")),
-        Long.parseUnsignedLong(seed, HEX),
-        (int) told.object("limits").whole("sockets"),
-        told.object("limits").whole("memory_mb", LEAST_MEMORY_MB) << 20,
+        document.text("name"),
+        address(document.text("listen")),
+        address(document.text("bus")),
+        Long.parseUnsignedLong(seed, HEX_RADIX),
+        (int) document.object("limits").whole("sockets"),
+        document.object("limits").whole("memory_mb", MIN_MEMORY_MB) << 20,
         known.whole("offset"),
         events,
         DeploymentReader.read(settings),
@@ -95,49 +113,53 @@
         (int) Math.max(1, limits.whole("streams_per_conn", 1)));
   }
 
-  /** The same with other settings of decisions. */
-  ServiceConfiguration with(Deployment other) {
+  /** A copy with other settings of decisions. */
+  ServiceConfiguration withDeployment(Deployment other) {
     return new ServiceConfiguration(
         name,
         listen,
-        bus,
+        watchAddress,
         seed,
-        sockets,
+        maxSockets,
         memoryBytes,
         knownOffset,
-        known,
+        knownEvents,
         other,
         connectTimeout,
-        connectionIdle,
-        sendsPerConnection);
+        maxConnectionIdle,
+        attemptsPerConnection);
   }
 
-  /** The same deployment at other addresses. */
-  ServiceConfiguration movedTo(
-      InetSocketAddress listensOn, InetSocketAddress busAt, List<WatchEvent> engines) {
+  /** A copy with other addresses and events of the endpoint list. */
+  ServiceConfiguration withAddresses(
+      InetSocketAddress listenOn, InetSocketAddress watchAt, List<WatchEvent> events) {
     return new ServiceConfiguration(
         name,
-        listensOn,
-        busAt,
+        listenOn,
+        watchAt,
         seed,
-        sockets,
+        maxSockets,
         memoryBytes,
         knownOffset,
-        engines,
+        events,
         deployment,
         connectTimeout,
-        connectionIdle,
-        sendsPerConnection);
+        maxConnectionIdle,
+        attemptsPerConnection);
   }
 
-  /** An address with its port; no name is ever looked up. */
+  /**
+   * Parses an IP address with its port; no name is ever looked up.
+   *
+   * @throws InvalidInputException if the text is no such address
+   */
   static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon);
     String port = text.substring(colon + 1);
     if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:]+]")
         || !port.matches("[0-9]{1,5}")
-        || Integer.parseInt(port) > LAST_PORT) {
+        || Integer.parseInt(port) > MAX_PORT) {
       throw new InvalidInputException("'" + text + "' is not an address with a port");
     }
     return new InetSocketAddress(host, Integer.parseInt(port));
--- a/src/main/java/cobaltseam/service/SlotTable.java
+++ b/src/main/java/cobaltseam/service/SlotTable.java
@@ -5,61 +5,69 @@
 import java.util.Objects;
 import java.util.function.Consumer;
 
-/** A table of numbered slots. A key names one use of a slot, so that a late key finds nothing. */
+/**
+ * A table of a bounded number of slots. A key names one use of a slot, so that a key that is used
+ * after its item was removed finds nothing.
+ */
 final class SlotTable<T> {
+  /** The key of no slot. */
   static final long NONE = -1;
+
   private static final int INDEX_BITS = 24;
 
-  private final int most;
-  private final List<T> held = new ArrayList<>();
-  private final List<Integer> uses = new ArrayList<>();
-  private final List<Integer> free = new ArrayList<>();
+  private final int maxSlots;
+  private final List<T> items = new ArrayList<>();
+  private final List<Integer> useCounts = new ArrayList<>();
+  private final List<Integer> freeSlots = new ArrayList<>();
 
-  SlotTable(int most) {
-    this.most = Math.min(most, 1 << INDEX_BITS);
+  SlotTable(int maxSlots) {
+    this.maxSlots = Math.min(maxSlots, 1 << INDEX_BITS);
   }
 
-  /** The key of a slot that holds this from now on, or NONE if all are taken. */
-  long take(T item) {
-    if (!free.isEmpty()) {
-      int index = free.remove(free.size() - 1);
-      held.set(index, item);
+  /** Adds an item. Returns its key, or NONE if the table is full. */
+  long add(T item) {
+    if (!freeSlots.isEmpty()) {
+      int index = freeSlots.remove(freeSlots.size() - 1);
+      items.set(index, item);
       return key(index);
     }
-    if (held.size() >= most) {
+    if (items.size() >= maxSlots) {
       return NONE;
     }
-    held.add(item);
-    uses.add(0);
-    return key(held.size() - 1);
+    items.add(item);
+    useCounts.add(0);
+    return key(items.size() - 1);
   }
 
   private long key(int index) {
-    return (long) uses.get(index) << INDEX_BITS | index;
+    return (long) useCounts.get(index) << INDEX_BITS | index;
   }
 
-  /** What the slot of this key holds, or null if that has left. */
+  /** The item with this key, or null if it was removed. */
   T get(long key) {
     int index = (int) (key & (1 << INDEX_BITS) - 1);
-    return key >= 0 && index < held.size() && key(index) == key ? held.get(index) : null;
+    return key >= 0 && index < items.size() && key(index) == key ? items.get(index) : null;
   }
 
+  /** Removes the item with this key; a key that finds nothing is ignored. */
   void free(long key) {
     if (get(key) != null) {
       int index = (int) (key & (1 << INDEX_BITS) - 1);
-      held.set(index, null);
-      uses.set(index, uses.get(index) + 1 & Integer.MAX_VALUE);
-      free.add(index);
+      items.set(index, null);
+      useCounts.set(index, useCounts.get(index) + 1 & Integer.MAX_VALUE);
+      freeSlots.add(index);
     }
   }
 
+  /** The number of items. */
   int size() {
-    return held.size() - free.size();
+    return items.size() - freeSlots.size();
   }
 
-  void forEach(Consumer<T> each) {
-    for (T item : held.stream().filter(Objects::nonNull).toList()) {
-      each.accept(item);
+  /** Calls this for a copy of all items, so that it may add and remove items. */
+  void forEach(Consumer<T> action) {
+    for (T item : items.stream().filter(Objects::nonNull).toList()) {
+      action.accept(item);
     }
   }
 }
--- a/src/main/java/cobaltseam/service/SocketProcessor.java
+++ b/src/main/java/cobaltseam/service/SocketProcessor.java
@@ -13,57 +13,58 @@
 import org.apache.mina.transport.socket.nio.NioProcessor;
 
 /**
- * The I/O thread of all sockets. It can be asked to read all that has come first: what looks silent
- * to the thread that owns the state may have spoken, with the bytes still in the machine's buffers.
- * It can also end the output of a connection that still reads, which Apache MINA alone does not
- * offer.
+ * The I/O thread of all sockets. Beyond what Apache MINA offers, it runs tasks after all that has
+ * come was read, since a connection that looks silent to the event loop may have bytes in the
+ * kernel's buffers, and it ends the output of a connection that is still read.
  */
 final class SocketProcessor extends NioProcessor {
-  private static final int AT_ONCE_MS = 1;
+  /** How long a select waits while tasks wait for it to end. */
+  private static final int PENDING_TASKS_TIMEOUT_MS = 1;
 
-  private final Queue<Runnable> asked = new ConcurrentLinkedQueue<>();
+  /** Tasks for after reading, from any thread. */
+  private final Queue<Runnable> requestedTasks = new ConcurrentLinkedQueue<>();
 
-  /** Asked for before the last look at the sockets; the I/O thread's own. */
-  private List<Runnable> looked = List.of();
+  /** Requested before the last select; run after what it selected is read. */
+  private List<Runnable> tasksAfterSelect = List.of();
 
-  /** To be run when all that was read in this round is known; the I/O thread's own. */
-  private List<Runnable> roundEnd = new ArrayList<>();
+  /** Run after all that this select selected is read. */
+  private List<Runnable> roundEndTasks = new ArrayList<>();
 
   SocketProcessor(Executor threads) {
     super(threads);
   }
 
-  /** Runs a task on the I/O thread, once all that had come by now is read and handed over. */
+  /** Runs a task on the I/O thread, after all that had come by now is read and posted. */
   void afterReading(Runnable task) {
-    asked.add(task);
+    requestedTasks.add(task);
     wakeup();
   }
 
   /**
-   * Runs a task before the I/O thread next waits. By then it is known whether a connection ended
+   * Runs a task at the end of this round of reading, when it is known whether a connection ended
    * right behind what was read from it. To be called on the I/O thread.
    */
   void atRoundEnd(Runnable task) {
-    roundEnd.add(task);
+    roundEndTasks.add(task);
   }
 
   /**
-   * Ends the output of a connection once all that was written to it is out, and goes on reading.
-   * Closing a socket with unread bytes resets the connection, and the other side may then lose an
-   * answer that it has not read.
+   * Ends the output of a connection as soon as all that was written to it is out, and goes on
+   * reading. Closing a socket with unread bytes would reset the connection, and the other side
+   * might lose an answer that it has not read.
    *
-   * @param last the last write to this connection, or null if there was none
+   * @param lastWrite the last write to this connection, or null if there was none
    */
-  void endOutput(IoSession session, WriteFuture last) {
-    afterReading(() -> endOutputHere(session, last));
+  void endOutput(IoSession session, WriteFuture lastWrite) {
+    afterReading(() -> endOutputOnThisThread(session, lastWrite));
   }
 
-  /** The same, to be called on the I/O thread. */
-  void endOutputHere(IoSession session, WriteFuture last) {
-    if (last == null) {
+  /** The same without delay; to be called on the I/O thread. */
+  void endOutputOnThisThread(IoSession session, WriteFuture lastWrite) {
+    if (lastWrite == null) {
       endOutput(session);
     } else {
-      last.addListener(written -> endOutput(session));
+      lastWrite.addListener(written -> endOutput(session));
     }
   }
 
@@ -84,23 +85,23 @@
     }
   }
 
-  /** Everything selected before this call is read. */
+  /** When this is called, everything that the last call selected has been read. */
   @Override
   protected int select(long timeout) throws Exception {
-    List<Runnable> ended = roundEnd;
-    roundEnd = new ArrayList<>();
-    ended.forEach(Runnable::run);
-    List<Runnable> due = looked;
-    looked = new ArrayList<>();
-    for (Runnable task = asked.poll(); task != null; task = asked.poll()) {
-      looked.add(task);
+    List<Runnable> endTasks = roundEndTasks;
+    roundEndTasks = new ArrayList<>();
+    endTasks.forEach(Runnable::run);
+    List<Runnable> dueTasks = tasksAfterSelect;
+    tasksAfterSelect = new ArrayList<>();
+    for (Runnable task = requestedTasks.poll(); task != null; task = requestedTasks.poll()) {
+      tasksAfterSelect.add(task);
     }
-    due.forEach(Runnable::run);
-    if (looked.isEmpty()) {
+    dueTasks.forEach(Runnable::run);
+    if (tasksAfterSelect.isEmpty()) {
       return super.select(timeout);
     }
-    int selected = super.select(AT_ONCE_MS);
-    // Or the loop would take a look that found nothing at once for a broken selector.
+    int selected = super.select(PENDING_TASKS_TIMEOUT_MS);
+    // Or MINA would take a select that returned at once with nothing for a broken selector.
     wakeupCalled.set(true);
     return selected;
   }
--- a/src/main/java/cobaltseam/service/Timers.java
+++ b/src/main/java/cobaltseam/service/Timers.java
@@ -5,9 +5,12 @@
 import java.util.Comparator;
 import java.util.TreeSet;
 
-/** All deadlines of the service in one order: by their moment, then by when they were set. */
+/**
+ * The timers of one thread, ordered by when they are due, and those due at the same time by when
+ * they were set.
+ */
 final class Timers {
-  /** One deadline, to be cancelled by who set it. */
+  /** One timer, which whoever set it may cancel. */
   static final class Timer {
     private final Timestamp at;
     private final long number;
@@ -20,39 +23,42 @@
     }
   }
 
-  private final TreeSet<Timer> set =
+  private final TreeSet<Timer> timers =
       new TreeSet<>(Comparator.comparing((Timer d) -> d.at).thenComparingLong(d -> d.number));
-  private long numbers;
+  private long nextNumber;
 
+  /** Sets a timer; one that is set for the past is due at once. */
   Timer set(Timestamp at, Runnable due) {
-    Timer deadline = new Timer(at, numbers++, due);
-    set.add(deadline);
-    return deadline;
+    Timer timer = new Timer(at, nextNumber++, due);
+    timers.add(timer);
+    return timer;
   }
 
-  /** Takes a deadline back; null and what is past are passed over. */
-  void cancel(Timer deadline) {
-    if (deadline != null) {
-      set.remove(deadline);
+  /** Cancels a timer; null and timers that have run are ignored. */
+  void cancel(Timer timer) {
+    if (timer != null) {
+      timers.remove(timer);
     }
   }
 
-  /** The first one that is due, taken out, or null. */
+  /** Removes the first timer that is due and returns its task, or null if none is due. */
   Runnable due(Timestamp now) {
-    return set.isEmpty() || now.isBefore(set.first().at) ? null : set.pollFirst().due;
+    return timers.isEmpty() || now.isBefore(timers.first().at) ? null : timers.pollFirst().due;
   }
 
-  /** How long ago the first one was due; zero if none is. */
+  /** How long ago the first timer was due; zero if none is. */
   TimeSpan overdue(Timestamp now) {
-    return set.isEmpty() ? TimeSpan.ZERO : now.since(set.first().at).max(TimeSpan.ZERO);
+    return timers.isEmpty() ? TimeSpan.ZERO : now.since(timers.first().at).max(TimeSpan.ZERO);
   }
 
-  /** How long until the next one, or the span given where that is shorter. */
-  TimeSpan untilNext(Timestamp now, TimeSpan most) {
-    return set.isEmpty() ? most : set.first().at.since(now).max(TimeSpan.ZERO).min(most);
+  /** How long until the next timer is due, but at most this long. */
+  TimeSpan untilNext(Timestamp now, TimeSpan maxWait) {
+    return timers.isEmpty()
+        ? maxWait
+        : timers.first().at.since(now).max(TimeSpan.ZERO).min(maxWait);
   }
 
   int size() {
-    return set.size();
+    return timers.size();
   }
 }
--- a/src/main/java/cobaltseam/service/Warmup.java
+++ b/src/main/java/cobaltseam/service/Warmup.java
@@ -23,52 +23,53 @@
 
 /**
  * Runs the code of the busiest paths before clients come: a service of its own on free loopback
- * ports, with a few clients and a toy engine in this process. Without it the first second of
- * traffic meets code that is not compiled yet, answers are read late, and sends are given up whose
- * answers are there.
+ * ports, with a few clients and an emulated engine in this process. Without it the JVM has not
+ * compiled that code when traffic begins, answers are read late, and attempts time out whose
+ * answers have come.
  */
 final class Warmup {
   private static final System.Logger LOG = System.getLogger(Warmup.class.getName());
   private static final int CLIENTS = 4;
 
-  /**
-   * Connections of each client, and commands on each. Twice as many: a restart takes a second
-   * longer.
-   */
-  private static final int CONNECTIONS = 3;
+  private static final int CONNECTIONS_PER_CLIENT = 3;
 
-  private static final int COMMANDS = 4;
+  private static final int REQUESTS_PER_CONNECTION = 4;
   private static final int US_PER_MS = 1000;
-  private static final int ANSWER_WITHIN_MS = 1000;
+  private static final int ANSWER_TIMEOUT_MS = 1000;
   private static final String ROWS = "2026-01-01\t12\tnote\n".repeat(40);
 
-  private final ServerSocket engine = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
-  private final ServerSocket bus = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
-  private final List<Deployment.RequestClass> profiles;
+  private final ServerSocket engineServer =
+      new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
+  private final ServerSocket watchServer = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
+  private final List<Deployment.RequestClass> requestClasses;
   private final DispatcherService service;
 
-  private Warmup(ServiceConfiguration told) throws IOException {
-    profiles = told.deployment().requestClasses();
+  private Warmup(ServiceConfiguration configuration) throws IOException {
+    requestClasses = configuration.deployment().requestClasses();
     InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     service =
         new DispatcherService(
-            told.movedTo(free, address(bus), told.known().stream().map(this::played).toList()));
+            configuration.withAddresses(
+                free,
+                address(watchServer),
+                configuration.knownEvents().stream().map(this::atLocalEngine).toList()));
   }
 
   /**
-   * Plays, and tells how many commands were answered; a machine that does not allow it is served on
-   * without.
+   * Runs the warm-up; one that fails is logged and has no other effect.
+   *
+   * @return how many requests were completed
    */
-  static long run(ServiceConfiguration told) throws InterruptedException {
+  static long run(ServiceConfiguration configuration) throws InterruptedException {
     try {
-      Warmup warmup = new Warmup(told);
+      Warmup warmup = new Warmup(configuration);
       try {
-        warmup.play();
-        return warmup.service.answered();
+        warmup.serveClients();
+        return warmup.service.completedRequests();
       } finally {
         warmup.service.close();
-        warmup.engine.close();
-        warmup.bus.close();
+        warmup.engineServer.close();
+        warmup.watchServer.close();
       }
     } catch (IOException | InvalidInputException e) {
       LOG.log(
@@ -84,35 +85,36 @@
     return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
   }
 
-  /** The list as told, but each engine is the toy. */
-  private WatchEvent played(WatchEvent told) {
+  /** The same event, but each engine is at the address of the emulated one. */
+  private WatchEvent atLocalEngine(WatchEvent configuration) {
     Map<EngineId, InetSocketAddress> addresses = new HashMap<>();
-    for (EndpointStatus line : told.list()) {
-      addresses.put(line.engine(), address(engine));
+    for (EndpointStatus line : configuration.endpoints()) {
+      addresses.put(line.engine(), address(engineServer));
     }
-    return new WatchEvent(told.offset(), told.whole(), told.list(), addresses);
+    return new WatchEvent(
+        configuration.offset(), configuration.isComplete(), configuration.endpoints(), addresses);
   }
 
-  private void play() throws IOException, InterruptedException {
+  private void serveClients() throws IOException, InterruptedException {
     service.open();
-    thread(
+    start(
         () -> {
           while (true) {
-            Socket socket = engine.accept();
-            thread(() -> answer(socket));
+            Socket socket = engineServer.accept();
+            start(() -> runEngine(socket));
           }
         });
     List<Thread> clients = new ArrayList<>();
-    for (int i = 0; i < CLIENTS && !profiles.isEmpty(); i++) {
+    for (int i = 0; i < CLIENTS && !requestClasses.isEmpty(); i++) {
       int number = i;
-      clients.add(thread(() -> ask(number)));
+      clients.add(start(() -> runClient(number)));
     }
-    thread(
+    start(
         () -> {
           for (Thread client : clients) {
             join(client);
           }
-          service.end();
+          service.endWhenIdle();
         });
     service.loop();
   }
@@ -125,16 +127,16 @@
     }
   }
 
-  private interface Talk {
+  private interface ConnectionTask {
     void run() throws IOException;
   }
 
-  private static Thread thread(Talk talk) {
+  private static Thread start(ConnectionTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                talk.run();
+                task.run();
               } catch (IOException e) {
                 LOG.log(Level.DEBUG, "a connection of the warm-up ended", e);
               }
@@ -145,7 +147,7 @@
     return thread;
   }
 
-  private void answer(Socket socket) throws IOException {
+  private void runEngine(Socket socket) throws IOException {
     try (socket) {
       OutputStream out = socket.getOutputStream();
       RespParser parser = new RespParser();
@@ -160,10 +162,10 @@
               String word = new String(items.get(0), StandardCharsets.UTF_8);
               String id = new String(items.get(1), StandardCharsets.UTF_8);
               if (word.equals("PULL")) {
-                answers.append(line(id, "status", "why=progress,v=0.5", ""));
-                answers.append(line(id, "200", "pages=2,rep=pending:0;busy_reqs:1", ROWS));
+                answers.append(arrayOf(id, "status", "why=progress,v=0.5", ""));
+                answers.append(arrayOf(id, "200", "pages=2,rep=pending:0;busy_reqs:1", ROWS));
               } else if (word.equals("SCROLL")) {
-                answers.append(line(id, "chunk", "page=1", ROWS));
+                answers.append(arrayOf(id, "chunk", "page=1", ROWS));
               }
             });
         out.write(answers.toString().getBytes(StandardCharsets.UTF_8));
@@ -171,7 +173,7 @@
     }
   }
 
-  private static String line(String... items) {
+  private static String arrayOf(String... items) {
     StringBuilder line = new StringBuilder("*" + items.length + "\r\n");
     for (String item : items) {
       line.append('$').append(item.length()).append("\r\n").append(item).append("\r\n");
@@ -179,25 +181,25 @@
     return line.toString();
   }
 
-  private void ask(int client) throws IOException {
-    for (int i = 0; i < CONNECTIONS; i++) {
+  private void runClient(int client) throws IOException {
+    for (int i = 0; i < CONNECTIONS_PER_CLIENT; i++) {
       try (Socket socket =
           new Socket(service.address().getAddress(), service.address().getPort())) {
-        socket.setSoTimeout(ANSWER_WITHIN_MS);
+        socket.setSoTimeout(ANSWER_TIMEOUT_MS);
         DataInputStream in = new DataInputStream(socket.getInputStream());
         socket.getOutputStream().write(new byte[] {0, 0, 0, 9, 0, 3, 0, 0, 0});
         readUntilReady(in);
-        for (int j = 0; j < COMMANDS; j++) {
-          int number = (client * CONNECTIONS + i) * COMMANDS + j;
-          Deployment.RequestClass profile = profiles.get(number % profiles.size());
-          String call = Long.toHexString(Long.MIN_VALUE | number);
+        for (int j = 0; j < REQUESTS_PER_CONNECTION; j++) {
+          int number = (client * CONNECTIONS_PER_CLIENT + i) * REQUESTS_PER_CONNECTION + j;
+          Deployment.RequestClass requestClass = requestClasses.get(number % requestClasses.size());
+          String callId = Long.toHexString(Long.MIN_VALUE | number);
           byte[] text =
               ("/* op="
-                      + profile.id().value()
+                      + requestClass.id().value()
                       + ",call="
-                      + call
+                      + callId
                       + ",ttl="
-                      + profile.deadline().us() / US_PER_MS
+                      + requestClass.deadline().us() / US_PER_MS
                       + ",work=100.5,space=2 */ SELECT 'x', "
                       + "count(*) FROM s_1.t WHERE a = 'b' GROUP BY c")
                   .getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/cobaltseam/service/WatchEvent.java
+++ b/src/main/java/cobaltseam/service/WatchEvent.java
@@ -16,48 +16,58 @@
 import java.util.Map;
 
 /**
- * One event of the bus: what has changed in the list of engines, or the whole list, and their
- * addresses.
+ * One event of the endpoint watch.
+ *
+ * @param offset its number; each event has the number after the one before it
+ * @param isComplete whether it holds the complete endpoint list, or only what has changed
+ * @param endpoints the state of engines
+ * @param addresses the addresses of those engines that have one in this event
  */
 record WatchEvent(
     long offset,
-    boolean whole,
-    List<EndpointStatus> list,
+    boolean isComplete,
+    List<EndpointStatus> endpoints,
     Map<EngineId, InetSocketAddress> addresses) {
-  static final String EVENT = "topology";
-  static final String OFFSET = "offset";
-  static final String WHOLE = "all";
-  private static final int HEX = 16;
+  static final String EVENT_FIELD = "topology";
+  static final String OFFSET_FIELD = "offset";
+  static final String COMPLETE_FIELD = "all";
+  private static final int HEX_RADIX = 16;
 
-  /** As many hex digits as an int holds. */
-  private static final String NUMBER = "[0-9a-fA-F]{1,8}";
+  /** Has at most as many digits as an int holds. */
+  private static final String HEX_NUMBER = "[0-9a-fA-F]{1,8}";
 
   private static final long US_PER_MS = 1000;
   private static final long FNV_BASIS = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
 
+  /**
+   * Reads an event.
+   *
+   * @throws InvalidInputException if a field is missing or can't be used
+   */
   static WatchEvent of(JsonObjectReader event) {
-    JsonObjectReader told = event.object(EVENT);
-    List<EndpointStatus> list = new ArrayList<>();
+    JsonObjectReader topology = event.object(EVENT_FIELD);
+    List<EndpointStatus> endpoints = new ArrayList<>();
     Map<EngineId, InetSocketAddress> addresses = new HashMap<>();
-    for (JsonObjectReader target : told.objects("targets")) {
-      EngineId engine = engine(target.text("uid"));
-      list.add(
+    for (JsonObjectReader target : topology.objects("targets")) {
+      EngineId engine = engineId(target.text("uid"));
+      endpoints.add(
           new EndpointStatus(
               engine,
               new LocationId(target.text("az", "")),
               new MachineTypeId(target.text("model", "")),
               new GroupId(target.whole("pod_group", 0)),
-              standing(target.text("state")),
+              state(target.text("state")),
               new Timestamp(target.whole("boot_ms", 0) * US_PER_MS)));
       if (target.has("endpoint")) {
         addresses.put(engine, ServiceConfiguration.address(target.text("endpoint")));
       }
     }
-    return new WatchEvent(event.whole(OFFSET, 0), told.flag(WHOLE), list, addresses);
+    return new WatchEvent(
+        event.whole(OFFSET_FIELD, 0), topology.flag(COMPLETE_FIELD), endpoints, addresses);
   }
 
-  private static EndpointStatus.EndpointState standing(String state) {
+  private static EndpointStatus.EndpointState state(String state) {
     return switch (state) {
       case "in_service" -> EndpointStatus.EndpointState.UP;
       case "terminating" -> EndpointStatus.EndpointState.DRAINING;
@@ -67,25 +77,25 @@
   }
 
   /**
-   * An engine's id, made from its name alone and so alike everywhere: the number at the name's end
-   * below a hash of what stands before it, so that "east-01" and "west-01" are two engines, and
-   * those of one kind of name keep the order of their numbers. A name without such a number is
-   * hashed whole.
+   * Computes an engine's id from its name alone, so that all dispatchers agree on it. The low bits
+   * are the number at the end of the name, the high bits a hash of what precedes it, so that
+   * "east-01" and "west-01" are two engines, and engines whose names differ only in the number are
+   * ordered by it. For a name without such a number the id is a hash of the complete name.
    */
-  static EngineId engine(String uid) {
+  static EngineId engineId(String uid) {
     int numberFrom = uid.lastIndexOf('-') + 1;
     String number = uid.substring(numberFrom);
-    if (!number.matches(NUMBER)) {
+    if (!number.matches(HEX_NUMBER)) {
       return new EngineId(hash(uid) & Long.MAX_VALUE);
     }
-    long before = hash(uid.substring(0, numberFrom)) << Integer.SIZE;
-    return new EngineId((before | Long.parseLong(number, HEX)) & Long.MAX_VALUE);
+    long prefixHash = hash(uid.substring(0, numberFrom)) << Integer.SIZE;
+    return new EngineId((prefixHash | Long.parseLong(number, HEX_RADIX)) & Long.MAX_VALUE);
   }
 
   private static long hash(String name) {
     long hash = FNV_BASIS;
-    for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
-      hash = (hash ^ b & 0xff) * FNV_PRIME;
+    for (byte next : name.getBytes(StandardCharsets.UTF_8)) {
+      hash = (hash ^ next & 0xff) * FNV_PRIME;
     }
     return hash;
   }
--- a/src/test/java/cobaltseam/service/ListWatchOrderTest.java
+++ b/src/test/java/cobaltseam/service/ListWatchOrderTest.java
@@ -251,7 +251,7 @@
               }
             });
     tells.start();
-    service.catchUp();
+    service.awaitEndpointUpdates();
     serve();
     assertGoesTo(one, two);
     tells.join();
@@ -264,7 +264,7 @@
     service =
         new DispatcherService(
             told("127.0.0.1:9", SOCKETS, IDLE_MS, target(1, one.address(), "in_service")));
-    service.catchUp();
+    service.awaitEndpointUpdates();
     serve();
     assertGoesTo(one, new Peer(true));
   }
--- a/src/test/java/cobaltseam/service/SendOrderTest.java
+++ b/src/test/java/cobaltseam/service/SendOrderTest.java
@@ -123,7 +123,7 @@
         pull.answer(pull.id(), "200", "pages=1", ROWS);
       }
     } catch (IOException e) {
-      assertTrue(service.answered() > 0, "closed while it was still answering");
+      assertTrue(service.completedRequests() > 0, "closed while it was still answering");
     }
     engine.next("closed");
     client.query(client.out, look(2, 3000));
--- a/src/test/java/cobaltseam/service/ServiceRig.java
+++ b/src/test/java/cobaltseam/service/ServiceRig.java
@@ -546,7 +546,7 @@
   void awaitTurn() throws InterruptedException {
     CountDownLatch heard = new CountDownLatch(1);
     // More than are heard in one turn: the last one is heard after the first turn has ended.
-    for (int i = 0; i < DispatcherService.MOST_AT_ONCE; i++) {
+    for (int i = 0; i < EventLoop.MAX_TASKS_PER_TURN; i++) {
       service.inbox.post(null, () -> {});
     }
     service.inbox.post(null, heard::countDown);
--- a/src/test/java/cobaltseam/service/ServiceTest.java
+++ b/src/test/java/cobaltseam/service/ServiceTest.java
@@ -362,8 +362,8 @@
     }
     assertTrue(stayed.get(0).in.read() < 0, "the longest idle has given way");
     assertTrue(
-        service.acceptor.waits() < 10,
-        "room is made before it is needed: " + service.acceptor.waits());
+        service.acceptor.delayedAccepts() < 10,
+        "room is made before it is needed: " + service.acceptor.delayedAccepts());
     assertEquals(List.of("empty"), stayed.get(39).ask(""));
     first.answer(first.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", open.told().get(2), "not one with an open statement");
@@ -626,23 +626,25 @@
         InvalidInputException.class,
         () -> ServiceConfiguration.read(Map.of("GW_CONFIG", "/nowhere/config.json")));
     assertEquals(
-        0x00c41f7aL, WatchEvent.engine("s-00c41f7a").value() & 0xffffffffL, "read off a log line");
+        0x00c41f7aL,
+        WatchEvent.engineId("s-00c41f7a").value() & 0xffffffffL,
+        "read off a log line");
     assertTrue(
-        WatchEvent.engine("s-00c41f7a").value() > WatchEvent.engine("s-00c41f79").value(),
+        WatchEvent.engineId("s-00c41f7a").value() > WatchEvent.engineId("s-00c41f79").value(),
         "in the order of numbers");
-    assertNotEquals(WatchEvent.engine("s-00c41f7a"), WatchEvent.engine("t-00c41f7a"));
-    assertEquals(WatchEvent.engine("a/ü"), WatchEvent.engine("a/ü"));
+    assertNotEquals(WatchEvent.engineId("s-00c41f7a"), WatchEvent.engineId("t-00c41f7a"));
+    assertEquals(WatchEvent.engineId("a/ü"), WatchEvent.engineId("a/ü"));
   }
 
   @Test
   void slotsKnowTheirUsesAndDeadlinesTheirOrder() {
     SlotTable<String> slots = new SlotTable<>(2);
-    long a = slots.take("a");
-    long b = slots.take("b");
-    assertEquals(SlotTable.NONE, slots.take("c"));
+    long a = slots.add("a");
+    long b = slots.add("b");
+    assertEquals(SlotTable.NONE, slots.add("c"));
     slots.free(a);
     slots.free(a);
-    long c = slots.take("c");
+    long c = slots.add("c");
     assertEquals(
         "null b c 2", slots.get(a) + " " + slots.get(b) + " " + slots.get(c) + " " + slots.size());
     assertEquals(null, slots.get(SlotTable.NONE));
--- a/src/test/java/cobaltseam/service/SettingsTest.java
+++ b/src/test/java/cobaltseam/service/SettingsTest.java
@@ -110,7 +110,7 @@
     int from = dispatcher.lines();
     dispatcher.configured(configuration().replace("\"most_tries\":3", "\"most_tries\":2"));
     dispatcher.signal("HUP");
-    int next = dispatcher.await("other settings of decisions act from now on", from, LONG_MS);
+    int next = dispatcher.await("the settings of decisions have changed", from, LONG_MS);
     assertTrue(
         !dispatcher.log().lines().toList().get(next - 1).contains("with 0 commands in hand"),
         dispatcher.log());
@@ -165,7 +165,7 @@
     dispatcher.start();
     dispatcher.await("serves on", 0, LONG_MS);
     dispatcher.signal("HUP");
-    dispatcher.await("has read its configuration anew", 0, LONG_MS);
+    dispatcher.await("has reloaded its configuration", 0, LONG_MS);
     assertTrue(!dispatcher.log().contains("SIGHUP was ignored"), dispatcher.log());
     assertEquals(1, dispatcher.end().get("configurations_read"));
   }
