--- a/src/main/java/cobaltseam/membership/GossipQueue.java
+++ b/src/main/java/cobaltseam/membership/GossipQueue.java
@@ -7,57 +7,53 @@
 import java.util.TreeSet;
 
 /**
- * News that is still to be spread, the least told first, each so often that it reaches all with
- * high probability: some times the logarithm of how many there are (Demers et al., "Epidemic
- * Algorithms", 1987; Das et al., "SWIM", 2002). One news of a name at most, so no more are held
- * than there are names.
+ * Updates that are still to be spread, the least often sent first. Each is sent a multiple of the
+ * logarithm of the number of members, which reaches all of them with high probability (Demers et
+ * al., "Epidemic Algorithms", 1987; Das et al., "SWIM", 2002). It keeps at most one update a name.
  */
 final class GossipQueue {
-  private static final double TIMES = 3;
+  private static final double TRANSMISSION_FACTOR = 3;
 
-  private record QueuedUpdate(int told, long turn, MemberUpdate news)
+  private record QueuedUpdate(int transmissions, long sequence, MemberUpdate update)
       implements Comparable<QueuedUpdate> {
     @Override
     public int compareTo(QueuedUpdate other) {
-      int order = Integer.compare(told, other.told);
-      return order != 0 ? order : Long.compare(turn, other.turn);
+      int order = Integer.compare(transmissions, other.transmissions);
+      return order != 0 ? order : Long.compare(sequence, other.sequence);
     }
   }
 
-  private final TreeSet<QueuedUpdate> waiting = new TreeSet<>();
+  private final TreeSet<QueuedUpdate> queue = new TreeSet<>();
   private final Map<MemberName, QueuedUpdate> byName = new HashMap<>();
-  private long turns;
+  private long nextSequence;
 
-  void add(MemberUpdate news) {
-    QueuedUpdate old = byName.remove(news.member().name());
+  /** Adds an update in place of an earlier one of the same name. */
+  void add(MemberUpdate update) {
+    QueuedUpdate old = byName.remove(update.member().name());
     if (old != null) {
-      waiting.remove(old);
+      queue.remove(old);
     }
-    put(new QueuedUpdate(0, turns++, news));
+    put(new QueuedUpdate(0, nextSequence++, update));
   }
 
-  private void put(QueuedUpdate update) {
-    waiting.add(update);
-    byName.put(update.news.member().name(), update);
+  private void put(QueuedUpdate queued) {
+    queue.add(queued);
+    byName.put(queued.update.member().name(), queued);
   }
 
-  /** What to tell next, no more than this many, among so many members. */
-  List<MemberUpdate> next(int most, int members) {
-    List<QueuedUpdate> told = new ArrayList<>();
-    while (told.size() < most && !waiting.isEmpty()) {
-      told.add(waiting.pollFirst());
+  /** Up to {@code maxUpdates} updates to send next, in a fleet of so many members; modifiable. */
+  List<MemberUpdate> next(int maxUpdates, int members) {
+    List<QueuedUpdate> sent = new ArrayList<>();
+    while (sent.size() < maxUpdates && !queue.isEmpty()) {
+      sent.add(queue.pollFirst());
     }
-    int limit = (int) Math.ceil(TIMES * Math.log(members + 1) / Math.log(2));
-    for (QueuedUpdate r : told) {
-      byName.remove(r.news.member().name());
-      if (r.told + 1 < limit) {
-        put(new QueuedUpdate(r.told + 1, r.turn, r.news));
+    int limit = (int) Math.ceil(TRANSMISSION_FACTOR * Math.log(members + 1) / Math.log(2));
+    for (QueuedUpdate queued : sent) {
+      byName.remove(queued.update.member().name());
+      if (queued.transmissions + 1 < limit) {
+        put(new QueuedUpdate(queued.transmissions + 1, queued.sequence, queued.update));
       }
     }
-    return new ArrayList<>(told.stream().map(QueuedUpdate::news).toList());
-  }
-
-  int size() {
-    return waiting.size();
+    return new ArrayList<>(sent.stream().map(QueuedUpdate::update).toList());
   }
 }
--- a/src/main/java/cobaltseam/membership/Membership.java
+++ b/src/main/java/cobaltseam/membership/Membership.java
@@ -2,7 +2,6 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.membership.FailureDetector.Peer;
 import cobaltseam.membership.MembershipAction.MembershipEvent;
 import cobaltseam.membership.MembershipMessage.Accept;
 import cobaltseam.membership.MembershipMessage.Accepted;
@@ -234,7 +233,7 @@
     Membership m = new Membership(terms, as, chance);
     m.lasting = true;
     m.starts = same ? former.starts() + 1 : 1;
-    m.suspicion.resumes(m.starts);
+    m.suspicion.resume(m.starts);
     if (same) {
       m.seat = former.seat();
       m.vowedTo = former.consentedTo();
@@ -254,14 +253,14 @@
             terms,
             self,
             chance,
-            new FailureDetector.DetectorOutput() {
+            new DetectorOutput() {
               @Override
-              public void tell(InetSocketAddress to, MembershipMessage message) {
+              public void send(InetSocketAddress to, MembershipMessage message) {
                 acts.add(new MembershipAction.Send(to, message));
               }
 
               @Override
-              public void note(MembershipEvent event, MemberName who, String detail) {
+              public void recordEvent(MembershipEvent event, MemberName who, String detail) {
                 acts.add(new MembershipAction.EventRecorded(event, who, detail));
               }
             });
@@ -298,7 +297,7 @@
       countedAt = suspicion.version();
       aliveCount = 0;
       for (Member m : seat.view().members()) {
-        aliveCount += suspicion.alive(m) ? 1 : 0;
+        aliveCount += suspicion.isAlive(m) ? 1 : 0;
       }
     }
     return aliveCount;
@@ -340,19 +339,19 @@
         .map(
             p ->
                 new MemberStatus(
-                    p.member,
-                    p.incarnation,
-                    p.condition,
-                    p.since,
-                    p.heard,
-                    p.roundTrip,
-                    p.by.stream().sorted().toList()))
+                    p.member(),
+                    p.statusVersion(),
+                    p.condition(),
+                    p.conditionSince(),
+                    p.lastHeardAt(),
+                    p.roundTrip(),
+                    p.suspectedBy().stream().sorted().toList()))
         .toList();
   }
 
   /** From 0 for well, how badly this process itself seems to run. */
   public int health() {
-    return suspicion.health();
+    return suspicion.healthScore();
   }
 
   public Timestamp viewSince() {
@@ -361,7 +360,7 @@
 
   /** A pause below this takes nobody out. */
   public TimeSpan bears() {
-    return suspicion.refutesWithin();
+    return suspicion.minSuspicionTimeout();
   }
 
   /** Whether what is promised outlives this process. */
@@ -381,10 +380,10 @@
     if (seat.view() != null) {
       // From the folder: a member as before, once it has heard from a majority.
       viewSince = now;
-      suspicion.learn(seat.view().members(), now);
-      suspicion.holds(seat.view().id(), false);
+      suspicion.addMembers(seat.view().members(), now);
+      suspicion.reportView(seat.view().id(), false);
       confirmFrom = now;
-      suspicion.rollCall(seat.view().members(), now);
+      suspicion.checkAll(seat.view().members(), now);
     }
     tellEnded();
     return done();
@@ -404,7 +403,7 @@
     if (leaving) {
       return null;
     }
-    Timestamp next = suspicion.wake(now);
+    Timestamp next = suspicion.nextWakeup(now);
     Timestamp soon = now.plus(terms.healthCheckInterval().times(0.125));
     boolean pending =
         seat.round() != null || wantedSince != null || ahead != null || decided != null;
@@ -503,7 +502,7 @@
       lasting = false;
       withheld.clear();
       acts.add(new MembershipAction.EventRecorded(MembershipEvent.FOLDER_LOST, self().name(), why));
-      suspicion.beginAnew();
+      suspicion.startNewIncarnation();
       if (seat.view() != null) {
         leaveLine(MembershipEvent.LINE_LEFT, "its folder is lost", now);
       }
@@ -518,7 +517,7 @@
       return done();
     }
     Member before = suspicion.self();
-    TimeSpan late = suspicion.due(now);
+    TimeSpan late = suspicion.onTimer(now);
     if (late.isPositive() && seat.view() != null) {
       // Whoever stood still may have been taken out meanwhile: it hears from a majority before it
       // acts as a member.
@@ -526,7 +525,7 @@
       acts.add(
           new MembershipAction.EventRecorded(
               MembershipEvent.STOOD_STILL, before.name(), late.us() / 1000 + " ms"));
-      suspicion.rollCall(seat.view().members(), now);
+      suspicion.checkAll(seat.view().members(), now);
     }
     follow(now);
     return done();
@@ -539,7 +538,7 @@
     }
     confirm(now);
     abandonDead(now);
-    unheard = suspicion.hearsNobody(now);
+    unheard = suspicion.isIsolated(now);
     if (seat.view() == null || standing() == QuorumState.MAJORITY) {
       boolean split =
           minoritySince != null
@@ -551,7 +550,7 @@
       minoritySince = now;
     }
     if (seat.view() != null) {
-      suspicion.holds(seat.view().id(), standing() == QuorumState.MAJORITY);
+      suspicion.reportView(seat.view().id(), standing() == QuorumState.MAJORITY);
     }
     if (seat.view() == null) {
       found(now);
@@ -576,11 +575,11 @@
         againAt = now.plus(terms.healthCheckInterval().times(SETTLE));
         decided = --decidedLeft > 0 ? decided : null;
       }
-      if (suspicion.suspects() > 0 && !now.isBefore(callsFrom) && rank() == 0) {
+      if (suspicion.hasSuspects() && !now.isBefore(callsFrom) && rank() == 0) {
         // What fell silent together is found together: one change for a rack, not one for each of
         // it.
         callsFrom = now.plus(terms.healthCheckInterval().times(SETTLE_MOST));
-        suspicion.rollCall(seat.view().members(), now);
+        suspicion.checkAll(seat.view().members(), now);
       }
       consider(now);
     }
@@ -600,10 +599,10 @@
       Peer p = suspicion.peer(m.name());
       boolean spoke =
           p != null
-              && p.heard != null
-              && !p.heard.isBefore(confirmFrom)
-              && p.member.incarnation().equals(m.incarnation());
-      heard += spoke && !p.view.isAfter(seat.view().id()) ? 1 : 0;
+              && p.lastHeardAt() != null
+              && !p.lastHeardAt().isBefore(confirmFrom)
+              && p.member().incarnation().equals(m.incarnation());
+      heard += spoke && !p.viewId().isAfter(seat.view().id()) ? 1 : 0;
     }
     if (heard >= seat.view().majority()) {
       confirmFrom = null;
@@ -720,8 +719,8 @@
       boolean holds =
           m.name().equals(self().name())
               || p != null
-                  && p.member.incarnation().equals(m.incarnation())
-                  && (p.view.equals(seat.view().id()) || p.view.isAfter(seat.view().id()));
+                  && p.member().incarnation().equals(m.incarnation())
+                  && (p.viewId().equals(seat.view().id()) || p.viewId().isAfter(seat.view().id()));
       if (!holds) {
         return false;
       }
@@ -731,7 +730,7 @@
 
   /** A process of another part has spoken: false if what it says does not count. */
   public boolean spoke(PeerMessage spoken, Timestamp now) {
-    if (leaving || suspicion.isQuiet(now) || !suspicion.spoke(spoken.from(), now)) {
+    if (leaving || suspicion.isQuiet(now) || !suspicion.acceptSender(spoken.from(), now)) {
       return false;
     }
     behind(spoken.from(), now);
@@ -741,9 +740,9 @@
   private boolean isConfirmedSuspect(Member m) {
     Peer p = suspicion.peer(m.name());
     return p != null
-        && p.condition == MemberCondition.SUSPECT
-        && p.by.size() > 1
-        && p.member.incarnation().equals(m.incarnation());
+        && p.condition() == MemberCondition.SUSPECT
+        && p.suspectedBy().size() > 1
+        && p.member().incarnation().equals(m.incarnation());
   }
 
   /** How many come before this process among those of the view that seem alive. */
@@ -755,7 +754,7 @@
       if (m.name().equals(self().name())) {
         return rank;
       }
-      rank += suspicion.alive(m) ? 1 : 0;
+      rank += suspicion.isAlive(m) ? 1 : 0;
     }
     return rank;
   }
@@ -779,23 +778,23 @@
               && now.since(healedAt).compareTo(terms.healthCheckInterval().times(HEALS)) < 0;
       boolean gone =
           p != null
-              && (p.condition.compareTo(MemberCondition.DEAD) >= 0 && !rests
-                  || !p.member.incarnation().equals(m.incarnation()));
+              && (p.condition().compareTo(MemberCondition.DEAD) >= 0 && !rests
+                  || !p.member().incarnation().equals(m.incarnation()));
       if (gone && out.size() < MOST_OUT) {
         out.add(m);
       }
     }
     for (Peer p : suspicion.peers()) {
-      Member there = view.of(p.member.name());
+      Member there = view.of(p.member().name());
       boolean free =
           there == null
-              || out.contains(there) && !there.incarnation().equals(p.member.incarnation());
+              || out.contains(there) && !there.incarnation().equals(p.member().incarnation());
       if (free
-          && p.condition == MemberCondition.ALIVE
+          && p.condition() == MemberCondition.ALIVE
           && mayComeIn(p, now)
           && in.size() < MOST_IN
           && view.members().size() - out.size() + in.size() < MOST_VIEW) {
-        in.add(p.member);
+        in.add(p.member());
       }
     }
     return new ViewDelta(out, in);
@@ -803,17 +802,17 @@
 
   private boolean mayComeIn(Peer p, Timestamp now) {
     // Who holds a view of another line does not follow ours until it has left that.
-    if (p.view.lineage() != 0 && p.view.lineage() != seat.view().id().lineage()) {
+    if (p.viewId().lineage() != 0 && p.viewId().lineage() != seat.view().id().lineage()) {
       return false;
     }
-    Removal removal = removals.get(p.member);
+    Removal removal = removals.get(p.member());
     TimeSpan waits =
         removal == null
             ? terms.healthCheckInterval().times(STABLE)
             : terms
                 .healthCheckInterval()
                 .times(BACK_AFTER * (1 << Math.min(MOST_DOUBLED, removal.times - 1)));
-    return now.since(p.since).compareTo(waits) >= 0;
+    return now.since(p.conditionSince()).compareTo(waits) >= 0;
   }
 
   /** Of those named, whom this process would not take out. */
@@ -822,16 +821,18 @@
     for (MemberName name : named) {
       Member m = seat.view().of(name);
       Peer p = suspicion.peer(name);
-      boolean same = m != null && p != null && p.member.incarnation().equals(m.incarnation());
+      boolean same = m != null && p != null && p.member().incarnation().equals(m.incarnation());
       boolean heard =
           same
-              && p.heard != null
-              && now.since(p.heard).compareTo(terms.healthCheckInterval().times(HEARD_WITHIN)) < 0;
+              && p.lastHeardAt() != null
+              && now.since(p.lastHeardAt())
+                      .compareTo(terms.healthCheckInterval().times(HEARD_WITHIN))
+                  < 0;
       if (m != null
           && (name.equals(self().name())
               || same
-                  && p.condition != MemberCondition.LEFT
-                  && (p.condition == MemberCondition.ALIVE || heard))) {
+                  && p.condition() != MemberCondition.LEFT
+                  && (p.condition() == MemberCondition.ALIVE || heard))) {
         stay.add(name);
       }
     }
@@ -839,7 +840,7 @@
   }
 
   public MessageHeader teller() {
-    return suspicion.teller();
+    return suspicion.header();
   }
 
   /** The seat is what a step made of it, and what it says is told; to itself at once. */
@@ -885,13 +886,14 @@
     decided = null;
     viewSince = now;
     resumed = false;
-    suspicion.holds(view == null ? ViewId.NONE : view.id(), standing() == QuorumState.MAJORITY);
+    suspicion.reportView(
+        view == null ? ViewId.NONE : view.id(), standing() == QuorumState.MAJORITY);
     if (view == null) {
       confirmFrom = null;
       acts.add(new MembershipAction.ViewInstalled(null));
       return;
     }
-    suspicion.learn(view.members(), now);
+    suspicion.addMembers(view.members(), now);
     takenOutBy = null;
     if (before != null && before.id().lineage() == view.id().lineage()) {
       for (Member m : before.members()) {
@@ -957,7 +959,7 @@
       replaced +=
           self
               ? m.incarnation().equals(self().incarnation()) ? 0 : 1
-              : p != null && p.member.incarnation().compareTo(m.incarnation()) > 0 ? 1 : 0;
+              : p != null && p.member().incarnation().compareTo(m.incarnation()) > 0 ? 1 : 0;
     }
     return view.members().size() - replaced < view.majority();
   }
@@ -997,7 +999,7 @@
   private void tellEnded() {
     ended.keySet().stream()
         .max(Long::compare)
-        .ifPresent(line -> suspicion.ended(new ViewId(line, ended.get(line))));
+        .ifPresent(line -> suspicion.reportEndedView(new ViewId(line, ended.get(line))));
   }
 
   private boolean hasEnded(ViewId id) {
@@ -1042,15 +1044,15 @@
     if (left.containsKey(self().incarnation().value())) {
       // The line that it founded has died; a line begins with a birth, so another one needs
       // another.
-      suspicion.beginAnew();
+      suspicion.startNewIncarnation();
     }
     List<Member> all = new ArrayList<>();
     for (MemberName name : founders) {
       Peer p = suspicion.peer(name);
       if (name.equals(self().name())) {
         all.add(self());
-      } else if (p != null && p.condition == MemberCondition.ALIVE && p.heard != null) {
-        all.add(p.member);
+      } else if (p != null && p.condition() == MemberCondition.ALIVE && p.lastHeardAt() != null) {
+        all.add(p.member());
       }
     }
     if (all.size() < founders.size()) {
@@ -1093,7 +1095,7 @@
   private boolean heardOfView() {
     return takenOutBy != null && !hasEnded(takenOutBy.id())
         || suspicion.peers().stream()
-            .anyMatch(p -> !p.view.equals(ViewId.NONE) && !hasEnded(p.view));
+            .anyMatch(p -> !p.viewId().equals(ViewId.NONE) && !hasEnded(p.viewId()));
   }
 
   /**
@@ -1125,7 +1127,7 @@
             MembershipEvent.FOUNDED_ANEW, self().name(), "in place of view " + said));
     ends(said);
     leaveLine(MembershipEvent.LINE_LEFT, "an operator ended the line", now);
-    suspicion.beginAnew();
+    suspicion.startNewIncarnation();
     seat = ViewState.of(View.of(new ViewId(self().incarnation().value(), 1), List.of(self())));
     installed(null, now);
     return done();
@@ -1135,14 +1137,14 @@
   private String missing(View view, TimeSpan silent, Timestamp now) {
     for (Member m : view.members()) {
       Peer p = suspicion.peer(m.name());
-      boolean here = m.name().equals(self().name()) || suspicion.alive(m);
+      boolean here = m.name().equals(self().name()) || suspicion.isAlive(m);
       boolean gone =
           p != null
-              && (p.condition.compareTo(MemberCondition.DEAD) >= 0
-                  || !p.member.incarnation().equals(m.incarnation()))
-              && (p.heard == null
-                  || now.since(p.heard).compareTo(silent) >= 0
-                  || !p.member.incarnation().equals(m.incarnation()));
+              && (p.condition().compareTo(MemberCondition.DEAD) >= 0
+                  || !p.member().incarnation().equals(m.incarnation()))
+              && (p.lastHeardAt() == null
+                  || now.since(p.lastHeardAt()).compareTo(silent) >= 0
+                  || !p.member().incarnation().equals(m.incarnation()));
       if (!here && !gone) {
         return m.name() + " may live";
       }
@@ -1181,8 +1183,8 @@
     if (!suspicion.isQuiet(now)
         || message instanceof MembershipMessage.StatePart
         || message instanceof MembershipMessage.NameTaken) {
-      if (suspicion.spoke(from, now)) {
-        suspicion.heard(message, now);
+      if (suspicion.acceptSender(from, now)) {
+        suspicion.receive(message, now);
         ends(from.endedView());
         long ahead =
             resumed && from.view().isAfter(seat.view().id())
@@ -1197,7 +1199,7 @@
                   MembershipEvent.FOLDER_OLD,
                   self().name(),
                   "view " + seat.view().id() + ", a peer holds " + from.view()));
-          suspicion.beginAnew();
+          suspicion.startNewIncarnation();
           leaveLine(MembershipEvent.LINE_LEFT, "its folder may be an old one", now);
         }
         leaveEnded(now);
@@ -1353,6 +1355,6 @@
 
   /** So many processes, by how they seem. */
   public Map<MemberCondition, Integer> counts() {
-    return new TreeMap<>(suspicion.counts());
+    return new TreeMap<>(suspicion.countByCondition());
   }
 }
--- /dev/null
+++ b/src/main/java/cobaltseam/membership/PeerTable.java
@@ -0,0 +1,151 @@
+package cobaltseam.membership;
+
+import cobaltseam.dispatch.Timestamp;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.TreeMap;
+import java.util.function.Predicate;
+import java.util.random.RandomGenerator;
+
+/** The peers known to this process by name, and the choice of peers to check or to ask. */
+final class PeerTable {
+  /** Bounds what a peer that invents names can make this process hold. */
+  private static final int MAX_PEERS = 4096;
+
+  private final RandomGenerator random;
+  private final TreeMap<MemberName, Peer> peers = new TreeMap<>();
+  private final List<Peer> checkOrder = new ArrayList<>();
+  private int suspectCount;
+  private long version;
+
+  PeerTable(RandomGenerator random) {
+    this.random = random;
+  }
+
+  Peer get(MemberName name) {
+    return peers.get(name);
+  }
+
+  boolean contains(MemberName name) {
+    return peers.containsKey(name);
+  }
+
+  Collection<Peer> all() {
+    return peers.values();
+  }
+
+  /** The peers with a name after this one; all of them for null. */
+  Collection<Peer> after(MemberName name) {
+    return (name == null ? peers : peers.tailMap(name, false)).values();
+  }
+
+  int size() {
+    return peers.size();
+  }
+
+  int suspectCount() {
+    return suspectCount;
+  }
+
+  /** A number that grows whenever the known peers, or the condition of one, change. */
+  long version() {
+    return version;
+  }
+
+  boolean isFull() {
+    return peers.size() >= MAX_PEERS;
+  }
+
+  /** Adds an alive peer, at a random place in the order of health checks. */
+  Peer add(Member member, long statusVersion, Timestamp now) {
+    Peer peer = new Peer(member, statusVersion, now);
+    peers.put(member.name(), peer);
+    version++;
+    checkOrder.add(random.nextInt(checkOrder.size() + 1), peer);
+    return peer;
+  }
+
+  void setCondition(Peer peer, MemberCondition to, Timestamp now) {
+    suspectCount += (to == MemberCondition.SUSPECT ? 1 : 0) - (peer.isSuspect() ? 1 : 0);
+    if (peer.condition() != to) {
+      version++;
+    }
+    peer.setCondition(to, now);
+  }
+
+  /** A later process of a known name takes the place of the former one, as alive. */
+  void replaceProcess(Peer peer, Member later, long statusVersion, Timestamp now) {
+    version++;
+    setCondition(peer, MemberCondition.ALIVE, now);
+    peer.replaceProcess(later, statusVersion, now);
+  }
+
+  void setMember(Peer peer, Member current) {
+    peer.setMember(current);
+    version++;
+  }
+
+  /** Removes the peers that match; counts as a change even if none does. */
+  void removeIf(Predicate<Peer> condition) {
+    version++;
+    peers.values().removeIf(condition);
+  }
+
+  /** The first alive peer after a name, in the ring of names; null if none is alive. */
+  Peer successorOf(MemberName name) {
+    for (Map<MemberName, Peer> part :
+        List.of(peers.tailMap(name, false), peers.headMap(name, false))) {
+      for (Peer peer : part.values()) {
+        if (peer.isAlive()) {
+          return peer;
+        }
+      }
+    }
+    return null;
+  }
+
+  /**
+   * The next alive peer in a random permutation that is drawn again after each pass, which bounds
+   * the time between two health checks of one peer; null if none is alive.
+   */
+  Peer nextToCheck() {
+    for (int pass = 0; pass < 2; pass++) {
+      while (!checkOrder.isEmpty()) {
+        Peer peer = checkOrder.remove(checkOrder.size() - 1);
+        if (peers.get(peer.member().name()) == peer && peer.isAlive()) {
+          return peer;
+        }
+      }
+      peers.values().stream().filter(Peer::isAlive).forEach(checkOrder::add);
+      Collections.shuffle(checkOrder, new Random(random.nextLong()));
+    }
+    return null;
+  }
+
+  /** Up to {@code count} different peers that match, drawn at random. */
+  List<Peer> sample(int count, Predicate<Peer> condition) {
+    List<Peer> candidates = new ArrayList<>();
+    for (Peer peer : peers.values()) {
+      if (condition.test(peer)) {
+        candidates.add(peer);
+      }
+    }
+    List<Peer> sampled = new ArrayList<>();
+    while (sampled.size() < count && !candidates.isEmpty()) {
+      sampled.add(candidates.remove(random.nextInt(candidates.size())));
+    }
+    return sampled;
+  }
+
+  /** The number of peers by condition; conditions without a peer are absent. */
+  Map<MemberCondition, Integer> countByCondition() {
+    Map<MemberCondition, Integer> counts = new HashMap<>();
+    peers.values().forEach(p -> counts.merge(p.condition(), 1, Integer::sum));
+    return counts;
+  }
+}
