--- a/src/main/java/cobaltseam/membership/FailureDetector.java
+++ b/src/main/java/cobaltseam/membership/FailureDetector.java
@@ -11,7 +11,6 @@
 import cobaltseam.membership.MembershipMessage.StateRequest;
 import java.util.Collection;
 import java.util.List;
-import java.util.Map;
 import java.util.random.RandomGenerator;
 
 /**
@@ -301,9 +300,4 @@
       }
     }
   }
-
-  /** The number of peers by condition; conditions without a peer are absent. */
-  Map<MemberCondition, Integer> countByCondition() {
-    return peers.countByCondition();
-  }
 }
--- a/src/main/java/cobaltseam/membership/PeerTable.java
+++ b/src/main/java/cobaltseam/membership/PeerTable.java
@@ -4,7 +4,6 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -141,11 +140,4 @@
     }
     return sampled;
   }
-
-  /** The number of peers by condition; conditions without a peer are absent. */
-  Map<MemberCondition, Integer> countByCondition() {
-    Map<MemberCondition, Integer> counts = new HashMap<>();
-    peers.values().forEach(p -> counts.merge(p.condition(), 1, Integer::sum));
-    return counts;
-  }
 }
--- /dev/null
+++ b/src/main/java/cobaltseam/membership/QuorumTracker.java
@@ -0,0 +1,157 @@
+package cobaltseam.membership;
+
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
+
+/**
+ * Whether a majority of the held view seems alive, and whether it has to confirm the view first:
+ * after this process was stopped for a while, or has been restarted from its folder.
+ */
+final class QuorumTracker implements ViewListener {
+  /** A minority that lasted longer than this counts as a partition. */
+  private static final double PARTITION_AFTER_PERIODS = 3;
+
+  /** For so long after a partition healed, nobody is removed for being dead. */
+  private static final double HEALING_PERIODS = 8;
+
+  private final MembershipOptions options;
+  private final FailureDetector detector;
+  private final LocalView localView;
+  private boolean isResumed;
+  private boolean isIsolated;
+  private Timestamp confirmFrom;
+  private Timestamp minoritySince;
+  private Timestamp healedAt;
+
+  /** The alive members are counted again only if the view or the detector's version changes. */
+  private View countedView;
+
+  private long countedVersion = -1;
+  private int aliveCount;
+
+  /**
+   * @param isResumed whether the view comes from the folder; then this process does not vote before
+   *     a majority is heard, of which one member may know that the folder is old
+   */
+  QuorumTracker(
+      MembershipOptions options, FailureDetector detector, LocalView localView, boolean isResumed) {
+    this.options = options;
+    this.detector = detector;
+    this.localView = localView;
+    this.isResumed = isResumed;
+  }
+
+  @Override
+  public void onViewChanged(View before, View view, Timestamp now) {
+    isResumed = false;
+    detector.reportView(view == null ? ViewId.NONE : view.id(), hasMajority());
+    if (view == null) {
+      confirmFrom = null;
+    }
+  }
+
+  QuorumState state() {
+    View view = localView.view();
+    if (view == null) {
+      return QuorumState.NONE;
+    }
+    if (confirmFrom != null) {
+      return QuorumState.UNSURE;
+    }
+    if (isIsolated && view.members().size() > 1) {
+      return QuorumState.MINORITY;
+    }
+    return aliveCount() >= view.majority() ? QuorumState.MAJORITY : QuorumState.MINORITY;
+  }
+
+  boolean hasMajority() {
+    return state() == QuorumState.MAJORITY;
+  }
+
+  /** Whether the view comes from the folder and no majority has confirmed it yet. */
+  boolean isResumed() {
+    return isResumed;
+  }
+
+  /** Since when there is no majority; null while there is one, and without a view. */
+  Timestamp minoritySince() {
+    return minoritySince;
+  }
+
+  /** Whether a partition healed a short while ago, so that members may still come back. */
+  boolean isHealing(Timestamp now) {
+    return healedAt != null && now.since(healedAt).compareTo(periods(HEALING_PERIODS)) < 0;
+  }
+
+  private TimeSpan periods(double count) {
+    return options.healthCheckInterval().times(count);
+  }
+
+  private int aliveCount() {
+    View view = localView.view();
+    if (countedView != view || countedVersion != detector.version()) {
+      countedView = view;
+      countedVersion = detector.version();
+      aliveCount = 0;
+      for (Member member : view.members()) {
+        aliveCount += detector.isAlive(member) ? 1 : 0;
+      }
+    }
+    return aliveCount;
+  }
+
+  /** Whether all members of the view seem alive, and no other process is known. */
+  boolean isComplete() {
+    int members = localView.view().members().size();
+    return aliveCount() == members && detector.peers().size() == members - 1;
+  }
+
+  /** Asks all members, and counts as unsure until a majority has answered from now on. */
+  void requireConfirmation(Timestamp now) {
+    confirmFrom = now;
+    detector.checkAll(localView.view().members(), now);
+  }
+
+  /** Ends the uncertainty if a majority has been heard and none of it holds a later view. */
+  void confirm(Timestamp now) {
+    View view = localView.view();
+    if (confirmFrom == null || view == null) {
+      confirmFrom = null;
+      return;
+    }
+    int confirmations = 1;
+    for (Member member : view.members()) {
+      Peer peer = detector.peer(member.name());
+      boolean wasHeard =
+          peer != null
+              && peer.lastHeardAt() != null
+              && !peer.lastHeardAt().isBefore(confirmFrom)
+              && peer.isSameProcess(member);
+      confirmations += wasHeard && !peer.viewId().isAfter(view.id()) ? 1 : 0;
+    }
+    if (confirmations >= view.majority()) {
+      confirmFrom = null;
+      if (isResumed) {
+        isResumed = false;
+        localView.confirmResumed(now);
+      }
+    }
+  }
+
+  /** Notices the begin and the end of a partition, and reports the view to the peers. */
+  void update(Timestamp now) {
+    isIsolated = detector.isIsolated(now);
+    if (!localView.hasView() || hasMajority()) {
+      boolean wasPartitioned =
+          minoritySince != null
+              && now.since(minoritySince).compareTo(periods(PARTITION_AFTER_PERIODS)) > 0;
+      healedAt = wasPartitioned ? now : healedAt;
+      minoritySince = null;
+    } else if (minoritySince == null) {
+      minoritySince = now;
+    }
+    if (localView.hasView()) {
+      detector.reportView(localView.view().id(), hasMajority());
+    }
+  }
+}
--- a/src/main/java/cobaltseam/membership/ViewState.java
+++ b/src/main/java/cobaltseam/membership/ViewState.java
@@ -15,6 +15,9 @@
  */
 public record ViewState(
     View view, Ballot promised, Ballot accepted, ViewDelta value, ProposalRound round) {
+  /** No view. */
+  static final ViewState NONE = new ViewState(null, null, null, null, null);
+
   static ViewState of(View view) {
     return new ViewState(view, null, null, null, null);
   }
