--- a/src/main/java/cobaltseam/membership/Ballot.java
+++ b/src/main/java/cobaltseam/membership/Ballot.java
@@ -3,11 +3,15 @@
 import java.util.Objects;
 
 /**
- * One try to choose the successor of a view: a round, and the process that tries, so that no two
- * are the same.
+ * The ballot of one proposal for the successor of a view, unique by its proposer.
+ *
+ * @param round from 1; compared first
+ * @param proposer the name of the proposer
+ * @param incarnation the incarnation of the proposer
  */
 public record Ballot(long round, MemberName proposer, Incarnation incarnation)
     implements Comparable<Ballot> {
+  /** Checks that the proposer is set. */
   public Ballot {
     Objects.requireNonNull(proposer);
     Objects.requireNonNull(incarnation);
--- a/src/main/java/cobaltseam/membership/ConfigurationVersion.java
+++ b/src/main/java/cobaltseam/membership/ConfigurationVersion.java
@@ -3,29 +3,31 @@
 import java.util.Objects;
 
 /**
- * Which version of an agreed document a view holds: one in the one order of views, so that it is
- * chosen as they are.
+ * The version of the agreed configuration document that a view refers to. It is chosen with a view,
+ * so versions are totally ordered as views are.
  *
- * @param number from 1, one more each time
- * @param hash SHA-256 of the content, in hexadecimal
- * @param proposer who proposed it
+ * @param number from 1, one more for each version
+ * @param hash SHA-256 of the document, as 64 hexadecimal digits
+ * @param proposer the member that proposed it
  */
 public record ConfigurationVersion(long number, String hash, MemberName proposer) {
   private static final int HASH_LENGTH = 64;
 
+  /** Throws {@link IllegalArgumentException} if the number or the hash is out of bounds. */
   public ConfigurationVersion {
     Objects.requireNonNull(proposer);
     if (number < 1 || hash.length() != HASH_LENGTH) {
       throw new IllegalArgumentException(
-          "an edition has a number from 1 and a hash of " + HASH_LENGTH + " digits");
+          "a configuration version needs a number from 1 and a hash of " + HASH_LENGTH + " digits");
     }
   }
 
-  /** The number of an edition that may be none, and is zero then. */
-  public static long number(ConfigurationVersion edition) {
-    return edition == null ? 0 : edition.number;
+  /** The number of a version; zero for null. */
+  public static long number(ConfigurationVersion version) {
+    return version == null ? 0 : version.number;
   }
 
+  /** The number and the first digits of the hash. */
   @Override
   public String toString() {
     return number + ":" + hash.substring(0, 8);
--- a/src/main/java/cobaltseam/membership/Incarnation.java
+++ b/src/main/java/cobaltseam/membership/Incarnation.java
@@ -1,20 +1,24 @@
 package cobaltseam.membership;
 
 /**
- * Which process of a name is meant: a later one has a higher birth. It starts from the wall clock,
- * but hangs on it in nothing: a process that hears of a birth of its name that is not below its own
- * takes the next one above.
+ * Tells processes of one name apart: a later process has a higher incarnation. It is taken from the
+ * wall clock but does not depend on it: a process that learns of an incarnation of its name that is
+ * not below its own takes the next one above.
+ *
+ * @param value from 0 to 2^60
  */
 public record Incarnation(long value) implements Comparable<Incarnation> {
-  private static final long MOST = 1L << 60;
+  private static final long MAX_VALUE = 1L << 60;
 
+  /** Throws {@link IllegalArgumentException} if the value is out of bounds. */
   public Incarnation {
-    // Guards against one that leaves nothing above it.
-    if (value < 0 || value > MOST) {
-      throw new IllegalArgumentException("a birth is from 0 to 2^60");
+    // The bound leaves room for higher incarnations.
+    if (value < 0 || value > MAX_VALUE) {
+      throw new IllegalArgumentException("an incarnation is from 0 to 2^60");
     }
   }
 
+  /** The lowest incarnation that is above the other and not below this one. */
   Incarnation above(Incarnation other) {
     return new Incarnation(Math.max(value, other.value + 1));
   }
--- a/src/main/java/cobaltseam/membership/Lease.java
+++ b/src/main/java/cobaltseam/membership/Lease.java
@@ -14,53 +14,62 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Whether this process may act on its view. It does no I/O. A majority of the view says, at a
- * moment after it was asked, that the view has no successor yet; from the moment of asking that
- * counts for a stated time by the own clock. Whatever follows a view was accepted by a majority of
- * it, and that and the answering majority share a member, who answered before it accepted: so
- * within that time after a successor is chosen, nobody acts on the view any more. Nobody has to
- * remember a lease.
+ * The lease under which this process may act on its view. It does no I/O and is not thread-safe.
+ *
+ * <p>A majority of the view confirms, after it was asked, that it has accepted no successor. That
+ * counts for {@link LeaseOptions#duration} from the time of asking, by the local clock. A successor
+ * is accepted by a majority too, and the two majorities share a member, which confirmed before it
+ * accepted. So once that duration has passed after a successor is chosen, nobody acts on the former
+ * view. No member has to remember a lease.
  */
 public final class Lease {
   /**
-   * What it is set to.
+   * The settings of a lease.
    *
-   * @param duration for so long after it was asked for
+   * @param duration how long a lease lasts from the time at which it was requested; more than zero
    * @param maxClockRateRatio by which part the rates of two clocks differ at most
    */
   public record LeaseOptions(TimeSpan duration, double maxClockRateRatio) {
+    /** Throws {@link IllegalArgumentException} if the duration is not positive. */
     public LeaseOptions {
       if (!duration.isPositive()) {
-        throw new IllegalArgumentException("a lease lasts longer than no time");
+        throw new IllegalArgumentException("the duration of a lease must be more than zero");
       }
     }
   }
 
-  /** A datagram to an address; it may be lost. */
+  /** A datagram to send; it may be lost. */
   public record OutgoingMessage(InetSocketAddress to, LeaseMessage word) {}
 
-  /** The part of a lease after which it is asked for again. */
-  private static final double RENEW = 0.25;
+  /** The part of its duration after which a lease is renewed. */
+  private static final double RENEW_AFTER_FRACTION = 0.25;
 
-  private static final int MOST_ROUNDS = 8;
+  private static final int MAX_ROUNDS = 8;
 
   private static final class Round {
-    ViewId view;
-    Timestamp sent;
-    final Set<MemberName> grants = new HashSet<>();
+    final ViewId viewId;
+    final Timestamp sentAt;
+    final Set<MemberName> grantedBy = new HashSet<>();
+
+    Round(ViewId viewId, Timestamp sentAt) {
+      this.viewId = viewId;
+      this.sentAt = sentAt;
+    }
   }
 
-  private final LeaseOptions terms;
+  private final LeaseOptions options;
   private final Membership membership;
-  private final RandomGenerator chance;
+  private final RandomGenerator random;
   private final Map<Long, Round> rounds = new LinkedHashMap<>();
-  private View held;
-  private Timestamp until, renewAt;
+  private View leasedView;
+  private Timestamp until;
+  private Timestamp renewAt;
 
-  public Lease(LeaseOptions terms, Membership membership, RandomGenerator chance) {
-    this.terms = terms;
+  /** A lease that is not held yet. */
+  public Lease(LeaseOptions options, Membership membership, RandomGenerator random) {
+    this.options = options;
     this.membership = membership;
-    this.chance = chance;
+    this.random = random;
   }
 
   /** Until when this process may act without hearing from a majority; null if it may not. */
@@ -68,85 +77,92 @@
     return until;
   }
 
+  /** How long this process may still act; zero if it may not. */
   public TimeSpan left(Timestamp now) {
     return until == null || !now.isBefore(until) ? TimeSpan.ZERO : until.since(now);
   }
 
-  /** After so long all leases that were given before have ended, whichever clock is the slower. */
+  /** After this time all leases granted before have ended, whichever clock is the slower. */
   public TimeSpan outlasts() {
-    return terms.duration().times(1 + 2 * terms.maxClockRateRatio());
+    return options.duration().times(1 + 2 * options.maxClockRateRatio());
   }
 
+  /** The settings. */
   public LeaseOptions terms() {
-    return terms;
+    return options;
   }
 
-  /** When {@link #follow} is to be asked again; null where there is no view. */
+  /** When {@link #follow} must be called next; null without a view. */
   public Timestamp wake(Timestamp now) {
-    return renewAt == null
-        ? null
-        : now.isBefore(renewAt) ? renewAt : now.plus(terms.duration().times(RENEW / 2));
+    if (renewAt == null || now.isBefore(renewAt)) {
+      return renewAt;
+    }
+    return now.plus(options.duration().times(RENEW_AFTER_FRACTION / 2));
   }
 
-  /** What follows from the view and from time. */
+  /** Follows changes of the view, and requests a renewal if one is due. */
   public List<OutgoingMessage> follow(Timestamp now) {
     View view = membership.view();
-    if (view != held) {
-      boolean sameLine = view != null && held != null && view.id().lineage() == held.id().lineage();
-      until = sameLine ? until : null;
-      held = view;
+    if (view != leasedView) {
+      boolean isSameLineage =
+          view != null && leasedView != null && view.id().lineage() == leasedView.id().lineage();
+      until = isSameLineage ? until : null;
+      leasedView = view;
       renewAt = view == null ? null : now;
     }
-    List<OutgoingMessage> tells = new ArrayList<>();
+    List<OutgoingMessage> messages = new ArrayList<>();
     if (view == null || now.isBefore(renewAt) || !membership.isNewest()) {
-      return tells;
+      return messages;
     }
-    renewAt = now.plus(terms.duration().times(RENEW));
-    Round round = new Round();
-    round.view = view.id();
-    round.sent = now;
-    long id = chance.nextLong();
+    renewAt = now.plus(options.duration().times(RENEW_AFTER_FRACTION));
+    Round round = new Round(view.id(), now);
+    long id = random.nextLong();
     rounds.put(id, round);
-    if (rounds.size() > MOST_ROUNDS) {
+    if (rounds.size() > MAX_ROUNDS) {
       rounds.remove(rounds.keySet().iterator().next());
     }
-    for (Member m : view.members()) {
-      if (!m.name().equals(membership.self().name())) {
-        tells.add(new OutgoingMessage(m.peerAddress(), new LeaseRenewal(membership.teller(), id)));
+    for (Member member : view.members()) {
+      if (!member.name().equals(membership.self().name())) {
+        messages.add(
+            new OutgoingMessage(member.peerAddress(), new LeaseRenewal(membership.teller(), id)));
       }
     }
-    granted(round, membership.self(), view);
-    return tells;
+    addGrant(round, membership.self(), view);
+    return messages;
   }
 
-  /** One of a round's view says that at a moment after it was asked the view had no successor. */
-  private void granted(Round round, Member by, View view) {
-    round.grants.add(by.name());
-    if (round.grants.size() >= view.majority()) {
-      Timestamp ends = round.sent.plus(terms.duration());
-      until = until == null || until.isBefore(ends) ? ends : until;
+  /** Counts a member that confirmed, after the request, that the view has no successor. */
+  private void addGrant(Round round, Member grantor, View view) {
+    round.grantedBy.add(grantor.name());
+    if (round.grantedBy.size() >= view.majority()) {
+      Timestamp endsAt = round.sentAt.plus(options.duration());
+      until = until == null || until.isBefore(endsAt) ? endsAt : until;
     }
   }
 
   /**
-   * What to tell after a word that its carrier found whole; the caller has asked {@link
-   * Membership#spoke}.
+   * Processes a message whose sender {@link Membership#spoke} accepted.
+   *
+   * @return the messages to send
    */
-  public List<OutgoingMessage> heard(LeaseMessage word, Timestamp now) {
+  public List<OutgoingMessage> heard(LeaseMessage message, Timestamp now) {
     View view = membership.view();
-    Member from = word.from().member();
+    Member from = message.from().member();
     if (view == null || !view.contains(from.name(), from.incarnation())) {
       return List.of();
     }
-    if (word instanceof LeaseRenewal r
+    if (message instanceof LeaseRenewal renewal
         && membership.isNewest()
-        && r.from().view().equals(view.id())) {
+        && renewal.from().view().equals(view.id())) {
       return List.of(
-          new OutgoingMessage(from.peerAddress(), new LeaseGrant(membership.teller(), r.id())));
+          new OutgoingMessage(
+              from.peerAddress(), new LeaseGrant(membership.teller(), renewal.id())));
     }
-    Round round = word instanceof LeaseGrant g ? rounds.get(g.id()) : null;
-    if (round != null && round.view.equals(view.id()) && word.from().view().equals(round.view)) {
-      granted(round, from, view);
+    Round round = message instanceof LeaseGrant grant ? rounds.get(grant.id()) : null;
+    if (round != null
+        && round.viewId.equals(view.id())
+        && message.from().view().equals(round.viewId)) {
+      addGrant(round, from, view);
     }
     return List.of();
   }
--- a/src/main/java/cobaltseam/membership/LeaseMessage.java
+++ b/src/main/java/cobaltseam/membership/LeaseMessage.java
@@ -3,16 +3,16 @@
 import cobaltseam.membership.MembershipMessage.MessageHeader;
 import java.util.Objects;
 
-/** What members tell each other to know that their view is the newest. */
+/** The messages by which members confirm to each other that their view has no successor. */
 public sealed interface LeaseMessage extends PeerMessage {
-  /** Is the teller's view still the newest? */
+  /** Asks whether the sender's view has no successor. */
   record LeaseRenewal(MessageHeader from, long id) implements LeaseMessage {
     public LeaseRenewal {
       Objects.requireNonNull(from);
     }
   }
 
-  /** Yes: the teller holds the same view, and nothing that would follow it is on its way there. */
+  /** Confirms that the sender holds the same view and has accepted no successor. */
   record LeaseGrant(MessageHeader from, long id) implements LeaseMessage {
     public LeaseGrant {
       Objects.requireNonNull(from);
--- a/src/main/java/cobaltseam/membership/MemberName.java
+++ b/src/main/java/cobaltseam/membership/MemberName.java
@@ -2,9 +2,10 @@
 
 /** The name of a dispatcher among those of its fleet. */
 public record MemberName(String value) implements Comparable<MemberName> {
-  /** Longer ones are refused: names go into every message. */
+  /** The longest name, in characters; names are part of every message. */
   public static final int LONGEST = 64;
 
+  /** Throws {@link IllegalArgumentException} if the name is empty or too long. */
   public MemberName {
     if (value.isEmpty() || value.length() > LONGEST) {
       throw new IllegalArgumentException("a name has 1 to " + LONGEST + " characters");
--- a/src/main/java/cobaltseam/membership/MemberUpdate.java
+++ b/src/main/java/cobaltseam/membership/MemberUpdate.java
@@ -3,18 +3,19 @@
 import java.util.Objects;
 
 /**
- * What is told of a process.
+ * What a member says about a process.
  *
- * @param statusVersion raised by the process itself alone, to refute what was said of it
- * @param reportedBy who found it so
+ * @param statusVersion from 0 to 2^60; only the process itself raises it, to refute a suspicion
+ * @param reportedBy the member that found the condition
  */
 public record MemberUpdate(
     Member member, long statusVersion, MemberCondition condition, MemberName reportedBy) {
-  private static final long MOST = 1L << 60;
+  private static final long MAX_STATUS_VERSION = 1L << 60;
 
+  /** Throws {@link IllegalArgumentException} if the status version is out of bounds. */
   public MemberUpdate {
-    if (statusVersion < 0 || statusVersion > MOST) {
-      throw new IllegalArgumentException("an incarnation is from 0 to 2^60");
+    if (statusVersion < 0 || statusVersion > MAX_STATUS_VERSION) {
+      throw new IllegalArgumentException("a status version is from 0 to 2^60");
     }
     Objects.requireNonNull(member);
     Objects.requireNonNull(condition);
--- a/src/main/java/cobaltseam/membership/Membership.java
+++ b/src/main/java/cobaltseam/membership/Membership.java
@@ -76,7 +76,7 @@
     this.options = options;
     detector = new FailureDetector(options, self, random, actions);
     lineages = new LineageHistory(detector, actions);
-    ViewState initial = former == null ? ViewState.NONE : former.seat();
+    ViewState initial = former == null ? ViewState.NONE : former.viewState();
     localView = new LocalView(initial, detector, lineages, actions);
     quorum = new QuorumTracker(options, detector, localView, initial.view() != null);
     removedMembers = new RemovedMembers(options);
--- a/src/main/java/cobaltseam/membership/MembershipAction.java
+++ b/src/main/java/cobaltseam/membership/MembershipAction.java
@@ -2,25 +2,25 @@
 
 import java.net.InetSocketAddress;
 
-/** What membership wants done. */
+/** What {@link Membership} has its caller do. */
 public sealed interface MembershipAction {
-  /** A datagram to an address; it may be lost. */
+  /** Send a datagram, which may be lost. */
   record Send(InetSocketAddress to, MembershipMessage message) implements MembershipAction {}
 
   /**
-   * To be written to the lasting folder; then {@link Membership#kept} is told its number, or {@link
-   * Membership#notKept} that it can't be. A later one holds all that an earlier one did.
+   * Write a state to the folder, then call {@link Membership#kept} with its number, or {@link
+   * Membership#notKept} if it can't be written. A later state replaces all earlier ones.
    */
   record Persist(long number, PersistentState what) implements MembershipAction {}
 
-  /** Another view holds from now on, or none any more. */
+  /** Another view applies from now on; null for none. */
   record ViewInstalled(View view) implements MembershipAction {}
 
-  /** Something for the log. */
+  /** Write an event to the log. */
   record EventRecorded(MembershipEvent event, MemberName who, String detail)
       implements MembershipAction {}
 
-  /** What is noted. */
+  /** The events of membership; their labels are printed. */
   enum MembershipEvent {
     JOINED_SIGHT,
     SUSPECTED,
@@ -38,6 +38,7 @@
     FOUNDED_ANEW,
     NOT_FOUNDED_ANEW;
 
+    /** The name as it is printed. */
     public String label() {
       return name().toLowerCase(java.util.Locale.ROOT);
     }
--- a/src/main/java/cobaltseam/membership/MembershipMessage.java
+++ b/src/main/java/cobaltseam/membership/MembershipMessage.java
@@ -4,31 +4,37 @@
 import java.util.Objects;
 
 /**
- * What members tell each other. Nothing in one is trusted beyond what its kind says: of the teller
- * itself a whole statement, of others news that any of them can refute.
+ * The messages of membership. What a message says about its sender is authoritative; what it says
+ * about others is an update that they can refute.
  */
 public sealed interface MembershipMessage extends PeerMessage {
   /**
-   * Who speaks, its incarnation, the view that it holds, whether a majority of that seems alive to
-   * it, and the last view of the youngest line that it knows to have ended.
+   * What every message says about its sender.
+   *
+   * @param statusVersion the sender's status version, from 0
+   * @param view the view that it holds, or {@link ViewId#NONE}
+   * @param seesMajority whether a majority of that view seems alive to it
+   * @param endedView the last view of the youngest lineage that it knows to have ended
    */
   record MessageHeader(
       Member member, long statusVersion, ViewId view, boolean seesMajority, ViewId endedView) {
+    /** Replaces a missing ended view by {@link ViewId#NONE}. */
     public MessageHeader {
       Objects.requireNonNull(member);
       Objects.requireNonNull(view);
-      // Programs before this field do not send it.
+      // Versions before this field do not send it.
       endedView = endedView == null ? ViewId.NONE : endedView;
     }
 
-    public MessageHeader(Member member, long incarnation, ViewId view, boolean majority) {
-      this(member, incarnation, view, majority, ViewId.NONE);
+    /** A header without an ended view. */
+    public MessageHeader(Member member, long statusVersion, ViewId view, boolean seesMajority) {
+      this(member, statusVersion, view, seesMajority, ViewId.NONE);
     }
   }
 
   /**
-   * Whether others may build on it, so that it has to outlive the process that says it, where that
-   * has a lasting folder.
+   * Whether others may rely on it, so that a process with a folder persists the state behind it
+   * before it is sent.
    */
   default boolean mustOutliveProcess() {
     return !(this instanceof HealthCheck
@@ -40,7 +46,7 @@
         || this instanceof ViewRequest);
   }
 
-  /** Asks whether the one asked is this process; carries news. */
+  /** A health check of the process with a name; carries updates, as its reply does. */
   record HealthCheck(MessageHeader from, long id, MemberName to, List<MemberUpdate> updates)
       implements MembershipMessage {
     public HealthCheck {
@@ -50,7 +56,7 @@
     }
   }
 
-  /** Asks a helper to probe another in the teller's place. */
+  /** Asks a relay to check a target on behalf of the sender. */
   record HealthCheckRequest(MessageHeader from, long id, Member target, List<MemberUpdate> updates)
       implements MembershipMessage {
     public HealthCheckRequest {
@@ -60,7 +66,7 @@
     }
   }
 
-  /** The answer to a probe, or of a helper: whether it reached the target. */
+  /** The reply to a health check, or of a relay: whether the target was reached. */
   record HealthCheckReply(MessageHeader from, long id, boolean reached, List<MemberUpdate> updates)
       implements MembershipMessage {
     public HealthCheckReply {
@@ -69,14 +75,14 @@
     }
   }
 
-  /** Asks for the whole state, from after a name on; null from the first. */
+  /** Asks for the full state after a name; from the first for null. */
   record StateRequest(MessageHeader from, MemberName after) implements MembershipMessage {
     public StateRequest {
       Objects.requireNonNull(from);
     }
   }
 
-  /** A part of the whole state; more follows after its last name if asked for. */
+  /** A part of the full state; {@code more} if there is state after its last name. */
   record StatePart(MessageHeader from, List<MemberUpdate> state, boolean more)
       implements MembershipMessage {
     public StatePart {
@@ -85,7 +91,7 @@
     }
   }
 
-  /** The name is held by a process that lives elsewhere. */
+  /** The name of the recipient is held by a live process at another address. */
   record NameTaken(MessageHeader from, Member holder) implements MembershipMessage {
     public NameTaken {
       Objects.requireNonNull(from);
@@ -93,7 +99,7 @@
     }
   }
 
-  /** The first member of the founders asks the others to found a line with just these. */
+  /** The first bootstrap member asks the others to begin a lineage with these processes. */
   record BootstrapRequest(MessageHeader from, long attempt, List<Member> members)
       implements MembershipMessage {
     public BootstrapRequest {
@@ -102,14 +108,14 @@
     }
   }
 
-  /** A founder's consent, bound to this one attempt of this one process. */
+  /** Consent to one bootstrap attempt of one process. */
   record BootstrapConsent(MessageHeader from, long attempt) implements MembershipMessage {
     public BootstrapConsent {
       Objects.requireNonNull(from);
     }
   }
 
-  /** Phase one of a ballot: promise nothing lower; and whom would you not take out? */
+  /** Phase one of a ballot: asks for a promise, and for votes on the removals. */
   record Prepare(MessageHeader from, ViewId viewId, Ballot ballot, List<MemberName> removed)
       implements MembershipMessage {
     public Prepare {
@@ -120,7 +126,7 @@
     }
   }
 
-  /** The promise, what was accepted before, and who should stay. */
+  /** The promise, what was accepted before, and the members that the voter retains. */
   record Promise(
       MessageHeader from,
       ViewId viewId,
@@ -137,7 +143,7 @@
     }
   }
 
-  /** A higher ballot was promised: try above this one. */
+  /** A higher ballot was promised, above which the next proposal has to be. */
   record Reject(MessageHeader from, ViewId viewId, Ballot ballot, Ballot promised)
       implements MembershipMessage {
     public Reject {
@@ -148,7 +154,7 @@
     }
   }
 
-  /** Phase two. */
+  /** Phase two: asks to accept a change under a ballot. */
   record Accept(MessageHeader from, ViewId viewId, Ballot ballot, ViewDelta value)
       implements MembershipMessage {
     public Accept {
@@ -159,6 +165,7 @@
     }
   }
 
+  /** The voter accepted the change of this ballot. */
   record Accepted(MessageHeader from, ViewId viewId, Ballot ballot) implements MembershipMessage {
     public Accepted {
       Objects.requireNonNull(from);
@@ -167,7 +174,7 @@
     }
   }
 
-  /** A majority accepted this change of this view. */
+  /** A majority accepted this change of the view. */
   record Decided(MessageHeader from, ViewId viewId, ViewDelta value) implements MembershipMessage {
     public Decided {
       Objects.requireNonNull(from);
@@ -176,7 +183,7 @@
     }
   }
 
-  /** Asks for the view that the other holds, from this index on. */
+  /** Asks for the held view, from the member at this index on. */
   record ViewRequest(MessageHeader from, ViewId viewId, int index) implements MembershipMessage {
     public ViewRequest {
       Objects.requireNonNull(from);
@@ -184,7 +191,7 @@
     }
   }
 
-  /** A part of a view, from an index on. */
+  /** A part of a view with {@code size} members, from an index on. */
   record ViewPart(
       MessageHeader from,
       ViewId viewId,
--- a/src/main/java/cobaltseam/membership/MembershipOptions.java
+++ b/src/main/java/cobaltseam/membership/MembershipOptions.java
@@ -5,15 +5,16 @@
 import java.util.List;
 
 /**
- * What a membership is set to.
+ * The settings of {@link Membership}.
  *
- * @param healthCheckInterval the time between two probes of this process, from 50 ms to 10 s
- * @param healthCheckTimeout periods, beside one for each tenfold of members, for which one that is
- *     suspected by several may refute
- * @param relayCount how many are asked to probe in its place one that does not answer
- * @param bootstrapMembers the names that found the first view, all of them together
- * @param seeds addresses to ask for members; some may be dead
- * @param maxSendDelay after which nothing that a process had sent to engines can still hold them
+ * @param healthCheckInterval the time between two health check rounds, from 50 ms to 10 s
+ * @param healthCheckTimeout the time, in health check intervals, that a member suspected by several
+ *     has to refute; one more is added for each factor of ten in the number of members
+ * @param relayCount how many relays check a member that does not answer a direct health check
+ * @param bootstrapMembers the names of the members that create the first view together
+ * @param seeds addresses to ask for members; not all have to answer
+ * @param maxSendDelay the time after which no attempt that a process sent can still occupy an
+ *     engine
  */
 public record MembershipOptions(
     TimeSpan healthCheckInterval,
@@ -22,6 +23,7 @@
     List<MemberName> bootstrapMembers,
     List<InetSocketAddress> seeds,
     TimeSpan maxSendDelay) {
+  /** Sorts the bootstrap members by name. */
   public MembershipOptions {
     bootstrapMembers = bootstrapMembers.stream().sorted().toList();
     seeds = List.copyOf(seeds);
--- a/src/main/java/cobaltseam/membership/PeerMessage.java
+++ b/src/main/java/cobaltseam/membership/PeerMessage.java
@@ -1,6 +1,7 @@
 package cobaltseam.membership;
 
-/** What members tell each other, whichever part of them speaks. */
+/** A message between members, of any module. */
 public interface PeerMessage {
+  /** The sender, as it saw itself when it sent the message. */
   MembershipMessage.MessageHeader from();
 }
--- a/src/main/java/cobaltseam/membership/PersistentState.java
+++ b/src/main/java/cobaltseam/membership/PersistentState.java
@@ -5,16 +5,20 @@
 import java.util.Objects;
 
 /**
- * What a process with a lasting folder has on disk before it says anything that follows from it, so
- * that the process started next is the same member and keeps to what was promised.
+ * The state that a process with a folder writes before it sends anything that depends on it, so
+ * that the next process is the same member and keeps its promises.
  *
- * @param starts how many processes have been this member, so that a copy of the folder from an
- *     earlier time is known as one
- * @param consentedTo the founder that consent was last given to, or null
- * @param leftLineages of each line given up, the number of its view then
- * @param documents those of the editions that the view and the value hold, as far as they are here
- * @param endedLineages of each line known to have no successor, the number of the view that has
- *     none
+ * @param starts how many processes have been this member, which shows when the folder is an old
+ *     copy
+ * @param view the view, or null
+ * @param promised the highest ballot promised for its successor, or null
+ * @param accepted the ballot under which {@code acceptedDelta} was accepted, or null
+ * @param consentedTo the process that a bootstrap consent was last given to, or null
+ * @param consentedAttempt its attempt
+ * @param leftLineages by lineage that this member left, the number of its last view there
+ * @param endedLineages by lineage known to have ended, the number of its last view
+ * @param documents of the configuration versions of the view and of the accepted change, as far as
+ *     they are here
  */
 public record PersistentState(
     Member self,
@@ -28,6 +32,7 @@
     Map<Long, Long> leftLineages,
     Map<Long, Long> endedLineages,
     List<byte[]> documents) {
+  /** Replaces missing collections by empty ones. */
   public PersistentState {
     Objects.requireNonNull(self);
     leftLineages = leftLineages == null ? Map.of() : Map.copyOf(leftLineages);
@@ -35,7 +40,8 @@
     documents = documents == null ? List.of() : List.copyOf(documents);
   }
 
-  ViewState seat() {
+  /** The view and the votes, without a proposal. */
+  ViewState viewState() {
     return new ViewState(view, promised, accepted, acceptedDelta, null);
   }
 }
--- a/src/main/java/cobaltseam/membership/QuorumState.java
+++ b/src/main/java/cobaltseam/membership/QuorumState.java
@@ -1,16 +1,17 @@
 package cobaltseam.membership;
 
-/** What a process may make of the last agreed view that it knows. */
+/** Whether a process may rely on the last agreed view that it knows. */
 public enum QuorumState {
-  /** It has none: it has not been taken in, or was taken out. */
+  /** It has no view: it was not added yet, or was removed. */
   NONE,
   /** A majority of the view seems alive from here. */
   MAJORITY,
-  /** This process stood still, and has not heard from a majority since. */
+  /** This process was stopped or restarted, and has not heard a majority since. */
   UNSURE,
   /** No majority of the view seems alive from here. */
   MINORITY;
 
+  /** The name as it is printed. */
   public String label() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
--- a/src/main/java/cobaltseam/membership/View.java
+++ b/src/main/java/cobaltseam/membership/View.java
@@ -6,10 +6,13 @@
 import java.util.TreeMap;
 
 /**
- * A numbered set of members, agreed by a majority of its predecessor; sorted by name, each name
- * once; and the edition of the agreed document, or null before the first.
+ * A numbered set of members, agreed by a majority of its predecessor.
+ *
+ * @param members sorted by name, each name once
+ * @param configuration the version of the agreed configuration, or null before the first
  */
 public record View(ViewId id, List<Member> members, ConfigurationVersion configuration) {
+  /** Copies the members. */
   public View {
     members = List.copyOf(members);
   }
@@ -18,48 +21,51 @@
     return of(id, members, null);
   }
 
-  static View of(ViewId id, Collection<Member> members, ConfigurationVersion edition) {
+  static View of(ViewId id, Collection<Member> members, ConfigurationVersion configuration) {
     TreeMap<MemberName, Member> sorted = new TreeMap<>();
     members.forEach(m -> sorted.put(m.name(), m));
-    return new View(id, List.copyOf(sorted.values()), edition);
+    return new View(id, List.copyOf(sorted.values()), configuration);
   }
 
+  /** The number of members that make up a majority. */
   public int majority() {
     return members.size() / 2 + 1;
   }
 
-  /** The process that the view holds under this name, or null. */
+  /** The member with this name, or null. */
   public Member of(MemberName name) {
     int from = 0;
-    int to = members.size() - 1;
-    while (from <= to) {
-      int mid = (from + to) >>> 1;
-      int order = members.get(mid).name().compareTo(name);
+    int until = members.size() - 1;
+    while (from <= until) {
+      int middle = (from + until) >>> 1;
+      int order = members.get(middle).name().compareTo(name);
       if (order == 0) {
-        return members.get(mid);
+        return members.get(middle);
       }
-      from = order < 0 ? mid + 1 : from;
-      to = order < 0 ? to : mid - 1;
+      from = order < 0 ? middle + 1 : from;
+      until = order < 0 ? until : middle - 1;
     }
     return null;
   }
 
-  /** Whether it holds this very process. */
-  public boolean contains(MemberName name, Incarnation birth) {
-    Member there = of(name);
-    return there != null && there.incarnation().equals(birth);
+  /** Whether it contains this very process, not only its name. */
+  public boolean contains(MemberName name, Incarnation incarnation) {
+    Member member = of(name);
+    return member != null && member.incarnation().equals(incarnation);
   }
 
-  /** What follows from a change; what it takes out and this view does not hold changes nothing. */
+  /** The successor by a change; the removal of a process that is not a member has no effect. */
   View apply(ViewDelta change) {
-    List<Member> left = new ArrayList<>(members);
-    left.removeIf(
+    List<Member> remaining = new ArrayList<>(members);
+    remaining.removeIf(
         m ->
             change.removed().stream()
                 .anyMatch(
                     o -> o.name().equals(m.name()) && o.incarnation().equals(m.incarnation())));
-    left.addAll(change.added());
+    remaining.addAll(change.added());
     return of(
-        id.next(), left, change.configuration() == null ? configuration : change.configuration());
+        id.next(),
+        remaining,
+        change.configuration() == null ? configuration : change.configuration());
   }
 }
--- a/src/main/java/cobaltseam/membership/ViewChange.java
+++ b/src/main/java/cobaltseam/membership/ViewChange.java
@@ -18,19 +18,19 @@
 
 /**
  * Chooses the one successor of a view by a majority of it: a single-decree Paxos a view (Lamport,
- * "Paxos Made Simple", 2001), whose first phase also polls who should stay. From a seat and what
- * happens to a seat and what is told then; values only.
+ * "Paxos Made Simple", 2001), whose first phase also asks which members to retain. Each function
+ * takes the state of a process and an event, and returns the next state and the messages to send.
  *
- * <p>A vote counts by name and birth. A process that starts anew without its folder has another
- * birth, so no view holds it: it can neither be asked nor counted until a successor takes it in.
+ * <p>A vote counts by name and incarnation. A process that restarts without its folder has another
+ * incarnation, which no view contains: it is neither asked nor counted until a successor adds it.
  */
 final class ViewChange {
   private ViewChange() {}
 
-  /** What follows: the seat then, and what is told to whom. */
-  record Step(ViewState seat, List<OutgoingMessage> tells) {
-    Step(ViewState seat, OutgoingMessage... tells) {
-      this(seat, List.of(tells));
+  /** The state after an event, and the messages to send. */
+  record Transition(ViewState state, List<OutgoingMessage> messages) {
+    Transition(ViewState state, OutgoingMessage... messages) {
+      this(state, List.of(messages));
     }
   }
 
@@ -38,24 +38,28 @@
   record OutgoingMessage(Member to, MembershipMessage message) {}
 
   /**
-   * Whether a message of the choice comes from a process that the seat's view holds, and is of that
-   * view.
+   * Whether a message is about the held view, and its sender is a process that this view contains.
    */
-  static boolean counts(ViewState seat, MessageHeader from, ViewId of) {
-    return seat.view() != null
-        && seat.view().id().equals(of)
-        && seat.view().contains(from.member().name(), from.member().incarnation());
+  static boolean isFromVoter(ViewState state, MessageHeader from, ViewId viewId) {
+    return state.view() != null
+        && state.view().id().equals(viewId)
+        && state.view().contains(from.member().name(), from.member().incarnation());
   }
 
-  /** Begins a try with a ballot above all that is known here. */
-  static Step propose(ViewState seat, MessageHeader self, ViewDelta wanted, long above) {
-    long known = seat.promised() == null ? 0 : seat.promised().round();
+  /** Starts a proposal with a ballot above all that this process knows. */
+  static Transition propose(
+      ViewState state, MessageHeader self, ViewDelta change, long highestRound) {
+    long promisedRound = state.promised() == null ? 0 : state.promised().round();
     Ballot ballot =
-        new Ballot(Math.max(above, known) + 1, self.member().name(), self.member().incarnation());
-    ProposalRound round = new ProposalRound(ballot, wanted, Map.of(), null, Set.of());
-    List<MemberName> out = wanted.removed().stream().map(Member::name).toList();
-    return new Step(
-        seat.with(round), toAll(seat.view(), new Prepare(self, seat.view().id(), ballot, out)));
+        new Ballot(
+            Math.max(highestRound, promisedRound) + 1,
+            self.member().name(),
+            self.member().incarnation());
+    ProposalRound round = new ProposalRound(ballot, change, Map.of(), null, Set.of());
+    List<MemberName> removed = change.removed().stream().map(Member::name).toList();
+    return new Transition(
+        state.with(round),
+        toAll(state.view(), new Prepare(self, state.view().id(), ballot, removed)));
   }
 
   private static List<OutgoingMessage> toAll(View view, MembershipMessage message) {
@@ -63,154 +67,193 @@
   }
 
   /**
-   * A voter's answer to phase one; {@code stay} are those of the named whom it would not take out.
+   * A voter's answer to phase one.
+   *
+   * @param retained of the members to be removed, those whose removal it votes against
    */
-  static Step prepare(ViewState seat, MessageHeader self, Prepare asked, List<MemberName> stay) {
-    Member to = asked.from().member();
-    if (seat.promised() != null && asked.ballot().compareTo(seat.promised()) < 0) {
-      return new Step(
-          seat,
+  static Transition receivePrepare(
+      ViewState state, MessageHeader self, Prepare request, List<MemberName> retained) {
+    Member to = request.from().member();
+    if (state.promised() != null && request.ballot().compareTo(state.promised()) < 0) {
+      return new Transition(
+          state,
           new OutgoingMessage(
-              to, new Reject(self, asked.viewId(), asked.ballot(), seat.promised())));
+              to, new Reject(self, request.viewId(), request.ballot(), state.promised())));
     }
-    ViewState then =
-        new ViewState(seat.view(), asked.ballot(), seat.accepted(), seat.value(), seat.round());
-    return new Step(
-        then,
+    ViewState next =
+        new ViewState(
+            state.view(), request.ballot(), state.accepted(), state.value(), state.round());
+    return new Transition(
+        next,
         new OutgoingMessage(
             to,
             new Promise(
-                self, asked.viewId(), asked.ballot(), seat.accepted(), seat.value(), stay)));
+                self,
+                request.viewId(),
+                request.ballot(),
+                state.accepted(),
+                state.value(),
+                retained)));
   }
 
-  /** A promise came to the process that tries; phase two follows once it is known who stays. */
-  static Step promised(ViewState seat, MessageHeader self, Promise vote) {
-    ProposalRound round = seat.round();
+  /** The proposer counts a promise; phase two follows once the removals are settled. */
+  static Transition receivePromise(ViewState state, MessageHeader self, Promise vote) {
+    ProposalRound round = state.round();
     if (round == null || !round.ballot().equals(vote.ballot()) || round.chosen() != null) {
-      return new Step(seat);
+      return new Transition(state);
     }
     Map<MemberName, ReceivedPromise> promises = new HashMap<>(round.promises());
     promises.put(
         vote.from().member().name(),
         new ReceivedPromise(vote.accepted(), vote.value(), vote.retained()));
     return proceed(
-        seat.with(new ProposalRound(round.ballot(), round.wanted(), promises, null, Set.of())),
+        state.with(new ProposalRound(round.ballot(), round.proposed(), promises, null, Set.of())),
         self,
         false);
   }
 
   /**
-   * Goes on to phase two where a majority promised. What any of them had accepted must be proposed
-   * again, the one of the highest ballot. Else what is wanted is, less all whom a majority of the
-   * view does not agree to take out.
+   * Goes on to phase two if a majority has promised. If any of them had accepted a change, the one
+   * of the highest ballot is proposed again; else the proposed change, without the removals that no
+   * majority of the view agrees to.
    *
-   * @param now whether to go on without the votes that have not come, which count as for staying
+   * @param withoutMissingVotes whether to go on without the missing votes, which then count as
+   *     against removals
    */
-  static Step proceed(ViewState seat, MessageHeader self, boolean now) {
-    ProposalRound round = seat.round();
-    int majority = seat.view().majority();
+  static Transition proceed(ViewState state, MessageHeader self, boolean withoutMissingVotes) {
+    ProposalRound round = state.round();
+    int majority = state.view().majority();
     if (round == null || round.chosen() != null || round.promises().size() < majority) {
-      return new Step(seat);
+      return new Transition(state);
+    }
+    ViewDelta chosen = highestAccepted(round);
+    if (chosen == null) {
+      chosen = agreedChange(state, withoutMissingVotes);
+    }
+    if (chosen == null) {
+      return new Transition(state);
     }
-    ViewDelta chosen = null;
+    if (chosen.isEmpty()) {
+      return new Transition(state.with((ProposalRound) null));
+    }
+    ProposalRound accepting =
+        new ProposalRound(round.ballot(), round.proposed(), round.promises(), chosen, Set.of());
+    return new Transition(
+        state.with(accepting),
+        toAll(state.view(), new Accept(self, state.view().id(), round.ballot(), chosen)));
+  }
+
+  /** What was accepted under the highest ballot of the promises; null if nothing was. */
+  private static ViewDelta highestAccepted(ProposalRound round) {
+    ViewDelta value = null;
     Ballot highest = null;
     for (ReceivedPromise vote : round.promises().values()) {
       if (vote.accepted() != null && (highest == null || vote.accepted().compareTo(highest) > 0)) {
         highest = vote.accepted();
-        chosen = vote.value();
+        value = vote.value();
       }
     }
-    if (chosen == null) {
-      List<Member> out = new ArrayList<>();
-      for (Member m : round.wanted().removed()) {
-        int agree = 0;
-        for (ReceivedPromise vote : round.promises().values()) {
-          agree += vote.stay().contains(m.name()) ? 0 : 1;
-        }
-        int open = seat.view().members().size() - round.promises().size();
-        if (agree >= majority) {
-          out.add(m);
-        } else if (!now && agree + open >= majority) {
-          return new Step(seat);
-        }
-      }
-      // Who comes in under a name that stays would hold it twice.
-      List<Member> in =
-          round.wanted().added().stream()
-              .filter(
-                  m ->
-                      seat.view().of(m.name()) == null
-                          || out.stream().anyMatch(o -> o.name().equals(m.name())))
-              .toList();
-      // Against the edition that it follows: where another came first it is void.
-      boolean next =
-          round.wanted().configuration() != null
-              && round.wanted().configuration().number()
-                  == ConfigurationVersion.number(seat.view().configuration()) + 1;
-      chosen = new ViewDelta(out, in, next ? round.wanted().configuration() : null);
+    return value;
+  }
+
+  /** The part of the proposed change that a majority agrees to; null if votes are awaited. */
+  private static ViewDelta agreedChange(ViewState state, boolean withoutMissingVotes) {
+    ViewDelta proposed = state.round().proposed();
+    List<Member> removed = agreedRemovals(state, withoutMissingVotes);
+    if (removed == null) {
+      return null;
     }
-    if (chosen.isEmpty()) {
-      return new Step(seat.with((ProposalRound) null));
+    // A member that is added under a retained name would make the name occur twice.
+    List<Member> added =
+        proposed.added().stream()
+            .filter(
+                m ->
+                    state.view().of(m.name()) == null
+                        || removed.stream().anyMatch(r -> r.name().equals(m.name())))
+            .toList();
+    // A version is proposed against its predecessor: it is void if another came first.
+    ConfigurationVersion version = proposed.configuration();
+    boolean isNextVersion =
+        version != null
+            && version.number() == ConfigurationVersion.number(state.view().configuration()) + 1;
+    return new ViewDelta(removed, added, isNextVersion ? version : null);
+  }
+
+  private static List<Member> agreedRemovals(ViewState state, boolean withoutMissingVotes) {
+    ProposalRound round = state.round();
+    int majority = state.view().majority();
+    int missingVotes = state.view().members().size() - round.promises().size();
+    List<Member> removed = new ArrayList<>();
+    for (Member member : round.proposed().removed()) {
+      int agreeing = 0;
+      for (ReceivedPromise vote : round.promises().values()) {
+        agreeing += vote.retained().contains(member.name()) ? 0 : 1;
+      }
+      if (agreeing >= majority) {
+        removed.add(member);
+      } else if (!withoutMissingVotes && agreeing + missingVotes >= majority) {
+        return null;
+      }
     }
-    ProposalRound accepting =
-        new ProposalRound(round.ballot(), round.wanted(), round.promises(), chosen, Set.of());
-    return new Step(
-        seat.with(accepting),
-        toAll(seat.view(), new Accept(self, seat.view().id(), round.ballot(), chosen)));
+    return removed;
   }
 
-  /** The same again to those whose answer is missing: a datagram may be lost. */
-  static Step again(ViewState seat, MessageHeader self) {
-    ProposalRound round = seat.round();
+  /** Sends the message of the current phase again to members that have not answered. */
+  static Transition resendUnanswered(ViewState state, MessageHeader self) {
+    ProposalRound round = state.round();
     MembershipMessage message =
         round.chosen() == null
             ? new Prepare(
                 self,
-                seat.view().id(),
+                state.view().id(),
                 round.ballot(),
-                round.wanted().removed().stream().map(Member::name).toList())
-            : new Accept(self, seat.view().id(), round.ballot(), round.chosen());
-    Set<MemberName> came = round.chosen() == null ? round.promises().keySet() : round.accepts();
-    return new Step(
-        seat,
-        toAll(seat.view(), message).stream().filter(t -> !came.contains(t.to().name())).toList());
+                round.proposed().removed().stream().map(Member::name).toList())
+            : new Accept(self, state.view().id(), round.ballot(), round.chosen());
+    Set<MemberName> answered =
+        round.chosen() == null ? round.promises().keySet() : round.acceptedBy();
+    return new Transition(
+        state,
+        toAll(state.view(), message).stream()
+            .filter(t -> !answered.contains(t.to().name()))
+            .toList());
   }
 
   /** A voter's answer to phase two. */
-  static Step accept(ViewState seat, MessageHeader self, Accept asked) {
-    Member to = asked.from().member();
-    if (seat.promised() != null && asked.ballot().compareTo(seat.promised()) < 0) {
-      return new Step(
-          seat,
+  static Transition receiveAccept(ViewState state, MessageHeader self, Accept request) {
+    Member to = request.from().member();
+    if (state.promised() != null && request.ballot().compareTo(state.promised()) < 0) {
+      return new Transition(
+          state,
           new OutgoingMessage(
-              to, new Reject(self, asked.viewId(), asked.ballot(), seat.promised())));
+              to, new Reject(self, request.viewId(), request.ballot(), state.promised())));
     }
-    ViewState then =
-        new ViewState(seat.view(), asked.ballot(), asked.ballot(), asked.value(), seat.round());
-    return new Step(
-        then, new OutgoingMessage(to, new Accepted(self, asked.viewId(), asked.ballot())));
+    ViewState next =
+        new ViewState(
+            state.view(), request.ballot(), request.ballot(), request.value(), state.round());
+    return new Transition(
+        next, new OutgoingMessage(to, new Accepted(self, request.viewId(), request.ballot())));
   }
 
-  /** An acceptance came to the process that tries; a majority of them decides. */
-  static Step accepted(ViewState seat, MessageHeader self, Accepted vote) {
-    ProposalRound round = seat.round();
+  /** The proposer counts an acceptance; a majority of them decides. */
+  static Transition receiveAccepted(ViewState state, MessageHeader self, Accepted vote) {
+    ProposalRound round = state.round();
     if (round == null || round.chosen() == null || !round.ballot().equals(vote.ballot())) {
-      return new Step(seat);
+      return new Transition(state);
     }
-    Set<MemberName> accepts = new HashSet<>(round.accepts());
-    accepts.add(vote.from().member().name());
+    Set<MemberName> acceptedBy = new HashSet<>(round.acceptedBy());
+    acceptedBy.add(vote.from().member().name());
     ProposalRound counted =
         new ProposalRound(
-            round.ballot(), round.wanted(), round.promises(), round.chosen(), accepts);
-    if (accepts.size() < seat.view().majority()) {
-      return new Step(seat.with(counted));
+            round.ballot(), round.proposed(), round.promises(), round.chosen(), acceptedBy);
+    if (acceptedBy.size() < state.view().majority()) {
+      return new Transition(state.with(counted));
     }
-    View next = seat.view().apply(round.chosen());
-    List<OutgoingMessage> tells = new ArrayList<>();
-    Decided decided = new Decided(self, seat.view().id(), round.chosen());
-    // Those taken out hear of it too, where they can.
-    seat.view().members().forEach(m -> tells.add(new OutgoingMessage(m, decided)));
-    round.chosen().added().forEach(m -> tells.add(new OutgoingMessage(m, decided)));
-    return new Step(ViewState.of(next), tells);
+    View next = state.view().apply(round.chosen());
+    List<OutgoingMessage> messages = new ArrayList<>();
+    Decided decided = new Decided(self, state.view().id(), round.chosen());
+    // Removed members are notified as well.
+    state.view().members().forEach(m -> messages.add(new OutgoingMessage(m, decided)));
+    round.chosen().added().forEach(m -> messages.add(new OutgoingMessage(m, decided)));
+    return new Transition(ViewState.of(next), messages);
   }
 }
--- a/src/main/java/cobaltseam/membership/ViewChangeDriver.java
+++ b/src/main/java/cobaltseam/membership/ViewChangeDriver.java
@@ -10,7 +10,7 @@
 import cobaltseam.membership.MembershipMessage.Promise;
 import cobaltseam.membership.MembershipMessage.Reject;
 import cobaltseam.membership.ViewChange.OutgoingMessage;
-import cobaltseam.membership.ViewChange.Step;
+import cobaltseam.membership.ViewChange.Transition;
 import java.util.List;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
@@ -154,7 +154,7 @@
     boolean isLate = now.since(proposedAt).compareTo(periods(VOTE_TIMEOUT_PERIODS)) >= 0;
     take(ViewChange.proceed(localView.state(), detector.header(), isLate), now);
     if (localView.state().round() != null) {
-      take(ViewChange.again(localView.state(), detector.header()), now);
+      take(ViewChange.resendUnanswered(localView.state(), detector.header()), now);
     }
   }
 
@@ -231,22 +231,22 @@
   }
 
   /** Takes over the state after a step and sends its messages; those to itself at once. */
-  private void take(Step step, Timestamp now) {
+  private void take(Transition transition, Timestamp now) {
     View before = localView.view();
-    View next = step.seat().view();
+    View next = transition.state().view();
     if (next != before && !localView.containsSelf(next)) {
       // It completed an earlier choice, and that removes this process.
-      step.tells().forEach(this::send);
+      transition.messages().forEach(this::send);
       localView.leaveRemovedBy(next, now);
       return;
     }
-    localView.setState(step.seat(), now);
-    if (next != before && !step.tells().isEmpty()) {
-      decision = step.tells().stream().filter(t -> !isToSelf(t)).toList();
+    localView.setState(transition.state(), now);
+    if (next != before && !transition.messages().isEmpty()) {
+      decision = transition.messages().stream().filter(t -> !isToSelf(t)).toList();
       decisionResendsLeft = DECISION_RESENDS;
       resendAt = now.plus(periods(RESEND_PERIODS));
     }
-    for (OutgoingMessage message : step.tells()) {
+    for (OutgoingMessage message : transition.messages()) {
       if (isToSelf(message)) {
         receive(message.message(), now);
       } else {
@@ -267,11 +267,11 @@
     if (message instanceof Prepare prepare) {
       if (counts(prepare.viewId(), from, prepare.ballot())) {
         List<MemberName> retained = planner.retained(prepare.removed(), now);
-        take(ViewChange.prepare(state, self, prepare, retained), now);
+        take(ViewChange.receivePrepare(state, self, prepare, retained), now);
       }
     } else if (message instanceof Promise promise) {
       if (counts(promise.viewId(), from, null)) {
-        take(ViewChange.promised(state, self, promise), now);
+        take(ViewChange.receivePromise(state, self, promise), now);
       }
     } else if (message instanceof Reject reject) {
       if (counts(reject.viewId(), from, reject.promised())) {
@@ -279,11 +279,11 @@
       }
     } else if (message instanceof Accept accept) {
       if (counts(accept.viewId(), from, accept.ballot()) && hasDocumentFor(accept.value())) {
-        take(ViewChange.accept(state, self, accept), now);
+        take(ViewChange.receiveAccept(state, self, accept), now);
       }
     } else if (message instanceof Accepted accepted) {
       if (counts(accepted.viewId(), from, null)) {
-        take(ViewChange.accepted(state, self, accepted), now);
+        take(ViewChange.receiveAccepted(state, self, accepted), now);
       }
     } else if (message instanceof Decided decided) {
       receiveDecided(decided, now);
@@ -301,7 +301,7 @@
     }
     // The view may hold a former incarnation of this process, which has no vote.
     return !quorum.isResumed()
-        && ViewChange.counts(localView.state(), from, viewId)
+        && ViewChange.isFromVoter(localView.state(), from, viewId)
         && localView.containsSelf(localView.view());
   }
 
--- a/src/main/java/cobaltseam/membership/ViewDelta.java
+++ b/src/main/java/cobaltseam/membership/ViewDelta.java
@@ -3,21 +3,26 @@
 import java.util.List;
 
 /**
- * What the successor of a view differs in: processes taken out, each a certain birth, and processes
- * taken in, and another edition of the agreed document, or null.
+ * The difference between a view and its successor.
+ *
+ * @param removed processes to remove, each a certain incarnation
+ * @param added processes to add
+ * @param configuration the next version of the agreed configuration, or null for no change
  */
 public record ViewDelta(
     List<Member> removed, List<Member> added, ConfigurationVersion configuration) {
-  /** Nothing. */
+  /** No change. */
   static final ViewDelta NONE = new ViewDelta(List.of(), List.of());
 
+  /** Copies the lists. */
   public ViewDelta {
     removed = List.copyOf(removed);
     added = List.copyOf(added);
   }
 
-  public ViewDelta(List<Member> out, List<Member> in) {
-    this(out, in, null);
+  /** A change of members only. */
+  public ViewDelta(List<Member> removed, List<Member> added) {
+    this(removed, added, null);
   }
 
   boolean isEmpty() {
--- a/src/main/java/cobaltseam/membership/ViewState.java
+++ b/src/main/java/cobaltseam/membership/ViewState.java
@@ -5,13 +5,15 @@
 import java.util.Set;
 
 /**
- * What one process holds of a view and of the choice of its successor. With a lasting folder, all
- * but {@code round} is on disk before it is told; without one it ends with the process, whose next
- * one has another birth and holds nothing.
+ * A process's view and its votes on the successor. With a folder, all but {@code round} is
+ * persisted before it is sent; without one it is lost with the process, and the next process has
+ * another incarnation and no view.
  *
+ * @param view the view, or null
  * @param promised the highest ballot promised for the view's successor, or null
  * @param accepted the ballot under which {@code value} was accepted, or null
- * @param round this process's own try, or null
+ * @param value the accepted change, or null
+ * @param round this process's own proposal, or null
  */
 public record ViewState(
     View view, Ballot promised, Ballot accepted, ViewDelta value, ProposalRound round) {
@@ -22,27 +24,31 @@
     return new ViewState(view, null, null, null, null);
   }
 
-  ViewState with(ProposalRound now) {
-    return new ViewState(view, promised, accepted, value, now);
+  ViewState with(ProposalRound ownRound) {
+    return new ViewState(view, promised, accepted, value, ownRound);
   }
 
-  /** What a voter promised: what it had accepted by then, and whom it would not take out. */
-  record ReceivedPromise(Ballot accepted, ViewDelta value, List<MemberName> stay) {}
+  /** A promise: what the voter had accepted by then, and the members that it retains. */
+  record ReceivedPromise(Ballot accepted, ViewDelta value, List<MemberName> retained) {}
 
   /**
-   * One own try.
+   * A proposal of this process.
    *
-   * @param chosen what is being accepted, or null in the first phase
+   * @param proposed the change that it would make
+   * @param promises of the voters that promised, in phase one
+   * @param chosen the change that is to be accepted in phase two; null in phase one
+   * @param acceptedBy the voters that accepted it
    */
   public record ProposalRound(
       Ballot ballot,
-      ViewDelta wanted,
+      ViewDelta proposed,
       Map<MemberName, ReceivedPromise> promises,
       ViewDelta chosen,
-      Set<MemberName> accepts) {
+      Set<MemberName> acceptedBy) {
+    /** Copies the votes. */
     public ProposalRound {
       promises = Map.copyOf(promises);
-      accepts = Set.copyOf(accepts);
+      acceptedBy = Set.copyOf(acceptedBy);
     }
   }
 }
