--- /dev/null
+++ b/src/main/java/cobaltseam/service/FleetModules.java
@@ -0,0 +1,195 @@
+package cobaltseam.service;
+
+import cobaltseam.capacity.CapacityLeases;
+import cobaltseam.capacity.DemandEstimate;
+import cobaltseam.capacity.LoadReports;
+import cobaltseam.coordination.FleetCoordinator;
+import cobaltseam.dispatch.Deployment;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
+import cobaltseam.membership.Incarnation;
+import cobaltseam.membership.Lease;
+import cobaltseam.membership.Member;
+import cobaltseam.membership.MemberName;
+import cobaltseam.membership.Membership;
+import cobaltseam.membership.MembershipOptions;
+import cobaltseam.retrybudget.RetryBudget;
+import cobaltseam.settings.Settings;
+import cobaltseam.sharing.StateGossip;
+import cobaltseam.transport.MessageCodec;
+import java.util.SplittableRandom;
+
+/**
+ * The decision modules of the fleet's thread, built from the settings and joined by a {@link
+ * FleetCoordinator}. Modules that the settings do not ask for are null.
+ */
+final class FleetModules {
+  /** The largest difference between the rates of two clocks, as a ratio. */
+  static final double MAX_CLOCK_RATE_RATIO = 0.001;
+
+  private final Settings.CapacitySettings capacitySettings;
+
+  final Membership membership;
+
+  /** Null if neither agreement nor capacity leases need one. */
+  final Lease lease;
+
+  /** Null if the fleet does not agree on settings. */
+  final AgreedConfiguration agreed;
+
+  /** Null if members share no figures. */
+  final StateGossip gossip;
+
+  /** Null if engines are not divided by demand. */
+  final CapacityLeases capacityLeases;
+
+  /** Null if engines are not divided by demand. */
+  final DemandEstimate demand;
+
+  /** Null if members do not exchange the load reports of engines. */
+  final LoadReports loadReports;
+
+  /** Null if retries are not limited over the fleet. */
+  final RetryBudget retryBudget;
+
+  final FleetCoordinator coordinator;
+
+  /**
+   * Builds the modules and has the bridge collect what they need from the event loop.
+   *
+   * @param settings with membership on
+   * @param document this dispatcher's own settings; used if the fleet agrees on settings
+   */
+  FleetModules(
+      Settings settings,
+      ServiceConfiguration configuration,
+      byte[] document,
+      FleetStateFolder folder,
+      FleetMessaging messaging,
+      FleetBridge bridge,
+      Counters counters,
+      RateLimitedLog log,
+      Timestamp now) {
+    capacitySettings = settings.spread();
+    Deployment own = configuration.deployment();
+    SplittableRandom random = new SplittableRandom(configuration.seed() ^ System.nanoTime());
+    membership = createMembership(settings.fleet(), configuration, folder, random.split());
+    lease = createLease(settings, random);
+    agreed =
+        settings.agreed() == null
+            ? null
+            : createAgreement(settings.agreed(), own, document, folder, counters, random);
+    gossip = createGossip(settings, random, now);
+    coordinator =
+        new FleetCoordinator(
+            membership,
+            lease,
+            agreed == null ? null : agreed.agreement(),
+            gossip,
+            new FleetEffects(membership, agreed, folder, messaging, counters, log));
+    capacityLeases =
+        !isDividedByDemand()
+            ? null
+            : new CapacityLeases(
+                capacitySettings.terms(own.dispatcherCount()), coordinator.under(), random.split());
+    demand = !isDividedByDemand() ? null : new DemandEstimate(capacitySettings.window());
+    loadReports =
+        capacitySettings == null || !capacitySettings.news().isPositive()
+            ? null
+            : new LoadReports(capacitySettings.reports(MAX_CLOCK_RATE_RATIO), random.split(), now);
+    retryBudget =
+        settings.repeats() == null
+            ? null
+            : new RetryBudget(
+                settings.repeats().terms(MAX_CLOCK_RATE_RATIO), bridge.left(), random.split());
+    connect(bridge);
+  }
+
+  private static Membership createMembership(
+      Settings.MembershipSettings settings,
+      ServiceConfiguration configuration,
+      FleetStateFolder folder,
+      SplittableRandom random) {
+    TimeSpan longestDeadline =
+        configuration.deployment().requestClasses().stream()
+            .map(Deployment.RequestClass::deadline)
+            .max(TimeSpan::compareTo)
+            .orElse(TimeSpan.ZERO);
+    MembershipOptions options =
+        new MembershipOptions(
+            settings.period(),
+            settings.patience(),
+            settings.helpers(),
+            settings.founders().stream().map(MemberName::new).toList(),
+            settings.seeds(),
+            longestDeadline);
+    // Later than that of any earlier process here if clocks are right; if they are not, peers say
+    // so and membership raises it.
+    Incarnation incarnation = new Incarnation(Math.max(1, System.currentTimeMillis()));
+    Member self =
+        new Member(new MemberName(configuration.name()), incarnation, settings.advertise());
+    return folder.isUsable()
+        ? Membership.lasting(options, self, folder.loadedState(), random)
+        : new Membership(options, self, random);
+  }
+
+  private Lease createLease(Settings settings, SplittableRandom random) {
+    TimeSpan duration = null;
+    if (settings.agreed() != null) {
+      duration = settings.agreed().contradiction();
+    } else if (isDividedByDemand()) {
+      duration = capacitySettings.lease();
+    }
+    return duration == null
+        ? null
+        : new Lease(
+            new Lease.LeaseOptions(duration, MAX_CLOCK_RATE_RATIO), membership, random.split());
+  }
+
+  private AgreedConfiguration createAgreement(
+      Settings.AgreementSettings settings,
+      Deployment own,
+      byte[] document,
+      FleetStateFolder folder,
+      Counters counters,
+      SplittableRandom random) {
+    AgreedConfiguration created =
+        new AgreedConfiguration(settings, membership, lease, own, counters, random.split());
+    created.own(document);
+    if (folder.loadedState() != null) {
+      created.knows(folder.loadedState().documents());
+    }
+    return created;
+  }
+
+  private StateGossip createGossip(Settings settings, SplittableRandom random, Timestamp now) {
+    if (!isDividedByDemand() && settings.repeats() == null) {
+      return null;
+    }
+    return new StateGossip(
+        membership.self().name(),
+        membership.self().incarnation(),
+        settings.sharing(MessageCodec.MAX_MESSAGE_BYTES / 2, MAX_CLOCK_RATE_RATIO),
+        random.split(),
+        now);
+  }
+
+  private void connect(FleetBridge bridge) {
+    if (loadReports != null) {
+      coordinator.hears(loadReports);
+      bridge.hears();
+    }
+    if (capacityLeases != null) {
+      coordinator.holds(capacityLeases);
+    }
+    if (retryBudget != null) {
+      coordinator.caps(retryBudget, bridge.sends());
+      bridge.caps();
+    }
+  }
+
+  /** Whether each member's part of the engines follows its demand. */
+  boolean isDividedByDemand() {
+    return capacitySettings != null && capacitySettings.byDemand();
+  }
+}
--- /dev/null
+++ b/src/main/java/cobaltseam/service/FleetStatusRows.java
@@ -0,0 +1,248 @@
+package cobaltseam.service;
+
+import cobaltseam.coordination.FleetCoordinator;
+import cobaltseam.dispatch.Timestamp;
+import cobaltseam.membership.Membership;
+import cobaltseam.membership.View;
+import cobaltseam.retrybudget.RetryBudget;
+import cobaltseam.service.Counters.Count;
+import cobaltseam.settings.Settings;
+import cobaltseam.sharing.StateGossip;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.Supplier;
+
+/**
+ * The rows that SHOW answers about the fleet. The fleet's thread builds them in {@link #refresh};
+ * client sessions read the last complete set without a wait.
+ */
+final class FleetStatusRows {
+  private static final int US_PER_MS = 1000;
+  private static final double US_PER_SECOND = 1e6;
+
+  private final Settings.MembershipSettings settings;
+  private final Settings.CapacitySettings capacitySettings;
+  private final FleetModules modules;
+  private final FleetStateFolder folder;
+  private final FleetMessaging messaging;
+  private final FleetBridge bridge;
+  private final boolean hasMastership;
+  private final Counters counters;
+  private final Clock clock;
+  private final Map<String, Supplier<List<String[]>>> suppliers = new HashMap<>();
+  private final AtomicReference<Map<String, List<String[]>>> published =
+      new AtomicReference<>(Map.of());
+  private boolean hasFailed;
+
+  /**
+   * @param hasMastership whether mastership, and not the fleet, says over how many dispatchers
+   *     engines are shared
+   */
+  FleetStatusRows(
+      Settings settings,
+      FleetModules modules,
+      FleetStateFolder folder,
+      FleetMessaging messaging,
+      FleetBridge bridge,
+      boolean hasMastership,
+      Counters counters,
+      Clock clock) {
+    this.settings = settings.fleet();
+    capacitySettings = settings.spread();
+    this.modules = modules;
+    this.folder = folder;
+    this.messaging = messaging;
+    this.bridge = bridge;
+    this.hasMastership = hasMastership;
+    this.counters = counters;
+    this.clock = clock;
+  }
+
+  /** Has the sessions answer SHOW for each module that runs. */
+  void register(ClientSessions sessions) {
+    if (modules.agreed != null) {
+      register(sessions, "agreement", () -> modules.agreed.rows(clock.now()));
+    }
+    if (modules.retryBudget != null) {
+      register(sessions, "repeats", this::retryBudgetRows);
+    }
+    if (capacitySettings != null) {
+      register(sessions, "spread", this::capacityRows);
+    }
+    register(sessions, "members", this::memberRows);
+  }
+
+  private void register(ClientSessions sessions, String name, Supplier<List<String[]>> rows) {
+    suppliers.put(name, rows);
+    sessions.shows(name, () -> published.getAcquire().getOrDefault(name, List.of()));
+  }
+
+  /** Builds all rows anew and publishes them. */
+  void refresh() {
+    Map<String, List<String[]>> all = new HashMap<>();
+    suppliers.forEach((name, rows) -> all.put(name, rows.get()));
+    published.setRelease(Map.copyOf(all));
+  }
+
+  /** From now on rows say that a fault ended membership. */
+  void markFailed() {
+    hasFailed = true;
+  }
+
+  private static String[] row(String name, String value) {
+    return new String[] {name, value};
+  }
+
+  /** The rows of the capacity leases, under the name "spread". */
+  private List<String[]> capacityRows() {
+    Timestamp now = clock.now();
+    List<String[]> rows = new ArrayList<>();
+    if (!modules.isDividedByDemand()) {
+      rows.add(
+          row(
+              "engines_reported",
+              modules.loadReports == null
+                  ? "not told"
+                  : Integer.toString(modules.loadReports.size())));
+      return rows;
+    }
+    long standalone = capacitySettings.terms(bridge.dispatchers()).alonePart();
+    rows.add(row("usable", part(modules.capacityLeases.usable(now))));
+    rows.add(row("alone", part(standalone)));
+    rows.add(row("even", part(modules.capacityLeases.even(now))));
+    rows.add(row("lent", part(modules.capacityLeases.lentOut(now))));
+    rows.add(row("borrowed", part(modules.capacityLeases.borrowed(now))));
+    rows.add(row("lease_left_ms", Long.toString(modules.lease.left(now).us() / US_PER_MS)));
+    StateGossip.Sum sum = modules.gossip.sum(FleetCoordinator.DEMAND, now);
+    rows.add(
+        row(
+            "demand_threads",
+            String.format(
+                Locale.ROOT,
+                "%.3f of %.3f, %d members known, %d not",
+                FleetCoordinator.demand(modules.gossip.own(FleetCoordinator.DEMAND))
+                    / US_PER_SECOND,
+                FleetCoordinator.demand(sum.sum()) / US_PER_SECOND,
+                sum.counted(),
+                sum.unknown())));
+    if (modules.loadReports != null) {
+      rows.add(row("engines_reported", Integer.toString(modules.loadReports.size())));
+    }
+    return rows;
+  }
+
+  /** The rows of the retry budget, under the name "repeats". */
+  private List<String[]> retryBudgetRows() {
+    List<String[]> rows = new ArrayList<>();
+    double left = (double) bridge.left().get() / RetryBudget.ONE;
+    rows.add(row("left", String.format(Locale.ROOT, "%.3f", left)));
+    rows.add(
+        row("wanted_a_second", String.format(Locale.ROOT, "%.3f", modules.retryBudget.need())));
+    rows.add(row("first_sends", Long.toString(bridge.sends().firstAttempts())));
+    rows.add(row("further_sends_and_denied", Long.toString(bridge.sends().wantedRetries())));
+    rows.add(row("denied", Long.toString(counters.of(Count.REPEATS_DENIED))));
+    StateGossip.Sum spare = modules.gossip.sum(FleetCoordinator.SPARE, clock.now());
+    rows.add(
+        row(
+            "others_can_spare",
+            String.format(
+                Locale.ROOT,
+                "%.3f, %d members known, %d not",
+                (double) (spare.sum() - modules.gossip.own(FleetCoordinator.SPARE))
+                    / RetryBudget.ONE,
+                spare.counted(),
+                spare.unknown())));
+    return rows;
+  }
+
+  private String part(long amount) {
+    return String.format(Locale.ROOT, "%.6f", (double) amount / capacitySettings.whole());
+  }
+
+  /** The rows of membership, under the name "members". */
+  private List<String[]> memberRows() {
+    Timestamp now = clock.now();
+    Membership membership = modules.membership;
+    View view = membership.view();
+    List<String[]> rows = new ArrayList<>();
+    rows.add(row("membership", hasFailed ? "ended by a fault" : "on"));
+    rows.add(
+        row(
+            "self",
+            membership.self().name()
+                + " birth "
+                + membership.self().incarnation()
+                + " at "
+                + settings.advertise()));
+    rows.add(row("standing", membership.standing().label()));
+    rows.add(row("view", viewText(view, now)));
+    rows.add(row("engines_shared_over", sharedOver() + (hasMastership ? ", by mastership" : "")));
+    rows.add(row("own_health", membership.health() + " (0 is well)"));
+    rows.add(row("folder", folderText()));
+    rows.add(row("bears_ms", Long.toString(membership.bears().us() / US_PER_MS)));
+    for (Membership.MemberStatus status : membership.seen()) {
+      rows.add(row("member_" + status.member().name(), statusText(status, view, now)));
+    }
+    messaging
+        .rejections()
+        .forEach(
+            (reason, count) ->
+                rows.add(row("datagrams_refused_" + reason.label(), Long.toString(count))));
+    return rows;
+  }
+
+  private String viewText(View view, Timestamp now) {
+    return view == null
+        ? "none"
+        : view.id()
+            + ", "
+            + view.members().size()
+            + " members, since "
+            + elapsedMs(now, modules.membership.viewSince())
+            + " ms";
+  }
+
+  private String sharedOver() {
+    int carriers = modules.membership.carriers(clock.now());
+    return Integer.toString(hasFailed || carriers == 0 ? bridge.dispatchers() : carriers);
+  }
+
+  private String folderText() {
+    if (folder.path() == null) {
+      return "none";
+    }
+    if (modules.membership.isLasting()) {
+      return folder.path().toString();
+    }
+    return folder.path()
+        + ", not used: "
+        + (folder.isUsable() ? "lost while it ran" : folder.unusableReason());
+  }
+
+  private static String statusText(Membership.MemberStatus status, View view, Timestamp now) {
+    boolean isInView =
+        view != null && view.contains(status.member().name(), status.member().incarnation());
+    return status.condition().name().toLowerCase(Locale.ROOT)
+        + " since "
+        + elapsedMs(now, status.since())
+        + " ms, "
+        + (isInView ? "in the view" : "not in the view")
+        + ", birth "
+        + status.member().incarnation()
+        + " incarnation "
+        + status.incarnation()
+        + ", heard "
+        + (status.heard() == null ? "never" : elapsedMs(now, status.heard()) + " ms ago")
+        + ", round trip "
+        + (status.roundTrip() == null ? "unknown" : status.roundTrip().us() + " us")
+        + (status.by().isEmpty() ? "" : ", suspected by " + status.by());
+  }
+
+  private static long elapsedMs(Timestamp now, Timestamp then) {
+    return then == null ? 0 : now.since(then).us() / US_PER_MS;
+  }
+}
