--- a/src/main/java/cobaltseam/service/AgreedConfiguration.java
+++ b/src/main/java/cobaltseam/service/AgreedConfiguration.java
@@ -32,15 +32,18 @@
 import java.util.stream.Collectors;
 
 /**
- * The settings of decisions as a document that the fleet agrees on: has {@link
- * ConfigurationAgreement} say which edition is acted on, reads that as a deployment, with this
- * dispatcher's own position in it, and moves the module to it.
+ * The dispatch settings as a document that the fleet agrees on. {@link ConfigurationAgreement} says
+ * which version is active; this class reads it as a deployment, with this dispatcher's own position
+ * in it, and derives the settings to act on. Used by the fleet's thread alone, except {@link
+ * #document}.
  */
 final class AgreedConfiguration {
   private static final System.Logger LOG = System.getLogger(AgreedConfiguration.class.getName());
   private static final String POSITION = "position";
-  private static final double CLOCKS = 0.001;
-  static final int LARGEST = 1 << 20;
+  private static final double MAX_CLOCK_RATE_RATIO = 0.001;
+  private static final int MAX_DOCUMENT_BYTES = 1 << 20;
+  private static final int MAX_CACHED_DEPLOYMENTS = 16;
+  private static final int US_PER_MS = 1000;
   private static final ObjectMapper JSON =
       JsonMapper.builder().enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS).build();
 
@@ -48,60 +51,69 @@
   private final Counters counters;
   private final int position;
 
-  /** By hash; bounded, as the agreement holds but few documents. */
-  private final Map<String, Deployment> read = new HashMap<>();
+  /** The deployments of documents, by hash; emptied when there are too many. */
+  private final Map<String, Deployment> deployments = new HashMap<>();
 
-  private Deployment own, acts, back;
-  private String last = "none";
+  private final Deployment own;
+  private Deployment active;
+  private Deployment conservative;
+  private String lastProposal = "none";
 
+  /**
+   * @param own the settings of this dispatcher's own file
+   */
   AgreedConfiguration(
-      Settings.AgreementSettings told,
+      Settings.AgreementSettings settings,
       Membership membership,
       Lease lease,
       Deployment own,
       Counters counters,
-      RandomGenerator chance) {
+      RandomGenerator random) {
     this.counters = counters;
     this.own = own;
-    // Nothing is agreed here yet: what the fleet acts on may differ from this dispatcher's own
-    // file.
-    back = ConservativeMerge.alone(own);
-    acts = back;
+    // Nothing is agreed yet, and the fleet's settings may differ from this dispatcher's own file.
+    conservative = ConservativeMerge.alone(own);
+    active = conservative;
     position = own.dispatcherIndex();
     agreement =
         new ConfigurationAgreement(
-            new ConfigurationAgreement.AgreementOptions(told.contradiction(), CLOCKS, LARGEST),
+            new ConfigurationAgreement.AgreementOptions(
+                settings.contradiction(), MAX_CLOCK_RATE_RATIO, MAX_DOCUMENT_BYTES),
             membership,
             lease,
-            new ConfigurationAgreement.ConfigurationValidator() {
-              @Override
-              public String check(byte[] content) {
-                try {
-                  deployment(content);
-                  return null;
-                } catch (InvalidInputException e) {
-                  return e.getMessage();
-                }
-              }
-
-              @Override
-              public boolean contradict(byte[] one, byte[] other) {
-                return ConservativeMerge.contradict(deployment(one), deployment(other));
-              }
-            },
-            chance);
+            new DeploymentValidator(),
+            random);
+  }
+
+  private final class DeploymentValidator implements ConfigurationAgreement.ConfigurationValidator {
+    @Override
+    public String check(byte[] content) {
+      try {
+        deployment(content);
+        return null;
+      } catch (InvalidInputException e) {
+        return e.getMessage();
+      }
+    }
+
+    @Override
+    public boolean contradict(byte[] one, byte[] other) {
+      return ConservativeMerge.contradict(deployment(one), deployment(other));
+    }
   }
 
   /**
    * The settings of a platform's configuration as a document: all but this dispatcher's position,
    * keys in order.
+   *
+   * @throws InvalidInputException if the configuration holds no settings
    */
   static byte[] document(byte[] configuration) {
     try {
       Map<?, ?> settings = (Map<?, ?>) JSON.readValue(configuration, Map.class).get("settings");
-      Map<Object, Object> all = new HashMap<>(settings);
-      all.remove(POSITION);
-      return JSON.writeValueAsBytes(all);
+      Map<Object, Object> shared = new HashMap<>(settings);
+      shared.remove(POSITION);
+      return JSON.writeValueAsBytes(shared);
     } catch (IOException | RuntimeException e) {
       throw new InvalidInputException(
           "no settings are read from the configuration: " + e.getMessage());
@@ -110,135 +122,141 @@
 
   private Deployment deployment(byte[] content) {
     String hash = ConfigurationAgreement.hash(content);
-    Deployment known = read.get(hash);
-    if (known != null) {
-      return known;
+    Deployment cached = deployments.get(hash);
+    if (cached != null) {
+      return cached;
     }
     try {
-      Map<Object, Object> all =
+      Map<Object, Object> settings =
           JSON.readValue(content, new TypeReference<HashMap<Object, Object>>() {});
-      all.put(POSITION, position);
-      try (JsonParser parser = new JsonFactory().createParser(JSON.writeValueAsBytes(all))) {
-        Deployment d = DeploymentReader.read(JsonObjectReader.of(parser));
-        if (read.size() > 16) {
-          read.clear();
+      settings.put(POSITION, position);
+      try (JsonParser parser = new JsonFactory().createParser(JSON.writeValueAsBytes(settings))) {
+        Deployment deployment = DeploymentReader.read(JsonObjectReader.of(parser));
+        if (deployments.size() > MAX_CACHED_DEPLOYMENTS) {
+          deployments.clear();
         }
-        read.put(hash, d);
-        return d;
+        deployments.put(hash, deployment);
+        return deployment;
       }
     } catch (IOException e) {
       throw new InvalidInputException("the document is not JSON of settings: " + e.getMessage());
     }
   }
 
-  // ---- what is asked
+  // ---- input
 
-  /** What the lasting folder held. */
-  void knows(List<byte[]> documents) {
+  /** Adds the documents that the state folder held. */
+  void addPersisted(List<byte[]> documents) {
     documents.forEach(agreement::knows);
   }
 
-  /** This dispatcher's own file: what a first edition is made of. */
-  void own(byte[] document) {
+  /** Sets the document that a first version is made of. */
+  void setOwn(byte[] document) {
     agreement.own(document);
   }
 
-  /** SIGHUP: what the own file says now is proposed. */
+  /** Proposes a document to the fleet; a rejection is logged and shown. */
   void propose(byte[] document, Timestamp now) {
-    String why = agreement.propose(document, -1, now);
-    if (why != null) {
-      last = "not proposed: " + why;
+    String rejection = agreement.propose(document, -1, now);
+    if (rejection != null) {
+      lastProposal = "not proposed: " + rejection;
       LOG.log(
           Level.WARNING,
-          "the settings of the own file are not proposed: {0}",
-          Field.of("reason", why),
+          "the settings of the own file were not proposed: {0}",
+          Field.of("reason", rejection),
           Field.event("agreement.not_proposed"));
     }
   }
 
+  // ---- state
+
   ConfigurationAgreement agreement() {
     return agreement;
   }
 
   /**
-   * Until when the module may act on {@link #acts} if nothing more is heard; null if it may not.
+   * Until when {@link #active} may be acted on if no further message arrives; null if only {@link
+   * #conservative} may.
    */
-  Timestamp until(Timestamp now) {
-    boolean may =
+  Timestamp activeUntil(Timestamp now) {
+    boolean mayAct =
         agreement.acting().mode() != ActiveConfiguration.Mode.BACK
             && agreement.leaseLeft(now).isPositive();
-    return may ? now.plus(agreement.leaseLeft(now)) : null;
+    return mayAct ? now.plus(agreement.leaseLeft(now)) : null;
   }
 
-  /** What the module acts on once that time has passed. */
-  Deployment back() {
-    return back;
+  /** The settings to act on once {@link #activeUntil} has passed. */
+  Deployment conservative() {
+    return conservative;
   }
 
-  /** What the module acts on. */
-  Deployment acts() {
-    return acts;
+  /** The settings to act on. */
+  Deployment active() {
+    return active;
   }
 
-  // ---- what follows
+  // ---- effects of the agreement
 
-  void on(ActiveConfiguration on) {
-    ConfigurationVersion newest = on.newest();
-    Deployment then = newest == null ? own : deployment(agreement.content(newest));
-    back = ConservativeMerge.alone(then);
-    then = on.mode() == ActiveConfiguration.Mode.BACK ? back : then;
-    for (int i = on.versions().size() - 2; i >= 0; i--) {
-      then = ConservativeMerge.between(deployment(agreement.content(on.versions().get(i))), then);
+  /** Derives the settings to act on from the versions that are active now. */
+  void activate(ActiveConfiguration configuration) {
+    ConfigurationVersion newest = configuration.newest();
+    Deployment newestSettings = newest == null ? own : deployment(agreement.content(newest));
+    conservative = ConservativeMerge.alone(newestSettings);
+    boolean isConservative = configuration.mode() == ActiveConfiguration.Mode.BACK;
+    Deployment merged = isConservative ? conservative : newestSettings;
+    List<ConfigurationVersion> versions = configuration.versions();
+    for (int i = versions.size() - 2; i >= 0; i--) {
+      merged = ConservativeMerge.between(deployment(agreement.content(versions.get(i))), merged);
     }
-    acts = then;
-    counters.add(
-        on.mode() == ActiveConfiguration.Mode.BACK
-            ? Count.AGREEMENT_STEPPED_BACK
-            : Count.AGREEMENT_MOVES);
+    active = merged;
+    counters.add(isConservative ? Count.AGREEMENT_STEPPED_BACK : Count.AGREEMENT_MOVES);
     LOG.log(
         Level.INFO,
-        "acts {0} on editions {1}",
-        Field.of("mode", on.mode().label()),
+        "configuration active, mode {0}, versions {1}",
+        Field.of("mode", configuration.mode().label()),
         Field.of(
             "editions",
-            on.versions().stream()
-                .map(e -> e.number() + ":" + e.hash())
+            versions.stream()
+                .map(version -> version.number() + ":" + version.hash())
                 .collect(Collectors.joining(" "))),
         Field.event("agreement.acts"));
   }
 
-  void noted(AgreementEffect.EventRecorded noted) {
-    last = noted.event().label() + ": " + noted.detail();
+  /** Logs an event of the agreement and shows it as the last one. */
+  void recordEvent(AgreementEffect.EventRecorded recorded) {
+    lastProposal = recorded.event().label() + ": " + recorded.detail();
     LOG.log(
         Level.INFO,
         "{0}: {1}",
-        Field.of("what", noted.event().label()),
-        Field.of("detail", noted.detail()),
-        Field.event("agreement." + noted.event().label()));
+        Field.of("what", recorded.event().label()),
+        Field.of("detail", recorded.detail()),
+        Field.event("agreement." + recorded.event().label()));
   }
 
-  /** SHOW cobaltseam.agreement. */
+  /** The rows of SHOW cobaltseam.agreement. */
   List<String[]> rows(Timestamp now) {
+    ActiveConfiguration configuration = agreement.acting();
     List<String[]> rows = new ArrayList<>();
-    ActiveConfiguration on = agreement.acting();
-    rows.add(new String[] {"acts", on.mode().label() + " on " + on.versions()});
+    rows.add(row("acts", configuration.mode().label() + " on " + configuration.versions()));
     rows.add(
-        new String[] {
-          "since_ms",
-          agreement.actingSince() == null
-              ? "never"
-              : Long.toString(now.since(agreement.actingSince()).us() / 1000)
-        });
-    rows.add(new String[] {"lease_left_ms", Long.toString(agreement.leaseLeft(now).us() / 1000)});
-    rows.add(new String[] {"held_by_all", Boolean.toString(agreement.isHeldByAll())});
-    rows.add(new String[] {"last_proposal", last});
+        row(
+            "since_ms",
+            agreement.actingSince() == null
+                ? "never"
+                : Long.toString(now.since(agreement.actingSince()).us() / US_PER_MS)));
+    rows.add(row("lease_left_ms", Long.toString(agreement.leaseLeft(now).us() / US_PER_MS)));
+    rows.add(row("held_by_all", Boolean.toString(agreement.isHeldByAll())));
+    rows.add(row("last_proposal", lastProposal));
     rows.add(
-        new String[] {
-          "by",
-          on.newest() == null
-              ? "nobody"
-              : on.newest().proposer().toString().toLowerCase(Locale.ROOT)
-        });
+        row(
+            "by",
+            configuration.newest() == null
+                ? "nobody"
+                : configuration.newest().proposer().toString().toLowerCase(Locale.ROOT)));
     return rows;
   }
+
+  private static String[] row(String name, String value) {
+    return new String[] {name, value};
+  }
 }
--- a/src/main/java/cobaltseam/service/FleetBridge.java
+++ b/src/main/java/cobaltseam/service/FleetBridge.java
@@ -17,235 +17,260 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * The one bridge between the fleet's thread and the thread that owns the module. The former
- * publishes a {@link FleetSnapshot}; the latter looks at it before anything is heard, decided or
- * sent, and moves the module. Neither ever waits for the other.
+ * Hands values over between the fleet's thread and the event loop, which owns the requests. The
+ * fleet's thread publishes a {@link FleetSnapshot}; the event loop reads it before it receives,
+ * decides or sends anything. All values pass through atomic variables: neither thread ever waits
+ * for the other.
  */
 final class FleetBridge {
   private static final System.Logger LOG = System.getLogger(FleetBridge.class.getName());
 
-  /** The module hears of a part that changed by more than this share of it. */
-  private static final double NOTABLE = 0.01;
+  /** A part of the engines that grows by less than this ratio is not applied. */
+  private static final double MIN_GROWTH_RATIO = 0.01;
 
-  /** The least part that engines are ever shared by. */
-  private static final double LEAST = 1e-6;
+  /** The smallest part of the engines that is ever applied. */
+  private static final double MIN_PART = 1e-6;
 
-  private static final long TELLS_EVERY_US = 20_000;
+  private static final long REPORTS_INTERVAL_US = 20_000;
 
-  /** Reports that wait for an owner's thread that stands still: more are lost, the oldest first. */
-  private static final int MOST_UNTAKEN = 4 * LoadReports.MOST;
+  /**
+   * Load reports that may wait while the event loop stands still; beyond them the oldest are
+   * dropped.
+   */
+  private static final int MAX_PENDING_REPORTS = 4 * LoadReports.MOST;
 
   private final AtomicReference<FleetSnapshot> snapshot = new AtomicReference<>(FleetSnapshot.NONE);
 
-  /** What the module counted as asked for: the bits of a double, by the owner's thread alone. */
+  /** The bits of a double: the demand so far, written by the event loop alone. */
   private final AtomicLong offered = new AtomicLong();
 
-  /**
-   * What engines told here, whole and youngest; and what they told others that the owner's thread
-   * has not taken yet.
-   */
-  private final AtomicReference<List<LoadReport>> toldHere = new AtomicReference<>(List.of());
+  /** The latest load report of each engine that reported to this dispatcher. */
+  private final AtomicReference<List<LoadReport>> localReports = new AtomicReference<>(List.of());
 
-  private final AtomicReference<List<LoadReport>> toldElsewhere = new AtomicReference<>();
+  /** Load reports from other dispatchers that the event loop has not read yet, or null. */
+  private final AtomicReference<List<LoadReport>> remoteReports = new AtomicReference<>();
 
-  /**
-   * What is left to be sent again, in thousandths; and how often was sent at first and would have
-   * been again, by the owner's thread.
-   */
-  private final AtomicLong furtherLeft = new AtomicLong();
+  /** The retries that are left, in thousandths. */
+  private final AtomicLong remainingRetries = new AtomicLong();
+
+  /** Written by the event loop alone. */
+  private final AtomicLong firstAttempts = new AtomicLong();
+
+  /** Written by the event loop alone. */
+  private final AtomicLong wantedRetries = new AtomicLong();
 
-  private final AtomicLong firsts = new AtomicLong();
-  private final AtomicLong wanted = new AtomicLong();
-  private final RequestTable commands;
+  private final RequestTable requests;
   private final EventLoopQueue inbox;
   private final Clock clock;
-  private final int dispatchersTold;
+  private final int configuredDispatchers;
+  private final boolean hasMastership;
+
+  // The fields from here on belong to the event loop.
+  private FleetSnapshot applied = FleetSnapshot.NONE;
+  private long reapplyAtUs = Long.MAX_VALUE;
+  private double sharedOver;
+  private Deployment active;
+  private final Map<EngineId, LoadReport> reports = new HashMap<>();
+  private boolean hasNewReports;
+  private long nextReportsUs;
 
   /**
-   * Whether mastership tells the module over how many engines are shared; the fleet then does not.
+   * @param hasMastership whether mastership, and not the fleet, says over how many dispatchers
+   *     engines are shared
    */
-  private final boolean masteredElsewhere;
-
-  // of the owner's thread
-  private FleetSnapshot seen = FleetSnapshot.NONE;
-  private long againUs = Long.MAX_VALUE;
-  private double over;
-  private Deployment acts;
-  private final Map<EngineId, LoadReport> heard = new HashMap<>();
-  private boolean heardAnew;
-  private long tellsUs;
-
   FleetBridge(
-      RequestTable commands,
+      RequestTable requests,
       EventLoopQueue inbox,
       Clock clock,
-      Deployment told,
-      boolean masteredElsewhere) {
-    this.commands = commands;
+      Deployment configured,
+      boolean hasMastership) {
+    this.requests = requests;
     this.inbox = inbox;
     this.clock = clock;
-    dispatchersTold = told.dispatcherCount();
-    this.masteredElsewhere = masteredElsewhere;
-    over = dispatchersTold;
+    configuredDispatchers = configured.dispatcherCount();
+    this.hasMastership = hasMastership;
+    sharedOver = configuredDispatchers;
   }
 
-  /** What engines tell is heard here from now on; asked before the first command comes. */
-  void hears() {
-    commands.reportsTo(this);
+  /** Has the load reports of engines collected; to be called before the first request. */
+  void collectReports() {
+    requests.reportsTo(this);
   }
 
-  /** Further sends are capped from now on; asked before the first command comes. */
-  void caps() {
-    commands.cappedBy(this);
+  /** Has retries limited over the fleet; to be called before the first request. */
+  void limitRetries() {
+    requests.cappedBy(this);
   }
 
-  // ---- the fleet's thread
+  // ---- called by the fleet's thread
 
-  /** What is left to be sent again, as its purse sees it. */
-  RetryBudget.RemainingRetries left() {
+  /** The retries that are left, for the retry budget. */
+  RetryBudget.RemainingRetries retries() {
     return new RetryBudget.RemainingRetries() {
       @Override
       public long get() {
-        return furtherLeft.get();
+        return remainingRetries.get();
       }
 
       @Override
       public boolean change(long expected, long to) {
-        return furtherLeft.compareAndSet(expected, to);
+        return remainingRetries.compareAndSet(expected, to);
       }
     };
   }
 
-  /** What was sent so far. */
-  FleetCoordinator.AttemptCounts sends() {
+  /** How many attempts this dispatcher made so far. */
+  FleetCoordinator.AttemptCounts attemptCounts() {
     return new FleetCoordinator.AttemptCounts() {
       @Override
       public long firstAttempts() {
-        return firsts.getOpaque();
+        return firstAttempts.getOpaque();
       }
 
       @Override
       public long wantedRetries() {
-        return wanted.getOpaque();
+        return wantedRetries.getOpaque();
       }
     };
   }
 
-  void publish(FleetSnapshot anew) {
-    snapshot.setRelease(anew);
-    // So that one that rests looks at it.
+  /** Publishes a snapshot and wakes the event loop to read it. */
+  void publish(FleetSnapshot latest) {
+    snapshot.setRelease(latest);
     inbox.post(null, () -> {});
   }
 
-  /** What the module counted as asked for, in microseconds of one thread. */
-  double offered() {
+  /** The demand so far, in microseconds of one thread. */
+  double totalDemand() {
     return Double.longBitsToDouble(offered.getOpaque());
   }
 
-  /** What engines told here last. */
-  List<LoadReport> toldHere() {
-    return toldHere.getAcquire();
+  /** The latest load report of each engine that reported to this dispatcher. */
+  List<LoadReport> localReports() {
+    return localReports.getAcquire();
   }
 
-  /** What engines told other dispatchers; what was not taken yet goes with it. */
-  void toldElsewhere(List<LoadReport> news) {
-    List<LoadReport> before = toldElsewhere.getAndSet(null);
+  /** Hands over load reports from other dispatchers, behind those that still wait. */
+  void addRemoteReports(List<LoadReport> received) {
+    List<LoadReport> waiting = remoteReports.getAndSet(null);
     List<LoadReport> all =
         new ArrayList<>(
-            before == null
+            waiting == null
                 ? List.of()
-                : before.subList(Math.max(0, before.size() - MOST_UNTAKEN), before.size()));
-    all.addAll(news);
-    toldElsewhere.set(all);
+                : waiting.subList(
+                    Math.max(0, waiting.size() - MAX_PENDING_REPORTS), waiting.size()));
+    all.addAll(received);
+    remoteReports.set(all);
   }
 
-  /** How many dispatchers the settings name. */
-  int dispatchers() {
-    return dispatchersTold;
+  /** The number of dispatchers in the settings. */
+  int configuredDispatchers() {
+    return configuredDispatchers;
   }
 
-  // ---- the owner's thread
+  // ---- called by the event loop
 
-  /** Whether what is known has changed, or time alone changes what follows from it. */
+  /** Exchanges values with the fleet's thread and applies what has changed since the last call. */
   void look() {
-    offered.setOpaque(Double.doubleToRawLongBits(commands.offered()));
-    List<LoadReport> told =
-        toldElsewhere.getAcquire() == null ? null : toldElsewhere.getAndSet(null);
-    if (told != null) {
-      told.forEach(r -> commands.reported(r.engine(), r.inFlight(), r.at()));
+    offered.setOpaque(Double.doubleToRawLongBits(requests.offered()));
+    applyRemoteReports();
+    publishLocalReports();
+    FleetSnapshot latest = snapshot.getAcquire();
+    if (latest != applied || clock.us() >= reapplyAtUs) {
+      apply(latest, clock.us());
     }
-    if (heardAnew && clock.us() >= tellsUs) {
-      heardAnew = false;
-      tellsUs = clock.us() + TELLS_EVERY_US;
-      toldHere.setRelease(List.copyOf(heard.values()));
+  }
+
+  private void applyRemoteReports() {
+    // Read first: most times there are none, and a read is cheaper than an exchange.
+    List<LoadReport> received =
+        remoteReports.getAcquire() == null ? null : remoteReports.getAndSet(null);
+    if (received != null) {
+      received.forEach(
+          report -> requests.reported(report.engine(), report.inFlight(), report.at()));
     }
-    FleetSnapshot now = snapshot.getAcquire();
-    if (now != seen || clock.us() >= againUs) {
-      follow(now, clock.us());
+  }
+
+  private void publishLocalReports() {
+    if (hasNewReports && clock.us() >= nextReportsUs) {
+      hasNewReports = false;
+      nextReportsUs = clock.us() + REPORTS_INTERVAL_US;
+      localReports.setRelease(List.copyOf(reports.values()));
     }
   }
 
-  /** How many further sends are left. */
+  /** The number of retries that are left. */
   long furtherLeft() {
-    return furtherLeft.get() / RetryBudget.ONE;
+    return remainingRetries.get() / RetryBudget.ONE;
   }
 
-  /** A command is sent for the first time. */
+  /** Counts the first attempt of a request. */
   void first() {
-    firsts.setOpaque(firsts.getPlain() + 1);
+    firstAttempts.setOpaque(firstAttempts.getPlain() + 1);
   }
 
-  /** A command would be sent again, and is not for want of what is left. */
+  /** Counts a retry that was not made because none is left. */
   void denied() {
-    wanted.setOpaque(wanted.getPlain() + 1);
+    wantedRetries.setOpaque(wantedRetries.getPlain() + 1);
   }
 
-  /** Takes one further send; false if none is left by now. */
+  /** Counts a retry and takes it from those that are left; false if none is left by now. */
   boolean takesFurther() {
-    wanted.setOpaque(wanted.getPlain() + 1);
-    for (long is = furtherLeft.get(); is >= RetryBudget.ONE; is = furtherLeft.get()) {
-      if (furtherLeft.compareAndSet(is, is - RetryBudget.ONE)) {
+    wantedRetries.setOpaque(wantedRetries.getPlain() + 1);
+    for (long left = remainingRetries.get();
+        left >= RetryBudget.ONE;
+        left = remainingRetries.get()) {
+      if (remainingRetries.compareAndSet(left, left - RetryBudget.ONE)) {
         return true;
       }
     }
     return false;
   }
 
-  /** An engine told that it holds so many commands that do not wait for memory. */
-  void heard(EngineId engine, double inHand, Timestamp now) {
-    if (heard.size() < LoadReports.MOST || heard.containsKey(engine)) {
-      heard.put(engine, new LoadReport(engine, inHand, now));
-      heardAnew = true;
+  /** An engine reported how many requests it has in flight that do not wait for memory. */
+  void heard(EngineId engine, double inFlight, Timestamp now) {
+    if (reports.size() < LoadReports.MOST || reports.containsKey(engine)) {
+      reports.put(engine, new LoadReport(engine, inFlight, now));
+      hasNewReports = true;
     }
   }
 
-  private void follow(FleetSnapshot now, long us) {
-    seen = now;
-    againUs = now.changesUs(us);
-    Deployment then = us < now.untilUs() ? now.acts() : now.back();
-    if (then != null && !then.equals(acts)) {
-      acts = then;
-      commands.moveTo(then);
-      LOG.log(
-          Level.INFO,
-          "other settings of decisions act from now on, with {0} commands in hand",
-          Field.of("inHand", commands.inHand()),
-          Field.event("configuration.moved"));
+  private void apply(FleetSnapshot latest, long nowUs) {
+    applied = latest;
+    reapplyAtUs = latest.nextChangeUs(nowUs);
+    activate(nowUs < latest.activeUntilUs() ? latest.active() : latest.fallback());
+    double shared = sharedOver(latest, nowUs);
+    // A part that shrinks is applied at once, however little.
+    boolean isNotable = shared > sharedOver || shared < sharedOver * (1 - MIN_GROWTH_RATIO);
+    if (isNotable && !hasMastership) {
+      sharedOver = shared;
+      requests.sharedOver(sharedOver);
     }
-    double part = now.parts() == null ? 0 : now.part(us);
-    double shared =
-        now.parts() != null
-            ? 1 / Math.max(LEAST, part)
-            : now.carriers() > 0 ? now.carriers() : dispatchersTold;
-    // A part that shrinks is heeded at once, however little.
-    if ((shared > over || shared < over * (1 - NOTABLE)) && !masteredElsewhere) {
-      over = shared;
-      commands.sharedOver(over);
+  }
+
+  private void activate(Deployment deployment) {
+    if (deployment == null || deployment.equals(active)) {
+      return;
+    }
+    active = deployment;
+    requests.moveTo(deployment);
+    LOG.log(
+        Level.INFO,
+        "other settings of decisions act from now on, with {0} requests in flight",
+        Field.of("inHand", requests.inHand()),
+        Field.event("configuration.moved"));
+  }
+
+  /** Over how many dispatchers engines are shared; a fraction where parts are not even. */
+  private double sharedOver(FleetSnapshot latest, long nowUs) {
+    if (latest.parts() != null) {
+      return 1 / Math.max(MIN_PART, latest.usablePart(nowUs));
     }
+    return latest.carriers() > 0 ? latest.carriers() : configuredDispatchers;
   }
 
-  /** The agreed settings that the module acts on; null where the fleet agrees on none. */
+  /** The agreed settings that are active; null where the fleet agrees on none. */
   Deployment acts() {
-    return acts;
+    return active;
   }
 }
--- a/src/main/java/cobaltseam/service/FleetEffects.java
+++ b/src/main/java/cobaltseam/service/FleetEffects.java
@@ -97,9 +97,9 @@
   @Override
   public void doing(AgreementEffect effect) {
     if (effect instanceof AgreementEffect.Activate activate) {
-      agreed.on(activate.on());
+      agreed.activate(activate.on());
     } else if (effect instanceof AgreementEffect.EventRecorded recorded) {
-      agreed.noted(recorded);
+      agreed.recordEvent(recorded);
     }
   }
 }
--- a/src/main/java/cobaltseam/service/FleetModules.java
+++ b/src/main/java/cobaltseam/service/FleetModules.java
@@ -101,7 +101,7 @@
         settings.repeats() == null
             ? null
             : new RetryBudget(
-                settings.repeats().terms(MAX_CLOCK_RATE_RATIO), bridge.left(), random.split());
+                settings.repeats().terms(MAX_CLOCK_RATE_RATIO), bridge.retries(), random.split());
     connect(bridge);
   }
 
@@ -155,9 +155,9 @@
       SplittableRandom random) {
     AgreedConfiguration created =
         new AgreedConfiguration(settings, membership, lease, own, counters, random.split());
-    created.own(document);
+    created.setOwn(document);
     if (folder.loadedState() != null) {
-      created.knows(folder.loadedState().documents());
+      created.addPersisted(folder.loadedState().documents());
     }
     return created;
   }
@@ -177,14 +177,14 @@
   private void connect(FleetBridge bridge) {
     if (loadReports != null) {
       coordinator.hears(loadReports);
-      bridge.hears();
+      bridge.collectReports();
     }
     if (capacityLeases != null) {
       coordinator.holds(capacityLeases);
     }
     if (retryBudget != null) {
-      coordinator.caps(retryBudget, bridge.sends());
-      bridge.caps();
+      coordinator.caps(retryBudget, bridge.attemptCounts());
+      bridge.limitRetries();
     }
   }
 
--- a/src/main/java/cobaltseam/service/FleetService.java
+++ b/src/main/java/cobaltseam/service/FleetService.java
@@ -289,13 +289,13 @@
     try {
       shareFigures();
       if (modules.loadReports != null) {
-        bridge.toldHere().forEach(modules.loadReports::told);
+        bridge.localReports().forEach(modules.loadReports::told);
       }
       step.run();
       if (modules.loadReports != null) {
         List<LoadReport> received = modules.loadReports.news();
         if (!received.isEmpty()) {
-          bridge.toldElsewhere(received);
+          bridge.addRemoteReports(received);
         }
       }
       Timestamp now = clock.now();
@@ -334,7 +334,7 @@
     figuresAt = now;
     Map<String, Long> figures = new HashMap<>();
     if (modules.capacityLeases != null) {
-      double rate = modules.demand.told(bridge.offered(), now);
+      double rate = modules.demand.told(bridge.totalDemand(), now);
       modules.capacityLeases.needs(rate);
       figures.put(FleetCoordinator.DEMAND, FleetCoordinator.figure(rate));
     }
@@ -379,13 +379,14 @@
     int carriers = membership.carriers(now);
     FleetSnapshot current = new FleetSnapshot(carriers, null, null, Long.MAX_VALUE, null, null);
     if (agreed != null) {
-      Timestamp until = agreed.until(now);
+      Timestamp until = agreed.activeUntil(now);
       long untilUs = until == null ? 0 : until.us();
-      current = new FleetSnapshot(carriers, agreed.acts(), agreed.back(), untilUs, null, null);
+      current =
+          new FleetSnapshot(carriers, agreed.active(), agreed.conservative(), untilUs, null, null);
     }
     return modules.capacityLeases == null
         ? current
-        : current.with(modules.capacityLeases.steps(now), capacitySettings.whole());
+        : current.withParts(modules.capacityLeases.steps(now), capacitySettings.whole());
   }
 
   /** Ends membership until the next start; the service goes on as one without it. */
@@ -410,14 +411,14 @@
 
   /** The snapshot after a fault: conservative settings, and the standalone part of the engines. */
   private FleetSnapshot failedSnapshot() {
-    Deployment conservative = agreed == null ? null : agreed.back();
+    Deployment conservative = agreed == null ? null : agreed.conservative();
     FleetSnapshot last =
         new FleetSnapshot(0, conservative, conservative, Long.MAX_VALUE, null, null);
     if (modules.capacityLeases == null) {
       return last;
     }
-    long standalone = capacitySettings.terms(bridge.dispatchers()).alonePart();
-    return last.with(
+    long standalone = capacitySettings.terms(bridge.configuredDispatchers()).alonePart();
+    return last.withParts(
         List.of(new CapacityLeases.CapacityStep(null, standalone)), capacitySettings.whole());
   }
 
--- a/src/main/java/cobaltseam/service/FleetSnapshot.java
+++ b/src/main/java/cobaltseam/service/FleetSnapshot.java
@@ -8,39 +8,53 @@
 import java.util.stream.IntStream;
 
 /**
- * What the fleet's thread knows, for the thread that owns the module: made whole, published whole,
- * never changed. It tells what follows from it as time passes, so that a reader whose fleet's
- * thread is held up still steps back in time.
+ * An immutable snapshot of the fleet for the event loop. It also says what follows from it as time
+ * passes, so that the event loop steps back in time even while the fleet's thread stands still.
+ * Times are microseconds of the service's clock.
  *
- * @param carriers over how many dispatchers engines are shared; 0 if no view tells
- * @param acts the settings to act on until {@code untilUs}, or null where the fleet agrees on none
- * @param back the settings to act on from then on
- * @param untilUs in microseconds of the service's clock
+ * @param carriers over how many dispatchers engines are shared; 0 if no view says so
+ * @param active the settings to act on until {@code untilUs}, or null where the fleet agrees on
+ *     none
+ * @param fallback the settings to act on from then on
+ * @param activeUntilUs when {@code acts} ends
  * @param stepsUs until when each of {@code parts} of the engines may be used, rising; null where
  *     parts are even
+ * @param parts the usable part of the engines, from 0 to 1, in each of these steps; null where
+ *     parts are even
  */
 record FleetSnapshot(
-    int carriers, Deployment acts, Deployment back, long untilUs, long[] stepsUs, double[] parts) {
+    int carriers,
+    Deployment active,
+    Deployment fallback,
+    long activeUntilUs,
+    long[] stepsUs,
+    double[] parts) {
+  /** Nothing is known of a fleet. */
   static final FleetSnapshot NONE = new FleetSnapshot(0, null, null, Long.MAX_VALUE, null, null);
 
-  /** The same with parts that follow from holdings. */
-  FleetSnapshot with(List<CapacityLeases.CapacityStep> steps, long whole) {
+  /**
+   * The same with the parts of the engines that capacity leases allow.
+   *
+   * @param steps the usable amounts, the end of each rising; the last never ends
+   * @param whole the amount that is all of the engines
+   */
+  FleetSnapshot withParts(List<CapacityLeases.CapacityStep> steps, long whole) {
     long[] ends =
         steps.stream()
-            .mapToLong(s -> s.until() == null ? Long.MAX_VALUE : s.until().us())
+            .mapToLong(step -> step.until() == null ? Long.MAX_VALUE : step.until().us())
             .toArray();
-    double[] of = steps.stream().mapToDouble(s -> (double) s.amount() / whole).toArray();
-    return new FleetSnapshot(carriers, acts, back, untilUs, ends, of);
+    double[] amounts = steps.stream().mapToDouble(step -> (double) step.amount() / whole).toArray();
+    return new FleetSnapshot(carriers, active, fallback, activeUntilUs, ends, amounts);
   }
 
-  /** Whether nothing new is in it. */
-  boolean isLike(FleetSnapshot o) {
-    return carriers == o.carriers
-        && acts == o.acts
-        && back == o.back
-        && untilUs == o.untilUs
-        && Arrays.equals(stepsUs, o.stepsUs)
-        && Arrays.equals(parts, o.parts);
+  /** Whether it says the same as another; settings are compared by identity. */
+  boolean isLike(FleetSnapshot other) {
+    return carriers == other.carriers
+        && active == other.active
+        && fallback == other.fallback
+        && activeUntilUs == other.activeUntilUs
+        && Arrays.equals(stepsUs, other.stepsUs)
+        && Arrays.equals(parts, other.parts);
   }
 
   /** Each part and until when it may be used, for audits. */
@@ -50,23 +64,23 @@
         .collect(Collectors.joining(" "));
   }
 
-  /** The part of the engines that may be used at this moment. */
-  double part(long nowUs) {
-    int i = 0;
-    while (i < stepsUs.length - 1 && nowUs >= stepsUs[i]) {
-      i++;
+  /** The part of the engines that may be used at this time; only where parts are not even. */
+  double usablePart(long nowUs) {
+    int step = 0;
+    while (step < stepsUs.length - 1 && nowUs >= stepsUs[step]) {
+      step++;
     }
-    return parts[i];
+    return parts[step];
   }
 
-  /** Before then nothing of it changes by itself. */
-  long changesUs(long nowUs) {
-    long next = nowUs < untilUs ? untilUs : Long.MAX_VALUE;
+  /** When what follows from this snapshot next changes by itself; the largest long for never. */
+  long nextChangeUs(long nowUs) {
+    long settingsChangeUs = nowUs < activeUntilUs ? activeUntilUs : Long.MAX_VALUE;
     for (int i = 0; stepsUs != null && i < stepsUs.length; i++) {
       if (stepsUs[i] > nowUs) {
-        return Math.min(next, stepsUs[i]);
+        return Math.min(settingsChangeUs, stepsUs[i]);
       }
     }
-    return next;
+    return settingsChangeUs;
   }
 }
--- a/src/main/java/cobaltseam/service/FleetStatusRows.java
+++ b/src/main/java/cobaltseam/service/FleetStatusRows.java
@@ -110,7 +110,7 @@
                   : Integer.toString(modules.loadReports.size())));
       return rows;
     }
-    long standalone = capacitySettings.terms(bridge.dispatchers()).alonePart();
+    long standalone = capacitySettings.terms(bridge.configuredDispatchers()).alonePart();
     rows.add(row("usable", part(modules.capacityLeases.usable(now))));
     rows.add(row("alone", part(standalone)));
     rows.add(row("even", part(modules.capacityLeases.even(now))));
@@ -138,12 +138,13 @@
   /** The rows of the retry budget, under the name "repeats". */
   private List<String[]> retryBudgetRows() {
     List<String[]> rows = new ArrayList<>();
-    double left = (double) bridge.left().get() / RetryBudget.ONE;
+    double left = (double) bridge.retries().get() / RetryBudget.ONE;
     rows.add(row("left", String.format(Locale.ROOT, "%.3f", left)));
     rows.add(
         row("wanted_a_second", String.format(Locale.ROOT, "%.3f", modules.retryBudget.need())));
-    rows.add(row("first_sends", Long.toString(bridge.sends().firstAttempts())));
-    rows.add(row("further_sends_and_denied", Long.toString(bridge.sends().wantedRetries())));
+    rows.add(row("first_sends", Long.toString(bridge.attemptCounts().firstAttempts())));
+    rows.add(
+        row("further_sends_and_denied", Long.toString(bridge.attemptCounts().wantedRetries())));
     rows.add(row("denied", Long.toString(counters.of(Count.REPEATS_DENIED))));
     StateGossip.Sum spare = modules.gossip.sum(FleetCoordinator.SPARE, clock.now());
     rows.add(
@@ -208,7 +209,7 @@
 
   private String sharedOver() {
     int carriers = modules.membership.carriers(clock.now());
-    return Integer.toString(hasFailed || carriers == 0 ? bridge.dispatchers() : carriers);
+    return Integer.toString(hasFailed || carriers == 0 ? bridge.configuredDispatchers() : carriers);
   }
 
   private String folderText() {
--- a/src/test/java/cobaltseam/service/FleetNodeOrderTest.java
+++ b/src/test/java/cobaltseam/service/FleetServiceOrderTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Messages of other members that come at the wrong moment. */
-class FleetNodeOrderTest extends ServiceRig {
+class FleetServiceOrderTest extends ServiceRig {
   /** Longer than it takes to read a datagram on loopback: the duration is the subject. */
   private static final int READ_WITHIN_MS = 500;
 
@@ -40,7 +40,7 @@
    * with the process still serving.
    */
   @Test
-  void aMessageThatComesAsTheSocketOpensEndsNothing() throws Exception {
+  void messageReceivedAsTheSocketOpensDoesNotEndMembership() throws Exception {
     try (DatagramSocket other = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       InetSocketAddress listen = freeUdp();
       prepare(listen);
@@ -49,7 +49,7 @@
             @Override
             public void publish(LogRecord line) {
               if (line.getMessage().startsWith("member ")) {
-                say(other, listen);
+                sendHealthCheck(other, listen);
               }
             }
 
@@ -112,7 +112,7 @@
    * Probes, as another member, the one that listens there, and says of a third that it is
    * suspected.
    */
-  private static void say(DatagramSocket other, InetSocketAddress to) {
+  private static void sendHealthCheck(DatagramSocket other, InetSocketAddress to) {
     InetSocketAddress from = (InetSocketAddress) other.getLocalSocketAddress();
     Member self = new Member(new MemberName("n9"), new Incarnation(1), from);
     Member third = new Member(new MemberName("n8"), new Incarnation(1), from);
--- a/src/test/java/cobaltseam/service/SettingsApartTest.java
+++ b/src/test/java/cobaltseam/service/SettingsIsolationTest.java
@@ -16,13 +16,13 @@
  * Settings of two customers: at once in two dispatchers, and one after the other in one, with
  * requests in hand.
  */
-class SettingsApartTest extends ServiceRig {
+class SettingsIsolationTest extends ServiceRig {
   private static final int BUSY = 8;
 
   @TempDir Path folder;
 
   /** Another customer's file: other classes, tenants and limits on sends. */
-  private static String others(String configuration) {
+  private static String settingsOfOtherCustomer(String configuration) {
     return configuration
         .replace("\"name\":\"look\"", "\"name\":\"browse\"")
         .replace("\"name\":\"once\"", "\"name\":\"book\"")
@@ -30,26 +30,26 @@
         .replace("\"most_tries\":3", "\"most_tries\":1");
   }
 
-  private static String for0(String tenant, String command) {
+  private static String withTenant(String tenant, String command) {
     return command.replace("op=", "org=" + tenant + ",op=");
   }
 
   @Test
-  void twoDispatchersWithDifferentCustomersKnowNothingOfEachOther() throws Exception {
+  void twoDispatchersWithSettingsOfDifferentCustomersAreIsolated() throws Exception {
     Peer mine = new Peer(true);
     start(mine);
     Client ours = new Client();
     Peer theirs = new Peer(true);
-    start(SettingsApartTest::others, SOCKETS, IDLE_MS, theirs.address());
+    start(SettingsIsolationTest::settingsOfOtherCustomer, SOCKETS, IDLE_MS, theirs.address());
     Client other = new Client();
     assertEquals(List.of("error 42"), ours.ask(command("browse", 1, 5000)));
-    assertEquals(List.of("error 42"), ours.ask(for0("zeta", look(2, 5000))));
+    assertEquals(List.of("error 42"), ours.ask(withTenant("zeta", look(2, 5000))));
     assertEquals(List.of("error 42"), other.ask(look(3, 5000)));
-    assertEquals(List.of("error 42"), other.ask(for0("acme", command("browse", 4, 5000))));
+    assertEquals(List.of("error 42"), other.ask(withTenant("acme", command("browse", 4, 5000))));
     // The same call at both, at once: neither takes it for the other's.
-    ours.query(ours.out, for0("acme", look(5, 5000)));
+    ours.query(ours.out, withTenant("acme", look(5, 5000)));
     other.query(
-        other.out, for0("zeta", command("browse", 5, 5000).replace("work=100", "work=1000")));
+        other.out, withTenant("zeta", command("browse", 5, 5000).replace("work=100", "work=1000")));
     Message here = mine.next("PULL");
     Message there = theirs.next("PULL");
     assertTrue(here.items().get(2).startsWith("lane=look"));
@@ -62,7 +62,7 @@
 
   /** What was taken ends under the rules of both; what comes after knows the new ones alone. */
   @Test
-  void aReloadFromOneCustomerToAnotherUnderLoadLeavesNothingOfTheFirst() throws Exception {
+  void reloadUnderLoadReplacesAllSettingsOfTheFirstCustomer() throws Exception {
     Peer engine = new Peer(true);
     Peer bus = start(engine);
     bus.next("from 7");
@@ -71,25 +71,26 @@
     List<Client> busy = new ArrayList<>();
     List<Message> out = new ArrayList<>();
     for (int i = 0; i < BUSY; i++) {
-      busy.add(new Client(for0("acme", command("once", i, 20_000))));
+      busy.add(new Client(withTenant("acme", command("once", i, 20_000))));
       out.add(engine.next("PULL"));
     }
     Client watch = new Client();
     Files.writeString(
         file,
-        others(
+        settingsOfOtherCustomer(
             configuration(
                 bus.address(), SOCKETS, IDLE_MS, target(1, engine.address(), "in_service"))));
     Signal.raise(new Signal("HUP"));
     await(watch, "configurations_moved|1");
     assertEquals(List.of("error 42"), watch.ask(look(20, 5000)));
-    assertEquals(List.of("error 42"), watch.ask(for0("acme", command("browse", 21, 5000))));
+    assertEquals(List.of("error 42"), watch.ask(withTenant("acme", command("browse", 21, 5000))));
     for (int i = 0; i < BUSY; i++) {
       out.get(i).answer(out.get(i).id(), "200", "pages=1", "");
       assertEquals(List.of("SELECT 0"), busy.get(i).told());
     }
     watch.query(
-        watch.out, for0("zeta", command("browse", 22, 20_000).replace("work=100", "work=1000")));
+        watch.out,
+        withTenant("zeta", command("browse", 22, 20_000).replace("work=100", "work=1000")));
     engine.next("PULL").reset();
     engine.next("closed");
     assertEquals(
