--- a/src/main/java/cobaltseam/agreement/AgreementEffect.java
+++ b/src/main/java/cobaltseam/agreement/AgreementEffect.java
@@ -6,10 +6,10 @@
 /** What the agreement wants done. */
 public sealed interface AgreementEffect {
   /** A datagram to an address; it may be lost. */
-  record Send(InetSocketAddress to, AgreementMessage word) implements AgreementEffect {}
+  record Send(InetSocketAddress to, AgreementMessage message) implements AgreementEffect {}
 
   /** What membership wants done because of it. */
-  record MembershipEffect(MembershipAction act) implements AgreementEffect {}
+  record MembershipEffect(MembershipAction action) implements AgreementEffect {}
 
   /** From now on the process acts on this, for all keys at once. */
   record Activate(ActiveConfiguration on) implements AgreementEffect {}
--- a/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
+++ b/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
@@ -40,9 +40,9 @@
    *
    * @param contradiction for no longer than this two processes act on contradicting versions
    * @param clockRates the largest difference between the rates of two clocks, as a ratio
-   * @param largest the largest document, in bytes
+   * @param maxDocumentBytes the largest document, in bytes
    */
-  public record AgreementOptions(TimeSpan contradiction, double clockRates, int largest) {}
+  public record AgreementOptions(TimeSpan contradiction, double clockRates, int maxDocumentBytes) {}
 
   /** What documents mean. It has no state and answers the same every time. */
   public interface ConfigurationValidator {
@@ -95,7 +95,8 @@
     this.lease = lease;
     this.validator = validator;
     TimeSpan retryInterval = options.contradiction.times(RETRY_PERIODS);
-    documents = new DocumentStore(options.largest, retryInterval, membership, effects, random);
+    documents =
+        new DocumentStore(options.maxDocumentBytes, retryInterval, membership, effects, random);
     proposals =
         new ProposalTracker(options.contradiction, retryInterval, membership, documents, effects);
     history = new VersionHistory(membership);
@@ -119,7 +120,7 @@
   }
 
   /** Since when; null before it first acted on anything. */
-  public Timestamp actingSince() {
+  public Timestamp activeSince() {
     return activeSince;
   }
 
@@ -139,7 +140,7 @@
   }
 
   /** When {@link #follow} is to be called next at the latest. */
-  public Timestamp wake(Timestamp now) {
+  public Timestamp nextFollowAt(Timestamp now) {
     // What could not be done by now is retried then; what comes sooner, such as the end of a lease,
     // is not delayed by it.
     boolean isPending =
@@ -234,8 +235,8 @@
     if (proposals.version() != null) {
       return "another proposal of this process is on its way: " + proposals.version();
     }
-    if (content.length > options.largest) {
-      return content.length + " bytes are more than " + options.largest;
+    if (content.length > options.maxDocumentBytes) {
+      return content.length + " bytes are more than " + options.maxDocumentBytes;
     }
     String rejection = validator.check(content);
     if (rejection != null) {
@@ -251,7 +252,7 @@
   // ---- messages
 
   /** Handles an authenticated message of a member of this fleet. */
-  public List<AgreementEffect> heard(AgreementMessage message, Timestamp now) {
+  public List<AgreementEffect> receive(AgreementMessage message, Timestamp now) {
     View view = membership.view();
     Member sender = message.from().member();
     if (!membership.spoke(message, now)
@@ -273,7 +274,8 @@
 
   private void receiveOffer(VersionOffer offer, View view, Member sender, Timestamp now) {
     long nextNumber = ConfigurationVersion.number(view.configuration()) + 1;
-    if (offer.version().number() != nextNumber || offer.contentLength() > options.largest) {
+    if (offer.version().number() != nextNumber
+        || offer.contentLength() > options.maxDocumentBytes) {
       return;
     }
     offeredVersion = offer.version();
--- a/src/main/java/cobaltseam/agreement/ConservativeMerge.java
+++ b/src/main/java/cobaltseam/agreement/ConservativeMerge.java
@@ -82,11 +82,11 @@
 
   /** Whether acting on one beside the other breaks anything. */
   public static boolean contradict(Deployment one, Deployment other) {
-    return !between(one, other).equals(other) || !between(other, one).equals(one);
+    return !merge(one, other).equals(other) || !merge(other, one).equals(one);
   }
 
   /** What breaks neither. */
-  public static Deployment between(Deployment earlier, Deployment later) {
+  public static Deployment merge(Deployment earlier, Deployment later) {
     return new Deployment(
         later.dispatcherIndex(),
         Math.max(earlier.dispatcherCount(), later.dispatcherCount()),
@@ -118,7 +118,7 @@
    * called off. Rates of holders, placement and the number of dispatchers have no reading that
    * would break no other one: they stay as they are.
    */
-  public static Deployment alone(Deployment d) {
+  public static Deployment withoutRetries(Deployment d) {
     List<RequestClass> profiles =
         d.requestClasses().stream()
             .map(
--- a/src/main/java/cobaltseam/capacity/CapacityLeases.java
+++ b/src/main/java/cobaltseam/capacity/CapacityLeases.java
@@ -22,7 +22,7 @@
  * Which part of a whole this process may use, such that the parts of all never come to more than
  * the whole, whatever part of them is cut off, stands still, is killed or starts anew. It does no
  * I/O: moments, chance and messages come from the caller, who asks {@link #follow} no later than
- * {@link #wake}, and reads {@link #usable} before each use.
+ * {@link #nextFollowAt}, and reads {@link #usable} before each use.
  *
  * <p>A small part is each process's own whatever it knows. The rest is divided evenly over the
  * members of the view, and used only under a lease on that view. A new view makes parts larger, or
@@ -67,48 +67,48 @@
   public record CapacityStep(Timestamp until, long amount) {}
 
   /** So many asks wait for their answer at the most. */
-  private static final int MOST_OPEN = 64;
+  private static final int MAX_PENDING_REQUESTS = 64;
 
   /** A loan is asked for again once less than this part of a lease is left of it. */
-  private static final double RENEW_AT = 0.4;
+  private static final double RENEW_AT_REMAINING_RATIO = 0.4;
 
   /** What is missing is asked for from this part of an even part on. */
-  private static final double NOTABLE = 0.02;
+  private static final double MIN_REQUEST_RATIO = 0.02;
 
   /** Whoever lent less than it was asked for is asked for no more for so many rounds. */
-  private static final int SPARES = 4;
+  private static final int EXHAUSTED_LENDER_BACKOFF_ROUNDS = 4;
 
-  private record PreviousView(long base, Timestamp until) {}
+  private record PreviousView(long evenPart, Timestamp until) {}
 
   private record LentLease(long amount, Timestamp until) {}
 
-  private record BorrowedLease(Member of, long amount, Timestamp until) {}
+  private record BorrowedLease(Member lender, long amount, Timestamp until) {}
 
-  private record PendingRequest(Member of, long amount, Timestamp at) {}
+  private record PendingRequest(Member lender, long amount, Timestamp requestedAt) {}
 
-  private final CapacityOptions terms;
-  private final LeaseContext ground;
-  private final RandomGenerator chance;
-  private View held;
-  private long base;
+  private final CapacityOptions options;
+  private final LeaseContext context;
+  private final RandomGenerator random;
+  private View currentView;
+  private long evenPart;
 
   /** Even parts of views before, which others may use yet. */
-  private final List<PreviousView> earlier = new ArrayList<>();
+  private final List<PreviousView> previousViews = new ArrayList<>();
 
   /** Until then what others use is not known here, and nothing is held of the view. */
-  private Timestamp freshUntil;
+  private Timestamp unknownUntil;
 
   private final Map<Member, List<LentLease>> lent = new HashMap<>();
   private final Map<MemberName, BorrowedLease> borrowed = new TreeMap<>();
-  private final Map<Long, PendingRequest> open = new HashMap<>();
-  private final Map<MemberName, Timestamp> dry = new HashMap<>();
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
+  private final Map<MemberName, Timestamp> exhaustedUntil = new HashMap<>();
   private double demand;
-  private Timestamp next;
+  private Timestamp nextRoundAt;
 
-  public CapacityLeases(CapacityOptions terms, LeaseContext ground, RandomGenerator chance) {
-    this.terms = terms;
-    this.ground = ground;
-    this.chance = chance;
+  public CapacityLeases(CapacityOptions options, LeaseContext context, RandomGenerator random) {
+    this.options = options;
+    this.context = context;
+    this.random = random;
   }
 
   // ---- what is asked
@@ -120,7 +120,7 @@
 
   /** What may be used at this moment. */
   public long usable(Timestamp now) {
-    long all = terms.alonePart() + (leased(now) ? own(now) : 0);
+    long all = options.alonePart() + (hasLease(now) ? ownPart(now) : 0);
     for (BorrowedLease in : borrowed.values()) {
       all += now.isBefore(in.until) ? in.amount : 0;
     }
@@ -131,51 +131,52 @@
    * What may be used from now on if nothing more is heard, in steps down: for a reader that must
    * not ask this process's thread.
    */
-  public List<CapacityStep> steps(Timestamp now) {
+  public List<CapacityStep> usableSteps(Timestamp now) {
     List<Timestamp> ends = new ArrayList<>();
-    if (leased(now)) {
-      ends.add(ground.leaseUntil());
+    if (hasLease(now)) {
+      ends.add(context.leaseUntil());
     }
     borrowed.values().stream()
         .filter(in -> now.isBefore(in.until))
         .forEach(in -> ends.add(in.until));
     ends.sort(Comparator.naturalOrder());
     List<CapacityStep> steps = new ArrayList<>();
-    long own = own(now);
+    long own = ownPart(now);
     for (int i = 0; i < ends.size(); i++) {
       Timestamp end = ends.get(i);
       if (i > 0 && end.equals(ends.get(i - 1))) {
         continue;
       }
-      long all = terms.alonePart() + (leased(now) && !ground.leaseUntil().isBefore(end) ? own : 0);
+      long all =
+          options.alonePart() + (hasLease(now) && !context.leaseUntil().isBefore(end) ? own : 0);
       for (BorrowedLease in : borrowed.values()) {
         all += !in.until.isBefore(end) ? in.amount : 0;
       }
       steps.add(new CapacityStep(end, all));
     }
-    steps.add(new CapacityStep(null, terms.alonePart()));
+    steps.add(new CapacityStep(null, options.alonePart()));
     return steps;
   }
 
   /** The even part of the view that this process may divide between itself and others. */
-  public long even(Timestamp now) {
-    if (held == null || freshUntil != null && now.isBefore(freshUntil)) {
+  public long evenPart(Timestamp now) {
+    if (currentView == null || unknownUntil != null && now.isBefore(unknownUntil)) {
       return 0;
     }
-    long least = base;
-    for (PreviousView e : earlier) {
-      least = now.isBefore(e.until) ? Math.min(least, e.base) : least;
+    long least = evenPart;
+    for (PreviousView e : previousViews) {
+      least = now.isBefore(e.until) ? Math.min(least, e.evenPart) : least;
     }
     return least;
   }
 
   /** What is lent out. */
-  public long lentOut(Timestamp now) {
-    return lent.values().stream().mapToLong(outs -> reserved(outs, now)).sum();
+  public long lentAmount(Timestamp now) {
+    return lent.values().stream().mapToLong(outs -> reservedAmount(outs, now)).sum();
   }
 
   /** What is borrowed. */
-  public long borrowed(Timestamp now) {
+  public long borrowedAmount(Timestamp now) {
     return borrowed.values().stream()
         .filter(in -> now.isBefore(in.until))
         .mapToLong(BorrowedLease::amount)
@@ -183,20 +184,22 @@
   }
 
   /** When {@link #follow} is to be asked again. */
-  public Timestamp wake(Timestamp now) {
-    return next == null || !now.isBefore(next) ? now.plus(terms.round()) : next;
+  public Timestamp nextFollowAt(Timestamp now) {
+    return nextRoundAt == null || !now.isBefore(nextRoundAt)
+        ? now.plus(options.round())
+        : nextRoundAt;
   }
 
-  private boolean leased(Timestamp now) {
-    return ground.leaseUntil() != null && now.isBefore(ground.leaseUntil());
+  private boolean hasLease(Timestamp now) {
+    return context.leaseUntil() != null && now.isBefore(context.leaseUntil());
   }
 
-  private long own(Timestamp now) {
-    return Math.max(0, even(now) - lentOut(now));
+  private long ownPart(Timestamp now) {
+    return Math.max(0, evenPart(now) - lentAmount(now));
   }
 
   /** The borrower uses one of these at a time, and never two. */
-  private static long reserved(List<LentLease> outs, Timestamp now) {
+  private static long reservedAmount(List<LentLease> outs, Timestamp now) {
     return outs.stream()
         .filter(o -> now.isBefore(o.until))
         .mapToLong(LentLease::amount)
@@ -208,11 +211,11 @@
 
   /** What follows from the view, from time and from what is needed. */
   public List<OutgoingMessage> follow(Timestamp now) {
-    View view = ground.view();
-    if (view != held) {
-      viewed(view, now);
+    View view = context.view();
+    if (view != currentView) {
+      followView(view, now);
     }
-    earlier.removeIf(e -> !now.isBefore(e.until));
+    previousViews.removeIf(e -> !now.isBefore(e.until));
     borrowed.values().removeIf(in -> !now.isBefore(in.until));
     for (Iterator<List<LentLease>> each = lent.values().iterator(); each.hasNext(); ) {
       List<LentLease> outs = each.next();
@@ -221,34 +224,34 @@
         each.remove();
       }
     }
-    if (held == null || next != null && now.isBefore(next)) {
+    if (currentView == null || nextRoundAt != null && now.isBefore(nextRoundAt)) {
       return List.of();
     }
     // After a pause there is one round, not all those that were missed.
-    next = now.plus(terms.round());
-    open.values().removeIf(o -> now.since(o.at).compareTo(ground.outlasts()) >= 0);
-    dry.values().removeIf(until -> !now.isBefore(until));
+    nextRoundAt = now.plus(options.round());
+    pending.values().removeIf(o -> now.since(o.requestedAt).compareTo(context.outlasts()) >= 0);
+    exhaustedUntil.values().removeIf(until -> !now.isBefore(until));
     return asks(now);
   }
 
-  private void viewed(View view, Timestamp now) {
+  private void followView(View view, Timestamp now) {
     boolean follows =
         view != null
-            && held != null
-            && view.id().lineage() == held.id().lineage()
-            && view.id().number() == held.id().number() + 1;
+            && currentView != null
+            && view.id().lineage() == currentView.id().lineage()
+            && view.id().number() == currentView.id().number() + 1;
     if (follows) {
-      earlier.add(new PreviousView(base, now.plus(ground.outlasts())));
+      previousViews.add(new PreviousView(evenPart, now.plus(context.outlasts())));
     } else {
       // A newcomer, one that started anew, or one that missed a view: what others use is not known
       // here.
-      earlier.clear();
-      freshUntil = now.plus(ground.outlasts());
+      previousViews.clear();
+      unknownUntil = now.plus(context.outlasts());
     }
-    held = view;
-    base = view == null ? 0 : terms.settled() / view.members().size();
+    currentView = view;
+    evenPart = view == null ? 0 : options.dividedAmount() / view.members().size();
     if (view != null) {
-      dry.keySet().removeIf(n -> view.of(n) == null);
+      exhaustedUntil.keySet().removeIf(n -> view.of(n) == null);
     }
   }
 
@@ -258,22 +261,22 @@
    */
   private double target(Double needs, double known, double sum) {
     if (needs == null || sum <= 0) {
-      return base;
+      return evenPart;
     }
-    return terms.floor() * base + (1 - terms.floor()) * base * known * needs / sum;
+    return options.floor() * evenPart + (1 - options.floor()) * evenPart * known * needs / sum;
   }
 
   /**
    * What is known of needs: of those of the view, how many they are with this process, and their
    * sum.
    */
-  private record DemandSummary(Map<Member, Double> of, double known, double sum) {}
+  private record DemandSummary(Map<Member, Double> byMember, double knownCount, double sum) {}
 
   private DemandSummary needs() {
     Map<Member, Double> of = new HashMap<>();
     double sum = demand;
-    for (Member m : held.members()) {
-      Double needs = m.name().equals(ground.self().name()) ? null : ground.demand(m.name());
+    for (Member m : currentView.members()) {
+      Double needs = m.name().equals(context.self().name()) ? null : context.demand(m.name());
       if (needs != null) {
         of.put(m, needs);
         sum += needs;
@@ -286,32 +289,33 @@
     DemandSummary needs = needs();
     // Of whom how much is to be lent in all: as before, as far as that is needed yet, and as what
     // is on its way says.
-    double missing = target(demand, needs.known, needs.sum) - own(now);
+    double missing = target(demand, needs.knownCount, needs.sum) - ownPart(now);
     Map<Member, Double> wanted = new HashMap<>();
-    TimeSpan soon = ground.outlasts().times(RENEW_AT);
+    TimeSpan soon = context.outlasts().times(RENEW_AT_REMAINING_RATIO);
     for (BorrowedLease in : borrowed.values()) {
       double keeps = Math.max(0, Math.min(missing, in.amount));
       missing -= keeps;
-      wanted.put(in.of, keeps);
+      wanted.put(in.lender, keeps);
     }
-    for (PendingRequest o : open.values()) {
-      double more = Math.max(0, Math.min(missing, o.amount - wanted.getOrDefault(o.of, 0.0)));
-      if (isWaitedFor(o, now) && held.contains(o.of.name(), o.of.incarnation())) {
+    for (PendingRequest o : pending.values()) {
+      double more = Math.max(0, Math.min(missing, o.amount - wanted.getOrDefault(o.lender, 0.0)));
+      if (isWaitedFor(o, now) && currentView.contains(o.lender.name(), o.lender.incarnation())) {
         missing -= more;
-        wanted.merge(o.of, more, Double::sum);
+        wanted.merge(o.lender, more, Double::sum);
       }
     }
-    if (missing >= Math.max(1, base * NOTABLE)) {
+    if (missing >= Math.max(1, evenPart * MIN_REQUEST_RATIO)) {
       Map<Member, Double> spare = new HashMap<>();
-      needs.of.forEach(
+      needs.byMember.forEach(
           (m, need) -> {
-            double left = base - target(need, needs.known, needs.sum) - wanted.getOrDefault(m, 0.0);
-            if (left >= 1 && !dry.containsKey(m.name()) && !isAsked(m, now)) {
+            double left =
+                evenPart - target(need, needs.knownCount, needs.sum) - wanted.getOrDefault(m, 0.0);
+            if (left >= 1 && !exhaustedUntil.containsKey(m.name()) && !isAsked(m, now)) {
               spare.put(m, left);
             }
           });
-      for (int n = 0; n < terms.asks() && missing >= 1 && !spare.isEmpty(); n++) {
-        Member of = drawn(spare);
+      for (int n = 0; n < options.maxRequestsPerRound() && missing >= 1 && !spare.isEmpty(); n++) {
+        Member of = drawLender(spare);
         double more = Math.min(missing, spare.remove(of));
         missing -= more;
         wanted.merge(of, more, Double::sum);
@@ -322,9 +326,10 @@
     wanted.forEach(
         (m, amount) -> {
           BorrowedLease in = borrowed.get(m.name());
-          boolean lasts = in != null && in.of.equals(m) && in.until.since(now).compareTo(soon) >= 0;
+          boolean lasts =
+              in != null && in.lender.equals(m) && in.until.since(now).compareTo(soon) >= 0;
           double more = lasts ? amount - in.amount : amount;
-          if (more >= Math.max(1, base * NOTABLE) && !isAsked(m, now)) {
+          if (more >= Math.max(1, evenPart * MIN_REQUEST_RATIO) && !isAsked(m, now)) {
             brings.put(m, more);
           }
         });
@@ -333,8 +338,10 @@
             Map.Entry.<Member, Double>comparingByValue()
                 .reversed()
                 .thenComparing(e -> e.getKey().name()))
-        .limit(Math.max(0, Math.min(terms.asks(), MOST_OPEN - open.size())))
-        .map(e -> ask(e.getKey(), (long) Math.ceil(wanted.get(e.getKey())), now))
+        .limit(
+            Math.max(
+                0, Math.min(options.maxRequestsPerRound(), MAX_PENDING_REQUESTS - pending.size())))
+        .map(e -> request(e.getKey(), (long) Math.ceil(wanted.get(e.getKey())), now))
         .toList();
   }
 
@@ -343,19 +350,19 @@
    * asked again.
    */
   private boolean isWaitedFor(PendingRequest o, Timestamp now) {
-    return now.since(o.at).compareTo(terms.round().times(1.5)) < 0;
+    return now.since(o.requestedAt).compareTo(options.round().times(1.5)) < 0;
   }
 
   private boolean isAsked(Member of, Timestamp now) {
-    return open.values().stream().anyMatch(o -> o.of.equals(of) && isWaitedFor(o, now));
+    return pending.values().stream().anyMatch(o -> o.lender.equals(of) && isWaitedFor(o, now));
   }
 
   /** By chance, each by what it seems to have left, so that not all ask the same one. */
-  private Member drawn(Map<Member, Double> spare) {
+  private Member drawLender(Map<Member, Double> spare) {
     List<Member> members = new ArrayList<>(spare.keySet());
     members.sort(Comparator.comparing(Member::name));
     double at =
-        chance.nextDouble() * spare.values().stream().mapToDouble(Double::doubleValue).sum();
+        random.nextDouble() * spare.values().stream().mapToDouble(Double::doubleValue).sum();
     for (Member m : members) {
       at -= spare.get(m);
       if (at < 0) {
@@ -365,45 +372,46 @@
     return members.get(members.size() - 1);
   }
 
-  private OutgoingMessage ask(Member of, long amount, Timestamp now) {
-    long id = chance.nextLong();
-    open.put(id, new PendingRequest(of, amount, now));
-    return new OutgoingMessage(of.peerAddress(), new LeaseRequest(ground.teller(), id, amount));
+  private OutgoingMessage request(Member of, long amount, Timestamp now) {
+    long id = random.nextLong();
+    pending.put(id, new PendingRequest(of, amount, now));
+    return new OutgoingMessage(of.peerAddress(), new LeaseRequest(context.teller(), id, amount));
   }
 
   // ---- what comes
 
   /** What to tell after a word that its carrier found whole, of one that counts. */
   public List<OutgoingMessage> heard(CapacityLeaseMessage word, Timestamp now) {
-    follow0(now);
+    followCurrentView(now);
     Member from = word.from().member();
-    if (held == null
-        || !held.contains(from.name(), from.incarnation())
-        || from.name().equals(ground.self().name())) {
+    if (currentView == null
+        || !currentView.contains(from.name(), from.incarnation())
+        || from.name().equals(context.self().name())) {
       return List.of();
     }
     if (word instanceof LeaseRequest b) {
       return List.of(lend(from, b, now));
     }
     LeaseGrant l = (LeaseGrant) word;
-    PendingRequest asked = open.get(l.id());
+    PendingRequest asked = pending.get(l.id());
     if (asked == null
-        || !asked.of.equals(from)
+        || !asked.lender.equals(from)
         || l.amount() < 0
-        || l.amount() > terms.whole()
+        || l.amount() > options.whole()
         || l.durationUs() < 0
-        || l.durationUs() > ground.outlasts().us()) {
+        || l.durationUs() > context.outlasts().us()) {
       return List.of();
     }
-    open.remove(l.id());
-    Timestamp until = asked.at.plus(new TimeSpan(l.durationUs()));
+    pending.remove(l.id());
+    Timestamp until = asked.requestedAt.plus(new TimeSpan(l.durationUs()));
     BorrowedLease before = borrowed.get(from.name());
     if (l.amount() < asked.amount) {
-      dry.put(from.name(), now.plus(terms.round().times(SPARES)));
+      exhaustedUntil.put(
+          from.name(), now.plus(options.round().times(EXHAUSTED_LENDER_BACKOFF_ROUNDS)));
     }
     if (l.amount() > 0
         && now.isBefore(until)
-        && (before == null || !before.of.equals(from) || before.until.isBefore(until))) {
+        && (before == null || !before.lender.equals(from) || before.until.isBefore(until))) {
       // In place of what it lent before: it holds only the larger one back for this process.
       borrowed.put(from.name(), new BorrowedLease(from, l.amount(), until));
     }
@@ -411,9 +419,9 @@
   }
 
   /** Brings the view up to now without asking for anything. */
-  private void follow0(Timestamp now) {
-    if (ground.view() != held) {
-      viewed(ground.view(), now);
+  private void followCurrentView(Timestamp now) {
+    if (context.view() != currentView) {
+      followView(context.view(), now);
     }
   }
 
@@ -421,26 +429,26 @@
     DemandSummary needs = needs();
     long others = 0;
     for (Map.Entry<Member, List<LentLease>> e : lent.entrySet()) {
-      others += e.getKey().equals(to) ? 0 : reserved(e.getValue(), now);
+      others += e.getKey().equals(to) ? 0 : reservedAmount(e.getValue(), now);
     }
-    long before = lent.containsKey(to) ? reserved(lent.get(to), now) : 0;
-    double free = even(now) - others - Math.ceil(target(demand, needs.known, needs.sum));
+    long before = lent.containsKey(to) ? reservedAmount(lent.get(to), now) : 0;
+    double free = evenPart(now) - others - Math.ceil(target(demand, needs.knownCount, needs.sum));
     // The loan ends before the lease under which it is given, by whichever clock.
     TimeSpan lasts =
-        leased(now)
-            ? ground.leaseUntil().since(now).times(1 / (1 + 2 * ground.clockRates()))
+        hasLease(now)
+            ? context.leaseUntil().since(now).times(1 / (1 + 2 * context.clockRates()))
             : TimeSpan.ZERO;
     long amount =
         lasts.isPositive() ? Math.max(0, Math.min(asked.amount(), (long) Math.floor(free))) : 0;
     // What it holds back for this one already is no more than its even part.
-    if (amount > 0 && others + Math.max(before, amount) <= even(now)) {
+    if (amount > 0 && others + Math.max(before, amount) <= evenPart(now)) {
       lent.computeIfAbsent(to, m -> new ArrayList<>())
-          .add(new LentLease(amount, now.plus(lasts.times(1 + 2 * ground.clockRates()))));
+          .add(new LentLease(amount, now.plus(lasts.times(1 + 2 * context.clockRates()))));
     } else {
       amount = 0;
     }
     return new OutgoingMessage(
         to.peerAddress(),
-        new LeaseGrant(ground.teller(), asked.id(), amount, amount == 0 ? 0 : lasts.us()));
+        new LeaseGrant(context.teller(), asked.id(), amount, amount == 0 ? 0 : lasts.us()));
   }
 }
--- a/src/main/java/cobaltseam/capacity/DemandEstimate.java
+++ b/src/main/java/cobaltseam/capacity/DemandEstimate.java
@@ -9,8 +9,8 @@
  * commands, or parts would follow chance.
  */
 public final class DemandEstimate {
-  private final TimeSpan half;
-  private Timestamp at;
+  private final TimeSpan halfLife;
+  private Timestamp updatedAt;
   private double total;
   private double rate;
 
@@ -18,22 +18,22 @@
    * How much of the mean is news yet, from 0 to 1: a process that began a moment ago knows its rate
    * by that alone.
    */
-  private double known;
+  private double confidence;
 
-  public DemandEstimate(TimeSpan half) {
-    this.half = half;
+  public DemandEstimate(TimeSpan halfLife) {
+    this.halfLife = halfLife;
   }
 
   /** The rate a second, after the sum has come to this. */
   public double told(double sum, Timestamp now) {
-    if (at != null && at.isBefore(now)) {
-      TimeSpan since = now.since(at);
-      double keep = Math.pow(0.5, since.over(half));
-      rate = rate * keep + (sum - total) / since.us() * 1e6 * (1 - keep);
-      known = known * keep + 1 - keep;
+    if (updatedAt != null && updatedAt.isBefore(now)) {
+      TimeSpan since = now.since(updatedAt);
+      double decay = Math.pow(0.5, since.over(halfLife));
+      rate = rate * decay + (sum - total) / since.us() * 1e6 * (1 - decay);
+      confidence = confidence * decay + 1 - decay;
     }
-    at = now;
+    updatedAt = now;
     total = sum;
-    return known > 0 ? rate / known : 0;
+    return confidence > 0 ? rate / confidence : 0;
   }
 }
--- a/src/main/java/cobaltseam/capacity/LoadReportMessage.java
+++ b/src/main/java/cobaltseam/capacity/LoadReportMessage.java
@@ -21,11 +21,11 @@
       implements LoadReportMessage {
     public ReportsReply {
       Objects.requireNonNull(from);
-      if (engines.length > LoadReports.MOST
+      if (engines.length > LoadReports.MAX_ENGINES
           || engines.length != inFlight.length
           || engines.length != agesMs.length) {
         throw new IllegalArgumentException(
-            "at most " + LoadReports.MOST + " engines, each with its figure and age");
+            "at most " + LoadReports.MAX_ENGINES + " engines, each with its figure and age");
       }
     }
   }
--- a/src/main/java/cobaltseam/capacity/LoadReports.java
+++ b/src/main/java/cobaltseam/capacity/LoadReports.java
@@ -35,13 +35,14 @@
    * How they are spread.
    *
    * @param round between two rounds of asking
-   * @param asked how many in one
-   * @param end after which a report is nothing
-   * @param clockRates by which part the rates of two clocks differ at most
+   * @param requestsPerRound how many in one
+   * @param maxAge after which a report is nothing
+   * @param maxClockRateRatio by which part the rates of two clocks differ at most
    */
-  public record LoadReportOptions(TimeSpan round, int asked, TimeSpan end, double clockRates) {
+  public record LoadReportOptions(
+      TimeSpan round, int requestsPerRound, TimeSpan maxAge, double maxClockRateRatio) {
     public LoadReportOptions {
-      if (!round.isPositive() || asked < 1 || end.compareTo(round) <= 0) {
+      if (!round.isPositive() || requestsPerRound < 1 || maxAge.compareTo(round) <= 0) {
         throw new IllegalArgumentException(
             "a round above 0, one or more asked, an end above the round");
       }
@@ -60,67 +61,69 @@
   /**
    * Engines in one answer: what a peer makes this process hold is bounded, and it fits a datagram.
    */
-  public static final int MOST = 512;
+  public static final int MAX_ENGINES = 512;
 
-  private static final int MOST_OPEN = 32;
+  private static final int MAX_PENDING_REQUESTS = 32;
   private static final long US_PER_MS = 1000;
-  private static final int LARGEST = 1 << 20;
+  private static final int MAX_IN_FLIGHT = 1 << 20;
 
-  private record PendingRequest(Member of, Timestamp at) {}
+  private record PendingRequest(Member member, Timestamp requestedAt) {}
 
-  private final LoadReportOptions terms;
-  private final RandomGenerator chance;
-  private final TreeMap<EngineId, LoadReport> youngest = new TreeMap<>();
-  private final Map<Long, PendingRequest> open = new HashMap<>();
-  private List<LoadReport> news = new ArrayList<>();
-  private Timestamp next;
+  private final LoadReportOptions options;
+  private final RandomGenerator random;
+  private final TreeMap<EngineId, LoadReport> latest = new TreeMap<>();
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
+  private List<LoadReport> received = new ArrayList<>();
+  private Timestamp nextRoundAt;
 
-  public LoadReports(LoadReportOptions terms, RandomGenerator chance, Timestamp now) {
-    this.terms = terms;
-    this.chance = chance;
-    next = now.plus(terms.round().times(chance.nextDouble()));
+  public LoadReports(LoadReportOptions options, RandomGenerator random, Timestamp now) {
+    this.options = options;
+    this.random = random;
+    nextRoundAt = now.plus(options.round().times(random.nextDouble()));
   }
 
   /** What an engine told this dispatcher itself. */
   public void told(LoadReport report) {
     if (isYounger(report)) {
-      youngest.put(report.engine(), report);
+      latest.put(report.engine(), report);
     }
   }
 
   private boolean isYounger(LoadReport r) {
-    LoadReport held = youngest.get(r.engine());
-    return held == null ? youngest.size() < MOST : held.at().isBefore(r.at());
+    LoadReport held = latest.get(r.engine());
+    return held == null ? latest.size() < MAX_ENGINES : held.at().isBefore(r.at());
   }
 
   /** What others were told that is younger than what was known here; each once. */
   public List<LoadReport> news() {
-    List<LoadReport> all = news;
-    news = new ArrayList<>();
+    List<LoadReport> all = received;
+    received = new ArrayList<>();
     return all;
   }
 
   /** When to ask {@link #due} next. */
   public Timestamp wake() {
-    return next;
+    return nextRoundAt;
   }
 
   /** What to send now. */
   public List<OutgoingMessage> due(View view, MessageHeader self, Timestamp now) {
-    if (now.isBefore(next)) {
+    if (now.isBefore(nextRoundAt)) {
       return List.of();
     }
     // After a pause there is one round, not all those that were missed.
-    next = now.plus(terms.round());
-    youngest.values().removeIf(r -> now.since(r.at()).compareTo(terms.end()) >= 0);
-    open.values().removeIf(o -> now.since(o.at).compareTo(terms.end()) >= 0);
+    nextRoundAt = now.plus(options.round());
+    latest.values().removeIf(r -> now.since(r.at()).compareTo(options.maxAge()) >= 0);
+    pending.values().removeIf(o -> now.since(o.requestedAt).compareTo(options.maxAge()) >= 0);
     List<OutgoingMessage> tells = new ArrayList<>();
     int others = view == null ? 0 : view.members().size() - 1;
-    for (int i = 0; i < Math.min(terms.asked(), others) && open.size() < MOST_OPEN; i++) {
-      Member of = view.members().get(chance.nextInt(view.members().size()));
+    for (int i = 0;
+        i < Math.min(options.requestsPerRound(), others) && pending.size() < MAX_PENDING_REQUESTS;
+        i++) {
+      Member of = view.members().get(random.nextInt(view.members().size()));
       if (!of.name().equals(self.member().name())) {
-        long id = chance.nextLong();
-        open.put(id, new PendingRequest(of, now));
+        long id = random.nextLong();
+        pending.put(id, new PendingRequest(of, now));
         tells.add(new OutgoingMessage(of.peerAddress(), new ReportsRequest(self, id)));
       }
     }
@@ -135,12 +138,12 @@
       return List.of();
     }
     if (word instanceof ReportsRequest ask) {
-      return List.of(new OutgoingMessage(from.peerAddress(), table(self, ask.id(), now)));
+      return List.of(new OutgoingMessage(from.peerAddress(), reply(self, ask.id(), now)));
     }
     ReportsReply table = (ReportsReply) word;
-    PendingRequest asked = open.get(table.id());
-    if (asked != null && asked.of.equals(from)) {
-      open.remove(table.id());
+    PendingRequest asked = pending.get(table.id());
+    if (asked != null && asked.member.equals(from)) {
+      pending.remove(table.id());
       for (int i = 0; i < table.engines().length; i++) {
         learn(table, i, asked);
       }
@@ -148,17 +151,17 @@
     return List.of();
   }
 
-  private ReportsReply table(MessageHeader self, long id, Timestamp now) {
+  private ReportsReply reply(MessageHeader self, long id, Timestamp now) {
     List<LoadReport> fresh =
-        youngest.values().stream()
-            .filter(r -> now.since(r.at()).compareTo(terms.end()) < 0)
+        latest.values().stream()
+            .filter(r -> now.since(r.at()).compareTo(options.maxAge()) < 0)
             .toList();
     long[] engines = new long[fresh.size()];
     int[] inHand = new int[engines.length];
     int[] ages = new int[engines.length];
     for (int i = 0; i < engines.length; i++) {
       engines[i] = fresh.get(i).engine().value();
-      inHand[i] = (int) Math.min(LARGEST, Math.round(fresh.get(i).inFlight()));
+      inHand[i] = (int) Math.min(MAX_IN_FLIGHT, Math.round(fresh.get(i).inFlight()));
       // Rounded up: never told younger than it is.
       ages[i] = (int) (now.since(fresh.get(i).at()).us() / US_PER_MS + 1);
     }
@@ -168,20 +171,21 @@
   private void learn(ReportsReply table, int i, PendingRequest asked) {
     int age = table.agesMs()[i];
     int inHand = table.inFlight()[i];
-    if (age < 0 || inHand < 0 || inHand > LARGEST) {
+    if (age < 0 || inHand < 0 || inHand > MAX_IN_FLIGHT) {
       return;
     }
     Timestamp at =
-        asked.at.minus(new TimeSpan(Math.round(age * US_PER_MS * (1 + 2 * terms.clockRates()))));
+        asked.requestedAt.minus(
+            new TimeSpan(Math.round(age * US_PER_MS * (1 + 2 * options.maxClockRateRatio()))));
     LoadReport report = new LoadReport(new EngineId(table.engines()[i]), inHand, at);
-    if (asked.at.since(at).compareTo(terms.end()) < 0 && isYounger(report)) {
-      youngest.put(report.engine(), report);
-      news.add(report);
+    if (asked.requestedAt.since(at).compareTo(options.maxAge()) < 0 && isYounger(report)) {
+      latest.put(report.engine(), report);
+      received.add(report);
     }
   }
 
   /** Reports held: bounded. */
   public int size() {
-    return youngest.size();
+    return latest.size();
   }
 }
--- a/src/main/java/cobaltseam/coordination/FleetCoordinator.java
+++ b/src/main/java/cobaltseam/coordination/FleetCoordinator.java
@@ -64,7 +64,7 @@
    * The name of the figure by which members say how many further sends others may ask them for, in
    * thousandths.
    */
-  public static final String SPARE = "repeats.spare";
+  public static final String SPARE_RETRIES_FIGURE = "repeats.spare";
 
   /** The name of the figure by which members say what they need. */
   public static final String DEMAND = "spread.demand";
@@ -75,47 +75,47 @@
   private final Membership membership;
   private final Lease lease;
   private final ConfigurationAgreement agreement;
-  private final StateGossip sharing;
-  private CapacityLeases holdings;
-  private LoadReports reports;
-  private RetryBudget purse;
-  private AttemptCounts sends;
-  private final EffectSink out;
-  private View shared;
-  private boolean following;
-  private Timestamp seen;
+  private final StateGossip gossip;
+  private CapacityLeases capacityLeases;
+  private LoadReports loadReports;
+  private RetryBudget retryBudget;
+  private AttemptCounts attemptCounts;
+  private final EffectSink effects;
+  private View gossipView;
+  private boolean isFollowing;
+  private Timestamp lastFollowAt;
 
   /**
    * @param lease null if nothing of this needs one
-   * @param sharing null if members tell no figures
+   * @param gossip null if members tell no figures
    */
   public FleetCoordinator(
       Membership membership,
       Lease lease,
       ConfigurationAgreement agreement,
-      StateGossip sharing,
-      EffectSink out) {
+      StateGossip gossip,
+      EffectSink effects) {
     this.membership = membership;
     this.lease = lease;
     this.agreement = agreement;
-    this.sharing = sharing;
-    this.out = out;
+    this.gossip = gossip;
+    this.effects = effects;
   }
 
   /** Has this process hold a part of a whole; needs a lease and sharing. */
-  public void holds(CapacityLeases of) {
-    holdings = of;
+  public void holds(CapacityLeases leases) {
+    capacityLeases = leases;
   }
 
   /** Has members tell each other what engines told them. */
-  public void hears(LoadReports of) {
-    reports = of;
+  public void setLoadReports(LoadReports reports) {
+    loadReports = reports;
   }
 
   /** Has members cap further sends together; needs sharing. */
-  public void caps(RetryBudget with, AttemptCounts by) {
-    purse = with;
-    sends = by;
+  public void setRetryBudget(RetryBudget budget, AttemptCounts counts) {
+    retryBudget = budget;
+    attemptCounts = counts;
   }
 
   /** What holdings hang on. */
@@ -153,7 +153,7 @@
 
       @Override
       public Double demand(MemberName of) {
-        KnownFigures known = sharing.known(of, seen);
+        KnownFigures known = gossip.known(of, lastFollowAt);
         Long said = known == null ? null : known.figures().byName().get(DEMAND);
         return said == null || said < 0 ? null : FleetCoordinator.demand(said.longValue());
       }
@@ -173,54 +173,54 @@
   // ---- what happens
 
   public void start(Timestamp now) {
-    acts(membership.start(now), now);
+    handleActions(membership.start(now), now);
   }
 
   public void leave(Timestamp now) {
-    acts(membership.leave(now), now);
+    handleActions(membership.leave(now), now);
   }
 
   public void kept(long number, Timestamp now) {
-    acts(membership.kept(number), now);
+    handleActions(membership.kept(number), now);
   }
 
-  public void notKept(String why, Timestamp now) {
-    acts(membership.notKept(why, now), now);
+  public void persistFailed(String why, Timestamp now) {
+    handleActions(membership.notKept(why, now), now);
   }
 
   public void foundAnew(ViewId said, Timestamp now) {
-    acts(membership.foundAnew(said, now), now);
+    handleActions(membership.foundAnew(said, now), now);
   }
 
   /** Time has passed. */
   public void due(Timestamp now) {
-    acts(membership.due(now), now);
+    handleActions(membership.due(now), now);
   }
 
   /** A message that its carrier found whole, of this fleet and sealed as it should be. */
   public void heard(PeerMessage message, Timestamp now) {
     if (message instanceof MembershipMessage m) {
-      acts(membership.heard(m, now), now);
+      handleActions(membership.heard(m, now), now);
     } else if (message instanceof AgreementMessage word) {
       if (agreement != null) {
-        doings(agreement.heard(word, now), now);
+        handleEffects(agreement.receive(word, now), now);
       }
     } else if (membership.spoke(message, now)) {
-      seen = now;
+      lastFollowAt = now;
       if (message instanceof LeaseMessage word && lease != null) {
-        lease.heard(word, now).forEach(t -> out.tell(t.to(), t.word()));
-      } else if (message instanceof SharingPeerMessage said && sharing != null) {
-        shares(sharing.heard(said.body(), now));
-      } else if (message instanceof CapacityLeaseMessage word && holdings != null) {
-        holdings.heard(word, now).forEach(t -> out.tell(t.to(), t.word()));
-      } else if (message instanceof RetryBudgetMessage word && purse != null) {
-        purse
+        lease.heard(word, now).forEach(t -> effects.tell(t.to(), t.word()));
+      } else if (message instanceof SharingPeerMessage said && gossip != null) {
+        sendGossip(gossip.heard(said.body(), now));
+      } else if (message instanceof CapacityLeaseMessage word && capacityLeases != null) {
+        capacityLeases.heard(word, now).forEach(t -> effects.tell(t.to(), t.word()));
+      } else if (message instanceof RetryBudgetMessage word && retryBudget != null) {
+        retryBudget
+            .receive(word, membership.view(), membership.teller(), now)
+            .forEach(t -> effects.tell(t.to(), t.message()));
+      } else if (message instanceof LoadReportMessage word && loadReports != null) {
+        loadReports
             .heard(word, membership.view(), membership.teller(), now)
-            .forEach(t -> out.tell(t.to(), t.word()));
-      } else if (message instanceof LoadReportMessage word && reports != null) {
-        reports
-            .heard(word, membership.view(), membership.teller(), now)
-            .forEach(t -> out.tell(t.to(), t.word()));
+            .forEach(t -> effects.tell(t.to(), t.word()));
       }
     }
     follow(now);
@@ -232,52 +232,52 @@
     if (wake == null) {
       return null;
     }
-    wake = lease == null ? wake : sooner(wake, lease.wake(now));
-    wake = agreement == null ? wake : sooner(wake, agreement.wake(now));
-    wake = sharing == null ? wake : sooner(wake, sharing.wake());
-    wake = purse == null ? wake : sooner(wake, purse.wake(now));
-    wake = reports == null ? wake : sooner(wake, reports.wake());
-    return holdings == null ? wake : sooner(wake, holdings.wake(now));
+    wake = lease == null ? wake : earlier(wake, lease.wake(now));
+    wake = agreement == null ? wake : earlier(wake, agreement.nextFollowAt(now));
+    wake = gossip == null ? wake : earlier(wake, gossip.nextRoundAt());
+    wake = retryBudget == null ? wake : earlier(wake, retryBudget.nextFollowAt(now));
+    wake = loadReports == null ? wake : earlier(wake, loadReports.wake());
+    return capacityLeases == null ? wake : earlier(wake, capacityLeases.nextFollowAt(now));
   }
 
-  private static Timestamp sooner(Timestamp one, Timestamp other) {
+  private static Timestamp earlier(Timestamp one, Timestamp other) {
     return other == null || one.isBefore(other) ? one : other;
   }
 
   // ---- what follows
 
-  private void acts(List<MembershipAction> acts, Timestamp now) {
+  private void handleActions(List<MembershipAction> acts, Timestamp now) {
     for (MembershipAction act : acts) {
       if (act instanceof MembershipAction.Send tell) {
-        out.tell(tell.to(), tell.message());
+        effects.tell(tell.to(), tell.message());
       } else {
-        out.act(act);
+        effects.act(act);
       }
     }
     follow(now);
   }
 
-  private void doings(List<AgreementEffect> doings, Timestamp now) {
+  private void handleEffects(List<AgreementEffect> doings, Timestamp now) {
     List<MembershipAction> acts = new ArrayList<>();
     for (AgreementEffect doing : doings) {
       if (doing instanceof AgreementEffect.Send tell) {
-        out.tell(tell.to(), tell.word());
+        effects.tell(tell.to(), tell.message());
       } else if (doing instanceof AgreementEffect.MembershipEffect of) {
-        acts.add(of.act());
+        acts.add(of.action());
       } else {
-        out.doing(doing);
+        effects.doing(doing);
       }
     }
     if (!acts.isEmpty()) {
-      acts(acts, now);
+      handleActions(acts, now);
     }
   }
 
-  private Map<MemberName, Long> spares(Timestamp now) {
+  private Map<MemberName, Long> spareRetries(Timestamp now) {
     Map<MemberName, Long> spares = new HashMap<>();
     for (Member m : membership.view() == null ? List.<Member>of() : membership.view().members()) {
-      KnownFigures known = sharing.known(m.name(), now);
-      Long said = known == null ? null : known.figures().byName().get(SPARE);
+      KnownFigures known = gossip.known(m.name(), now);
+      Long said = known == null ? null : known.figures().byName().get(SPARE_RETRIES_FIGURE);
       if (said != null) {
         spares.put(m.name(), said);
       }
@@ -285,12 +285,12 @@
     return spares;
   }
 
-  private void shares(List<StateGossip.Send> sends) {
+  private void sendGossip(List<StateGossip.Send> sends) {
     View view = membership.view();
     for (StateGossip.Send send : sends) {
       Member to = view == null ? null : view.of(send.to());
       if (to != null) {
-        out.tell(to.peerAddress(), SharingPeerMessage.of(membership.teller(), send.message()));
+        effects.tell(to.peerAddress(), SharingPeerMessage.of(membership.teller(), send.message()));
       }
     }
   }
@@ -299,48 +299,48 @@
    * Each in turn hears of what it hangs on, before anything else is done with what is known now.
    */
   public void follow(Timestamp now) {
-    if (following) {
+    if (isFollowing) {
       return;
     }
-    following = true;
-    seen = now;
+    isFollowing = true;
+    lastFollowAt = now;
     if (lease != null) {
-      lease.follow(now).forEach(t -> out.tell(t.to(), t.word()));
+      lease.follow(now).forEach(t -> effects.tell(t.to(), t.word()));
     }
     if (agreement != null) {
-      doings(agreement.follow(now), now);
+      handleEffects(agreement.follow(now), now);
     }
-    if (sharing != null) {
-      sharing.born(membership.self().incarnation());
-      if (membership.view() != shared) {
-        shared = membership.view();
+    if (gossip != null) {
+      gossip.setIncarnation(membership.self().incarnation());
+      if (membership.view() != gossipView) {
+        gossipView = membership.view();
         Set<MemberName> names =
-            shared == null
+            gossipView == null
                 ? Set.of()
-                : shared.members().stream().map(Member::name).collect(Collectors.toSet());
-        sharing.view(names);
+                : gossipView.members().stream().map(Member::name).collect(Collectors.toSet());
+        gossip.view(names);
       }
-      shares(sharing.due(now));
+      sendGossip(gossip.due(now));
     }
-    if (holdings != null) {
-      holdings.follow(now).forEach(t -> out.tell(t.to(), t.word()));
+    if (capacityLeases != null) {
+      capacityLeases.follow(now).forEach(t -> effects.tell(t.to(), t.word()));
     }
-    if (purse != null && purse.isDue(now)) {
-      purse
+    if (retryBudget != null && retryBudget.isDue(now)) {
+      retryBudget
           .follow(
-              sends.firstAttempts(),
-              sends.wantedRetries(),
-              spares(now),
+              attemptCounts.firstAttempts(),
+              attemptCounts.wantedRetries(),
+              spareRetries(now),
               membership.view(),
               membership.teller(),
               now)
-          .forEach(t -> out.tell(t.to(), t.word()));
+          .forEach(t -> effects.tell(t.to(), t.message()));
     }
-    if (reports != null) {
-      reports
+    if (loadReports != null) {
+      loadReports
           .due(membership.view(), membership.teller(), now)
-          .forEach(t -> out.tell(t.to(), t.word()));
+          .forEach(t -> effects.tell(t.to(), t.word()));
     }
-    following = false;
+    isFollowing = false;
   }
 }
--- a/src/main/java/cobaltseam/retrybudget/RetryBudget.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudget.java
@@ -20,7 +20,7 @@
  * What this process may yet spend on further sends, such that all sends over first sends stay under
  * a set figure over the whole fleet, whatever part of it is cut off, stands still, is killed or
  * starts anew. It does no I/O: moments, chance and messages come from the caller, who asks {@link
- * #follow} no later than {@link #wake}.
+ * #follow} no later than {@link #nextFollowAt}.
  *
  * <p>Each first send earns a part of a further one, which may be spent for one window, here or at
  * the member that it was given to. What is given is gone here before it is told; what is lost on
@@ -40,26 +40,26 @@
      * Adds to it, or takes from it; false if by now it is not what was expected, and nothing is
      * done.
      */
-    boolean change(long expected, long to);
+    boolean compareAndSet(long expected, long to);
   }
 
   /** A datagram to an address; it may be lost. */
-  public record OutgoingMessage(InetSocketAddress to, RetryBudgetMessage word) {}
+  public record OutgoingMessage(InetSocketAddress to, RetryBudgetMessage message) {}
 
-  public static final long ONE = 1000;
+  public static final long UNITS_PER_RETRY = 1000;
 
   /** In how many cells what is left is kept, by when it ends: each is a part of a window. */
-  public static final int MOST_CELLS = 32;
+  public static final int MAX_GRANTS = 32;
 
-  private static final int MOST_OPEN = 8;
+  private static final int MAX_PENDING_REQUESTS = 8;
 
   /**
    * Needs are a mean that forgets by half in this part of a window, and what is held covers them
    * for so much of one.
    */
-  private static final double FORGETS = 0.25;
+  private static final double NEED_HALF_LIFE_WINDOWS = 0.25;
 
-  private static final double COVERS = 0.25;
+  private static final double RESERVE_WINDOWS = 0.25;
 
   private static final class BudgetGrant {
     long amount;
@@ -71,55 +71,59 @@
     }
   }
 
-  private record PendingRequest(Member of, Timestamp at) {}
+  private record PendingRequest(Member member, Timestamp requestedAt) {}
 
-  private final RetryBudgetOptions terms;
-  private final RemainingRetries left;
-  private final RandomGenerator chance;
+  private final RetryBudgetOptions options;
+  private final RemainingRetries remaining;
+  private final RandomGenerator random;
 
   /**
    * By when they end, soonest first; their sum is what is left and what was spent since it was
    * looked at.
    */
-  private final List<BudgetGrant> cells = new ArrayList<>();
+  private final List<BudgetGrant> grants = new ArrayList<>();
 
-  private final Map<Long, PendingRequest> open = new HashMap<>();
-  private Timestamp at, next;
-  private long firsts, wanted;
-  private double earned;
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
+  private Timestamp updatedAt, nextExchangeAt;
+  private long firstAttempts, wantedRetries;
+  private double earnedFraction;
 
   /** Further sends a second that were wanted lately. */
-  private double need;
+  private double neededPerSecond;
 
-  public RetryBudget(RetryBudgetOptions terms, RemainingRetries left, RandomGenerator chance) {
-    this.terms = terms;
-    this.left = left;
-    this.chance = chance;
+  public RetryBudget(
+      RetryBudgetOptions options, RemainingRetries remaining, RandomGenerator random) {
+    this.options = options;
+    this.remaining = remaining;
+    this.random = random;
   }
 
   // ---- what is asked
 
   /** Further sends a second that were wanted lately. */
-  public double need() {
-    return need;
+  public double neededPerSecond() {
+    return neededPerSecond;
   }
 
   /** What others may ask for, in thousandths of a send. */
-  public long spare() {
-    return Math.max(0, left.get() - covers());
+  public long spareUnits() {
+    return Math.max(0, remaining.get() - reserveUnits());
   }
 
-  private long covers() {
-    return Math.round(need * terms.window().us() / 1e6 * COVERS * ONE);
+  private long reserveUnits() {
+    return Math.round(
+        neededPerSecond * options.window().us() / 1e6 * RESERVE_WINDOWS * UNITS_PER_RETRY);
   }
 
   /** Whether it is to be asked what follows. */
   public boolean isDue(Timestamp now) {
-    return next == null || !now.isBefore(next);
+    return nextExchangeAt == null || !now.isBefore(nextExchangeAt);
   }
 
-  public Timestamp wake(Timestamp now) {
-    return next == null || !now.isBefore(next) ? now.plus(terms.exchangeInterval()) : next;
+  public Timestamp nextFollowAt(Timestamp now) {
+    return nextExchangeAt == null || !now.isBefore(nextExchangeAt)
+        ? now.plus(options.exchangeInterval())
+        : nextExchangeAt;
   }
 
   // ---- what follows
@@ -128,55 +132,60 @@
    * Brings what is left up to this moment, and asks for more where that does not cover what is
    * wanted.
    *
-   * @param firstsSent first sends of this process so far
-   * @param furtherWanted further sends of it so far, and those that it would have made
+   * @param firstAttemptsSoFar first sends of this process so far
+   * @param wantedRetriesSoFar further sends of it so far, and those that it would have made
    * @param spares what members said that others may ask them for
    */
   public List<OutgoingMessage> follow(
-      long firstsSent,
-      long furtherWanted,
+      long firstAttemptsSoFar,
+      long wantedRetriesSoFar,
       Map<MemberName, Long> spares,
       View view,
       MessageHeader self,
       Timestamp now) {
-    if (at == null) {
-      at = now;
-      firsts = firstsSent;
-      wanted = furtherWanted;
+    if (updatedAt == null) {
+      updatedAt = now;
+      firstAttempts = firstAttemptsSoFar;
+      wantedRetries = wantedRetriesSoFar;
     }
-    TimeSpan since = now.since(at);
+    TimeSpan since = now.since(updatedAt);
     if (since.isPositive()) {
       settle(now);
-      earn(firstsSent - firsts, since, now);
-      double keep = Math.pow(0.5, since.over(terms.window().times(FORGETS)));
-      need = need * keep + (furtherWanted - wanted) * 1e6 / since.us() * (1 - keep);
-      firsts = firstsSent;
-      wanted = furtherWanted;
-      at = now;
+      earn(firstAttemptsSoFar - firstAttempts, since, now);
+      double decay = Math.pow(0.5, since.over(options.window().times(NEED_HALF_LIFE_WINDOWS)));
+      neededPerSecond =
+          neededPerSecond * decay
+              + (wantedRetriesSoFar - wantedRetries) * 1e6 / since.us() * (1 - decay);
+      firstAttempts = firstAttemptsSoFar;
+      wantedRetries = wantedRetriesSoFar;
+      updatedAt = now;
     }
-    if (next != null && now.isBefore(next)) {
+    if (nextExchangeAt != null && now.isBefore(nextExchangeAt)) {
       return List.of();
     }
-    next = now.plus(terms.exchangeInterval());
-    open.values().removeIf(o -> now.since(o.at).compareTo(terms.window()) >= 0);
-    long missing = covers() - left.get();
-    return missing < ONE || view == null ? List.of() : beg(missing, spares, view, self, now);
+    nextExchangeAt = now.plus(options.exchangeInterval());
+    pending.values().removeIf(o -> now.since(o.requestedAt).compareTo(options.window()) >= 0);
+    long missing = reserveUnits() - remaining.get();
+    return missing < UNITS_PER_RETRY || view == null
+        ? List.of()
+        : requestUnits(missing, spares, view, self, now);
   }
 
   /** Takes from the cells what was spent since, and from what is left what has ended. */
   private void settle(Timestamp now) {
     while (true) {
-      long is = left.get();
-      long spent = cells.stream().mapToLong(c -> c.amount).sum() - is;
+      long current = remaining.get();
+      long spent = grants.stream().mapToLong(c -> c.amount).sum() - current;
       // The sooner it ends the sooner it is taken to be spent: nothing lasts longer for it.
-      for (BudgetGrant cell : cells) {
-        long part = Math.min(spent, cell.amount);
-        cell.amount -= part;
+      for (BudgetGrant grant : grants) {
+        long part = Math.min(spent, grant.amount);
+        grant.amount -= part;
         spent -= part;
       }
-      long ends = cells.stream().filter(c -> !now.isBefore(c.until)).mapToLong(c -> c.amount).sum();
-      if (left.change(is, is - ends)) {
-        cells.removeIf(c -> c.amount == 0 || !now.isBefore(c.until));
+      long expired =
+          grants.stream().filter(c -> !now.isBefore(c.until)).mapToLong(c -> c.amount).sum();
+      if (remaining.compareAndSet(current, current - expired)) {
+        grants.removeIf(c -> c.amount == 0 || !now.isBefore(c.until));
         return;
       }
     }
@@ -186,14 +195,14 @@
    * What was sent since the last look is taken to have been sent right after it: it may be spent
    * for no longer than a window.
    */
-  private void earn(long newFirsts, TimeSpan since, Timestamp now) {
-    earned +=
-        (newFirsts * terms.ratio()
-                + terms.standaloneRate() * Math.min(1, since.over(terms.window())))
-            * ONE;
-    long whole = (long) earned;
-    earned -= whole;
-    add(whole, at.plus(terms.window()), now);
+  private void earn(long newFirstAttempts, TimeSpan since, Timestamp now) {
+    earnedFraction +=
+        (newFirstAttempts * options.ratio()
+                + options.standaloneRate() * Math.min(1, since.over(options.window())))
+            * UNITS_PER_RETRY;
+    long earnedUnits = (long) earnedFraction;
+    earnedFraction -= earnedUnits;
+    add(earnedUnits, updatedAt.plus(options.window()), now);
   }
 
   private void add(long amount, Timestamp until, Timestamp now) {
@@ -201,75 +210,77 @@
       return;
     }
     // Cells are few: one that ends a little sooner takes what is added.
-    TimeSpan near = terms.window().times(1.0 / (MOST_CELLS / 2));
+    TimeSpan near = options.window().times(1.0 / (MAX_GRANTS / 2));
     BudgetGrant into = null;
-    for (BudgetGrant cell : cells) {
-      if (!until.isBefore(cell.until) && until.since(cell.until).compareTo(near) < 0) {
-        into = cell;
+    for (BudgetGrant grant : grants) {
+      if (!until.isBefore(grant.until) && until.since(grant.until).compareTo(near) < 0) {
+        into = grant;
       }
     }
     if (into == null) {
-      if (cells.size() >= MOST_CELLS) {
+      if (grants.size() >= MAX_GRANTS) {
         return;
       }
       into = new BudgetGrant(0, until);
-      cells.add(into);
-      cells.sort(Comparator.comparing((BudgetGrant c) -> c.until));
+      grants.add(into);
+      grants.sort(Comparator.comparing((BudgetGrant c) -> c.until));
     }
     into.amount += amount;
-    long is = left.get();
-    while (!left.change(is, is + amount)) {
-      is = left.get();
+    long current = remaining.get();
+    while (!remaining.compareAndSet(current, current + amount)) {
+      current = remaining.get();
     }
   }
 
-  private List<OutgoingMessage> beg(
+  private List<OutgoingMessage> requestUnits(
       long missing, Map<MemberName, Long> spares, View view, MessageHeader self, Timestamp now) {
     Member best = null;
     double most = 0;
-    for (Member m : view.members()) {
-      Long spare = spares.get(m.name());
+    for (Member member : view.members()) {
+      Long spare = spares.get(member.name());
       boolean other =
-          !m.name().equals(self.member().name())
+          !member.name().equals(self.member().name())
               && spare != null
-              && spare >= ONE
-              && open.values().stream().noneMatch(o -> o.of.equals(m));
+              && spare >= UNITS_PER_RETRY
+              && pending.values().stream().noneMatch(o -> o.member.equals(member));
       // By chance, each by what it seems to have left, so that not all ask the same one.
-      double draw = other ? spare * chance.nextDouble() : 0;
+      double draw = other ? spare * random.nextDouble() : 0;
       if (draw > most) {
-        best = m;
+        best = member;
         most = draw;
       }
     }
-    if (best == null || open.size() >= MOST_OPEN) {
+    if (best == null || pending.size() >= MAX_PENDING_REQUESTS) {
       return List.of();
     }
-    long id = chance.nextLong();
-    open.put(id, new PendingRequest(best, now));
+    long id = random.nextLong();
+    pending.put(id, new PendingRequest(best, now));
     return List.of(new OutgoingMessage(best.peerAddress(), new BudgetRequest(self, id, missing)));
   }
 
   // ---- what comes
 
   /** What to tell after a word that its carrier found whole, of one that counts. */
-  public List<OutgoingMessage> heard(
-      RetryBudgetMessage word, View view, MessageHeader self, Timestamp now) {
-    Member from = word.from().member();
+  public List<OutgoingMessage> receive(
+      RetryBudgetMessage message, View view, MessageHeader self, Timestamp now) {
+    Member from = message.from().member();
     if (view == null || !view.contains(from.name(), from.incarnation())) {
       return List.of();
     }
-    if (word instanceof BudgetRequest beg) {
-      return List.of(new OutgoingMessage(from.peerAddress(), give(beg, self, now)));
+    if (message instanceof BudgetRequest request) {
+      return List.of(new OutgoingMessage(from.peerAddress(), transferUnits(request, self, now)));
     }
-    BudgetTransfer give = (BudgetTransfer) word;
-    PendingRequest asked = open.get(give.id());
-    if (asked != null && asked.of.equals(from)) {
-      open.remove(give.id());
+    BudgetTransfer transfer = (BudgetTransfer) message;
+    PendingRequest asked = pending.get(transfer.id());
+    if (asked != null && asked.member.equals(from)) {
+      pending.remove(transfer.id());
       settle(now);
-      for (int i = 0; i < give.amounts().length; i++) {
-        long lasts = Math.min(give.lifetimesUs()[i], terms.window().us());
-        if (give.amounts()[i] > 0 && give.amounts()[i] < Integer.MAX_VALUE * ONE && lasts > 0) {
-          add(give.amounts()[i], asked.at.plus(new TimeSpan(lasts)), now);
+      for (int i = 0; i < transfer.amounts().length; i++) {
+        long lifetimeUs = Math.min(transfer.lifetimesUs()[i], options.window().us());
+        if (transfer.amounts()[i] > 0
+            && transfer.amounts()[i] < Integer.MAX_VALUE * UNITS_PER_RETRY
+            && lifetimeUs > 0) {
+          add(transfer.amounts()[i], asked.requestedAt.plus(new TimeSpan(lifetimeUs)), now);
         }
       }
     }
@@ -280,29 +291,30 @@
    * Half of what it can do without at the most, so that two that need it both get some; what lasts
    * longest, as that is of use there.
    */
-  private BudgetTransfer give(BudgetRequest beg, MessageHeader self, Timestamp now) {
+  private BudgetTransfer transferUnits(BudgetRequest request, MessageHeader self, Timestamp now) {
     settle(now);
     List<Long> amounts = new ArrayList<>();
-    List<Long> lasts = new ArrayList<>();
-    long may = Math.min(Math.max(0, beg.amount()), spare() / 2);
-    for (int i = cells.size() - 1; i >= 0 && may > 0; i--) {
-      BudgetGrant cell = cells.get(i);
+    List<Long> lifetimesUs = new ArrayList<>();
+    long allowed = Math.min(Math.max(0, request.amount()), spareUnits() / 2);
+    for (int i = grants.size() - 1; i >= 0 && allowed > 0; i--) {
+      BudgetGrant grant = grants.get(i);
       // By a clock that runs slower it ends no later there.
-      long lastsUs = Math.round(cell.until.since(now).us() * (1 - 2 * terms.maxClockRateRatio()));
-      long part = lastsUs <= 0 ? 0 : Math.min(may, cell.amount);
-      long is = left.get();
-      if (part > 0 && is >= part && left.change(is, is - part)) {
+      long lifetimeUs =
+          Math.round(grant.until.since(now).us() * (1 - 2 * options.maxClockRateRatio()));
+      long part = lifetimeUs <= 0 ? 0 : Math.min(allowed, grant.amount);
+      long current = remaining.get();
+      if (part > 0 && current >= part && remaining.compareAndSet(current, current - part)) {
         // Gone from here before it is told; what was spent meanwhile is seen at the next look.
-        cell.amount -= part;
-        may -= part;
+        grant.amount -= part;
+        allowed -= part;
         amounts.add(part);
-        lasts.add(lastsUs);
+        lifetimesUs.add(lifetimeUs);
       }
     }
     return new BudgetTransfer(
         self,
-        beg.id(),
+        request.id(),
         amounts.stream().mapToLong(Long::longValue).toArray(),
-        lasts.stream().mapToLong(Long::longValue).toArray());
+        lifetimesUs.stream().mapToLong(Long::longValue).toArray());
   }
 }
--- a/src/main/java/cobaltseam/retrybudget/RetryBudgetMessage.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudgetMessage.java
@@ -21,9 +21,9 @@
       implements RetryBudgetMessage {
     public BudgetTransfer {
       Objects.requireNonNull(from);
-      if (amounts.length > RetryBudget.MOST_CELLS || amounts.length != lifetimesUs.length) {
+      if (amounts.length > RetryBudget.MAX_GRANTS || amounts.length != lifetimesUs.length) {
         throw new IllegalArgumentException(
-            "at most " + RetryBudget.MOST_CELLS + " amounts, each with its time");
+            "at most " + RetryBudget.MAX_GRANTS + " amounts, each with its time");
       }
     }
   }
--- a/src/main/java/cobaltseam/service/AgreedConfiguration.java
+++ b/src/main/java/cobaltseam/service/AgreedConfiguration.java
@@ -72,7 +72,7 @@
     this.counters = counters;
     this.own = own;
     // Nothing is agreed yet, and the fleet's settings may differ from this dispatcher's own file.
-    conservative = ConservativeMerge.alone(own);
+    conservative = ConservativeMerge.withoutRetries(own);
     active = conservative;
     position = own.dispatcherIndex();
     agreement =
@@ -201,12 +201,12 @@
   void activate(ActiveConfiguration configuration) {
     ConfigurationVersion newest = configuration.newest();
     Deployment newestSettings = newest == null ? own : deployment(agreement.content(newest));
-    conservative = ConservativeMerge.alone(newestSettings);
+    conservative = ConservativeMerge.withoutRetries(newestSettings);
     boolean isConservative = configuration.mode() == ActiveConfiguration.Mode.BACK;
     Deployment merged = isConservative ? conservative : newestSettings;
     List<ConfigurationVersion> versions = configuration.versions();
     for (int i = versions.size() - 2; i >= 0; i--) {
-      merged = ConservativeMerge.between(deployment(agreement.content(versions.get(i))), merged);
+      merged = ConservativeMerge.merge(deployment(agreement.content(versions.get(i))), merged);
     }
     active = merged;
     counters.add(isConservative ? Count.AGREEMENT_STEPPED_BACK : Count.AGREEMENT_MOVES);
@@ -241,9 +241,9 @@
     rows.add(
         row(
             "since_ms",
-            agreement.actingSince() == null
+            agreement.activeSince() == null
                 ? "never"
-                : Long.toString(now.since(agreement.actingSince()).us() / US_PER_MS)));
+                : Long.toString(now.since(agreement.activeSince()).us() / US_PER_MS)));
     rows.add(row("lease_left_ms", Long.toString(agreement.leaseLeft(now).us() / US_PER_MS)));
     rows.add(row("held_by_all", Boolean.toString(agreement.isHeldByAll())));
     rows.add(row("last_proposal", lastProposal));
--- a/src/main/java/cobaltseam/service/FleetBridge.java
+++ b/src/main/java/cobaltseam/service/FleetBridge.java
@@ -37,7 +37,7 @@
    * Load reports that may wait while the event loop stands still; beyond them the oldest are
    * dropped.
    */
-  private static final int MAX_PENDING_REPORTS = 4 * LoadReports.MOST;
+  private static final int MAX_PENDING_REPORTS = 4 * LoadReports.MAX_ENGINES;
 
   private final AtomicReference<FleetSnapshot> snapshot = new AtomicReference<>(FleetSnapshot.NONE);
 
@@ -113,7 +113,7 @@
       }
 
       @Override
-      public boolean change(long expected, long to) {
+      public boolean compareAndSet(long expected, long to) {
         return remainingRetries.compareAndSet(expected, to);
       }
     };
@@ -201,7 +201,7 @@
 
   /** The number of retries that are left. */
   long furtherLeft() {
-    return remainingRetries.get() / RetryBudget.ONE;
+    return remainingRetries.get() / RetryBudget.UNITS_PER_RETRY;
   }
 
   /** Counts the first attempt of a request. */
@@ -218,9 +218,9 @@
   boolean takesFurther() {
     wantedRetries.setOpaque(wantedRetries.getPlain() + 1);
     for (long left = remainingRetries.get();
-        left >= RetryBudget.ONE;
+        left >= RetryBudget.UNITS_PER_RETRY;
         left = remainingRetries.get()) {
-      if (remainingRetries.compareAndSet(left, left - RetryBudget.ONE)) {
+      if (remainingRetries.compareAndSet(left, left - RetryBudget.UNITS_PER_RETRY)) {
         return true;
       }
     }
@@ -229,7 +229,7 @@
 
   /** An engine reported how many requests it has in flight that do not wait for memory. */
   void heard(EngineId engine, double inFlight, Timestamp now) {
-    if (reports.size() < LoadReports.MOST || reports.containsKey(engine)) {
+    if (reports.size() < LoadReports.MAX_ENGINES || reports.containsKey(engine)) {
       reports.put(engine, new LoadReport(engine, inFlight, now));
       hasNewReports = true;
     }
--- a/src/main/java/cobaltseam/service/FleetMessaging.java
+++ b/src/main/java/cobaltseam/service/FleetMessaging.java
@@ -73,7 +73,7 @@
 
   /** Frees the space that a received datagram takes in the bounded buffer of unread ones. */
   void release(byte[] datagram) {
-    socket.heard(datagram);
+    socket.release(datagram);
   }
 
   /** Decodes a datagram; empty, counted and logged if it is rejected. */
@@ -95,7 +95,7 @@
 
   /** Counts the datagrams that were dropped since the last call because too many were unread. */
   void countDropped() {
-    counters.add(Count.MEMBERSHIP_DATAGRAMS_DROPPED, socket.tooMany());
+    counters.add(Count.MEMBERSHIP_DATAGRAMS_DROPPED, socket.takeDroppedCount());
   }
 
   /** Queues a message until {@link #sendQueued}. */
--- a/src/main/java/cobaltseam/service/FleetModules.java
+++ b/src/main/java/cobaltseam/service/FleetModules.java
@@ -176,14 +176,14 @@
 
   private void connect(FleetBridge bridge) {
     if (loadReports != null) {
-      coordinator.hears(loadReports);
+      coordinator.setLoadReports(loadReports);
       bridge.collectReports();
     }
     if (capacityLeases != null) {
       coordinator.holds(capacityLeases);
     }
     if (retryBudget != null) {
-      coordinator.caps(retryBudget, bridge.attemptCounts());
+      coordinator.setRetryBudget(retryBudget, bridge.attemptCounts());
       bridge.limitRetries();
     }
   }
--- a/src/main/java/cobaltseam/service/FleetService.java
+++ b/src/main/java/cobaltseam/service/FleetService.java
@@ -122,7 +122,7 @@
   }
 
   private void notStored(String reason) {
-    inbox.post(null, () -> act(() -> coordinator.notKept(reason, clock.now())));
+    inbox.post(null, () -> act(() -> coordinator.persistFailed(reason, clock.now())));
   }
 
   // ---- start and end
@@ -339,7 +339,7 @@
       figures.put(FleetCoordinator.DEMAND, FleetCoordinator.figure(rate));
     }
     if (modules.retryBudget != null) {
-      figures.put(FleetCoordinator.SPARE, modules.retryBudget.spare());
+      figures.put(FleetCoordinator.SPARE_RETRIES_FIGURE, modules.retryBudget.spareUnits());
     }
     modules.gossip.say(new MemberFigures(figures));
   }
@@ -386,7 +386,7 @@
     }
     return modules.capacityLeases == null
         ? current
-        : current.withParts(modules.capacityLeases.steps(now), capacitySettings.whole());
+        : current.withParts(modules.capacityLeases.usableSteps(now), capacitySettings.whole());
   }
 
   /** Ends membership until the next start; the service goes on as one without it. */
--- a/src/main/java/cobaltseam/service/FleetStatusRows.java
+++ b/src/main/java/cobaltseam/service/FleetStatusRows.java
@@ -113,9 +113,9 @@
     long standalone = capacitySettings.terms(bridge.configuredDispatchers()).alonePart();
     rows.add(row("usable", part(modules.capacityLeases.usable(now))));
     rows.add(row("alone", part(standalone)));
-    rows.add(row("even", part(modules.capacityLeases.even(now))));
-    rows.add(row("lent", part(modules.capacityLeases.lentOut(now))));
-    rows.add(row("borrowed", part(modules.capacityLeases.borrowed(now))));
+    rows.add(row("even", part(modules.capacityLeases.evenPart(now))));
+    rows.add(row("lent", part(modules.capacityLeases.lentAmount(now))));
+    rows.add(row("borrowed", part(modules.capacityLeases.borrowedAmount(now))));
     rows.add(row("lease_left_ms", Long.toString(modules.lease.left(now).us() / US_PER_MS)));
     StateGossip.Sum sum = modules.gossip.sum(FleetCoordinator.DEMAND, now);
     rows.add(
@@ -124,7 +124,7 @@
             String.format(
                 Locale.ROOT,
                 "%.3f of %.3f, %d members known, %d not",
-                FleetCoordinator.demand(modules.gossip.own(FleetCoordinator.DEMAND))
+                FleetCoordinator.demand(modules.gossip.ownFigure(FleetCoordinator.DEMAND))
                     / US_PER_SECOND,
                 FleetCoordinator.demand(sum.sum()) / US_PER_SECOND,
                 sum.counted(),
@@ -138,23 +138,27 @@
   /** The rows of the retry budget, under the name "repeats". */
   private List<String[]> retryBudgetRows() {
     List<String[]> rows = new ArrayList<>();
-    double left = (double) bridge.retries().get() / RetryBudget.ONE;
+    double left = (double) bridge.retries().get() / RetryBudget.UNITS_PER_RETRY;
     rows.add(row("left", String.format(Locale.ROOT, "%.3f", left)));
     rows.add(
-        row("wanted_a_second", String.format(Locale.ROOT, "%.3f", modules.retryBudget.need())));
+        row(
+            "wanted_a_second",
+            String.format(Locale.ROOT, "%.3f", modules.retryBudget.neededPerSecond())));
     rows.add(row("first_sends", Long.toString(bridge.attemptCounts().firstAttempts())));
     rows.add(
         row("further_sends_and_denied", Long.toString(bridge.attemptCounts().wantedRetries())));
     rows.add(row("denied", Long.toString(counters.of(Count.REPEATS_DENIED))));
-    StateGossip.Sum spare = modules.gossip.sum(FleetCoordinator.SPARE, clock.now());
+    StateGossip.Sum spare = modules.gossip.sum(FleetCoordinator.SPARE_RETRIES_FIGURE, clock.now());
     rows.add(
         row(
             "others_can_spare",
             String.format(
                 Locale.ROOT,
                 "%.3f, %d members known, %d not",
-                (double) (spare.sum() - modules.gossip.own(FleetCoordinator.SPARE))
-                    / RetryBudget.ONE,
+                (double)
+                        (spare.sum()
+                            - modules.gossip.ownFigure(FleetCoordinator.SPARE_RETRIES_FIGURE))
+                    / RetryBudget.UNITS_PER_RETRY,
                 spare.counted(),
                 spare.unknown())));
     return rows;
--- a/src/main/java/cobaltseam/sharing/MemberFigures.java
+++ b/src/main/java/cobaltseam/sharing/MemberFigures.java
@@ -9,15 +9,19 @@
  */
 public record MemberFigures(Map<String, Long> byName) {
   /** No member says more than this many figures: what a peer makes others hold is bounded. */
-  public static final int MOST = 256;
+  public static final int MAX_FIGURES = 256;
 
-  public static final int LONGEST_NAME = 64;
+  public static final int MAX_NAME_LENGTH = 64;
 
   public MemberFigures {
-    if (byName.size() > MOST
-        || byName.keySet().stream().anyMatch(n -> n.isEmpty() || n.length() > LONGEST_NAME)) {
+    if (byName.size() > MAX_FIGURES
+        || byName.keySet().stream().anyMatch(n -> n.isEmpty() || n.length() > MAX_NAME_LENGTH)) {
       throw new IllegalArgumentException(
-          "at most " + MOST + " figures, with names of 1 to " + LONGEST_NAME + " characters");
+          "at most "
+              + MAX_FIGURES
+              + " figures, with names of 1 to "
+              + MAX_NAME_LENGTH
+              + " characters");
     }
     byName = Map.copyOf(new TreeMap<>(byName));
   }
--- a/src/main/java/cobaltseam/sharing/StateGossip.java
+++ b/src/main/java/cobaltseam/sharing/StateGossip.java
@@ -15,7 +15,7 @@
 
 /**
  * What the members of a view know of each other. It does no I/O: moments, chance and messages come
- * from the caller, who asks {@link #due} no later than {@link #wake}.
+ * from the caller, who asks {@link #due} no later than {@link #nextRoundAt}.
  *
  * <p>Each member says figures of itself alone, under a version that rises. They spread by asking:
  * each round a few others, drawn from the view, are asked for what is newer than what is held here.
@@ -35,109 +35,112 @@
   private static final int STATEMENT_BYTES = 64;
 
   private static final int FIGURE_BYTES = 12;
-  private static final int KNOWN_BYTES = 24;
+  private static final int KNOWN_VERSION_BYTES = 24;
 
   /**
    * So many asks wait for their answer at the most: what peers that stay silent make this process
    * hold is bounded.
    */
-  private static final int MOST_OPEN = 64;
+  private static final int MAX_PENDING_REQUESTS = 64;
 
-  private static final long MOST_FIRST = 1L << 40;
+  private static final long MAX_FIRST_NUMBER = 1L << 40;
 
-  private static final class Held {
+  private static final class KnownState {
     Version version;
     MemberFigures figures;
 
     /**
      * The earliest moment, by this process's clock, at which its member can have stood by it last.
      */
-    Timestamp saidFrom;
+    Timestamp confirmedAt;
   }
 
-  private record Open(MemberName of, Timestamp at) {}
+  private record PendingRequest(MemberName member, Timestamp requestedAt) {}
 
   /** One message and whom it is for. */
   public record Send(MemberName to, SharingMessage message) {}
 
   private final MemberName self;
-  private Incarnation birth;
-  private final GossipOptions terms;
-  private final RandomGenerator chance;
-  private final Map<MemberName, Held> held = new TreeMap<>();
-  private final Map<Long, Open> open = new HashMap<>();
+  private Incarnation incarnation;
+  private final GossipOptions options;
+  private final RandomGenerator random;
+  private final Map<MemberName, KnownState> states = new TreeMap<>();
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
   private List<MemberName> others = List.of();
 
   /** Those of the view not asked yet in this turn: each is asked once before any is asked again. */
-  private final List<MemberName> turn = new ArrayList<>();
+  private final List<MemberName> notYetAsked = new ArrayList<>();
 
-  private long number;
-  private MemberFigures own;
-  private Timestamp next;
+  private long versionNumber;
+  private MemberFigures ownFigures;
+  private Timestamp nextRoundAt;
 
   public StateGossip(
       MemberName self,
-      Incarnation birth,
-      GossipOptions terms,
-      RandomGenerator chance,
+      Incarnation incarnation,
+      GossipOptions options,
+      RandomGenerator random,
       Timestamp now) {
     this.self = self;
-    this.birth = birth;
-    this.terms = terms;
-    this.chance = chance;
+    this.incarnation = incarnation;
+    this.options = options;
+    this.random = random;
     // A process started anew under its birth must not say other figures under a version that it
     // gave before.
-    number = chance.nextLong(MOST_FIRST);
-    next = now.plus(terms.round().times(chance.nextDouble()));
+    versionNumber = random.nextLong(MAX_FIRST_NUMBER);
+    nextRoundAt = now.plus(options.round().times(random.nextDouble()));
   }
 
   /** The members of the view now. Of one that is not in it nothing is known any more. */
   public void view(Set<MemberName> members) {
     others = members.stream().filter(m -> !m.equals(self)).sorted().toList();
-    held.keySet().retainAll(new HashSet<>(others));
-    turn.retainAll(new HashSet<>(others));
-    open.values().removeIf(o -> !members.contains(o.of()));
+    states.keySet().retainAll(new HashSet<>(others));
+    notYetAsked.retainAll(new HashSet<>(others));
+    pending.values().removeIf(o -> !members.contains(o.member()));
   }
 
   /** This process is another member from now on. */
-  public void born(Incarnation anew) {
-    birth = anew;
+  public void setIncarnation(Incarnation current) {
+    incarnation = current;
   }
 
   /** What this member says of itself under this name; 0 if it does not. */
-  public long own(String figure) {
-    return own == null ? 0 : own.byName().getOrDefault(figure, 0L);
+  public long ownFigure(String figure) {
+    return ownFigures == null ? 0 : ownFigures.byName().getOrDefault(figure, 0L);
   }
 
   /** What this member says of itself from now on. */
   public void say(MemberFigures figures) {
-    own = figures;
-    number++;
+    ownFigures = figures;
+    versionNumber++;
   }
 
   /** When to ask {@link #due} next. */
-  public Timestamp wake() {
-    return next;
+  public Timestamp nextRoundAt() {
+    return nextRoundAt;
   }
 
   /** What to send now. */
   public List<Send> due(Timestamp now) {
-    if (now.isBefore(next)) {
+    if (now.isBefore(nextRoundAt)) {
       return List.of();
     }
     // After a pause there is one round, not all those that were missed.
-    next = now.plus(terms.round());
-    open.values().removeIf(o -> now.since(o.at()).compareTo(terms.end()) >= 0);
-    held.values().removeIf(h -> age(h, now).compareTo(terms.end()) >= 0);
+    nextRoundAt = now.plus(options.round());
+    pending.values().removeIf(o -> now.since(o.requestedAt()).compareTo(options.maxAge()) >= 0);
+    states.values().removeIf(state -> age(state, now).compareTo(options.maxAge()) >= 0);
     List<Send> sends = new ArrayList<>();
-    for (int i = 0; i < Math.min(terms.asked(), others.size()) && open.size() < MOST_OPEN; i++) {
-      if (turn.isEmpty()) {
-        turn.addAll(others);
+    for (int i = 0;
+        i < Math.min(options.requestsPerRound(), others.size())
+            && pending.size() < MAX_PENDING_REQUESTS;
+        i++) {
+      if (notYetAsked.isEmpty()) {
+        notYetAsked.addAll(others);
       }
-      MemberName of = turn.remove(chance.nextInt(turn.size()));
-      long id = chance.nextLong();
-      open.put(id, new Open(of, now));
-      sends.add(new Send(of, new SharingMessage.UpdateRequest(self, id, has(now))));
+      MemberName member = notYetAsked.remove(random.nextInt(notYetAsked.size()));
+      long id = random.nextLong();
+      pending.put(id, new PendingRequest(member, now));
+      sends.add(new Send(member, new SharingMessage.UpdateRequest(self, id, knownVersions(now))));
     }
     return sends;
   }
@@ -146,19 +149,21 @@
    * What is held, as much as a message holds; what is left out is drawn, so that nothing is for
    * good.
    */
-  private Map<MemberName, SharingMessage.KnownVersion> has(Timestamp now) {
-    List<MemberName> names = new ArrayList<>(held.keySet());
+  private Map<MemberName, SharingMessage.KnownVersion> knownVersions(Timestamp now) {
+    List<MemberName> names = new ArrayList<>(states.keySet());
     Map<MemberName, SharingMessage.KnownVersion> known = new HashMap<>();
-    known.put(self, new SharingMessage.KnownVersion(new Version(birth, number), TimeSpan.ZERO));
+    known.put(
+        self,
+        new SharingMessage.KnownVersion(new Version(incarnation, versionNumber), TimeSpan.ZERO));
     int bytes = 0;
     while (!names.isEmpty()) {
-      MemberName name = names.remove(chance.nextInt(names.size()));
-      bytes += KNOWN_BYTES + name.value().length();
-      if (bytes > terms.mostBytes()) {
+      MemberName name = names.remove(random.nextInt(names.size()));
+      bytes += KNOWN_VERSION_BYTES + name.value().length();
+      if (bytes > options.maxMessageBytes()) {
         break;
       }
-      Held h = held.get(name);
-      known.put(name, new SharingMessage.KnownVersion(h.version, age(h, now)));
+      KnownState state = states.get(name);
+      known.put(name, new SharingMessage.KnownVersion(state.version, age(state, now)));
     }
     return known;
   }
@@ -168,49 +173,59 @@
     if (!others.contains(message.from())) {
       return List.of();
     }
-    if (message instanceof SharingMessage.UpdateRequest ask) {
-      return answer(ask, now);
+    if (message instanceof SharingMessage.UpdateRequest request) {
+      return answer(request, now);
     }
     learn((SharingMessage.UpdateReply) message, now);
     return List.of();
   }
 
-  private List<Send> answer(SharingMessage.UpdateRequest ask, Timestamp now) {
-    List<Statement> mine = new ArrayList<>();
-    if (own != null) {
-      mine.add(new Statement(self, new Version(birth, number), own, TimeSpan.ZERO));
+  private List<Send> answer(SharingMessage.UpdateRequest request, Timestamp now) {
+    List<Statement> statements = new ArrayList<>();
+    if (ownFigures != null) {
+      statements.add(
+          new Statement(self, new Version(incarnation, versionNumber), ownFigures, TimeSpan.ZERO));
     }
-    held.forEach((name, h) -> mine.add(new Statement(name, h.version, h.figures, age(h, now))));
+    states.forEach(
+        (name, state) ->
+            statements.add(new Statement(name, state.version, state.figures, age(state, now))));
     List<Send> sends = new ArrayList<>();
     List<Statement> newer = new ArrayList<>();
-    List<SharingMessage.Reaffirmation> standing = new ArrayList<>();
+    List<SharingMessage.Reaffirmation> reaffirmations = new ArrayList<>();
     int bytes = 0;
-    for (Statement s : mine) {
-      SharingMessage.KnownVersion has = ask.known().get(s.member());
-      int by = has == null ? -1 : has.version().compareTo(s.version());
+    for (Statement s : statements) {
+      SharingMessage.KnownVersion knownVersion = request.known().get(s.member());
+      int comparison = knownVersion == null ? -1 : knownVersion.version().compareTo(s.version());
       // A figure that is the same is told as such only where that adds a round to its life there.
-      boolean younger = by == 0 && s.age().plus(terms.round()).compareTo(has.age()) < 0;
-      if (by > 0 || by == 0 && !younger || s.age().compareTo(terms.end()) >= 0) {
+      boolean isYounger =
+          comparison == 0 && s.age().plus(options.round()).compareTo(knownVersion.age()) < 0;
+      if (comparison > 0
+          || comparison == 0 && !isYounger
+          || s.age().compareTo(options.maxAge()) >= 0) {
         continue;
       }
-      int more = younger ? KNOWN_BYTES + s.member().value().length() : bytes(s);
-      if (bytes > 0 && bytes + more > terms.mostBytes()) {
+      int addedBytes = isYounger ? KNOWN_VERSION_BYTES + s.member().value().length() : bytes(s);
+      if (bytes > 0 && bytes + addedBytes > options.maxMessageBytes()) {
         sends.add(
-            new Send(ask.from(), new SharingMessage.UpdateReply(self, ask.id(), newer, standing)));
+            new Send(
+                request.from(),
+                new SharingMessage.UpdateReply(self, request.id(), newer, reaffirmations)));
         newer.clear();
-        standing.clear();
+        reaffirmations.clear();
         bytes = 0;
       }
-      if (younger) {
-        standing.add(new SharingMessage.Reaffirmation(s.member(), s.version(), s.age()));
+      if (isYounger) {
+        reaffirmations.add(new SharingMessage.Reaffirmation(s.member(), s.version(), s.age()));
       } else {
         newer.add(s);
       }
-      bytes += more;
+      bytes += addedBytes;
     }
     if (bytes > 0) {
       sends.add(
-          new Send(ask.from(), new SharingMessage.UpdateReply(self, ask.id(), newer, standing)));
+          new Send(
+              request.from(),
+              new SharingMessage.UpdateReply(self, request.id(), newer, reaffirmations)));
     }
     return sends;
   }
@@ -221,41 +236,41 @@
         + s.figures().byName().keySet().stream().mapToInt(n -> n.length() + FIGURE_BYTES).sum();
   }
 
-  private void learn(SharingMessage.UpdateReply newer, Timestamp now) {
-    Open asked = open.get(newer.id());
-    if (asked == null || !asked.of().equals(newer.from())) {
+  private void learn(SharingMessage.UpdateReply reply, Timestamp now) {
+    PendingRequest request = pending.get(reply.id());
+    if (request == null || !request.member().equals(reply.from())) {
       return;
     }
-    for (Statement s : newer.statements()) {
+    for (Statement s : reply.statements()) {
       if (s.member().equals(self)) {
         // A former process of this birth said more: whoever holds that would not believe this one.
-        if (s.version().incarnation().equals(birth) && s.version().number() > number) {
-          number = s.version().number() + 1;
+        if (s.version().incarnation().equals(incarnation) && s.version().number() > versionNumber) {
+          versionNumber = s.version().number() + 1;
         }
         continue;
       }
-      Held h = held.get(s.member());
+      KnownState state = states.get(s.member());
       if (!others.contains(s.member())
           || s.age().us() < 0
-          || h != null && h.version.compareTo(s.version()) >= 0) {
+          || state != null && state.version.compareTo(s.version()) >= 0) {
         continue;
       }
-      Timestamp from = from(asked, s.age());
-      if (now.since(from).compareTo(terms.end()) < 0) {
-        Held fresh = new Held();
+      Timestamp from = confirmedAt(request, s.age());
+      if (now.since(from).compareTo(options.maxAge()) < 0) {
+        KnownState fresh = new KnownState();
         fresh.version = s.version();
         fresh.figures = s.figures();
-        fresh.saidFrom = from;
-        held.put(s.member(), fresh);
+        fresh.confirmedAt = from;
+        states.put(s.member(), fresh);
       }
     }
-    for (SharingMessage.Reaffirmation s : newer.standing()) {
-      Held h = held.get(s.member());
-      if (h != null
+    for (SharingMessage.Reaffirmation s : reply.standing()) {
+      KnownState state = states.get(s.member());
+      if (state != null
           && s.age().us() >= 0
-          && h.version.equals(s.version())
-          && h.saidFrom.isBefore(from(asked, s.age()))) {
-        h.saidFrom = from(asked, s.age());
+          && state.version.equals(s.version())
+          && state.confirmedAt.isBefore(confirmedAt(request, s.age()))) {
+        state.confirmedAt = confirmedAt(request, s.age());
       }
     }
   }
@@ -264,20 +279,20 @@
    * It left its teller after it was asked for: by then it was as old as told at the most, by a
    * clock of another rate.
    */
-  private Timestamp from(Open asked, TimeSpan age) {
-    return asked.at().minus(age.times(1 + 2 * terms.drift()));
+  private Timestamp confirmedAt(PendingRequest request, TimeSpan age) {
+    return request.requestedAt().minus(age.times(1 + 2 * options.maxClockRateRatio()));
   }
 
-  private TimeSpan age(Held h, Timestamp now) {
-    return now.since(h.saidFrom);
+  private TimeSpan age(KnownState state, Timestamp now) {
+    return now.since(state.confirmedAt);
   }
 
   /** What is known of a member now; null if nothing is, or it has reached its end. */
-  public KnownFigures known(MemberName of, Timestamp now) {
-    Held h = held.get(of);
-    return h == null || age(h, now).compareTo(terms.end()) >= 0
+  public KnownFigures known(MemberName member, Timestamp now) {
+    KnownState state = states.get(member);
+    return state == null || age(state, now).compareTo(options.maxAge()) >= 0
         ? null
-        : new KnownFigures(h.version, h.figures, age(h, now));
+        : new KnownFigures(state.version, state.figures, age(state, now));
   }
 
   /**
@@ -285,13 +300,13 @@
    * not: of a sum that leaves some out nobody may believe that they have nothing.
    */
   public Sum sum(String figure, Timestamp now) {
-    long sum = own == null ? 0 : own.byName().getOrDefault(figure, 0L);
-    int counted = own != null && own.byName().containsKey(figure) ? 1 : 0;
-    for (MemberName m : others) {
-      KnownFigures k = known(m, now);
-      Long said = k == null ? null : k.figures().byName().get(figure);
-      if (said != null) {
-        sum += said;
+    long sum = ownFigures == null ? 0 : ownFigures.byName().getOrDefault(figure, 0L);
+    int counted = ownFigures != null && ownFigures.byName().containsKey(figure) ? 1 : 0;
+    for (MemberName member : others) {
+      KnownFigures state = known(member, now);
+      Long value = state == null ? null : state.figures().byName().get(figure);
+      if (value != null) {
+        sum += value;
         counted++;
       }
     }
@@ -303,6 +318,6 @@
 
   /** Statements held of others: bounded by the view. */
   public int size() {
-    return held.size();
+    return states.size();
   }
 }
--- a/src/main/java/cobaltseam/transport/AdvertDatagramSocket.java
+++ b/src/main/java/cobaltseam/transport/AdvertDatagramSocket.java
@@ -21,85 +21,87 @@
    * it.
    */
   public interface Receiver {
-    void came(byte[] bytes, InetAddress source);
+    void receive(byte[] bytes, InetAddress source);
   }
 
   /**
    * The longest advert with its seal has 4,132 bytes: what is longer comes cut, and is refused for
    * its length.
    */
-  private static final int LARGEST = 4200;
+  private static final int MAX_ADVERT_BYTES = 4200;
 
   /**
    * Bytes of all peers that may wait to be heard, each its even part and at least two datagrams,
    * with what keeps one.
    */
-  private static final int MOST_UNHEARD = 1 << 20;
+  private static final int MAX_UNREAD_BYTES = 1 << 20;
 
-  private static final int KEEPING = 128;
-  private static final int BUFFER = 1 << 20;
+  private static final int OVERHEAD_BYTES = 128;
+  private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
   private final DatagramEndpoint datagrams;
   private final Receiver receiver;
-  private final AtomicLong strangers = new AtomicLong();
-  private final AtomicLong tooMany = new AtomicLong();
-  private volatile Map<InetAddress, AtomicInteger> unheard = Map.of();
-  private volatile int mostOfOne;
+  private final AtomicLong unknownSources = new AtomicLong();
+  private final AtomicLong dropped = new AtomicLong();
+  private volatile Map<InetAddress, AtomicInteger> unreadBytes = Map.of();
+  private volatile int maxUnreadBytesPerPeer;
 
   public AdvertDatagramSocket(InetSocketAddress at, Set<InetAddress> peers, Receiver receiver) {
-    datagrams = new DatagramEndpoint(at, LARGEST, this::handOver);
+    datagrams = new DatagramEndpoint(at, MAX_ADVERT_BYTES, this::receive);
     this.receiver = receiver;
     peers(peers);
   }
 
   /** From now on only what comes from these addresses is handed over. */
   public void peers(Set<InetAddress> peers) {
-    Map<InetAddress, AtomicInteger> anew = new ConcurrentHashMap<>();
-    peers.forEach(p -> anew.put(p, unheard.getOrDefault(p, new AtomicInteger())));
-    unheard = anew;
-    mostOfOne = Math.max(2 * (LARGEST + KEEPING), MOST_UNHEARD / Math.max(1, peers.size()));
+    Map<InetAddress, AtomicInteger> next = new ConcurrentHashMap<>();
+    peers.forEach(p -> next.put(p, unreadBytes.getOrDefault(p, new AtomicInteger())));
+    unreadBytes = next;
+    maxUnreadBytesPerPeer =
+        Math.max(
+            2 * (MAX_ADVERT_BYTES + OVERHEAD_BYTES), MAX_UNREAD_BYTES / Math.max(1, peers.size()));
   }
 
   /**
    * @throws IOException if the address can't be bound
    */
   public void open() throws IOException {
-    datagrams.open(BUFFER, "adverts");
+    datagrams.open(RECEIVE_BUFFER_BYTES, "adverts");
   }
 
-  private void handOver(ByteBuffer buffer, InetSocketAddress from) {
+  private void receive(ByteBuffer buffer, InetSocketAddress from) {
     InetAddress source = from.getAddress();
-    AtomicInteger waiting = unheard.get(source);
+    AtomicInteger waiting = unreadBytes.get(source);
     if (waiting == null) {
-      strangers.incrementAndGet();
+      unknownSources.incrementAndGet();
       return;
     }
     byte[] bytes = new byte[buffer.remaining()];
-    if (waiting.addAndGet(bytes.length + KEEPING) > mostOfOne) {
-      waiting.addAndGet(-bytes.length - KEEPING);
-      tooMany.incrementAndGet();
+    if (waiting.addAndGet(bytes.length + OVERHEAD_BYTES) > maxUnreadBytesPerPeer) {
+      waiting.addAndGet(-bytes.length - OVERHEAD_BYTES);
+      dropped.incrementAndGet();
     } else {
       buffer.get(bytes);
-      receiver.came(bytes, source);
+      receiver.receive(bytes, source);
     }
   }
 
   /** A datagram of this peer has been heard: others may wait in its place. */
   public void heard(byte[] bytes, InetAddress source) {
-    AtomicInteger waiting = unheard.get(source);
+    AtomicInteger waiting = unreadBytes.get(source);
     if (waiting != null) {
-      waiting.addAndGet(-bytes.length - KEEPING);
+      waiting.addAndGet(-bytes.length - OVERHEAD_BYTES);
     }
   }
 
   /** Datagrams from others than peers since this was last asked. */
   public long strangers() {
-    return strangers.getAndSet(0);
+    return unknownSources.getAndSet(0);
   }
 
   /** Datagrams beyond the bound since this was last asked. */
   public long tooMany() {
-    return tooMany.getAndSet(0);
+    return dropped.getAndSet(0);
   }
 
   /** Sends one; it never waits. */
--- a/src/main/java/cobaltseam/transport/DatagramEndpoint.java
+++ b/src/main/java/cobaltseam/transport/DatagramEndpoint.java
@@ -13,52 +13,52 @@
 final class DatagramEndpoint {
   /** Hears of each datagram, on the reading thread; the buffer is good for the call alone. */
   interface Receiver {
-    void came(ByteBuffer bytes, InetSocketAddress from);
+    void receive(ByteBuffer bytes, InetSocketAddress from);
   }
 
-  private final InetSocketAddress at;
-  private final int largest;
+  private final InetSocketAddress address;
+  private final int maxDatagramBytes;
   private final Receiver receiver;
   private DatagramChannel channel;
   private Selector selector;
 
   /**
-   * @param largest what is longer comes cut
+   * @param maxDatagramBytes what is longer comes cut
    */
-  DatagramEndpoint(InetSocketAddress at, int largest, Receiver receiver) {
-    this.at = at;
-    this.largest = largest;
+  DatagramEndpoint(InetSocketAddress address, int maxDatagramBytes, Receiver receiver) {
+    this.address = address;
+    this.maxDatagramBytes = maxDatagramBytes;
     this.receiver = receiver;
   }
 
   /**
    * @throws IOException if the address can't be bound
    */
-  void open(int buffer, String name) throws IOException {
+  void open(int receiveBufferBytes, String threadName) throws IOException {
     selector = Selector.open();
     channel = DatagramChannel.open();
     try {
-      channel.setOption(StandardSocketOptions.SO_RCVBUF, buffer);
+      channel.setOption(StandardSocketOptions.SO_RCVBUF, receiveBufferBytes);
       channel.configureBlocking(false);
-      channel.bind(at);
+      channel.bind(address);
       channel.register(selector, SelectionKey.OP_READ);
     } catch (IOException e) {
       close();
       throw e;
     }
-    Thread reader = new Thread(this::read, name);
+    Thread reader = new Thread(this::read, threadName);
     reader.setDaemon(true);
     reader.start();
   }
 
   private void read() {
-    ByteBuffer buffer = ByteBuffer.allocate(largest);
+    ByteBuffer buffer = ByteBuffer.allocate(maxDatagramBytes);
     while (selector.isOpen()) {
       try {
         selector.select();
         selector.selectedKeys().clear();
         for (InetSocketAddress from = receive(buffer); from != null; from = receive(buffer)) {
-          receiver.came(buffer.flip(), from);
+          receiver.receive(buffer.flip(), from);
         }
       } catch (ClosedSelectorException e) {
         return;
--- a/src/main/java/cobaltseam/transport/MessageCodec.java
+++ b/src/main/java/cobaltseam/transport/MessageCodec.java
@@ -160,12 +160,12 @@
 
   /** The bytes of a message; null if it is too long to be sent. */
   public byte[] write(PeerMessage message) {
-    ObjectNode whole = mapper.createObjectNode();
-    whole.put("v", VERSION).put("f", fleet).put("k", WireNames.kindOf(message));
-    whole.set("m", mapper.valueToTree(message));
+    ObjectNode envelope = mapper.createObjectNode();
+    envelope.put("v", VERSION).put("f", fleet).put("k", WireNames.kindOf(message));
+    envelope.set("m", mapper.valueToTree(message));
     byte[] bytes;
     try {
-      bytes = mapper.writeValueAsBytes(whole);
+      bytes = mapper.writeValueAsBytes(envelope);
     } catch (JsonProcessingException e) {
       throw new IllegalStateException("every message has bytes", e);
     }
@@ -196,21 +196,23 @@
       }
     }
     try {
-      JsonNode whole = mapper.readTree(bytes, 0, length);
-      if (whole == null || !whole.path("v").isInt() || whole.path("v").asInt() != VERSION) {
+      JsonNode envelope = mapper.readTree(bytes, 0, length);
+      if (envelope == null
+          || !envelope.path("v").isInt()
+          || envelope.path("v").asInt() != VERSION) {
         return rejected(
-            whole == null || !whole.isObject()
+            envelope == null || !envelope.isObject()
                 ? RejectionReason.MALFORMED
                 : RejectionReason.VERSION);
       }
-      if (!fleet.equals(whole.path("f").asText())) {
+      if (!fleet.equals(envelope.path("f").asText())) {
         return rejected(RejectionReason.OTHER_FLEET);
       }
-      Class<? extends PeerMessage> kind = WireNames.classOf(whole.path("k").asText());
+      Class<? extends PeerMessage> kind = WireNames.classOf(envelope.path("k").asText());
       if (kind == null) {
         return rejected(RejectionReason.KIND);
       }
-      PeerMessage message = mapper.treeToValue(whole.path("m"), kind);
+      PeerMessage message = mapper.treeToValue(envelope.path("m"), kind);
       return message == null
           ? rejected(RejectionReason.MALFORMED)
           : new DecodedMessage(message, null);
@@ -220,7 +222,7 @@
     }
   }
 
-  private static DecodedMessage rejected(RejectionReason why) {
-    return new DecodedMessage(null, why);
+  private static DecodedMessage rejected(RejectionReason reason) {
+    return new DecodedMessage(null, reason);
   }
 }
--- a/src/main/java/cobaltseam/transport/PeerDatagramSocket.java
+++ b/src/main/java/cobaltseam/transport/PeerDatagramSocket.java
@@ -13,23 +13,23 @@
  */
 public final class PeerDatagramSocket {
   /** Bytes that may wait to be heard, each datagram with what keeps it. */
-  private static final int MOST_UNHEARD = 1 << 20;
+  private static final int MAX_UNREAD_BYTES = 1 << 20;
 
-  private static final int KEEPING = 128;
-  private static final int BUFFER = 1 << 20;
+  private static final int OVERHEAD_BYTES = 128;
+  private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
   private final DatagramEndpoint datagrams;
   private final Consumer<byte[]> receiver;
-  private final AtomicInteger unheard = new AtomicInteger();
-  private final AtomicLong tooMany = new AtomicLong();
+  private final AtomicInteger unreadBytes = new AtomicInteger();
+  private final AtomicLong dropped = new AtomicLong();
 
   /**
-   * @param receiver hears of each datagram, on the reading thread; {@link #heard} once it is
+   * @param receiver hears of each datagram, on the reading thread; {@link #release} once it is
    *     through with it
    */
   public PeerDatagramSocket(InetSocketAddress at, Consumer<byte[]> receiver) {
     // One byte more than is taken: what is longer is seen to be.
-    datagrams = new DatagramEndpoint(at, MessageCodec.MAX_MESSAGE_BYTES + 1, this::handOver);
+    datagrams = new DatagramEndpoint(at, MessageCodec.MAX_MESSAGE_BYTES + 1, this::receive);
     this.receiver = receiver;
   }
 
@@ -37,14 +37,14 @@
    * @throws IOException if the address can't be bound
    */
   public void open() throws IOException {
-    datagrams.open(BUFFER, "members");
+    datagrams.open(RECEIVE_BUFFER_BYTES, "members");
   }
 
-  private void handOver(ByteBuffer buffer, InetSocketAddress from) {
-    int size = buffer.remaining() + KEEPING;
-    if (unheard.addAndGet(size) > MOST_UNHEARD) {
-      unheard.addAndGet(-size);
-      tooMany.incrementAndGet();
+  private void receive(ByteBuffer buffer, InetSocketAddress from) {
+    int size = buffer.remaining() + OVERHEAD_BYTES;
+    if (unreadBytes.addAndGet(size) > MAX_UNREAD_BYTES) {
+      unreadBytes.addAndGet(-size);
+      dropped.incrementAndGet();
       return;
     }
     byte[] bytes = new byte[buffer.remaining()];
@@ -53,13 +53,13 @@
   }
 
   /** A datagram has been heard: others may wait in its place. */
-  public void heard(byte[] bytes) {
-    unheard.addAndGet(-bytes.length - KEEPING);
+  public void release(byte[] bytes) {
+    unreadBytes.addAndGet(-bytes.length - OVERHEAD_BYTES);
   }
 
   /** Datagrams beyond the bound since this was last asked. */
-  public long tooMany() {
-    return tooMany.getAndSet(0);
+  public long takeDroppedCount() {
+    return dropped.getAndSet(0);
   }
 
   /** Sends one; it never waits. */
--- a/src/test/java/cobaltseam/agreement/CautionTest.java
+++ b/src/test/java/cobaltseam/agreement/ConservativeMergeTest.java
@@ -18,7 +18,7 @@
  * Every part of what a dispatcher is told has a reading between two values, and that is the
  * cautious one.
  */
-class CautionTest {
+class ConservativeMergeTest {
   private static final String TEXT =
       """
             {"balancers":2,"position":0,"tick_us":5000,"classes":[{"name":"look","aim_us":500000,"hard_limit_us":3000000,"repeat":"read_like",
@@ -68,7 +68,7 @@
         }) {
       assertFalse(other.equals(BASE));
       assertFalse(ConservativeMerge.contradict(BASE, other));
-      assertEquals(other, ConservativeMerge.between(BASE, other));
+      assertEquals(other, ConservativeMerge.merge(BASE, other));
     }
   }
 
@@ -96,21 +96,21 @@
     for (String[] change : strict) {
       Deployment stricter = read(change[0], change[1]);
       assertTrue(ConservativeMerge.contradict(BASE, stricter), change[1]);
-      assertEquals(stricter, ConservativeMerge.between(BASE, stricter), change[1]);
-      assertEquals(stricter, ConservativeMerge.between(stricter, BASE), change[1]);
+      assertEquals(stricter, ConservativeMerge.merge(BASE, stricter), change[1]);
+      assertEquals(stricter, ConservativeMerge.merge(stricter, BASE), change[1]);
     }
   }
 
   @Test
   void whatOnlyOneHasStays() {
     Deployment other = read("\"name\":\"look\"", "\"name\":\"load\"");
-    assertEquals(2, ConservativeMerge.between(BASE, other).requestClasses().size());
+    assertEquals(2, ConservativeMerge.merge(BASE, other).requestClasses().size());
     assertTrue(ConservativeMerge.contradict(BASE, other));
   }
 
   @Test
   void aloneNothingIsSentTwice() {
-    Deployment alone = ConservativeMerge.alone(BASE);
+    Deployment alone = ConservativeMerge.withoutRetries(BASE);
     assertEquals(1, alone.capabilities().maxAttempts());
     assertEquals(
         Deployment.RetrySafety.NOT_IDEMPOTENT, alone.requestClasses().get(0).retrySafety());
@@ -125,10 +125,10 @@
             "\"width_by_class\":[2],\"writes_tables\":[true],\"waits_for_loads\":[true]");
     assertFalse(loads.equals(BASE));
     assertFalse(ConservativeMerge.contradict(BASE, loads));
-    assertEquals(loads, ConservativeMerge.between(BASE, loads));
+    assertEquals(loads, ConservativeMerge.merge(BASE, loads));
     assertTrue(
-        ConservativeMerge.alone(loads).requestClasses().get(0).loadsDataSet()
-            && ConservativeMerge.alone(loads).requestClasses().get(0).waitsForLoads());
-    assertEquals(loads.place(), ConservativeMerge.alone(loads).place());
+        ConservativeMerge.withoutRetries(loads).requestClasses().get(0).loadsDataSet()
+            && ConservativeMerge.withoutRetries(loads).requestClasses().get(0).waitsForLoads());
+    assertEquals(loads.place(), ConservativeMerge.withoutRetries(loads).place());
   }
 }
--- a/src/test/java/cobaltseam/capacity/HoldingsTest.java
+++ b/src/test/java/cobaltseam/capacity/CapacityLeasesTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Parts of a whole, one process at a time, against a ground that the test makes. */
-class HoldingsTest {
+class CapacityLeasesTest {
   private static final CapacityOptions TERMS =
       new CapacityOptions(1000, 0.1, 10, 0.25, new TimeSpan(500_000), 16);
   private static final TimeSpan T = new TimeSpan(2_000_000);
@@ -74,7 +74,7 @@
 
     @Override
     public MessageHeader teller() {
-      return HoldingsTest.teller(0);
+      return CapacityLeasesTest.teller(0);
     }
 
     @Override
@@ -237,7 +237,7 @@
     assertEquals(
         ALONE + 450 + 300, holdings.usable(at(10.5)), "a message that comes twice counts once");
     assertEquals(ALONE + 450, holdings.usable(at(11.5)), "1.5 s from the ask, not from the answer");
-    List<CapacityLeases.CapacityStep> steps = holdings.steps(at(10.5));
+    List<CapacityLeases.CapacityStep> steps = holdings.usableSteps(at(10.5));
     assertEquals(
         List.of(
             new CapacityLeases.CapacityStep(at(11.5), 760),
--- a/src/test/java/cobaltseam/capacity/ReportsTest.java
+++ b/src/test/java/cobaltseam/capacity/LoadReportsTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What engines told, among members that a test joins. */
-class ReportsTest {
+class LoadReportsTest {
   private static final LoadReports.LoadReportOptions TERMS =
       new LoadReports.LoadReportOptions(new TimeSpan(100_000), 1, new TimeSpan(3_000_000), 0.001);
   private static final EngineId E = new EngineId(7);
@@ -107,9 +107,9 @@
             new ReportsReply(
                 teller(1),
                 1,
-                new long[LoadReports.MOST + 1],
-                new int[LoadReports.MOST + 1],
-                new int[LoadReports.MOST + 1]));
+                new long[LoadReports.MAX_ENGINES + 1],
+                new int[LoadReports.MAX_ENGINES + 1],
+                new int[LoadReports.MAX_ENGINES + 1]));
   }
 
   @Test
--- a/src/test/java/cobaltseam/retrybudget/PurseTest.java
+++ b/src/test/java/cobaltseam/retrybudget/RetryBudgetTest.java
@@ -28,7 +28,7 @@
  * Further sends capped over a fleet: one purse, and many that messages, kills and pauses come
  * between.
  */
-class PurseTest {
+class RetryBudgetTest {
   private static final RetryBudgetOptions TERMS =
       new RetryBudgetOptions(0.1, 0, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001);
 
@@ -72,7 +72,7 @@
                 }
 
                 @Override
-                public boolean change(long expected, long to) {
+                public boolean compareAndSet(long expected, long to) {
                   return left.compareAndSet(expected, to);
                 }
               },
@@ -81,7 +81,8 @@
 
     boolean spends() {
       wanted++;
-      return left.get() >= RetryBudget.ONE && left.addAndGet(-RetryBudget.ONE) >= 0;
+      return left.get() >= RetryBudget.UNITS_PER_RETRY
+          && left.addAndGet(-RetryBudget.UNITS_PER_RETRY) >= 0;
     }
 
     List<RetryBudget.OutgoingMessage> follow(Map<MemberName, Long> spares, int self, double s) {
@@ -102,9 +103,9 @@
     assertTrue(one.spends() && !one.spends(), "the half is kept");
     one.firsts = 130;
     one.follow(Map.of(), 0, 3);
-    assertEquals(10 * RetryBudget.ONE, one.left.get());
+    assertEquals(10 * RetryBudget.UNITS_PER_RETRY, one.left.get());
     one.follow(Map.of(), 0, 11.9);
-    assertEquals(10 * RetryBudget.ONE, one.left.get());
+    assertEquals(10 * RetryBudget.UNITS_PER_RETRY, one.left.get());
     one.follow(Map.of(), 0, 12);
     assertEquals(0, one.left.get(), "a window from the look before they were sent");
   }
@@ -117,9 +118,9 @@
             1);
     for (int ds = 0; ds <= 1000; ds++) {
       one.follow(Map.of(), 0, ds / 10.0);
-      assertTrue(one.left.get() <= 2 * RetryBudget.ONE, "at " + ds);
+      assertTrue(one.left.get() <= 2 * RetryBudget.UNITS_PER_RETRY, "at " + ds);
     }
-    assertTrue(one.left.get() > 1.8 * RetryBudget.ONE, Long.toString(one.left.get()));
+    assertTrue(one.left.get() > 1.8 * RetryBudget.UNITS_PER_RETRY, Long.toString(one.left.get()));
   }
 
   @Test
@@ -130,7 +131,7 @@
             1);
     one.follow(Map.of(), 0, 0);
     one.follow(Map.of(), 0, 500);
-    assertTrue(one.left.get() <= 2 * RetryBudget.ONE);
+    assertTrue(one.left.get() <= 2 * RetryBudget.UNITS_PER_RETRY);
   }
 
   @Test
@@ -143,16 +144,17 @@
     asker.follow(Map.of(), 0, 0);
     asker.wanted = 1000;
     List<RetryBudget.OutgoingMessage> asks =
-        asker.follow(Map.of(new MemberName("n1"), giver.purse.spare()), 0, 1.2);
-    BudgetRequest beg = (BudgetRequest) asks.get(0).word();
+        asker.follow(Map.of(new MemberName("n1"), giver.purse.spareUnits()), 0, 1.2);
+    BudgetRequest beg = (BudgetRequest) asks.get(0).message();
     BudgetTransfer give =
-        (BudgetTransfer) giver.purse.heard(beg, view(3), teller(1), at(1.3)).get(0).word();
-    assertEquals(20 * RetryBudget.ONE, giver.left.get(), "half of what it can do without");
-    asker.purse.heard(give, view(3), teller(0), at(1.4));
-    asker.purse.heard(give, view(3), teller(0), at(1.4));
-    assertEquals(20 * RetryBudget.ONE, asker.left.get(), "once");
+        (BudgetTransfer) giver.purse.receive(beg, view(3), teller(1), at(1.3)).get(0).message();
+    assertEquals(
+        20 * RetryBudget.UNITS_PER_RETRY, giver.left.get(), "half of what it can do without");
+    asker.purse.receive(give, view(3), teller(0), at(1.4));
+    asker.purse.receive(give, view(3), teller(0), at(1.4));
+    assertEquals(20 * RetryBudget.UNITS_PER_RETRY, asker.left.get(), "once");
     asker.follow(Map.of(), 0, 9.8);
-    assertEquals(20 * RetryBudget.ONE, asker.left.get());
+    assertEquals(20 * RetryBudget.UNITS_PER_RETRY, asker.left.get());
     asker.follow(Map.of(), 0, 10);
     assertEquals(
         0, asker.left.get(), "it ends there no later than it would have here, by any clock");
@@ -164,21 +166,21 @@
     one.follow(Map.of(), 0, 0);
     one.wanted = 1000;
     BudgetRequest beg =
-        (BudgetRequest) one.follow(Map.of(new MemberName("n1"), 50_000L), 0, 1).get(0).word();
+        (BudgetRequest) one.follow(Map.of(new MemberName("n1"), 50_000L), 0, 1).get(0).message();
     long[] much = {5_000};
     long[] lasts = {9_000_000};
-    one.purse.heard(
+    one.purse.receive(
         new BudgetTransfer(teller(1), beg.id() + 1, much, lasts), view(3), teller(0), at(1.1));
-    one.purse.heard(
+    one.purse.receive(
         new BudgetTransfer(teller(2), beg.id(), much, lasts), view(3), teller(0), at(1.1));
-    one.purse.heard(
+    one.purse.receive(
         new BudgetTransfer(
             new MessageHeader(member(1, 9), 0, ViewId.NONE, true), beg.id(), much, lasts),
         view(3),
         teller(0),
         at(1.1));
     assertEquals(0, one.left.get());
-    one.purse.heard(
+    one.purse.receive(
         new BudgetTransfer(teller(1), beg.id(), new long[] {-5_000}, lasts),
         view(3),
         teller(0),
@@ -234,7 +236,7 @@
         }
         Map<MemberName, Long> spares = new HashMap<>();
         for (int o = 0; o < members; o++) {
-          spares.put(new MemberName("n" + o), all[o].purse.spare());
+          spares.put(new MemberName("n" + o), all[o].purse.spareUnits());
         }
         One one = all[i];
         for (RetryBudget.OutgoingMessage t :
@@ -248,7 +250,7 @@
           late.add(new Late(stands[l.to], l.to, l.life, l.word));
         } else {
           for (RetryBudget.OutgoingMessage t :
-              all[l.to].purse.heard(l.word, view, teller(l.to), at(s * rates[l.to]))) {
+              all[l.to].purse.receive(l.word, view, teller(l.to), at(s * rates[l.to]))) {
             send(late, t, s, loss, doubles, lives, chance);
           }
         }
@@ -284,7 +286,7 @@
         n--) {
       late.add(
           new Late(
-              s + chance.nextDouble() * chance.nextDouble() * 0.4, to, lives[to], tell.word()));
+              s + chance.nextDouble() * chance.nextDouble() * 0.4, to, lives[to], tell.message()));
     }
   }
 
--- a/src/test/java/cobaltseam/sharing/SharingTest.java
+++ b/src/test/java/cobaltseam/sharing/StateGossipTest.java
@@ -30,7 +30,7 @@
  * What members know of each other, in virtual time over a network that loses, delays, doubles and
  * reorders.
  */
-class SharingTest {
+class StateGossipTest {
   private static final TimeSpan SECOND = new TimeSpan(1_000_000);
   private static final GossipOptions TERMS =
       new GossipOptions(SECOND, 3, SECOND.times(15), 1200, 0.001);
@@ -162,7 +162,7 @@
                   + (now - stood)
                   + " us old and is held for "
                   + k.age().us());
-          assertTrue(k.age().compareTo(TERMS.end()) < 0, "past its end and still known");
+          assertTrue(k.age().compareTo(TERMS.maxAge()) < 0, "past its end and still known");
         }
       }
     }
@@ -190,7 +190,7 @@
     longest = seed % 3 == 0 ? 12_000_000 : 400_000;
     int members = 3 + r.nextInt(8);
     for (int i = 0; i < members; i++) {
-      say(start(i, 5, 1 + TERMS.drift() * (2 * r.nextDouble() - 1)));
+      say(start(i, 5, 1 + TERMS.maxClockRateRatio() * (2 * r.nextDouble() - 1)));
     }
     int known = 0;
     for (int step = 0; step < 150; step++) {
@@ -234,7 +234,7 @@
     }
     pass(12_000_000);
     running.remove(name(0));
-    pass(TERMS.end().us() + 100_000);
+    pass(TERMS.maxAge().us() + 100_000);
     for (Process p : running.values()) {
       assertNull(
           p.module.known(name(0), p.clock(now)),
--- a/src/test/java/cobaltseam/transport/MessageCodecTest.java
+++ b/src/test/java/cobaltseam/transport/MessageCodecTest.java
@@ -188,8 +188,8 @@
         new RetryBudgetMessage.BudgetRequest(FROM, 3, 4),
         codec.read(codec.write(new RetryBudgetMessage.BudgetRequest(FROM, 3, 4))).message());
     // As many engines as may be fit one datagram.
-    long[] most = new Random(1).longs(LoadReports.MOST, 0, Long.MAX_VALUE).toArray();
-    int[] figures = new Random(2).ints(LoadReports.MOST, 0, 5000).toArray();
+    long[] most = new Random(1).longs(LoadReports.MAX_ENGINES, 0, Long.MAX_VALUE).toArray();
+    int[] figures = new Random(2).ints(LoadReports.MAX_ENGINES, 0, 5000).toArray();
     assertNotNull(
         codec.write(new LoadReportMessage.ReportsReply(FROM, -1, most, figures, figures)));
   }
