--- a/src/main/java/cobaltseam/cli/CobaltseamCommand.java
+++ b/src/main/java/cobaltseam/cli/CobaltseamCommand.java
@@ -217,7 +217,7 @@
                               + ": priority "
                               + s.terms().priority()
                               + ", interval "
-                              + s.terms().interval().us() / 1000
+                              + s.terms().advertisementInterval().us() / 1000
                               + " ms, preempts "
                               + s.terms().preempts()
                               + ", serves on "
--- a/src/main/java/cobaltseam/cli/Vrrp.java
+++ b/src/main/java/cobaltseam/cli/Vrrp.java
@@ -4,18 +4,18 @@
 import cobaltseam.deployment.InvalidInputException;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.mastership.AdvertFilter;
-import cobaltseam.mastership.AdvertObserver;
+import cobaltseam.mastership.ActiveRouterObserver;
+import cobaltseam.mastership.AdvertisementFilter;
 import cobaltseam.mastership.Mastership;
 import cobaltseam.mastership.ReplayGuard;
 import cobaltseam.settings.Settings;
 import cobaltseam.settings.SettingsReader;
 import cobaltseam.transport.AdvertDatagramSocket;
 import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Advert;
-import cobaltseam.vrrp.AdvertCodec;
-import cobaltseam.vrrp.Reading;
-import cobaltseam.vrrp.Reading.Covers;
+import cobaltseam.vrrp.Advertisement;
+import cobaltseam.vrrp.AdvertisementCodec;
+import cobaltseam.vrrp.DecodeResult;
+import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -66,8 +66,8 @@
                         + "' stands there; an IPv4 or IPv6 address, written out, is allowed"));
   }
 
-  private static String label(Covers covers) {
-    return covers == Covers.MESSAGE ? "message" : "pseudo_header";
+  private static String label(ChecksumCoverage covers) {
+    return covers == ChecksumCoverage.MESSAGE ? "message" : "pseudo_header";
   }
 
   /** The addresses of the datagram. */
@@ -115,27 +115,28 @@
         throw new InvalidInputException("HEX is not a row of whole bytes in hex");
       }
       byte[] bytes = HexFormat.of().parseHex(plain);
-      Reading reading = AdvertCodec.read(bytes, datagram.from(), datagram.to());
-      if (reading instanceof Reading.Refused no) {
+      DecodeResult reading = AdvertisementCodec.decode(bytes, datagram.from(), datagram.to());
+      if (reading instanceof DecodeResult.Rejected no) {
         throw new InvalidInputException(
-            "no advert, " + no.refusal().label() + ": " + no.refusal().reason());
+            "no advert, " + no.reason().label() + ": " + no.reason().explanation());
       }
-      Reading.Whole whole = (Reading.Whole) reading;
+      DecodeResult.Decoded whole = (DecodeResult.Decoded) reading;
       StringWriter text = new StringWriter();
       try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
         json.writeStartObject();
         json.writeNumberField("version", 3);
-        json.writeNumberField("virtualRouterId", whole.advert().virtualRouterId());
-        json.writeNumberField("priority", whole.advert().priority());
+        json.writeNumberField("virtualRouterId", whole.advertisement().virtualRouterId());
+        json.writeNumberField("priority", whole.advertisement().priority());
         json.writeNumberField(
-            "maxAdvertiseIntervalCentiseconds", whole.advert().maxAdvertiseIntervalCentiseconds());
+            "maxAdvertiseIntervalCentiseconds",
+            whole.advertisement().maxAdvertiseIntervalCentiseconds());
         json.writeArrayFieldStart("addresses");
-        for (InetAddress address : whole.advert().addresses()) {
+        for (InetAddress address : whole.advertisement().addresses()) {
           json.writeString(Addresses.text(address));
         }
         json.writeEndArray();
-        json.writeStringField("checksumCovers", label(whole.covers()));
-        if (whole.sealed()) {
+        json.writeStringField("checksumCovers", label(whole.coverage()));
+        if (whole.hasTrailer()) {
           MessageAuthenticator.Trailer told =
               MessageAuthenticator.readTrailer(bytes, whole.length());
           json.writeObjectFieldStart("seal");
@@ -207,8 +208,8 @@
             "--checksum-covers: '" + what + "' stands there; message or pseudo_header is allowed");
       }
       try {
-        Advert advert =
-            new Advert(
+        Advertisement advert =
+            new Advertisement(
                 number(router, told, "virtualRouterId"),
                 number(priority, told, "priority"),
                 number(interval, told, "maxAdvertiseIntervalCentiseconds"),
@@ -218,11 +219,13 @@
             .println(
                 HexFormat.of()
                     .formatHex(
-                        AdvertCodec.write(
+                        AdvertisementCodec.encode(
                             advert,
                             datagram.from(),
                             datagram.to(),
-                            what.equals("message") ? Covers.MESSAGE : Covers.PSEUDO_HEADER)));
+                            what.equals("message")
+                                ? ChecksumCoverage.MESSAGE
+                                : ChecksumCoverage.PSEUDO_HEADER)));
         spec.commandLine().getOut().flush();
         return 0;
       } catch (IllegalArgumentException e) {
@@ -293,14 +296,14 @@
       Mastership never =
           new Mastership(
               self, hall.terms(), peers, 0, TimeSpan.ZERO, TimeSpan.ZERO, hall.followsIntervals());
-      AdvertFilter intake =
-          new AdvertFilter(
+      AdvertisementFilter intake =
+          new AdvertisementFilter(
               self,
               never,
               new ReplayGuard(start, difference),
               peers,
               hall.sealing() == null ? null : hall.sealing().keys());
-      AdvertObserver observer = new AdvertObserver();
+      ActiveRouterObserver observer = new ActiveRouterObserver();
       BlockingQueue<Came> waiting = new LinkedBlockingQueue<>(MOST_WAITING);
       AdvertDatagramSocket socket =
           new AdvertDatagramSocket(
@@ -309,21 +312,22 @@
       Timestamp end = seconds == null ? null : start.plus(new TimeSpan(seconds * US_PER_SECOND));
       PrintWriter out = spec.commandLine().getOut();
       for (Timestamp now = start; end == null || now.isBefore(end); now = now()) {
-        Timestamp wake = observer.wake();
+        Timestamp wake = observer.nextExpiry();
         TimeSpan wait =
             wake == null ? new TimeSpan(US_PER_SECOND) : wake.since(now).max(TimeSpan.ZERO);
         wait = end == null ? wait : wait.min(end.since(now));
         Came came = waiting.poll(wait.us() + 1, TimeUnit.MICROSECONDS);
-        List<AdvertObserver.ActiveRouterObserved> seen = new ArrayList<>();
+        List<ActiveRouterObserver.ActiveRouterChange> seen = new ArrayList<>();
         if (came != null) {
           socket.heard(came.bytes, came.source);
-          AdvertFilter.Verdict verdict = intake.judge(came.bytes, came.source, self, now());
-          if (verdict.advert() != null) {
-            seen.addAll(observer.heard(came.source, verdict.advert(), now()));
+          AdvertisementFilter.Verdict verdict =
+              intake.evaluate(came.bytes, came.source, self, now());
+          if (verdict.advertisement() != null) {
+            seen.addAll(observer.onAdvertisement(came.source, verdict.advertisement(), now()));
           }
         }
-        seen.addAll(observer.due(now()));
-        for (AdvertObserver.ActiveRouterObserved s : seen) {
+        seen.addAll(observer.expireClaims(now()));
+        for (ActiveRouterObserver.ActiveRouterChange s : seen) {
           out.println(line(s));
           out.flush();
         }
@@ -338,7 +342,7 @@
               java.time.Instant.EPOCH, java.time.Instant.now()));
     }
 
-    private static String line(AdvertObserver.ActiveRouterObserved seen) throws IOException {
+    private static String line(ActiveRouterObserver.ActiveRouterChange seen) throws IOException {
       StringWriter text = new StringWriter();
       try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
         json.writeStartObject();
--- a/src/main/java/cobaltseam/mastership/HealthScore.java
+++ b/src/main/java/cobaltseam/mastership/HealthScore.java
@@ -32,77 +32,85 @@
   /**
    * A sign is bad from one value on, well below another, and costs this many steps while it counts.
    */
-  public record SignalBounds(double badFrom, double wellBelow, int steps) {}
+  public record SignalBounds(double unhealthyFrom, double healthyBelow, int prioritySteps) {}
 
   /**
    * The bounds of each sign watched, how long it must be bad, how long well, and how often that may
    * double.
    */
   public record HealthScoreOptions(
-      Map<HealthSignal, SignalBounds> bounds, TimeSpan sustained, TimeSpan calm, int mostDoubled) {
+      Map<HealthSignal, SignalBounds> bounds,
+      TimeSpan sustainedFor,
+      TimeSpan recoveryHoldDown,
+      int maxHoldDownDoublings) {
     public HealthScoreOptions {
       bounds = Map.copyOf(bounds);
     }
   }
 
   private static final class SignalState {
-    boolean counts;
-    Timestamp badSince, wellSince, cleared;
-    int doubled;
+    boolean counted;
+    Timestamp unhealthySince, healthySince, clearedAt;
+    int holdDownDoublings;
   }
 
-  private final Map<HealthSignal, SignalState> seen = new EnumMap<>(HealthSignal.class);
-  private HealthScoreOptions watched;
+  private final Map<HealthSignal, SignalState> states = new EnumMap<>(HealthSignal.class);
+  private HealthScoreOptions options;
 
-  public HealthScore(HealthScoreOptions watched) {
-    this.watched = watched;
+  public HealthScore(HealthScoreOptions options) {
+    this.options = options;
   }
 
   /** Other bounds from now on; what counts goes on counting until it is well by them. */
-  public void renewed(HealthScoreOptions anew) {
-    watched = anew;
-    seen.keySet().retainAll(anew.bounds().keySet());
+  public void reconfigure(HealthScoreOptions newOptions) {
+    options = newOptions;
+    states.keySet().retainAll(newOptions.bounds().keySet());
   }
 
   /**
    * The steps to give up by what is seen at this moment; a sign not told is neither bad nor well.
    */
-  public int told(Map<HealthSignal, Double> values, Timestamp now) {
+  public int update(Map<HealthSignal, Double> values, Timestamp now) {
     int steps = 0;
-    for (Map.Entry<HealthSignal, SignalBounds> entry : watched.bounds().entrySet()) {
-      SignalState s = seen.computeIfAbsent(entry.getKey(), k -> new SignalState());
+    for (Map.Entry<HealthSignal, SignalBounds> entry : options.bounds().entrySet()) {
+      SignalState state = states.computeIfAbsent(entry.getKey(), k -> new SignalState());
       Double value = values.get(entry.getKey());
       if (value != null) {
-        look(s, entry.getValue(), value, now);
+        updateSignal(state, entry.getValue(), value, now);
       }
-      steps += s.counts ? entry.getValue().steps() : 0;
+      steps += state.counted ? entry.getValue().prioritySteps() : 0;
     }
     return steps;
   }
 
-  private void look(SignalState s, SignalBounds bounds, double value, Timestamp now) {
-    boolean bad = value >= bounds.badFrom();
-    boolean well = value < bounds.wellBelow();
-    s.badSince = !bad ? null : s.badSince == null ? now : s.badSince;
-    s.wellSince = !well ? null : s.wellSince == null ? now : s.wellSince;
-    TimeSpan calm = watched.calm().times(1 << s.doubled);
-    if (!s.counts && bad && now.since(s.badSince).compareTo(watched.sustained()) >= 0) {
-      s.counts = true;
-      boolean soon = s.cleared != null && now.since(s.cleared).compareTo(calm.times(2)) < 0;
-      s.doubled = soon ? Math.min(s.doubled + 1, watched.mostDoubled()) : 0;
-    } else if (s.counts && well && now.since(s.wellSince).compareTo(calm) >= 0) {
-      s.counts = false;
-      s.cleared = now;
+  private void updateSignal(SignalState state, SignalBounds bounds, double value, Timestamp now) {
+    boolean unhealthy = value >= bounds.unhealthyFrom();
+    boolean healthy = value < bounds.healthyBelow();
+    state.unhealthySince =
+        !unhealthy ? null : state.unhealthySince == null ? now : state.unhealthySince;
+    state.healthySince = !healthy ? null : state.healthySince == null ? now : state.healthySince;
+    TimeSpan holdDown = options.recoveryHoldDown().times(1 << state.holdDownDoublings);
+    if (!state.counted
+        && unhealthy
+        && now.since(state.unhealthySince).compareTo(options.sustainedFor()) >= 0) {
+      state.counted = true;
+      boolean relapsed =
+          state.clearedAt != null && now.since(state.clearedAt).compareTo(holdDown.times(2)) < 0;
+      state.holdDownDoublings =
+          relapsed ? Math.min(state.holdDownDoublings + 1, options.maxHoldDownDoublings()) : 0;
+    } else if (state.counted && healthy && now.since(state.healthySince).compareTo(holdDown) >= 0) {
+      state.counted = false;
+      state.clearedAt = now;
     }
   }
 
   /** The signs that count now. */
-  public List<HealthSignal> counting() {
+  public List<HealthSignal> countedSignals() {
     List<HealthSignal> counting = new ArrayList<>();
-    seen.forEach(
-        (sign, s) -> {
-          if (s.counts) {
-            counting.add(sign);
+    states.forEach(
+        (signal, state) -> {
+          if (state.counted) {
+            counting.add(signal);
           }
         });
     return counting;
--- a/src/main/java/cobaltseam/mastership/Mastership.java
+++ b/src/main/java/cobaltseam/mastership/Mastership.java
@@ -2,9 +2,9 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.mastership.VirtualRouter.Change;
-import cobaltseam.vrrp.Advert;
-import cobaltseam.vrrp.Refusal;
+import cobaltseam.mastership.VirtualRouter.Transition;
+import cobaltseam.vrrp.Advertisement;
+import cobaltseam.vrrp.RejectionReason;
 import java.net.InetAddress;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -23,23 +23,24 @@
  * shared. It does no I/O: moments come from the caller, and what it is to do goes back as {@link
  * MastershipAction}s.
  *
- * <p>Callers ask {@link #due} no later than {@link #wake}, and {@link #admits} before each thing
- * that only an active dispatcher may do; whatever comes after a gap that lets a peer claim is
- * preceded by stepping back.
+ * <p>Callers ask {@link #onTimer} no later than {@link #nextWake}, and {@link #canAdmit} before
+ * each thing that only an active dispatcher may do; whatever comes after a gap that lets a peer
+ * claim is preceded by stepping back.
  */
 public final class Mastership {
   /**
    * An unable router stays back for this many down intervals at first, twice as many each time, up
    * to the most.
    */
-  private static final int STAYS_BACK = 2;
+  private static final int INITIAL_BACKOFF_DOWN_INTERVALS = 2;
 
-  private static final int MOST_DOUBLED = 5;
+  private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
   /** A moment at which a router is to be looked at. */
-  private record Alarm(Timestamp at, VirtualRouterId router) implements Comparable<Alarm> {
+  private record RouterTimer(Timestamp at, VirtualRouterId router)
+      implements Comparable<RouterTimer> {
     @Override
-    public int compareTo(Alarm other) {
+    public int compareTo(RouterTimer other) {
       int order = at.compareTo(other.at);
       return order != 0 ? order : router.compareTo(other.router);
     }
@@ -47,248 +48,273 @@
 
   /** One virtual router, for as long as it is set. */
   private static final class RouterSlot {
-    RouterOptions terms;
-    RouterState standing;
-    Timestamp wake, fence;
+    RouterOptions options;
+    RouterState state;
+    Timestamp wakeAt, fenceAt;
 
     /** How often in a row it was unable to serve. */
-    int unable;
+    int failuresInARow;
   }
 
   /** What a peer last said of a virtual router. */
-  public record ObservedClaim(int priority, Timestamp heard, TimeSpan interval) {
+  public record ObservedClaim(int priority, Timestamp receivedAt, TimeSpan interval) {
     /** Until when its sender counts as active without another. */
-    Timestamp until() {
-      return priority == Advert.RESIGNS
-          ? heard
-          : heard.plus(interval.times(VirtualRouter.MISSED + 1));
+    Timestamp expiresAt() {
+      return priority == Advertisement.RESIGNATION_PRIORITY
+          ? receivedAt
+          : receivedAt.plus(interval.times(VirtualRouter.MAX_MISSED_ADVERTISEMENTS + 1));
     }
   }
 
   private final InetAddress self;
-  private final TreeMap<VirtualRouterId, RouterSlot> seats = new TreeMap<>();
-  private final TreeSet<Alarm> wakes = new TreeSet<>();
-  private final TreeSet<Alarm> fences = new TreeSet<>();
+  private final TreeMap<VirtualRouterId, RouterSlot> slots = new TreeMap<>();
+  private final TreeSet<RouterTimer> wakeTimers = new TreeSet<>();
+  private final TreeSet<RouterTimer> fenceTimers = new TreeSet<>();
   private final Map<InetAddress, Map<VirtualRouterId, ObservedClaim>> claims = new HashMap<>();
-  private final TimeSpan longestSend;
-  private final TimeSpan listen;
-  private final boolean followsIntervals;
+  private final TimeSpan maxAttemptDuration;
+  private final TimeSpan minListenPeriod;
+  private final boolean acceptsOtherIntervals;
   private Set<InetAddress> peers;
-  private double elsewhere;
-  private int reduction;
-  private Timestamp started;
+  private double dispatchersElsewhere;
+  private int priorityReduction;
+  private Timestamp startedAt;
 
   /**
    * @param self the address that adverts come from
    * @param peers where adverts that count come from
-   * @param elsewhere dispatchers that carry traffic and are not of this group
-   * @param longestSend after which no send of a former active dispatcher can still hold an engine
-   * @param listen how long to listen at least before the first claim
-   * @param followsIntervals whether adverts count that tell another interval than ours
+   * @param dispatchersElsewhere dispatchers that carry traffic and are not of this group
+   * @param maxAttemptDuration after which no send of a former active dispatcher can still hold an
+   *     engine
+   * @param minListenPeriod how long to listen at least before the first claim
+   * @param acceptsOtherIntervals whether adverts count that tell another interval than ours
    */
   public Mastership(
       InetAddress self,
       Collection<RouterOptions> routers,
       Set<InetAddress> peers,
-      double elsewhere,
-      TimeSpan longestSend,
-      TimeSpan listen,
-      boolean followsIntervals) {
+      double dispatchersElsewhere,
+      TimeSpan maxAttemptDuration,
+      TimeSpan minListenPeriod,
+      boolean acceptsOtherIntervals) {
     this.self = self;
     this.peers = Set.copyOf(peers);
-    this.elsewhere = elsewhere;
-    this.longestSend = longestSend;
-    this.listen = listen;
-    this.followsIntervals = followsIntervals;
-    for (RouterOptions t : routers) {
-      RouterSlot seat = new RouterSlot();
-      seat.terms = t;
-      seats.put(t.router(), seat);
+    this.dispatchersElsewhere = dispatchersElsewhere;
+    this.maxAttemptDuration = maxAttemptDuration;
+    this.minListenPeriod = minListenPeriod;
+    this.acceptsOtherIntervals = acceptsOtherIntervals;
+    for (RouterOptions options : routers) {
+      RouterSlot slot = new RouterSlot();
+      slot.options = options;
+      slots.put(options.router(), slot);
     }
   }
 
   // ---- what happens
 
   public List<MastershipAction> start(Timestamp now) {
-    started = now;
-    List<MastershipAction> acts = new ArrayList<>();
-    seats
+    startedAt = now;
+    List<MastershipAction> actions = new ArrayList<>();
+    slots
         .values()
         .forEach(
-            s -> follow(s, VirtualRouter.start(s.terms, priority(s.terms), listen, now), acts));
-    return acts;
+            s ->
+                apply(
+                    s,
+                    VirtualRouter.start(
+                        s.options, effectivePriority(s.options), minListenPeriod, now),
+                    actions));
+    return actions;
   }
 
   /** Ends every router; active ones resign first. */
-  public List<MastershipAction> stop(TransitionReason why, Timestamp now) {
-    List<MastershipAction> acts = new ArrayList<>();
-    for (RouterSlot s : seats.values()) {
-      if (s.standing != null && s.standing.role() != Role.INITIALIZE) {
-        follow(s, VirtualRouter.stop(s.terms, s.standing, why, now), acts);
+  public List<MastershipAction> stop(TransitionReason reason, Timestamp now) {
+    List<MastershipAction> actions = new ArrayList<>();
+    for (RouterSlot s : slots.values()) {
+      if (s.state != null && s.state.role() != Role.INITIALIZE) {
+        apply(s, VirtualRouter.stop(s.options, s.state, reason, now), actions);
       }
     }
-    return acts;
+    return actions;
   }
 
   /** Why an advert does not count here, whoever sent it. */
-  public Optional<Refusal> refusal(Advert advert) {
-    RouterSlot seat = seats.get(router(advert));
-    if (seat == null) {
-      return Optional.of(Refusal.UNKNOWN_ROUTER);
+  public Optional<RejectionReason> rejectionReason(Advertisement advertisement) {
+    RouterSlot slot = slots.get(routerIdOf(advertisement));
+    if (slot == null) {
+      return Optional.of(RejectionReason.UNKNOWN_ROUTER);
     }
-    if (!new HashSet<>(seat.terms.addresses()).equals(new HashSet<>(advert.addresses()))) {
-      return Optional.of(Refusal.ADDRESSES_DIFFER);
+    if (!new HashSet<>(slot.options.addresses()).equals(new HashSet<>(advertisement.addresses()))) {
+      return Optional.of(RejectionReason.ADDRESSES_DIFFER);
     }
-    boolean differs = !VirtualRouter.interval(advert).equals(seat.terms.interval());
-    return differs && !followsIntervals ? Optional.of(Refusal.INTERVAL_DIFFERS) : Optional.empty();
+    boolean differs =
+        !VirtualRouter.advertisementInterval(advertisement)
+            .equals(slot.options.advertisementInterval());
+    return differs && !acceptsOtherIntervals
+        ? Optional.of(RejectionReason.INTERVAL_DIFFERS)
+        : Optional.empty();
   }
 
   /**
-   * An advert that counts has come: see {@link #refusal}, and {@link AdvertFilter} for who may send
-   * one.
+   * An advert that counts has come: see {@link #rejectionReason}, and {@link AdvertisementFilter}
+   * for who may send one.
    */
-  public List<MastershipAction> heard(InetAddress sender, Advert advert, Timestamp now) {
-    List<MastershipAction> acts = fence(now);
-    RouterSlot seat = seats.get(router(advert));
-    if (seat == null || seat.standing == null || !peers.contains(sender)) {
-      return acts;
+  public List<MastershipAction> onAdvertisement(
+      InetAddress sender, Advertisement advertisement, Timestamp now) {
+    List<MastershipAction> actions = fence(now);
+    RouterSlot slot = slots.get(routerIdOf(advertisement));
+    if (slot == null || slot.state == null || !peers.contains(sender)) {
+      return actions;
     }
     claims
         .computeIfAbsent(sender, s -> new HashMap<>())
         .put(
-            seat.terms.router(),
-            new ObservedClaim(advert.priority(), now, VirtualRouter.interval(advert)));
-    follow(seat, VirtualRouter.heard(seat.terms, seat.standing, self, sender, advert, now), acts);
-    return acts;
+            slot.options.router(),
+            new ObservedClaim(
+                advertisement.priority(), now, VirtualRouter.advertisementInterval(advertisement)));
+    apply(
+        slot,
+        VirtualRouter.onAdvertisement(slot.options, slot.state, self, sender, advertisement, now),
+        actions);
+    return actions;
   }
 
   /** Whatever is due by now. */
-  public List<MastershipAction> due(Timestamp now) {
-    List<MastershipAction> acts = fence(now);
-    List<Alarm> reached =
+  public List<MastershipAction> onTimer(Timestamp now) {
+    List<MastershipAction> actions = fence(now);
+    List<RouterTimer> expired =
         new ArrayList<>(
-            wakes.headSet(new Alarm(now, new VirtualRouterId(Integer.MAX_VALUE, true))));
-    for (Alarm alarm : reached) {
-      RouterSlot seat = seats.get(alarm.router);
-      follow(seat, VirtualRouter.due(seat.terms, seat.standing, now), acts);
+            wakeTimers.headSet(new RouterTimer(now, new VirtualRouterId(Integer.MAX_VALUE, true))));
+    for (RouterTimer timer : expired) {
+      RouterSlot slot = slots.get(timer.router);
+      apply(slot, VirtualRouter.onTimer(slot.options, slot.state, now), actions);
     }
-    return acts;
+    return actions;
   }
 
   /** Steps back from every router whose peers may have claimed meanwhile. */
   public List<MastershipAction> fence(Timestamp now) {
-    List<MastershipAction> acts = new ArrayList<>();
-    while (!fences.isEmpty() && fences.first().at.isBefore(now)) {
-      RouterSlot seat = seats.get(fences.first().router);
-      follow(seat, VirtualRouter.fenced(seat.terms, seat.standing, now), acts);
+    List<MastershipAction> actions = new ArrayList<>();
+    while (!fenceTimers.isEmpty() && fenceTimers.first().at.isBefore(now)) {
+      RouterSlot slot = slots.get(fenceTimers.first().router);
+      apply(slot, VirtualRouter.fenceIfOverdue(slot.options, slot.state, now), actions);
     }
-    return acts;
+    return actions;
   }
 
   /** This dispatcher is less able to serve by this many steps of priority; none is ever below 1. */
-  public List<MastershipAction> fitness(int steps, Timestamp now) {
-    List<MastershipAction> acts = fence(now);
-    if (steps != reduction) {
-      reduction = steps;
-      seats.values().stream()
-          .filter(s -> s.standing != null)
+  public List<MastershipAction> reducePriority(int steps, Timestamp now) {
+    List<MastershipAction> actions = fence(now);
+    if (steps != priorityReduction) {
+      priorityReduction = steps;
+      slots.values().stream()
+          .filter(s -> s.state != null)
           .forEach(
               s ->
-                  follow(
+                  apply(
                       s,
-                      VirtualRouter.priority(s.terms, s.standing, priority(s.terms), now),
-                      acts));
+                      VirtualRouter.changePriority(
+                          s.options, s.state, effectivePriority(s.options), now),
+                      actions));
     }
-    return acts;
+    return actions;
   }
 
   /**
    * It can't serve for a router that it is active for: another is to try, and it stays back for a
    * while.
    */
-  public List<MastershipAction> unable(VirtualRouterId router, Timestamp now) {
-    List<MastershipAction> acts = fence(now);
-    RouterSlot seat = seats.get(router);
-    if (seat != null && seat.standing != null) {
-      TimeSpan back =
-          VirtualRouter.downInterval(seat.standing)
-              .times(STAYS_BACK * Math.pow(2, Math.min(seat.unable, MOST_DOUBLED)));
-      seat.unable++;
-      follow(seat, VirtualRouter.unable(seat.terms, seat.standing, back, now), acts);
+  public List<MastershipAction> onUnableToServe(VirtualRouterId router, Timestamp now) {
+    List<MastershipAction> actions = fence(now);
+    RouterSlot slot = slots.get(router);
+    if (slot != null && slot.state != null) {
+      TimeSpan backoff =
+          VirtualRouter.activeDownInterval(slot.state)
+              .times(
+                  INITIAL_BACKOFF_DOWN_INTERVALS
+                      * Math.pow(2, Math.min(slot.failuresInARow, MAX_BACKOFF_DOUBLINGS)));
+      slot.failuresInARow++;
+      apply(
+          slot, VirtualRouter.resignUnableToServe(slot.options, slot.state, backoff, now), actions);
     }
-    return acts;
+    return actions;
   }
 
   /** It does serve for a router. */
-  public void able(VirtualRouterId router) {
-    if (seats.containsKey(router)) {
-      seats.get(router).unable = 0;
+  public void onServing(VirtualRouterId router) {
+    if (slots.containsKey(router)) {
+      slots.get(router).failuresInARow = 0;
     }
   }
 
   /** New terms: of routers that stay, that go, and that come. */
-  public List<MastershipAction> renewed(
+  public List<MastershipAction> reconfigure(
       Collection<RouterOptions> routers,
       Set<InetAddress> newPeers,
-      double newElsewhere,
+      double newDispatchersElsewhere,
       Timestamp now) {
-    List<MastershipAction> acts = fence(now);
+    List<MastershipAction> actions = fence(now);
     peers = Set.copyOf(newPeers);
     claims.keySet().retainAll(peers);
-    elsewhere = newElsewhere;
-    Map<VirtualRouterId, RouterOptions> told = new TreeMap<>();
-    routers.forEach(t -> told.put(t.router(), t));
-    for (VirtualRouterId id : List.copyOf(seats.keySet())) {
-      RouterSlot seat = seats.get(id);
-      RouterOptions terms = told.remove(id);
-      if (terms == null) {
-        follow(
-            seat,
-            VirtualRouter.stop(seat.terms, seat.standing, TransitionReason.REMOVED, now),
-            acts);
-        seats.remove(id);
-      } else if (!terms.equals(seat.terms)) {
-        seat.terms = terms;
-        follow(seat, VirtualRouter.renewed(terms, seat.standing, priority(terms), now), acts);
+    dispatchersElsewhere = newDispatchersElsewhere;
+    Map<VirtualRouterId, RouterOptions> remaining = new TreeMap<>();
+    routers.forEach(options -> remaining.put(options.router(), options));
+    for (VirtualRouterId id : List.copyOf(slots.keySet())) {
+      RouterSlot slot = slots.get(id);
+      RouterOptions options = remaining.remove(id);
+      if (options == null) {
+        apply(
+            slot,
+            VirtualRouter.stop(slot.options, slot.state, TransitionReason.REMOVED, now),
+            actions);
+        slots.remove(id);
+      } else if (!options.equals(slot.options)) {
+        slot.options = options;
+        apply(
+            slot,
+            VirtualRouter.changeOptions(options, slot.state, effectivePriority(options), now),
+            actions);
       }
     }
-    for (RouterOptions t : told.values()) {
-      RouterSlot seat = new RouterSlot();
-      seat.terms = t;
-      seats.put(t.router(), seat);
-      follow(seat, VirtualRouter.start(t, priority(t), listen, now), acts);
+    for (RouterOptions options : remaining.values()) {
+      RouterSlot slot = new RouterSlot();
+      slot.options = options;
+      slots.put(options.router(), slot);
+      apply(
+          slot,
+          VirtualRouter.start(options, effectivePriority(options), minListenPeriod, now),
+          actions);
     }
-    claims.values().forEach(c -> c.keySet().retainAll(seats.keySet()));
-    return acts;
+    claims.values().forEach(c -> c.keySet().retainAll(slots.keySet()));
+    return actions;
   }
 
   // ---- what is asked
 
-  /** When to ask {@link #due} next, or null. */
-  public Timestamp wake() {
-    return wakes.isEmpty() ? null : wakes.first().at;
+  /** When to ask {@link #onTimer} next, or null. */
+  public Timestamp nextWake() {
+    return wakeTimers.isEmpty() ? null : wakeTimers.first().at;
   }
 
   /** Whether traffic of this virtual router may be taken and sent on at this moment. */
-  public boolean admits(VirtualRouterId router, Timestamp now) {
-    RouterSlot seat = seats.get(router);
-    return seat != null
-        && seat.standing != null
-        && seat.standing.role() == Role.ACTIVE
-        && !VirtualRouter.fence(seat.terms, seat.standing).isBefore(now);
+  public boolean canAdmit(VirtualRouterId router, Timestamp now) {
+    RouterSlot slot = slots.get(router);
+    return slot != null
+        && slot.state != null
+        && slot.state.role() == Role.ACTIVE
+        && !VirtualRouter.fenceTime(slot.options, slot.state).isBefore(now);
   }
 
   /**
    * Whether any mastership may have passed unnoticed: {@link #fence} is to be asked before anything
    * else.
    */
-  public boolean overtaken(Timestamp now) {
-    return !fences.isEmpty() && fences.first().at.isBefore(now);
+  public boolean isFenceOverdue(Timestamp now) {
+    return !fenceTimers.isEmpty() && fenceTimers.first().at.isBefore(now);
   }
 
   /** Whether it is active for any virtual router. */
   public boolean isActive() {
-    return !fences.isEmpty();
+    return !fenceTimers.isEmpty();
   }
 
   /**
@@ -298,79 +324,86 @@
    * never heard. In a split each claimant that hears the other leaves it its part; one that hears
    * nothing takes all, so that an engine is given at most its whole figure by each claimant.
    */
-  public double dispatchers(Timestamp now) {
+  public double effectiveDispatcherCount(Timestamp now) {
     double others = 0;
-    for (Map<VirtualRouterId, ObservedClaim> said : claims.values()) {
-      double most = 0;
-      for (ObservedClaim claim : said.values()) {
-        most = Math.max(most, now.isBefore(claim.until()) ? 1 : left(claim.heard(), now));
+    for (Map<VirtualRouterId, ObservedClaim> claimsOfPeer : claims.values()) {
+      double share = 0;
+      for (ObservedClaim claim : claimsOfPeer.values()) {
+        share =
+            Math.max(
+                share,
+                now.isBefore(claim.expiresAt()) ? 1 : remainingShare(claim.receivedAt(), now));
       }
-      others += most;
+      others += share;
     }
-    boolean alone = peers.isEmpty() || started == null || !claims.isEmpty();
-    return elsewhere + 1 + (alone ? others : left(started, now));
+    boolean alone = peers.isEmpty() || startedAt == null || !claims.isEmpty();
+    return dispatchersElsewhere + 1 + (alone ? others : remainingShare(startedAt, now));
   }
 
-  private double left(Timestamp from, Timestamp now) {
-    return longestSend.isPositive() ? Math.max(0, 1 - now.since(from).over(longestSend)) : 0;
+  private double remainingShare(Timestamp from, Timestamp now) {
+    return maxAttemptDuration.isPositive()
+        ? Math.max(0, 1 - now.since(from).over(maxAttemptDuration))
+        : 0;
   }
 
-  public int reduction() {
-    return reduction;
+  public int priorityReduction() {
+    return priorityReduction;
   }
 
   /** Every router, in order. */
   public List<VirtualRouterId> routers() {
-    return List.copyOf(seats.keySet());
+    return List.copyOf(slots.keySet());
   }
 
-  public RouterOptions terms(VirtualRouterId router) {
-    return seats.get(router).terms;
+  public RouterOptions options(VirtualRouterId router) {
+    return slots.get(router).options;
   }
 
   /** Where a router stands, or null before the start. */
-  public RouterState standing(VirtualRouterId router) {
-    return seats.get(router).standing;
+  public RouterState state(VirtualRouterId router) {
+    return slots.get(router).state;
   }
 
   /** What each peer last said of a router. */
   public Map<InetAddress, ObservedClaim> claims(VirtualRouterId router) {
-    Map<InetAddress, ObservedClaim> said = new HashMap<>();
+    Map<InetAddress, ObservedClaim> claimsOfPeer = new HashMap<>();
     claims.forEach(
         (peer, of) -> {
           if (of.containsKey(router)) {
-            said.put(peer, of.get(router));
+            claimsOfPeer.put(peer, of.get(router));
           }
         });
-    return said;
+    return claimsOfPeer;
   }
 
   // ---- within
 
-  private int priority(RouterOptions t) {
-    return Math.max(1, t.priority() - reduction);
+  private int effectivePriority(RouterOptions options) {
+    return Math.max(1, options.priority() - priorityReduction);
   }
 
-  private static VirtualRouterId router(Advert advert) {
-    return new VirtualRouterId(advert.virtualRouterId(), advert.isIpv6());
+  private static VirtualRouterId routerIdOf(Advertisement advertisement) {
+    return new VirtualRouterId(advertisement.virtualRouterId(), advertisement.isIpv6());
   }
 
   /** Puts a router where it stands now, and its two alarms with it. */
-  private void follow(RouterSlot seat, Change change, List<MastershipAction> acts) {
-    VirtualRouterId id = seat.terms.router();
-    seat.standing = change.standing();
-    seat.wake = moved(wakes, id, seat.wake, seat.standing.wake());
-    seat.fence = moved(fences, id, seat.fence, VirtualRouter.fence(seat.terms, seat.standing));
-    acts.addAll(change.acts());
+  private void apply(RouterSlot slot, Transition transition, List<MastershipAction> actions) {
+    VirtualRouterId id = slot.options.router();
+    slot.state = transition.state();
+    slot.wakeAt = reschedule(wakeTimers, id, slot.wakeAt, slot.state.wakeAt());
+    slot.fenceAt =
+        reschedule(
+            fenceTimers, id, slot.fenceAt, VirtualRouter.fenceTime(slot.options, slot.state));
+    actions.addAll(transition.actions());
   }
 
-  private static Timestamp moved(
-      TreeSet<Alarm> alarms, VirtualRouterId router, Timestamp from, Timestamp to) {
+  private static Timestamp reschedule(
+      TreeSet<RouterTimer> timers, VirtualRouterId router, Timestamp from, Timestamp to) {
     if (from != null) {
-      alarms.remove(new Alarm(from, router));
+      timers.remove(new RouterTimer(from, router));
     }
     if (to != null) {
-      alarms.add(new Alarm(to, router));
+      timers.add(new RouterTimer(to, router));
     }
     return to;
   }
--- a/src/main/java/cobaltseam/mastership/ReplayGuard.java
+++ b/src/main/java/cobaltseam/mastership/ReplayGuard.java
@@ -2,7 +2,7 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.vrrp.Refusal;
+import cobaltseam.vrrp.RejectionReason;
 import java.net.InetAddress;
 import java.util.HashMap;
 import java.util.Map;
@@ -17,42 +17,45 @@
  * the start an honest peer may go unheard, and nobody here may claim.
  */
 public final class ReplayGuard {
-  private record Sender(InetAddress sender, VirtualRouterId router) {}
+  private record SenderStream(InetAddress sender, VirtualRouterId router) {}
 
-  private final Timestamp started;
-  private final TimeSpan difference;
-  private final Map<Sender, Long> last = new HashMap<>();
+  private final Timestamp startedAt;
+  private final TimeSpan maxClockDifference;
+  private final Map<SenderStream, Long> lastSequences = new HashMap<>();
 
-  public ReplayGuard(Timestamp started, TimeSpan difference) {
-    this.started = started;
-    this.difference = difference;
+  public ReplayGuard(Timestamp startedAt, TimeSpan maxClockDifference) {
+    this.startedAt = startedAt;
+    this.maxClockDifference = maxClockDifference;
   }
 
   /** How long to listen after the start before a silence tells anything. */
-  public TimeSpan listen() {
-    return difference.times(2);
+  public TimeSpan minListenPeriod() {
+    return maxClockDifference.times(2);
   }
 
   /** Judges an advert whose seal holds; one that is new is remembered. */
-  public Optional<Refusal> judge(
+  public Optional<RejectionReason> check(
       InetAddress sender, VirtualRouterId router, long sequence, Timestamp now) {
     Timestamp sent = new Timestamp(sequence);
-    if (!started.plus(difference).isBefore(sent) || sent.isBefore(now.minus(difference.times(2)))) {
-      return Optional.of(Refusal.STALE);
+    if (!startedAt.plus(maxClockDifference).isBefore(sent)
+        || sent.isBefore(now.minus(maxClockDifference.times(2)))) {
+      return Optional.of(RejectionReason.STALE);
     }
-    if (now.plus(difference).isBefore(sent)) {
-      return Optional.of(Refusal.EARLY);
+    if (now.plus(maxClockDifference).isBefore(sent)) {
+      return Optional.of(RejectionReason.EARLY);
     }
-    Sender speaker = new Sender(sender, router);
-    if (sequence <= last.getOrDefault(speaker, Long.MIN_VALUE)) {
-      return Optional.of(Refusal.REPLAYED);
+    SenderStream stream = new SenderStream(sender, router);
+    if (sequence <= lastSequences.getOrDefault(stream, Long.MIN_VALUE)) {
+      return Optional.of(RejectionReason.REPLAYED);
     }
-    last.put(speaker, sequence);
+    lastSequences.put(stream, sequence);
     return Optional.empty();
   }
 
   /** Forgets who is no longer a peer, or no longer set. */
-  public void keep(Set<InetAddress> peers, Set<VirtualRouterId> routers) {
-    last.keySet().removeIf(s -> !peers.contains(s.sender()) || !routers.contains(s.router()));
+  public void retainOnly(Set<InetAddress> peers, Set<VirtualRouterId> routers) {
+    lastSequences
+        .keySet()
+        .removeIf(s -> !peers.contains(s.sender()) || !routers.contains(s.router()));
   }
 }
--- a/src/main/java/cobaltseam/mastership/RouterOptions.java
+++ b/src/main/java/cobaltseam/mastership/RouterOptions.java
@@ -12,7 +12,7 @@
 public record RouterOptions(
     VirtualRouterId router,
     int priority,
-    TimeSpan interval,
+    TimeSpan advertisementInterval,
     boolean preempts,
     TimeSpan preemptDelay,
     List<InetAddress> addresses) {
--- a/src/main/java/cobaltseam/mastership/RouterState.java
+++ b/src/main/java/cobaltseam/mastership/RouterState.java
@@ -14,37 +14,46 @@
     Timestamp since,
     TransitionReason reason,
     int priority,
-    TimeSpan heardInterval,
-    Timestamp wake,
-    Timestamp advertised,
-    Timestamp preemptsFrom) {
-  RouterState wakesAt(Timestamp at) {
+    TimeSpan activeInterval,
+    Timestamp wakeAt,
+    Timestamp lastAdvertisedAt,
+    Timestamp preemptionAllowedFrom) {
+  RouterState withWakeAt(Timestamp at) {
     return new RouterState(
-        role, since, reason, priority, heardInterval, at, advertised, preemptsFrom);
+        role, since, reason, priority, activeInterval, at, lastAdvertisedAt, preemptionAllowedFrom);
   }
 
-  RouterState of(int newPriority, Timestamp newPreemptsFrom) {
+  RouterState withPriority(int newPriority, Timestamp newPreemptionAllowedFrom) {
     return new RouterState(
-        role, since, reason, newPriority, heardInterval, wake, advertised, newPreemptsFrom);
+        role,
+        since,
+        reason,
+        newPriority,
+        activeInterval,
+        wakeAt,
+        lastAdvertisedAt,
+        newPreemptionAllowedFrom);
   }
 
-  RouterState heard(TimeSpan interval) {
-    return new RouterState(role, since, reason, priority, interval, wake, advertised, preemptsFrom);
+  RouterState withActiveInterval(TimeSpan interval) {
+    return new RouterState(
+        role, since, reason, priority, interval, wakeAt, lastAdvertisedAt, preemptionAllowedFrom);
   }
 
-  RouterState advertisedAt(Timestamp at, Timestamp next) {
-    return new RouterState(role, since, reason, priority, heardInterval, next, at, preemptsFrom);
+  RouterState withAdvertisement(Timestamp at, Timestamp next) {
+    return new RouterState(
+        role, since, reason, priority, activeInterval, next, at, preemptionAllowedFrom);
   }
 
-  RouterState as(Role newRole, TransitionReason why, Timestamp at) {
+  RouterState withRole(Role newRole, TransitionReason newReason, Timestamp at) {
     return new RouterState(
         newRole,
         at,
-        why,
+        newReason,
         priority,
-        heardInterval,
-        wake,
-        newRole == Role.ACTIVE ? advertised : null,
-        preemptsFrom);
+        activeInterval,
+        wakeAt,
+        newRole == Role.ACTIVE ? lastAdvertisedAt : null,
+        preemptionAllowedFrom);
   }
 }
--- a/src/main/java/cobaltseam/mastership/VirtualRouter.java
+++ b/src/main/java/cobaltseam/mastership/VirtualRouter.java
@@ -3,7 +3,7 @@
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Advert;
+import cobaltseam.vrrp.Advertisement;
 import java.net.InetAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -20,34 +20,36 @@
  */
 final class VirtualRouter {
   /** Adverts of an active router that may be missed before a backup claims. */
-  static final int MISSED = 3;
+  static final int MAX_MISSED_ADVERTISEMENTS = 3;
 
-  private static final int PRIORITIES = 256;
+  private static final int PRIORITY_LEVELS = 256;
   private static final int US_PER_CENTISECOND = 10_000;
 
   /**
    * An answer to a lower claim waits for this part of the interval after an advert: a flood is not
    * answered in kind.
    */
-  private static final double ASSERT_AFTER = 0.25;
+  private static final double MIN_ASSERT_INTERVALS = 0.25;
 
   private VirtualRouter() {}
 
   /** Where it stands next, and what to do, in order. */
-  record Change(RouterState standing, List<MastershipAction> acts) {
-    Change(RouterState standing, MastershipAction... acts) {
-      this(standing, List.of(acts));
+  record Transition(RouterState state, List<MastershipAction> actions) {
+    Transition(RouterState state, MastershipAction... actions) {
+      this(state, List.of(actions));
     }
   }
 
   /** The span that a backup adds to its wait, shorter the higher its priority. */
-  static TimeSpan skew(RouterState s) {
-    return s.heardInterval().times((double) (PRIORITIES - s.priority()) / PRIORITIES);
+  static TimeSpan skewTime(RouterState state) {
+    return state
+        .activeInterval()
+        .times((double) (PRIORITY_LEVELS - state.priority()) / PRIORITY_LEVELS);
   }
 
   /** How long a backup hears nothing before it claims. */
-  static TimeSpan downInterval(RouterState s) {
-    return s.heardInterval().times(MISSED).plus(skew(s));
+  static TimeSpan activeDownInterval(RouterState state) {
+    return state.activeInterval().times(MAX_MISSED_ADVERTISEMENTS).plus(skewTime(state));
   }
 
   /**
@@ -55,180 +57,225 @@
    * interval claims sooner, since each waits for its skew as well, and counts from when the advert
    * came.
    */
-  static Timestamp fence(RouterOptions t, RouterState s) {
-    return s.role() == Role.ACTIVE ? s.advertised().plus(t.interval().times(MISSED)) : null;
+  static Timestamp fenceTime(RouterOptions options, RouterState state) {
+    return state.role() == Role.ACTIVE
+        ? state
+            .lastAdvertisedAt()
+            .plus(options.advertisementInterval().times(MAX_MISSED_ADVERTISEMENTS))
+        : null;
   }
 
-  static RouterState initial(RouterOptions t, int priority, Timestamp now) {
+  static RouterState initialState(RouterOptions options, int priority, Timestamp now) {
     return new RouterState(
-        Role.INITIALIZE, now, TransitionReason.STARTED, priority, t.interval(), null, null, now);
+        Role.INITIALIZE,
+        now,
+        TransitionReason.STARTED,
+        priority,
+        options.advertisementInterval(),
+        null,
+        null,
+        now);
   }
 
   /**
    * Startup. It listens for at least the span given before it claims, also where it owns the
    * addresses.
    */
-  static Change start(RouterOptions t, int priority, TimeSpan listen, Timestamp now) {
-    RouterState s = initial(t, priority, now);
-    if (priority == Advert.OWNER && !listen.isPositive()) {
-      return claim(t, s, TransitionReason.OWNER, now);
+  static Transition start(RouterOptions options, int priority, TimeSpan listen, Timestamp now) {
+    RouterState state = initialState(options, priority, now);
+    if (priority == Advertisement.OWNER_PRIORITY && !listen.isPositive()) {
+      return becomeActive(options, state, TransitionReason.OWNER, now);
     }
-    s = s.as(Role.BACKUP, TransitionReason.STARTED, now).of(priority, now.plus(t.preemptDelay()));
-    return new Change(s.wakesAt(now.plus(listen).plus(downInterval(s))));
+    state =
+        state
+            .withRole(Role.BACKUP, TransitionReason.STARTED, now)
+            .withPriority(priority, now.plus(options.preemptDelay()));
+    return new Transition(state.withWakeAt(now.plus(listen).plus(activeDownInterval(state))));
   }
 
   /** Shutdown: an active one resigns, so that a peer takes over within its skew. */
-  static Change stop(RouterOptions t, RouterState s, TransitionReason why, Timestamp now) {
-    RouterState next = s.as(Role.INITIALIZE, why, now).wakesAt(null);
-    return s.role() == Role.ACTIVE
-        ? new Change(
+  static Transition stop(
+      RouterOptions options, RouterState state, TransitionReason reason, Timestamp now) {
+    RouterState next = state.withRole(Role.INITIALIZE, reason, now).withWakeAt(null);
+    return state.role() == Role.ACTIVE
+        ? new Transition(
             next,
-            new MastershipAction.Advertise(t.router(), Advert.RESIGNS),
-            new MastershipAction.Release(t.router(), why))
-        : new Change(next);
+            new MastershipAction.Advertise(options.router(), Advertisement.RESIGNATION_PRIORITY),
+            new MastershipAction.Release(options.router(), reason))
+        : new Transition(next);
   }
 
   /** Its moment to be asked has come. */
-  static Change due(RouterOptions t, RouterState s, Timestamp now) {
-    if (s.role() == Role.ACTIVE) {
-      return new Change(
-          s.advertisedAt(now, now.plus(t.interval())),
-          new MastershipAction.Advertise(t.router(), s.priority()));
+  static Transition onTimer(RouterOptions options, RouterState state, Timestamp now) {
+    if (state.role() == Role.ACTIVE) {
+      return new Transition(
+          state.withAdvertisement(now, now.plus(options.advertisementInterval())),
+          new MastershipAction.Advertise(options.router(), state.priority()));
     }
-    if (s.role() != Role.BACKUP) {
-      return new Change(s.wakesAt(null));
+    if (state.role() != Role.BACKUP) {
+      return new Transition(state.withWakeAt(null));
     }
     // What the active one said meanwhile may lie unread: a process that was held up hears nothing,
     // and the
     // silence is its own.
-    if (now.since(s.wake()).compareTo(s.heardInterval()) > 0) {
-      return new Change(s.wakesAt(now.plus(downInterval(s))));
+    if (now.since(state.wakeAt()).compareTo(state.activeInterval()) > 0) {
+      return new Transition(state.withWakeAt(now.plus(activeDownInterval(state))));
     }
-    return claim(t, s, TransitionReason.NONE_HEARD, now);
+    return becomeActive(options, state, TransitionReason.NONE_HEARD, now);
   }
 
-  private static Change claim(RouterOptions t, RouterState s, TransitionReason why, Timestamp now) {
+  private static Transition becomeActive(
+      RouterOptions options, RouterState state, TransitionReason reason, Timestamp now) {
     RouterState next =
-        s.as(Role.ACTIVE, why, now).heard(t.interval()).advertisedAt(now, now.plus(t.interval()));
-    return new Change(
+        state
+            .withRole(Role.ACTIVE, reason, now)
+            .withActiveInterval(options.advertisementInterval())
+            .withAdvertisement(now, now.plus(options.advertisementInterval()));
+    return new Transition(
         next,
-        new MastershipAction.Advertise(t.router(), s.priority()),
-        new MastershipAction.Acquire(t.router(), why));
+        new MastershipAction.Advertise(options.router(), state.priority()),
+        new MastershipAction.Acquire(options.router(), reason));
   }
 
   /** An advert that counts has come from a peer. */
-  static Change heard(
-      RouterOptions t,
-      RouterState s,
+  static Transition onAdvertisement(
+      RouterOptions options,
+      RouterState state,
       InetAddress self,
       InetAddress sender,
-      Advert advert,
+      Advertisement advertisement,
       Timestamp now) {
-    return switch (s.role()) {
-      case INITIALIZE -> new Change(s);
-      case BACKUP -> heardAsBackup(t, s, advert, now);
-      case ACTIVE -> heardAsActive(t, s, self, sender, advert, now);
+    return switch (state.role()) {
+      case INITIALIZE -> new Transition(state);
+      case BACKUP -> onAdvertisementAsBackup(options, state, advertisement, now);
+      case ACTIVE -> onAdvertisementAsActive(options, state, self, sender, advertisement, now);
     };
   }
 
-  private static Change heardAsBackup(
-      RouterOptions t, RouterState s, Advert advert, Timestamp now) {
-    if (advert.priority() == Advert.RESIGNS) {
+  private static Transition onAdvertisementAsBackup(
+      RouterOptions options, RouterState state, Advertisement advertisement, Timestamp now) {
+    if (advertisement.priority() == Advertisement.RESIGNATION_PRIORITY) {
       // Not later than it would be without: a resigned claim proves that its sender is gone, no
       // more.
-      Timestamp soon = now.plus(skew(s));
-      return new Change(s.wake() != null && s.wake().isBefore(soon) ? s : s.wakesAt(soon));
+      Timestamp afterSkew = now.plus(skewTime(state));
+      return new Transition(
+          state.wakeAt() != null && state.wakeAt().isBefore(afterSkew)
+              ? state
+              : state.withWakeAt(afterSkew));
     }
     boolean takesOver =
-        t.preempts() && advert.priority() < s.priority() && !now.isBefore(s.preemptsFrom());
+        options.preempts()
+            && advertisement.priority() < state.priority()
+            && !now.isBefore(state.preemptionAllowedFrom());
     if (takesOver) {
-      return new Change(s);
+      return new Transition(state);
     }
-    RouterState next = s.heard(interval(advert));
-    return new Change(next.wakesAt(now.plus(downInterval(next))));
+    RouterState next = state.withActiveInterval(advertisementInterval(advertisement));
+    return new Transition(next.withWakeAt(now.plus(activeDownInterval(next))));
   }
 
-  private static Change heardAsActive(
-      RouterOptions t,
-      RouterState s,
+  private static Transition onAdvertisementAsActive(
+      RouterOptions options,
+      RouterState state,
       InetAddress self,
       InetAddress sender,
-      Advert advert,
+      Advertisement advertisement,
       Timestamp now) {
-    boolean higher = advert.priority() > s.priority();
-    boolean tied = advert.priority() == s.priority() && Addresses.compare(sender, self) > 0;
-    if (advert.priority() != Advert.RESIGNS && (higher || tied)) {
-      TransitionReason why =
+    boolean higher = advertisement.priority() > state.priority();
+    boolean tied =
+        advertisement.priority() == state.priority() && Addresses.compare(sender, self) > 0;
+    if (advertisement.priority() != Advertisement.RESIGNATION_PRIORITY && (higher || tied)) {
+      TransitionReason reason =
           higher ? TransitionReason.HIGHER_HEARD : TransitionReason.ADDRESS_HIGHER;
-      RouterState next = s.as(Role.BACKUP, why, now).heard(interval(advert));
-      return new Change(
-          next.wakesAt(now.plus(downInterval(next))),
-          new MastershipAction.Release(t.router(), why));
+      RouterState next =
+          state
+              .withRole(Role.BACKUP, reason, now)
+              .withActiveInterval(advertisementInterval(advertisement));
+      return new Transition(
+          next.withWakeAt(now.plus(activeDownInterval(next))),
+          new MastershipAction.Release(options.router(), reason));
     }
     // Asserts itself against a lower claim at once, and after a resignation, for the sake of those
     // that listen.
-    if (now.since(s.advertised()).compareTo(t.interval().times(ASSERT_AFTER)) < 0) {
-      return new Change(s);
+    if (now.since(state.lastAdvertisedAt())
+            .compareTo(options.advertisementInterval().times(MIN_ASSERT_INTERVALS))
+        < 0) {
+      return new Transition(state);
     }
-    return due(t, s, now);
+    return onTimer(options, state, now);
   }
 
   /**
    * Was it held up for so long that a peer may have claimed? Then it steps back, and listens before
    * it claims.
    */
-  static Change fenced(RouterOptions t, RouterState s, Timestamp now) {
-    Timestamp fence = fence(t, s);
+  static Transition fenceIfOverdue(RouterOptions options, RouterState state, Timestamp now) {
+    Timestamp fence = fenceTime(options, state);
     if (fence == null || !fence.isBefore(now)) {
-      return new Change(s);
+      return new Transition(state);
     }
-    RouterState next = s.as(Role.BACKUP, TransitionReason.FENCED, now).heard(t.interval());
-    return new Change(
-        next.wakesAt(now.plus(downInterval(next))),
-        new MastershipAction.Release(t.router(), TransitionReason.FENCED));
+    RouterState next =
+        state
+            .withRole(Role.BACKUP, TransitionReason.FENCED, now)
+            .withActiveInterval(options.advertisementInterval());
+    return new Transition(
+        next.withWakeAt(now.plus(activeDownInterval(next))),
+        new MastershipAction.Release(options.router(), TransitionReason.FENCED));
   }
 
   /**
    * It is active and can't serve: it resigns, and claims again no sooner than after the span given.
    */
-  static Change unable(RouterOptions t, RouterState s, TimeSpan stayBack, Timestamp now) {
-    if (s.role() != Role.ACTIVE) {
-      return new Change(s);
+  static Transition resignUnableToServe(
+      RouterOptions options, RouterState state, TimeSpan backoff, Timestamp now) {
+    if (state.role() != Role.ACTIVE) {
+      return new Transition(state);
     }
     RouterState next =
-        s.as(Role.BACKUP, TransitionReason.UNABLE, now).of(s.priority(), now.plus(stayBack));
-    return new Change(
-        next.wakesAt(now.plus(stayBack).plus(downInterval(next))),
-        new MastershipAction.Advertise(t.router(), Advert.RESIGNS),
-        new MastershipAction.Release(t.router(), TransitionReason.UNABLE));
+        state
+            .withRole(Role.BACKUP, TransitionReason.UNABLE, now)
+            .withPriority(state.priority(), now.plus(backoff));
+    return new Transition(
+        next.withWakeAt(now.plus(backoff).plus(activeDownInterval(next))),
+        new MastershipAction.Advertise(options.router(), Advertisement.RESIGNATION_PRIORITY),
+        new MastershipAction.Release(options.router(), TransitionReason.UNABLE));
   }
 
   /**
    * Its priority is another from now on; one that rose waits for the delay before it takes over.
    */
-  static Change priority(RouterOptions t, RouterState s, int priority, Timestamp now) {
-    boolean rose = priority > s.priority();
-    return new Change(s.of(priority, rose ? now.plus(t.preemptDelay()) : s.preemptsFrom()));
+  static Transition changePriority(
+      RouterOptions options, RouterState state, int priority, Timestamp now) {
+    boolean rose = priority > state.priority();
+    return new Transition(
+        state.withPriority(
+            priority, rose ? now.plus(options.preemptDelay()) : state.preemptionAllowedFrom()));
   }
 
   /** Its terms are others from now on. */
-  static Change renewed(RouterOptions t, RouterState s, int priority, Timestamp now) {
-    List<MastershipAction> acts = new ArrayList<>();
-    RouterState next = priority(t, s, priority, now).standing();
-    if (s.role() == Role.ACTIVE) {
+  static Transition changeOptions(
+      RouterOptions options, RouterState state, int priority, Timestamp now) {
+    List<MastershipAction> actions = new ArrayList<>();
+    RouterState next = changePriority(options, state, priority, now).state();
+    if (state.role() == Role.ACTIVE) {
       // At once, so that peers that wait by the old interval don't claim in between.
-      next = next.heard(t.interval()).advertisedAt(now, now.plus(t.interval()));
-      acts.add(new MastershipAction.Advertise(t.router(), priority));
-    } else if (s.role() == Role.BACKUP) {
-      Timestamp wake = now.plus(downInterval(next.heard(t.interval())));
       next =
-          next.heard(t.interval())
-              .wakesAt(s.wake() != null && wake.isBefore(s.wake()) ? s.wake() : wake);
+          next.withActiveInterval(options.advertisementInterval())
+              .withAdvertisement(now, now.plus(options.advertisementInterval()));
+      actions.add(new MastershipAction.Advertise(options.router(), priority));
+    } else if (state.role() == Role.BACKUP) {
+      Timestamp wake =
+          now.plus(activeDownInterval(next.withActiveInterval(options.advertisementInterval())));
+      next =
+          next.withActiveInterval(options.advertisementInterval())
+              .withWakeAt(
+                  state.wakeAt() != null && wake.isBefore(state.wakeAt()) ? state.wakeAt() : wake);
     }
-    return new Change(next, acts);
+    return new Transition(next, actions);
   }
 
-  static TimeSpan interval(Advert advert) {
-    return new TimeSpan((long) advert.maxAdvertiseIntervalCentiseconds() * US_PER_CENTISECOND);
+  static TimeSpan advertisementInterval(Advertisement advertisement) {
+    return new TimeSpan(
+        (long) advertisement.maxAdvertiseIntervalCentiseconds() * US_PER_CENTISECOND);
   }
 }
--- a/src/main/java/cobaltseam/service/VirtualAddressService.java
+++ b/src/main/java/cobaltseam/service/VirtualAddressService.java
@@ -4,7 +4,7 @@
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.logging.Field;
-import cobaltseam.mastership.AdvertFilter;
+import cobaltseam.mastership.AdvertisementFilter;
 import cobaltseam.mastership.HealthScore;
 import cobaltseam.mastership.HealthScore.HealthSignal;
 import cobaltseam.mastership.Mastership;
@@ -19,11 +19,11 @@
 import cobaltseam.settings.Settings;
 import cobaltseam.transport.AdvertDatagramSocket;
 import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Advert;
-import cobaltseam.vrrp.AdvertCodec;
-import cobaltseam.vrrp.AdvertSeal;
-import cobaltseam.vrrp.Reading.Covers;
-import cobaltseam.vrrp.Refusal;
+import cobaltseam.vrrp.Advertisement;
+import cobaltseam.vrrp.AdvertisementAuthenticator;
+import cobaltseam.vrrp.AdvertisementCodec;
+import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
+import cobaltseam.vrrp.RejectionReason;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.lang.management.ManagementFactory;
@@ -92,7 +92,7 @@
   private final int dispatchersTold;
   private final ReplayGuard freshness;
   private final Mastership mastership;
-  private final AdvertFilter intake;
+  private final AdvertisementFilter intake;
   private final HealthScore fitness;
   private final AdvertDatagramSocket socket;
   private final ExecutorService listening =
@@ -145,10 +145,10 @@
             told.peerAddresses(),
             elsewhere(),
             longest,
-            freshness.listen(),
+            freshness.minListenPeriod(),
             told.followsIntervals());
     intake =
-        new AdvertFilter(
+        new AdvertisementFilter(
             self,
             mastership,
             freshness,
@@ -220,7 +220,7 @@
     }
     told = anew;
     Set<InetAddress> peers = told.peerAddresses();
-    fitness.renewed(told.fitness());
+    fitness.reconfigure(told.fitness());
     // Served elsewhere from now on: what is open at the old address is wound down as on any loss.
     for (Settings.RouterSettings seat : told.seats()) {
       Listener l = listeners.get(seat.terms().router());
@@ -236,8 +236,8 @@
         listener(seat);
       }
     }
-    act(() -> mastership.renewed(told.terms(), peers, elsewhere(), clock.now()));
-    intake.renewed(peers, told.sealing() == null ? null : told.sealing().keys());
+    act(() -> mastership.reconfigure(told.terms(), peers, elsewhere(), clock.now()));
+    intake.reconfigure(peers, told.sealing() == null ? null : told.sealing().keys());
     socket.peers(peers);
     Set<VirtualRouterId> set = new HashSet<>(mastership.routers());
     listeners.keySet().removeIf(r -> !set.contains(r));
@@ -272,39 +272,39 @@
       return;
     }
     Timestamp now = clock.now();
-    AdvertFilter.Verdict verdict;
+    AdvertisementFilter.Verdict verdict;
     try {
-      verdict = intake.judge(bytes, source, self, now);
+      verdict = intake.evaluate(bytes, source, self, now);
     } catch (RuntimeException e) {
       fault(e);
       return;
     }
-    if (verdict.refusal() != null) {
+    if (verdict.rejection() != null) {
       counters.add(Count.MASTERSHIP_ADVERTS_REFUSED);
       log.warn(
           "an advert from {0} is refused: {1}",
           Field.of("peer", Addresses.text(source)),
-          Field.of("reason", verdict.refusal().reason()),
+          Field.of("reason", verdict.rejection().explanation()),
           Field.event("mastership.advert_refused"));
       return;
     }
     counters.add(Count.MASTERSHIP_ADVERTS_TAKEN);
-    act(() -> mastership.heard(source, verdict.advert(), now));
+    act(() -> mastership.onAdvertisement(source, verdict.advertisement(), now));
   }
 
   /** Steps back first, if a mastership may have passed while this process stood still. */
   void look() {
-    if (!broken && mastership.overtaken(clock.now())) {
+    if (!broken && mastership.isFenceOverdue(clock.now())) {
       act(() -> mastership.fence(clock.now()));
     }
   }
 
   private boolean maySend() {
-    return !mastership.overtaken(clock.now());
+    return !mastership.isFenceOverdue(clock.now());
   }
 
   private void due() {
-    act(() -> mastership.due(clock.now()));
+    act(() -> mastership.onTimer(clock.now()));
   }
 
   /** Looks at its own fitness, and at how many dispatchers carry traffic. */
@@ -313,21 +313,21 @@
     TimeSpan late = now.since(beat);
     beat = now.plus(BEAT);
     deadlines.set(beat, this::beat);
-    intake.refusedTo(Refusal.UNKNOWN_SENDER, counted(socket.strangers()));
-    intake.refusedTo(Refusal.TOO_MANY, counted(socket.tooMany()));
+    intake.countRejected(RejectionReason.UNKNOWN_SENDER, counted(socket.strangers()));
+    intake.countRejected(RejectionReason.TOO_MANY, counted(socket.tooMany()));
     act(
         () -> {
-          int before = mastership.reduction();
-          int steps = fitness.told(signs(late), now);
+          int before = mastership.priorityReduction();
+          int steps = fitness.update(signs(late), now);
           if (steps != before) {
             LOG.log(
                 Level.WARNING,
                 "fitness: {0} steps of priority given up, for {1}",
                 Field.of("steps", steps),
-                Field.of("signs", fitness.counting()),
+                Field.of("signs", fitness.countedSignals()),
                 Field.event("mastership.fitness"));
           }
-          return mastership.fitness(steps, now);
+          return mastership.reducePriority(steps, now);
         });
   }
 
@@ -375,13 +375,13 @@
         carryOut(act);
       }
       Timestamp now = clock.now();
-      double over = mastership.dispatchers(now);
+      double over = mastership.effectiveDispatcherCount(now);
       if (Math.abs(over - sharedOver) > NOTABLE * sharedOver) {
         sharedOver = over;
         commands.sharedOver(over);
       }
       deadlines.cancel(wake);
-      wake = mastership.wake() == null ? null : deadlines.set(mastership.wake(), this::due);
+      wake = mastership.nextWake() == null ? null : deadlines.set(mastership.nextWake(), this::due);
     } catch (RuntimeException e) {
       fault(e);
     }
@@ -416,19 +416,19 @@
   }
 
   private void advertise(VirtualRouterId router, int priority) {
-    RouterOptions terms = mastership.terms(router);
-    Advert advert =
-        new Advert(
+    RouterOptions terms = mastership.options(router);
+    Advertisement advert =
+        new Advertisement(
             router.value(),
             priority,
-            (int) (terms.interval().us() / US_PER_CENTISECOND),
+            (int) (terms.advertisementInterval().us() / US_PER_CENTISECOND),
             terms.addresses());
     sequence = Math.max(sequence + 1, clock.now().us());
     for (InetSocketAddress peer : told.peers()) {
-      byte[] bytes = AdvertCodec.write(advert, self, peer.getAddress(), told.covers());
+      byte[] bytes = AdvertisementCodec.encode(advert, self, peer.getAddress(), told.covers());
       if (told.sealing() != null) {
         bytes =
-            AdvertSeal.write(
+            AdvertisementAuthenticator.sign(
                 bytes,
                 self,
                 peer.getAddress(),
@@ -501,7 +501,7 @@
     if (why == null || !opens) {
       l.open = opens;
       if (opens && l.wanted) {
-        mastership.able(router);
+        mastership.onServing(router);
         LOG.log(
             Level.INFO,
             "takes clients on {0}",
@@ -521,9 +521,9 @@
     if (!l.wanted || listeners.get(router) != l) {
       return;
     }
-    TimeSpan interval = mastership.terms(router).interval();
+    TimeSpan interval = mastership.options(router).advertisementInterval();
     if (clock.now().since(l.wantedSince).compareTo(interval.times(TRY_FOR)) > 0) {
-      act(() -> mastership.unable(router, clock.now()));
+      act(() -> mastership.onUnableToServe(router, clock.now()));
     } else {
       deadlines.set(clock.now().plus(interval.times(TRY_AGAIN)), () -> follow(router, l));
     }
@@ -568,8 +568,8 @@
     }
     VirtualRouterId router = routers.get(at);
     return router != null
-        ? mastership.admits(router, now)
-        : mastership.isActive() && !mastership.overtaken(now);
+        ? mastership.canAdmit(router, now)
+        : mastership.isActive() && !mastership.isFenceOverdue(now);
   }
 
   @Override
@@ -581,7 +581,7 @@
   @Override
   public TimeSpan comeBack(SocketAddress at) {
     VirtualRouterId router = routers.getOrDefault(at, mastership.routers().get(0));
-    return mastership.terms(router).interval().times(TRY_FOR);
+    return mastership.options(router).advertisementInterval().times(TRY_FOR);
   }
 
   /** SHOW cobaltseam.mastership. */
@@ -596,12 +596,12 @@
     rows.add(
         new String[] {
           "fitness_steps",
-          mastership.reduction()
+          mastership.priorityReduction()
               + " "
-              + fitness.counting().stream().map(HealthSignal::label).toList()
+              + fitness.countedSignals().stream().map(HealthSignal::label).toList()
         });
     for (VirtualRouterId router : mastership.routers()) {
-      RouterState s = mastership.standing(router);
+      RouterState s = mastership.state(router);
       String name = "router_" + router + "_";
       rows.add(
           new String[] {
@@ -617,7 +617,7 @@
         rows.add(new String[] {name + "reason", s.reason().label()});
         rows.add(
             new String[] {
-              name + "priority", s.priority() + " of " + mastership.terms(router).priority()
+              name + "priority", s.priority() + " of " + mastership.options(router).priority()
             });
       }
       rows.add(
@@ -635,22 +635,24 @@
                         "priority "
                             + claim.priority()
                             + ", "
-                            + now.since(claim.heard()).us() / 1000
+                            + now.since(claim.receivedAt()).us() / 1000
                             + " ms ago"
                       }));
     }
-    rows.add(new String[] {"adverts_taken", Long.toString(intake.taken())});
-    for (Covers what : Covers.values()) {
+    rows.add(new String[] {"adverts_taken", Long.toString(intake.acceptedCount())});
+    for (ChecksumCoverage what : ChecksumCoverage.values()) {
       rows.add(
           new String[] {
             "adverts_covering_" + what.name().toLowerCase(java.util.Locale.ROOT),
-            Long.toString(intake.covering(what))
+            Long.toString(intake.acceptedCountWith(what))
           });
     }
-    for (Refusal why : Refusal.values()) {
-      if (intake.refused(why) > 0) {
+    for (RejectionReason why : RejectionReason.values()) {
+      if (intake.rejectedCount(why) > 0) {
         rows.add(
-            new String[] {"adverts_refused_" + why.label(), Long.toString(intake.refused(why))});
+            new String[] {
+              "adverts_refused_" + why.label(), Long.toString(intake.rejectedCount(why))
+            });
       }
     }
     return rows;
--- a/src/main/java/cobaltseam/settings/Settings.java
+++ b/src/main/java/cobaltseam/settings/Settings.java
@@ -4,7 +4,7 @@
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.mastership.HealthScore;
 import cobaltseam.mastership.RouterOptions;
-import cobaltseam.vrrp.Reading.Covers;
+import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -45,7 +45,7 @@
   public record VirtualAddressSettings(
       InetSocketAddress listen,
       List<InetSocketAddress> peers,
-      Covers covers,
+      ChecksumCoverage covers,
       boolean followsIntervals,
       int elsewhere,
       boolean standByAnswers,
--- a/src/main/java/cobaltseam/settings/SettingsReader.java
+++ b/src/main/java/cobaltseam/settings/SettingsReader.java
@@ -8,7 +8,7 @@
 import cobaltseam.mastership.RouterOptions;
 import cobaltseam.mastership.VirtualRouterId;
 import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Reading.Covers;
+import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -252,8 +252,8 @@
         listen,
         List.copyOf(peers.stream().filter(p -> p != null).toList()),
         told.path("ipv4_checksum").asText("message").equals("message")
-            ? Covers.MESSAGE
-            : Covers.PSEUDO_HEADER,
+            ? ChecksumCoverage.MESSAGE
+            : ChecksumCoverage.PSEUDO_HEADER,
         told.path("other_interval").asText("follow").equals("follow"),
         told.path("elsewhere").asInt(-1),
         told.path("stand_by_answers").asBoolean(true),
--- a/src/main/java/cobaltseam/vrrp/Addresses.java
+++ b/src/main/java/cobaltseam/vrrp/Addresses.java
@@ -8,14 +8,14 @@
 
 /** IP addresses as text and bytes; no name is ever looked up. */
 public final class Addresses {
-  private static final int GROUPS = 8;
-  private static final int LONGEST = 45;
+  private static final int IPV6_GROUPS = 8;
+  private static final int MAX_TEXT_LENGTH = 45;
 
   private Addresses() {}
 
   /** The address that a text writes out, IPv4 in four decimal parts or IPv6 without a zone. */
   public static Optional<InetAddress> read(String text) {
-    if (text == null || text.isEmpty() || text.length() > LONGEST) {
+    if (text == null || text.isEmpty() || text.length() > MAX_TEXT_LENGTH) {
       return Optional.empty();
     }
     if (text.matches("(0|[1-9][0-9]{0,2})(\\.(0|[1-9][0-9]{0,2})){3}")) {
@@ -28,7 +28,7 @@
         }
         bytes[i] = (byte) part;
       }
-      return Optional.of(of(bytes));
+      return Optional.of(fromBytes(bytes));
     }
     if (text.indexOf(':') < 0 || !text.matches("[0-9a-fA-F:.]+")) {
       return Optional.empty();
@@ -36,23 +36,24 @@
     try {
       // A text with a colon is never looked up, only parsed.
       InetAddress parsed = InetAddress.getByName(text);
-      return Optional.of(parsed instanceof Inet6Address ? of(parsed.getAddress()) : mapped(parsed));
+      return Optional.of(
+          parsed instanceof Inet6Address ? fromBytes(parsed.getAddress()) : toIpv4Mapped(parsed));
     } catch (UnknownHostException e) {
       return Optional.empty();
     }
   }
 
   /** ::ffff:a.b.c.d, which the platform's parser takes for IPv4. */
-  private static InetAddress mapped(InetAddress v4) {
+  private static InetAddress toIpv4Mapped(InetAddress v4) {
     byte[] bytes = new byte[16];
     bytes[10] = (byte) 0xff;
     bytes[11] = (byte) 0xff;
     System.arraycopy(v4.getAddress(), 0, bytes, 12, 4);
-    return of(bytes);
+    return fromBytes(bytes);
   }
 
   /** An address from its 4 or 16 bytes; 16 bytes always make an IPv6 one. */
-  static InetAddress of(byte[] bytes) {
+  static InetAddress fromBytes(byte[] bytes) {
     try {
       return bytes.length == 4
           ? InetAddress.getByAddress(bytes)
@@ -68,27 +69,27 @@
     if (bytes.length == 4) {
       return address.getHostAddress();
     }
-    int[] groups = new int[GROUPS];
-    for (int i = 0; i < GROUPS; i++) {
+    int[] groups = new int[IPV6_GROUPS];
+    for (int i = 0; i < IPV6_GROUPS; i++) {
       groups[i] = (bytes[2 * i] & 0xff) << 8 | bytes[2 * i + 1] & 0xff;
     }
-    int from = -1;
-    int longest = 1;
-    for (int i = 0; i < GROUPS; i++) {
+    int longestRunStart = -1;
+    int longestRun = 1;
+    for (int i = 0; i < IPV6_GROUPS; i++) {
       int run = 0;
-      while (i + run < GROUPS && groups[i + run] == 0) {
+      while (i + run < IPV6_GROUPS && groups[i + run] == 0) {
         run++;
       }
-      if (run > longest) {
-        from = i;
-        longest = run;
+      if (run > longestRun) {
+        longestRunStart = i;
+        longestRun = run;
       }
     }
     StringBuilder text = new StringBuilder();
-    for (int i = 0; i < GROUPS; i++) {
-      if (i == from) {
+    for (int i = 0; i < IPV6_GROUPS; i++) {
+      if (i == longestRunStart) {
         text.append("::");
-        i += longest - 1;
+        i += longestRun - 1;
       } else {
         text.append(text.length() == 0 || text.charAt(text.length() - 1) == ':' ? "" : ":")
             .append(Integer.toHexString(groups[i]));
--- a/src/main/java/cobaltseam/vrrp/Advert.java
+++ b/src/main/java/cobaltseam/vrrp/Advertisement.java
@@ -9,41 +9,43 @@
  * 255 owns the addresses), how often at the longest in centiseconds (1 to 4095), and for which
  * addresses (1 to 255, of one family).
  */
-public record Advert(
+public record Advertisement(
     int virtualRouterId,
     int priority,
     int maxAdvertiseIntervalCentiseconds,
     List<InetAddress> addresses) {
-  public static final int LONGEST_INTERVAL = 0xfff;
-  public static final int MOST_ADDRESSES = 0xff;
-  public static final int OWNER = 255;
-  public static final int RESIGNS = 0;
+  public static final int MAX_INTERVAL_CENTISECONDS = 0xfff;
+  public static final int MAX_ADDRESSES = 0xff;
+  public static final int OWNER_PRIORITY = 255;
+  public static final int RESIGNATION_PRIORITY = 0;
 
   /**
    * @throws IllegalArgumentException with what is out of its bounds
    */
-  public Advert {
+  public Advertisement {
     addresses = List.copyOf(addresses);
     require(
         virtualRouterId >= 1 && virtualRouterId <= 255,
         "the virtual router id is not from 1 to 255");
-    require(priority >= RESIGNS && priority <= OWNER, "the priority is not from 0 to 255");
+    require(
+        priority >= RESIGNATION_PRIORITY && priority <= OWNER_PRIORITY,
+        "the priority is not from 0 to 255");
     require(
         maxAdvertiseIntervalCentiseconds >= 1
-            && maxAdvertiseIntervalCentiseconds <= LONGEST_INTERVAL,
+            && maxAdvertiseIntervalCentiseconds <= MAX_INTERVAL_CENTISECONDS,
         "the interval is not from 1 to 4095 centiseconds");
     require(
-        !addresses.isEmpty() && addresses.size() <= MOST_ADDRESSES,
+        !addresses.isEmpty() && addresses.size() <= MAX_ADDRESSES,
         "there are not 1 to 255 addresses");
-    boolean six = addresses.get(0) instanceof Inet6Address;
+    boolean ipv6 = addresses.get(0) instanceof Inet6Address;
     require(
-        addresses.stream().allMatch(a -> a instanceof Inet6Address == six),
+        addresses.stream().allMatch(a -> a instanceof Inet6Address == ipv6),
         "the addresses mix families");
   }
 
-  private static void require(boolean holds, String what) {
-    if (!holds) {
-      throw new IllegalArgumentException(what);
+  private static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new IllegalArgumentException(message);
     }
   }
 
--- a/src/main/java/cobaltseam/vrrp/Reading.java
+++ b/src/main/java/cobaltseam/vrrp/DecodeResult.java
@@ -1,9 +1,9 @@
 package cobaltseam.vrrp;
 
 /** What a datagram turned out to be. */
-public sealed interface Reading {
+public sealed interface DecodeResult {
   /** What its checksum was found to cover. */
-  enum Covers {
+  enum ChecksumCoverage {
     MESSAGE,
     PSEUDO_HEADER
   }
@@ -12,8 +12,10 @@
    * A whole advertisement; {@code length} bytes are its own, and a seal follows where there are
    * more.
    */
-  record Whole(Advert advert, Covers covers, int length, boolean sealed) implements Reading {}
+  record Decoded(
+      Advertisement advertisement, ChecksumCoverage coverage, int length, boolean hasTrailer)
+      implements DecodeResult {}
 
   /** Not one, and why. */
-  record Refused(Refusal refusal) implements Reading {}
+  record Rejected(RejectionReason reason) implements DecodeResult {}
 }
--- a/src/main/java/cobaltseam/vrrp/Refusal.java
+++ b/src/main/java/cobaltseam/vrrp/RejectionReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why a datagram is not taken for an advertisement that counts. */
-public enum Refusal {
+public enum RejectionReason {
   TOO_SHORT("it is shorter than a header of 8 bytes"),
   VERSION("its version is not 3"),
   TYPE("its type is not 1, an advertisement"),
@@ -26,15 +26,15 @@
   EARLY("it was sent later than now"),
   TOO_MANY("too many are waiting to be heard");
 
-  private final String reason;
+  private final String explanation;
 
-  Refusal(String reason) {
-    this.reason = reason;
+  RejectionReason(String explanation) {
+    this.explanation = explanation;
   }
 
   /** The reason as a clause in English. */
-  public String reason() {
-    return reason;
+  public String explanation() {
+    return explanation;
   }
 
   /** Its name in counters and log events. */
--- a/src/test/java/cobaltseam/cli/CobaltseamTest.java
+++ b/src/test/java/cobaltseam/cli/CobaltseamTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Advert;
-import cobaltseam.vrrp.AdvertCodec;
-import cobaltseam.vrrp.Reading.Covers;
+import cobaltseam.vrrp.Advertisement;
+import cobaltseam.vrrp.AdvertisementCodec;
+import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.ByteArrayOutputStream;
@@ -152,7 +152,8 @@
                 router = [{id = 7, interval_ms = 20, addresses = ["192.0.2.10"], serve = "192.0.2.10:5050"}]
                 """
                 .formatted(port));
-    Advert advert = new Advert(7, 100, 2, List.of(Addresses.read("192.0.2.10").orElseThrow()));
+    Advertisement advert =
+        new Advertisement(7, 100, 2, List.of(Addresses.read("192.0.2.10").orElseThrow()));
     InetAddress to = InetAddress.getByName("127.0.79.1");
     Thread speaker =
         new Thread(
@@ -164,7 +165,8 @@
                   for (DatagramSocket from :
                       i < 100 || i >= 200 ? List.of(one) : List.of(one, other)) {
                     byte[] bytes =
-                        AdvertCodec.write(advert, from.getLocalAddress(), to, Covers.MESSAGE);
+                        AdvertisementCodec.encode(
+                            advert, from.getLocalAddress(), to, ChecksumCoverage.MESSAGE);
                     from.send(new DatagramPacket(bytes, bytes.length, to, port));
                   }
                   Thread.sleep(5);
--- a/src/test/java/cobaltseam/mastership/Exploration.java
+++ b/src/test/java/cobaltseam/mastership/Exploration.java
@@ -2,9 +2,9 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.mastership.VirtualRouter.Change;
+import cobaltseam.mastership.VirtualRouter.Transition;
 import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Advert;
+import cobaltseam.vrrp.Advertisement;
 import java.net.InetAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -59,7 +59,11 @@
     }
     // A down interval after the last fault, the longest freeze and lateness, and what an unheard
     // claim takes to yield.
-    settle = INTERVAL.times(2 * VirtualRouter.MISSED + 4).plus(FREEZES.get(2)).plus(LATE);
+    settle =
+        INTERVAL
+            .times(2 * VirtualRouter.MAX_MISSED_ADVERTISEMENTS + 4)
+            .plus(FREEZES.get(2))
+            .plus(LATE);
     fencesHold = faults.lost == 0 && faults.late == 0 && faults.restarts == 0;
   }
 
@@ -79,7 +83,7 @@
   void run(Faults faults) {
     List<RouterState> start =
         terms.stream()
-            .map(t -> VirtualRouter.start(t, t.priority(), TimeSpan.ZERO, ZERO).standing())
+            .map(t -> VirtualRouter.start(t, t.priority(), TimeSpan.ZERO, ZERO).state())
             .toList();
     Deque<World> open = new ArrayDeque<>();
     add(open, new World(start, Collections.nCopies(terms.size(), ZERO), List.of(), faults, null));
@@ -129,7 +133,7 @@
   }
 
   private Timestamp wakeOf(World w, int i) {
-    Timestamp wake = w.routers.get(i).wake();
+    Timestamp wake = w.routers.get(i).wakeAt();
     return wake == null ? null : later(wake, w.frozen.get(i));
   }
 
@@ -164,7 +168,7 @@
       List<Flying> rest = new ArrayList<>(w.flying);
       rest.remove(come);
       World heard = new World(w.routers, w.frozen, rest, w.left, w.overlapSince);
-      Advert advert = new Advert(1, come.priority, 10, List.of(selves.get(0)));
+      Advertisement advert = new Advertisement(1, come.priority, 10, List.of(selves.get(0)));
       follow(
           heard,
           come.to,
@@ -172,7 +176,8 @@
           faulty,
           worlds,
           (t, s) ->
-              VirtualRouter.heard(t, s, selves.get(come.to), selves.get(come.from), advert, now));
+              VirtualRouter.onAdvertisement(
+                  t, s, selves.get(come.to), selves.get(come.from), advert, now));
       return worlds;
     }
     for (int i = 0; i < w.routers.size(); i++) {
@@ -193,8 +198,7 @@
       if (faulty && w.left.restarts > 0) {
         List<RouterState> routers = new ArrayList<>(w.routers);
         routers.set(
-            i,
-            VirtualRouter.start(terms.get(i), terms.get(i).priority(), INTERVAL, now).standing());
+            i, VirtualRouter.start(terms.get(i), terms.get(i).priority(), INTERVAL, now).state());
         Faults left =
             new Faults(
                 w.left.lost, w.left.doubled, w.left.late, w.left.freezes, w.left.restarts - 1);
@@ -207,29 +211,29 @@
           faulty,
           worlds,
           (t, s) ->
-              s.wake() != null && !now.isBefore(s.wake())
-                  ? VirtualRouter.due(t, s, now)
-                  : new Change(s));
+              s.wakeAt() != null && !now.isBefore(s.wakeAt())
+                  ? VirtualRouter.onTimer(t, s, now)
+                  : new Transition(s));
       return worlds;
     }
     throw new AssertionError("nothing is due at " + now + " in " + w);
   }
 
   private interface Event {
-    Change on(RouterOptions terms, RouterState standing);
+    Transition on(RouterOptions terms, RouterState standing);
   }
 
   /** The fence first, as in service; then the event; then each way that its adverts can go. */
   private void follow(
       World w, int i, Timestamp now, boolean faulty, List<World> worlds, Event event) {
     RouterState before = w.routers.get(i);
-    Change fenced = VirtualRouter.fenced(terms.get(i), before, now);
-    Change change = event.on(terms.get(i), fenced.standing());
-    List<MastershipAction> acts = new ArrayList<>(fenced.acts());
-    acts.addAll(change.acts());
-    taking(before.role() == Role.ACTIVE, change.standing().role() == Role.ACTIVE, acts);
+    Transition fenced = VirtualRouter.fenceIfOverdue(terms.get(i), before, now);
+    Transition change = event.on(terms.get(i), fenced.state());
+    List<MastershipAction> acts = new ArrayList<>(fenced.actions());
+    acts.addAll(change.actions());
+    taking(before.role() == Role.ACTIVE, change.state().role() == Role.ACTIVE, acts);
     List<RouterState> routers = new ArrayList<>(w.routers);
-    routers.set(i, change.standing());
+    routers.set(i, change.state());
     List<World> ways = List.of(new World(routers, w.frozen, w.flying, w.left, w.overlapSince));
     for (MastershipAction act : acts) {
       if (act instanceof MastershipAction.Advertise advertise) {
@@ -291,7 +295,7 @@
   private World overlap(World w, Timestamp now) {
     int admitted = 0;
     for (int i = 0; i < w.routers.size(); i++) {
-      Timestamp fence = VirtualRouter.fence(terms.get(i), w.routers.get(i));
+      Timestamp fence = VirtualRouter.fenceTime(terms.get(i), w.routers.get(i));
       // One that stands still takes nothing; when it goes on, its fence or the adverts that wait
       // for it decide.
       boolean frozen = now.isBefore(w.frozen.get(i));
@@ -318,10 +322,10 @@
               ZERO,
               s.reason(),
               s.priority(),
-              s.heardInterval(),
-              moved(s.wake(), past, false),
-              moved(s.advertised(), past, false),
-              moved(s.preemptsFrom(), past, true)));
+              s.activeInterval(),
+              moved(s.wakeAt(), past, false),
+              moved(s.lastAdvertisedAt(), past, false),
+              moved(s.preemptionAllowedFrom(), past, true)));
     }
     return new World(
         routers,
--- a/src/test/java/cobaltseam/mastership/MastershipTest.java
+++ b/src/test/java/cobaltseam/mastership/MastershipTest.java
@@ -9,11 +9,11 @@
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.mastership.HealthScore.HealthSignal;
 import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Advert;
-import cobaltseam.vrrp.AdvertCodec;
-import cobaltseam.vrrp.AdvertSeal;
-import cobaltseam.vrrp.Reading.Covers;
-import cobaltseam.vrrp.Refusal;
+import cobaltseam.vrrp.Advertisement;
+import cobaltseam.vrrp.AdvertisementAuthenticator;
+import cobaltseam.vrrp.AdvertisementCodec;
+import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
+import cobaltseam.vrrp.RejectionReason;
 import java.net.InetAddress;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -49,28 +49,28 @@
         SELF, List.of(terms), Set.of(LOWER, HIGHER), 3, LONGEST_SEND, TimeSpan.ZERO, true);
   }
 
-  private static Advert advert(int priority) {
+  private static Advertisement advert(int priority) {
     return advert(priority, 100);
   }
 
-  private static Advert advert(int priority, int centiseconds) {
-    return new Advert(1, priority, centiseconds, ADDRESSES);
+  private static Advertisement advert(int priority, int centiseconds) {
+    return new Advertisement(1, priority, centiseconds, ADDRESSES);
   }
 
   /** Lets time pass, asking whenever it wants to be asked. */
   private List<MastershipAction> pass(Mastership m, double seconds) {
     Timestamp until = now.plus(SECOND.times(seconds));
     List<MastershipAction> acts = new ArrayList<>();
-    while (m.wake() != null && !until.isBefore(m.wake())) {
-      now = m.wake();
-      acts.addAll(m.due(now));
+    while (m.nextWake() != null && !until.isBefore(m.nextWake())) {
+      now = m.nextWake();
+      acts.addAll(m.onTimer(now));
     }
     now = until;
     return acts;
   }
 
   private static Role role(Mastership m) {
-    return m.standing(R1).role();
+    return m.state(R1).role();
   }
 
   private static List<MastershipAction> taken(TransitionReason why) {
@@ -90,10 +90,10 @@
     Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     assertEquals(List.of(), m.start(now));
     // Three intervals and a skew of 156/256 of one.
-    assertEquals(START.plus(new TimeSpan(3_609_375)), m.wake());
-    assertFalse(m.admits(R1, now));
+    assertEquals(START.plus(new TimeSpan(3_609_375)), m.nextWake());
+    assertFalse(m.canAdmit(R1, now));
     assertEquals(taken(TransitionReason.NONE_HEARD), pass(m, 3.7));
-    assertTrue(m.admits(R1, now));
+    assertTrue(m.canAdmit(R1, now));
   }
 
   @Test
@@ -120,10 +120,10 @@
   void aBackupFollowsTheIntervalOfTheAdvertAndAnotherResignation() {
     Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
-    m.heard(HIGHER, advert(200, 200), now);
-    assertEquals(now.plus(new TimeSpan(2 * 3_609_375)), m.wake());
-    m.heard(HIGHER, advert(0, 200), now);
-    assertEquals(now.plus(new TimeSpan(2 * 609_375)), m.wake());
+    m.onAdvertisement(HIGHER, advert(200, 200), now);
+    assertEquals(now.plus(new TimeSpan(2 * 3_609_375)), m.nextWake());
+    m.onAdvertisement(HIGHER, advert(0, 200), now);
+    assertEquals(now.plus(new TimeSpan(2 * 609_375)), m.nextWake());
     assertEquals(taken(TransitionReason.NONE_HEARD), pass(m, 1.3));
   }
 
@@ -132,9 +132,9 @@
     Mastership m = of(terms(1, 1, true, TimeSpan.ZERO));
     m.start(now);
     pass(m, 3.9);
-    Timestamp before = m.wake();
-    m.heard(HIGHER, advert(0), now);
-    assertEquals(before, m.wake());
+    Timestamp before = m.nextWake();
+    m.onAdvertisement(HIGHER, advert(0), now);
+    assertEquals(before, m.nextWake());
   }
 
   @Test
@@ -143,7 +143,7 @@
       Mastership m = of(terms(1, 100, preempts, TimeSpan.ZERO));
       m.start(now);
       for (int i = 0; i < 6; i++) {
-        m.heard(LOWER, advert(50), now);
+        m.onAdvertisement(LOWER, advert(50), now);
         pass(m, 1);
       }
       assertEquals(preempts ? Role.ACTIVE : Role.BACKUP, role(m));
@@ -152,7 +152,7 @@
     delayed.start(now);
     Timestamp from = now;
     while (role(delayed) == Role.BACKUP && now.since(from).compareTo(SECOND.times(20)) < 0) {
-      delayed.heard(LOWER, advert(50), now);
+      delayed.onAdvertisement(LOWER, advert(50), now);
       pass(delayed, 1);
     }
     assertTrue(
@@ -165,14 +165,15 @@
   void anActiveOneYieldsToAHigherPriorityOrAddressOnly() {
     Mastership m = active();
     assertEquals(
-        List.of(new MastershipAction.Advertise(R1, 100)), m.heard(LOWER, advert(100), now));
+        List.of(new MastershipAction.Advertise(R1, 100)),
+        m.onAdvertisement(LOWER, advert(100), now));
     assertEquals(Role.ACTIVE, role(m));
     assertEquals(
         List.of(new MastershipAction.Release(R1, TransitionReason.ADDRESS_HIGHER)),
-        m.heard(HIGHER, advert(100), now));
+        m.onAdvertisement(HIGHER, advert(100), now));
     assertEquals(
         List.of(new MastershipAction.Release(R1, TransitionReason.HIGHER_HEARD)),
-        active().heard(LOWER, advert(101), now));
+        active().onAdvertisement(LOWER, advert(101), now));
   }
 
   @Test
@@ -181,7 +182,7 @@
     pass(m, 0.5);
     int answers = 0;
     for (int i = 0; i < 100; i++) {
-      answers += m.heard(LOWER, advert(50), now).size();
+      answers += m.onAdvertisement(LOWER, advert(50), now).size();
     }
     assertEquals(1, answers);
   }
@@ -189,16 +190,17 @@
   @Test
   void afterAGapItStepsBackBeforeAnythingElse() {
     Mastership m = active();
-    Timestamp advertised = m.standing(R1).advertised();
+    Timestamp advertised = m.state(R1).lastAdvertisedAt();
     Timestamp last = advertised.plus(SECOND.times(3));
-    assertTrue(m.admits(R1, last));
-    assertFalse(m.overtaken(last));
+    assertTrue(m.canAdmit(R1, last));
+    assertFalse(m.isFenceOverdue(last));
     Timestamp after = last.plus(new TimeSpan(1));
-    assertFalse(m.admits(R1, after));
-    assertTrue(m.overtaken(after));
+    assertFalse(m.canAdmit(R1, after));
+    assertTrue(m.isFenceOverdue(after));
     // What comes first after the gap, its own alarm included, finds it stepping back.
-    assertEquals(List.of(new MastershipAction.Release(R1, TransitionReason.FENCED)), m.due(after));
-    assertEquals(after.plus(new TimeSpan(3_609_375)), m.wake());
+    assertEquals(
+        List.of(new MastershipAction.Release(R1, TransitionReason.FENCED)), m.onTimer(after));
+    assertEquals(after.plus(new TimeSpan(3_609_375)), m.nextWake());
   }
 
   @Test
@@ -206,8 +208,8 @@
     Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
     now = now.plus(SECOND.times(60));
-    assertEquals(List.of(), m.due(now));
-    m.heard(HIGHER, advert(200), now);
+    assertEquals(List.of(), m.onTimer(now));
+    m.onAdvertisement(HIGHER, advert(200), now);
     assertEquals(List.of(), pass(m, 3.5));
     assertEquals(Role.BACKUP, role(m));
   }
@@ -220,7 +222,7 @@
             new MastershipAction.Advertise(R1, 0),
             new MastershipAction.Release(R1, TransitionReason.ENDED)),
         m.stop(TransitionReason.ENDED, now));
-    assertEquals(List.of(), m.heard(LOWER, advert(1), now));
+    assertEquals(List.of(), m.onAdvertisement(LOWER, advert(1), now));
     assertEquals(List.of(), pass(m, 60));
     assertFalse(m.isActive());
   }
@@ -231,33 +233,34 @@
     List<Long> waits = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       assertEquals(
-          new MastershipAction.Release(R1, TransitionReason.UNABLE), m.unable(R1, now).get(1));
-      waits.add(m.wake().since(now).us());
+          new MastershipAction.Release(R1, TransitionReason.UNABLE),
+          m.onUnableToServe(R1, now).get(1));
+      waits.add(m.nextWake().since(now).us());
       pass(m, 100);
       assertEquals(Role.ACTIVE, role(m));
     }
     long down = 3_609_375;
     assertEquals(List.of(3 * down, 5 * down, 9 * down), waits);
-    m.able(R1);
-    m.unable(R1, now);
-    assertEquals(3 * down, m.wake().since(now).us());
+    m.onServing(R1);
+    m.onUnableToServe(R1, now);
+    assertEquals(3 * down, m.nextWake().since(now).us());
   }
 
   @Test
   void aLessFitOneAdvertisesALowerPriorityNeverBelowOne() {
     Mastership m = active();
-    m.fitness(30, now);
+    m.reducePriority(30, now);
     assertEquals(List.of(new MastershipAction.Advertise(R1, 70)), pass(m, 1).subList(0, 1));
-    m.fitness(200, now);
+    m.reducePriority(200, now);
     assertEquals(new MastershipAction.Advertise(R1, 1), pass(m, 1).get(0));
     assertEquals(
         List.of(new MastershipAction.Release(R1, TransitionReason.HIGHER_HEARD)),
-        m.heard(LOWER, advert(50), now));
+        m.onAdvertisement(LOWER, advert(50), now));
     // Well again: it takes over once more, in a down interval.
-    m.fitness(0, now);
+    m.reducePriority(0, now);
     for (int i = 0; i < 5; i++) {
       pass(m, 0.95);
-      m.heard(LOWER, advert(50), now);
+      m.onAdvertisement(LOWER, advert(50), now);
     }
     assertEquals(Role.ACTIVE, role(m));
   }
@@ -266,21 +269,21 @@
   void newTermsHoldAtOnceAndRoutersComeAndGo() {
     Mastership m = active();
     List<MastershipAction> acts =
-        m.renewed(
+        m.reconfigure(
             List.of(terms(1, 180, true, TimeSpan.ZERO), terms(2, 90, true, TimeSpan.ZERO)),
             Set.of(LOWER),
             3,
             now);
     assertEquals(List.of(new MastershipAction.Advertise(R1, 180)), acts);
     assertEquals(List.of(R1, new VirtualRouterId(2, false)), m.routers());
-    assertEquals(List.of(), m.heard(HIGHER, advert(255), now), "no peer any more");
-    acts = m.renewed(List.of(terms(2, 90, true, TimeSpan.ZERO)), Set.of(LOWER), 3, now);
+    assertEquals(List.of(), m.onAdvertisement(HIGHER, advert(255), now), "no peer any more");
+    acts = m.reconfigure(List.of(terms(2, 90, true, TimeSpan.ZERO)), Set.of(LOWER), 3, now);
     assertEquals(
         List.of(
             new MastershipAction.Advertise(R1, 0),
             new MastershipAction.Release(R1, TransitionReason.REMOVED)),
         acts);
-    assertFalse(m.admits(R1, now));
+    assertFalse(m.canAdmit(R1, now));
   }
 
   @Test
@@ -297,7 +300,7 @@
     // All are fenced by one gap.
     now = now.plus(SECOND.times(5));
     assertEquals(
-        255, m.due(now).stream().filter(a -> a instanceof MastershipAction.Release).count());
+        255, m.onTimer(now).stream().filter(a -> a instanceof MastershipAction.Release).count());
   }
 
   @Test
@@ -305,31 +308,34 @@
     Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
     // One that was there before the start may have left sends, and fades.
-    assertEquals(5, m.dispatchers(now), 0.001);
-    assertEquals(4.5, m.dispatchers(now.plus(LONGEST_SEND.times(0.5))), 0.001);
-    assertEquals(4, m.dispatchers(now.plus(LONGEST_SEND)), 0.001);
+    assertEquals(5, m.effectiveDispatcherCount(now), 0.001);
+    assertEquals(4.5, m.effectiveDispatcherCount(now.plus(LONGEST_SEND.times(0.5))), 0.001);
+    assertEquals(4, m.effectiveDispatcherCount(now.plus(LONGEST_SEND)), 0.001);
     // Heard as active: whole while it is heard, then fading from its last advert on.
-    m.heard(LOWER, advert(50), now);
-    assertEquals(5, m.dispatchers(now.plus(SECOND)), 0.001);
-    assertEquals(4.5, m.dispatchers(now.plus(LONGEST_SEND.times(0.5))), 0.001);
+    m.onAdvertisement(LOWER, advert(50), now);
+    assertEquals(5, m.effectiveDispatcherCount(now.plus(SECOND)), 0.001);
+    assertEquals(4.5, m.effectiveDispatcherCount(now.plus(LONGEST_SEND.times(0.5))), 0.001);
     // In a split that is heard, both count for as long as it lasts.
     now = now.plus(SECOND.times(100));
-    m.heard(LOWER, advert(50), now);
-    m.heard(HIGHER, advert(60), now);
-    assertEquals(6, m.dispatchers(now), 0.001);
+    m.onAdvertisement(LOWER, advert(50), now);
+    m.onAdvertisement(HIGHER, advert(60), now);
+    assertEquals(6, m.effectiveDispatcherCount(now), 0.001);
     // A resignation fades at once.
-    m.heard(HIGHER, advert(0), now);
-    assertEquals(5.9, m.dispatchers(now.plus(SECOND)), 0.001);
+    m.onAdvertisement(HIGHER, advert(0), now);
+    assertEquals(5.9, m.effectiveDispatcherCount(now.plus(SECOND)), 0.001);
   }
 
   @Test
   void differingAddressesRoutersAndIntervalsAreRefused() {
     Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
-    assertEquals(Refusal.UNKNOWN_ROUTER, m.refusal(new Advert(9, 1, 100, ADDRESSES)).orElseThrow());
     assertEquals(
-        Refusal.ADDRESSES_DIFFER, m.refusal(new Advert(1, 1, 100, List.of(SELF))).orElseThrow());
-    assertTrue(m.refusal(advert(1, 200)).isEmpty());
+        RejectionReason.UNKNOWN_ROUTER,
+        m.rejectionReason(new Advertisement(9, 1, 100, ADDRESSES)).orElseThrow());
+    assertEquals(
+        RejectionReason.ADDRESSES_DIFFER,
+        m.rejectionReason(new Advertisement(1, 1, 100, List.of(SELF))).orElseThrow());
+    assertTrue(m.rejectionReason(advert(1, 200)).isEmpty());
     Mastership strict =
         new Mastership(
             SELF,
@@ -339,7 +345,8 @@
             SECOND,
             TimeSpan.ZERO,
             false);
-    assertEquals(Refusal.INTERVAL_DIFFERS, strict.refusal(advert(1, 200)).orElseThrow());
+    assertEquals(
+        RejectionReason.INTERVAL_DIFFERS, strict.rejectionReason(advert(1, 200)).orElseThrow());
   }
 
   // ---- who may say so
@@ -349,8 +356,8 @@
   private static final TimeSpan DIFFERENCE = SECOND.times(0.5);
 
   private byte[] sealed(Timestamp sent, KeyRing keys, int key) {
-    return AdvertSeal.write(
-        AdvertCodec.write(advert(200), LOWER, SELF, Covers.MESSAGE),
+    return AdvertisementAuthenticator.sign(
+        AdvertisementCodec.encode(advert(200), LOWER, SELF, ChecksumCoverage.MESSAGE),
         LOWER,
         SELF,
         keys,
@@ -362,70 +369,80 @@
   void forgedReplayedAndStaleAdvertsNeverCount() {
     Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
-    AdvertFilter intake =
-        new AdvertFilter(SELF, m, new ReplayGuard(START, DIFFERENCE), Set.of(LOWER), KEYS);
+    AdvertisementFilter intake =
+        new AdvertisementFilter(SELF, m, new ReplayGuard(START, DIFFERENCE), Set.of(LOWER), KEYS);
     byte[] recorded = sealed(START.plus(DIFFERENCE), KEYS, 1);
     now = START.plus(SECOND);
     assertEquals(
-        Refusal.STALE,
-        intake.judge(recorded, LOWER, SELF, now).refusal(),
+        RejectionReason.STALE,
+        intake.evaluate(recorded, LOWER, SELF, now).rejection(),
         "sent before the start, by its clock");
     byte[] good = sealed(now, KEYS, 1);
-    assertEquals(200, intake.judge(good, LOWER, SELF, now).advert().priority());
-    assertEquals(Refusal.REPLAYED, intake.judge(good, LOWER, SELF, now).refusal());
+    assertEquals(200, intake.evaluate(good, LOWER, SELF, now).advertisement().priority());
+    assertEquals(RejectionReason.REPLAYED, intake.evaluate(good, LOWER, SELF, now).rejection());
     assertEquals(
-        Refusal.REPLAYED,
-        intake.judge(sealed(now.minus(new TimeSpan(1)), KEYS, 1), LOWER, SELF, now).refusal());
+        RejectionReason.REPLAYED,
+        intake.evaluate(sealed(now.minus(new TimeSpan(1)), KEYS, 1), LOWER, SELF, now).rejection());
     byte[] late = sealed(now.plus(new TimeSpan(1)), KEYS, 2);
     now = now.plus(SECOND.times(2));
-    assertEquals(Refusal.STALE, intake.judge(late, LOWER, SELF, now).refusal());
+    assertEquals(RejectionReason.STALE, intake.evaluate(late, LOWER, SELF, now).rejection());
     assertEquals(
-        Refusal.EARLY, intake.judge(sealed(now.plus(SECOND), KEYS, 1), LOWER, SELF, now).refusal());
+        RejectionReason.EARLY,
+        intake.evaluate(sealed(now.plus(SECOND), KEYS, 1), LOWER, SELF, now).rejection());
     assertEquals(
-        Refusal.FORGED,
+        RejectionReason.FORGED,
         intake
-            .judge(sealed(now, KeyRing.read("1 " + "00".repeat(16)), 1), LOWER, SELF, now)
-            .refusal());
+            .evaluate(sealed(now, KeyRing.read("1 " + "00".repeat(16)), 1), LOWER, SELF, now)
+            .rejection());
     assertEquals(
-        Refusal.KEY_UNKNOWN,
+        RejectionReason.KEY_UNKNOWN,
         intake
-            .judge(sealed(now, KeyRing.read("3 " + "00".repeat(16)), 3), LOWER, SELF, now)
-            .refusal());
+            .evaluate(sealed(now, KeyRing.read("3 " + "00".repeat(16)), 3), LOWER, SELF, now)
+            .rejection());
     assertEquals(
-        Refusal.UNSEALED,
+        RejectionReason.UNSEALED,
         intake
-            .judge(AdvertCodec.write(advert(200), LOWER, SELF, Covers.MESSAGE), LOWER, SELF, now)
-            .refusal());
-    assertEquals(Refusal.UNKNOWN_SENDER, intake.judge(good, HIGHER, SELF, now).refusal());
-    assertEquals(Refusal.OUR_OWN, intake.judge(good, SELF, SELF, now).refusal());
-    assertEquals(1, intake.taken());
-    assertEquals(2, intake.refused(Refusal.REPLAYED));
+            .evaluate(
+                AdvertisementCodec.encode(advert(200), LOWER, SELF, ChecksumCoverage.MESSAGE),
+                LOWER,
+                SELF,
+                now)
+            .rejection());
+    assertEquals(
+        RejectionReason.UNKNOWN_SENDER, intake.evaluate(good, HIGHER, SELF, now).rejection());
+    assertEquals(RejectionReason.OUR_OWN, intake.evaluate(good, SELF, SELF, now).rejection());
+    assertEquals(1, intake.acceptedCount());
+    assertEquals(2, intake.rejectedCount(RejectionReason.REPLAYED));
     // After a restart of the receiver what was taken before is not taken again.
     ReplayGuard restarted = new ReplayGuard(now, DIFFERENCE);
-    AdvertFilter again = new AdvertFilter(SELF, m, restarted, Set.of(LOWER), KEYS);
-    assertEquals(Refusal.STALE, again.judge(good, LOWER, SELF, now).refusal());
+    AdvertisementFilter again = new AdvertisementFilter(SELF, m, restarted, Set.of(LOWER), KEYS);
+    assertEquals(RejectionReason.STALE, again.evaluate(good, LOWER, SELF, now).rejection());
     // A change of keys: the new one counts once it is there, the old one as long as it is.
-    again.renewed(Set.of(LOWER), KeyRing.read("2 " + "cd".repeat(16)));
+    again.reconfigure(Set.of(LOWER), KeyRing.read("2 " + "cd".repeat(16)));
     now = now.plus(SECOND.times(2));
     assertEquals(
-        Refusal.KEY_UNKNOWN, again.judge(sealed(now, KEYS, 1), LOWER, SELF, now).refusal());
-    assertEquals(200, again.judge(sealed(now, KEYS, 2), LOWER, SELF, now).advert().priority());
+        RejectionReason.KEY_UNKNOWN,
+        again.evaluate(sealed(now, KEYS, 1), LOWER, SELF, now).rejection());
+    assertEquals(
+        200, again.evaluate(sealed(now, KEYS, 2), LOWER, SELF, now).advertisement().priority());
   }
 
   @Test
   void withoutSealsEitherChecksumCountsAndIsCounted() {
     Mastership m = of(terms(1, 100, true, TimeSpan.ZERO));
     m.start(now);
-    AdvertFilter intake =
-        new AdvertFilter(SELF, m, new ReplayGuard(START, TimeSpan.ZERO), Set.of(LOWER), null);
-    for (Covers covers : Covers.values()) {
+    AdvertisementFilter intake =
+        new AdvertisementFilter(
+            SELF, m, new ReplayGuard(START, TimeSpan.ZERO), Set.of(LOWER), null);
+    for (ChecksumCoverage covers : ChecksumCoverage.values()) {
       assertEquals(
           200,
           intake
-              .judge(AdvertCodec.write(advert(200), LOWER, SELF, covers), LOWER, SELF, now)
-              .advert()
+              .evaluate(
+                  AdvertisementCodec.encode(advert(200), LOWER, SELF, covers), LOWER, SELF, now)
+              .advertisement()
               .priority());
-      assertEquals(1, intake.covering(covers));
+      assertEquals(1, intake.acceptedCountWith(covers));
     }
   }
 
@@ -443,7 +460,7 @@
     // Two seconds bad, eight seconds well, for an hour: undamped that would be 720 changes.
     for (int tenth = 0; tenth < 36_000; tenth++) {
       int steps =
-          fitness.told(
+          fitness.update(
               Map.of(HealthSignal.LATE, tenth % 100 < 20 ? 1.0 : 0.0),
               START.plus(SECOND.times(tenth / 10.0)));
       changes += steps != last ? 1 : 0;
@@ -452,26 +469,27 @@
     }
     assertTrue(changes <= 5, changes + " changes");
     assertTrue(counted > 30_000, "counted in " + counted + " of 36000 looks");
-    assertEquals(List.of(HealthSignal.LATE), fitness.counting());
+    assertEquals(List.of(HealthSignal.LATE), fitness.countedSignals());
     // Between the bounds it stays as it is; well for long enough it ends.
     Timestamp later = START.plus(SECOND.times(4000));
-    fitness.told(Map.of(HealthSignal.LATE, 0.0), later);
-    assertEquals(0, fitness.told(Map.of(HealthSignal.LATE, 0.0), later.plus(SECOND.times(160))));
-    assertEquals(0, fitness.told(Map.of(HealthSignal.LATE, 0.4), later.plus(SECOND.times(170))));
-    assertEquals(0, fitness.told(Map.of(HealthSignal.LATE, 0.6), later.plus(SECOND.times(171))));
-    assertEquals(30, fitness.told(Map.of(HealthSignal.LATE, 0.6), later.plus(SECOND.times(172))));
-    assertEquals(30, fitness.told(Map.of(HealthSignal.LATE, 0.4), later.plus(SECOND.times(999))));
+    fitness.update(Map.of(HealthSignal.LATE, 0.0), later);
+    assertEquals(0, fitness.update(Map.of(HealthSignal.LATE, 0.0), later.plus(SECOND.times(160))));
+    assertEquals(0, fitness.update(Map.of(HealthSignal.LATE, 0.4), later.plus(SECOND.times(170))));
+    assertEquals(0, fitness.update(Map.of(HealthSignal.LATE, 0.6), later.plus(SECOND.times(171))));
+    assertEquals(30, fitness.update(Map.of(HealthSignal.LATE, 0.6), later.plus(SECOND.times(172))));
+    assertEquals(30, fitness.update(Map.of(HealthSignal.LATE, 0.4), later.plus(SECOND.times(999))));
   }
 
   @Test
   void anObserverTellsSilencesAndSplits() {
-    AdvertObserver observer = new AdvertObserver();
-    assertEquals(List.of(LOWER), observer.heard(LOWER, advert(50), now).get(0).active());
-    assertEquals(List.of(), observer.heard(LOWER, advert(50), now));
-    assertEquals(List.of(LOWER, HIGHER), observer.heard(HIGHER, advert(60), now).get(0).active());
-    assertEquals(List.of(HIGHER), observer.heard(LOWER, advert(0), now).get(0).active());
-    assertEquals(List.of(), observer.due(now.plus(SECOND)));
-    assertEquals(now.plus(SECOND.times(4)), observer.wake());
-    assertEquals(List.of(), observer.due(observer.wake()).get(0).active());
+    ActiveRouterObserver observer = new ActiveRouterObserver();
+    assertEquals(List.of(LOWER), observer.onAdvertisement(LOWER, advert(50), now).get(0).active());
+    assertEquals(List.of(), observer.onAdvertisement(LOWER, advert(50), now));
+    assertEquals(
+        List.of(LOWER, HIGHER), observer.onAdvertisement(HIGHER, advert(60), now).get(0).active());
+    assertEquals(List.of(HIGHER), observer.onAdvertisement(LOWER, advert(0), now).get(0).active());
+    assertEquals(List.of(), observer.expireClaims(now.plus(SECOND)));
+    assertEquals(now.plus(SECOND.times(4)), observer.nextExpiry());
+    assertEquals(List.of(), observer.expireClaims(observer.nextExpiry()).get(0).active());
   }
 }
--- a/src/test/java/cobaltseam/service/HallTest.java
+++ b/src/test/java/cobaltseam/service/HallTest.java
@@ -17,10 +17,10 @@
 import cobaltseam.standin.HallRig.Plan;
 import cobaltseam.standin.Ledger.End;
 import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Advert;
-import cobaltseam.vrrp.AdvertCodec;
-import cobaltseam.vrrp.AdvertSeal;
-import cobaltseam.vrrp.Reading.Covers;
+import cobaltseam.vrrp.Advertisement;
+import cobaltseam.vrrp.AdvertisementAuthenticator;
+import cobaltseam.vrrp.AdvertisementCodec;
+import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
 import com.fasterxml.jackson.core.JsonFactory;
 import java.io.IOException;
 import java.net.DatagramSocket;
@@ -300,25 +300,27 @@
             rig.dispatchers[i].folder().toPath().resolve("keys"), "1 " + "ab".repeat(16) + "\n");
       }
       KeyRing keys = KeyRing.read("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
-      Advert advert = new Advert(51, 250, 10, List.of(Addresses.read("192.0.2.10").orElseThrow()));
+      Advertisement advert =
+          new Advertisement(51, 250, 10, List.of(Addresses.read("192.0.2.10").orElseThrow()));
       InetAddress peer = rig.seenAs(1);
       InetAddress self = rig.listens(0).getAddress();
-      byte[] plain = AdvertCodec.write(advert, peer, self, Covers.MESSAGE);
+      byte[] plain = AdvertisementCodec.encode(advert, peer, self, ChecksumCoverage.MESSAGE);
       rig.start();
       awaitState(rig, 0, "active");
       // Sealed by the right key in the peer's name, an advert counts.
-      rig.links[1].say(AdvertSeal.write(plain, peer, self, keys, 1, now()));
+      rig.links[1].say(AdvertisementAuthenticator.sign(plain, peer, self, keys, 1, now()));
       rig.dispatchers[0].await("higher_heard", 0, SOON_MS);
       awaitState(rig, 0, "active");
       int from = rig.dispatchers[0].lines();
-      byte[] sealed = AdvertSeal.write(plain, peer, self, keys, 1, now() - 1_500_000);
+      byte[] sealed =
+          AdvertisementAuthenticator.sign(plain, peer, self, keys, 1, now() - 1_500_000);
       SplittableRandom chance = new SplittableRandom(14);
       for (int i = 0; i < 2000; i++) {
         byte[] bytes =
             switch (i % 4) {
               case 0 -> plain;
               case 1 -> sealed;
-              case 2 -> AdvertSeal.write(plain, peer, self, keys, 2, now());
+              case 2 -> AdvertisementAuthenticator.sign(plain, peer, self, keys, 2, now());
               default -> {
                 byte[] noise = new byte[chance.nextInt(5000)];
                 chance.nextBytes(noise);
@@ -344,7 +346,7 @@
         rig.dispatchers[0].signal("HUP");
         rig.dispatchers[0].await("configuration.read", at, SOON_MS);
         at = rig.dispatchers[0].lines();
-        rig.links[1].say(AdvertSeal.write(plain, peer, self, keys, 2, now()));
+        rig.links[1].say(AdvertisementAuthenticator.sign(plain, peer, self, keys, 2, now()));
         rig.dispatchers[0].await("higher_heard", at, SOON_MS);
         awaitState(rig, 0, "active");
       }
--- a/src/test/java/cobaltseam/settings/SetupReaderTest.java
+++ b/src/test/java/cobaltseam/settings/SetupReaderTest.java
@@ -8,7 +8,7 @@
 import cobaltseam.deployment.InvalidInputException;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.mastership.HealthScore.HealthSignal;
-import cobaltseam.vrrp.Reading.Covers;
+import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -107,15 +107,15 @@
   void aWholeFileIsRead() throws IOException {
     Settings setup = SettingsReader.read(write(WHOLE));
     assertTrue(setup.jsonLog());
-    assertEquals(Covers.PSEUDO_HEADER, setup.hall().covers());
+    assertEquals(ChecksumCoverage.PSEUDO_HEADER, setup.hall().covers());
     assertEquals(150, setup.hall().terms().get(0).priority());
-    assertEquals(new TimeSpan(250_000), setup.hall().terms().get(0).interval());
+    assertEquals(new TimeSpan(250_000), setup.hall().terms().get(0).advertisementInterval());
     assertTrue(setup.hall().terms().get(0).preempts());
     assertEquals(2, setup.hall().sealing().writeKey());
     assertEquals(-1, setup.hall().elsewhere());
-    assertEquals(40, setup.hall().fitness().bounds().get(HealthSignal.LATE).steps());
+    assertEquals(40, setup.hall().fitness().bounds().get(HealthSignal.LATE).prioritySteps());
     assertNull(setup.hall().fitness().bounds().get(HealthSignal.MEMORY));
-    assertEquals(100, setup.hall().fitness().bounds().get(HealthSignal.NO_ENGINE).steps());
+    assertEquals(100, setup.hall().fitness().bounds().get(HealthSignal.NO_ENGINE).prioritySteps());
   }
 
   @Test
