--- a/src/main/java/cobaltseam/authentication/KeyRing.java
+++ b/src/main/java/cobaltseam/authentication/KeyRing.java
@@ -9,8 +9,8 @@
  * changed one by one.
  */
 public final class KeyRing {
-  private static final int SHORTEST = 16;
-  private static final int MOST = 16;
+  private static final int MIN_KEY_BYTES = 16;
+  private static final int MAX_KEYS = 16;
 
   private final Map<Integer, byte[]> keys;
 
@@ -26,40 +26,40 @@
    */
   public static KeyRing read(String text) {
     Map<Integer, byte[]> keys = new TreeMap<>();
-    int number = 0;
+    int lineNumber = 0;
     for (String line : text.split("\\R")) {
-      number++;
+      lineNumber++;
       if (line.isBlank() || line.startsWith("#")) {
         continue;
       }
-      String[] words = line.strip().split("\\s+");
-      boolean fits =
-          words.length == 2
-              && words[0].matches("[1-9][0-9]{0,2}")
-              && Integer.parseInt(words[0]) <= 255
-              && words[1].matches("([0-9a-fA-F]{2})+")
-              && words[1].length() >= 2 * SHORTEST;
-      if (!fits
-          || keys.put(Integer.parseInt(words[0]), HexFormat.of().parseHex(words[1])) != null) {
+      String[] fields = line.strip().split("\\s+");
+      boolean valid =
+          fields.length == 2
+              && fields[0].matches("[1-9][0-9]{0,2}")
+              && Integer.parseInt(fields[0]) <= 255
+              && fields[1].matches("([0-9a-fA-F]{2})+")
+              && fields[1].length() >= 2 * MIN_KEY_BYTES;
+      if (!valid
+          || keys.put(Integer.parseInt(fields[0]), HexFormat.of().parseHex(fields[1])) != null) {
         throw new IllegalArgumentException(
             "line "
-                + number
+                + lineNumber
                 + " is not an id of its own from 1 to 255 and a key of "
-                + SHORTEST
+                + MIN_KEY_BYTES
                 + " bytes or more in hex");
       }
     }
-    if (keys.isEmpty() || keys.size() > MOST) {
-      throw new IllegalArgumentException("there are not 1 to " + MOST + " keys");
+    if (keys.isEmpty() || keys.size() > MAX_KEYS) {
+      throw new IllegalArgumentException("there are not 1 to " + MAX_KEYS + " keys");
     }
     return new KeyRing(keys);
   }
 
-  public boolean has(int id) {
+  public boolean contains(int id) {
     return keys.containsKey(id);
   }
 
-  byte[] of(int id) {
+  byte[] key(int id) {
     return keys.get(id);
   }
 
--- a/src/main/java/cobaltseam/authentication/MessageAuthenticator.java
+++ b/src/main/java/cobaltseam/authentication/MessageAuthenticator.java
@@ -18,9 +18,9 @@
   /** Bytes of a seal. */
   public static final int LENGTH = 44;
 
-  private static final int HEAD = 12;
-  private static final short MARK = (short) 0xc05e;
-  private static final byte FORM = 1;
+  private static final int TRAILER_HEADER_BYTES = 12;
+  private static final short MAGIC = (short) 0xc05e;
+  private static final byte FORMAT = 1;
   private static final String ALGORITHM = "HmacSHA256";
 
   private MessageAuthenticator() {}
@@ -32,50 +32,54 @@
   }
 
   /** The sequence and the key that a seal tells of; believed only once it is checked. */
-  public record Trailer(int key, long sequence) {}
+  public record Trailer(int keyId, long sequence) {}
 
   /** Whether a seal stands from this index on, as far as its form tells. */
-  public static boolean hasTrailer(byte[] bytes, int at) {
-    if (at < 0 || bytes.length - at != LENGTH) {
+  public static boolean hasTrailer(byte[] bytes, int offset) {
+    if (offset < 0 || bytes.length - offset != LENGTH) {
       return false;
     }
-    ByteBuffer seal = ByteBuffer.wrap(bytes, at, LENGTH);
-    return seal.getShort() == MARK && seal.get() == FORM;
+    ByteBuffer trailer = ByteBuffer.wrap(bytes, offset, LENGTH);
+    return trailer.getShort() == MAGIC && trailer.get() == FORMAT;
   }
 
   /** A message with its seal behind it. */
   public static byte[] sign(
-      byte[] message, byte[] associatedData, KeyRing keys, int key, long sequence) {
+      byte[] message, byte[] associatedData, KeyRing keys, int keyId, long sequence) {
     byte[] bytes = Arrays.copyOf(message, message.length + LENGTH);
     ByteBuffer.wrap(bytes, message.length, LENGTH)
-        .putShort(MARK)
-        .put(FORM)
-        .put((byte) key)
+        .putShort(MAGIC)
+        .put(FORMAT)
+        .put((byte) keyId)
         .putLong(sequence)
-        .put(code(bytes, message.length + HEAD, associatedData, keys.of(key)));
+        .put(
+            computeMac(
+                bytes, message.length + TRAILER_HEADER_BYTES, associatedData, keys.key(keyId)));
     return bytes;
   }
 
   /** What the seal behind a message of this length tells. */
   public static Trailer readTrailer(byte[] bytes, int length) {
-    ByteBuffer seal = ByteBuffer.wrap(bytes, length, LENGTH);
-    seal.position(length + 3);
-    return new Trailer(seal.get() & 0xff, seal.getLong());
+    ByteBuffer trailer = ByteBuffer.wrap(bytes, length, LENGTH);
+    trailer.position(length + 3);
+    return new Trailer(trailer.get() & 0xff, trailer.getLong());
   }
 
   /** Why the seal behind a message of this length does not hold, or nothing if it does. */
   public static Optional<Rejection> verify(
       byte[] bytes, int length, byte[] associatedData, KeyRing keys) {
-    byte[] key = keys.of(readTrailer(bytes, length).key());
+    byte[] key = keys.key(readTrailer(bytes, length).keyId());
     if (key == null) {
       return Optional.of(Rejection.KEY_UNKNOWN);
     }
-    byte[] right = code(bytes, length + HEAD, associatedData, key);
-    byte[] there = Arrays.copyOfRange(bytes, length + HEAD, bytes.length);
-    return MessageDigest.isEqual(right, there) ? Optional.empty() : Optional.of(Rejection.FORGED);
+    byte[] expected = computeMac(bytes, length + TRAILER_HEADER_BYTES, associatedData, key);
+    byte[] received = Arrays.copyOfRange(bytes, length + TRAILER_HEADER_BYTES, bytes.length);
+    return MessageDigest.isEqual(expected, received)
+        ? Optional.empty()
+        : Optional.of(Rejection.FORGED);
   }
 
-  private static byte[] code(byte[] bytes, int length, byte[] associatedData, byte[] key) {
+  private static byte[] computeMac(byte[] bytes, int length, byte[] associatedData, byte[] key) {
     try {
       Mac mac = Mac.getInstance(ALGORITHM);
       mac.init(new SecretKeySpec(key, ALGORITHM));
--- /dev/null
+++ b/src/main/java/cobaltseam/cli/CheckCommand.java
@@ -0,0 +1,104 @@
+package cobaltseam.cli;
+
+import cobaltseam.deployment.InvalidInputException;
+import cobaltseam.service.DispatcherService;
+import cobaltseam.settings.Settings;
+import cobaltseam.settings.SettingsReader;
+import java.io.PrintWriter;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Callable;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+
+/** Checks the platform's configuration and our own settings file, and prints what they turn on. */
+@Command(
+    name = "check",
+    description =
+        "Reads GW_CONFIG, where it is set, and the own file, and prints what would be on.")
+final class CheckCommand implements Callable<Integer> {
+  private static final long US_PER_MS = 1000;
+
+  @Mixin StandardOptions standard;
+  @Mixin SettingsFileOption own;
+  @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+
+  @Override
+  public Integer call() {
+    PrintWriter out = spec.commandLine().getOut();
+    List<String> errors = new ArrayList<>();
+    try {
+      out.println(
+          System.getenv("GW_CONFIG") == null
+              ? "platform: GW_CONFIG is not set, not checked"
+              : "platform: " + DispatcherService.check(System.getenv()));
+    } catch (InvalidInputException e) {
+      errors.add(e.getMessage());
+    }
+    try {
+      Settings settings = own.file == null ? Settings.OFF : SettingsReader.read(own.file);
+      out.println("own file: " + (own.file == null ? "none" : own.file));
+      out.println("logging: " + (settings.jsonLog() ? "json" : "text"));
+      out.println("mastership: " + describe(settings.hall()));
+      out.println("membership: " + describe(settings.fleet()));
+      if (settings.hall() != null) {
+        settings.hall().routers().forEach(router -> out.println(describe(router)));
+      }
+    } catch (InvalidInputException e) {
+      errors.add(e.getMessage());
+    }
+    out.flush();
+    if (!errors.isEmpty()) {
+      throw new InvalidInputException(String.join("\n", errors).strip());
+    }
+    return 0;
+  }
+
+  private static String describe(Settings.VirtualAddressSettings settings) {
+    if (settings == null) {
+      return "off";
+    }
+    return "on, adverts at "
+        + settings.listen()
+        + ", "
+        + settings.peers().size()
+        + " peers, seals "
+        + describe(settings.authentication());
+  }
+
+  private static String describe(Settings.MembershipSettings settings) {
+    if (settings == null) {
+      return "off";
+    }
+    return "on, fleet "
+        + settings.fleet()
+        + ", heard at "
+        + settings.listen()
+        + ", "
+        + settings.seeds().size()
+        + " seeds, founders "
+        + settings.founders()
+        + ", period "
+        + settings.period().us() / US_PER_MS
+        + " ms, seals "
+        + describe(settings.sealing());
+  }
+
+  private static String describe(Settings.AuthenticationSettings settings) {
+    return settings == null ? "off" : "on, " + settings.keys();
+  }
+
+  private static String describe(Settings.RouterSettings router) {
+    return "  virtual router "
+        + router.options().router()
+        + ": priority "
+        + router.options().priority()
+        + ", interval "
+        + router.options().advertisementInterval().us() / US_PER_MS
+        + " ms, preempts "
+        + router.options().preempts()
+        + ", serves on "
+        + router.serviceAddress();
+  }
+}
--- a/src/main/java/cobaltseam/cli/Members.java
+++ b/src/main/java/cobaltseam/cli/MembersCommand.java
@@ -2,6 +2,7 @@
 
 import cobaltseam.deployment.InvalidInputException;
 import java.io.BufferedInputStream;
+import java.io.ByteArrayInputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -9,6 +10,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.net.UnknownHostException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,16 +21,16 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Reads what a running dispatcher shows of its fleet, by the clients' wire. */
+/** Prints rows that a running dispatcher shows, read over the client protocol. */
 @Command(
     name = "members",
     description = "Shows whom a running dispatcher takes for members of its fleet.")
-final class Members implements Callable<Integer> {
-  private static final int WAIT_MS = 5000;
-  private static final int PROTOCOL = 3 << 16;
-  private static final int LONGEST = 1 << 20;
+final class MembersCommand implements Callable<Integer> {
+  private static final int TIMEOUT_MS = 5000;
+  private static final int PROTOCOL_3_0 = 3 << 16;
+  private static final int MAX_MESSAGE_BYTES = 1 << 20;
 
-  @Mixin CobaltseamCommand.Standard standard;
+  @Mixin StandardOptions standard;
 
   @Option(
       names = "--to",
@@ -43,13 +45,13 @@
       defaultValue = "members",
       description =
           "another thing that SHOW cobaltseam.NAME knows, such as counters; default: ${DEFAULT-VALUE}")
-  String what;
+  String show;
 
   @Option(
       names = "--watch",
       paramLabel = "S",
       description = "again each so many seconds, what changed alone, until it is interrupted")
-  Double watchS;
+  Double watchSeconds;
 
   @Option(
       names = "--times",
@@ -62,25 +64,11 @@
 
   @Override
   public Integer call() throws Exception {
-    int colon = to.lastIndexOf(':');
-    int port =
-        colon < 0 || !to.substring(colon + 1).matches("[0-9]{1,5}")
-            ? 0
-            : Integer.parseInt(to.substring(colon + 1));
-    if (port < 1 || port > 65_535 || !what.matches("[a-z]+")) {
-      throw new InvalidInputException(
-          "--to "
-              + to
-              + " --show "
-              + what
-              + " stands there; an address, a colon and a port, and a word are allowed");
-    }
-    InetSocketAddress at =
-        new InetSocketAddress(InetAddress.getByName(to.substring(0, colon)), port);
+    InetSocketAddress address = parseAddress();
     PrintWriter out = spec.commandLine().getOut();
     List<String> before = List.of();
     for (int look = 1; ; look++) {
-      List<String> rows = show(at);
+      List<String> rows = requestRows(address);
       for (String row : rows) {
         if (!before.contains(row)) {
           out.println(row);
@@ -88,39 +76,56 @@
       }
       out.flush();
       before = rows;
-      if (watchS == null || look == times) {
+      if (watchSeconds == null || look == times) {
         return 0;
       }
-      TimeUnit.MILLISECONDS.sleep(Math.max(100, Math.round(watchS * 1000)));
+      TimeUnit.MILLISECONDS.sleep(Math.max(100, Math.round(watchSeconds * 1000)));
+    }
+  }
+
+  private InetSocketAddress parseAddress() throws UnknownHostException {
+    int colon = to.lastIndexOf(':');
+    int port =
+        colon < 0 || !to.substring(colon + 1).matches("[0-9]{1,5}")
+            ? 0
+            : Integer.parseInt(to.substring(colon + 1));
+    if (port < 1 || port > 65_535 || !show.matches("[a-z]+")) {
+      throw new InvalidInputException(
+          "--to "
+              + to
+              + " --show "
+              + show
+              + " stands there; an address, a colon and a port, and a word are allowed");
     }
+    return new InetSocketAddress(InetAddress.getByName(to.substring(0, colon)), port);
   }
 
-  private List<String> show(InetSocketAddress at) throws IOException {
+  private List<String> requestRows(InetSocketAddress address) throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(at, WAIT_MS);
-      socket.setSoTimeout(WAIT_MS);
+      socket.connect(address, TIMEOUT_MS);
+      socket.setSoTimeout(TIMEOUT_MS);
       DataOutputStream out = new DataOutputStream(socket.getOutputStream());
       DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
-      byte[] query = ("SHOW cobaltseam." + what).getBytes(StandardCharsets.UTF_8);
+      byte[] query = ("SHOW cobaltseam." + show).getBytes(StandardCharsets.UTF_8);
       out.writeInt(9);
-      out.writeInt(PROTOCOL);
+      out.writeInt(PROTOCOL_3_0);
       out.write(0);
-      rows(in);
+      readRows(in);
       out.write('Q');
       out.writeInt(query.length + 5);
       out.write(query);
       out.write(0);
-      return rows(in);
+      return readRows(in);
     }
   }
 
-  /** The rows up to ReadyForQuery, name and value each. */
-  private static List<String> rows(DataInputStream in) throws IOException {
+  /** Reads messages up to ReadyForQuery, and returns the data rows with their columns joined. */
+  private static List<String> readRows(DataInputStream in) throws IOException {
     List<String> rows = new ArrayList<>();
     while (true) {
       char type = (char) in.readByte();
       int length = in.readInt() - 4;
-      if (length < 0 || length > LONGEST) {
+      if (length < 0 || length > MAX_MESSAGE_BYTES) {
         throw new IOException("what answers there does not speak PostgreSQL's protocol");
       }
       byte[] body = in.readNBytes(length);
@@ -129,9 +134,9 @@
       } else if (type == 'E') {
         throw new IOException(new String(body, StandardCharsets.UTF_8).replace('\0', ' ').strip());
       } else if (type == 'D') {
-        DataInputStream row = new DataInputStream(new java.io.ByteArrayInputStream(body));
+        DataInputStream row = new DataInputStream(new ByteArrayInputStream(body));
         List<String> columns = new ArrayList<>();
-        for (int n = row.readShort(); n > 0; n--) {
+        for (int left = row.readShort(); left > 0; left--) {
           columns.add(new String(row.readNBytes(row.readInt()), StandardCharsets.UTF_8));
         }
         rows.add(String.join("  ", columns));
--- a/src/main/java/cobaltseam/logging/JsonLines.java
+++ b/src/main/java/cobaltseam/logging/JsonLines.java
@@ -31,21 +31,21 @@
   @Override
   public String format(LogRecord record) {
     StringWriter text = new StringWriter();
-    Object[] told = record.getParameters() == null ? new Object[0] : record.getParameters();
+    Object[] parameters = record.getParameters() == null ? new Object[0] : record.getParameters();
     try (JsonGenerator json = JSON.createGenerator(text)) {
       json.writeStartObject();
       json.writeStringField("at", record.getInstant().toString());
       json.writeStringField("level", record.getLevel().getName());
       json.writeStringField("logger", record.getLoggerName());
       String event = NO_EVENT;
-      for (Object o : told) {
+      for (Object o : parameters) {
         event = o instanceof Field f && f.name().equals(Field.EVENT) ? f.toString() : event;
       }
       json.writeStringField(Field.EVENT, event);
       json.writeStringField("message", formatMessage(record));
       Set<String> written =
           new HashSet<>(Set.of("at", "level", "logger", Field.EVENT, "message", "error"));
-      for (Object o : told) {
+      for (Object o : parameters) {
         if (o instanceof Field f && written.add(f.name())) {
           write(json, f);
         }
--- a/src/main/java/cobaltseam/mastership/ActiveRouterObserver.java
+++ b/src/main/java/cobaltseam/mastership/ActiveRouterObserver.java
@@ -13,10 +13,14 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Who is heard as active for each virtual router, for one that only listens and never claims. */
+/**
+ * Tracks which senders advertise each virtual router, for an observer that never becomes active
+ * itself. Not thread-safe.
+ */
 public final class ActiveRouterObserver {
   /**
-   * The claimants of a router as they are from now on: none in a silence, two and more in a split.
+   * The senders that advertise a router from now on, in order of their addresses: none if all are
+   * silent, two or more in a split.
    */
   public record ActiveRouterChange(
       VirtualRouterId router, List<InetAddress> active, Timestamp since) {}
@@ -24,7 +28,7 @@
   private final Map<VirtualRouterId, Map<InetAddress, ObservedClaim>> claims = new TreeMap<>();
   private final Map<VirtualRouterId, List<InetAddress>> reported = new HashMap<>();
 
-  /** An advert that counts; what has changed by it. */
+  /** Records an accepted advertisement, and returns what has changed by now. */
   public List<ActiveRouterChange> onAdvertisement(
       InetAddress sender, Advertisement advertisement, Timestamp now) {
     VirtualRouterId router =
@@ -38,7 +42,7 @@
     return expireClaims(now);
   }
 
-  /** What has changed by now, claims that ran out included. */
+  /** Drops expired claims, and returns what has changed since the last call. */
   public List<ActiveRouterChange> expireClaims(Timestamp now) {
     List<ActiveRouterChange> changed = new ArrayList<>();
     claims.forEach(
@@ -54,7 +58,7 @@
     return changed;
   }
 
-  /** When a claim runs out next, or null. */
+  /** When the next claim expires, or null if there is none. */
   public Timestamp nextExpiry() {
     return claims.values().stream()
         .flatMap(m -> m.values().stream())
--- a/src/main/java/cobaltseam/mastership/AdvertisementFilter.java
+++ b/src/main/java/cobaltseam/mastership/AdvertisementFilter.java
@@ -16,11 +16,11 @@
 import java.util.Set;
 
 /**
- * Decides which datagrams count as adverts, and counts what does not by its reason. What is refused
- * changes nothing.
+ * Decides which datagrams are accepted as advertisements, and counts the rejected ones by reason. A
+ * rejected datagram changes no other state. Not thread-safe.
  */
 public final class AdvertisementFilter {
-  /** What a datagram came to: the advert that counts, or why none does. */
+  /** The accepted advertisement, or why the datagram was rejected; the other one is null. */
   public record Verdict(Advertisement advertisement, RejectionReason rejection) {}
 
   private final InetAddress self;
@@ -33,7 +33,9 @@
   private long acceptedCount;
 
   /**
-   * @param keys the keys of seals, or null where adverts have none
+   * @param self the address that our own advertisements come from
+   * @param peers the only senders that are accepted
+   * @param keys the keys of authenticated advertisements, or null to accept unauthenticated ones
    */
   public AdvertisementFilter(
       InetAddress self,
@@ -47,14 +49,14 @@
     reconfigure(peers, keys);
   }
 
-  /** Other peers and keys count from now on. */
+  /** Replaces the peers and the keys, and forgets the sequences of other senders and routers. */
   public void reconfigure(Set<InetAddress> newPeers, KeyRing newKeys) {
     peers = Set.copyOf(newPeers);
     keys = newKeys;
     replayGuard.retainOnly(peers, Set.copyOf(mastership.routers()));
   }
 
-  /** Judges one datagram as it came between two addresses. */
+  /** Decides on one datagram that was received from source at destination. */
   public Verdict evaluate(
       byte[] bytes, InetAddress source, InetAddress destination, Timestamp now) {
     if (source.equals(self)) {
@@ -101,20 +103,22 @@
     return new Verdict(null, reason);
   }
 
-  /** Counts datagrams that were refused before they came here. */
+  /** Adds datagrams that were rejected before they reached this filter. */
   public void countRejected(RejectionReason reason, long count) {
     rejectedCounts.merge(reason, count, Long::sum);
   }
 
+  /** Datagrams rejected for this reason since the start. */
   public long rejectedCount(RejectionReason reason) {
     return rejectedCounts.getOrDefault(reason, 0L);
   }
 
+  /** Advertisements accepted since the start. */
   public long acceptedCount() {
     return acceptedCount;
   }
 
-  /** Adverts taken whose checksum covered this. */
+  /** Advertisements accepted since the start whose checksum covered this. */
   public long acceptedCountWith(ChecksumCoverage coverage) {
     return acceptedCounts.getOrDefault(coverage, 0L);
   }
--- a/src/main/java/cobaltseam/mastership/HealthScore.java
+++ b/src/main/java/cobaltseam/mastership/HealthScore.java
@@ -9,34 +9,47 @@
 import java.util.Map;
 
 /**
- * How many steps of priority this dispatcher gives up for being less able to serve. Each sign
- * counts once it has been bad for a while without a break, and until it has been well for longer; a
- * sign that comes back soon has to stay well twice as long each time, so that one that flaps does
- * not flap the address. No sign gets better by shedding commands.
+ * By how many steps this dispatcher lowers its VRRP priority because it is less able to serve. A
+ * signal is counted once it has been unhealthy for a sustained time, and until it has been healthy
+ * for the recovery hold-down. A signal that relapses soon doubles its hold-down each time, so that
+ * a flapping signal does not move the virtual address back and forth. No signal improves by
+ * shedding requests. Not thread-safe.
  */
 public final class HealthScore {
-  /** What is watched; the unit of each value is told with its bounds. */
+  /** What is measured; a higher value is worse. */
   public enum HealthSignal {
+    /** Seconds since the endpoint watch last received anything. */
     BUS_SILENT,
+    /** 1 if no engine is in service, else 0. */
     NO_ENGINE,
+    /** The part of the engines that fail, 0 to 1. */
     ENGINES_FAILING,
+    /** The part of the file descriptors in use, 0 to 1. */
     DESCRIPTORS,
+    /** The part of the heap in use after a collection, 0 to 1. */
     MEMORY,
+    /** Seconds by which the event loop runs its timers late. */
     LATE;
 
+    /** The name in log events, SHOW rows and the settings file. */
     public String label() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
   /**
-   * A sign is bad from one value on, well below another, and costs this many steps while it counts.
+   * The bounds of a signal: it is unhealthy from one value on and healthy below another one, and
+   * lowers the priority by this many steps while it is counted.
    */
   public record SignalBounds(double unhealthyFrom, double healthyBelow, int prioritySteps) {}
 
   /**
-   * The bounds of each sign watched, how long it must be bad, how long well, and how often that may
-   * double.
+   * How signals are judged.
+   *
+   * @param bounds the signals that are watched, with their bounds
+   * @param sustainedFor for how long a signal must be unhealthy until it is counted
+   * @param recoveryHoldDown for how long it must be healthy until it is not
+   * @param maxHoldDownDoublings how often the hold-down doubles at most
    */
   public record HealthScoreOptions(
       Map<HealthSignal, SignalBounds> bounds,
@@ -50,25 +63,36 @@
 
   private static final class SignalState {
     boolean counted;
-    Timestamp unhealthySince, healthySince, clearedAt;
+
+    /** Null while the signal is not unhealthy. */
+    Timestamp unhealthySince;
+
+    /** Null while the signal is not healthy. */
+    Timestamp healthySince;
+
+    /** When it last stopped being counted, or null. */
+    Timestamp clearedAt;
+
     int holdDownDoublings;
   }
 
   private final Map<HealthSignal, SignalState> states = new EnumMap<>(HealthSignal.class);
   private HealthScoreOptions options;
 
+  /** A score of which no signal is counted yet. */
   public HealthScore(HealthScoreOptions options) {
     this.options = options;
   }
 
-  /** Other bounds from now on; what counts goes on counting until it is well by them. */
+  /** Replaces the options; a counted signal stays counted until it is healthy by the new bounds. */
   public void reconfigure(HealthScoreOptions newOptions) {
     options = newOptions;
     states.keySet().retainAll(newOptions.bounds().keySet());
   }
 
   /**
-   * The steps to give up by what is seen at this moment; a sign not told is neither bad nor well.
+   * Records the values measured now, and returns by how many steps to lower the priority. A signal
+   * without a value stays as it is.
    */
   public int update(Map<HealthSignal, Double> values, Timestamp now) {
     int steps = 0;
@@ -104,7 +128,7 @@
     }
   }
 
-  /** The signs that count now. */
+  /** The signals that are counted now. */
   public List<HealthSignal> countedSignals() {
     List<HealthSignal> counting = new ArrayList<>();
     states.forEach(
--- a/src/main/java/cobaltseam/mastership/Mastership.java
+++ b/src/main/java/cobaltseam/mastership/Mastership.java
@@ -18,25 +18,25 @@
 import java.util.TreeSet;
 
 /**
- * Every virtual router of one dispatcher: which it is active for, what follows from adverts, from
- * time, from its fitness and from new terms, and over how many dispatchers the engines are to be
- * shared. It does no I/O: moments come from the caller, and what it is to do goes back as {@link
- * MastershipAction}s.
+ * All virtual routers of one dispatcher: which ones it is active for, how advertisements, time, the
+ * health score and new settings change that, and over how many dispatchers the engines are shared.
+ * It does no I/O: the caller passes the time in and carries out the {@link MastershipAction}s that
+ * are returned. Not thread-safe.
  *
- * <p>Callers ask {@link #onTimer} no later than {@link #nextWake}, and {@link #canAdmit} before
- * each thing that only an active dispatcher may do; whatever comes after a gap that lets a peer
- * claim is preceded by stepping back.
+ * <p>The caller must call {@link #onTimer} no later than {@link #nextWake}, and {@link #canAdmit}
+ * before anything that only an active dispatcher may do. After a pause of the process in which a
+ * peer may have become active, every event first makes the routers concerned step back to backup.
  */
 public final class Mastership {
   /**
-   * An unable router stays back for this many down intervals at first, twice as many each time, up
-   * to the most.
+   * A router that is unable to serve stays in backup for this many active down intervals, and twice
+   * as many after each further failure in a row.
    */
   private static final int INITIAL_BACKOFF_DOWN_INTERVALS = 2;
 
   private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
-  /** A moment at which a router is to be looked at. */
+  /** When a timer of a router expires. */
   private record RouterTimer(Timestamp at, VirtualRouterId router)
       implements Comparable<RouterTimer> {
     @Override
@@ -46,19 +46,20 @@
     }
   }
 
-  /** One virtual router, for as long as it is set. */
+  /** One virtual router, for as long as it is configured. */
   private static final class RouterSlot {
     RouterOptions options;
     RouterState state;
-    Timestamp wakeAt, fenceAt;
+    Timestamp wakeAt;
+    Timestamp fenceAt;
 
-    /** How often in a row it was unable to serve. */
+    /** How often it was unable to serve since it last served. */
     int failuresInARow;
   }
 
-  /** What a peer last said of a virtual router. */
+  /** The last advertisement of a peer for a virtual router. */
   public record ObservedClaim(int priority, Timestamp receivedAt, TimeSpan interval) {
-    /** Until when its sender counts as active without another. */
+    /** Until when its sender is taken for active if it sends no other advertisement. */
     Timestamp expiresAt() {
       return priority == Advertisement.RESIGNATION_PRIORITY
           ? receivedAt
@@ -80,13 +81,14 @@
   private Timestamp startedAt;
 
   /**
-   * @param self the address that adverts come from
-   * @param peers where adverts that count come from
-   * @param dispatchersElsewhere dispatchers that carry traffic and are not of this group
-   * @param maxAttemptDuration after which no send of a former active dispatcher can still hold an
+   * @param self the address that our advertisements come from
+   * @param peers the addresses that advertisements are accepted from
+   * @param dispatchersElsewhere dispatchers that carry traffic outside this group
+   * @param maxAttemptDuration after which no attempt of a former active dispatcher can still use an
    *     engine
-   * @param minListenPeriod how long to listen at least before the first claim
-   * @param acceptsOtherIntervals whether adverts count that tell another interval than ours
+   * @param minListenPeriod for how long to listen at least before becoming active
+   * @param acceptsOtherIntervals whether advertisements with another interval than ours are
+   *     accepted
    */
   public Mastership(
       InetAddress self,
@@ -109,8 +111,9 @@
     }
   }
 
-  // ---- what happens
+  // ---- events
 
+  /** Starts every router. */
   public List<MastershipAction> start(Timestamp now) {
     startedAt = now;
     List<MastershipAction> actions = new ArrayList<>();
@@ -126,7 +129,7 @@
     return actions;
   }
 
-  /** Ends every router; active ones resign first. */
+  /** Stops every router; active ones resign first. */
   public List<MastershipAction> stop(TransitionReason reason, Timestamp now) {
     List<MastershipAction> actions = new ArrayList<>();
     for (RouterSlot s : slots.values()) {
@@ -137,7 +140,7 @@
     return actions;
   }
 
-  /** Why an advert does not count here, whoever sent it. */
+  /** Why an advertisement is rejected here, whoever sent it, or nothing. */
   public Optional<RejectionReason> rejectionReason(Advertisement advertisement) {
     RouterSlot slot = slots.get(routerIdOf(advertisement));
     if (slot == null) {
@@ -155,8 +158,8 @@
   }
 
   /**
-   * An advert that counts has come: see {@link #rejectionReason}, and {@link AdvertisementFilter}
-   * for who may send one.
+   * An advertisement was received that passes {@link #rejectionReason} and the {@link
+   * AdvertisementFilter}.
    */
   public List<MastershipAction> onAdvertisement(
       InetAddress sender, Advertisement advertisement, Timestamp now) {
@@ -178,7 +181,7 @@
     return actions;
   }
 
-  /** Whatever is due by now. */
+  /** Runs all timers that have expired by now. */
   public List<MastershipAction> onTimer(Timestamp now) {
     List<MastershipAction> actions = fence(now);
     List<RouterTimer> expired =
@@ -191,7 +194,7 @@
     return actions;
   }
 
-  /** Steps back from every router whose peers may have claimed meanwhile. */
+  /** Steps back to backup in every router whose peers may have become active meanwhile. */
   public List<MastershipAction> fence(Timestamp now) {
     List<MastershipAction> actions = new ArrayList<>();
     while (!fenceTimers.isEmpty() && fenceTimers.first().at.isBefore(now)) {
@@ -201,7 +204,7 @@
     return actions;
   }
 
-  /** This dispatcher is less able to serve by this many steps of priority; none is ever below 1. */
+  /** Lowers the priority of every router by this many steps, but to no less than 1. */
   public List<MastershipAction> reducePriority(int steps, Timestamp now) {
     List<MastershipAction> actions = fence(now);
     if (steps != priorityReduction) {
@@ -219,10 +222,7 @@
     return actions;
   }
 
-  /**
-   * It can't serve for a router that it is active for: another is to try, and it stays back for a
-   * while.
-   */
+  /** The service address of an active router can't be opened: it resigns and backs off. */
   public List<MastershipAction> onUnableToServe(VirtualRouterId router, Timestamp now) {
     List<MastershipAction> actions = fence(now);
     RouterSlot slot = slots.get(router);
@@ -239,14 +239,14 @@
     return actions;
   }
 
-  /** It does serve for a router. */
+  /** The service address of a router is open: its next failure counts as the first one. */
   public void onServing(VirtualRouterId router) {
     if (slots.containsKey(router)) {
       slots.get(router).failuresInARow = 0;
     }
   }
 
-  /** New terms: of routers that stay, that go, and that come. */
+  /** Replaces the settings: routers may change, be removed and be added. */
   public List<MastershipAction> reconfigure(
       Collection<RouterOptions> routers,
       Set<InetAddress> newPeers,
@@ -288,14 +288,14 @@
     return actions;
   }
 
-  // ---- what is asked
+  // ---- queries
 
-  /** When to ask {@link #onTimer} next, or null. */
+  /** When to call {@link #onTimer} next, or null. */
   public Timestamp nextWake() {
     return wakeTimers.isEmpty() ? null : wakeTimers.first().at;
   }
 
-  /** Whether traffic of this virtual router may be taken and sent on at this moment. */
+  /** Whether requests of this virtual router may be admitted and forwarded now. */
   public boolean canAdmit(VirtualRouterId router, Timestamp now) {
     RouterSlot slot = slots.get(router);
     return slot != null
@@ -304,25 +304,23 @@
         && !VirtualRouter.fenceTime(slot.options, slot.state).isBefore(now);
   }
 
-  /**
-   * Whether any mastership may have passed unnoticed: {@link #fence} is to be asked before anything
-   * else.
-   */
+  /** Whether a peer may have become active unnoticed: then {@link #fence} must be called first. */
   public boolean isFenceOverdue(Timestamp now) {
     return !fenceTimers.isEmpty() && fenceTimers.first().at.isBefore(now);
   }
 
-  /** Whether it is active for any virtual router. */
+  /** Whether this dispatcher is active for any virtual router. */
   public boolean isActive() {
     return !fenceTimers.isEmpty();
   }
 
   /**
-   * Over how many dispatchers the engines are shared now: those elsewhere, this one, and each peer
-   * that is heard as active. A peer no longer heard fades out over the longest time that a send of
-   * its can still hold an engine; and so does, after a start, one that was there before and was
-   * never heard. In a split each claimant that hears the other leaves it its part; one that hears
-   * nothing takes all, so that an engine is given at most its whole figure by each claimant.
+   * Over how many dispatchers the engines are shared now: those outside the group, this one, and
+   * each peer that advertises as active. A peer whose claims expired fades out over the longest
+   * time that one of its attempts can still use an engine; so does, after a start, a former active
+   * dispatcher that was never received. In a split each claimant that receives the other one leaves
+   * it its share; one that receives nothing uses the whole engines, so that each claimant gives an
+   * engine at most its full capacity.
    */
   public double effectiveDispatcherCount(Timestamp now) {
     double others = 0;
@@ -346,25 +344,27 @@
         : 0;
   }
 
+  /** By how many steps the priority of every router is lowered now. */
   public int priorityReduction() {
     return priorityReduction;
   }
 
-  /** Every router, in order. */
+  /** All configured routers, in order. */
   public List<VirtualRouterId> routers() {
     return List.copyOf(slots.keySet());
   }
 
+  /** The settings of a configured router. */
   public RouterOptions options(VirtualRouterId router) {
     return slots.get(router).options;
   }
 
-  /** Where a router stands, or null before the start. */
+  /** The state of a configured router, or null before the start. */
   public RouterState state(VirtualRouterId router) {
     return slots.get(router).state;
   }
 
-  /** What each peer last said of a router. */
+  /** The last advertisement of each peer for a router. */
   public Map<InetAddress, ObservedClaim> claims(VirtualRouterId router) {
     Map<InetAddress, ObservedClaim> claimsOfPeer = new HashMap<>();
     claims.forEach(
@@ -376,7 +376,7 @@
     return claimsOfPeer;
   }
 
-  // ---- within
+  // ---- internals
 
   private int effectivePriority(RouterOptions options) {
     return Math.max(1, options.priority() - priorityReduction);
@@ -386,7 +386,7 @@
     return new VirtualRouterId(advertisement.virtualRouterId(), advertisement.isIpv6());
   }
 
-  /** Puts a router where it stands now, and its two alarms with it. */
+  /** Sets the new state of a router, reschedules its two timers, and adds the actions. */
   private void apply(RouterSlot slot, Transition transition, List<MastershipAction> actions) {
     VirtualRouterId id = slot.options.router();
     slot.state = transition.state();
--- a/src/main/java/cobaltseam/mastership/MastershipAction.java
+++ b/src/main/java/cobaltseam/mastership/MastershipAction.java
@@ -1,15 +1,16 @@
 package cobaltseam.mastership;
 
-/** What the caller is to do, in the order given. */
+/** What the caller of {@link Mastership} must do, in the order given. */
 public sealed interface MastershipAction {
+  /** The virtual router concerned. */
   VirtualRouterId router();
 
-  /** Send an advert to every peer, with this priority; 0 resigns. */
+  /** Send an advertisement of this priority to every peer; 0 resigns. */
   record Advertise(VirtualRouterId router, int priority) implements MastershipAction {}
 
-  /** Take traffic for this virtual router from now on. */
+  /** Serve the virtual router from now on. */
   record Acquire(VirtualRouterId router, TransitionReason reason) implements MastershipAction {}
 
-  /** Take nothing new for it; finish what is in hand. */
+  /** Admit no new requests for the virtual router; those in flight are finished. */
   record Release(VirtualRouterId router, TransitionReason reason) implements MastershipAction {}
 }
--- a/src/main/java/cobaltseam/mastership/ReplayGuard.java
+++ b/src/main/java/cobaltseam/mastership/ReplayGuard.java
@@ -10,11 +10,12 @@
 import java.util.Set;
 
 /**
- * Whether a sealed advert is a new one. A sequence is its sender's clock, in microseconds, and
- * rises with each advert of a virtual router. Only what is above the last one counts, and nothing
- * that may have been sent before this process started: what was recorded earlier would otherwise
- * pass once after a restart. Clocks may differ by a span that is told; for twice that span after
- * the start an honest peer may go unheard, and nobody here may claim.
+ * Rejects authenticated advertisements that were sent before. A sequence is its sender's clock in
+ * microseconds and rises with each advertisement of a virtual router. A sequence is accepted only
+ * above the last one, and only if it can't have been sent before this process started: a recorded
+ * advertisement would otherwise be accepted once after a restart. Clocks may differ by a configured
+ * span; for twice that span after the start advertisements of a correct peer may be rejected, so
+ * that no router may become active here until then. Not thread-safe.
  */
 public final class ReplayGuard {
   private record SenderStream(InetAddress sender, VirtualRouterId router) {}
@@ -23,17 +24,26 @@
   private final TimeSpan maxClockDifference;
   private final Map<SenderStream, Long> lastSequences = new HashMap<>();
 
+  /**
+   * @param startedAt when this process started, by its clock
+   * @param maxClockDifference how much the clocks of two dispatchers may differ
+   */
   public ReplayGuard(Timestamp startedAt, TimeSpan maxClockDifference) {
     this.startedAt = startedAt;
     this.maxClockDifference = maxClockDifference;
   }
 
-  /** How long to listen after the start before a silence tells anything. */
+  /** How long to listen after the start before the absence of advertisements means anything. */
   public TimeSpan minListenPeriod() {
     return maxClockDifference.times(2);
   }
 
-  /** Judges an advert whose seal holds; one that is new is remembered. */
+  /**
+   * Checks the sequence of an advertisement whose authentication is valid, and remembers it if it
+   * is accepted.
+   *
+   * @return why the advertisement is rejected, or nothing
+   */
   public Optional<RejectionReason> check(
       InetAddress sender, VirtualRouterId router, long sequence, Timestamp now) {
     Timestamp sent = new Timestamp(sequence);
@@ -52,7 +62,7 @@
     return Optional.empty();
   }
 
-  /** Forgets who is no longer a peer, or no longer set. */
+  /** Forgets the sequences of all other senders and routers. */
   public void retainOnly(Set<InetAddress> peers, Set<VirtualRouterId> routers) {
     lastSequences
         .keySet()
--- a/src/main/java/cobaltseam/mastership/Role.java
+++ b/src/main/java/cobaltseam/mastership/Role.java
@@ -1,6 +1,6 @@
 package cobaltseam.mastership;
 
-/** Where a dispatcher stands in one virtual router: the states of RFC 9568. */
+/** The state of a dispatcher in one virtual router, as in RFC 9568 section 6.4. */
 public enum Role {
   INITIALIZE,
   BACKUP,
--- a/src/main/java/cobaltseam/mastership/RouterState.java
+++ b/src/main/java/cobaltseam/mastership/RouterState.java
@@ -4,10 +4,15 @@
 import cobaltseam.dispatch.Timestamp;
 
 /**
- * Where one virtual router stands: its role and since when and why, the priority it now has, the
- * interval of the active router's adverts as last heard, when it is to be asked next (null: never),
- * when it last advertised as the active one, and from when on it may take over from a lower
- * priority.
+ * The state of one virtual router.
+ *
+ * @param since when it took this role
+ * @param reason why it took this role
+ * @param priority its current priority, 0 to 255
+ * @param activeInterval the advertisement interval of the active router, as last received
+ * @param wakeAt when its timer expires, or null
+ * @param lastAdvertisedAt when it last advertised as the active router, or null
+ * @param preemptionAllowedFrom from when on it may take over from a lower priority
  */
 public record RouterState(
     Role role,
--- a/src/main/java/cobaltseam/mastership/VirtualRouter.java
+++ b/src/main/java/cobaltseam/mastership/VirtualRouter.java
@@ -9,53 +9,52 @@
 import java.util.List;
 
 /**
- * The rules of one virtual router, RFC 9568 section 6.4: from where it stands and what happens, to
- * where it stands then and what is to be done. All of it is values, so that every state can be
- * explored.
+ * The state machine of one virtual router, RFC 9568 section 6.4: pure functions from a state and an
+ * event to the next state and the actions to carry out, so that all states can be explored.
  *
- * <p>Added to the RFC: an active router that was held up for as long as its peers wait for its
- * adverts steps back before it does anything else (a fence in time); a backup that was held up
- * listens anew before it claims; a take-over from a lower priority may wait for a delay; and an
- * active one that can't serve resigns and stays back for a while.
+ * <p>Beyond the RFC: an active router whose process did not run for as long as its peers wait for
+ * its advertisements steps back before it does anything else (the fence time); a backup whose
+ * process did not run listens again before it becomes active; preemption may be delayed; and an
+ * active router that can't serve resigns and backs off.
  */
 final class VirtualRouter {
-  /** Adverts of an active router that may be missed before a backup claims. */
+  /** Advertisements of the active router that may be missed before a backup becomes active. */
   static final int MAX_MISSED_ADVERTISEMENTS = 3;
 
   private static final int PRIORITY_LEVELS = 256;
   private static final int US_PER_CENTISECOND = 10_000;
 
   /**
-   * An answer to a lower claim waits for this part of the interval after an advert: a flood is not
-   * answered in kind.
+   * An active router answers a lower priority with an advertisement, but no sooner than this part
+   * of the interval after its last one, so that a flood is not answered by a flood.
    */
   private static final double MIN_ASSERT_INTERVALS = 0.25;
 
   private VirtualRouter() {}
 
-  /** Where it stands next, and what to do, in order. */
+  /** The next state, and the actions to carry out in order. */
   record Transition(RouterState state, List<MastershipAction> actions) {
     Transition(RouterState state, MastershipAction... actions) {
       this(state, List.of(actions));
     }
   }
 
-  /** The span that a backup adds to its wait, shorter the higher its priority. */
+  /** Skew_Time of the RFC: what a backup adds to its wait, shorter the higher its priority. */
   static TimeSpan skewTime(RouterState state) {
     return state
         .activeInterval()
         .times((double) (PRIORITY_LEVELS - state.priority()) / PRIORITY_LEVELS);
   }
 
-  /** How long a backup hears nothing before it claims. */
+  /** Active_Down_Interval of the RFC: the silence after which a backup becomes active. */
   static TimeSpan activeDownInterval(RouterState state) {
     return state.activeInterval().times(MAX_MISSED_ADVERTISEMENTS).plus(skewTime(state));
   }
 
   /**
-   * Until when an active router may act without having advertised again: no peer of the same
-   * interval claims sooner, since each waits for its skew as well, and counts from when the advert
-   * came.
+   * Until when an active router may act without another advertisement, or null for other roles. No
+   * peer of the same interval becomes active sooner: each adds its skew time, and measures from
+   * when it received the advertisement.
    */
   static Timestamp fenceTime(RouterOptions options, RouterState state) {
     return state.role() == Role.ACTIVE
@@ -77,10 +76,7 @@
         now);
   }
 
-  /**
-   * Startup. It listens for at least the span given before it claims, also where it owns the
-   * addresses.
-   */
+  /** Startup. It listens for at least this long before it becomes active, even as address owner. */
   static Transition start(RouterOptions options, int priority, TimeSpan listen, Timestamp now) {
     RouterState state = initialState(options, priority, now);
     if (priority == Advertisement.OWNER_PRIORITY && !listen.isPositive()) {
@@ -93,7 +89,7 @@
     return new Transition(state.withWakeAt(now.plus(listen).plus(activeDownInterval(state))));
   }
 
-  /** Shutdown: an active one resigns, so that a peer takes over within its skew. */
+  /** Shutdown. An active router resigns, so that a peer takes over within its skew time. */
   static Transition stop(
       RouterOptions options, RouterState state, TransitionReason reason, Timestamp now) {
     RouterState next = state.withRole(Role.INITIALIZE, reason, now).withWakeAt(null);
@@ -105,7 +101,7 @@
         : new Transition(next);
   }
 
-  /** Its moment to be asked has come. */
+  /** The timer of the router has expired. */
   static Transition onTimer(RouterOptions options, RouterState state, Timestamp now) {
     if (state.role() == Role.ACTIVE) {
       return new Transition(
@@ -115,9 +111,7 @@
     if (state.role() != Role.BACKUP) {
       return new Transition(state.withWakeAt(null));
     }
-    // What the active one said meanwhile may lie unread: a process that was held up hears nothing,
-    // and the
-    // silence is its own.
+    // If this process did not run, advertisements of the active router may still be unread.
     if (now.since(state.wakeAt()).compareTo(state.activeInterval()) > 0) {
       return new Transition(state.withWakeAt(now.plus(activeDownInterval(state))));
     }
@@ -137,7 +131,7 @@
         new MastershipAction.Acquire(options.router(), reason));
   }
 
-  /** An advert that counts has come from a peer. */
+  /** An accepted advertisement was received from a peer. */
   static Transition onAdvertisement(
       RouterOptions options,
       RouterState state,
@@ -155,8 +149,7 @@
   private static Transition onAdvertisementAsBackup(
       RouterOptions options, RouterState state, Advertisement advertisement, Timestamp now) {
     if (advertisement.priority() == Advertisement.RESIGNATION_PRIORITY) {
-      // Not later than it would be without: a resigned claim proves that its sender is gone, no
-      // more.
+      // Never later than without the resignation, which only proves that its sender is gone.
       Timestamp afterSkew = now.plus(skewTime(state));
       return new Transition(
           state.wakeAt() != null && state.wakeAt().isBefore(afterSkew)
@@ -195,8 +188,7 @@
           next.withWakeAt(now.plus(activeDownInterval(next))),
           new MastershipAction.Release(options.router(), reason));
     }
-    // Asserts itself against a lower claim at once, and after a resignation, for the sake of those
-    // that listen.
+    // Advertises at once, so that all routers that listen learn who is active.
     if (now.since(state.lastAdvertisedAt())
             .compareTo(options.advertisementInterval().times(MIN_ASSERT_INTERVALS))
         < 0) {
@@ -205,10 +197,7 @@
     return onTimer(options, state, now);
   }
 
-  /**
-   * Was it held up for so long that a peer may have claimed? Then it steps back, and listens before
-   * it claims.
-   */
+  /** Steps back to backup if the fence time has passed, so that a peer may have become active. */
   static Transition fenceIfOverdue(RouterOptions options, RouterState state, Timestamp now) {
     Timestamp fence = fenceTime(options, state);
     if (fence == null || !fence.isBefore(now)) {
@@ -224,7 +213,7 @@
   }
 
   /**
-   * It is active and can't serve: it resigns, and claims again no sooner than after the span given.
+   * An active router can't serve: it resigns, and becomes active again after the backoff at best.
    */
   static Transition resignUnableToServe(
       RouterOptions options, RouterState state, TimeSpan backoff, Timestamp now) {
@@ -241,9 +230,7 @@
         new MastershipAction.Release(options.router(), TransitionReason.UNABLE));
   }
 
-  /**
-   * Its priority is another from now on; one that rose waits for the delay before it takes over.
-   */
+  /** Sets the priority; after a rise the router waits for the preempt delay before it preempts. */
   static Transition changePriority(
       RouterOptions options, RouterState state, int priority, Timestamp now) {
     boolean rose = priority > state.priority();
@@ -252,13 +239,13 @@
             priority, rose ? now.plus(options.preemptDelay()) : state.preemptionAllowedFrom()));
   }
 
-  /** Its terms are others from now on. */
+  /** Applies new settings. */
   static Transition changeOptions(
       RouterOptions options, RouterState state, int priority, Timestamp now) {
     List<MastershipAction> actions = new ArrayList<>();
     RouterState next = changePriority(options, state, priority, now).state();
     if (state.role() == Role.ACTIVE) {
-      // At once, so that peers that wait by the old interval don't claim in between.
+      // At once, so that peers that wait by the old interval don't become active in between.
       next =
           next.withActiveInterval(options.advertisementInterval())
               .withAdvertisement(now, now.plus(options.advertisementInterval()));
--- a/src/main/java/cobaltseam/mastership/VirtualRouterId.java
+++ b/src/main/java/cobaltseam/mastership/VirtualRouterId.java
@@ -1,6 +1,10 @@
 package cobaltseam.mastership;
 
-/** Names one virtual router: its number, 1 to 255, which IPv4 and IPv6 count each for itself. */
+/**
+ * Identifies one virtual router.
+ *
+ * @param value the VRID, 1 to 255; the same number may be used once for each address family
+ */
 public record VirtualRouterId(int value, boolean ipv6) implements Comparable<VirtualRouterId> {
   @Override
   public int compareTo(VirtualRouterId other) {
--- a/src/main/java/cobaltseam/postgres/Replies.java
+++ b/src/main/java/cobaltseam/postgres/Replies.java
@@ -19,7 +19,7 @@
   public static final String BAD_STATEMENT = "42601";
   public static final String NOT_SPOKEN = "0A000";
   public static final String BAD_PROTOCOL = "08P01";
-  private static final int TEXT_TYPE = 25;
+  private static final int TEXT_TYPE_OID = 25;
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream(128);
 
@@ -29,8 +29,8 @@
 
   /** What a started session is told before its first statement. */
   public Replies welcome(int session, int secret) {
-    message('R', ByteBuffer.allocate(4).putInt(0).array());
-    String[] told = {
+    write('R', ByteBuffer.allocate(4).putInt(0).array());
+    String[] parameters = {
       "server_version",
       "15.0",
       "server_encoding",
@@ -44,37 +44,38 @@
       "standard_conforming_strings",
       "on"
     };
-    for (int i = 0; i < told.length; i += 2) {
-      message('S', (told[i] + '\0' + told[i + 1] + '\0').getBytes(StandardCharsets.UTF_8));
+    for (int i = 0; i < parameters.length; i += 2) {
+      write(
+          'S', (parameters[i] + '\0' + parameters[i + 1] + '\0').getBytes(StandardCharsets.UTF_8));
     }
-    message('K', ByteBuffer.allocate(8).putInt(session).putInt(secret).array());
+    write('K', ByteBuffer.allocate(8).putInt(session).putInt(secret).array());
     return ready();
   }
 
   public Replies ready() {
-    return message('Z', new byte[] {'I'});
+    return write('Z', new byte[] {'I'});
   }
 
   public Replies emptyStatement() {
-    return message('I', new byte[0]);
+    return write('I', new byte[0]);
   }
 
-  public Replies error(String severity, String state, String text) {
+  public Replies error(String severity, String sqlState, String text) {
     String body =
         'S'
             + severity
             + "\0V"
             + severity
             + "\0C"
-            + state
+            + sqlState
             + "\0M"
             + text.replace('\0', ' ')
             + "\0\0";
-    return message('E', body.getBytes(StandardCharsets.UTF_8));
+    return write('E', body.getBytes(StandardCharsets.UTF_8));
   }
 
   public Replies complete(String tag) {
-    return message('C', (tag + '\0').getBytes(StandardCharsets.UTF_8));
+    return write('C', (tag + '\0').getBytes(StandardCharsets.UTF_8));
   }
 
   /** Names the columns, all of them text. */
@@ -87,13 +88,13 @@
           ByteBuffer.allocate(18)
               .putInt(0)
               .putShort((short) 0)
-              .putInt(TEXT_TYPE)
+              .putInt(TEXT_TYPE_OID)
               .putShort((short) -1)
               .putInt(-1)
               .putShort((short) 0)
               .array());
     }
-    return message('T', body.toByteArray());
+    return write('T', body.toByteArray());
   }
 
   /** One row, from text with a tab between its columns. */
@@ -102,7 +103,7 @@
     for (int i = from; i < to; i++) {
       columns += text[i] == '\t' ? 1 : 0;
     }
-    head('D', 2 + 4 * columns + to - from - (columns - 1));
+    writeHeader('D', 2 + 4 * columns + to - from - (columns - 1));
     out.writeBytes(ByteBuffer.allocate(2).putShort((short) columns).array());
     int start = from;
     for (int i = from; i <= to; i++) {
@@ -115,13 +116,13 @@
     return this;
   }
 
-  private Replies message(char type, byte[] body) {
-    head(type, body.length);
+  private Replies write(char type, byte[] body) {
+    writeHeader(type, body.length);
     out.writeBytes(body);
     return this;
   }
 
-  private void head(char type, int bodyLength) {
+  private void writeHeader(char type, int bodyLength) {
     out.write(type);
     out.writeBytes(ByteBuffer.allocate(4).putInt(bodyLength + 4).array());
   }
--- a/src/main/java/cobaltseam/postgres/StatementScanner.java
+++ b/src/main/java/cobaltseam/postgres/StatementScanner.java
@@ -21,9 +21,9 @@
     }
   }
 
-  private static final Set<String> BEFORE_TABLE =
+  private static final Set<String> KEYWORDS_BEFORE_TABLE =
       Set.of("from", "join", "into", "update", "table", "only", "using");
-  private static final Set<String> AFTER_TABLES =
+  private static final Set<String> KEYWORDS_AFTER_TABLES =
       Set.of(
           "where",
           "group",
@@ -36,15 +36,16 @@
           "limit",
           "union",
           "returning");
-  private static final Set<String> IN_NAME = Set.of("as", "lateral", "if", "not", "exists");
-  private static final Set<String> NOT_COUNTED = Set.of("staging");
-  private static final int NONE = -1;
+  private static final Set<String> KEYWORDS_BEFORE_TABLE_NAME =
+      Set.of("as", "lateral", "if", "not", "exists");
+  private static final Set<String> IGNORED_SCHEMAS = Set.of("staging");
+  private static final int NO_DATA_SET = -1;
 
   /** Characters of an idempotency key. */
-  private static final int LONGEST_KEY = 128;
+  private static final int MAX_IDEMPOTENCY_KEY_CHARS = 128;
 
   private final byte[] text;
-  private int at;
+  private int position;
 
   private StatementScanner(byte[] text) {
     this.text = text;
@@ -61,58 +62,59 @@
   }
 
   public static Statement scan(byte[] text) throws Unusable {
-    return new StatementScanner(text).statement();
+    return new StatementScanner(text).parse();
   }
 
-  private Statement statement() throws Unusable {
-    int from = 0;
+  private Statement parse() throws Unusable {
+    int start = 0;
     Map<String, String> fields = Map.of();
     while (!fields.containsKey("op")) {
       skipSpace();
-      from = at;
+      start = position;
       if (isAt("--")) {
         skipLine();
       } else if (isAt("/*") && skipComment()) {
-        fields = fields(new String(text, from + 2, at - from - 4, StandardCharsets.UTF_8));
+        fields =
+            parseFields(new String(text, start + 2, position - start - 4, StandardCharsets.UTF_8));
       } else {
         throw new Unusable("no comment with fields ahead of the statement");
       }
     }
     skipSpace();
-    byte[] passed = Arrays.copyOf(text, from + text.length - at);
-    System.arraycopy(text, at, passed, from, text.length - at);
-    if (isEmpty(passed)) {
+    byte[] forwarded = Arrays.copyOf(text, start + text.length - position);
+    System.arraycopy(text, position, forwarded, start, text.length - position);
+    if (isEmpty(forwarded)) {
       throw new Unusable("no statement behind the comment");
     }
-    String call = required(fields, "call");
+    String call = requireField(fields, "call");
     if (!call.matches("[0-9a-fA-F]{16}")) {
       throw new Unusable("'call' is not 16 hex digits");
     }
-    double ttl = number(fields, "ttl", required(fields, "ttl"));
+    double timeToLiveMs = parseNumber(fields, "ttl", requireField(fields, "ttl"));
     return new Statement(
-        required(fields, "op"),
+        requireField(fields, "op"),
         call,
-        (long) ttl,
+        (long) timeToLiveMs,
         fields.get("org"),
-        number(fields, "work", "0"),
-        number(fields, "space", "0"),
-        dataSet(),
+        parseNumber(fields, "work", "0"),
+        parseNumber(fields, "space", "0"),
+        findDataSet(),
         idempotencyKey(fields),
-        passed);
+        forwarded);
   }
 
-  private static Map<String, String> fields(String comment) {
+  private static Map<String, String> parseFields(String comment) {
     Map<String, String> fields = new HashMap<>();
     for (String field : comment.split(",")) {
-      int is = field.indexOf('=');
-      if (is > 0) {
-        fields.put(field.substring(0, is).strip(), field.substring(is + 1).strip());
+      int separator = field.indexOf('=');
+      if (separator > 0) {
+        fields.put(field.substring(0, separator).strip(), field.substring(separator + 1).strip());
       }
     }
     return fields;
   }
 
-  private static String required(Map<String, String> fields, String name) throws Unusable {
+  private static String requireField(Map<String, String> fields, String name) throws Unusable {
     String value = fields.get(name);
     if (value == null || value.isEmpty()) {
       throw new Unusable("'" + name + "' is missing");
@@ -126,16 +128,16 @@
    */
   private static String idempotencyKey(Map<String, String> fields) throws Unusable {
     String key = fields.get("dedupe");
-    if (key != null && !key.matches("[!-~&&[^,=]]{1," + LONGEST_KEY + "}")) {
+    if (key != null && !key.matches("[!-~&&[^,=]]{1," + MAX_IDEMPOTENCY_KEY_CHARS + "}")) {
       throw new Unusable(
           "'dedupe' is not 1 to "
-              + LONGEST_KEY
+              + MAX_IDEMPOTENCY_KEY_CHARS
               + " printable characters without comma, equals sign and space");
     }
     return key;
   }
 
-  private static double number(Map<String, String> fields, String name, String absent)
+  private static double parseNumber(Map<String, String> fields, String name, String absent)
       throws Unusable {
     String value = fields.getOrDefault(name, absent);
     if (value.matches("[0-9]{1,12}([.][0-9]{0,12})?")) {
@@ -148,87 +150,88 @@
    * The number in the first schema that is read or written, or -1. A name counts where a table may
    * stand: behind FROM, JOIN and their like, and behind a comma there.
    */
-  private long dataSet() {
+  private long findDataSet() {
     boolean expected = false;
     boolean inList = false;
     int depth = 0;
     int listDepth = 0;
-    while (at < text.length) {
+    while (position < text.length) {
       skipSpace();
-      if (at >= text.length) {
+      if (position >= text.length) {
         break;
       }
-      byte b = text[at];
+      byte next = text[position];
       if (isAt("/*")) {
         skipComment();
       } else if (isAt("--")) {
         skipLine();
-      } else if (b == '\'') {
+      } else if (next == '\'') {
         skipString(false);
         expected = false;
-      } else if (b == '$' && skipDollar()) {
+      } else if (next == '$' && skipDollarQuotedString()) {
         expected = false;
-      } else if (b == '"' || isNameStart(b)) {
-        boolean quoted = b == '"';
-        String name = name();
-        if (!quoted && name.length() == 1 && at < text.length && text[at] == '\'') {
+      } else if (next == '"' || isNameStart(next)) {
+        boolean quoted = next == '"';
+        String name = readName();
+        if (!quoted && name.length() == 1 && position < text.length && text[position] == '\'') {
           skipString(name.equals("e"));
           expected = false;
-        } else if (!quoted && BEFORE_TABLE.contains(name)) {
+        } else if (!quoted && KEYWORDS_BEFORE_TABLE.contains(name)) {
           expected = true;
           inList = true;
           listDepth = depth;
-        } else if (expected && (quoted || !IN_NAME.contains(name))) {
-          long set = schema(name);
-          if (set != NONE) {
-            return set;
+        } else if (expected && (quoted || !KEYWORDS_BEFORE_TABLE_NAME.contains(name))) {
+          long dataSet = readDataSet(name);
+          if (dataSet != NO_DATA_SET) {
+            return dataSet;
           }
           expected = false;
-        } else if (!quoted && AFTER_TABLES.contains(name)) {
+        } else if (!quoted && KEYWORDS_AFTER_TABLES.contains(name)) {
           inList = false;
           expected = false;
         }
       } else {
-        at++;
-        if (b == '(') {
+        position++;
+        if (next == '(') {
           depth++;
-        } else if (b == ')') {
+        } else if (next == ')') {
           depth--;
-        } else if (b == ',' && inList && depth == listDepth) {
+        } else if (next == ',' && inList && depth == listDepth) {
           expected = true;
-        } else if (b != ',') {
+        } else if (next != ',') {
           expected = false;
         }
       }
     }
-    return NONE;
+    return NO_DATA_SET;
   }
 
   /** The number of the schema of a name with dots, whose first part was read. */
-  private long schema(String first) {
-    String before = null;
+  private long readDataSet(String first) {
+    String schema = null;
     String last = first;
     while (true) {
-      int back = at;
-      skipBlank();
-      if (at >= text.length || text[at] != '.') {
-        at = back;
+      int afterName = position;
+      skipSpaceAndComments();
+      if (position >= text.length || text[position] != '.') {
+        position = afterName;
         break;
       }
-      at++;
-      skipBlank();
-      if (at >= text.length || text[at] != '"' && !isNameStart(text[at])) {
-        return NONE;
+      position++;
+      skipSpaceAndComments();
+      if (position >= text.length || text[position] != '"' && !isNameStart(text[position])) {
+        return NO_DATA_SET;
       }
-      before = last;
-      last = name();
+      schema = last;
+      last = readName();
     }
-    int under = before == null || NOT_COUNTED.contains(before) ? -1 : before.lastIndexOf('_');
-    String number = under < 0 ? "" : before.substring(under + 1);
-    return number.matches("[0-9]{1,18}") ? Long.parseLong(number) : NONE;
+    int underscore =
+        schema == null || IGNORED_SCHEMAS.contains(schema) ? -1 : schema.lastIndexOf('_');
+    String number = underscore < 0 ? "" : schema.substring(underscore + 1);
+    return number.matches("[0-9]{1,18}") ? Long.parseLong(number) : NO_DATA_SET;
   }
 
-  private void skipBlank() {
+  private void skipSpaceAndComments() {
     while (true) {
       skipSpace();
       if (isAt("/*")) {
@@ -242,108 +245,113 @@
   }
 
   /** A name at this place: a plain one in lower case, a quoted one as it is. */
-  private String name() {
-    int from = at;
-    if (text[at] != '"') {
-      while (at < text.length && isNamePart(text[at])) {
-        at++;
+  private String readName() {
+    int start = position;
+    if (text[position] != '"') {
+      while (position < text.length && isNamePart(text[position])) {
+        position++;
       }
-      return new String(text, from, at - from, StandardCharsets.UTF_8).toLowerCase(Locale.ROOT);
+      return new String(text, start, position - start, StandardCharsets.UTF_8)
+          .toLowerCase(Locale.ROOT);
     }
-    at++;
-    while (at < text.length && (text[at] != '"' || isAt("\"\""))) {
-      at += text[at] == '"' ? 2 : 1;
+    position++;
+    while (position < text.length && (text[position] != '"' || isAt("\"\""))) {
+      position += text[position] == '"' ? 2 : 1;
     }
     String name =
-        new String(text, from + 1, Math.min(at, text.length) - from - 1, StandardCharsets.UTF_8);
-    at++;
+        new String(
+            text, start + 1, Math.min(position, text.length) - start - 1, StandardCharsets.UTF_8);
+    position++;
     return name.replace("\"\"", "\"");
   }
 
   private void skipString(boolean backslashes) {
-    at++;
-    while (at < text.length) {
-      if (backslashes && text[at] == '\\' || isAt("''")) {
-        at += 2;
-      } else if (text[at++] == '\'') {
+    position++;
+    while (position < text.length) {
+      if (backslashes && text[position] == '\\' || isAt("''")) {
+        position += 2;
+      } else if (text[position++] == '\'') {
         return;
       }
     }
-    at = text.length;
+    position = text.length;
   }
 
   /** Skips a string in dollar quotes, if one starts here. */
-  private boolean skipDollar() {
-    int tag = at + 1;
-    while (tag < text.length && isNamePart(text[tag]) && text[tag] != '$') {
-      tag++;
+  private boolean skipDollarQuotedString() {
+    int tagEnd = position + 1;
+    while (tagEnd < text.length && isNamePart(text[tagEnd]) && text[tagEnd] != '$') {
+      tagEnd++;
     }
-    boolean digit = at + 1 < tag && text[at + 1] >= '0' && text[at + 1] <= '9';
-    if (tag >= text.length || text[tag] != '$' || digit) {
+    boolean digit = position + 1 < tagEnd && text[position + 1] >= '0' && text[position + 1] <= '9';
+    if (tagEnd >= text.length || text[tagEnd] != '$' || digit) {
       return false;
     }
-    String quote = new String(text, at, tag + 1 - at, StandardCharsets.ISO_8859_1);
-    at = tag + 1;
-    while (at < text.length && !isAt(quote)) {
-      at++;
+    String quote = new String(text, position, tagEnd + 1 - position, StandardCharsets.ISO_8859_1);
+    position = tagEnd + 1;
+    while (position < text.length && !isAt(quote)) {
+      position++;
     }
-    at = Math.min(text.length, at + quote.length());
+    position = Math.min(text.length, position + quote.length());
     return true;
   }
 
   /** Skips a comment, which may hold others; false if it has no end. */
   private boolean skipComment() {
     int depth = 0;
-    while (at < text.length) {
+    while (position < text.length) {
       if (isAt("/*")) {
         depth++;
-        at += 2;
+        position += 2;
       } else if (isAt("*/")) {
         depth--;
-        at += 2;
+        position += 2;
         if (depth == 0) {
           return true;
         }
       } else {
-        at++;
+        position++;
       }
     }
     return false;
   }
 
   private void skipLine() {
-    while (at < text.length && text[at] != '\n') {
-      at++;
+    while (position < text.length && text[position] != '\n') {
+      position++;
     }
   }
 
   private void skipSpace() {
-    while (at < text.length && isSpace(text[at])) {
-      at++;
+    while (position < text.length && isSpace(text[position])) {
+      position++;
     }
   }
 
-  private boolean isAt(String word) {
-    if (text.length - at < word.length()) {
+  private boolean isAt(String expected) {
+    if (text.length - position < expected.length()) {
       return false;
     }
-    for (int i = 0; i < word.length(); i++) {
-      if ((text[at + i] & 0xff) != word.charAt(i)) {
+    for (int i = 0; i < expected.length(); i++) {
+      if ((text[position + i] & 0xff) != expected.charAt(i)) {
         return false;
       }
     }
     return true;
   }
 
-  private static boolean isSpace(byte b) {
-    return b == ' ' || b >= '\t' && b <= '\r';
+  private static boolean isSpace(byte character) {
+    return character == ' ' || character >= '\t' && character <= '\r';
   }
 
-  private static boolean isNameStart(byte b) {
-    return b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b == '_' || b < 0;
+  private static boolean isNameStart(byte character) {
+    return character >= 'a' && character <= 'z'
+        || character >= 'A' && character <= 'Z'
+        || character == '_'
+        || character < 0;
   }
 
-  private static boolean isNamePart(byte b) {
-    return isNameStart(b) || b >= '0' && b <= '9' || b == '$';
+  private static boolean isNamePart(byte character) {
+    return isNameStart(character) || character >= '0' && character <= '9' || character == '$';
   }
 }
--- a/src/main/java/cobaltseam/resp/EngineAnswer.java
+++ b/src/main/java/cobaltseam/resp/EngineAnswer.java
@@ -16,18 +16,18 @@
   public static final String STATUS = "status";
   public static final String CHUNK = "chunk";
   public static final String ALIVE = "alive";
-  private static final int ITEMS = 4;
+  private static final int ITEM_COUNT = 4;
 
   /** Reads an array of the wire, or null if it is no answer. */
   public static EngineAnswer of(List<byte[]> items) {
-    if (items.size() != ITEMS) {
+    if (items.size() != ITEM_COUNT) {
       return null;
     }
     Map<String, String> fields = new HashMap<>();
     for (String field : text(items.get(2)).split(",")) {
-      int is = field.indexOf('=');
-      if (is > 0) {
-        fields.put(field.substring(0, is), field.substring(is + 1));
+      int separator = field.indexOf('=');
+      if (separator > 0) {
+        fields.put(field.substring(0, separator), field.substring(separator + 1));
       }
     }
     return new EngineAnswer(text(items.get(0)), text(items.get(1)), fields, items.get(3));
@@ -48,9 +48,9 @@
   public double reported(String name) {
     Map<String, String> report = new HashMap<>();
     for (String value : fields.getOrDefault("rep", "").split(";")) {
-      int is = value.indexOf(':');
-      if (is > 0) {
-        report.put(value.substring(0, is), value.substring(is + 1));
+      int separator = value.indexOf(':');
+      if (separator > 0) {
+        report.put(value.substring(0, separator), value.substring(separator + 1));
       }
     }
     return number(report, name);
--- a/src/main/java/cobaltseam/resp/EngineCommands.java
+++ b/src/main/java/cobaltseam/resp/EngineCommands.java
@@ -13,10 +13,10 @@
    * @param idempotencyKey by which engines know a repeat, or null
    */
   public static byte[] pull(
-      String id, String profile, long timeToLiveMs, String idempotencyKey, byte[] statement) {
-    String fields = "lane=" + profile + ",ttl=" + timeToLiveMs;
-    String marked = idempotencyKey == null ? fields : fields + ",dedupe=" + idempotencyKey;
-    return array(bytes("PULL"), bytes(id), bytes(marked), statement);
+      String id, String requestClass, long timeToLiveMs, String idempotencyKey, byte[] statement) {
+    String fields = "lane=" + requestClass + ",ttl=" + timeToLiveMs;
+    String allFields = idempotencyKey == null ? fields : fields + ",dedupe=" + idempotencyKey;
+    return array(bytes("PULL"), bytes(id), bytes(allFields), statement);
   }
 
   /** Gives a command up. */
--- a/src/main/java/cobaltseam/resp/RespParser.java
+++ b/src/main/java/cobaltseam/resp/RespParser.java
@@ -9,79 +9,79 @@
 
 /** Takes RESP arrays of bulk strings from bytes in any pieces. */
 public final class RespParser {
-  private static final int MOST_ITEMS = 16;
-  private static final int LONGEST_ARRAY = 1 << 16;
-  private static final int LONGEST_LINE = 16;
+  private static final int MAX_ITEMS = 16;
+  private static final int MAX_ARRAY_BYTES = 1 << 16;
+  private static final int MAX_LINE_BYTES = 16;
 
-  private final ByteArrayOutputStream line = new ByteArrayOutputStream(LONGEST_LINE);
+  private final ByteArrayOutputStream line = new ByteArrayOutputStream(MAX_LINE_BYTES);
   private List<byte[]> items = new ArrayList<>();
-  private int awaited;
+  private int missingItems;
 
   /** Bytes that the items of this array may still have. */
-  private int room;
+  private int remainingBytes;
 
   private byte[] item;
-  private int filled;
-  private String broken;
+  private int receivedBytes;
+  private String error;
 
   /** Takes what has come, hands on each array that is whole; tells what is wrong, or null. */
   public String take(ByteBuffer in, Consumer<List<byte[]>> arrays) {
-    while (broken == null && in.hasRemaining()) {
+    while (error == null && in.hasRemaining()) {
       if (item != null) {
-        bulk(in, arrays);
+        readItem(in, arrays);
       } else {
-        byte b = in.get();
-        if (b != '\n') {
-          line.write(b);
-          broken = line.size() > LONGEST_LINE ? "a line too long" : null;
+        byte next = in.get();
+        if (next != '\n') {
+          line.write(next);
+          error = line.size() > MAX_LINE_BYTES ? "a line too long" : null;
         } else {
-          head(line.toByteArray());
+          parseHeader(line.toByteArray());
           line.reset();
         }
       }
     }
-    return broken;
+    return error;
   }
 
   /** A line that tells the items of an array or the bytes of an item. */
-  private void head(byte[] told) {
-    char type = awaited == 0 ? '*' : '$';
-    int most = awaited == 0 ? MOST_ITEMS : room;
+  private void parseHeader(byte[] header) {
+    char type = missingItems == 0 ? '*' : '$';
+    int max = missingItems == 0 ? MAX_ITEMS : remainingBytes;
     int number = 0;
-    boolean good = told.length > 2 && told[0] == type && told[told.length - 1] == '\r';
-    for (int i = 1; good && i < told.length - 1; i++) {
-      good = told[i] >= '0' && told[i] <= '9' && number <= most;
-      number = number * 10 + told[i] - '0';
+    boolean valid = header.length > 2 && header[0] == type && header[header.length - 1] == '\r';
+    for (int i = 1; valid && i < header.length - 1; i++) {
+      valid = header[i] >= '0' && header[i] <= '9' && number <= max;
+      number = number * 10 + header[i] - '0';
     }
-    if (!good || number > most || awaited == 0 && number == 0) {
-      broken = "not the head of an " + (awaited == 0 ? "array" : "item");
-    } else if (awaited == 0) {
-      awaited = number;
-      room = LONGEST_ARRAY;
+    if (!valid || number > max || missingItems == 0 && number == 0) {
+      error = "not the head of an " + (missingItems == 0 ? "array" : "item");
+    } else if (missingItems == 0) {
+      missingItems = number;
+      remainingBytes = MAX_ARRAY_BYTES;
     } else {
-      room -= number;
+      remainingBytes -= number;
       item = new byte[number + 2];
-      filled = 0;
+      receivedBytes = 0;
     }
   }
 
-  private void bulk(ByteBuffer in, Consumer<List<byte[]>> arrays) {
-    int piece = Math.min(in.remaining(), item.length - filled);
-    in.get(item, filled, piece);
-    filled += piece;
-    if (filled < item.length) {
+  private void readItem(ByteBuffer in, Consumer<List<byte[]>> arrays) {
+    int piece = Math.min(in.remaining(), item.length - receivedBytes);
+    in.get(item, receivedBytes, piece);
+    receivedBytes += piece;
+    if (receivedBytes < item.length) {
       return;
     }
-    if (item[filled - 2] != '\r' || item[filled - 1] != '\n') {
-      broken = "an item without its end";
+    if (item[receivedBytes - 2] != '\r' || item[receivedBytes - 1] != '\n') {
+      error = "an item without its end";
       return;
     }
-    items.add(Arrays.copyOf(item, filled - 2));
+    items.add(Arrays.copyOf(item, receivedBytes - 2));
     item = null;
-    if (--awaited == 0) {
-      List<byte[]> whole = items;
+    if (--missingItems == 0) {
+      List<byte[]> complete = items;
       items = new ArrayList<>();
-      arrays.accept(whole);
+      arrays.accept(complete);
     }
   }
 }
--- a/src/main/java/cobaltseam/resp/Result.java
+++ b/src/main/java/cobaltseam/resp/Result.java
@@ -4,25 +4,25 @@
 
 /** The result of a command, gathered page by page; its rows stay the bytes that came. */
 public final class Result {
-  private static final int MOST_PAGES = 64;
-  private static final int MOST_BYTES = 1 << 16;
+  private static final int MAX_PAGES = 64;
+  private static final int MAX_BYTES = 1 << 16;
   private static final int UNKNOWN = -1;
 
   private final byte[][] pages;
-  private int missing;
-  private int bytes;
-  private int rows;
-  private int columns = UNKNOWN;
+  private int missingPages;
+  private int totalBytes;
+  private int rowCount;
+  private int columnCount = UNKNOWN;
 
   /** A result of so many pages. */
   public Result(int pages) {
-    this.pages = new byte[Math.max(0, Math.min(pages, MOST_PAGES))][];
-    missing = pages;
+    this.pages = new byte[Math.max(0, Math.min(pages, MAX_PAGES))][];
+    missingPages = pages;
   }
 
   /** Whether a result may have so many pages. */
   public static boolean canHave(int pages) {
-    return pages >= 1 && pages <= MOST_PAGES;
+    return pages >= 1 && pages <= MAX_PAGES;
   }
 
   /** Whether this page has come already. */
@@ -35,32 +35,32 @@
     if (page < 0 || page >= pages.length || pages[page] != null) {
       return "page " + page + " of " + pages.length + " is none of those to come";
     }
-    bytes += body.length;
-    if (bytes > MOST_BYTES) {
-      return "a result of more than " + MOST_BYTES + " bytes";
+    totalBytes += body.length;
+    if (totalBytes > MAX_BYTES) {
+      return "a result of more than " + MAX_BYTES + " bytes";
     }
     if (body.length > 0 && body[body.length - 1] != '\n') {
       return "page " + page + " ends within a row";
     }
-    int inRow = 1;
+    int columnsInRow = 1;
     for (byte b : body) {
-      inRow += b == '\t' ? 1 : 0;
+      columnsInRow += b == '\t' ? 1 : 0;
       if (b == '\n') {
-        if (columns != UNKNOWN && inRow != columns) {
-          return "a row of " + inRow + " columns after one of " + columns;
+        if (columnCount != UNKNOWN && columnsInRow != columnCount) {
+          return "a row of " + columnsInRow + " columns after one of " + columnCount;
         }
-        columns = inRow;
-        inRow = 1;
-        rows++;
+        columnCount = columnsInRow;
+        columnsInRow = 1;
+        rowCount++;
       }
     }
     pages[page] = body;
-    missing--;
+    missingPages--;
     return null;
   }
 
   public boolean isWhole() {
-    return missing == 0;
+    return missingPages == 0;
   }
 
   public int pageCount() {
@@ -68,12 +68,12 @@
   }
 
   public int rowCount() {
-    return rows;
+    return rowCount;
   }
 
   /** The columns of each row, or the number given where there is no row. */
   public int columns(int otherwise) {
-    return columns == UNKNOWN ? otherwise : columns;
+    return columnCount == UNKNOWN ? otherwise : columnCount;
   }
 
   public List<byte[]> pages() {
--- a/src/main/java/cobaltseam/service/VirtualAddressService.java
+++ b/src/main/java/cobaltseam/service/VirtualAddressService.java
@@ -1,5 +1,6 @@
 package cobaltseam.service;
 
+import cobaltseam.authentication.KeyRing;
 import cobaltseam.dispatch.Deployment;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
@@ -10,651 +11,464 @@
 import cobaltseam.mastership.Mastership;
 import cobaltseam.mastership.MastershipAction;
 import cobaltseam.mastership.ReplayGuard;
-import cobaltseam.mastership.Role;
-import cobaltseam.mastership.RouterOptions;
-import cobaltseam.mastership.RouterState;
 import cobaltseam.mastership.TransitionReason;
 import cobaltseam.mastership.VirtualRouterId;
 import cobaltseam.service.Counters.Count;
 import cobaltseam.settings.Settings;
 import cobaltseam.transport.AdvertDatagramSocket;
 import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Advertisement;
-import cobaltseam.vrrp.AdvertisementAuthenticator;
-import cobaltseam.vrrp.AdvertisementCodec;
-import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
 import cobaltseam.vrrp.RejectionReason;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
-import java.lang.management.ManagementFactory;
-import java.lang.management.MemoryPoolMXBean;
-import java.lang.management.MemoryType;
-import java.lang.management.MemoryUsage;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
-import java.util.ArrayList;
-import java.util.EnumMap;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.ExecutorService;
-import java.util.concurrent.Executors;
 import java.util.function.Supplier;
 
 /**
- * This dispatcher among those of its hall: carries adverts between the socket and {@link
- * Mastership}, and makes the service follow what that says. Listeners are opened and closed on a
- * thread of their own, since that may wait.
+ * Takes part in VRRP for the virtual addresses of this dispatcher: passes advertisements between
+ * the socket and {@link Mastership}, and carries out what that decides. All methods run on the
+ * event loop, except that the socket hands over datagrams on its own thread.
+ *
+ * <p>A fault in here ends mastership until the next start and nothing else: requests in flight are
+ * finished, new ones are rejected.
  */
-final class VirtualAddressService implements ClientSessions.AdmissionGate {
-  /** What fitness is judged by, beside what is measured here. */
-  record HealthReport(TimeSpan busSilent, int engines, double failing, double descriptors) {}
-
-  private static final System.Logger LOG = System.getLogger(VirtualAddressService.class.getName());
-  private static final TimeSpan BEAT = new TimeSpan(100_000);
-  private static final double SECOND_US = 1e6;
-  private static final int US_PER_CENTISECOND = 10_000;
-
+final class VirtualAddressService
+    implements ClientSessions.AdmissionGate, VirtualAddressListeners.RouterCallbacks {
   /**
-   * A listener that can't be opened is tried again after this part of an interval, for this many
-   * intervals.
+   * What the health score is judged by, beside what is measured in this package.
+   *
+   * @param watchSilence for how long the endpoint watch has received nothing
+   * @param enginesInService the number of engines that may be given requests
+   * @param failingShare the part of the engines that fail, 0 to 1
+   * @param descriptorShare the part of the file descriptors in use, 0 to 1
    */
-  private static final double TRY_AGAIN = 0.25;
+  record HealthReport(
+      TimeSpan watchSilence, int enginesInService, double failingShare, double descriptorShare) {}
 
-  private static final int TRY_FOR = 4;
-
-  /** The module hears of a number of dispatchers that changed by more than this part. */
-  private static final double NOTABLE = 0.01;
-
-  /** The listener of one virtual router, for as long as the router is set. */
-  private static final class Listener {
-    InetSocketAddress serve;
+  private static final System.Logger LOG = System.getLogger(VirtualAddressService.class.getName());
+  private static final TimeSpan HEALTH_CHECK_PERIOD = new TimeSpan(100_000);
 
-    /** Whether it is to be open; and whether it is, or about to be, as far as is known here. */
-    boolean wanted, open, busy;
+  /** The request table is updated when the number of dispatchers changes by more than this part. */
+  private static final double MIN_SHARING_CHANGE = 0.01;
 
-    Timestamp wantedSince;
-  }
+  /**
+   * Advertisement intervals after which a peer has taken over from an active router at the latest.
+   */
+  private static final int TAKEOVER_INTERVALS = 4;
 
-  private final Supplier<HealthReport> report;
-  private final RequestTable commands;
+  private final Supplier<HealthReport> healthReport;
+  private final RequestTable requests;
   private final ClientSessions clients;
-  private final BoundedAcceptor acceptor;
-  private final EventLoopQueue inbox;
+  private final EventLoopQueue eventLoop;
   private final Clock clock;
-  private final Timers deadlines;
+  private final Timers timers;
   private final Counters counters;
-  private final RateLimitedLog log;
+  private final RateLimitedLog rateLimitedLog;
   private final InetAddress self;
-  private final int dispatchersTold;
-  private final ReplayGuard freshness;
+  private final int configuredDispatchers;
   private final Mastership mastership;
-  private final AdvertisementFilter intake;
-  private final HealthScore fitness;
+  private final AdvertisementFilter filter;
+  private final HealthScore healthScore;
   private final AdvertDatagramSocket socket;
-  private final ExecutorService listening =
-      Executors.newSingleThreadExecutor(VirtualAddressService::thread);
-  private final Map<VirtualRouterId, Listener> listeners = new HashMap<>();
-  private final Map<SocketAddress, VirtualRouterId> routers = new HashMap<>();
-  private final Map<VirtualRouterId, Timestamp> noted = new HashMap<>();
-  private Settings.VirtualAddressSettings told;
-  private Timers.Timer wake;
-  private Timestamp beat;
-  private long sequence;
-  private double sharedOver;
-  private boolean broken;
+  private final AdvertisementSender sender;
+  private final VirtualAddressListeners listeners;
+  private final MastershipRows rows;
+  private Settings.VirtualAddressSettings settings;
+  private Timers.Timer wakeTimer;
+  private Timestamp nextHealthCheck;
+  private double sharingDispatchers;
+  private boolean hasFailed;
 
   VirtualAddressService(
-      Settings.VirtualAddressSettings told,
+      Settings.VirtualAddressSettings settings,
       ServiceConfiguration configuration,
-      Supplier<HealthReport> report,
-      RequestTable commands,
+      Supplier<HealthReport> healthReport,
+      RequestTable requests,
       ClientSessions clients,
       BoundedAcceptor acceptor,
-      EventLoopQueue inbox,
+      EventLoopQueue eventLoop,
       Clock clock,
-      Timers deadlines,
+      Timers timers,
       Counters counters) {
-    this.told = told;
-    this.report = report;
-    this.commands = commands;
+    this.settings = settings;
+    this.healthReport = healthReport;
+    this.requests = requests;
     this.clients = clients;
-    this.acceptor = acceptor;
-    this.inbox = inbox;
+    this.eventLoop = eventLoop;
     this.clock = clock;
-    this.deadlines = deadlines;
+    this.timers = timers;
     this.counters = counters;
-    log = new RateLimitedLog(LOG, clock);
-    self = told.listen().getAddress();
-    dispatchersTold = configuration.deployment().dispatcherCount();
-    sharedOver = dispatchersTold;
-    TimeSpan difference = told.sealing() == null ? TimeSpan.ZERO : told.sealing().clockDifference();
-    freshness = new ReplayGuard(clock.now(), difference);
-    TimeSpan longest =
-        configuration.deployment().requestClasses().stream()
-            .map(Deployment.RequestClass::deadline)
-            .max(TimeSpan::compareTo)
-            .orElse(TimeSpan.ZERO);
+    rateLimitedLog = new RateLimitedLog(LOG, clock);
+    self = settings.listen().getAddress();
+    configuredDispatchers = configuration.deployment().dispatcherCount();
+    sharingDispatchers = configuredDispatchers;
+    ReplayGuard replayGuard = new ReplayGuard(clock.now(), maxClockDifference(settings));
     mastership =
         new Mastership(
             self,
-            told.terms(),
-            told.peerAddresses(),
-            elsewhere(),
-            longest,
-            freshness.minListenPeriod(),
-            told.followsIntervals());
-    intake =
+            settings.routerOptions(),
+            settings.peerAddresses(),
+            dispatchersElsewhere(),
+            maxAttemptDuration(configuration.deployment()),
+            replayGuard.minListenPeriod(),
+            settings.acceptsOtherIntervals());
+    filter =
         new AdvertisementFilter(
-            self,
-            mastership,
-            freshness,
-            told.peerAddresses(),
-            told.sealing() == null ? null : told.sealing().keys());
-    fitness = new HealthScore(told.fitness());
-    socket = new AdvertDatagramSocket(told.listen(), told.peerAddresses(), this::came);
-    told.seats().forEach(this::listener);
+            self, mastership, replayGuard, settings.peerAddresses(), keys(settings));
+    healthScore = new HealthScore(settings.healthScore());
+    socket =
+        new AdvertDatagramSocket(settings.listen(), settings.peerAddresses(), this::onDatagram);
+    sender = new AdvertisementSender(self, socket, clock, counters, rateLimitedLog);
+    listeners =
+        new VirtualAddressListeners(
+            acceptor, eventLoop, clock, timers, counters, LOG, rateLimitedLog, this);
+    settings.routers().forEach(listeners::configure);
+    rows = new MastershipRows(mastership, healthScore, filter, listeners);
     clients.guardedBy(this);
-    clients.shows("mastership", this::rows);
-    commands.sendsWhile(this::maySend);
+    clients.shows("mastership", () -> rows.rows(hasFailed, sharingDispatchers, clock.now()));
+    requests.sendsWhile(() -> !mastership.isFenceOverdue(clock.now()));
   }
 
-  private static Thread thread(Runnable task) {
-    Thread thread = new Thread(task, "listeners");
-    thread.setDaemon(true);
-    return thread;
+  private static TimeSpan maxClockDifference(Settings.VirtualAddressSettings settings) {
+    return settings.authentication() == null
+        ? TimeSpan.ZERO
+        : settings.authentication().clockDifference();
   }
 
-  private double elsewhere() {
-    return told.elsewhere() >= 0
-        ? told.elsewhere()
-        : Math.max(0, dispatchersTold - 1 - told.peers().size());
+  /** The keys of authenticated advertisements, or null where they are not authenticated. */
+  private static KeyRing keys(Settings.VirtualAddressSettings settings) {
+    return settings.authentication() == null ? null : settings.authentication().keys();
   }
 
-  private void listener(Settings.RouterSettings seat) {
-    Listener l = listeners.computeIfAbsent(seat.terms().router(), r -> new Listener());
-    l.serve = seat.serve();
-    routers.put(seat.serve(), seat.terms().router());
+  private static TimeSpan maxAttemptDuration(Deployment deployment) {
+    return deployment.requestClasses().stream()
+        .map(Deployment.RequestClass::deadline)
+        .max(TimeSpan::compareTo)
+        .orElse(TimeSpan.ZERO);
   }
 
-  // ---- from the start to the end
+  private double dispatchersElsewhere() {
+    return settings.dispatchersElsewhere() >= 0
+        ? settings.dispatchersElsewhere()
+        : Math.max(0, configuredDispatchers - 1 - settings.peers().size());
+  }
 
+  // ---- life cycle
+
+  /** Whether the dispatcher's own address answers clients, with a rejection, while in backup. */
   boolean answersStandingBy() {
-    return told.standByAnswers();
+    return settings.answersAsBackup();
   }
 
+  /**
+   * Starts sending and receiving advertisements.
+   *
+   * @throws IOException if the address of advertisements can't be bound
+   */
   void open() throws IOException {
     socket.open();
-    beat = clock.now().plus(BEAT);
-    deadlines.set(beat, this::beat);
-    act(() -> mastership.start(clock.now()));
+    nextHealthCheck = clock.now().plus(HEALTH_CHECK_PERIOD);
+    timers.set(nextHealthCheck, this::checkHealth);
+    perform(() -> mastership.start(clock.now()));
     LOG.log(
         Level.INFO,
-        "adverts are sent and heard on {0}",
-        Field.of("address", told.listen()),
+        "sending and receiving VRRP advertisements on {0}",
+        Field.of("address", settings.listen()),
         Field.event("mastership.opened"));
   }
 
-  /** New terms of the own file; what they can't change here stays until the next start. */
-  void renewed(Settings.VirtualAddressSettings anew) {
-    if (!anew.listen().equals(told.listen())
-        || anew.sealing() == null != (told.sealing() == null)) {
-      LOG.log(
-          Level.WARNING,
-          "mastership.listen, and whether adverts are sealed, stay until the next start",
-          Field.event("configuration.partly"));
-      anew =
-          new Settings.VirtualAddressSettings(
-              told.listen(),
-              anew.peers(),
-              anew.covers(),
-              anew.followsIntervals(),
-              anew.elsewhere(),
-              anew.standByAnswers(),
-              anew.seats(),
-              anew.sealing() == null != (told.sealing() == null) ? told.sealing() : anew.sealing(),
-              anew.fitness());
+  /** Applies reloaded settings; those that can't change while running stay until the next start. */
+  void renewed(Settings.VirtualAddressSettings reloaded) {
+    settings = withFixedSettings(reloaded);
+    Set<InetAddress> peers = settings.peerAddresses();
+    healthScore.reconfigure(settings.healthScore());
+    settings.routers().forEach(this::reconfigureListener);
+    perform(
+        () ->
+            mastership.reconfigure(
+                settings.routerOptions(), peers, dispatchersElsewhere(), clock.now()));
+    filter.reconfigure(peers, keys(settings));
+    socket.peers(peers);
+    listeners.retainOnly(new HashSet<>(mastership.routers()), settings.routers());
+  }
+
+  private Settings.VirtualAddressSettings withFixedSettings(
+      Settings.VirtualAddressSettings reloaded) {
+    boolean switchesAuthentication =
+        reloaded.authentication() == null != (settings.authentication() == null);
+    if (reloaded.listen().equals(settings.listen()) && !switchesAuthentication) {
+      return reloaded;
     }
-    told = anew;
-    Set<InetAddress> peers = told.peerAddresses();
-    fitness.reconfigure(told.fitness());
-    // Served elsewhere from now on: what is open at the old address is wound down as on any loss.
-    for (Settings.RouterSettings seat : told.seats()) {
-      Listener l = listeners.get(seat.terms().router());
-      if (l != null && !l.serve.equals(seat.serve())) {
-        boolean wanted = l.wanted;
-        left(seat.terms().router());
-        listeners.put(seat.terms().router(), new Listener());
-        listener(seat);
-        if (wanted) {
-          want(seat.terms().router());
-        }
-      } else {
-        listener(seat);
-      }
+    LOG.log(
+        Level.WARNING,
+        "mastership.listen, and whether advertisements are authenticated, change only at the next"
+            + " start",
+        Field.event("configuration.partly"));
+    return new Settings.VirtualAddressSettings(
+        settings.listen(),
+        reloaded.peers(),
+        reloaded.coverage(),
+        reloaded.acceptsOtherIntervals(),
+        reloaded.dispatchersElsewhere(),
+        reloaded.answersAsBackup(),
+        reloaded.routers(),
+        switchesAuthentication ? settings.authentication() : reloaded.authentication(),
+        reloaded.healthScore());
+  }
+
+  /** Sessions at a service address that changes are ended as on any loss of mastership. */
+  private void reconfigureListener(Settings.RouterSettings router) {
+    if (!listeners.hasMoved(router)) {
+      listeners.configure(router);
+      return;
+    }
+    VirtualRouterId id = router.options().router();
+    boolean wasWanted = listeners.isWanted(id);
+    stopServing(id);
+    listeners.replace(router);
+    if (wasWanted) {
+      listeners.open(id);
     }
-    act(() -> mastership.reconfigure(told.terms(), peers, elsewhere(), clock.now()));
-    intake.reconfigure(peers, told.sealing() == null ? null : told.sealing().keys());
-    socket.peers(peers);
-    Set<VirtualRouterId> set = new HashSet<>(mastership.routers());
-    listeners.keySet().removeIf(r -> !set.contains(r));
-    Set<InetSocketAddress> served = new HashSet<>();
-    told.seats().forEach(s -> served.add(s.serve()));
-    routers.keySet().removeIf(a -> !served.contains(a));
   }
 
-  /** Resigns: a peer takes over within its skew. What is in hand here is finished. */
+  /** Resigns, so that a peer takes over within its skew time; requests in flight are finished. */
   void leave() {
-    act(() -> mastership.stop(TransitionReason.ENDED, clock.now()));
+    perform(() -> mastership.stop(TransitionReason.ENDED, clock.now()));
   }
 
+  /** Closes the socket and ends the binding thread. */
   void close() {
     socket.close();
-    listening.shutdownNow();
+    listeners.shutDown();
   }
 
-  // ---- what happens
+  // ---- events
 
-  private void came(byte[] bytes, InetAddress source) {
-    inbox.post(
+  /** Runs on the socket's thread. */
+  private void onDatagram(byte[] bytes, InetAddress source) {
+    eventLoop.post(
         null,
         () -> {
           socket.heard(bytes, source);
-          heard(bytes, source);
+          onAdvertisement(bytes, source);
         });
   }
 
-  private void heard(byte[] bytes, InetAddress source) {
-    if (broken) {
+  private void onAdvertisement(byte[] bytes, InetAddress source) {
+    if (hasFailed) {
       return;
     }
     Timestamp now = clock.now();
     AdvertisementFilter.Verdict verdict;
     try {
-      verdict = intake.evaluate(bytes, source, self, now);
+      verdict = filter.evaluate(bytes, source, self, now);
     } catch (RuntimeException e) {
-      fault(e);
+      fail(e);
       return;
     }
     if (verdict.rejection() != null) {
       counters.add(Count.MASTERSHIP_ADVERTS_REFUSED);
-      log.warn(
-          "an advert from {0} is refused: {1}",
+      rateLimitedLog.warn(
+          "advertisement from {0} rejected: {1}",
           Field.of("peer", Addresses.text(source)),
           Field.of("reason", verdict.rejection().explanation()),
           Field.event("mastership.advert_refused"));
       return;
     }
     counters.add(Count.MASTERSHIP_ADVERTS_TAKEN);
-    act(() -> mastership.onAdvertisement(source, verdict.advertisement(), now));
+    perform(() -> mastership.onAdvertisement(source, verdict.advertisement(), now));
   }
 
-  /** Steps back first, if a mastership may have passed while this process stood still. */
+  /** Steps back first, if a peer may have become active while this process did not run. */
   void look() {
-    if (!broken && mastership.isFenceOverdue(clock.now())) {
-      act(() -> mastership.fence(clock.now()));
+    if (!hasFailed && mastership.isFenceOverdue(clock.now())) {
+      perform(() -> mastership.fence(clock.now()));
     }
   }
 
-  private boolean maySend() {
-    return !mastership.isFenceOverdue(clock.now());
-  }
-
-  private void due() {
-    act(() -> mastership.onTimer(clock.now()));
+  private void onWakeTimer() {
+    perform(() -> mastership.onTimer(clock.now()));
   }
 
-  /** Looks at its own fitness, and at how many dispatchers carry traffic. */
-  private void beat() {
+  private void checkHealth() {
     Timestamp now = clock.now();
-    TimeSpan late = now.since(beat);
-    beat = now.plus(BEAT);
-    deadlines.set(beat, this::beat);
-    intake.countRejected(RejectionReason.UNKNOWN_SENDER, counted(socket.strangers()));
-    intake.countRejected(RejectionReason.TOO_MANY, counted(socket.tooMany()));
-    act(
+    TimeSpan timerDelay = now.since(nextHealthCheck);
+    nextHealthCheck = now.plus(HEALTH_CHECK_PERIOD);
+    timers.set(nextHealthCheck, this::checkHealth);
+    countRejected(RejectionReason.UNKNOWN_SENDER, socket.strangers());
+    countRejected(RejectionReason.TOO_MANY, socket.tooMany());
+    perform(
         () -> {
           int before = mastership.priorityReduction();
-          int steps = fitness.update(signs(late), now);
+          int steps = healthScore.update(healthSignals(timerDelay), now);
           if (steps != before) {
             LOG.log(
                 Level.WARNING,
-                "fitness: {0} steps of priority given up, for {1}",
+                "health score: priority reduced by {0} steps, for {1}",
                 Field.of("steps", steps),
-                Field.of("signs", fitness.countedSignals()),
+                Field.of("signs", healthScore.countedSignals()),
                 Field.event("mastership.fitness"));
           }
           return mastership.reducePriority(steps, now);
         });
   }
 
-  private long counted(long refused) {
-    counters.add(Count.MASTERSHIP_ADVERTS_REFUSED, refused);
-    return refused;
+  private void countRejected(RejectionReason reason, long count) {
+    counters.add(Count.MASTERSHIP_ADVERTS_REFUSED, count);
+    filter.countRejected(reason, count);
   }
 
-  private Map<HealthSignal, Double> signs(TimeSpan late) {
-    HealthReport seen = report.get();
-    Map<HealthSignal, Double> values = new EnumMap<>(HealthSignal.class);
-    values.put(HealthSignal.BUS_SILENT, seen.busSilent().us() / SECOND_US);
-    values.put(HealthSignal.NO_ENGINE, seen.engines() == 0 ? 1.0 : 0.0);
-    values.put(HealthSignal.ENGINES_FAILING, seen.failing());
-    values.put(HealthSignal.DESCRIPTORS, seen.descriptors());
-    values.put(HealthSignal.LATE, late.us() / SECOND_US);
-    double memory = memory();
-    if (memory >= 0) {
-      values.put(HealthSignal.MEMORY, memory);
-    }
-    return values;
+  private Map<HealthSignal, Double> healthSignals(TimeSpan timerDelay) {
+    HealthReport report = healthReport.get();
+    return HealthSignals.measure(
+        report.watchSilence(),
+        report.enginesInService(),
+        report.failingShare(),
+        report.descriptorShare(),
+        timerDelay);
   }
 
-  /** The heap's part in use after the last collection, or below zero before the first. */
-  private static double memory() {
-    long used = 0;
-    long most = 0;
-    for (MemoryPoolMXBean pool : ManagementFactory.getMemoryPoolMXBeans()) {
-      MemoryUsage left = pool.getType() == MemoryType.HEAP ? pool.getCollectionUsage() : null;
-      used += left == null ? 0 : left.getUsed();
-      most += left == null || left.getMax() < 0 ? 0 : left.getMax();
-    }
-    return most == 0 || used == 0 ? -1 : (double) used / most;
-  }
+  // ---- actions
 
-  // ---- what follows
-
-  /** Asks mastership, and does what it says; a fault of it ends mastership and nothing else. */
-  private void act(Supplier<List<MastershipAction>> asked) {
-    if (broken) {
+  /** Asks mastership for a decision and carries it out; a fault ends mastership. */
+  private void perform(Supplier<List<MastershipAction>> decision) {
+    if (hasFailed) {
       return;
     }
     try {
-      for (MastershipAction act : asked.get()) {
-        carryOut(act);
-      }
-      Timestamp now = clock.now();
-      double over = mastership.effectiveDispatcherCount(now);
-      if (Math.abs(over - sharedOver) > NOTABLE * sharedOver) {
-        sharedOver = over;
-        commands.sharedOver(over);
-      }
-      deadlines.cancel(wake);
-      wake = mastership.nextWake() == null ? null : deadlines.set(mastership.nextWake(), this::due);
+      decision.get().forEach(this::carryOut);
+      updateSharing();
+      timers.cancel(wakeTimer);
+      Timestamp wake = mastership.nextWake();
+      wakeTimer = wake == null ? null : timers.set(wake, this::onWakeTimer);
     } catch (RuntimeException e) {
-      fault(e);
+      fail(e);
     }
   }
 
-  private void carryOut(MastershipAction act) {
-    VirtualRouterId router = act.router();
-    if (act instanceof MastershipAction.Advertise advertise) {
-      advertise(router, advertise.priority());
-    } else if (act instanceof MastershipAction.Acquire take) {
-      counters.add(Count.MASTERSHIP_TAKEN);
-      LOG.log(
-          Level.INFO,
-          "active for virtual router {0}: {1}",
-          Field.of("virtualRouter", router),
-          Field.of("reason", take.reason().label()),
-          Field.event("mastership.taken"));
-      want(router);
-    } else if (act instanceof MastershipAction.Release leave) {
-      counters.add(Count.MASTERSHIP_LEFT);
-      if (leave.reason() == TransitionReason.FENCED) {
-        counters.add(Count.MASTERSHIP_FENCED);
-      }
-      LOG.log(
-          Level.WARNING,
-          "no longer active for virtual router {0}: {1}",
-          Field.of("virtualRouter", router),
-          Field.of("reason", leave.reason().label()),
-          Field.event("mastership.left"));
-      left(router);
+  private void updateSharing() {
+    double dispatchers = mastership.effectiveDispatcherCount(clock.now());
+    if (Math.abs(dispatchers - sharingDispatchers) > MIN_SHARING_CHANGE * sharingDispatchers) {
+      sharingDispatchers = dispatchers;
+      requests.sharedOver(dispatchers);
     }
   }
 
-  private void advertise(VirtualRouterId router, int priority) {
-    RouterOptions terms = mastership.options(router);
-    Advertisement advert =
-        new Advertisement(
-            router.value(),
-            priority,
-            (int) (terms.advertisementInterval().us() / US_PER_CENTISECOND),
-            terms.addresses());
-    sequence = Math.max(sequence + 1, clock.now().us());
-    for (InetSocketAddress peer : told.peers()) {
-      byte[] bytes = AdvertisementCodec.encode(advert, self, peer.getAddress(), told.covers());
-      if (told.sealing() != null) {
-        bytes =
-            AdvertisementAuthenticator.sign(
-                bytes,
-                self,
-                peer.getAddress(),
-                told.sealing().keys(),
-                told.sealing().writeKey(),
-                sequence);
-      }
-      try {
-        socket.send(bytes, peer);
-        counters.add(Count.MASTERSHIP_ADVERTS_SENT);
-      } catch (IOException e) {
-        counters.add(Count.MASTERSHIP_ADVERTS_UNSENT);
-        log.warn(
-            "no advert to {0}: {1}",
-            Field.of("peer", peer),
-            Field.of("reason", e.getMessage()),
-            Field.event("mastership.advert_unsent"));
-      }
+  private void carryOut(MastershipAction action) {
+    if (action instanceof MastershipAction.Advertise advertise) {
+      advertise(advertise);
+    } else if (action instanceof MastershipAction.Acquire acquire) {
+      acquire(acquire);
+    } else if (action instanceof MastershipAction.Release release) {
+      release(release);
     }
   }
 
-  /**
-   * Opens the listener of a router, and goes on trying where its address is still held by another.
-   */
-  private void want(VirtualRouterId router) {
-    Listener l = listeners.get(router);
-    l.wanted = true;
-    l.wantedSince = clock.now();
-    follow(router, l);
-  }
-
-  private void left(VirtualRouterId router) {
-    Listener l = listeners.get(router);
-    l.wanted = false;
-    follow(router, l);
-    clients.standDown(at -> l.serve.equals(at), true);
-    if (!mastership.isActive()) {
-      clients.standDown(at -> !routers.containsKey(at), false);
-    }
+  private void advertise(MastershipAction.Advertise advertise) {
+    sender.send(mastership.options(advertise.router()), advertise.priority(), settings);
   }
 
-  /** Brings a listener to where it is wanted, a step at a time. */
-  private void follow(VirtualRouterId router, Listener l) {
-    if (l.busy || l.wanted == l.open) {
-      return;
-    }
-    l.busy = true;
-    boolean opens = l.wanted;
-    listening.execute(
-        () -> {
-          IOException failed = null;
-          try {
-            if (opens) {
-              acceptor.bind(l.serve);
-            } else {
-              acceptor.unbind(l.serve);
-            }
-          } catch (IOException e) {
-            failed = e;
-          } catch (RuntimeException e) {
-            failed = new IOException(e);
-          }
-          IOException why = failed;
-          inbox.post(null, () -> followed(router, l, opens, why));
-        });
+  private void acquire(MastershipAction.Acquire acquire) {
+    counters.add(Count.MASTERSHIP_TAKEN);
+    LOG.log(
+        Level.INFO,
+        "active for virtual router {0}: {1}",
+        Field.of("virtualRouter", acquire.router()),
+        Field.of("reason", acquire.reason().label()),
+        Field.event("mastership.taken"));
+    listeners.open(acquire.router());
   }
 
-  private void followed(VirtualRouterId router, Listener l, boolean opens, IOException why) {
-    l.busy = false;
-    if (why == null || !opens) {
-      l.open = opens;
-      if (opens && l.wanted) {
-        mastership.onServing(router);
-        LOG.log(
-            Level.INFO,
-            "takes clients on {0}",
-            Field.of("address", l.serve),
-            Field.of("virtualRouter", router),
-            Field.event("mastership.serves"));
-      }
-      follow(router, l);
-      return;
-    }
-    counters.add(Count.MASTERSHIP_BINDS_FAILED);
-    log.warn(
-        "no clients on {0} yet: {1}",
-        Field.of("address", l.serve),
-        Field.of("reason", why.getMessage()),
-        Field.event("mastership.bind_failed"));
-    if (!l.wanted || listeners.get(router) != l) {
-      return;
+  private void release(MastershipAction.Release release) {
+    counters.add(Count.MASTERSHIP_LEFT);
+    if (release.reason() == TransitionReason.FENCED) {
+      counters.add(Count.MASTERSHIP_FENCED);
     }
-    TimeSpan interval = mastership.options(router).advertisementInterval();
-    if (clock.now().since(l.wantedSince).compareTo(interval.times(TRY_FOR)) > 0) {
-      act(() -> mastership.onUnableToServe(router, clock.now()));
-    } else {
-      deadlines.set(clock.now().plus(interval.times(TRY_AGAIN)), () -> follow(router, l));
+    LOG.log(
+        Level.WARNING,
+        "no longer active for virtual router {0}: {1}",
+        Field.of("virtualRouter", release.router()),
+        Field.of("reason", release.reason().label()),
+        Field.event("mastership.left"));
+    stopServing(release.router());
+  }
+
+  /** Closes a router's listener, and sheds what is queued from its clients and, in backup, ours. */
+  private void stopServing(VirtualRouterId router) {
+    InetSocketAddress address = listeners.addressOf(router);
+    listeners.close(router);
+    clients.standDown(address::equals, true);
+    if (!mastership.isActive()) {
+      clients.standDown(at -> !listeners.isVirtual(at), false);
     }
   }
 
-  /**
-   * Ends mastership for good, and takes nothing new at its addresses; what is in hand is finished.
-   */
-  private void fault(RuntimeException e) {
+  /** Ends mastership until the next start: resigns and closes the virtual routers' listeners. */
+  private void fail(RuntimeException cause) {
     counters.add(Count.FAULTS);
-    LOG.log(Level.ERROR, "a fault in mastership, which ends here until the next start", e);
+    LOG.log(Level.ERROR, "mastership failed and is off until the next start", cause);
     try {
-      mastership
-          .stop(TransitionReason.FAULT, clock.now())
-          .forEach(
-              a -> {
-                if (a instanceof MastershipAction.Advertise resigns) {
-                  advertise(resigns.router(), resigns.priority());
-                }
-              });
-    } catch (RuntimeException again) {
-      LOG.log(Level.ERROR, "nor could it resign", again);
+      for (MastershipAction action : mastership.stop(TransitionReason.FAULT, clock.now())) {
+        if (action instanceof MastershipAction.Advertise resignation) {
+          advertise(resignation);
+        }
+      }
+    } catch (RuntimeException e) {
+      LOG.log(Level.ERROR, "resigning after the failure of mastership failed too", e);
     }
-    broken = true;
-    deadlines.cancel(wake);
-    listeners.forEach(
-        (router, l) -> {
-          l.wanted = false;
-          follow(router, l);
-        });
-    clients.standDown(routers::containsKey, true);
-    clients.standDown(at -> !routers.containsKey(at), false);
+    hasFailed = true;
+    timers.cancel(wakeTimer);
+    listeners.closeAll();
+    clients.standDown(listeners::isVirtual, true);
+    clients.standDown(at -> !listeners.isVirtual(at), false);
   }
 
-  // ---- what is asked
+  // ---- callbacks of the listeners
 
   @Override
-  public boolean admits(SocketAddress at) {
-    Timestamp now = clock.now();
-    if (broken) {
+  public TimeSpan advertisementInterval(VirtualRouterId router) {
+    return mastership.options(router).advertisementInterval();
+  }
+
+  @Override
+  public void onServing(VirtualRouterId router) {
+    mastership.onServing(router);
+  }
+
+  @Override
+  public void onUnableToServe(VirtualRouterId router) {
+    perform(() -> mastership.onUnableToServe(router, clock.now()));
+  }
+
+  // ---- admission of clients
+
+  @Override
+  public boolean admits(SocketAddress address) {
+    if (hasFailed) {
       return false;
     }
-    VirtualRouterId router = routers.get(at);
+    Timestamp now = clock.now();
+    VirtualRouterId router = listeners.routerAt(address);
     return router != null
         ? mastership.canAdmit(router, now)
         : mastership.isActive() && !mastership.isFenceOverdue(now);
   }
 
   @Override
-  public boolean stays(SocketAddress at) {
-    return !routers.containsKey(at) || admits(at);
+  public boolean stays(SocketAddress address) {
+    return !listeners.isVirtual(address) || admits(address);
   }
 
-  /** After a down interval another has taken over. */
+  /** An active down interval, after which another dispatcher has taken over. */
   @Override
-  public TimeSpan comeBack(SocketAddress at) {
-    VirtualRouterId router = routers.getOrDefault(at, mastership.routers().get(0));
-    return mastership.options(router).advertisementInterval().times(TRY_FOR);
-  }
-
-  /** SHOW cobaltseam.mastership. */
-  private List<String[]> rows() {
-    Timestamp now = clock.now();
-    List<String[]> rows = new ArrayList<>();
-    rows.add(new String[] {"mastership", broken ? "ended by a fault" : "on"});
-    rows.add(
-        new String[] {
-          "engines_shared_over", String.format(java.util.Locale.ROOT, "%.2f", sharedOver)
-        });
-    rows.add(
-        new String[] {
-          "fitness_steps",
-          mastership.priorityReduction()
-              + " "
-              + fitness.countedSignals().stream().map(HealthSignal::label).toList()
-        });
-    for (VirtualRouterId router : mastership.routers()) {
-      RouterState s = mastership.state(router);
-      String name = "router_" + router + "_";
-      rows.add(
-          new String[] {
-            name + "state",
-            s == null
-                ? "initialize"
-                : s.role() == Role.ACTIVE
-                    ? "active"
-                    : s.role().name().toLowerCase(java.util.Locale.ROOT)
-          });
-      if (s != null) {
-        rows.add(new String[] {name + "since_ms", Long.toString(now.since(s.since()).us() / 1000)});
-        rows.add(new String[] {name + "reason", s.reason().label()});
-        rows.add(
-            new String[] {
-              name + "priority", s.priority() + " of " + mastership.options(router).priority()
-            });
-      }
-      rows.add(
-          new String[] {
-            name + "serves",
-            listeners.get(router).serve + (listeners.get(router).open ? " open" : " closed")
-          });
-      mastership
-          .claims(router)
-          .forEach(
-              (peer, claim) ->
-                  rows.add(
-                      new String[] {
-                        name + "peer_" + Addresses.text(peer),
-                        "priority "
-                            + claim.priority()
-                            + ", "
-                            + now.since(claim.receivedAt()).us() / 1000
-                            + " ms ago"
-                      }));
-    }
-    rows.add(new String[] {"adverts_taken", Long.toString(intake.acceptedCount())});
-    for (ChecksumCoverage what : ChecksumCoverage.values()) {
-      rows.add(
-          new String[] {
-            "adverts_covering_" + what.name().toLowerCase(java.util.Locale.ROOT),
-            Long.toString(intake.acceptedCountWith(what))
-          });
-    }
-    for (RejectionReason why : RejectionReason.values()) {
-      if (intake.rejectedCount(why) > 0) {
-        rows.add(
-            new String[] {
-              "adverts_refused_" + why.label(), Long.toString(intake.rejectedCount(why))
-            });
-      }
-    }
-    return rows;
+  public TimeSpan comeBack(SocketAddress address) {
+    VirtualRouterId router = listeners.routerAt(address);
+    return advertisementInterval(router != null ? router : mastership.routers().get(0))
+        .times(TAKEOVER_INTERVALS);
   }
 }
--- a/src/main/java/cobaltseam/settings/Settings.java
+++ b/src/main/java/cobaltseam/settings/Settings.java
@@ -23,19 +23,19 @@
   /** Without a file: everything is off. */
   public static final Settings OFF = new Settings(false, null, null, null, null, null);
 
-  private static final TimeSpan SHARING_ROUND = new TimeSpan(1_000_000);
-  private static final int SHARING_ASKED = 3;
-  private static final int SHARING_ROUNDS = 10;
+  private static final TimeSpan DEFAULT_GOSSIP_PERIOD = new TimeSpan(1_000_000);
+  private static final int GOSSIP_PEERS_PER_ROUND = 3;
+  private static final int GOSSIP_EXPIRY_ROUNDS = 10;
 
   /** How members tell each other their figures. */
-  public cobaltseam.sharing.GossipOptions sharing(int mostBytes, double clocks) {
-    TimeSpan round = spread != null ? spread.round() : SHARING_ROUND;
+  public cobaltseam.sharing.GossipOptions sharing(int maxBytes, double maxClockDrift) {
+    TimeSpan round = spread != null ? spread.round() : DEFAULT_GOSSIP_PERIOD;
     return new cobaltseam.sharing.GossipOptions(
         round,
-        SHARING_ASKED,
-        spread != null ? spread.end() : round.times(SHARING_ROUNDS),
-        mostBytes,
-        clocks);
+        GOSSIP_PEERS_PER_ROUND,
+        spread != null ? spread.end() : round.times(GOSSIP_EXPIRY_ROUNDS),
+        maxBytes,
+        maxClockDrift);
   }
 
   /**
@@ -45,24 +45,24 @@
   public record VirtualAddressSettings(
       InetSocketAddress listen,
       List<InetSocketAddress> peers,
-      ChecksumCoverage covers,
-      boolean followsIntervals,
-      int elsewhere,
-      boolean standByAnswers,
-      List<RouterSettings> seats,
-      AuthenticationSettings sealing,
-      HealthScore.HealthScoreOptions fitness) {
+      ChecksumCoverage coverage,
+      boolean acceptsOtherIntervals,
+      int dispatchersElsewhere,
+      boolean answersAsBackup,
+      List<RouterSettings> routers,
+      AuthenticationSettings authentication,
+      HealthScore.HealthScoreOptions healthScore) {
     public Set<InetAddress> peerAddresses() {
       return peers.stream().map(InetSocketAddress::getAddress).collect(Collectors.toSet());
     }
 
-    public List<RouterOptions> terms() {
-      return seats.stream().map(RouterSettings::terms).toList();
+    public List<RouterOptions> routerOptions() {
+      return routers.stream().map(RouterSettings::options).toList();
     }
   }
 
   /** One virtual router, and where clients are taken in while it is active. */
-  public record RouterSettings(RouterOptions terms, InetSocketAddress serve) {}
+  public record RouterSettings(RouterOptions options, InetSocketAddress serviceAddress) {}
 
   /**
    * The fleet that this dispatcher is a member of.
@@ -119,25 +119,25 @@
       TimeSpan end,
       TimeSpan news,
       boolean audit) {
-    private static final long WHOLE = 1_000_000_000L;
-    private static final int LOANS = 16;
+    private static final long TOTAL_UNITS = 1_000_000_000L;
+    private static final int MAX_LEASES = 16;
 
     /** Rounds after which what an engine told is nothing. */
-    private static final int NEWS_ROUNDS = 30;
+    private static final int LOAD_REPORT_EXPIRY_PERIODS = 30;
 
     /** In how many parts the engines are divided. */
     public long whole() {
-      return WHOLE;
+      return TOTAL_UNITS;
     }
 
     public cobaltseam.capacity.CapacityOptions terms(int processes) {
       return new cobaltseam.capacity.CapacityOptions(
-          WHOLE, alone, processes, floor, lease.times(0.25), LOANS);
+          TOTAL_UNITS, alone, processes, floor, lease.times(0.25), MAX_LEASES);
     }
 
-    public cobaltseam.capacity.LoadReports.LoadReportOptions reports(double clocks) {
+    public cobaltseam.capacity.LoadReports.LoadReportOptions reports(double maxClockDrift) {
       return new cobaltseam.capacity.LoadReports.LoadReportOptions(
-          news, 1, news.times(NEWS_ROUNDS), clocks);
+          news, 1, news.times(LOAD_REPORT_EXPIRY_PERIODS), maxClockDrift);
     }
   }
 
@@ -150,8 +150,9 @@
    * @param round between two looks at whom to ask for more
    */
   public record RetryBudgetSettings(double ratio, double alone, TimeSpan window, TimeSpan round) {
-    public cobaltseam.retrybudget.RetryBudgetOptions terms(double clocks) {
-      return new cobaltseam.retrybudget.RetryBudgetOptions(ratio, alone, window, round, clocks);
+    public cobaltseam.retrybudget.RetryBudgetOptions terms(double maxClockDrift) {
+      return new cobaltseam.retrybudget.RetryBudgetOptions(
+          ratio, alone, window, round, maxClockDrift);
     }
   }
 
--- a/src/main/java/cobaltseam/settings/SettingsReader.java
+++ b/src/main/java/cobaltseam/settings/SettingsReader.java
@@ -230,10 +230,10 @@
       String key = "mastership.router[" + i + "]";
       Settings.RouterSettings seat = seat(key, router, listen);
       seats.add(seat);
-      if (!ids.add(seat.terms().router())) {
+      if (!ids.add(seat.options().router())) {
         wrong(key + ".id", router.path("id"), "each virtual router id may be used once.");
       }
-      if (seat.serve() != null && !served.add(seat.serve())) {
+      if (seat.serviceAddress() != null && !served.add(seat.serviceAddress())) {
         wrong(
             key + ".serve",
             router.path("serve"),
@@ -407,7 +407,7 @@
     String name = told.path("keys").asText();
     try {
       KeyRing keys = KeyRing.read(Files.readString(beside(name)));
-      if (!keys.has(told.path("write_key").asInt())) {
+      if (!keys.contains(told.path("write_key").asInt())) {
         wrong(
             part + ".seal.write_key",
             told.path("write_key"),
--- a/src/main/java/cobaltseam/store/AtomicFile.java
+++ b/src/main/java/cobaltseam/store/AtomicFile.java
@@ -24,12 +24,12 @@
  */
 public final class AtomicFile implements AutoCloseable {
   private static final int MAGIC = 0x43535746;
-  private static final int HEAD = 16;
+  private static final int HEADER_BYTES = 16;
 
   /** A longer value is neither written nor read. */
-  public static final int LARGEST = 1 << 24;
+  public static final int MAX_VALUE_BYTES = 1 << 24;
 
-  private static final String LOCK = "lock";
+  private static final String LOCK_FILE_NAME = "lock";
 
   /** What a folder held. */
   public enum ReadStatus {
@@ -66,7 +66,8 @@
   public static AtomicFile open(Path folder, String name, int format) throws IOException {
     Files.createDirectories(folder);
     FileChannel channel =
-        FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel.open(
+            folder.resolve(LOCK_FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     FileLock lock;
     try {
       lock = channel.tryLock();
@@ -82,86 +83,91 @@
 
   /** What is there. */
   public Reading read() throws IOException {
-    Files.deleteIfExists(aside());
+    Files.deleteIfExists(temporaryFile());
     if (!Files.exists(file)) {
       return new Reading(ReadStatus.NOTHING, null);
     }
-    Reading reading =
-        Files.size(file) > LARGEST + HEAD
+    Reading result =
+        Files.size(file) > MAX_VALUE_BYTES + HEADER_BYTES
             ? new Reading(ReadStatus.BROKEN, null)
-            : parse(Files.readAllBytes(file), format);
-    if (reading.found == ReadStatus.BROKEN) {
+            : decode(Files.readAllBytes(file), format);
+    if (result.found == ReadStatus.BROKEN) {
       Files.move(
           file,
           folder.resolve(file.getFileName() + ".broken"),
           StandardCopyOption.REPLACE_EXISTING);
     }
-    return reading;
+    return result;
   }
 
   /** The same of the bytes of a file. */
-  public static Reading parse(byte[] bytes, int format) {
+  public static Reading decode(byte[] bytes, int format) {
     ByteBuffer in = ByteBuffer.wrap(bytes);
-    if (bytes.length < HEAD || in.getInt() != MAGIC) {
+    if (bytes.length < HEADER_BYTES || in.getInt() != MAGIC) {
       return new Reading(ReadStatus.BROKEN, null);
     }
-    int of = in.getInt();
+    int storedFormat = in.getInt();
     int length = in.getInt();
-    int sum = in.getInt();
+    int storedChecksum = in.getInt();
     if (length != in.remaining()) {
       return new Reading(ReadStatus.BROKEN, null);
     }
     byte[] value = new byte[length];
     in.get(value);
-    if (sum != sum(of, value)) {
+    if (storedChecksum != checksum(storedFormat, value)) {
       return new Reading(ReadStatus.BROKEN, null);
     }
-    return of > format ? new Reading(ReadStatus.LATER, null) : new Reading(ReadStatus.VALUE, value);
+    return storedFormat > format
+        ? new Reading(ReadStatus.LATER, null)
+        : new Reading(ReadStatus.VALUE, value);
   }
 
-  private static int sum(int format, byte[] value) {
-    CRC32C sum = new CRC32C();
-    sum.update(ByteBuffer.allocate(8).putInt(format).putInt(value.length).flip());
-    sum.update(value);
-    return (int) sum.getValue();
+  private static int checksum(int format, byte[] value) {
+    CRC32C crc = new CRC32C();
+    crc.update(ByteBuffer.allocate(8).putInt(format).putInt(value.length).flip());
+    crc.update(value);
+    return (int) crc.getValue();
   }
 
-  private Path aside() {
+  private Path temporaryFile() {
     return folder.resolve(file.getFileName() + ".new");
   }
 
   /** Returns once the value is on disk, in place of the one before. */
   public void write(byte[] value) throws IOException {
-    if (value.length > LARGEST) {
-      throw new IOException(value.length + " bytes are more than " + LARGEST);
+    if (value.length > MAX_VALUE_BYTES) {
+      throw new IOException(value.length + " bytes are more than " + MAX_VALUE_BYTES);
     }
-    ByteBuffer whole =
-        ByteBuffer.allocate(HEAD + value.length)
+    ByteBuffer buffer =
+        ByteBuffer.allocate(HEADER_BYTES + value.length)
             .putInt(MAGIC)
             .putInt(format)
             .putInt(value.length)
-            .putInt(sum(format, value))
+            .putInt(checksum(format, value))
             .put(value)
             .flip();
     try (FileChannel out =
         FileChannel.open(
-            aside(),
+            temporaryFile(),
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-      while (whole.hasRemaining()) {
-        out.write(whole);
+      while (buffer.hasRemaining()) {
+        out.write(buffer);
       }
       out.force(true);
     }
     try {
       Files.move(
-          aside(), file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+          temporaryFile(),
+          file,
+          StandardCopyOption.ATOMIC_MOVE,
+          StandardCopyOption.REPLACE_EXISTING);
     } catch (AtomicMoveNotSupportedException e) {
       throw new IOException("this file system can't rename in one step: " + e.getMessage(), e);
     }
-    try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-      names.force(true);
+    try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+      directory.force(true);
     }
   }
 
--- a/src/main/java/cobaltseam/store/BackgroundWriter.java
+++ b/src/main/java/cobaltseam/store/BackgroundWriter.java
@@ -18,55 +18,56 @@
 
   /** What can't be written, in words. */
   public interface FailureListener {
-    void failed(String why);
+    void onFailure(String reason);
   }
 
   private final AtomicFile file;
-  private final LongConsumer written;
-  private final FailureListener failed;
-  private final AtomicReference<PendingWrite> newest = new AtomicReference<>();
-  private final ExecutorService thread;
+  private final LongConsumer onWritten;
+  private final FailureListener failureListener;
+  private final AtomicReference<PendingWrite> pending = new AtomicReference<>();
+  private final ExecutorService executor;
 
   /**
    * Both are called on the writer's thread: with the number of what was written, or with why it
    * could not be.
    */
-  public BackgroundWriter(AtomicFile file, LongConsumer written, FailureListener failed) {
+  public BackgroundWriter(
+      AtomicFile file, LongConsumer onWritten, FailureListener failureListener) {
     this.file = file;
-    this.written = written;
-    this.failed = failed;
+    this.onWritten = onWritten;
+    this.failureListener = failureListener;
     // One runs and one waits: a third would find what the second is to write.
-    thread =
+    executor =
         new ThreadPoolExecutor(
             1,
             1,
             0,
             TimeUnit.SECONDS,
             new ArrayBlockingQueue<>(1),
-            r -> {
-              Thread t = new Thread(r, "store");
-              t.setDaemon(true);
-              return t;
+            task -> {
+              Thread thread = new Thread(task, "store");
+              thread.setDaemon(true);
+              return thread;
             },
             new ThreadPoolExecutor.DiscardPolicy());
   }
 
   /** The value is asked for on the writer's thread. */
   public void give(long number, Supplier<byte[]> value) {
-    newest.set(new PendingWrite(number, value));
-    thread.execute(this::write);
+    pending.set(new PendingWrite(number, value));
+    executor.execute(this::write);
   }
 
   private void write() {
-    PendingWrite given = newest.getAndSet(null);
-    if (given == null) {
+    PendingWrite write = pending.getAndSet(null);
+    if (write == null) {
       return;
     }
     try {
-      file.write(given.value.get());
-      written.accept(given.number);
+      file.write(write.value.get());
+      onWritten.accept(write.number);
     } catch (java.io.IOException | RuntimeException e) {
-      failed.failed(String.valueOf(e.getMessage()));
+      failureListener.onFailure(String.valueOf(e.getMessage()));
     }
   }
 
@@ -76,13 +77,13 @@
    */
   @Override
   public void close() {
-    thread.shutdown();
+    executor.shutdown();
     try {
-      thread.awaitTermination(1, TimeUnit.SECONDS);
+      executor.awaitTermination(1, TimeUnit.SECONDS);
       file.close();
     } catch (java.io.IOException e) {
       // The lock ends with the process all the same.
-      failed.failed("closing: " + e.getMessage());
+      failureListener.onFailure("closing: " + e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/cobaltseam/vrrp/Addresses.java
+++ b/src/main/java/cobaltseam/vrrp/Addresses.java
@@ -6,14 +6,18 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** IP addresses as text and bytes; no name is ever looked up. */
+/** Converts IP addresses from and to text and bytes, without any name lookup. */
 public final class Addresses {
   private static final int IPV6_GROUPS = 8;
   private static final int MAX_TEXT_LENGTH = 45;
 
   private Addresses() {}
 
-  /** The address that a text writes out, IPv4 in four decimal parts or IPv6 without a zone. */
+  /**
+   * Parses an IPv4 address in four decimal parts or an IPv6 address without a zone.
+   *
+   * @return the address, or nothing if the text is not one
+   */
   public static Optional<InetAddress> read(String text) {
     if (text == null || text.isEmpty() || text.length() > MAX_TEXT_LENGTH) {
       return Optional.empty();
@@ -34,7 +38,7 @@
       return Optional.empty();
     }
     try {
-      // A text with a colon is never looked up, only parsed.
+      // The JDK only parses a text with a colon, it never looks it up.
       InetAddress parsed = InetAddress.getByName(text);
       return Optional.of(
           parsed instanceof Inet6Address ? fromBytes(parsed.getAddress()) : toIpv4Mapped(parsed));
@@ -43,7 +47,7 @@
     }
   }
 
-  /** ::ffff:a.b.c.d, which the platform's parser takes for IPv4. */
+  /** The IPv6 address ::ffff:a.b.c.d, which the JDK's parser returns as IPv4. */
   private static InetAddress toIpv4Mapped(InetAddress v4) {
     byte[] bytes = new byte[16];
     bytes[10] = (byte) 0xff;
@@ -52,7 +56,7 @@
     return fromBytes(bytes);
   }
 
-  /** An address from its 4 or 16 bytes; 16 bytes always make an IPv6 one. */
+  /** The address of 4 or 16 bytes; 16 bytes are always an IPv6 address. */
   static InetAddress fromBytes(byte[] bytes) {
     try {
       return bytes.length == 4
@@ -63,7 +67,7 @@
     }
   }
 
-  /** The text of an address: for IPv6 the short form of RFC 5952. */
+  /** Formats an address; IPv6 in the canonical form of RFC 5952. */
   public static String text(InetAddress address) {
     byte[] bytes = address.getAddress();
     if (bytes.length == 4) {
@@ -98,7 +102,7 @@
     return text.toString();
   }
 
-  /** The order of addresses as unsigned numbers in network byte order. */
+  /** Compares addresses as unsigned numbers in network byte order. */
   public static int compare(InetAddress one, InetAddress other) {
     return Arrays.compareUnsigned(one.getAddress(), other.getAddress());
   }
--- a/src/main/java/cobaltseam/vrrp/Advertisement.java
+++ b/src/main/java/cobaltseam/vrrp/Advertisement.java
@@ -5,9 +5,12 @@
 import java.util.List;
 
 /**
- * One advertisement of VRRP version 3: who speaks for a virtual router, how strongly (0 resigns,
- * 255 owns the addresses), how often at the longest in centiseconds (1 to 4095), and for which
- * addresses (1 to 255, of one family).
+ * One advertisement of VRRP version 3.
+ *
+ * @param virtualRouterId the VRID, 1 to 255
+ * @param priority 0 to 255; 0 resigns, 255 owns the addresses
+ * @param maxAdvertiseIntervalCentiseconds 1 to 4095
+ * @param addresses 1 to 255 virtual addresses of one family
  */
 public record Advertisement(
     int virtualRouterId,
@@ -49,6 +52,7 @@
     }
   }
 
+  /** Whether its addresses are IPv6. */
   public boolean isIpv6() {
     return addresses.get(0) instanceof Inet6Address;
   }
--- a/src/main/java/cobaltseam/vrrp/AdvertisementAuthenticator.java
+++ b/src/main/java/cobaltseam/vrrp/AdvertisementAuthenticator.java
@@ -6,13 +6,18 @@
 import java.util.Optional;
 
 /**
- * Seals behind advertisements: they cover both addresses of the datagram. A decoder that knows only
- * the RFC may refuse them.
+ * Signs and verifies advertisements by a trailer behind them, which also covers both addresses of
+ * the datagram. A router that implements only the RFC may reject advertisements with a trailer.
  */
 public final class AdvertisementAuthenticator {
   private AdvertisementAuthenticator() {}
 
-  /** An advertisement with its seal behind it. */
+  /**
+   * Returns the advertisement followed by its authentication trailer.
+   *
+   * @param keyId the id of a key in the key ring
+   * @param sequence must rise with each advertisement of a sender
+   */
   public static byte[] sign(
       byte[] advertisement,
       InetAddress source,
@@ -24,7 +29,7 @@
         advertisement, concatenate(source, destination), keys, keyId, sequence);
   }
 
-  /** Why the seal behind an advertisement of this length does not hold, or nothing if it does. */
+  /** Why the trailer behind an advertisement of this length is not valid, or nothing if it is. */
   public static Optional<RejectionReason> verify(
       byte[] bytes, int length, InetAddress source, InetAddress destination, KeyRing keys) {
     return MessageAuthenticator.verify(bytes, length, concatenate(source, destination), keys)
--- a/src/main/java/cobaltseam/vrrp/AdvertisementCodec.java
+++ b/src/main/java/cobaltseam/vrrp/AdvertisementCodec.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /**
- * Advertisements as bytes, by RFC 9568: version and type, virtual router id, priority, number of
- * addresses, interval in 12 bits, checksum, addresses. For IPv6 the checksum covers a pseudo-header
- * of the datagram's addresses, its length and protocol 112 as well. For IPv4 RFC 9568 leaves that
- * out where RFC 5798 could be read, and was, to take it in; both are read, and either can be
- * written.
+ * Encodes and decodes advertisements by RFC 9568: version and type, virtual router id, priority,
+ * number of addresses, interval in 12 bits, checksum, addresses. For IPv6 the checksum also covers
+ * a pseudo-header of the datagram's addresses, its length and protocol 112. For IPv4 RFC 9568
+ * leaves the pseudo-header out, but RFC 5798 was also implemented with it: both forms are decoded,
+ * and either can be encoded.
  */
 public final class AdvertisementCodec {
   static final int HEADER_BYTES = 8;
@@ -25,7 +25,12 @@
 
   private AdvertisementCodec() {}
 
-  /** The bytes of an advertisement between two addresses of its family. */
+  /**
+   * Encodes an advertisement for a datagram between two addresses.
+   *
+   * @param covers what the checksum covers for IPv4; IPv6 always includes the pseudo-header
+   * @throws IllegalArgumentException if the addresses are not of the advertisement's family
+   */
   public static byte[] encode(
       Advertisement advertisement,
       InetAddress source,
@@ -54,10 +59,7 @@
     return bytes;
   }
 
-  /**
-   * Reads a datagram as it came between two addresses; whatever its bytes are, it says what they
-   * are.
-   */
+  /** Decodes the payload of a datagram; any bytes give a result and no exception. */
   public static DecodeResult decode(byte[] bytes, InetAddress source, InetAddress destination) {
     if (bytes.length < HEADER_BYTES) {
       return new DecodeResult.Rejected(RejectionReason.TOO_SHORT);
@@ -112,10 +114,7 @@
         hasTrailer);
   }
 
-  /**
-   * Both addresses, the length in 32 bits, and the protocol: in words, for either family the same
-   * sum.
-   */
+  /** The sum of both addresses, the length and the protocol, as 16-bit words. */
   private static long sumOfPseudoHeader(InetAddress source, InetAddress destination, int length) {
     byte[] from = source.getAddress();
     byte[] to = destination.getAddress();
--- a/src/main/java/cobaltseam/vrrp/DecodeResult.java
+++ b/src/main/java/cobaltseam/vrrp/DecodeResult.java
@@ -1,21 +1,23 @@
 package cobaltseam.vrrp;
 
-/** What a datagram turned out to be. */
+/** The result of decoding a datagram. */
 public sealed interface DecodeResult {
-  /** What its checksum was found to cover. */
+  /** What the checksum of an advertisement covers. */
   enum ChecksumCoverage {
     MESSAGE,
     PSEUDO_HEADER
   }
 
   /**
-   * A whole advertisement; {@code length} bytes are its own, and a seal follows where there are
-   * more.
+   * A valid advertisement.
+   *
+   * @param length the bytes of the advertisement itself
+   * @param hasTrailer whether an authentication trailer follows, which is not verified yet
    */
   record Decoded(
       Advertisement advertisement, ChecksumCoverage coverage, int length, boolean hasTrailer)
       implements DecodeResult {}
 
-  /** Not one, and why. */
+  /** Not a valid advertisement. */
   record Rejected(RejectionReason reason) implements DecodeResult {}
 }
--- a/src/main/java/cobaltseam/vrrp/RejectionReason.java
+++ b/src/main/java/cobaltseam/vrrp/RejectionReason.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Why a datagram is not taken for an advertisement that counts. */
+/** Why a datagram is not accepted as an advertisement. */
 public enum RejectionReason {
   TOO_SHORT("it is shorter than a header of 8 bytes"),
   VERSION("its version is not 3"),
@@ -37,7 +37,7 @@
     return explanation;
   }
 
-  /** Its name in counters and log events. */
+  /** The name in counters, SHOW rows and log events. */
   public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/src/test/java/cobaltseam/cli/CobaltseamTest.java
+++ b/src/test/java/cobaltseam/cli/CobaltseamCommandTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The command line: what it prints where, and its exit codes. */
-class CobaltseamTest {
+class CobaltseamCommandTest {
   private static final String HEX = "3133640100640 5ccc000020a".replace(" ", "");
 
   private record Ran(int code, String out, String err) {}
--- a/src/test/java/cobaltseam/postgres/PostgresTest.java
+++ b/src/test/java/cobaltseam/postgres/PostgresTest.java
@@ -90,7 +90,7 @@
         List.of("Startup", "Malformed"),
         told(
             new ClientParser(),
-            started.put((byte) 'Q').putInt(ClientParser.LONGEST_MESSAGE + 1).flip()));
+            started.put((byte) 'Q').putInt(ClientParser.MAX_MESSAGE_BYTES + 1).flip()));
     ByteBuffer unended = ByteBuffer.allocate(64).putInt(8).putInt(3 << 16);
     assertEquals(
         List.of("Startup", "Malformed"),
--- a/src/test/java/cobaltseam/resp/RespTest.java
+++ b/src/test/java/cobaltseam/resp/RespTest.java
@@ -89,17 +89,17 @@
 
   @Test
   void anAnswerIsAskedForItsFields() {
-    EngineAnswer a =
+    EngineAnswer array =
         EngineAnswer.of(
             List.of(
                 bytes("i"),
                 bytes("200"),
                 bytes("pages=3,rep=pending:0;busy_reqs:6.482,why=x"),
                 bytes("a\tb\n")));
-    assertEquals("i 200 3", a.id() + " " + a.word() + " " + a.whole("pages"));
-    assertEquals(6.482, a.reported(DeploymentReader.IN_HAND_REPORT));
-    assertEquals(0, a.reported(DeploymentReader.QUEUE_REPORT));
-    assertEquals(-1, a.reported("util"));
+    assertEquals("i 200 3", array.id() + " " + array.word() + " " + array.whole("pages"));
+    assertEquals(6.482, array.reported(DeploymentReader.IN_HAND_REPORT));
+    assertEquals(0, array.reported(DeploymentReader.QUEUE_REPORT));
+    assertEquals(-1, array.reported("util"));
     EngineAnswer none = EngineAnswer.of(List.of(bytes("i"), bytes("200"), bytes("-"), bytes("")));
     assertEquals(-1, none.reported(DeploymentReader.IN_HAND_REPORT));
     assertEquals(-1, none.whole("pages"));
--- a/src/test/java/cobaltseam/service/HallTest.java
+++ b/src/test/java/cobaltseam/service/VirtualAddressServiceTest.java
@@ -47,7 +47,7 @@
 /**
  * Two dispatchers of a hall as real processes, with the adverts between them lost, cut and forged.
  */
-class HallTest {
+class VirtualAddressServiceTest {
   private static final long SOON_MS = 30_000;
 
   @TempDir Path folder;
--- a/src/test/java/cobaltseam/settings/SetupReaderTest.java
+++ b/src/test/java/cobaltseam/settings/SettingsReaderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Our own file: what it sets, and everything that can be wrong with it. */
-class SetupReaderTest {
+class SettingsReaderTest {
   private static final String WHOLE =
       """
             [logging]
@@ -107,15 +107,17 @@
   void aWholeFileIsRead() throws IOException {
     Settings setup = SettingsReader.read(write(WHOLE));
     assertTrue(setup.jsonLog());
-    assertEquals(ChecksumCoverage.PSEUDO_HEADER, setup.hall().covers());
-    assertEquals(150, setup.hall().terms().get(0).priority());
-    assertEquals(new TimeSpan(250_000), setup.hall().terms().get(0).advertisementInterval());
-    assertTrue(setup.hall().terms().get(0).preempts());
-    assertEquals(2, setup.hall().sealing().writeKey());
-    assertEquals(-1, setup.hall().elsewhere());
-    assertEquals(40, setup.hall().fitness().bounds().get(HealthSignal.LATE).prioritySteps());
-    assertNull(setup.hall().fitness().bounds().get(HealthSignal.MEMORY));
-    assertEquals(100, setup.hall().fitness().bounds().get(HealthSignal.NO_ENGINE).prioritySteps());
+    assertEquals(ChecksumCoverage.PSEUDO_HEADER, setup.hall().coverage());
+    assertEquals(150, setup.hall().routerOptions().get(0).priority());
+    assertEquals(
+        new TimeSpan(250_000), setup.hall().routerOptions().get(0).advertisementInterval());
+    assertTrue(setup.hall().routerOptions().get(0).preempts());
+    assertEquals(2, setup.hall().authentication().writeKey());
+    assertEquals(-1, setup.hall().dispatchersElsewhere());
+    assertEquals(40, setup.hall().healthScore().bounds().get(HealthSignal.LATE).prioritySteps());
+    assertNull(setup.hall().healthScore().bounds().get(HealthSignal.MEMORY));
+    assertEquals(
+        100, setup.hall().healthScore().bounds().get(HealthSignal.NO_ENGINE).prioritySteps());
   }
 
   @Test
--- a/src/test/java/cobaltseam/store/WholeFileTest.java
+++ b/src/test/java/cobaltseam/store/AtomicFileTest.java
@@ -24,7 +24,7 @@
 /**
  * What is on disk is the old or the new value whole, whatever ends the process or spoils the bytes.
  */
-class WholeFileTest {
+class AtomicFileTest {
   private static final byte[] OLD = {1, 2, 3};
 
   @TempDir Path folder;
@@ -40,12 +40,12 @@
     for (int i = 0; i < whole.length; i++) {
       byte[] spoiled = whole.clone();
       spoiled[i] ^= 0x10;
-      assertEquals(ReadStatus.BROKEN, AtomicFile.parse(spoiled, 1).found(), "byte " + i);
+      assertEquals(ReadStatus.BROKEN, AtomicFile.decode(spoiled, 1).found(), "byte " + i);
       assertEquals(
-          ReadStatus.BROKEN, AtomicFile.parse(Arrays.copyOf(whole, i), 1).found(), "cut to " + i);
+          ReadStatus.BROKEN, AtomicFile.decode(Arrays.copyOf(whole, i), 1).found(), "cut to " + i);
     }
     assertEquals(
-        ReadStatus.BROKEN, AtomicFile.parse(Arrays.copyOf(whole, whole.length + 1), 1).found());
+        ReadStatus.BROKEN, AtomicFile.decode(Arrays.copyOf(whole, whole.length + 1), 1).found());
   }
 
   @Test
@@ -104,13 +104,13 @@
       }
       assertTrue(last.await(60, TimeUnit.SECONDS));
       assertEquals(500, ByteBuffer.wrap(file.read().value()).getLong());
-      writer.give(501, () -> new byte[AtomicFile.LARGEST + 1]);
+      writer.give(501, () -> new byte[AtomicFile.MAX_VALUE_BYTES + 1]);
       assertTrue(failed.await(60, TimeUnit.SECONDS));
     }
   }
 
   /** Writes ever higher numbers, and says each once it is written. */
-  public static final class Writes {
+  public static final class WriterProcess {
     public static void main(String[] args) throws IOException {
       try (AtomicFile file = AtomicFile.open(Path.of(args[0]), "value", 1)) {
         AtomicFile.Reading before = file.read();
@@ -139,13 +139,14 @@
                   "-Xshare:auto",
                   "-cp",
                   System.getProperty("java.class.path"),
-                  Writes.class.getName(),
+                  WriterProcess.class.getName(),
                   folder.toString())
               .redirectError(ProcessBuilder.Redirect.INHERIT)
               .start();
       try (BufferedReader out =
           new BufferedReader(new InputStreamReader(process.getInputStream()))) {
-        assertEquals(kill == 0 ? "NOTHING" : "VALUE", out.readLine(), "kill " + kill);
+        ReadStatus expected = kill == 0 ? ReadStatus.NOTHING : ReadStatus.VALUE;
+        assertEquals(expected.name(), out.readLine(), "kill " + kill);
         for (int lines = 1 + chance.nextInt(40); lines > 0; lines--) {
           said = Long.parseLong(out.readLine());
         }
