--- a/src/main/java/cobaltseam/mastership/ReplayGuard.java
+++ b/src/main/java/cobaltseam/mastership/ReplayGuard.java
@@ -2,7 +2,7 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.vrrp.Refusal;
+import cobaltseam.vrrp.RejectionReason;
 import java.net.InetAddress;
 import java.util.HashMap;
 import java.util.Map;
@@ -10,49 +10,62 @@
 import java.util.Set;
 
 /**
- * Whether a sealed advert is a new one. A sequence is its sender's clock, in microseconds, and
- * rises with each advert of a virtual router. Only what is above the last one counts, and nothing
- * that may have been sent before this process started: what was recorded earlier would otherwise
- * pass once after a restart. Clocks may differ by a span that is told; for twice that span after
- * the start an honest peer may go unheard, and nobody here may claim.
+ * Rejects authenticated advertisements that were sent before. A sequence is its sender's clock in
+ * microseconds and rises with each advertisement of a virtual router. A sequence is accepted only
+ * above the last one, and only if it can't have been sent before this process started: a recorded
+ * advertisement would otherwise be accepted once after a restart. Clocks may differ by a configured
+ * span; for twice that span after the start advertisements of a correct peer may be rejected, so
+ * that no router may become active here until then. Not thread-safe.
  */
 public final class ReplayGuard {
-  private record Sender(InetAddress sender, VirtualRouterId router) {}
+  private record SenderStream(InetAddress sender, VirtualRouterId router) {}
 
-  private final Timestamp started;
-  private final TimeSpan difference;
-  private final Map<Sender, Long> last = new HashMap<>();
+  private final Timestamp startedAt;
+  private final TimeSpan maxClockDifference;
+  private final Map<SenderStream, Long> lastSequences = new HashMap<>();
 
-  public ReplayGuard(Timestamp started, TimeSpan difference) {
-    this.started = started;
-    this.difference = difference;
+  /**
+   * @param startedAt when this process started, by its clock
+   * @param maxClockDifference how much the clocks of two dispatchers may differ
+   */
+  public ReplayGuard(Timestamp startedAt, TimeSpan maxClockDifference) {
+    this.startedAt = startedAt;
+    this.maxClockDifference = maxClockDifference;
   }
 
-  /** How long to listen after the start before a silence tells anything. */
-  public TimeSpan listen() {
-    return difference.times(2);
+  /** How long to listen after the start before the absence of advertisements means anything. */
+  public TimeSpan minListenPeriod() {
+    return maxClockDifference.times(2);
   }
 
-  /** Judges an advert whose seal holds; one that is new is remembered. */
-  public Optional<Refusal> judge(
+  /**
+   * Checks the sequence of an advertisement whose authentication is valid, and remembers it if it
+   * is accepted.
+   *
+   * @return why the advertisement is rejected, or nothing
+   */
+  public Optional<RejectionReason> check(
       InetAddress sender, VirtualRouterId router, long sequence, Timestamp now) {
     Timestamp sent = new Timestamp(sequence);
-    if (!started.plus(difference).isBefore(sent) || sent.isBefore(now.minus(difference.times(2)))) {
-      return Optional.of(Refusal.STALE);
+    if (!startedAt.plus(maxClockDifference).isBefore(sent)
+        || sent.isBefore(now.minus(maxClockDifference.times(2)))) {
+      return Optional.of(RejectionReason.STALE);
     }
-    if (now.plus(difference).isBefore(sent)) {
-      return Optional.of(Refusal.EARLY);
+    if (now.plus(maxClockDifference).isBefore(sent)) {
+      return Optional.of(RejectionReason.EARLY);
     }
-    Sender speaker = new Sender(sender, router);
-    if (sequence <= last.getOrDefault(speaker, Long.MIN_VALUE)) {
-      return Optional.of(Refusal.REPLAYED);
+    SenderStream stream = new SenderStream(sender, router);
+    if (sequence <= lastSequences.getOrDefault(stream, Long.MIN_VALUE)) {
+      return Optional.of(RejectionReason.REPLAYED);
     }
-    last.put(speaker, sequence);
+    lastSequences.put(stream, sequence);
     return Optional.empty();
   }
 
-  /** Forgets who is no longer a peer, or no longer set. */
-  public void keep(Set<InetAddress> peers, Set<VirtualRouterId> routers) {
-    last.keySet().removeIf(s -> !peers.contains(s.sender()) || !routers.contains(s.router()));
+  /** Forgets the sequences of all other senders and routers. */
+  public void retainOnly(Set<InetAddress> peers, Set<VirtualRouterId> routers) {
+    lastSequences
+        .keySet()
+        .removeIf(s -> !peers.contains(s.sender()) || !routers.contains(s.router()));
   }
 }
--- a/src/main/java/cobaltseam/mastership/RouterState.java
+++ b/src/main/java/cobaltseam/mastership/RouterState.java
@@ -4,47 +4,61 @@
 import cobaltseam.dispatch.Timestamp;
 
 /**
- * Where one virtual router stands: its role and since when and why, the priority it now has, the
- * interval of the active router's adverts as last heard, when it is to be asked next (null: never),
- * when it last advertised as the active one, and from when on it may take over from a lower
- * priority.
+ * The state of one virtual router.
+ *
+ * @param since when it took this role
+ * @param reason why it took this role
+ * @param priority its current priority, 0 to 255
+ * @param activeInterval the advertisement interval of the active router, as last received
+ * @param wakeAt when its timer expires, or null
+ * @param lastAdvertisedAt when it last advertised as the active router, or null
+ * @param preemptionAllowedFrom from when on it may take over from a lower priority
  */
 public record RouterState(
     Role role,
     Timestamp since,
     TransitionReason reason,
     int priority,
-    TimeSpan heardInterval,
-    Timestamp wake,
-    Timestamp advertised,
-    Timestamp preemptsFrom) {
-  RouterState wakesAt(Timestamp at) {
+    TimeSpan activeInterval,
+    Timestamp wakeAt,
+    Timestamp lastAdvertisedAt,
+    Timestamp preemptionAllowedFrom) {
+  RouterState withWakeAt(Timestamp at) {
     return new RouterState(
-        role, since, reason, priority, heardInterval, at, advertised, preemptsFrom);
+        role, since, reason, priority, activeInterval, at, lastAdvertisedAt, preemptionAllowedFrom);
   }
 
-  RouterState of(int newPriority, Timestamp newPreemptsFrom) {
+  RouterState withPriority(int newPriority, Timestamp newPreemptionAllowedFrom) {
     return new RouterState(
-        role, since, reason, newPriority, heardInterval, wake, advertised, newPreemptsFrom);
+        role,
+        since,
+        reason,
+        newPriority,
+        activeInterval,
+        wakeAt,
+        lastAdvertisedAt,
+        newPreemptionAllowedFrom);
   }
 
-  RouterState heard(TimeSpan interval) {
-    return new RouterState(role, since, reason, priority, interval, wake, advertised, preemptsFrom);
+  RouterState withActiveInterval(TimeSpan interval) {
+    return new RouterState(
+        role, since, reason, priority, interval, wakeAt, lastAdvertisedAt, preemptionAllowedFrom);
   }
 
-  RouterState advertisedAt(Timestamp at, Timestamp next) {
-    return new RouterState(role, since, reason, priority, heardInterval, next, at, preemptsFrom);
+  RouterState withAdvertisement(Timestamp at, Timestamp next) {
+    return new RouterState(
+        role, since, reason, priority, activeInterval, next, at, preemptionAllowedFrom);
   }
 
-  RouterState as(Role newRole, TransitionReason why, Timestamp at) {
+  RouterState withRole(Role newRole, TransitionReason newReason, Timestamp at) {
     return new RouterState(
         newRole,
         at,
-        why,
+        newReason,
         priority,
-        heardInterval,
-        wake,
-        newRole == Role.ACTIVE ? advertised : null,
-        preemptsFrom);
+        activeInterval,
+        wakeAt,
+        newRole == Role.ACTIVE ? lastAdvertisedAt : null,
+        preemptionAllowedFrom);
   }
 }
--- a/src/main/java/cobaltseam/settings/SettingsReader.java
+++ b/src/main/java/cobaltseam/settings/SettingsReader.java
@@ -8,7 +8,7 @@
 import cobaltseam.mastership.RouterOptions;
 import cobaltseam.mastership.VirtualRouterId;
 import cobaltseam.vrrp.Addresses;
-import cobaltseam.vrrp.Reading.Covers;
+import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -230,10 +230,10 @@
       String key = "mastership.router[" + i + "]";
       Settings.RouterSettings seat = seat(key, router, listen);
       seats.add(seat);
-      if (!ids.add(seat.terms().router())) {
+      if (!ids.add(seat.options().router())) {
         wrong(key + ".id", router.path("id"), "each virtual router id may be used once.");
       }
-      if (seat.serve() != null && !served.add(seat.serve())) {
+      if (seat.serviceAddress() != null && !served.add(seat.serviceAddress())) {
         wrong(
             key + ".serve",
             router.path("serve"),
@@ -252,8 +252,8 @@
         listen,
         List.copyOf(peers.stream().filter(p -> p != null).toList()),
         told.path("ipv4_checksum").asText("message").equals("message")
-            ? Covers.MESSAGE
-            : Covers.PSEUDO_HEADER,
+            ? ChecksumCoverage.MESSAGE
+            : ChecksumCoverage.PSEUDO_HEADER,
         told.path("other_interval").asText("follow").equals("follow"),
         told.path("elsewhere").asInt(-1),
         told.path("stand_by_answers").asBoolean(true),
@@ -407,7 +407,7 @@
     String name = told.path("keys").asText();
     try {
       KeyRing keys = KeyRing.read(Files.readString(beside(name)));
-      if (!keys.has(told.path("write_key").asInt())) {
+      if (!keys.contains(told.path("write_key").asInt())) {
         wrong(
             part + ".seal.write_key",
             told.path("write_key"),
