--- a/src/main/java/cobaltseam/emulator/package-info.java
+++ b/src/main/java/cobaltseam/emulator/package-info.java
@@ -4,7 +4,7 @@
  *
  * <p>{@link cobaltseam.emulator.EmulateCommand} is the command line, {@link
  * cobaltseam.emulator.Simulation} one run. A run has no threads and draws all chance from one seed,
- * so the same input gives the same events. Times are microseconds of virtual time unless a name says
- * otherwise.
+ * so the same input gives the same events. Times are microseconds of virtual time unless a name
+ * says otherwise.
  */
 package cobaltseam.emulator;
--- /dev/null
+++ b/src/main/java/cobaltseam/fleet/FaultPlayer.java
@@ -0,0 +1,128 @@
+package cobaltseam.fleet;
+
+import cobaltseam.transport.PersistentStateCodec;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Plays what a script of faults does to real processes; datagrams follow the script by themselves.
+ */
+final class FaultPlayer {
+  private static final int SLICE_MS = 100;
+  private final RealFleet fleet;
+  private final List<Fault> faults;
+
+  FaultPlayer(RealFleet fleet, List<Fault> faults) {
+    this.fleet = fleet;
+    this.faults = faults;
+  }
+
+  /**
+   * Plays what the script does to processes; datagrams follow it by themselves. Returns when all of
+   * it is over.
+   */
+  void play() throws IOException, InterruptedException {
+    double end = faults.stream().mapToDouble(Fault::endS).max().orElse(0);
+    Set<String> done = new LinkedHashSet<>();
+    while (fleet.now() < end + 0.01) {
+      for (int i = 0; i < faults.size(); i++) {
+        Fault fault = faults.get(i);
+        for (int process : fault.processes()) {
+          follow(fault, process, i + "/" + process, done);
+        }
+      }
+      TimeUnit.MILLISECONDS.sleep(5);
+    }
+    fleet.resumeAll();
+    fleet.writeScriptLog();
+  }
+
+  private void follow(Fault fault, int index, String key, Set<String> done)
+      throws IOException, InterruptedException {
+    boolean during = fleet.now() >= fault.atS() && fleet.now() < fault.endS();
+    boolean over = fleet.now() >= fault.endS();
+    switch (fault.kind()) {
+      case PAUSE -> {
+        if (during && done.add(key + "stop")) {
+          fleet.suspend(index);
+        } else if (over && done.add(key + "go") && fleet.isSuspended(index)) {
+          fleet.resume(index);
+        }
+      }
+      case SLOW -> {
+        boolean rests = during && fleet.now() * 1000 % SLICE_MS > SLICE_MS * fault.size();
+        if (during && rests != fleet.isSuspended(index)) {
+          if (rests) {
+            fleet.suspend(index);
+          } else {
+            fleet.resume(index);
+          }
+        } else if (over && done.add(key + "go") && fleet.isSuspended(index)) {
+          fleet.resume(index);
+        }
+      }
+      case KILL, GONE, TERM, LOSE, STALE -> endAndRestart(fault, index, key, done);
+      default -> {}
+    }
+  }
+
+  private void endAndRestart(Fault fault, int index, String key, Set<String> done)
+      throws IOException, InterruptedException {
+    boolean during = fleet.now() >= fault.atS() && fleet.now() < fault.endS();
+    boolean over = fleet.now() >= fault.endS();
+    if (fault.kind() == Fault.Kind.STALE
+        && fleet.now() >= fault.atS() / 2
+        && done.add(key + "copy")) {
+      copy(stateFile(index), fleet.earlierState(index));
+    }
+    if (during && done.add(key + "end") && fleet.isAlive(index)) {
+      if (fault.kind() == Fault.Kind.TERM) {
+        fleet.terminate(index);
+      } else {
+        fleet.kill(index);
+      }
+    } else if (over
+        && fault.kind() != Fault.Kind.GONE
+        && done.contains(key + "end")
+        && done.add(key + "start")
+        && !isGone(index)) {
+      if (fleet.isAlive(index) && fault.kind() == Fault.Kind.TERM) {
+        fleet.destroy(index);
+      }
+      if (!fleet.isAlive(index)) {
+        if (fault.kind() == Fault.Kind.LOSE) {
+          Files.deleteIfExists(stateFile(index));
+        } else if (fault.kind() == Fault.Kind.STALE) {
+          copy(fleet.earlierState(index), stateFile(index));
+        }
+        fleet.start(index);
+      }
+    }
+  }
+
+  private static void copy(Path from, Path to) throws IOException {
+    if (Files.exists(from)) {
+      Files.createDirectories(to.getParent());
+      Files.copy(from, to, StandardCopyOption.REPLACE_EXISTING);
+    }
+  }
+
+  private boolean isGone(int index) {
+    return faults.stream()
+        .anyMatch(
+            t ->
+                t.kind() == Fault.Kind.GONE
+                    && t.processes().contains(index)
+                    && t.atS() <= fleet.now());
+  }
+
+  private Path stateFile(int index) {
+    return fleet.stateFolder(index).resolve(PersistentStateCodec.FILE_NAME);
+  }
+}
--- a/src/main/java/cobaltseam/fleet/FleetDetectCommand.java
+++ b/src/main/java/cobaltseam/fleet/FleetDetectCommand.java
@@ -97,8 +97,8 @@
   private List<Double> real() throws IOException, InterruptedException {
     List<Double> periods = new ArrayList<>();
     SplittableRandom chance = new SplittableRandom(common.seed);
-    RealFleet.Plan plan =
-        new RealFleet.Plan(
+    RealFleetPlan plan =
+        new RealFleetPlan(
             common.processes, periodMs, 3, Math.min(3, common.processes), common.folders, "", null);
     Path to = common.folder == null ? Files.createTempDirectory("fleet") : common.folder;
     try (RealFleet fleet = new RealFleet(plan, lossy(), common.seed, to)) {
--- a/src/main/java/cobaltseam/fleet/FleetOptions.java
+++ b/src/main/java/cobaltseam/fleet/FleetOptions.java
@@ -78,7 +78,7 @@
     }
     Path to =
         folder == null ? Files.createTempDirectory("fleet") : folder.resolve(Long.toString(of));
-    RealFleet.Plan plan = RealFleet.Plan.of(among);
+    RealFleetPlan plan = RealFleetPlan.of(among);
     return FleetRunner.playReal(folders ? plan.withFolders() : plan, script, of, to);
   }
 }
--- a/src/main/java/cobaltseam/fleet/FleetRunner.java
+++ b/src/main/java/cobaltseam/fleet/FleetRunner.java
@@ -36,7 +36,7 @@
    * The same between real processes; a majority may be lost wherever faults end more than a
    * minority.
    */
-  static RunVerdict playReal(RealFleet.Plan plan, List<Fault> faults, long seed, Path folder)
+  static RunVerdict playReal(RealFleetPlan plan, List<Fault> faults, long seed, Path folder)
       throws IOException, InterruptedException {
     try (RealFleet fleet = new RealFleet(plan, faults, seed, folder)) {
       fleet.startAll();
@@ -45,7 +45,7 @@
             List.of("no first view within " + REAL_SETTLE_LIMIT_S + " s"), false, -1);
       }
       fleet.startClock();
-      fleet.play();
+      new FaultPlayer(fleet, faults).play();
       double settled =
           fleet.awaitSettled(
               mayLoseMajority(plan.processes(), faults, plan.withPersistence())
--- a/src/main/java/cobaltseam/fleet/RealFleet.java
+++ b/src/main/java/cobaltseam/fleet/RealFleet.java
@@ -1,7 +1,6 @@
 package cobaltseam.fleet;
 
 import cobaltseam.Main;
-import cobaltseam.transport.PersistentStateCodec;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
@@ -9,12 +8,10 @@
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
@@ -28,132 +25,61 @@
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import java.util.stream.IntStream;
 
 /**
- * A fleet of real processes of the program on loopback, under a script of troubles: {@link
- * FaultRelays} rule the datagrams, signals rule the processes. What each says of itself in its JSON
- * log is kept in its folder and read as {@link RecordedEvent}s.
+ * A fleet of real processes of the program on loopback, under a script of faults: {@link
+ * FaultRelays} carry the datagrams, signals suspend and end the processes. The JSON log of each is
+ * kept in its folder and read as {@link RecordedEvent}s.
  */
 public final class RealFleet implements AutoCloseable {
-  /**
-   * What a fleet is made of.
-   *
-   * @param own further lines of each process's own file
-   * @param engines the event bus of all processes and what they know of it at the start, or null
-   *     for one dead engine
-   */
-  public record Plan(
-      int processes,
-      int healthCheckIntervalMs,
-      double healthCheckTimeoutMs,
-      int bootstrapMembers,
-      boolean withPersistence,
-      String own,
-      Engines engines) {
-    public static Plan of(int processes) {
-      return new Plan(processes, 200, 3, Math.min(3, processes), false, "", null);
-    }
-
-    public Plan withFolders() {
-      return new Plan(
-          processes,
-          healthCheckIntervalMs,
-          healthCheckTimeoutMs,
-          bootstrapMembers,
-          true,
-          own,
-          engines);
-    }
-
-    /** All agree on the settings. */
-    public Plan withAgreement(int ms) {
-      return with("[agreement]\ncontradiction_ms = " + ms);
-    }
-
-    /** Parts of the engines follow demand, and what each uses is logged. */
-    public Plan withCapacityLeases(int leaseMs) {
-      return with(
-          "[spread]\nby = \"demand\"\nlease_ms = "
-              + leaseMs
-              + "\nround_ms = 300\nwindow_ms = 1500\naudit = true");
-    }
-
-    public Plan with(String lines) {
-      return new Plan(
-          processes,
-          healthCheckIntervalMs,
-          healthCheckTimeoutMs,
-          bootstrapMembers,
-          withPersistence,
-          own + "\n" + lines,
-          engines);
-    }
-
-    public Plan with(Engines at) {
-      return new Plan(
-          processes,
-          healthCheckIntervalMs,
-          healthCheckTimeoutMs,
-          bootstrapMembers,
-          withPersistence,
-          own,
-          at);
-    }
-  }
-
-  /** Where the event bus is, and its first events as JSON. */
-  public record Engines(InetSocketAddress bus, List<String> known) {
-    static final Engines DEAD =
-        new Engines(
-            new InetSocketAddress("127.0.0.1", 1),
-            List.of(
-                "{\"offset\":1,\"topology\":{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s-00000001\",\"endpoint\":\"127.0.0.1:1\",\"az\":\"z\","
-                    + "\"model\":\"m\",\"state\":\"in_service\",\"boot_ms\":0}]}}"));
-  }
-
   private static final class ProcessRecord {
     Process process;
 
-    /** The birth that it last told, and the view; zero and null before. */
-    long birth;
+    /** The incarnation that it logged last, and the view; zero and null before. */
+    long incarnation;
 
     String view;
     List<String> members = List.of();
-    List<String> acts = List.of();
-    String standing = "none";
+    List<String> activeVersions = List.of();
+    String quorumState = "none";
     int starts;
-    boolean stopped;
+    boolean isSuspended;
     final Map<String, Integer> events = new HashMap<>();
   }
 
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int SLICE_MS = 100;
-  private final Plan plan;
+  private final RealFleetPlan plan;
   private final List<Fault> faults;
   private final Path folder;
-  private final long made = System.nanoTime();
-  private volatile long since = made;
+  private final long createdNs = System.nanoTime();
+  private volatile long clockStartNs = createdNs;
   private final FaultRelays relays;
-  private final ProcessRecord[] all;
+  private final ProcessRecord[] processes;
   private final int[] ports;
   private final List<RecordedEvent> recordedEvents = new ArrayList<>();
   private final List<String> errors = new ArrayList<>();
-  private final List<String> acts = new ArrayList<>();
-  private final List<ActivationRecord> actings = new ArrayList<>();
-  private final CapacityUsage parts = new CapacityUsage();
-  private final Map<Integer, CapacityUsage.UsageRecord> stoppedWith = new HashMap<>();
+  private final List<String> scriptLog = new ArrayList<>();
+  private final List<ActivationRecord> activations = new ArrayList<>();
+  private final CapacityUsage usage = new CapacityUsage();
+  private final Map<Integer, CapacityUsage.UsageRecord> usageWhenSuspended = new HashMap<>();
 
-  public RealFleet(Plan plan, List<Fault> faults, long seed, Path folder) throws IOException {
+  /**
+   * Chooses ports and writes the configuration of each process; none is started.
+   *
+   * @param folder where configurations, logs and states are kept
+   */
+  public RealFleet(RealFleetPlan plan, List<Fault> faults, long seed, Path folder)
+      throws IOException {
     this.plan = plan;
     this.faults = List.copyOf(faults);
     this.folder = folder;
-    relays = new FaultRelays(plan.processes, this.faults, seed, since);
-    all = new ProcessRecord[plan.processes];
-    ports = new int[plan.processes];
+    relays = new FaultRelays(plan.processes(), this.faults, seed, clockStartNs);
+    processes = new ProcessRecord[plan.processes()];
+    FleetConfigurationWriter configuration = new FleetConfigurationWriter(plan, folder, relays);
+    ports = new int[plan.processes()];
     List<ServerSocket> free = new ArrayList<>();
-    for (int index = 0; index < all.length; index++) {
-      all[index] = new ProcessRecord();
+    for (int index = 0; index < processes.length; index++) {
+      processes[index] = new ProcessRecord();
       ServerSocket listens = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
       free.add(listens);
       ports[index] = listens.getLocalPort();
@@ -161,78 +87,17 @@
     for (ServerSocket each : free) {
       each.close();
     }
-    for (int index = 0; index < all.length; index++) {
-      configure(index);
+    for (int index = 0; index < processes.length; index++) {
+      configuration.write(index, ports[index]);
     }
   }
 
-  private static String text(InetSocketAddress address) {
-    return address.getAddress().getHostAddress() + ":" + address.getPort();
-  }
-
+  /** The name of a process in its fleet. */
   public static String name(int index) {
     return String.format("n%03d", index);
   }
 
-  private void configure(int index) throws IOException {
-    Path own = Files.createDirectories(folder.resolve(name(index)));
-    Engines engines = plan.engines == null ? Engines.DEAD : plan.engines;
-    Files.writeString(
-        own.resolve("config.json"),
-        """
-                {"name":"%s","listen":"127.0.0.1:%d","seed":"%016x","limits":{"sockets":128,"memory_mb":64},
-                "bus":"%s","known":{"offset":%d,"batch":[%s]},
-                "settings":{"balancers":%d,"position":%d,"tick_us":5000,
-                "classes":[{"name":"look","aim_us":500000,"hard_limit_us":3000000,"repeat":"read_like","late_value":0.5}],
-                "projects":[{"name":"acme","quota_rps":1000}],"machine_types":["m"],"family_info":{"cores_by_kind":[4]},
-                "rules":{"cold_from":0.3},"limits":{"most_tries":3,"cancel":true,"retry_after":true,"max_retry_after_us":500000,
-                "connect_timeout_us":250000,"conn_idle_us":30000000,"streams_per_conn":32}}}
-                """
-            .formatted(
-                name(index),
-                ports[index],
-                0x8c1f30d27a5be964L + index,
-                text(engines.bus()),
-                engines.known().size(),
-                String.join(",", engines.known()),
-                plan.processes,
-                index));
-    String seeds =
-        IntStream.range(0, Math.min(8, plan.processes))
-            .mapToObj(s -> "\"" + text(relays.seenAt(s)) + "\"")
-            .collect(Collectors.joining(", "));
-    String founders =
-        IntStream.range(0, plan.bootstrapMembers)
-            .mapToObj(f -> "\"" + name(f) + "\"")
-            .collect(Collectors.joining(", "));
-    Files.writeString(
-        own.resolve("cobaltseam.toml"),
-        """
-                [logging]
-                form = "json"
-                %s
-                [membership]
-                fleet = "rig"
-                listen = "%s"
-                advertise = "%s"
-                seeds = [%s]
-                founders = [%s]
-                period_ms = %d
-                patience = %s
-                %s
-                """
-            .formatted(
-                plan.own,
-                text(relays.listensAt(index)),
-                text(relays.seenAt(index)),
-                seeds,
-                founders,
-                plan.healthCheckIntervalMs,
-                plan.healthCheckTimeoutMs,
-                plan.withPersistence ? "folder = \"kept\"" : ""));
-  }
-
-  /** Where a process keeps what it promised. */
+  /** The folder of a process's persistent state. */
   public Path stateFolder(int index) {
     return folder.resolve(name(index)).resolve("kept");
   }
@@ -251,23 +116,23 @@
 
   /** On which editions of the settings all acted, each by its own log. */
   public synchronized List<ActivationRecord> activations() {
-    return List.copyOf(actings);
+    return List.copyOf(activations);
   }
 
   /** The editions that a process acts on now; none if it stepped back or is gone. */
   public synchronized List<String> acts(int index) {
-    return isAlive(index) ? all[index].acts : List.of();
+    return isAlive(index) ? processes[index].activeVersions : List.of();
   }
 
   /** The part of the engines that a process uses now; 0 if none. */
   public double part(int index) {
-    CapacityUsage.UsageRecord now = parts.currentAmount(index);
+    CapacityUsage.UsageRecord now = usage.currentAmount(index);
     return now == null ? 0 : now.at(us());
   }
 
   /** The most of the engines that all used at one time, by their logs. */
   public double peakUsage() {
-    return parts.peak(us()).amount();
+    return usage.peak(us()).amount();
   }
 
   private static long us() {
@@ -276,11 +141,11 @@
 
   /** Seconds since this fleet was made, whenever its script began. */
   public double clock() {
-    return (System.nanoTime() - made) / 1e9;
+    return (System.nanoTime() - createdNs) / 1e9;
   }
 
   private synchronized void acts(int index, List<String> editions) {
-    actings.add(new ActivationRecord(clock(), index, editions));
+    activations.add(new ActivationRecord(clock(), index, editions));
   }
 
   /** Adds lines to the membership of a process's own file, and has it read that. */
@@ -298,22 +163,24 @@
    * view found none.
    */
   public void startClock() {
-    since = System.nanoTime();
-    relays.since(since);
+    clockStartNs = System.nanoTime();
+    relays.since(clockStartNs);
   }
 
   // ---- processes
 
+  /** Seconds since the clock was started. */
   public double now() {
-    return (System.nanoTime() - since) / 1e9;
+    return (System.nanoTime() - clockStartNs) / 1e9;
   }
 
   private synchronized void activations(String what, int index) {
-    acts.add(String.format(java.util.Locale.ROOT, "%.3f %s %s", now(), what, name(index)));
+    scriptLog.add(String.format(java.util.Locale.ROOT, "%.3f %s %s", now(), what, name(index)));
   }
 
+  /** Starts a process, the first or a later one of this number. */
   public void start(int index) throws IOException {
-    ProcessRecord one = all[index];
+    ProcessRecord one = processes[index];
     ProcessBuilder builder =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -335,13 +202,13 @@
         .put("GW_CONFIG", folder.resolve(name(index)).resolve("config.json").toString());
     builder.environment().keySet().removeAll(List.of("GW_NAME", "GW_LISTEN", "COBALTSEAM_CONFIG"));
     synchronized (this) {
-      one.birth = 0;
+      one.incarnation = 0;
       one.view = null;
       one.members = List.of();
-      one.acts = List.of();
-      one.standing = "none";
+      one.activeVersions = List.of();
+      one.quorumState = "none";
       one.starts++;
-      one.stopped = false;
+      one.isSuspended = false;
     }
     Process process = builder.start();
     one.process = process;
@@ -372,7 +239,7 @@
   }
 
   private synchronized void readLogLine(int index, int start, JsonNode line) {
-    ProcessRecord one = all[index];
+    ProcessRecord one = processes[index];
     String event = line.path("event").asText();
     one.events.merge(event, 1, Integer::sum);
     if (line.path("level").asText().equals("ERROR")) {
@@ -380,8 +247,8 @@
     }
     boolean former = start != one.starts;
     if (event.equals("membership.opened") && !former) {
-      one.birth = line.path("birth").asLong();
-      recordedEvents.add(new RecordedEvent(now(), index, one.birth, null, List.of(), true));
+      one.incarnation = line.path("birth").asLong();
+      recordedEvents.add(new RecordedEvent(now(), index, one.incarnation, null, List.of(), true));
     } else if (event.equals("membership.view")) {
       String view = line.path("view").asText();
       long birth = line.path("birth").asLong();
@@ -392,47 +259,49 @@
       recordedEvents.add(
           new RecordedEvent(now(), index, birth, view.equals("none") ? null : view, members));
       if (!former) {
-        one.birth = birth;
+        one.incarnation = birth;
         one.view = view.equals("none") ? null : view;
         one.members = members;
       }
     } else if (event.equals("agreement.acts") && !former) {
       boolean back = line.path("mode").asText().equals("back");
       String of = one.view == null ? "none" : InvariantChecker.line(one.view);
-      one.acts =
+      one.activeVersions =
           back
               ? List.of()
               : Arrays.stream(line.path("editions").asText().split(" "))
                   .map(e -> of + "/" + e)
                   .toList();
-      acts(index, one.acts);
-    } else if (event.equals("spread.parts") && !former && !one.stopped) {
-      parts.record(
+      acts(index, one.activeVersions);
+    } else if (event.equals("spread.parts") && !former && !one.isSuspended) {
+      usage.record(
           CapacityUsage.UsageRecord.read(
               index, line.path("us").asLong(), line.path("steps").asText()));
     } else if (event.equals("membership.standing") && !former) {
-      one.standing = line.path("standing").asText();
+      one.quorumState = line.path("standing").asText();
     }
     notifyAll();
   }
 
+  /** Starts all processes. */
   public void startAll() throws IOException {
-    for (int index = 0; index < all.length; index++) {
+    for (int index = 0; index < processes.length; index++) {
       start(index);
     }
   }
 
   private void signal(int index, String name) throws IOException, InterruptedException {
-    Process process = all[index].process;
+    Process process = processes[index].process;
     if (process != null && process.isAlive()) {
       new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
   }
 
+  /** SIGKILL, and waits for the end. */
   public void kill(int index) throws InterruptedException {
     activations("kill", index);
-    all[index].process.destroyForcibly().waitFor();
-    parts.recordEnd(index, us());
+    processes[index].process.destroyForcibly().waitFor();
+    usage.recordEnd(index, us());
     acts(index, List.of());
   }
 
@@ -442,27 +311,64 @@
     signal(index, "TERM");
   }
 
+  /** SIGSTOP. */
   public void suspend(int index) throws IOException, InterruptedException {
     activations("stop", index);
     signal(index, "STOP");
     // What it wrote before it stood still is read first.
     TimeUnit.MILLISECONDS.sleep(50);
-    all[index].stopped = true;
-    stoppedWith.put(index, parts.currentAmount(index));
-    parts.recordEnd(index, us());
+    processes[index].isSuspended = true;
+    usageWhenSuspended.put(index, usage.currentAmount(index));
+    usage.recordEnd(index, us());
     acts(index, List.of());
   }
 
+  /** SIGCONT. */
   public void resume(int index) throws IOException, InterruptedException {
-    acts(index, all[index].acts);
-    parts.recordUntil(stoppedWith.remove(index), us());
-    all[index].stopped = false;
+    acts(index, processes[index].activeVersions);
+    usage.recordUntil(usageWhenSuspended.remove(index), us());
+    processes[index].isSuspended = false;
     signal(index, "CONT");
     activations("cont", index);
   }
 
+  /** Whether a process of this number runs, suspended or not. */
   public boolean isAlive(int index) {
-    return all[index].process != null && all[index].process.isAlive();
+    return processes[index].process != null && processes[index].process.isAlive();
+  }
+
+  /** Resumes every process that is suspended. */
+  void resumeAll() throws IOException, InterruptedException {
+    for (int index = 0; index < processes.length; index++) {
+      if (processes[index].isSuspended) {
+        resume(index);
+      }
+    }
+  }
+
+  /** SIGKILL without a record, for a process that was told to end before. */
+  void destroy(int index) throws InterruptedException {
+    processes[index].process.destroyForcibly().waitFor();
+  }
+
+  boolean isSuspended(int index) {
+    return processes[index].isSuspended;
+  }
+
+  /** Where a script keeps an earlier persistent state of a process. */
+  Path earlierState(int index) {
+    return folder.resolve(name(index)).resolve("earlier");
+  }
+
+  /** Writes what was done to which process, and when, into the fleet's folder. */
+  void writeScriptLog() throws IOException {
+    try (BufferedWriter to = Files.newBufferedWriter(folder.resolve("acts.txt"))) {
+      synchronized (this) {
+        for (String entry : scriptLog) {
+          to.write(entry + "\n");
+        }
+      }
+    }
   }
 
   // ---- what is asked
@@ -472,6 +378,7 @@
     return ports[index];
   }
 
+  /** All events that processes logged so far, in the order read. */
   public synchronized List<RecordedEvent> recordedEvents() {
     return List.copyOf(recordedEvents);
   }
@@ -483,28 +390,32 @@
     return List.copyOf(errors);
   }
 
+  /** The quorum state that a process logged last. */
   public synchronized String quorumState(int index) {
-    return all[index].standing;
+    return processes[index].quorumState;
   }
 
+  /** The id of the view that a process logged last, or null. */
   public synchronized String view(int index) {
-    return all[index].view;
+    return processes[index].view;
   }
 
+  /** The members of that view, name and incarnation each. */
   public synchronized List<String> members(int index) {
-    return all[index].members;
+    return processes[index].members;
   }
 
   /** How often a process logged an event, over all its lives. */
   public synchronized int events(int index, String event) {
-    return all[index].events.getOrDefault(event, 0);
+    return processes[index].events.getOrDefault(event, 0);
   }
 
+  /** The processes that run now. */
   public synchronized Set<InvariantChecker.Live> live() {
     Set<InvariantChecker.Live> live = new LinkedHashSet<>();
-    for (int index = 0; index < all.length; index++) {
+    for (int index = 0; index < processes.length; index++) {
       if (isAlive(index)) {
-        live.add(new InvariantChecker.Live(index, name(index), all[index].birth));
+        live.add(new InvariantChecker.Live(index, name(index), processes[index].incarnation));
       }
     }
     return live;
@@ -532,6 +443,7 @@
             h -> h.members().stream().filter(alive::contains).count() < h.members().size() / 2 + 1);
   }
 
+  /** Whether all that run hold one view of exactly these. */
   public synchronized boolean isSettled() {
     Set<InvariantChecker.Live> live = live();
     Set<String> alive =
@@ -540,10 +452,11 @@
             .collect(Collectors.toCollection(TreeSet::new));
     Set<String> views = new TreeSet<>();
     for (InvariantChecker.Live l : live) {
-      if (all[l.process()].view == null || !new TreeSet<>(all[l.process()].members).equals(alive)) {
+      if (processes[l.process()].view == null
+          || !new TreeSet<>(processes[l.process()].members).equals(alive)) {
         return false;
       }
-      views.add(all[l.process()].view);
+      views.add(processes[l.process()].view);
     }
     return views.size() == 1;
   }
@@ -566,129 +479,25 @@
     return (System.nanoTime() - from) / 1e9;
   }
 
+  /** Processor time that a process has used, in milliseconds. */
   public double processorMs(int index) {
-    return all[index].process.toHandle().info().totalCpuDuration().orElseThrow().toNanos() / 1e6;
+    return processes[index].process.toHandle().info().totalCpuDuration().orElseThrow().toNanos()
+        / 1e6;
   }
 
-  public long datagrams() {
+  /** The number of datagrams that passed the relays. */
+  public long datagramsPassed() {
     return relays.passed();
   }
 
-  /** Says bytes to a process in nobody's name. */
+  /** Sends bytes to a process, as from no member. */
   public void sendDatagram(int to, byte[] bytes) throws IOException {
     relays.say(to, bytes);
   }
 
-  // ---- the script
-
-  /**
-   * Plays what the script does to processes; datagrams follow it by themselves. Returns when all of
-   * it is over.
-   */
-  public void play() throws IOException, InterruptedException {
-    double end = faults.stream().mapToDouble(Fault::endS).max().orElse(0);
-    Set<String> done = new LinkedHashSet<>();
-    while (now() < end + 0.01) {
-      for (int t = 0; t < faults.size(); t++) {
-        Fault trouble = faults.get(t);
-        for (int p : trouble.processes()) {
-          follow(trouble, p, t + "/" + p, done);
-        }
-      }
-      TimeUnit.MILLISECONDS.sleep(5);
-    }
-    for (int index = 0; index < all.length; index++) {
-      if (all[index].stopped) {
-        resume(index);
-      }
-    }
-    try (BufferedWriter to = Files.newBufferedWriter(folder.resolve("acts.txt"))) {
-      synchronized (this) {
-        for (String act : acts) {
-          to.write(act + "\n");
-        }
-      }
-    }
-  }
-
-  private void follow(Fault fault, int index, String key, Set<String> done)
-      throws IOException, InterruptedException {
-    boolean during = now() >= fault.atS() && now() < fault.endS();
-    boolean over = now() >= fault.endS();
-    switch (fault.kind()) {
-      case PAUSE -> {
-        if (during && done.add(key + "stop")) {
-          suspend(index);
-        } else if (over && done.add(key + "go") && all[index].stopped) {
-          resume(index);
-        }
-      }
-      case SLOW -> {
-        boolean rests = during && now() * 1000 % SLICE_MS > SLICE_MS * fault.size();
-        if (during && rests != all[index].stopped) {
-          if (rests) {
-            suspend(index);
-          } else {
-            resume(index);
-          }
-        } else if (over && done.add(key + "go") && all[index].stopped) {
-          resume(index);
-        }
-      }
-      case KILL, GONE, TERM, LOSE, STALE -> {
-        if (fault.kind() == Fault.Kind.STALE
-            && now() >= fault.atS() / 2
-            && done.add(key + "copy")) {
-          copy(
-              stateFolder(index).resolve(PersistentStateCodec.FILE_NAME),
-              folder.resolve(name(index)).resolve("earlier"));
-        }
-        if (during && done.add(key + "end") && isAlive(index)) {
-          if (fault.kind() == Fault.Kind.TERM) {
-            terminate(index);
-          } else {
-            kill(index);
-          }
-        } else if (over
-            && fault.kind() != Fault.Kind.GONE
-            && done.contains(key + "end")
-            && done.add(key + "start")
-            && !goneForGood(index)) {
-          if (isAlive(index) && fault.kind() == Fault.Kind.TERM) {
-            all[index].process.destroyForcibly().waitFor();
-          }
-          if (!isAlive(index)) {
-            if (fault.kind() == Fault.Kind.LOSE) {
-              Files.deleteIfExists(stateFolder(index).resolve(PersistentStateCodec.FILE_NAME));
-            } else if (fault.kind() == Fault.Kind.STALE) {
-              copy(
-                  folder.resolve(name(index)).resolve("earlier"),
-                  stateFolder(index).resolve(PersistentStateCodec.FILE_NAME));
-            }
-            start(index);
-          }
-        }
-      }
-      default -> {}
-    }
-  }
-
-  private static void copy(Path from, Path to) throws IOException {
-    if (Files.exists(from)) {
-      Files.createDirectories(to.getParent());
-      Files.copy(from, to, StandardCopyOption.REPLACE_EXISTING);
-    }
-  }
-
-  private boolean goneForGood(int index) {
-    return faults.stream()
-        .anyMatch(
-            t -> t.kind() == Fault.Kind.GONE && t.processes().contains(index) && t.atS() <= now());
-  }
-
   @Override
   public void close() throws IOException {
-    for (ProcessRecord one : all) {
+    for (ProcessRecord one : processes) {
       if (one.process != null) {
         one.process.destroyForcibly();
       }
--- /dev/null
+++ b/src/test/java/cobaltseam/fleet/RebootstrapTest.java
@@ -0,0 +1,47 @@
+package cobaltseam.fleet;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+
+import cobaltseam.fleet.Fault.Kind;
+import cobaltseam.membership.QuorumState;
+import cobaltseam.membership.ViewId;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** An operator's re-bootstrap of what is left after three of five members are gone for good. */
+class RebootstrapTest {
+  private static final List<Integer> GONE = List.of(0, 1, 2);
+  private static final double GONE_AT_S = 60;
+  private static final double ASKED_AT_S = 120;
+
+  @Test
+  void aMinorityThatKeptRunningIsBootstrappedAgain() {
+    VirtualFleet fleet = playedFleet(List.of());
+    assertEquals(QuorumState.MINORITY, fleet.quorumState(3));
+    assertIsBootstrappedAgain(fleet);
+  }
+
+  @Test
+  void aMinorityThatWasSuspendedOnceIsBootstrappedAgain() {
+    VirtualFleet fleet =
+        playedFleet(List.of(new Fault(Kind.PAUSE, 75, 10, List.of(3), List.of(), 1)));
+    assertIsBootstrappedAgain(fleet);
+  }
+
+  private static VirtualFleet playedFleet(List<Fault> further) {
+    Fault gone = new Fault(Kind.GONE, GONE_AT_S, 1, GONE, List.of(), 1);
+    List<Fault> faults = new java.util.ArrayList<>(further);
+    faults.add(0, gone);
+    VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(5), faults, 6);
+    fleet.run(ASKED_AT_S);
+    return fleet;
+  }
+
+  private static void assertIsBootstrappedAgain(VirtualFleet fleet) {
+    ViewId lost = fleet.view(3).id();
+    fleet.bootstrapAgain(3, lost);
+    fleet.run(ASKED_AT_S + 1);
+    assertNotEquals(lost.lineage(), fleet.view(3).id().lineage(), "state " + fleet.quorumState(3));
+  }
+}
