--- a/src/main/java/cobaltseam/dispatch/AttemptTimeouts.java
+++ b/src/main/java/cobaltseam/dispatch/AttemptTimeouts.java
@@ -70,12 +70,7 @@
       return longest;
     }
     double pace = health.paceOn(request.attemptEngine(), request.requestClass());
-    TimeSpan least =
-        request
-            .requestClass()
-            .definition()
-            .latencyObjective()
-            .times(PolicyConstants.MIN_PATIENCE_PER_OBJECTIVE);
+    TimeSpan least = request.requestClass().minPatience();
     return request.usualLatency().times(PolicyConstants.PATIENCE * pace).max(least).min(longest);
   }
 
--- a/src/main/java/cobaltseam/dispatch/Deployment.java
+++ b/src/main/java/cobaltseam/dispatch/Deployment.java
@@ -169,7 +169,7 @@
    * @param maxAttempts attempts of one request, with the first
    * @param canCancel whether an attempt can be cancelled, and a time-out ends its work
    * @param hasEnginePriorities whether engines heed a priority
-   * @param allowsRetryAfter whether a client may be told when to retry
+   * @param allowsRetryAfter whether a shed request may name a delay for a retry
    * @param maxRetryAfter the longest such delay
    * @param progressInterval how often engines report progress, spills and waits; zero for never
    * @param hasMemoryGrants whether engines heed a grant of memory
--- a/src/main/java/cobaltseam/dispatch/Dispatcher.java
+++ b/src/main/java/cobaltseam/dispatch/Dispatcher.java
@@ -25,7 +25,7 @@
  * {@link EngineWarmup} starts them slowly, {@link RequestAdmission} accepts requests, {@link
  * OutcomeRecorder} learns from outcomes, {@link AttemptTimeouts} ends attempts, {@link
  * RetryAllowance} bounds retries, {@link LoadShedder} and {@link TenantQuotas} shed load, {@link
- * KeySequences} keeps order, {@link MemoryNeed} grants memory and {@link RequestQueue} holds what
+ * KeySequences} keeps order, {@link MemoryNeed} grants memory and {@link RequestQueue} keeps what
  * waits.
  *
  * <p>An instance knows its own traffic and shares nothing. It is not thread safe.
--- a/src/main/java/cobaltseam/dispatch/EngineHealth.java
+++ b/src/main/java/cobaltseam/dispatch/EngineHealth.java
@@ -62,7 +62,7 @@
     return request.usualLatency().times(pace(request.requestClass()));
   }
 
-  /** The latency to expect of a request on one engine, where either may be slow. */
+  /** The pace of one class on one engine: that of the slower of the two. */
   double paceOn(EngineState engine, RequestClassStats requestClass) {
     return Math.max(pace(requestClass), Math.exp(engine.slowness()));
   }
--- a/src/main/java/cobaltseam/dispatch/PolicyConstants.java
+++ b/src/main/java/cobaltseam/dispatch/PolicyConstants.java
@@ -23,12 +23,7 @@
   /** An attempt may take this many times its expected latency before it is replaced. */
   static final double PATIENCE = 2.5;
 
-  /**
-   * An attempt may always take this part of the latency objective: small requests meet pauses and
-   * connection set-up too.
-   */
-  static final double MIN_PATIENCE_PER_OBJECTIVE = 0.25;
-
+  /** Microseconds in a second. */
   static final double SECOND_US = 1e6;
 
   private PolicyConstants() {}
--- a/src/main/java/cobaltseam/dispatch/RequestClassStats.java
+++ b/src/main/java/cobaltseam/dispatch/RequestClassStats.java
@@ -9,6 +9,8 @@
 
   private static final double MIN_USUAL_STEP = 1.0 / 512;
 
+  private static final double MIN_PATIENCE_PER_OBJECTIVE = 0.25;
+
   private final RequestClass definition;
   private final RequestRules rules;
   private final int threads;
@@ -93,6 +95,14 @@
     return memoryNeed;
   }
 
+  /**
+   * The time that any attempt may take before another engine is tried: small requests meet pauses
+   * and connection set-up too.
+   */
+  TimeSpan minPatience() {
+    return definition.latencyObjective().times(MIN_PATIENCE_PER_OBJECTIVE);
+  }
+
   double usualWorkUs() {
     return usualWorkUs;
   }
@@ -137,8 +147,8 @@
   }
 
   /**
-   * Guards against rough estimates and cold data that look like overload. Harm: engines that are
-   * slow for another cause while few requests are in flight.
+   * Guards against rough estimates and data not yet in memory that look like overload. Harm:
+   * engines that are slow for another cause while few requests are in flight.
    */
   private void learnExcess(double excess) {
     double step =
--- a/src/main/java/cobaltseam/dispatch/RetryAllowance.java
+++ b/src/main/java/cobaltseam/dispatch/RetryAllowance.java
@@ -74,7 +74,7 @@
     return retries + 1 <= budget.freeRetries() + budget.ratio() * accepted;
   }
 
-  /** Drops what lies outside every window; on a window's edge, whatever is stricter holds. */
+  /** Drops what lies outside every window; on a window's edge, the stricter reading counts. */
   private void forget(Timestamp now) {
     budgets.removeIf(b -> b.endsAt() != null && !now.isBefore(b.endsAt()));
     TimeSpan longest =
--- a/src/main/java/cobaltseam/dispatch/ThreadBudgets.java
+++ b/src/main/java/cobaltseam/dispatch/ThreadBudgets.java
@@ -22,7 +22,7 @@
     sharingDispatchers = settings.dispatcherCount();
   }
 
-  /** Under other settings all dispatchers share the engines until told otherwise. */
+  /** Under other settings all dispatchers share the engines until that is set anew. */
   void applySettings(PolicySettings newSettings) {
     settings = newSettings;
     sharingDispatchers = newSettings.dispatcherCount();
--- a/src/main/java/cobaltseam/dispatch/TrackedRequest.java
+++ b/src/main/java/cobaltseam/dispatch/TrackedRequest.java
@@ -273,13 +273,6 @@
   /** Whether it would have to wait for a load on that engine, as far as known. */
   boolean isBlockedOn(EngineState engine, Timestamp now) {
     Timestamp since = blockedAt.get(engine);
-    return since != null
-        && now.since(since)
-                .compareTo(
-                    requestClass
-                        .definition()
-                        .latencyObjective()
-                        .times(PolicyConstants.MIN_PATIENCE_PER_OBJECTIVE))
-            < 0;
+    return since != null && now.since(since).compareTo(requestClass.minPatience()) < 0;
   }
 }
--- a/src/test/java/cobaltseam/dispatch/AttemptTimeoutTest.java
+++ b/src/test/java/cobaltseam/dispatch/AttemptTimeoutTest.java
@@ -60,16 +60,16 @@
   @Test
   void almostFinishedAttemptIsNotCancelledForARoughReport() {
     DispatcherDriver driver = newDriver(0, 1, 1, 4);
-    Request command = driver.submit("p", WORK_US);
+    Request request = driver.submit("p", WORK_US);
     driver.advance(new TimeSpan(WORK_US));
-    driver.dispatcher.updateProgress(command.id(), 0, 0.99, driver.now);
+    driver.dispatcher.updateProgress(request.id(), 0, 0.99, driver.now);
     driver.followNextSteps();
     driver.advance(new TimeSpan(WORK_US / 5));
     assertTrue(driver.cancellations.isEmpty());
     for (int i = 0; i < 10; i++) {
       driver.advance(new TimeSpan(WORK_US / 50));
     }
-    assertEquals(List.of(command.id()), driver.cancellations, "but its time is bounded");
+    assertEquals(List.of(request.id()), driver.cancellations, "but its time is bounded");
   }
 
   @Test
--- a/src/test/java/cobaltseam/dispatch/EngineChoiceTest.java
+++ b/src/test/java/cobaltseam/dispatch/EngineChoiceTest.java
@@ -71,11 +71,11 @@
     driver.submit("p", WORK_US);
     driver.submit("p", WORK_US);
     Request wide = driver.submit("wide", WORK_US);
-    Request old = driver.submit("p", WORK_US);
+    Request oldest = driver.submit("p", WORK_US);
     driver.submit("p", WORK_US);
     driver.complete(driver.inFlight.values().iterator().next(), AttemptResult.CANCELLED, true);
     assertTrue(
-        driver.inFlight.containsKey(old.id()),
+        driver.inFlight.containsKey(oldest.id()),
         "the wide one fits nowhere and blocks none behind it");
     assertTrue(!driver.inFlight.containsKey(wide.id()));
     assertEquals(2, driver.inFlight.size());
@@ -115,17 +115,17 @@
     DispatcherDriver driver = newDriver(0, 2, 1, 5);
     answerRequests(driver, 30, WORK_US);
     driver.updateEndpoints(false, status(4, EndpointState.UP, driver.now.us()));
-    int at = driver.attempts.size();
+    int attemptsBefore = driver.attempts.size();
     for (int i = 0; i < 20; i++) {
       driver.submit("p", WORK_US);
     }
     assertTrue(
-        attemptedEngines(driver).stream().skip(at).noneMatch(engine -> engine == 4),
+        attemptedEngines(driver).stream().skip(attemptsBefore).noneMatch(engine -> engine == 4),
         "no allowance is saved up at the start");
     driver.advance(new TimeSpan(1_000_000));
     answerRequests(driver, 30, WORK_US);
     assertTrue(
-        attemptedEngines(driver).stream().skip(at).anyMatch(engine -> engine == 4),
+        attemptedEngines(driver).stream().skip(attemptsBefore).anyMatch(engine -> engine == 4),
         "and it is used as it warms");
   }
 
--- a/src/test/java/cobaltseam/dispatch/LoadSheddingTest.java
+++ b/src/test/java/cobaltseam/dispatch/LoadSheddingTest.java
@@ -104,11 +104,12 @@
     DispatcherDriver driver = newDriver(0, 2, 1, 4, 5, 6, 8);
     answerRequests(driver, 30, WORK_US);
     answerRequests(driver, 40, 2 * WORK_US);
-    int finals = driver.finalAnswers.size();
-    int sends = driver.attempts.size();
+    int finalAnswersBefore = driver.finalAnswers.size();
+    int attemptsBefore = driver.attempts.size();
     answerRequests(driver, 100, 2 * WORK_US);
     assertTrue(
-        driver.finalAnswers.size() - finals > 20 && driver.attempts.size() - sends > 20,
+        driver.finalAnswers.size() - finalAnswersBefore > 20
+            && driver.attempts.size() - attemptsBefore > 20,
         "neither all nor none");
   }
 
@@ -148,13 +149,13 @@
       driver.advance(new TimeSpan(WORK_US));
       driver.complete(attempt, AttemptResult.COMPLETED, true);
     }
-    long before = 0;
+    long shedAtOnce = 0;
     for (int i = 0; i < 100; i++) {
-      int sent = driver.attempts.size();
-      long shed = driver.finalAnswers.size();
+      int attemptsBefore = driver.attempts.size();
+      long finalAnswersBefore = driver.finalAnswers.size();
       Request request = driver.submit("p", WORK_US);
-      before += driver.finalAnswers.size() - shed;
-      if (driver.attempts.size() == sent) {
+      shedAtOnce += driver.finalAnswers.size() - finalAnswersBefore;
+      if (driver.attempts.size() == attemptsBefore) {
         continue;
       }
       boolean fails = failing && i % 4 != 0;
@@ -166,17 +167,17 @@
             true);
       }
     }
-    return before;
+    return shedAtOnce;
   }
 
   @Test
   void failingEnginesReportNoCapacity() {
     // Reports come with answers alone: a pool of which most does not answer must not look empty by
     // the rest.
-    long alone = shedAtOnce(false);
-    long beside = shedAtOnce(true);
-    assertEquals(0, alone, "slow, but all engines report capacity");
-    assertTrue(beside > 0, "slow, and most attempts fail");
+    long shedWhileSlow = shedAtOnce(false);
+    long shedWhileFailing = shedAtOnce(true);
+    assertEquals(0, shedWhileSlow, "slow, but all engines report capacity");
+    assertTrue(shedWhileFailing > 0, "slow, and most attempts fail");
   }
 
   @Test
--- a/src/test/java/cobaltseam/dispatch/OutlierDetectionTest.java
+++ b/src/test/java/cobaltseam/dispatch/OutlierDetectionTest.java
@@ -51,7 +51,7 @@
   void hangingEngineIsNotRefilledAsItsAttemptsTimeOut() {
     DispatcherDriver driver = newDriver(0, 2, 1, 4, 5, 6);
     answerRequests(driver, 30, WORK_US);
-    int at = driver.attempts.size();
+    int attemptsBefore = driver.attempts.size();
     for (int i = 0; i < 300; i++) {
       driver.submit("p", WORK_US);
       driver.advance(new TimeSpan(WORK_US));
@@ -65,8 +65,12 @@
                 }
               });
     }
-    long there = attemptedEngines(driver).stream().skip(at).filter(engine -> engine == 4).count();
-    assertTrue(there < 50, "half an even split and less, not " + there);
+    long attemptsThere =
+        attemptedEngines(driver).stream()
+            .skip(attemptsBefore)
+            .filter(engine -> engine == 4)
+            .count();
+    assertTrue(attemptsThere < 50, "half an even split and less, not " + attemptsThere);
   }
 
   @Test
@@ -75,11 +79,16 @@
     answerRequests(driver, 30, WORK_US);
     answerRequests(driver, 30, 2 * WORK_US);
     driver.updateEndpoints(false, up(9));
-    int at = driver.attempts.size();
+    int attemptsBefore = driver.attempts.size();
     for (int i = 0; i < 100; i++) {
       driver.submit("p", WORK_US);
     }
-    long there = attemptedEngines(driver).stream().skip(at).filter(engine -> engine == 9).count();
-    assertTrue(there >= 1 && there < 8, "less than its share of eight: " + there);
+    long attemptsThere =
+        attemptedEngines(driver).stream()
+            .skip(attemptsBefore)
+            .filter(engine -> engine == 9)
+            .count();
+    assertTrue(
+        attemptsThere >= 1 && attemptsThere < 8, "less than its share of eight: " + attemptsThere);
   }
 }
