--- a/src/main/java/cobaltseam/service/ClientSession.java
+++ b/src/main/java/cobaltseam/service/ClientSession.java
@@ -16,7 +16,7 @@
  * The state of one client connection, and the response handle of its open statement. The parser and
  * the fields that say so belong to the I/O thread, all others to the event-loop thread.
  */
-final class ClientSession implements RequestTable.ResponseHandle {
+final class ClientSession implements ResponseHandle {
   /** Sends the final answer to the statement that a session has open. */
   interface StatementListener {
     void finish(ClientSession client, Replies replies);
--- a/src/main/java/cobaltseam/service/DispatcherService.java
+++ b/src/main/java/cobaltseam/service/DispatcherService.java
@@ -8,11 +8,8 @@
 import cobaltseam.settings.Settings;
 import cobaltseam.settings.SettingsReader;
 import java.io.IOException;
-import java.io.OutputStream;
 import java.lang.System.Logger.Level;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
@@ -202,32 +199,7 @@
    * @throws IOException if no port can be opened
    */
   public static void rehearse() throws IOException, InterruptedException {
-    ServiceConfiguration configuration = ServiceConfiguration.read(System.getenv());
-    Warmup.run(configuration);
-    DispatcherService service =
-        new DispatcherService(
-            configuration.withAddresses(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                configuration.watchAddress(),
-                configuration.knownEvents()));
-    service.open();
-    Thread client = new Thread(service::sendEmptyQuery);
-    client.start();
-    service.loop();
-    client.join();
-    service.close();
-    System.out.println(configuration.name() + ": " + service.counters);
-  }
-
-  private void sendEmptyQuery() {
-    try (Socket socket = new Socket(address().getAddress(), address().getPort())) {
-      OutputStream out = socket.getOutputStream();
-      out.write(new byte[] {0, 0, 0, 9, 0, 3, 0, 0, 0, 'Q', 0, 0, 0, 5, 0, 'X', 0, 0, 0, 4});
-      socket.getInputStream().readAllBytes();
-    } catch (IOException e) {
-      LOG.log(Level.ERROR, "no answer from a service just opened: {0}", e.getMessage());
-    }
-    stop();
+    ConfigurationCheck.rehearse(ServiceConfiguration.read(System.getenv()));
   }
 
   /**
@@ -236,21 +208,7 @@
    * @throws cobaltseam.deployment.InvalidInputException if it can't be used
    */
   public static String check(Map<String, String> environment) {
-    ServiceConfiguration configuration = ServiceConfiguration.read(environment);
-    return configuration.name()
-        + " on "
-        + configuration.listen()
-        + ", event bus "
-        + configuration.watchAddress()
-        + ", "
-        + configuration.deployment().dispatcherCount()
-        + " dispatchers, "
-        + configuration.deployment().requestClasses().size()
-        + " profiles, limits "
-        + configuration.maxSockets()
-        + " descriptors and "
-        + (configuration.memoryBytes() >> 20)
-        + " MB";
+    return ConfigurationCheck.describe(ServiceConfiguration.read(environment));
   }
 
   // ---- the start
@@ -392,6 +350,11 @@
     }
   }
 
+  /** The counters; from any thread. */
+  Counters counters() {
+    return counters;
+  }
+
   /** How many requests were completed; to be called after the loop has ended. */
   long completedRequests() {
     return counters.of(Count.COMMANDS_ANSWERED);
--- a/src/main/java/cobaltseam/service/RequestTable.java
+++ b/src/main/java/cobaltseam/service/RequestTable.java
@@ -12,7 +12,6 @@
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.postgres.Statement;
-import cobaltseam.resp.Result;
 import cobaltseam.service.Counters.Count;
 import java.lang.System.Logger.Level;
 import java.util.HashMap;
@@ -26,26 +25,6 @@
  * what it decides, and gives each its one final answer.
  */
 final class RequestTable implements EngineConnections.Listener {
-  /** Gets the final answer of a request: at most one of the first three is called, once. */
-  interface ResponseHandle {
-    void complete(Result result);
-
-    /**
-     * The request was shed and did not run.
-     *
-     * @param retryAfter when a retry is worthwhile; zero if nothing is known
-     */
-    void shed(TimeSpan retryAfter);
-
-    void fail();
-
-    /**
-     * Whether nobody waits any more, as far as the I/O thread has read; this may be known before
-     * {@link #clientLeft} is called.
-     */
-    boolean hasClientLeft();
-  }
-
   private static final System.Logger LOG = System.getLogger(RequestTable.class.getName());
   private static final int MAX_OPEN_REQUESTS = 1 << 16;
 
@@ -54,38 +33,13 @@
    */
   private static final TimeSpan FAULT_BACKOFF_US = new TimeSpan(100_000);
 
-  /** One request, until it has its final answer and no attempt of it runs. */
-  private static final class InFlightRequest {
-    final RequestId id;
-    final Statement statement;
-    long key;
-
-    /** Null once the request has its final answer or its client has left. */
-    ResponseHandle responseHandle;
-
-    int attemptCount;
-
-    /** The attempt that runs, or null. */
-    Attempt attempt;
-
-    InFlightRequest(Statement statement, ResponseHandle responseHandle) {
-      id = new RequestId(statement.call());
-      this.statement = statement;
-      this.responseHandle = responseHandle;
-    }
-
-    /** Whether the client has left, though the event loop has not processed that yet. */
-    boolean hasClientLeft() {
-      return responseHandle != null && responseHandle.hasClientLeft();
-    }
-  }
-
   private final Dispatcher dispatcher;
   private final EngineConnections engines;
   private final Timers timers;
   private final Clock clock;
   private final Counters counters;
   private final StatementTranslator translator;
+  private final FleetRetryLimit retryLimit;
   private final SlotTable<InFlightRequest> slots = new SlotTable<>(MAX_OPEN_REQUESTS);
   private final Map<RequestId, InFlightRequest> requestsById = new HashMap<>();
   private Timers.Timer nextStepTimer;
@@ -96,9 +50,6 @@
   /** Receives the load that engines report with attempts; null without a fleet. */
   private FleetBridge loadReports;
 
-  /** Limits retries over the whole fleet; null where it does not. */
-  private FleetBridge retryLimit;
-
   /** Whether the decision module was notified of something and has to be asked what follows. */
   private boolean isNextStepDue;
 
@@ -110,6 +61,7 @@
       Clock clock,
       Counters counters) {
     dispatcher = new Dispatcher(deployment, seed);
+    retryLimit = new FleetRetryLimit(dispatcher, counters);
     translator = new StatementTranslator(deployment);
     this.engines = engines;
     this.timers = timers;
@@ -154,7 +106,7 @@
 
   /** From now on the fleet limits retries. */
   void cappedBy(FleetBridge bridge) {
-    retryLimit = bridge;
+    retryLimit.setFleet(bridge);
   }
 
   /** The load that an engine reported to another dispatcher at this time or later. */
@@ -372,7 +324,7 @@
 
   private TimeSpan runStepsUntilDelay(long faultsBefore) {
     Timestamp now = clock.now();
-    updateRemainingRetries();
+    retryLimit.updateDispatcher();
     NextStep step = dispatcher.next(now);
     while (step.delay() != null && !step.delay().isPositive()) {
       if (counters.of(Count.FAULTS) > faultsBefore) {
@@ -380,7 +332,7 @@
       }
       run(step, now);
       now = clock.now();
-      updateRemainingRetries();
+      retryLimit.updateDispatcher();
       step = dispatcher.next(now);
     }
     return step.delay();
@@ -406,7 +358,7 @@
   /** Asks for a decision on one request; a fault in it fails this request and no other. */
   private void decide(InFlightRequest request, Supplier<Placement> decision) {
     Placement placement;
-    updateRemainingRetries();
+    retryLimit.updateDispatcher();
     try {
       placement = decision.get();
     } catch (RuntimeException e) {
@@ -423,14 +375,14 @@
     switch (placement.decision()) {
       case SEND -> startAttempt(request, placement);
       case SHED -> {
-        recordDeniedRetry(request);
+        retryLimit.recordIfDenied(request.attemptCount);
         counters.add(Count.COMMANDS_SHED);
         ResponseHandle responseHandle = request.responseHandle;
         remove(request);
         responseHandle.shed(placement.retryAfter());
       }
       case FAIL -> {
-        recordDeniedRetry(request);
+        retryLimit.recordIfDenied(request.attemptCount);
         counters.add(Count.COMMANDS_FAILED);
         ResponseHandle responseHandle = request.responseHandle;
         remove(request);
@@ -441,7 +393,7 @@
   }
 
   private void startAttempt(InFlightRequest request, Placement placement) {
-    boolean isAllowed = maySend.getAsBoolean() && isWithinRetryLimit(request);
+    boolean isAllowed = maySend.getAsBoolean() && retryLimit.admitAttempt(request.attemptCount);
     int number = request.attemptCount++;
     request.attempt =
         isAllowed
@@ -454,34 +406,4 @@
     counters.add(Count.FAULTS);
     LOG.log(Level.ERROR, "a fault in a decision", e);
   }
-
-  // ---- the fleet's limit of retries
-
-  private void updateRemainingRetries() {
-    if (retryLimit != null) {
-      dispatcher.setRemainingRetries(retryLimit.furtherLeft());
-    }
-  }
-
-  /** Counts an attempt that is about to start; whether the limit allows it. */
-  private boolean isWithinRetryLimit(InFlightRequest request) {
-    if (retryLimit == null) {
-      return true;
-    }
-    if (request.attemptCount == 0) {
-      retryLimit.first();
-      return true;
-    }
-    return retryLimit.takesFurther();
-  }
-
-  /**
-   * Counts a request that ends after an attempt while no retry is left, perhaps because of that.
-   */
-  private void recordDeniedRetry(InFlightRequest request) {
-    if (retryLimit != null && request.attemptCount > 0 && retryLimit.furtherLeft() < 1) {
-      counters.add(Count.REPEATS_DENIED);
-      retryLimit.denied();
-    }
-  }
 }
--- a/src/test/java/cobaltseam/deployment/DeploymentReaderTest.java
+++ b/src/test/java/cobaltseam/deployment/DeploymentReaderTest.java
@@ -42,32 +42,34 @@
   }
 
   @Test
-  void withoutTheNewKeysAllStaysAsBefore() {
-    Deployment d = read("", "", "", "");
-    assertNull(d.rules().retryWindow(), "no budget of further sends");
-    assertNull(d.requestClasses().get(1).machineTypes(), "any kind");
-    assertFalse(d.capabilities().allowsRetryAfter());
-    assertEquals(1, d.capabilities().maxAttempts());
+  void missingOptionalFieldsHaveTheirDefaults() {
+    Deployment deployment = read("", "", "", "");
+    assertNull(deployment.rules().retryWindow(), "no budget of further sends");
+    assertNull(deployment.requestClasses().get(1).machineTypes(), "any kind");
+    assertFalse(deployment.capabilities().allowsRetryAfter());
+    assertEquals(1, deployment.capabilities().maxAttempts());
   }
 
   @Test
-  void theBudgetOfFurtherSendsAndTheKindsOfAProfileAreRead() {
-    Deployment d =
+  void retryBudgetAndMachineTypesOfARequestClassAreRead() {
+    Deployment deployment =
         read(
             ", \"runs_on\": [\"c8\"]",
             ", \"spare_attempts\": 2, \"repeat_ratio\": 0.2, \"counted_over_us\": 10000000",
             ", \"most_tries\": 5, \"retry_after\": false, \"max_retry_after_us\": 2000000",
             "");
-    assertEquals(2.0, d.rules().freeRetries());
-    assertEquals(0.2, d.rules().retryRatio());
-    assertEquals(10_000_000, d.rules().retryWindow().us());
-    assertEquals(List.of(new MachineTypeId("c8")), d.requestClasses().get(1).machineTypes());
-    assertFalse(d.capabilities().allowsRetryAfter(), "clients are not told when to come back");
-    assertEquals(5, d.capabilities().maxAttempts());
+    assertEquals(2.0, deployment.rules().freeRetries());
+    assertEquals(0.2, deployment.rules().retryRatio());
+    assertEquals(10_000_000, deployment.rules().retryWindow().us());
+    assertEquals(
+        List.of(new MachineTypeId("c8")), deployment.requestClasses().get(1).machineTypes());
+    assertFalse(
+        deployment.capabilities().allowsRetryAfter(), "clients are not told when to come back");
+    assertEquals(5, deployment.capabilities().maxAttempts());
   }
 
   @Test
-  void figuresThatCantBeKeptAreRefused() {
+  void valuesOutOfRangeAreRejected() {
     assertThrows(InvalidInputException.class, () -> read(", \"runs_on\": [\"std-a\"]", "", "", ""));
     assertThrows(
         InvalidInputException.class,
--- a/src/test/java/cobaltseam/service/AnswerOrderTest.java
+++ b/src/test/java/cobaltseam/service/AnswerRaceTest.java
@@ -9,20 +9,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Answers that break off, never end or come late, for a class that may be repeated and for one that
- * must not be.
+ * Answers that are cut off, never end or come late, for a request class that is idempotent and one
+ * that is not.
  */
-class AnswerOrderTest extends ServiceRig {
+class AnswerRaceTest extends ServiceRig {
   private static void answerWell(Message pull) throws Exception {
     pull.answer(pull.id(), "200", "pages=1", ROWS);
   }
 
   /**
-   * The engine answers and closes, and both are read together: the answer counts, and nothing is
-   * sent again.
+   * The answer and the end of its connection are read together: the answer counts, without a retry.
    */
   @Test
-  void anAnswerWithTheEndOfItsConnectionRightBehindItCounts() throws Exception {
+  void anAnswerCountsThoughItsConnectionEndsRightBehindIt() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     start(one, two);
@@ -36,9 +35,9 @@
     assertTrue(client.ask("SHOW cobaltseam.counters").contains("sends|1"), "it was sent again");
   }
 
-  /** The first page alone is no answer: it is passed on with all others or not at all. */
+  /** The client gets all pages of a result or none. */
   @Test
-  void anAnswerThatBreaksOffBetweenItsPagesIsAskedForAgainWhereThatIsAllowed() throws Exception {
+  void aResultCutOffBetweenPagesIsRetriedWhereThatIsAllowed() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     start(one, two);
@@ -54,7 +53,7 @@
   }
 
   @Test
-  void anAnswerThatBreaksOffFailsWhatMustNotBeRepeated() throws Exception {
+  void aResultCutOffFailsARequestThatIsNotIdempotent() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     start(one, two);
@@ -68,11 +67,11 @@
   }
 
   /**
-   * Its head promises bytes that never come: the send is given up in time for another, and nothing
-   * of it is passed on.
+   * The answer announces bytes that never come: the attempt times out early enough for a retry, and
+   * the client gets nothing of it.
    */
   @Test
-  void anAnswerThatNeverEndsIsGivenUpAndAskedForAgain() throws Exception {
+  void anAnswerThatNeverEndsTimesOutAndIsRetried() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     start(one, two);
@@ -87,11 +86,11 @@
   }
 
   /**
-   * Nothing comes, or a part, or a whole first page of two: it may have run, and is failed in time
-   * and sent to nobody else.
+   * Nothing comes, or a part, or the first of two pages: the request may have run, so it fails in
+   * time and is not retried.
    */
   @Test
-  void whatMustNotBeRepeatedFailsWhateverIsMissingOfItsAnswer() throws Exception {
+  void aRequestThatIsNotIdempotentFailsWhateverPartOfItsAnswerIsMissing() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     start(one, two);
@@ -118,11 +117,11 @@
   }
 
   /**
-   * Reset long after its last answer, the connection is not used for the next send, which would be
-   * lost with it.
+   * The connection is reset long after its last answer, and would lose the next attempt if it were
+   * used.
    */
   @Test
-  void aConnectionResetWhileItRestsIsNotUsedAgain() throws Exception {
+  void aConnectionResetWhileIdleIsNotReused() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client client = new Client(command("once", 1, 20_000));
@@ -139,12 +138,9 @@
     assertEquals("SELECT 2", client.told().get(2));
   }
 
-  /**
-   * The second answer to a request that has its answer belongs to nobody: not to the next request
-   * either.
-   */
+  /** The second answer to a request is dropped, and not taken for that of the next request. */
   @Test
-  void aSecondAnswerThatComesLateIsNotTakenForTheNextRequests() throws Exception {
+  void aLateSecondAnswerIsNotTakenForThatOfTheNextRequest() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client client = new Client(command("once", 1, 20_000));
--- a/src/test/java/cobaltseam/service/SendOrderTest.java
+++ b/src/test/java/cobaltseam/service/AttemptRaceTest.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Sends that wait for their connection while the world changes, and answers that are too many. */
-class SendOrderTest extends ServiceRig {
-  /** Decided on before the drain was told, and written after it, it would break the drain. */
+/** Attempts that wait for a connection while their engine changes, and engines that flood. */
+class AttemptRaceTest extends ServiceRig {
+  /** Placed before the drain and written after it, the attempt would break the drain. */
   @Test
-  void aSendThatWaitsForAConnectionToADrainedEngineGoesElsewhere() throws Exception {
+  void anAttemptThatWaitsForAConnectionToADrainedEngineGoesToAnother() throws Exception {
     Peer sound = new Peer(true);
     Crowded crowded = new Crowded();
     Peer bus = start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
@@ -27,11 +27,9 @@
     assertNoPull(drained);
   }
 
-  /**
-   * Started anew meanwhile, it is cold: what waits for it goes by what a cold engine may be sent.
-   */
+  /** A restarted engine warms up: an attempt that waits for it is limited by its slow start. */
   @Test
-  void aSendThatWaitsForAConnectionToAnEngineThatStartsAnewIsDecidedAgain() throws Exception {
+  void anAttemptThatWaitsForAConnectionToARestartedEngineIsPlacedAgain() throws Exception {
     Peer sound = new Peer(true);
     Crowded crowded = new Crowded();
     Peer bus = start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
@@ -48,9 +46,11 @@
     assertEquals("SELECT 2", client.told().get(2));
   }
 
-  /** Begun later than engines remember the send before, a repeat could take effect twice. */
+  /**
+   * A retry that starts after engines have forgotten the attempt before could take effect twice.
+   */
   @Test
-  void aRepeatThatWaitsForAConnectionBeyondTheWindowIsNeverBegun() throws Exception {
+  void aRetryThatWaitsForAConnectionBeyondTheDeduplicationWindowIsNotSent() throws Exception {
     Crowded crowded = new Crowded();
     Peer first = new Peer(true);
     start(
@@ -72,9 +72,11 @@
     assertNoPull(late);
   }
 
-  /** Without it, engines could not tell a repeat of a request that has run from another request. */
+  /**
+   * Without the key, engines could not tell the retry of a request that has run from a new request.
+   */
   @Test
-  void theIdempotencyKeyOfARequestGoesWithEachOfItsSends() throws Exception {
+  void eachAttemptOfARequestCarriesItsIdempotencyKey() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     start(
@@ -96,9 +98,9 @@
     assertEquals("SELECT 2", client.told().get(2));
   }
 
-  /** One that could not be passed on as it came would be another key, or fields of its own. */
+  /** Such a key would reach the engine as another key, or as further fields. */
   @Test
-  void anIdempotencyKeyThatCantBePassedOnIsRefused() throws Exception {
+  void anUnusableIdempotencyKeyIsRejected() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client client = new Client();
@@ -109,9 +111,9 @@
     assertTrue(engine.heard.isEmpty());
   }
 
-  /** What nobody asked for must not take the processor without end; the others are served on. */
+  /** Unsolicited answers must not take all the processor time; other engines are still used. */
   @Test
-  void anEngineThatAnswersWithoutEndWhatNobodyAskedLosesItsConnection() throws Exception {
+  void anEngineThatFloodsWithUnsolicitedAnswersLosesItsConnection() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client client = new Client(look(1, 3000));
--- a/src/test/java/cobaltseam/service/DepartureOrderTest.java
+++ b/src/test/java/cobaltseam/service/ClientDepartureRaceTest.java
@@ -9,35 +9,34 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/**
- * Clients that close or cancel at each step of their request: nothing begins for one that has gone.
- */
-class DepartureOrderTest extends ServiceRig {
+/** Clients that close or cancel at each step of their request: no attempt starts after that. */
+class ClientDepartureRaceTest extends ServiceRig {
   private static final int PAIRS = 8;
   private static final int LEAVERS = 20;
 
   /**
-   * Longer than a retry is put off, and than a client may be gone when an attempt begins: the
-   * duration is the subject.
+   * Longer than the backoff of a retry, and than an attempt may start after its client has left:
+   * the duration itself is tested.
    */
   private static final int GONE_FOR_MS = 200;
 
-  /** Threads that one engine of these tests is given. */
+  /** The thread budget of one engine in these tests. */
   private static final int ROOM = 8;
 
   /**
-   * One of so much work that no answer is held to be slow, and the engine to have less room for it.
+   * A statement with so much work that no answer counts as slow, which would reduce the engine's
+   * capacity.
    */
   private static String heavy(int call) {
     return command("once", call, 20_000).replace("work=100", "work=5000");
   }
 
   /**
-   * Its end lies right behind its statement, and both are read at once, however long ago they were
-   * written.
+   * The statement and the end of the connection behind it are read together, possibly long after
+   * they were written.
    */
   @Test
-  void aStatementWithTheEndRightBehindItIsNotSentOn() throws Exception {
+  void aStatementWithTheEndRightBehindItIsNotForwarded() throws Exception {
     start(new Peer(true));
     Client watch = new Client();
     Client leaver = new Client();
@@ -49,12 +48,9 @@
     assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|0"));
   }
 
-  /**
-   * The thread that decides is late: by the time it hears the statement, the end has been read as
-   * well.
-   */
+  /** The event loop is late: when it processes the statement, the end has been read as well. */
   @Test
-  void aStatementHeardLateFromAClientThatHasGoneIsNotSentOn() throws Exception {
+  void aStatementProcessedAfterItsClientHasLeftIsNotForwarded() throws Exception {
     start(new Peer(true));
     Client watch = new Client();
     Client leaver = new Client();
@@ -68,9 +64,11 @@
     assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|0"));
   }
 
-  /** Held for want of room, and left: when room comes, it goes to who still waits. */
+  /**
+   * A queued request whose client has left: freed capacity goes to a request that is still awaited.
+   */
   @Test
-  void whatIsHeldForAClientThatHasGoneIsNeverSent() throws Exception {
+  void aQueuedRequestWhoseClientHasLeftIsNeverSent() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     List<Message> out = new ArrayList<>();
@@ -93,9 +91,9 @@
     assertEquals("SELECT 2", stays.told().get(2));
   }
 
-  /** Room comes in the same turn as the end of the client that is next in line. */
+  /** Capacity is freed in the same turn in which the client of the next queued request leaves. */
   @Test
-  void roomThatComesWithTheEndOfTheNextInLineGoesToTheOneBehindIt() throws Exception {
+  void capacityFreedAsAQueuedClientLeavesGoesToTheNext() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     List<Message> out = new ArrayList<>();
@@ -117,7 +115,7 @@
     assertEquals("%016x".formatted(21), engine.next("PULL").id());
   }
 
-  /** The end of its output alone counts as leaving: nobody is known to read on. */
+  /** A client that ends only its output counts as having left, since it may not read either. */
   @Test
   void aClientThatEndsItsOutputHasLeft() throws Exception {
     Peer engine = new Peer(true);
@@ -141,9 +139,9 @@
     await(new Client(), "commands_departed|1");
   }
 
-  /** Decided on, and not yet written: when the connection comes up, nobody wants it any more. */
+  /** The attempt is placed and not yet written when its client leaves. */
   @Test
-  void whatWaitsForAConnectionWhenItsClientLeavesIsNeverWritten() throws Exception {
+  void anAttemptThatWaitsForAConnectionWhenItsClientLeavesIsNeverWritten() throws Exception {
     Crowded crowded = new Crowded();
     start(ServiceRig::patient, SOCKETS, IDLE_MS, crowded.address());
     Client watch = new Client();
@@ -155,11 +153,11 @@
   }
 
   /**
-   * The connection comes up, then the client leaves, and the thread that decides is late: it hears
-   * of the connection first.
+   * The connection comes up, then the client leaves; the event loop is late and processes the
+   * connection first.
    */
   @Test
-  void aConnectionThatComesUpBeforeTheEndOfItsClientIsHeardBringsNothing() throws Exception {
+  void anAttemptIsNotWrittenIfItsClientsEndIsReadAndNotProcessed() throws Exception {
     Crowded crowded = new Crowded();
     start(ServiceRig::patient, SOCKETS, IDLE_MS, crowded.address());
     Client watch = new Client();
@@ -176,11 +174,11 @@
   }
 
   /**
-   * The engine fails, then the client leaves, and the thread that decides is late: it hears of the
-   * failure first.
+   * The engine fails, then the client leaves; the event loop is late and processes the failure
+   * first.
    */
   @Test
-  void aFailureHeardBeforeTheEndOfItsClientIsNotFollowedByARetry() throws Exception {
+  void aFailureProcessedBeforeTheClientsEndIsNotRetried() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     start(one, two);
@@ -199,10 +197,11 @@
   }
 
   /**
-   * The same with a cancel request that was read and not heard yet; after it the session goes on.
+   * The same with a cancel request that is read and not processed yet; after it the session goes
+   * on.
    */
   @Test
-  void aFailureHeardBeforeTheCancelRequestIsNotFollowedByARetry() throws Exception {
+  void aFailureProcessedBeforeTheCancelRequestIsNotRetried() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     start(one, two);
@@ -230,11 +229,11 @@
   }
 
   /**
-   * Refusals of engines and the ends of their clients lie unread together, and the thread that
-   * decides goes on between the two.
+   * Rejections by engines and the ends of the clients lie unread together, and the event loop runs
+   * between the two.
    */
   @Test
-  void refusalsReadTogetherWithTheEndsOfTheirClientsAreNotFollowedByRetries() throws Exception {
+  void rejectionsReadTogetherWithTheClientsEndsAreNotRetried() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     start(one, two);
@@ -263,10 +262,10 @@
   }
 
   /**
-   * A cancel request counts though its connection has closed right behind it, as many clients do.
+   * A cancel request counts though its connection is closed right behind it, as many clients do.
    */
   @Test
-  void aCancelRequestWhoseConnectionClosesRightBehindItIsHeard() throws Exception {
+  void aCancelRequestWhoseConnectionClosesRightBehindItIsProcessed() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client client = new Client(heavy(1));
@@ -283,11 +282,11 @@
   }
 
   /**
-   * The answer comes in the same turn as the end of its client: it goes nowhere, and the next one
+   * The answer comes in the same turn as the end of its client: it is dropped, and the next client
    * gets its own.
    */
   @Test
-  void anAnswerThatComesWithTheEndOfItsClientGoesNowhere() throws Exception {
+  void anAnswerThatComesWithTheEndOfItsClientIsDropped() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client leaver = new Client(heavy(1));
@@ -310,11 +309,11 @@
   }
 
   /**
-   * All that are held leave at once: not one of them is sent when room comes, and who stays is not
-   * kept waiting.
+   * All clients of queued requests but one leave at once: freed capacity goes to the one that
+   * stays.
    */
   @Test
-  void aBurstOfLeaversIsPassedOver() throws Exception {
+  void queuedRequestsOfManyClientsThatLeaveAreSkipped() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client watch = new Client();
@@ -342,11 +341,11 @@
   }
 
   /**
-   * A cancel request read together with its statement, on another connection, is not passed over
-   * for coming first.
+   * A cancel request that is read together with its statement, on another connection, is not
+   * processed before it.
    */
   @Test
-  void aCancelRequestIsHeardAfterTheStatementThatItNames() throws Exception {
+  void aCancelRequestIsProcessedAfterTheStatementThatItNames() throws Exception {
     start(new Peer(true));
     Client watch = new Client();
     List<Client> clients = new ArrayList<>();
@@ -369,17 +368,19 @@
     }
   }
 
-  /** It had asked nothing whole yet when it would be closed for silence, but is still writing. */
+  /**
+   * The client has sent no complete statement when the timeout for it ends, but is still writing.
+   */
   @Test
-  void aClientThatWritesSlowlyIsNotClosedForSilence() throws Exception {
+  void aClientThatWritesSlowlyDoesNotTimeOut() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client slow = new Client();
     byte[] statement = message(look(1, 10_000));
     int pieces = 8;
     for (int i = 0; i < pieces; i++) {
-      // The pace is the subject: the whole takes longer than a silent client may keep its
-      // connection.
+      // The duration itself is tested: the statement takes longer than a silent client may stay
+      // connected.
       Thread.sleep(400);
       int from = statement.length * i / pieces;
       slow.out.write(statement, from, statement.length * (i + 1) / pieces - from);
--- a/src/test/java/cobaltseam/service/SettingsTest.java
+++ b/src/test/java/cobaltseam/service/ConfigurationReloadProcessTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Settings of decisions that move on a real process while its clients never let it be idle. */
-class SettingsTest {
+/** Reloads of the settings of decisions in a real process under steady load. */
+class ConfigurationReloadProcessTest {
   private static final String HOST = "127.0.0.1";
   private static final int LONG_MS = 20_000;
   private static final int CLIENTS = 12;
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Three times as many clients as the engine has threads: something is held and out at every
-   * moment.
+   * Three times as many clients as the engine has threads: at any time requests are queued and in
+   * flight.
    */
   private void load() {
     for (int c = 0; c < CLIENTS; c++) {
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void settingsActUnderLoadThatNeverEndsAndEveryCommandHasItsOneEnding() throws Exception {
+  void reloadedSettingsActUnderLoadAndEveryRequestHasOneAnswer() throws Exception {
     dispatcher.start();
     dispatcher.await("serves on", 0, LONG_MS);
     load();
@@ -115,7 +115,7 @@
         !dispatcher.log().lines().toList().get(next - 1).contains("with 0 commands in hand"),
         dispatcher.log());
     assertEquals(1, count("configurations_moved"));
-    // Another one, and 10 ms later one that goes back; two signals may come as one, the last file
+    // Another file, and 10 ms later the first again; two signals may come as one, and the last file
     // counts.
     dispatcher.configured(
         configuration().replace("\"repeat\":\"read_like\"", "\"repeat\":\"non_idempotent\""));
@@ -152,7 +152,7 @@
   }
 
   @Test
-  void aStartWithHangUpIgnoredIsSaid() throws Exception {
+  void aStartWithSighupIgnoredIsLogged() throws Exception {
     dispatcher.startDeaf();
     dispatcher.await("SIGHUP was ignored at the start", 0, LONG_MS);
     dispatcher.await("serves on", 0, LONG_MS);
@@ -161,7 +161,7 @@
   }
 
   @Test
-  void aPlainStartSaysNothingOfIt() throws Exception {
+  void aPlainStartLogsNoIgnoredSighupAndReloads() throws Exception {
     dispatcher.start();
     dispatcher.await("serves on", 0, LONG_MS);
     dispatcher.signal("HUP");
--- /dev/null
+++ b/src/test/java/cobaltseam/service/ConfigurationReloadTest.java
@@ -0,0 +1,170 @@
+package cobaltseam.service;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import cobaltseam.deployment.InvalidInputException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import sun.misc.Signal;
+
+/**
+ * The configuration read at the start and again on SIGHUP, and the endpoint watch that it names.
+ */
+class ConfigurationReloadTest extends ServiceRig {
+  @Test
+  void theEndpointWatchResumesFromTheLastEventAfterALostConnection() throws Exception {
+    Peer old = new Peer(true);
+    Peer fresh = new Peer(true);
+    Peer bus = start(old);
+    Message from = bus.next();
+    assertEquals("from 7", from.items().get(0));
+    String change =
+        event(
+            8,
+            false,
+            target(1, old.address(), "terminated"),
+            target(2, fresh.address(), "in_service"));
+    from.say(change.substring(0, 30));
+    from.say(change.substring(30) + "\nno json\n8\n");
+    from.say("10\n");
+    assertEquals(
+        "closed", bus.next().items().get(0), "a number beyond the last event means one is missing");
+    Message anew = bus.next();
+    assertEquals("from 8", anew.items().get(0));
+    anew.reset();
+    bus.next("closed");
+    assertEquals("from 8", bus.next().items().get(0));
+    Client client = new Client(look(1, 3000));
+    Message pull = fresh.next("PULL");
+    pull.answer(pull.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", client.told().get(2));
+    assertTrue(old.heard.isEmpty());
+  }
+
+  /** The real signal, first with files that can't be used: neither may end the process. */
+  @Test
+  void aReloadMovesTheEndpointWatchAndAnUnusableFileChangesNothing() throws Exception {
+    Peer engine = new Peer(true);
+    Peer old = start(engine);
+    old.next("from 7");
+    Path file = Files.createTempFile("configuration", ".json");
+    try {
+      service.readAnewOnHangUp(Map.of("GW_CONFIG", file.toString()));
+      String bad =
+          configuration("127.0.0.1:80", SOCKETS, IDLE_MS).replace("\"limits\"", "\"limitless\"");
+      Client client = new Client();
+      int raised = 0;
+      for (String unusable : List.of("", "{", bad)) {
+        Files.writeString(file, unusable);
+        Signal.raise(new Signal("HUP"));
+        await(client, "configurations_unusable|" + ++raised);
+      }
+      Peer bus = new Peer(false);
+      Files.writeString(file, configuration(bus.address(), SOCKETS, IDLE_MS));
+      Signal.raise(new Signal("HUP"));
+      Message from = bus.next("from 7");
+      old.next("closed");
+      from.say(event(8, false, target(1, engine.address(), "in_service")) + "\n");
+      client.query(client.out, look(1, 3000));
+      Message pull = engine.next("PULL");
+      pull.answer(pull.id(), "200", "pages=1", ROWS);
+      assertEquals("SELECT 2", client.told().get(2));
+      Files.writeString(
+          file,
+          configuration(bus.address(), SOCKETS, IDLE_MS).replace("\"offset\":7", "\"offset\":9"));
+      Signal.raise(new Signal("HUP"));
+      await(client, "configurations_read|2");
+      from.reset();
+      bus.next("closed");
+      bus.next("from 9");
+    } finally {
+      Files.delete(file);
+    }
+  }
+
+  /** Settings that waited until no request is open would never act on a busy dispatcher. */
+  @Test
+  void reloadedSettingsActWhileRequestsAreInFlightAndQueued() throws Exception {
+    Peer engine = new Peer(true);
+    Peer bus = start(engine);
+    bus.next("from 7");
+    Path file = Files.createTempFile("configuration", ".json");
+    try {
+      service.readAnewOnHangUp(Map.of("GW_CONFIG", file.toString()));
+      // First latency objectives so long that a slow machine sheds nothing.
+      String as =
+          configuration(bus.address(), SOCKETS, IDLE_MS, target(1, engine.address(), "in_service"))
+              .replace("500000,\"hard_limit_us\":3000000", "30000000,\"hard_limit_us\":60000000");
+      Client watch = new Client();
+      Files.writeString(file, as);
+      Signal.raise(new Signal("HUP"));
+      await(watch, "configurations_moved|1");
+      List<Client> busy = new ArrayList<>();
+      List<Message> pulls = new ArrayList<>();
+      // Eight threads: eight requests are in flight and two queued.
+      for (int i = 1; i <= 10; i++) {
+        Client client = new Client();
+        client.query(client.out, command("once", i, 60_000).replace("work=100", "work=5000"));
+        busy.add(client);
+        if (i <= 8) {
+          pulls.add(engine.next("PULL"));
+        }
+      }
+      await(watch, "commands_taken|10");
+      Files.writeString(file, as.replace("\"name\":\"once\"", "\"name\":\"twice\""));
+      Signal.raise(new Signal("HUP"));
+      await(watch, "configurations_moved|2");
+      assertEquals(
+          List.of("error 42"),
+          watch.ask(command("once", 20, 3000)),
+          "the new settings know it no more");
+      for (Message pull : pulls) {
+        pull.answer(pull.id(), "200", "pages=1", "");
+      }
+      for (int i = 0; i < 2; i++) {
+        Message pull = engine.next("PULL");
+        pull.answer(pull.id(), "200", "pages=1", "");
+      }
+      for (Client client : busy) {
+        assertEquals(
+            List.of("SELECT 0"), client.told(), "taken before the move, answered after it");
+      }
+      Files.writeString(file, as);
+      Signal.raise(new Signal("HUP"));
+      await(watch, "configurations_moved|3");
+      watch.query(watch.out, command("once", 21, 3000));
+      Message pull = engine.next("PULL");
+      pull.answer(pull.id(), "200", "pages=1", "");
+      assertEquals(List.of("SELECT 0"), watch.told());
+    } finally {
+      Files.delete(file);
+    }
+  }
+
+  @Test
+  void anUnusableConfigurationIsRejected() {
+    for (String bad : List.of("nowhere:80", "127.0.0.1", "127.0.0.1:70000", "127.0.0.1:x", "")) {
+      assertThrows(InvalidInputException.class, () -> told(bad, SOCKETS, IDLE_MS), bad);
+    }
+    assertThrows(InvalidInputException.class, () -> ServiceConfiguration.read(Map.of()));
+    assertThrows(
+        InvalidInputException.class,
+        () -> ServiceConfiguration.read(Map.of("GW_CONFIG", "/nowhere/config.json")));
+    assertEquals(
+        0x00c41f7aL,
+        WatchEvent.engineId("s-00c41f7a").value() & 0xffffffffL,
+        "read off a log line");
+    assertTrue(
+        WatchEvent.engineId("s-00c41f7a").value() > WatchEvent.engineId("s-00c41f79").value(),
+        "in the order of numbers");
+    assertNotEquals(WatchEvent.engineId("s-00c41f7a"), WatchEvent.engineId("t-00c41f7a"));
+    assertEquals(WatchEvent.engineId("a/ü"), WatchEvent.engineId("a/ü"));
+  }
+}
--- a/src/test/java/cobaltseam/service/ListWatchOrderTest.java
+++ b/src/test/java/cobaltseam/service/EndpointWatchRaceTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import sun.misc.Signal;
 
-/** The watch on the list of engines, when it is silent, behind, or told in another order. */
-class ListWatchOrderTest extends ServiceRig {
+/** The endpoint watch when it is silent, behind, or receives events in another order. */
+class EndpointWatchRaceTest extends ServiceRig {
   private static final int FEW_SOCKETS = 48;
   private final String drained = "terminating";
   @TempDir Path folder;
@@ -29,9 +29,9 @@
     assertEquals("SELECT 2", client.told().get(2));
   }
 
-  /** Passed over for a number that overtook it, a drain would never be heard of. */
+  /** A drain that is skipped for an offset that overtook it would be lost. */
   @Test
-  void aNumberThatComesBeforeTheEventsThatWereAskedForAnewSkipsNone() throws Exception {
+  void anOffsetThatOvertakesEventsRequestedAgainSkipsNone() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     Peer bus = start(one, two);
@@ -60,11 +60,11 @@
   }
 
   /**
-   * The drain was told by the former bus, behind the reload that moves to another: it is asked for
-   * there.
+   * The drain came from the former event bus behind the reload that moves to another: it is
+   * requested there.
    */
   @Test
-  void aDrainToldRightBehindAReloadThatMovesDiscoveryIsHeard() throws Exception {
+  void aDrainRightBehindAReloadThatMovesTheWatchIsApplied() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     Peer former = start(one, two);
@@ -82,7 +82,7 @@
     assertGoesTo(one, two);
   }
 
-  /** The reload names a list from before the drain: that undoes nothing. */
+  /** The reloaded configuration holds a list from before the drain. */
   @Test
   void aReloadRightBehindADrainDoesNotUndoIt() throws Exception {
     Peer one = new Peer(true);
@@ -101,9 +101,9 @@
     assertGoesTo(one, two);
   }
 
-  /** The reload itself tells of the drain, before any bus does. */
+  /** The reloaded configuration holds the drain before the event bus sends it. */
   @Test
-  void aDrainThatAReloadTellsActsAtOnce() throws Exception {
+  void aDrainInAReloadedConfigurationActsAtOnce() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     start(one, two).next("from 7");
@@ -120,12 +120,9 @@
     assertGoesTo(one, two);
   }
 
-  /**
-   * What can't be had is given up all the same, or one event that is lost for good would hold up
-   * all others.
-   */
+  /** An event that stays missing is skipped, or it would hold up all others. */
   @Test
-  void aNumberThatIsRepeatedWithoutItsEventIsTaken() throws Exception {
+  void anEventThatIsMissingAtTheSecondHeartbeatIsSkipped() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     Peer bus = start(one, two);
@@ -137,7 +134,7 @@
   }
 
   @Test
-  void aWatchThatIsSilentFromTheFirstMomentIsAskedAnew() throws Exception {
+  void aWatchThatIsSilentFromTheStartIsReconnected() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     Peer bus = start(one, two);
@@ -148,11 +145,9 @@
     assertGoesTo(one, two);
   }
 
-  /**
-   * The beat goes on for a while, and then nothing comes: what drains in that silence is asked for.
-   */
+  /** After some heartbeats nothing comes: drains during that silence are requested again. */
   @Test
-  void aWatchThatFallsSilentLaterIsAskedAnewFromTheLastEvent() throws Exception {
+  void aWatchThatFallsSilentIsReconnectedFromTheLastEvent() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     Peer bus = start(one, two);
@@ -163,9 +158,9 @@
     assertGoesTo(one, two);
   }
 
-  /** It holds all that is so: what came before it is not missing. */
+  /** A complete list makes up for the events before it. */
   @Test
-  void aWholeListIsTakenThoughEventsBeforeItNeverCame() throws Exception {
+  void aCompleteListIsAppliedThoughEventsBeforeItAreMissing() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     Peer bus = start(one, two);
@@ -178,11 +173,11 @@
   }
 
   /**
-   * Names that differ only before their number: taken for one engine, the drain of one would end
-   * the other's work.
+   * The names differ only before the number; taken for one engine, the drain of one would affect
+   * the other.
    */
   @Test
-  void aDrainOfAnEngineIsNotTakenForThatOfOneWithTheSameNumber() throws Exception {
+  void enginesWithTheSameNumberInTheirNamesAreDrainedSeparately() throws Exception {
     Peer one = new Peer(true);
     Peer namesake = new Peer(true);
     Peer bus = start(one);
@@ -194,11 +189,11 @@
   }
 
   /**
-   * More idle clients than there are descriptors come while discovery is down: its return still
-   * finds one.
+   * More idle clients than descriptors come while the event bus is down: the watch still gets one
+   * when it returns.
    */
   @Test
-  void aListThatComesBackIsHeardThoughIdleClientsHoldTheDescriptors() throws Exception {
+  void theWatchReconnectsThoughIdleClientsHoldTheDescriptors() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     int port;
@@ -224,11 +219,11 @@
   }
 
   /**
-   * Its configuration was written before it started: a drain told since has to be heard before the
-   * first request is sent on.
+   * The configuration was written before the start: a later drain has to be applied before the
+   * first request is forwarded.
    */
   @Test
-  void aDrainToldDuringTheStartIsHeardBeforeClientsCome() throws Exception {
+  void aDrainDuringTheStartIsAppliedBeforeClientsCome() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     Peer bus = new Peer(false);
@@ -257,9 +252,9 @@
     tells.join();
   }
 
-  /** Without discovery it starts all the same, by the list that its configuration holds. */
+  /** Without the event bus the service starts with the list of its configuration. */
   @Test
-  void aStartWithoutDiscoveryServesByTheKnownList() throws Exception {
+  void aStartWithoutTheWatchServesByTheConfiguredList() throws Exception {
     Peer one = new Peer(true);
     service =
         new DispatcherService(
@@ -269,9 +264,9 @@
     assertGoesTo(one, new Peer(true));
   }
 
-  /** Told twice or late, an older change does not undo a newer one. */
+  /** An older event that is repeated or late does not undo a newer one. */
   @Test
-  void aChangeOlderThanWhatIsKnownChangesNothing() throws Exception {
+  void anEventOlderThanTheLastOneChangesNothing() throws Exception {
     Peer one = new Peer(true);
     Peer two = new Peer(true);
     Peer bus = start(one, two);
--- /dev/null
+++ b/src/test/java/cobaltseam/service/EngineConnectionsTest.java
@@ -0,0 +1,119 @@
+package cobaltseam.service;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+
+/** Connections to engines: shared, reused, refused, and closed to cancel an attempt. */
+class EngineConnectionsTest extends ServiceRig {
+  /**
+   * An engine that is cut off reads no cancel message: only a closed connection surely ends an
+   * attempt.
+   */
+  @Test
+  void anAttemptIsCancelledByClosingItsConnectionBeforeTheRetry() throws Exception {
+    Peer engine = new Peer(true);
+    start(engine);
+    Client client = new Client(command("look", 1, 1500));
+    Message silent = engine.next("PULL");
+    List<Message> next = List.of(engine.next(), engine.next());
+    assertEquals(
+        Set.of("closed", "PULL"), Set.of(next.get(0).items().get(0), next.get(1).items().get(0)));
+    assertTrue(silent.from().getInputStream().read() < 0);
+    assertEquals(List.of("error 53 pushback"), client.told());
+    assertEquals(List.of("empty"), client.ask(""));
+  }
+
+  @Test
+  void aRefusedConnectionProvesThatNothingRan() throws Exception {
+    int closedPort;
+    try (ServerSocket listener = new ServerSocket(0)) {
+      closedPort = listener.getLocalPort();
+    }
+    start(SOCKETS, IDLE_MS, "127.0.0.1:" + closedPort);
+    Client client = new Client(command("once", 1, 1000));
+    assertEquals(List.of("error 53 pushback"), client.told());
+  }
+
+  @Test
+  void attemptsOnASharedConnectionAreCancelledByMessage() throws Exception {
+    Peer engine = new Peer(true);
+    start(5, IDLE_MS, engine);
+    Client one = new Client(command("once", 1, 700));
+    Message first = engine.next("PULL");
+    Client two = new Client(command("once", 2, 3000));
+    Message second = engine.next("PULL");
+    assertEquals(first.from(), second.from());
+    assertEquals(List.of("KILL", first.id()), engine.next().items());
+    assertEquals(List.of("error 58"), one.told());
+    first.answer(first.id(), "200", "pages=2", ROWS);
+    assertEquals(List.of("DISCARD", first.id()), engine.next().items(), "a late answer is dropped");
+    second.answer(second.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", two.told().get(2));
+  }
+
+  @Test
+  void connectionsIdleTooLongOrToAnEarlierIncarnationAreNotUsed() throws Exception {
+    Peer engine = new Peer(true);
+    Peer bus = start(SOCKETS, 200, engine);
+    Client client = new Client(look(1, 3000));
+    Message first = engine.next("PULL");
+    first.answer(first.id(), "200", "pages=1", ROWS);
+    client.told();
+    Thread.sleep(250);
+    client.query(client.out, command("once", 2, 3000));
+    List<Message> next = List.of(engine.next(), engine.next());
+    assertEquals(
+        Set.of("closed", "PULL"), Set.of(next.get(0).items().get(0), next.get(1).items().get(0)));
+    assertFalse(next.get(0).from().equals(next.get(1).from()));
+    String restarted =
+        target(1, engine.address(), "in_service")
+            .replace("\"boot_ms\":0", "\"boot_ms\":" + (System.currentTimeMillis() + 60_000));
+    bus.next().say(event(8, false, restarted) + "\n");
+    assertEquals(
+        "closed",
+        engine.next().items().get(0),
+        "a machine that came back knows no earlier connection");
+    assertEquals(List.of("error 58"), client.told());
+  }
+
+  @Test
+  void aConnectTimeoutProvesThatNothingRan() throws Exception {
+    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      List<Socket> waiting = new ArrayList<>();
+      for (int i = 0; i < 8; i++) {
+        Socket socket = new Socket();
+        waiting.add(socket);
+        try {
+          socket.connect(full.getLocalSocketAddress(), 50);
+        } catch (IOException e) {
+          break;
+        }
+      }
+      start(
+          configuration ->
+              configuration.replace(
+                  "\"connect_timeout_us\":2000000", "\"connect_timeout_us\":250000"),
+          SOCKETS,
+          IDLE_MS,
+          "127.0.0.1:" + full.getLocalPort());
+      Client client = new Client(command("once", 1, 2000));
+      long asked = System.nanoTime();
+      assertEquals(List.of("error 53 pushback"), client.told());
+      assertTrue(System.nanoTime() - asked < TimeUnit.SECONDS.toNanos(2));
+      for (Socket socket : waiting) {
+        socket.close();
+      }
+    }
+  }
+}
--- a/src/test/java/cobaltseam/service/ProcessOrderTest.java
+++ b/src/test/java/cobaltseam/service/ProcessSignalTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Signals and starts of real processes, crossed with requests. */
-class ProcessOrderTest {
+class ProcessSignalTest {
   private static final String HOST = "127.0.0.1";
   private static final int LONG_MS = 20_000;
   private static final int RUNS_MS = 1500;
@@ -72,9 +72,9 @@
     return process;
   }
 
-  /** A second SIGTERM, or a SIGHUP in between, neither ends it sooner nor keeps it. */
+  /** A second SIGTERM, or a SIGHUP in between, neither shortens nor prolongs the shutdown. */
   @Test
-  void signalsDuringAShutdownChangeNothingAndWhatIsOutIsAnswered() throws Exception {
+  void signalsDuringAShutdownChangeNothingAndRequestsInFlightAreAnswered() throws Exception {
     InetSocketAddress listen = free();
     DispatcherProcess process = dispatcher(0, listen);
     process.start();
@@ -100,11 +100,11 @@
   }
 
   /**
-   * Frozen, it is asked and told to end; what lay unread in the kernel when the signal came is
-   * still served.
+   * The process is frozen while requests and SIGTERM come; those unread in the kernel are still
+   * served.
    */
   @Test
-  void whatLiesUnreadWhenTheSignalComesIsServed() throws Exception {
+  void requestsUnreadWhenTheSignalComesAreServed() throws Exception {
     InetSocketAddress listen = free();
     DispatcherProcess process = dispatcher(0, listen);
     process.start();
@@ -125,11 +125,11 @@
   }
 
   /**
-   * All at once, each with its warm-up, they share the machine: the slowest but one still has to be
+   * All start at once and share the machine, each with its warm-up: the slowest but one has to be
    * quick.
    */
   @Test
-  void nineOfTenRestartedAtOnceAreReadyInTime() throws Exception {
+  void nineOfTenProcessesRestartedAtOnceAreReadyInTime() throws Exception {
     List<InetSocketAddress> addresses = new ArrayList<>();
     for (int i = 0; i < RESTARTED; i++) {
       addresses.add(free());
--- a/src/test/java/cobaltseam/service/ServiceRig.java
+++ b/src/test/java/cobaltseam/service/ServiceRig.java
@@ -32,16 +32,13 @@
 import org.junit.jupiter.api.AfterEach;
 
 /**
- * A service under test between clients, engines and an event bus that the test plays itself, on
- * loopback. Each peer waits for what it is to hear before it goes on, so that a test forces the
- * order of events.
+ * A service under test between clients, engines and an event bus that the test emulates, on
+ * loopback. Each peer waits for the message that it expects before it goes on, so that a test
+ * forces the order of events.
  */
-abstract class ServiceRig {
+abstract class ServiceRig extends ServiceTexts {
   static final int SOON_S = 10;
   private static final int CONNECT_MS = 50;
-  static final int SOCKETS = 256;
-  static final int IDLE_MS = 30_000;
-  static final String ROWS = "a\t1\tx\nb\t2\ty\n";
 
   final List<AutoCloseable> open = new ArrayList<>();
 
@@ -50,7 +47,7 @@
 
   private final Map<DispatcherService, Thread> loops = new LinkedHashMap<>();
 
-  /** Accepts connections; what is heard on them, and their ends, come as one row of messages. */
+  /** Accepts connections; what is received on them, and their ends, form one queue of messages. */
   final class Peer implements AutoCloseable {
     final ServerSocket server;
     final BlockingQueue<Message> heard = new LinkedBlockingQueue<>();
@@ -166,7 +163,7 @@
     return line.toString(StandardCharsets.UTF_8).strip();
   }
 
-  /** A client of the wire, which writes and reads as it is told. */
+  /** A client that writes and reads at the test's command. */
   final class Client implements AutoCloseable {
     final Socket socket = new Socket(service.address().getAddress(), service.address().getPort());
     final DataInputStream in = new DataInputStream(socket.getInputStream());
@@ -193,7 +190,7 @@
       to.write(message(text));
     }
 
-    /** What cancels the statement of this session, to be written on another connection. */
+    /** The cancel request for this session's statement, to be written on another connection. */
     byte[] cancelRequest() {
       return ByteBuffer.allocate(16)
           .putInt(16)
@@ -252,36 +249,6 @@
     }
   }
 
-  static String target(int uid, String engine, String state) {
-    return "{\"uid\":\"s-%08x\",\"endpoint\":\"%s\",\"az\":\"z\",\"model\":\"m\",\"state\":\"%s\",\"boot_ms\":0}"
-        .formatted(uid, engine, state);
-  }
-
-  static String event(int offset, boolean all, String... targets) {
-    return "{\"offset\":%d,\"topology\":{\"rev\":1,\"all\":%b,\"targets\":[%s]}}"
-        .formatted(offset, all, String.join(",", targets));
-  }
-
-  static ServiceConfiguration told(String bus, int sockets, int idleMs, String... targets)
-      throws IOException {
-    return ServiceConfiguration.of(
-        JsonObjectReader.of(
-            new JsonFactory().createParser(configuration(bus, sockets, idleMs, targets))));
-  }
-
-  static String configuration(String bus, int sockets, int idleMs, String... targets) {
-    return """
-                {"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"sockets":%d,"memory_mb":64},"bus":"%s",
-                "known":{"offset":7,"batch":[%s]},"settings":{"balancers":1,"position":0,"tick_us":5000,
-                "classes":[{"name":"look","aim_us":500000,"hard_limit_us":3000000,"repeat":"read_like","late_value":0.5},
-                {"name":"once","aim_us":500000,"hard_limit_us":3000000,"repeat":"non_idempotent","late_value":0.5}],
-                "projects":[{"name":"acme","quota_rps":1000}],"machine_types":["m"],"family_info":{"cores_by_kind":[4]},"rules":{"cold_from":0.3},
-                "limits":{"most_tries":3,"cancel":true,"retry_after":true,"max_retry_after_us":500000,
-                "connect_timeout_us":2000000,"conn_idle_us":%d,"streams_per_conn":32}}}
-                """
-        .formatted(sockets, bus, event(7, true, targets), idleMs * 1000);
-  }
-
   Peer start(Peer... engines) throws IOException {
     return start(SOCKETS, IDLE_MS, engines);
   }
@@ -340,34 +307,7 @@
     }
   }
 
-  /** A command with so much work that no send is called off while a slow machine plays its part. */
-  static String look(int call, int ttl) {
-    return command("look", call, ttl).replace("work=100", "work=1000");
-  }
-
-  static String command(String profile, int call, int ttl) {
-    return "/* op=%s,call=%016x,ttl=%d,work=100 */ SELECT n FROM a_1.t"
-        .formatted(profile, call, ttl);
-  }
-
-  /** A query as it is written. */
-  static byte[] message(String text) {
-    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    return ByteBuffer.allocate(bytes.length + 6)
-        .put((byte) 'Q')
-        .putInt(bytes.length + 5)
-        .put(bytes)
-        .put((byte) 0)
-        .array();
-  }
-
-  /** Engines whose connections may take long to come up. */
-  static String patient(String configuration) {
-    return configuration.replace(
-        "\"connect_timeout_us\":2000000", "\"connect_timeout_us\":30000000");
-  }
-
-  /** An engine to which no connection comes up until it is relieved. */
+  /** An engine whose accept queue is full: no connection comes up until it is relieved. */
   final class Crowded {
     final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     final List<Socket> waiting = new ArrayList<>();
@@ -390,7 +330,7 @@
       return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Lets connections come up from now on; what is said on each is heard by a peer of its own. */
+    /** Accepts connections from now on; the peer returned receives what is written to them. */
     Peer relieve() throws IOException {
       Peer hears = new Peer(true);
       thread(
@@ -404,7 +344,7 @@
     }
   }
 
-  /** Nothing was sent to this peer, however long it listens after all is over. */
+  /** Asserts that no request is sent to this peer, now or in the next 2 s. */
   static void assertNoPull(Peer peer) throws InterruptedException {
     for (Message m = peer.heard.poll(2, TimeUnit.SECONDS);
         m != null;
@@ -414,7 +354,7 @@
     assertNull(peer.heard.peek());
   }
 
-  /** Asks until a counter stands at this. */
+  /** Waits until a counter has this value. */
   static void await(Client client, String counter) throws Exception {
     for (int i = 0; !client.ask("SHOW cobaltseam.counters").contains(counter); i++) {
       assertTrue(i < SOON_S * 100, counter + " never came");
@@ -422,7 +362,7 @@
     }
   }
 
-  /** The next word that comes to any of them. */
+  /** The next message that comes to any of them. */
   static Message poll(Peer... peers) throws InterruptedException {
     for (int i = 0; i < SOON_S * 1000; i++) {
       for (Peer peer : peers) {
@@ -436,10 +376,7 @@
     throw new AssertionError("nothing came");
   }
 
-  /**
-   * Holds up the thread that reads and writes all sockets, from when this returns until it is
-   * counted down.
-   */
+  /** Blocks the I/O thread, from when this returns until the latch is counted down. */
   CountDownLatch holdUpSockets() throws InterruptedException {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch holds = new CountDownLatch(1);
@@ -517,7 +454,7 @@
     }
   }
 
-  /** Holds up the thread that owns the state, from when this returns until it is counted down. */
+  /** Blocks the event-loop thread, from when this returns until the latch is counted down. */
   CountDownLatch holdUp() throws InterruptedException {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch holds = new CountDownLatch(1);
@@ -531,7 +468,7 @@
     return held;
   }
 
-  /** Returns when something was handed over to the thread that owns the state, which is held up. */
+  /** Returns when a task was posted to the event-loop thread, which is blocked. */
   void awaitHandedOver() throws InterruptedException {
     for (int i = 0; service.inbox.size() == 0; i++) {
       assertTrue(i < SOON_S * 1000, "nothing was handed over");
@@ -540,12 +477,12 @@
   }
 
   /**
-   * Returns when the thread that owns the state has gone through a turn since this was called, and
-   * done what was due.
+   * Returns when the event loop has completed a turn since this was called, and run the timers that
+   * were due.
    */
   void awaitTurn() throws InterruptedException {
     CountDownLatch heard = new CountDownLatch(1);
-    // More than are heard in one turn: the last one is heard after the first turn has ended.
+    // More than run in one turn: the last one runs after the first turn has ended.
     for (int i = 0; i < EventLoop.MAX_TASKS_PER_TURN; i++) {
       service.inbox.post(null, () -> {});
     }
--- a/src/test/java/cobaltseam/service/ShutdownOrderTest.java
+++ b/src/test/java/cobaltseam/service/ShutdownRaceTest.java
@@ -10,20 +10,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A shutdown that crosses what clients write, and closes that cross unread bytes. */
-class ShutdownOrderTest extends ServiceRig {
+/** Shutdowns that cross messages of clients, and closes that cross unread bytes. */
+class ShutdownRaceTest extends ServiceRig {
   private static final int END = -1;
   private static final int SMALL_BUFFER = 4096;
 
-  /** Rows of an answer that no socket takes in one write while its reader rests. */
+  /** Rows of an answer that is larger than a socket's buffers while its client does not read. */
   private static final int MANY_ROWS = 30_000;
 
-  /** How long after SIGTERM a process may be killed at the earliest. */
+  /** The earliest time after SIGTERM at which the platform may kill a process. */
   private static final long LAST_MOMENT_NANOS = 3_700_000_000L;
 
   /**
-   * Asks for the end, and returns once nothing new is taken: a client that rests has seen its
-   * connection end.
+   * Asks for the shutdown, and returns when no new statement is admitted: an idle client has then
+   * seen its connection end.
    */
   private Thread shutDown() throws IOException {
     Client resting = new Client();
@@ -40,21 +40,18 @@
   }
 
   /**
-   * Left to the end of the process, a request that came in that instant would take the answer
-   * before it along.
+   * If connections ended with the process, a request in that moment could lose the answer before
+   * it.
    */
   @Test
-  void aRestingClientSeesTheEndOfItsConnectionBeforeTheProcessEnds() throws Exception {
+  void anIdleClientSeesTheEndOfItsConnectionBeforeTheProcessEnds() throws Exception {
     start(new Peer(true));
     assertEnds(shutDown());
   }
 
-  /**
-   * The client is slow to read: a part of its answer is still to be written when the shutdown
-   * comes.
-   */
+  /** The client reads slowly: part of its answer is not written yet when the shutdown comes. */
   @Test
-  void anAnswerHalfWrittenWhenTheShutdownComesGoesOutWhole() throws Exception {
+  void anAnswerHalfWrittenWhenTheShutdownComesIsWrittenCompletely() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     service.acceptor.getSessionConfig().setSendBufferSize(SMALL_BUFFER);
@@ -71,11 +68,10 @@
   }
 
   /**
-   * Sent on, it would keep the process until it is killed, with this or the next statement
-   * unanswered.
+   * If it were forwarded, the process would run until it is killed, with a statement unanswered.
    */
   @Test
-  void aStatementReadAfterTheShutdownIsRefusedAtOnceAndNeverSentOn() throws Exception {
+  void aStatementReadAfterTheShutdownIsRejectedAtOnceAndNotForwarded() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client hanging = new Client(look(1, 20_000));
@@ -95,11 +91,11 @@
   }
 
   /**
-   * Its engine hangs beyond the moment at which the platform may kill this process: the client has
-   * its answer before.
+   * The engine hangs beyond the time at which the platform may kill the process: the client has its
+   * answer before.
    */
   @Test
-  void whatHangsBeyondTheLastMomentIsGivenUpWithAnAnswer() throws Exception {
+  void aRequestThatHangsTooLongIsAbandonedWithAnAnswer() throws Exception {
     Peer engine = new Peer(true);
     start(
         configuration ->
@@ -120,9 +116,9 @@
     assertEnds(stop);
   }
 
-  /** The cancel request comes on a connection of its own, which a closed port would not take. */
+  /** The cancel request comes on a new connection, which a closed port would not accept. */
   @Test
-  void aCancelRequestIsHeardWhileItsRequestIsInHand() throws Exception {
+  void aCancelRequestIsProcessedWhileItsRequestIsOpen() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client client = new Client(command("once", 1, 20_000));
@@ -137,11 +133,11 @@
   }
 
   /**
-   * A connection that comes that late is told, not left to guess; a statement right behind its
-   * start-up goes nowhere.
+   * A connection that comes that late gets an error; a statement right behind its start-up is not
+   * forwarded.
    */
   @Test
-  void aConnectionThatComesWhileRequestsAreInHandIsTurnedAway() throws Exception {
+  void aConnectionThatComesWhileRequestsAreOpenIsRejected() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client client = new Client(look(1, 20_000));
@@ -165,12 +161,9 @@
     assertTrue(engine.heard.stream().noneMatch(m -> m.items().get(0).equals("PULL")));
   }
 
-  /**
-   * Several statements at once, read whole in the turn of the shutdown: each has its own definite
-   * answer.
-   */
+  /** Several statements are read together in the turn of the shutdown: each gets its own answer. */
   @Test
-  void whatWaitsBehindAStatementIsRefusedOnceThatIsAnswered() throws Exception {
+  void aPendingStatementIsRejectedOnceTheOneBeforeItIsAnswered() throws Exception {
     Peer engine = new Peer(true);
     start(engine);
     Client client = new Client(look(1, 20_000), look(2, 20_000));
@@ -183,9 +176,9 @@
     assertEnds(stop);
   }
 
-  /** One that never finishes its message, or never closes, does not keep the process. */
+  /** A client that never completes its message, or never closes, does not keep the process. */
   @Test
-  void aClientInTheMiddleOfAMessageDoesNotHoldUpTheEnd() throws Exception {
+  void aClientInTheMiddleOfAMessageDoesNotDelayTheEnd() throws Exception {
     start(new Peer(true));
     Client client = new Client();
     client.out.write(message(look(1, 20_000)), 0, 30);
@@ -194,10 +187,7 @@
     assertEquals(END, client.in.read());
   }
 
-  /**
-   * The bytes that nobody reads any more would else make the close a reset, which may take the
-   * answer along.
-   */
+  /** Unread bytes would turn the close into a reset, which may lose the answer. */
   @Test
   void aCloseOverUnreadBytesResetsNothing() throws Exception {
     start(new Peer(true));
@@ -211,10 +201,10 @@
   }
 
   /**
-   * As above, when the bytes come after the end: they are read, and the connection is not reset.
+   * The same with bytes that come after the end of the output: they are read, and nothing is reset.
    */
   @Test
-  void whatCrossesTheCloseOfAnIdleConnectionResetsNothing() throws Exception {
+  void bytesThatCrossTheCloseOfAnIdleConnectionResetNothing() throws Exception {
     start(16, IDLE_MS, new Peer(true));
     Client idle = new Client();
     assertEquals(List.of("empty"), idle.ask(""));
--- a/src/test/java/cobaltseam/service/ColdEngineOrderTest.java
+++ b/src/test/java/cobaltseam/service/SlowStartRaceTest.java
@@ -9,11 +9,11 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** An engine that has just started, under all that many dispatchers send it together. */
-class ColdEngineOrderTest extends ServiceRig {
+/** An engine that has just started, under the attempts of many dispatchers together. */
+class SlowStartRaceTest extends ServiceRig {
   private static final int DISPATCHERS = 24;
 
-  /** Clients of one dispatcher, and calls that each may make. */
+  /** Clients of one dispatcher. */
   private static final int CLIENTS = 8;
 
   private static final int CALLS = 100_000;
@@ -51,11 +51,11 @@
   }
 
   /**
-   * Each has far more to send than the engine can do: the sum has to keep to the ramp, not each one
-   * alone.
+   * Each dispatcher has far more requests than the engine can run: their sum has to keep to the
+   * slow start.
    */
   @Test
-  void allDispatchersTogetherKeepToTheRampOfAColdEngine() throws Exception {
+  void allDispatchersTogetherKeepToTheSlowStartOfAnEngine() throws Exception {
     Peer engine = new Peer(true);
     long boot = System.currentTimeMillis();
     long bootNanos = System.nanoTime();
@@ -68,11 +68,9 @@
     assertKeepToRamp(sent, bootNanos, 1);
   }
 
-  /**
-   * Not written yet, it is on its way all the same: uncounted, all that waited would come at once.
-   */
+  /** If attempts that wait for a connection were not counted, all of them would come at once. */
   @Test
-  void whatWaitsForAConnectionToAColdEngineCounts() throws Exception {
+  void attemptsThatWaitForAConnectionCountTowardTheSlowStart() throws Exception {
     Crowded engine = new Crowded();
     long boot = System.currentTimeMillis();
     long bootNanos = System.nanoTime();
@@ -87,19 +85,16 @@
         asks(i, k, LONG_TTL_MS);
       }
     }
-    // Until the second time that machines try to connect: the duration is the subject.
+    // Until the operating system retries the connect: the duration itself is tested.
     Thread.sleep(CONNECTS_AFTER_MS);
     List<Sent> sent = answerAll(engine.relieve(), 2 * FALL_S);
     assertTrue(sent.size() > DISPATCHERS / 2, "it is sent something: " + sent.size());
     assertKeepToRamp(sent, bootNanos, 1);
   }
 
-  /**
-   * Some hear late that the engine has started anew: those that know keep to their part, and then
-   * all do.
-   */
+  /** Some see the restart late: those that know of it keep to their part, and then all do. */
   @Test
-  void aStartThatIsToldLateToSomeIsHeededByTheOthersAndThenByAll() throws Exception {
+  void aRestartThatSomeSeeLateIsRespectedByTheOthersAndThenByAll() throws Exception {
     Peer engine = new Peer(true);
     long boot = System.currentTimeMillis();
     long bootNanos = System.nanoTime();
@@ -115,7 +110,7 @@
     List<Sent> before = new ArrayList<>();
     for (int second = 0; second < FALL_S; second++) {
       for (Message watch : late) {
-        // The beat of a bus that has nothing to tell.
+        // The heartbeat of an event bus without events.
         watch.say("7\n");
       }
       before.addAll(answerAll(engine, 1));
@@ -129,7 +124,7 @@
     for (Message watch : late) {
       watch.say(told + "\n");
     }
-    // What those that did not know had sent may still come; then it is over.
+    // Attempts of those that did not know of the restart may still come for a while.
     answerAll(engine, 1);
     List<Sent> after = answerAll(engine, FALL_S);
     List<Sent> byThoseThatKnow =
@@ -141,7 +136,7 @@
     assertKeepToRamp(after, bootNanos, 1);
   }
 
-  /** One request that came to the engine, and whose it was. */
+  /** One request that came to the engine, and the dispatcher that sent it. */
   private record Sent(long atNanos, int dispatcher) {}
 
   private Peer startOne(UnaryOperator<String> changed, int number, long boot, String engine)
@@ -150,7 +145,7 @@
         plain -> configuration(changed.apply(plain), number, boot), SOCKETS, IDLE_MS, engine);
   }
 
-  /** A client of the dispatcher started last, that asks on and on. */
+  /** A client of the dispatcher started last that sends statements without a pause. */
   private void asks(int dispatcher, int client, int ttlMs) throws IOException {
     Client session = new Client();
     int first = (dispatcher * CLIENTS + client) * CALLS;
@@ -162,7 +157,7 @@
         });
   }
 
-  /** Answers all that comes within so many seconds at once. */
+  /** Answers at once all requests that come within so many seconds. */
   private static List<Sent> answerAll(Peer engine, double seconds) throws Exception {
     List<Sent> sent = new ArrayList<>();
     long until = System.nanoTime() + (long) (seconds * 1e9);
--- a/src/test/java/cobaltseam/standin/AdvertLink.java
+++ b/src/test/java/cobaltseam/standin/AdvertLink.java
@@ -13,12 +13,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The way of adverts from one dispatcher to another: loses, doubles, delays and so reorders them by
- * chance from a seed, and can be cut. The sender knows it as its peer's address, the receiver hears
- * all from its address as the sender's.
+ * Carries adverts from one dispatcher to another: loses, duplicates and delays them at random from
+ * a seed, which also reorders them, and can be cut. The sender sends to it as to its peer, and the
+ * receiver sees its address as that of the sender.
  */
 public final class AdvertLink implements AutoCloseable {
-  /** What goes wrong on a link: shares from 0 to 1, and how late a late one may come. */
+  /**
+   * The faults of a link: the parts, from 0 to 1, that are lost, duplicated and late, and the
+   * longest delay.
+   */
   public record Fault(double lost, double doubled, double late, int lateMs) {
     public static final Fault NONE = new Fault(0, 0, 0, 0);
 
@@ -63,7 +66,7 @@
     return passed.get();
   }
 
-  /** Says something in the sender's name. */
+  /** Sends bytes to the receiver as if they came from the sender. */
   public void say(byte[] bytes) throws IOException {
     out.send(new DatagramPacket(bytes, bytes.length, to));
   }
@@ -96,7 +99,7 @@
       say(bytes);
       passed.incrementAndGet();
     } catch (IOException e) {
-      // The receiver is gone for now; an advert is lost that way too.
+      // The receiver is not there now; the advert is lost.
       passed.get();
     }
   }
--- a/src/test/java/cobaltseam/standin/BusStandIn.java
+++ b/src/test/java/cobaltseam/standin/BusStandIn.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * The event bus on loopback: tells each listener the events that it lacks, and every 200 ms the
- * last number.
+ * An emulated event bus on loopback: sends each client the events that it lacks, and the last
+ * offset every 200 ms.
  */
 public final class BusStandIn implements AutoCloseable {
   private static final int BEAT_MS = 200;
@@ -32,13 +32,13 @@
     return (InetSocketAddress) server.getLocalSocketAddress();
   }
 
-  /** One engine's line of an event. */
+  /** One engine's entry in an event. */
   public static String target(int engine, InetSocketAddress at, String state) {
     return "{\"uid\":\"s-%08x\",\"endpoint\":\"%s:%d\",\"az\":\"z\",\"model\":\"m\",\"state\":\"%s\",\"boot_ms\":0}"
         .formatted(engine, at.getAddress().getHostAddress(), at.getPort(), state);
   }
 
-  /** Tells an event from now on; its text, for a configuration that knows it already. */
+  /** Publishes an event. Returns its text, for a configuration that holds it already. */
   public synchronized String tell(boolean whole, String... targets) {
     events.add(
         "{\"offset\":%d,\"topology\":{\"rev\":%d,\"all\":%b,\"targets\":[%s]}}"
@@ -47,7 +47,7 @@
     return events.get(events.size() - 1);
   }
 
-  /** From now on it says nothing, or speaks again. */
+  /** From now on it sends nothing, or sends again. */
   public synchronized void silent(boolean now) {
     silent = now;
     notifyAll();
@@ -87,7 +87,7 @@
         out.flush();
       }
     } catch (IOException e) {
-      // The listener is gone.
+      // The client has disconnected.
       return;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/test/java/cobaltseam/standin/ClientStandIn.java
+++ b/src/test/java/cobaltseam/standin/ClientStandIn.java
@@ -13,10 +13,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/**
- * One session of a client: simple queries one at a time, each with one ending that is told apart
- * from all others.
- */
+/** One session of a client: sends simple queries one at a time, and reads the outcome of each. */
 public final class ClientStandIn implements AutoCloseable {
   private static final int CONNECT_MS = 1000;
 
@@ -40,7 +37,7 @@
     }
   }
 
-  /** Writes a command and waits for its ending. */
+  /** Writes a statement and waits for its outcome. */
   public End command(String call, String profile, int ttlMs) {
     return command(call, profile, ttlMs, 50);
   }
@@ -54,14 +51,14 @@
     return ending();
   }
 
-  /** Writes a command. */
+  /** Writes a statement. */
   public void begin(String call, String profile, int ttlMs, int workMs) throws IOException {
     write(
         "/* op=%s,call=%s,ttl=%d,org=acme,work=%d.0 */ SELECT a FROM s_1.t"
             .formatted(profile, call, ttlMs, workMs));
   }
 
-  /** Waits for the ending of the command that was written last. */
+  /** Waits for the outcome of the statement that was written last. */
   public End ending() {
     try {
       return read(null);
@@ -72,7 +69,7 @@
     }
   }
 
-  /** What SHOW cobaltseam.NAME tells. */
+  /** The rows of SHOW cobaltseam.NAME. */
   public Map<String, String> show(String name) throws IOException {
     write("SHOW cobaltseam." + name);
     Map<String, String> rows = new LinkedHashMap<>();
--- a/src/test/java/cobaltseam/standin/DispatcherProcess.java
+++ b/src/test/java/cobaltseam/standin/DispatcherProcess.java
@@ -15,7 +15,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A real dispatcher in a process of its own: started, killed, frozen, ended, and started anew. */
+/**
+ * A real dispatcher in a process of its own, which tests start, freeze, kill, terminate and
+ * restart.
+ */
 public final class DispatcherProcess implements AutoCloseable {
   private final Path folder;
   private final Path own;
@@ -32,7 +35,10 @@
     this.own = own == null ? null : Files.writeString(folder.resolve("cobaltseam.toml"), own);
   }
 
-  /** The platform's configuration with a replayable, a uniqued and a non-replayable profile. */
+  /**
+   * The platform's configuration, with request classes that are idempotent, idempotent with a key,
+   * and not idempotent.
+   */
   public static String configuration(
       String name,
       InetSocketAddress listen,
@@ -72,7 +78,7 @@
     start(List.of());
   }
 
-  /** Starts it as one whose parent ignores SIGHUP does, by nohup for instance. */
+  /** Starts it with SIGHUP ignored, as nohup does. */
   public void startDeaf() throws IOException {
     start(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
   }
@@ -109,7 +115,7 @@
                   }
                 }
               } catch (IOException e) {
-                // It was killed; its log ends there.
+                // The process was killed; its log ends here.
                 return;
               }
             })
@@ -117,8 +123,8 @@
   }
 
   /**
-   * Waits until a line that holds this text has been logged, from a line of the log on; the line
-   * after it.
+   * Waits until a line with this text is in the log, from this line on. Returns the number of the
+   * next line.
    */
   public int await(String text, int from, long withinMs) throws InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
@@ -158,14 +164,17 @@
     process.destroyForcibly().waitFor();
   }
 
-  /** SIGTERM; the counters that it prints at its end. */
+  /** Sends SIGTERM, and returns the counters that the process prints at its end. */
   public Map<String, Long> end() throws IOException, InterruptedException {
     int from = lines();
     signal("TERM");
     return ended(from);
   }
 
-  /** Waits until it has ended; the counters that it printed behind this line of its log. */
+  /**
+   * Waits until the process has ended, and returns the counters that it printed after this line of
+   * its log.
+   */
   public Map<String, Long> ended(int from) throws InterruptedException {
     if (!process.waitFor(20, TimeUnit.SECONDS)) {
       throw new AssertionError("it does not end:\n" + log());
@@ -189,17 +198,17 @@
     }
   }
 
-  /** Processor time that it has taken, in milliseconds. */
+  /** The processor time that the process has used, in milliseconds. */
   public double processorMs() {
     return process.toHandle().info().totalCpuDuration().orElseThrow().toNanos() / 1e6;
   }
 
-  /** The platform's configuration from now on; it counts from the next SIGHUP or start. */
+  /** Writes the platform's configuration; it is read at the next SIGHUP or start. */
   public void configured(String text) throws IOException {
     Files.writeString(folder.resolve("config.json"), text);
   }
 
-  /** The own file from now on; it counts from the next SIGHUP or start. */
+  /** Writes our own settings file; it is read at the next SIGHUP or start. */
   public void own(String text) throws IOException {
     Files.writeString(own, text);
   }
--- a/src/test/java/cobaltseam/standin/EngineStandIn.java
+++ b/src/test/java/cobaltseam/standin/EngineStandIn.java
@@ -26,15 +26,12 @@
 import java.util.function.ToLongFunction;
 
 /**
- * An engine on loopback: runs every statement for as long as it is told to, answers with one page,
- * gives up what is open on a connection that closes, and keeps a ledger of what ran, how often, and
- * how many ran at once.
+ * An emulated engine on loopback: takes a given time for each statement, answers with one page,
+ * stops the statements of a connection that closes, and records how often each ran and how many ran
+ * at once.
  */
 public final class EngineStandIn implements AutoCloseable {
-  /**
-   * What an engine saw of one command: how often it began to run it, and how often it ran to the
-   * end.
-   */
+  /** How often an engine started one request, and how often it completed it. */
   public record Ran(AtomicInteger begun, AtomicInteger done) {}
 
   private final ServerSocket server;
@@ -71,12 +68,12 @@
     return ledger;
   }
 
-  /** The most commands that ran at once since this was last asked. */
+  /** The largest number of requests that ran at once since the last call. */
   public int most() {
     return most.getAndSet(running.get());
   }
 
-  /** From now on every statement fails at once, after it began; or none does. */
+  /** From now on every statement fails as soon as it starts, or none does. */
   public void failing(boolean now) {
     failing = now;
   }
@@ -114,7 +111,7 @@
         }
       }
     } catch (IOException e) {
-      // The other side is gone; so is what it had open.
+      // The client has disconnected; its statements stop.
       open.values().forEach(this::giveUp);
     } finally {
       sockets.remove(socket);
@@ -129,7 +126,7 @@
       try {
         say(out, id, "500", "-", "");
       } catch (IOException e) {
-        // Nobody hears it.
+        // The client has disconnected.
         ran.done.get();
       }
       return;
@@ -160,7 +157,7 @@
                     "pages=1,rep=pending:0;busy_reqs:" + running.get(),
                     "a\t" + id + "\tx\n");
               } catch (IOException e) {
-                // Nobody hears the answer; it ran all the same.
+                // The client has disconnected; the statement ran all the same.
                 ran.done.get();
               }
             },
@@ -203,20 +200,20 @@
     }
   }
 
-  /** Ends every connection, as a process that dies does. */
+  /** Resets every connection, as a process that dies does. */
   public void reset() throws IOException {
     for (Socket socket : new HashSet<>(sockets)) {
       try {
         socket.setSoLinger(true, 0);
         socket.close();
       } catch (SocketException e) {
-        // The other side closed it just now.
+        // The client closed it in the same moment.
         sockets.remove(socket);
       }
     }
   }
 
-  /** A time around a mean, shared by all that need one: half to one and a half times as long. */
+  /** A random time, from half to one and a half times this mean. */
   public static long around(long millis) {
     return millis / 2 + ThreadLocalRandom.current().nextLong(millis + 1);
   }
--- a/src/test/java/cobaltseam/standin/FlipRun.java
+++ b/src/test/java/cobaltseam/standin/FlipRun.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 
 /**
- * The long measurements of mastership on real processes: what happens to every command over many
- * flips under loss, how long a take-over takes, how often loss alone makes one, and how full
- * engines get in a split. docs/measures-vrrp.md holds what they gave; bench/vrrp.sh runs them.
+ * The long measurements of mastership on real processes: the outcome of every request over many
+ * take-overs under loss, how long a take-over takes, how often loss alone causes one, and the load
+ * of engines in a split. bench/vrrp.sh runs them; docs/measures-vrrp.md holds the results.
  */
 public final class FlipRun {
   private FlipRun() {}
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Flips by changed priorities, ends, kills and freezes in turn, at each loss; and what became of
-   * every command.
+   * Causes take-overs by changed priorities, SIGTERM, SIGKILL and SIGSTOP in turn, at each loss,
+   * and prints the outcomes of all requests.
    */
   private static void flips(int flips, int clients) throws Exception {
     System.out.println(
@@ -141,7 +141,7 @@
         + counters.get("faults");
   }
 
-  /** From a fault of the active one to the first answer of the other. */
+  /** Measures the time from a fault of the active dispatcher to the first answer of the other. */
   private static void takeover(int times) throws Exception {
     System.out.println(
         "| interval | fault | times | median, ms | 99th percentile, ms | longest, ms | the RFC's bound, ms |");
@@ -186,7 +186,7 @@
     }
   }
 
-  /** Claims by the backup while the active one is well, at losses of adverts. */
+  /** Counts take-overs by the backup while the active dispatcher works, at losses of adverts. */
   private static void falseTakeovers(int seconds) throws Exception {
     System.out.println("| interval | loss | seconds | take-overs without need | an hour |");
     System.out.println("| --- | --- | --- | --- | --- |");
@@ -223,8 +223,8 @@
   }
 
   /**
-   * The most that ran at once on an engine, of its whole figure, alone, in a split that is heard
-   * one way, and in one that is not.
+   * Measures the most requests that ran at once on an engine, against its thread budget: without a
+   * split, in a split one way, and in a split both ways.
    */
   private static void split() throws Exception {
     System.out.println(
@@ -264,7 +264,10 @@
     }
   }
 
-  /** Processor time of a dispatcher with few and with the most virtual routers, idle otherwise. */
+  /**
+   * Measures the processor time of an otherwise idle dispatcher with few and with the most virtual
+   * routers.
+   */
   private static void routers() throws Exception {
     System.out.println(
         "| virtual routers | interval | processor time, ms a second, active | standing by |");
--- a/src/test/java/cobaltseam/standin/HallRig.java
+++ b/src/test/java/cobaltseam/standin/HallRig.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A hall on loopback: two real dispatchers with one virtual router, the links of adverts between
- * them, engines, a bus, and clients that go to whichever of the two takes them, as the network
- * would lead them to the virtual address.
+ * Two real dispatchers with one virtual router on loopback, with the links of adverts between them,
+ * emulated engines and event bus, and clients that go to whichever dispatcher accepts them, as the
+ * network would lead them to the virtual address.
  */
 public final class HallRig implements AutoCloseable {
-  /** What a hall is made of. */
+  /** The parameters of the rig. */
   public record Plan(
       int engines,
       int cores,
@@ -44,7 +44,7 @@
   public final BusStandIn bus;
   public final DispatcherProcess[] dispatchers = new DispatcherProcess[2];
 
-  /** The way of adverts from each to the other. */
+  /** The links of adverts from each dispatcher to the other. */
   public final AdvertLink[] links = new AdvertLink[2];
 
   public final Ledger ledger = new Ledger();
@@ -57,8 +57,8 @@
   private final AtomicBoolean going = new AtomicBoolean();
 
   /**
-   * Whether clients come anew after some commands, to either dispatcher, as where a split shows
-   * both to the network.
+   * Whether clients reconnect after some requests, to either dispatcher, as in a split in which the
+   * network sees both.
    */
   public volatile boolean roving;
 
@@ -82,7 +82,8 @@
       seen[i] = udp(host());
     }
     for (int i = 0; i < 2; i++) {
-      // What i sends to its peer's seeming address goes out to the peer from i's seeming address.
+      // What dispatcher i sends to its peer's apparent address reaches the peer from i's apparent
+      // address.
       links[i] = new AdvertLink(seen[1 - i], seen[i].getAddress(), listens[1 - i], plan.seed + i);
       dispatchers[i] =
           new DispatcherProcess(
@@ -112,7 +113,7 @@
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** The own file of one of the two. */
+  /** Our own settings file of one dispatcher. */
   public String own(int i, int priority) {
     return """
                 [logging]
@@ -153,7 +154,7 @@
     return listens[i];
   }
 
-  /** The address from which the other hears dispatcher i. */
+  /** The address from which the other dispatcher receives adverts of dispatcher i. */
   public InetAddress seenAs(int i) {
     return seen[i].getAddress();
   }
@@ -164,7 +165,9 @@
     return String.format("%016x", calls.incrementAndGet());
   }
 
-  /** Starts clients that ask without a pause beyond the one given, until {@link #stopClients}. */
+  /**
+   * Starts clients that send statements with this pause between them, until {@link #stopClients}.
+   */
   public void startClients(int number, int pauseMs, int ttlMs) {
     going.set(true);
     String[] profiles = {"look", "look", "marked", "once"};
@@ -235,8 +238,8 @@
   }
 
   /**
-   * Waits until an answer comes for a command asked after now; its end, in nanoseconds of this
-   * process.
+   * Waits for the answer to a request sent after this time, and returns when it came, in
+   * nanoseconds of this process.
    */
   public long awaitAnswer(long since, long withinMs) {
     long until = System.nanoTime() + withinMs * 1_000_000;
@@ -262,8 +265,8 @@
   }
 
   /**
-   * Asks one of the two on new sessions without a pause until it answers; when, in nanoseconds of
-   * this process.
+   * Sends requests to one dispatcher on new sessions until it answers, and returns when it did, in
+   * nanoseconds of this process.
    */
   public long firstAnswer(int dispatcher, long withinMs) {
     long until = System.nanoTime() + withinMs * 1_000_000;
@@ -281,7 +284,7 @@
 
   // ---- audits
 
-  /** Commands of a non-replayable profile that an engine began to run more than once. */
+  /** Requests of the class that is not idempotent that engines started more than once. */
   public long ranTwice() {
     return ledger.entries().values().stream()
         .filter(e -> e.profile().equals("once"))
@@ -289,7 +292,7 @@
         .count();
   }
 
-  /** Commands that no engine ran to its end and that were called answered all the same. */
+  /** Requests that were answered though no engine completed them. */
   public long answeredUnrun() {
     return ledger.entries().values().stream()
         .filter(e -> e.end() == End.ANSWERED)
@@ -303,7 +306,7 @@
         .count();
   }
 
-  /** Commands that were turned away and that an engine was sent all the same. */
+  /** Requests that were rejected before they were admitted, and sent to an engine all the same. */
   public long turnedAwayRun() {
     return ledger.entries().values().stream()
         .filter(e -> e.end() == End.TURNED_AWAY)
@@ -311,7 +314,7 @@
         .count();
   }
 
-  /** Shed commands that may have run and are not known to be harmless to repeat. */
+  /** Requests that were shed after they ran, of the class that is not idempotent. */
   public long shedThoughRun() {
     return ledger.entries().values().stream()
         .filter(e -> e.end() == End.SHED && e.profile().equals("once"))
--- a/src/test/java/cobaltseam/standin/Ledger.java
+++ b/src/test/java/cobaltseam/standin/Ledger.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** What clients were told of their commands: of each, one ending, and nothing after it. */
+/** The outcomes of requests as their clients saw them, one for each request. */
 public final class Ledger {
   /**
-   * How a command ended for its client: with one of the three final answers, turned away before it
-   * was taken, cut off with its connection, not heard of in time, or never written since there was
-   * no connection.
+   * The outcome of a request for its client: one of the three final answers, rejected before it was
+   * admitted, cut off with its connection, without an answer in time, or never written since there
+   * was no connection.
    */
   public enum End {
     ANSWERED,
@@ -21,7 +21,7 @@
     UNSENT
   }
 
-  /** One command as its client saw it; times in nanoseconds of this process. */
+  /** One request as its client saw it; times in nanoseconds of this process. */
   public record Entry(
       String call, String profile, int dispatcher, long asked, long ended, End end) {}
 
