--- a/src/main/java/cobaltseam/membership/LineageGuard.java
+++ b/src/main/java/cobaltseam/membership/LineageGuard.java
@@ -43,13 +43,13 @@
     } else if (!localView.containsSelf(view)) {
       localView.leaveLineage(
           MembershipEvent.LINE_LEFT,
-          "view " + view.id() + " holds a former process of this name",
+          "view " + view.id() + " contains a former process of this name",
           now);
     } else if (!quorum.isComplete() && isDead(view)) {
       lineages.end(view.id());
       localView.leaveLineage(
           MembershipEvent.LINE_LEFT,
-          "most members of view " + view.id() + " have started anew",
+          "most members of view " + view.id() + " have restarted without their state",
           now);
     }
   }
@@ -80,7 +80,7 @@
     if (view != null
         && lineages.hasEnded(view.id())
         && (lineages.hasEndedLater(view.id()) || quorum.state() == QuorumState.MINORITY)) {
-      localView.leaveLineage(MembershipEvent.LINE_LEFT, "it has ended", now);
+      localView.leaveLineage(MembershipEvent.LINE_LEFT, "the lineage has ended", now);
     }
   }
 
@@ -100,7 +100,8 @@
         && other != own
         && lineages.canJoin(peer.view())
         && (other < own || quorum.state() == QuorumState.MINORITY)) {
-      localView.leaveLineage(MembershipEvent.LINE_LEFT, "for the line of view " + peer.view(), now);
+      localView.leaveLineage(
+          MembershipEvent.LINE_LEFT, "for the lineage of view " + peer.view(), now);
     }
   }
 
@@ -121,7 +122,7 @@
           detector.self().name(),
           "view " + own + ", a peer holds " + peer.view());
       detector.startNewIncarnation();
-      localView.leaveLineage(MembershipEvent.LINE_LEFT, "its folder may be an old one", now);
+      localView.leaveLineage(MembershipEvent.LINE_LEFT, "its folder may be an old copy", now);
     }
   }
 
--- a/src/main/java/cobaltseam/membership/Rebootstrap.java
+++ b/src/main/java/cobaltseam/membership/Rebootstrap.java
@@ -45,7 +45,7 @@
     actions.recordEvent(
         MembershipEvent.FOUNDED_ANEW, detector.self().name(), "in place of view " + lost);
     lineages.end(lost);
-    localView.leaveLineage(MembershipEvent.LINE_LEFT, "an operator ended the line", now);
+    localView.leaveLineage(MembershipEvent.LINE_LEFT, "an operator ended the lineage", now);
     detector.startNewIncarnation();
     Member self = detector.self();
     View first = View.of(new ViewId(self.incarnation().value(), 1), List.of(self));
@@ -59,16 +59,16 @@
       return "it holds view " + (view == null ? "none" : view.id());
     }
     if (quorum.state() != QuorumState.MINORITY) {
-      return "it stands " + quorum.state().label();
+      return "its quorum state is " + quorum.state().label();
     }
     TimeSpan silent = detector.minSuspicionTimeout().times(SILENT_SUSPICION_TIMEOUTS);
     Timestamp since = quorum.minoritySince();
     if (since == null || now.since(since).compareTo(silent) < 0) {
-      return "a majority was there less than " + silent.us() / 1000 + " ms ago";
+      return "a majority was alive less than " + silent.us() / 1000 + " ms ago";
     }
     for (Member member : view.members()) {
       if (!isPresent(member) && !isSurelyGone(member, silent, now)) {
-        return member.name() + " may live";
+        return member.name() + " may be alive";
       }
     }
     return null;
--- a/src/main/java/cobaltseam/membership/UpdateProcessor.java
+++ b/src/main/java/cobaltseam/membership/UpdateProcessor.java
@@ -124,7 +124,7 @@
     output.recordEvent(
         MembershipEvent.JOINED_SIGHT,
         member.name(),
-        member.peerAddress() + " birth " + member.incarnation());
+        member.peerAddress() + " incarnation " + member.incarnation());
     gossip.add(
         new MemberUpdate(member, peer.statusVersion(), MemberCondition.ALIVE, update.reportedBy()));
     if (update.condition() == MemberCondition.SUSPECT) {
@@ -166,11 +166,14 @@
       case SUSPECT ->
           output.recordEvent(MembershipEvent.SUSPECTED, name, "by " + update.reportedBy());
       case DEAD ->
-          output.recordEvent(MembershipEvent.SEEMS_DEAD, name, "found by " + update.reportedBy());
-      case LEFT -> output.recordEvent(MembershipEvent.LEFT, name, "told by " + update.reportedBy());
+          output.recordEvent(
+              MembershipEvent.SEEMS_DEAD, name, "reported by " + update.reportedBy());
+      case LEFT ->
+          output.recordEvent(MembershipEvent.LEFT, name, "reported by " + update.reportedBy());
       default -> {
         if (!wasAlive) {
-          output.recordEvent(MembershipEvent.REFUTED, name, "incarnation " + peer.statusVersion());
+          output.recordEvent(
+              MembershipEvent.REFUTED, name, "status version " + peer.statusVersion());
         }
       }
     }
@@ -181,9 +184,9 @@
     output.recordEvent(
         MembershipEvent.RESTARTED,
         later.name(),
-        "birth "
+        "incarnation "
             + later.incarnation()
-            + " for "
+            + " replaces "
             + peer.member().incarnation()
             + " at "
             + later.peerAddress());
--- a/src/test/java/cobaltseam/membership/MembershipTest.java
+++ b/src/test/java/cobaltseam/membership/MembershipTest.java
@@ -100,7 +100,8 @@
     Membership restarted = member("b", 10, 2, 1);
     advance(40);
     assertTrue(
-        restarted.self().incarnation().value() > 5_000, "birth " + restarted.self().incarnation());
+        restarted.self().incarnation().value() > 5_000,
+        "incarnation " + restarted.self().incarnation());
     assertTrue(
         first.view().contains(restarted.self().name(), restarted.self().incarnation()),
         first.view().toString());
