--- a/src/main/java/cobaltseam/agreement/ActiveConfiguration.java
+++ b/src/main/java/cobaltseam/agreement/ActiveConfiguration.java
@@ -4,21 +4,22 @@
 import java.util.List;
 
 /**
- * What a process acts on from a moment on.
+ * What a process acts on from a time on.
  *
- * @param versions oldest first: one, or all that any process may still act on; of a process that
- *     stepped back the one that it holds, or none
+ * @param versions oldest first: one, or all that any process may still act on; in mode {@code BACK}
+ *     the one that this process holds, or none
  */
 public record ActiveConfiguration(Mode mode, List<ConfigurationVersion> versions) {
-  /** How. */
+  /** How the versions are acted on. */
   public enum Mode {
-    /** On the one edition. */
+    /** The one version is acted on as it is. */
     PLAIN,
-    /** On a cautious reading between all of these, which contradicts none of them. */
+    /** A conservative merge of all versions is acted on, which contradicts none of them. */
     BETWEEN,
-    /** It may have missed one: on a cautious reading of what it holds. */
+    /** A version may have been missed: a conservative reading of the held one is acted on. */
     BACK;
 
+    /** The word for it in logs and in SHOW. */
     public String label() {
       return name().toLowerCase(java.util.Locale.ROOT);
     }
@@ -28,7 +29,7 @@
     versions = List.copyOf(versions);
   }
 
-  /** The edition that it is on the way to, or null. */
+  /** The latest version, or null if there is none. */
   public ConfigurationVersion newest() {
     return versions.isEmpty() ? null : versions.get(versions.size() - 1);
   }
--- a/src/main/java/cobaltseam/agreement/AgreementEffect.java
+++ b/src/main/java/cobaltseam/agreement/AgreementEffect.java
@@ -3,21 +3,21 @@
 import cobaltseam.membership.MembershipAction;
 import java.net.InetSocketAddress;
 
-/** What the agreement wants done. */
+/** What the agreement asks its caller to do. */
 public sealed interface AgreementEffect {
-  /** A datagram to an address; it may be lost. */
+  /** Send a message to an address; it may be lost. */
   record Send(InetSocketAddress to, AgreementMessage message) implements AgreementEffect {}
 
-  /** What membership wants done because of it. */
+  /** Carry out an action of membership that follows from the agreement. */
   record MembershipEffect(MembershipAction action) implements AgreementEffect {}
 
-  /** From now on the process acts on this, for all keys at once. */
+  /** Act on this from now on, for all keys at once. */
   record Activate(ActiveConfiguration on) implements AgreementEffect {}
 
-  /** Something for the log. */
+  /** Log an event. */
   record EventRecorded(AgreementEvent event, String detail) implements AgreementEffect {}
 
-  /** What is noted. */
+  /** What happened to a proposal or to the active configuration. */
   enum AgreementEvent {
     PROPOSED,
     REFUSED,
@@ -26,6 +26,7 @@
     NOT_CHOSEN,
     STEPPED_BACK;
 
+    /** The word for it in logs and in SHOW. */
     public String label() {
       return name().toLowerCase(java.util.Locale.ROOT);
     }
--- a/src/main/java/cobaltseam/agreement/AgreementMessage.java
+++ b/src/main/java/cobaltseam/agreement/AgreementMessage.java
@@ -6,13 +6,11 @@
 import java.util.Objects;
 
 /**
- * What members tell each other of the agreed document. The teller's view says which edition it
- * holds.
+ * The messages of members about the agreed document. The header's view says which version the
+ * sender holds.
  */
 public sealed interface AgreementMessage extends PeerMessage {
-  /**
-   * An edition that the teller would have the next view hold; to be fetched, checked and answered.
-   */
+  /** A version that the sender proposes for the next view; to be fetched, checked and answered. */
   record VersionOffer(MessageHeader from, ConfigurationVersion version, int contentLength)
       implements AgreementMessage {
     public VersionOffer {
@@ -21,7 +19,7 @@
     }
   }
 
-  /** The answer to an offer: null if the edition can be acted on here, else why not. */
+  /** The answer to an offer: why the version can't be acted on, or null if it can. */
   record VersionCheck(MessageHeader from, ConfigurationVersion version, String rejection)
       implements AgreementMessage {
     public VersionCheck {
@@ -30,7 +28,7 @@
     }
   }
 
-  /** Asks for a document's bytes from an index on. */
+  /** Requests the bytes of a document from an index on. */
   record ContentRequest(MessageHeader from, String hash, int index) implements AgreementMessage {
     public ContentRequest {
       Objects.requireNonNull(from);
--- a/src/main/java/cobaltseam/agreement/ConservativeMerge.java
+++ b/src/main/java/cobaltseam/agreement/ConservativeMerge.java
@@ -16,232 +16,248 @@
 import java.util.function.Function;
 
 /**
- * The cautious reading between two deployments: whoever acts on it breaks neither. What two
- * dispatchers promise together, or an engine bears, contradicts; what one decides for itself alone
- * does not, and is read as in the later one.
+ * The conservative merge of two deployments: a dispatcher that acts on it breaks neither. Values
+ * contradict where dispatchers promise something together or an engine's capacity is concerned; a
+ * value that a dispatcher uses for itself alone does not, and is taken from the later deployment.
  */
 public final class ConservativeMerge {
   /**
-   * Of each part of what a dispatcher is told, what is read between two values; "never" does not
-   * contradict.
+   * For each record component of a deployment, how two values are merged; "never" means that they
+   * do not contradict. A test compares the names with the records.
    */
   static final Map<String, String> TABLE = table();
 
   private ConservativeMerge() {}
 
   private static Map<String, String> table() {
-    Map<String, String> t = new LinkedHashMap<>();
-    t.put("Deployment.dispatcherIndex", "never: each has its own");
-    t.put("Deployment.dispatcherCount", "the larger: each takes a smaller part of an engine");
-    t.put("Deployment.requestClasses", "those of both");
-    t.put("Deployment.machineTypes", "those of both");
-    t.put("Deployment.quotas", "those of both");
-    t.put("Deployment.overQuotaWeight", "the smaller");
-    t.put("Deployment.rules", "part by part");
-    t.put("Deployment.capabilities", "part by part");
-    t.put("Deployment.place", "never: each stands somewhere");
-    t.put("RequestClass.id", "never");
-    t.put("RequestClass.threads", "the larger: an engine is filled less");
-    t.put("RequestClass.priorityWeight", "never");
-    t.put("RequestClass.latePriorityWeight", "never");
-    t.put("RequestClass.latencyObjective", "never");
-    t.put("RequestClass.objectivePerWork", "never");
-    t.put(
+    Map<String, String> table = new LinkedHashMap<>();
+    table.put("Deployment.dispatcherIndex", "never: each has its own");
+    table.put("Deployment.dispatcherCount", "the larger: each takes a smaller part of an engine");
+    table.put("Deployment.requestClasses", "those of both");
+    table.put("Deployment.machineTypes", "those of both");
+    table.put("Deployment.quotas", "those of both");
+    table.put("Deployment.overQuotaWeight", "the smaller");
+    table.put("Deployment.rules", "part by part");
+    table.put("Deployment.capabilities", "part by part");
+    table.put("Deployment.place", "never: each stands somewhere");
+    table.put("RequestClass.id", "never");
+    table.put("RequestClass.threads", "the larger: an engine is filled less");
+    table.put("RequestClass.priorityWeight", "never");
+    table.put("RequestClass.latePriorityWeight", "never");
+    table.put("RequestClass.latencyObjective", "never");
+    table.put("RequestClass.objectivePerWork", "never");
+    table.put(
         "RequestClass.deadline", "the smaller: nothing runs on where the other takes it for ended");
-    t.put("RequestClass.retrySafety", "the stricter");
-    t.put("RequestClass.deduplicationScope", "the narrower");
-    t.put("RequestClass.deduplicationWindow", "the shorter");
-    t.put("RequestClass.inOrder", "in order if either says so");
-    t.put("RequestClass.locations", "those that both allow");
-    t.put("RequestClass.machineTypes", "those that both allow");
-    t.put("RequestClass.loadsDataSet", "never: it guides the choice of an engine alone");
-    t.put("RequestClass.waitsForLoads", "never: it guides the choice of an engine alone");
-    t.put("MachineType.id", "never");
-    t.put("MachineType.cores", "the smaller");
-    t.put("MachineType.memoryMb", "the smaller");
-    t.put("Quota.tenant", "never");
-    t.put("Quota.perSecond", "the smaller");
-    t.put("Rules.slowStartFraction", "the smaller");
-    t.put("Rules.slowStartDuration", "the longer");
-    t.put("Rules.slowStartLimitFactor", "the smaller");
-    t.put("Rules.slowStartWindow", "the longer");
-    t.put("Rules.sequenceKeyRest", "the longer");
-    t.put("Rules.freeRetries", "the smaller; none is without bound");
-    t.put("Rules.retryRatio", "the smaller; none is without bound");
-    t.put("Rules.retryWindow", "the longer");
-    t.put("Capabilities.clockTick", "never");
-    t.put("Capabilities.maxAttempts", "the smaller");
-    t.put("Capabilities.canCancel", "only if both say so");
-    t.put("Capabilities.hasEnginePriorities", "only if both say so");
-    t.put("Capabilities.allowsRetryAfter", "only if both say so");
-    t.put("Capabilities.maxRetryAfter", "the smaller");
-    t.put("Capabilities.progressInterval", "never");
-    t.put("Capabilities.hasMemoryGrants", "only if both say so");
-    return Map.copyOf(t);
+    table.put("RequestClass.retrySafety", "the stricter");
+    table.put("RequestClass.deduplicationScope", "the narrower");
+    table.put("RequestClass.deduplicationWindow", "the shorter");
+    table.put("RequestClass.inOrder", "in order if either says so");
+    table.put("RequestClass.locations", "those that both allow");
+    table.put("RequestClass.machineTypes", "those that both allow");
+    table.put("RequestClass.loadsDataSet", "never: it guides the choice of an engine alone");
+    table.put("RequestClass.waitsForLoads", "never: it guides the choice of an engine alone");
+    table.put("MachineType.id", "never");
+    table.put("MachineType.cores", "the smaller");
+    table.put("MachineType.memoryMb", "the smaller");
+    table.put("Quota.tenant", "never");
+    table.put("Quota.perSecond", "the smaller");
+    table.put("Rules.slowStartFraction", "the smaller");
+    table.put("Rules.slowStartDuration", "the longer");
+    table.put("Rules.slowStartLimitFactor", "the smaller");
+    table.put("Rules.slowStartWindow", "the longer");
+    table.put("Rules.sequenceKeyRest", "the longer");
+    table.put("Rules.freeRetries", "the smaller; none is without bound");
+    table.put("Rules.retryRatio", "the smaller; none is without bound");
+    table.put("Rules.retryWindow", "the longer");
+    table.put("Capabilities.clockTick", "never");
+    table.put("Capabilities.maxAttempts", "the smaller");
+    table.put("Capabilities.canCancel", "only if both say so");
+    table.put("Capabilities.hasEnginePriorities", "only if both say so");
+    table.put("Capabilities.allowsRetryAfter", "only if both say so");
+    table.put("Capabilities.maxRetryAfter", "the smaller");
+    table.put("Capabilities.progressInterval", "never");
+    table.put("Capabilities.hasMemoryGrants", "only if both say so");
+    return Map.copyOf(table);
   }
 
-  /** Whether acting on one beside the other breaks anything. */
+  /** Whether a dispatcher that acts on one breaks what another that acts on the other relies on. */
   public static boolean contradict(Deployment one, Deployment other) {
     return !merge(one, other).equals(other) || !merge(other, one).equals(one);
   }
 
-  /** What breaks neither. */
+  /** Settings that break neither; what does not contradict is as in the later ones. */
   public static Deployment merge(Deployment earlier, Deployment later) {
     return new Deployment(
         later.dispatcherIndex(),
         Math.max(earlier.dispatcherCount(), later.dispatcherCount()),
-        both(
+        mergeLists(
             earlier.requestClasses(),
             later.requestClasses(),
             RequestClass::id,
-            ConservativeMerge::profile),
-        both(
+            ConservativeMerge::mergeRequestClass),
+        mergeLists(
             earlier.machineTypes(),
             later.machineTypes(),
             MachineType::id,
-            (a, b) ->
-                new MachineType(
-                    b.id(), Math.min(a.cores(), b.cores()), Math.min(a.memoryMb(), b.memoryMb()))),
-        both(
+            ConservativeMerge::mergeMachineType),
+        mergeLists(
             earlier.quotas(),
             later.quotas(),
             Quota::tenant,
-            (a, b) -> new Quota(b.tenant(), Math.min(a.perSecond(), b.perSecond()))),
+            (one, other) ->
+                new Quota(other.tenant(), Math.min(one.perSecond(), other.perSecond()))),
         Math.min(earlier.overQuotaWeight(), later.overQuotaWeight()),
-        rules(earlier.rules(), later.rules()),
-        means(earlier.capabilities(), later.capabilities()),
+        mergeRules(earlier.rules(), later.rules()),
+        mergeCapabilities(earlier.capabilities(), later.capabilities()),
         later.place());
   }
 
+  private static MachineType mergeMachineType(MachineType earlier, MachineType later) {
+    return new MachineType(
+        later.id(),
+        Math.min(earlier.cores(), later.cores()),
+        Math.min(earlier.memoryMb(), later.memoryMb()));
+  }
+
   /**
-   * What one acts on that may have missed a later edition: one send a command and none again, none
-   * called off. Rates of holders, placement and the number of dispatchers have no reading that
-   * would break no other one: they stay as they are.
+   * The settings of a dispatcher that may have missed a later version: one attempt a request, no
+   * retry and no cancellation. Quotas, placement and the number of dispatchers stay as they are,
+   * since no value of them is safe beside every other one.
    */
-  public static Deployment withoutRetries(Deployment d) {
-    List<RequestClass> profiles =
-        d.requestClasses().stream()
+  public static Deployment withoutRetries(Deployment deployment) {
+    List<RequestClass> requestClasses =
+        deployment.requestClasses().stream()
             .map(
-                p ->
+                requestClass ->
                     new RequestClass(
-                        p.id(),
-                        p.threads(),
-                        p.priorityWeight(),
-                        p.latePriorityWeight(),
-                        p.latencyObjective(),
-                        p.objectivePerWork(),
-                        p.deadline(),
+                        requestClass.id(),
+                        requestClass.threads(),
+                        requestClass.priorityWeight(),
+                        requestClass.latePriorityWeight(),
+                        requestClass.latencyObjective(),
+                        requestClass.objectivePerWork(),
+                        requestClass.deadline(),
                         RetrySafety.NOT_IDEMPOTENT,
-                        p.deduplicationScope(),
-                        p.deduplicationWindow(),
-                        p.inOrder(),
-                        p.locations(),
-                        p.machineTypes(),
-                        p.loadsDataSet(),
-                        p.waitsForLoads()))
+                        requestClass.deduplicationScope(),
+                        requestClass.deduplicationWindow(),
+                        requestClass.inOrder(),
+                        requestClass.locations(),
+                        requestClass.machineTypes(),
+                        requestClass.loadsDataSet(),
+                        requestClass.waitsForLoads()))
             .toList();
-    Capabilities m = d.capabilities();
+    Capabilities capabilities = deployment.capabilities();
     return new Deployment(
-        d.dispatcherIndex(),
-        d.dispatcherCount(),
-        profiles,
-        d.machineTypes(),
-        d.quotas(),
-        d.overQuotaWeight(),
-        d.rules(),
+        deployment.dispatcherIndex(),
+        deployment.dispatcherCount(),
+        requestClasses,
+        deployment.machineTypes(),
+        deployment.quotas(),
+        deployment.overQuotaWeight(),
+        deployment.rules(),
         new Capabilities(
-            m.clockTick(),
+            capabilities.clockTick(),
             1,
             false,
-            m.hasEnginePriorities(),
-            m.allowsRetryAfter(),
-            m.maxRetryAfter(),
-            m.progressInterval(),
-            m.hasMemoryGrants()),
-        d.place());
+            capabilities.hasEnginePriorities(),
+            capabilities.allowsRetryAfter(),
+            capabilities.maxRetryAfter(),
+            capabilities.progressInterval(),
+            capabilities.hasMemoryGrants()),
+        deployment.place());
   }
 
   /**
-   * The later ones in their order, each read between both where the earlier has it too, then what
-   * the earlier alone has.
+   * The later items in their order, each merged with the earlier one of its id if there is one,
+   * then the items that only the earlier list has.
    */
-  private static <T, K> List<T> both(
-      List<T> earlier, List<T> later, Function<T, K> id, BinaryOperator<T> between) {
-    List<T> all = new ArrayList<>();
-    for (T b : later) {
-      T a = earlier.stream().filter(e -> id.apply(e).equals(id.apply(b))).findFirst().orElse(b);
-      all.add(between.apply(a, b));
+  private static <T, K> List<T> mergeLists(
+      List<T> earlier, List<T> later, Function<T, K> id, BinaryOperator<T> merge) {
+    List<T> merged = new ArrayList<>();
+    for (T item : later) {
+      T previous =
+          earlier.stream()
+              .filter(other -> id.apply(other).equals(id.apply(item)))
+              .findFirst()
+              .orElse(item);
+      merged.add(merge.apply(previous, item));
     }
     earlier.stream()
-        .filter(a -> later.stream().noneMatch(b -> id.apply(a).equals(id.apply(b))))
-        .forEach(all::add);
-    return List.copyOf(all);
+        .filter(item -> later.stream().noneMatch(other -> id.apply(item).equals(id.apply(other))))
+        .forEach(merged::add);
+    return List.copyOf(merged);
   }
 
-  private static RequestClass profile(RequestClass a, RequestClass b) {
+  private static RequestClass mergeRequestClass(RequestClass earlier, RequestClass later) {
     return new RequestClass(
-        b.id(),
-        Math.max(a.threads(), b.threads()),
-        b.priorityWeight(),
-        b.latePriorityWeight(),
-        b.latencyObjective(),
-        b.objectivePerWork(),
-        smaller(a.deadline(), b.deadline()),
-        later(a.retrySafety(), b.retrySafety()),
-        later(a.deduplicationScope(), b.deduplicationScope()),
-        smaller(a.deduplicationWindow(), b.deduplicationWindow()),
-        a.inOrder() || b.inOrder(),
-        allowed(a.locations(), b.locations()),
-        allowed(a.machineTypes(), b.machineTypes()),
-        b.loadsDataSet(),
-        b.waitsForLoads());
+        later.id(),
+        Math.max(earlier.threads(), later.threads()),
+        later.priorityWeight(),
+        later.latePriorityWeight(),
+        later.latencyObjective(),
+        later.objectivePerWork(),
+        smaller(earlier.deadline(), later.deadline()),
+        stricter(earlier.retrySafety(), later.retrySafety()),
+        stricter(earlier.deduplicationScope(), later.deduplicationScope()),
+        smaller(earlier.deduplicationWindow(), later.deduplicationWindow()),
+        earlier.inOrder() || later.inOrder(),
+        allowed(earlier.locations(), later.locations()),
+        allowed(earlier.machineTypes(), later.machineTypes()),
+        later.loadsDataSet(),
+        later.waitsForLoads());
   }
 
-  private static Rules rules(Rules a, Rules b) {
+  private static Rules mergeRules(Rules earlier, Rules later) {
     return new Rules(
-        Math.min(a.slowStartFraction(), b.slowStartFraction()),
-        larger(a.slowStartDuration(), b.slowStartDuration()),
-        Math.min(a.slowStartLimitFactor(), b.slowStartLimitFactor()),
-        larger(a.slowStartWindow(), b.slowStartWindow()),
-        larger(a.sequenceKeyRest(), b.sequenceKeyRest()),
-        bounded(a.freeRetries(), b.freeRetries()),
-        bounded(a.retryRatio(), b.retryRatio()),
-        a.retryWindow() == null
-            ? b.retryWindow()
-            : b.retryWindow() == null ? a.retryWindow() : larger(a.retryWindow(), b.retryWindow()));
+        Math.min(earlier.slowStartFraction(), later.slowStartFraction()),
+        larger(earlier.slowStartDuration(), later.slowStartDuration()),
+        Math.min(earlier.slowStartLimitFactor(), later.slowStartLimitFactor()),
+        larger(earlier.slowStartWindow(), later.slowStartWindow()),
+        larger(earlier.sequenceKeyRest(), later.sequenceKeyRest()),
+        smallerBound(earlier.freeRetries(), later.freeRetries()),
+        smallerBound(earlier.retryRatio(), later.retryRatio()),
+        earlier.retryWindow() == null
+            ? later.retryWindow()
+            : later.retryWindow() == null
+                ? earlier.retryWindow()
+                : larger(earlier.retryWindow(), later.retryWindow()));
   }
 
-  private static Capabilities means(Capabilities a, Capabilities b) {
+  private static Capabilities mergeCapabilities(Capabilities earlier, Capabilities later) {
     return new Capabilities(
-        b.clockTick(),
-        Math.min(a.maxAttempts(), b.maxAttempts()),
-        a.canCancel() && b.canCancel(),
-        a.hasEnginePriorities() && b.hasEnginePriorities(),
-        a.allowsRetryAfter() && b.allowsRetryAfter(),
-        smaller(a.maxRetryAfter(), b.maxRetryAfter()),
-        b.progressInterval(),
-        a.hasMemoryGrants() && b.hasMemoryGrants());
+        later.clockTick(),
+        Math.min(earlier.maxAttempts(), later.maxAttempts()),
+        earlier.canCancel() && later.canCancel(),
+        earlier.hasEnginePriorities() && later.hasEnginePriorities(),
+        earlier.allowsRetryAfter() && later.allowsRetryAfter(),
+        smaller(earlier.maxRetryAfter(), later.maxRetryAfter()),
+        later.progressInterval(),
+        earlier.hasMemoryGrants() && later.hasMemoryGrants());
   }
 
-  private static Double bounded(Double a, Double b) {
-    return a == null ? b : b == null ? a : Double.valueOf(Math.min(a, b));
+  private static Double smallerBound(Double earlier, Double later) {
+    return earlier == null
+        ? later
+        : later == null ? earlier : Double.valueOf(Math.min(earlier, later));
   }
 
-  /** Kinds of repeat and scopes are listed from the loosest on. */
-  private static <E extends Enum<E>> E later(E a, E b) {
-    return a.compareTo(b) > 0 ? a : b;
+  /** The constants of these enums are listed from the loosest on. */
+  private static <E extends Enum<E>> E stricter(E earlier, E later) {
+    return earlier.compareTo(later) > 0 ? earlier : later;
   }
 
-  private static TimeSpan smaller(TimeSpan a, TimeSpan b) {
-    return a.compareTo(b) < 0 ? a : b;
+  private static TimeSpan smaller(TimeSpan earlier, TimeSpan later) {
+    return earlier.compareTo(later) < 0 ? earlier : later;
   }
 
-  private static TimeSpan larger(TimeSpan a, TimeSpan b) {
-    return a.compareTo(b) > 0 ? a : b;
+  private static TimeSpan larger(TimeSpan earlier, TimeSpan later) {
+    return earlier.compareTo(later) > 0 ? earlier : later;
   }
 
   /** Null allows all. */
-  private static <T> List<T> allowed(List<T> a, List<T> b) {
-    return a == null ? b : b == null ? a : b.stream().filter(a::contains).toList();
+  private static <T> List<T> allowed(List<T> earlier, List<T> later) {
+    return earlier == null
+        ? later
+        : later == null ? earlier : later.stream().filter(earlier::contains).toList();
   }
 }
--- a/src/main/java/cobaltseam/capacity/CapacityLeaseMessage.java
+++ b/src/main/java/cobaltseam/capacity/CapacityLeaseMessage.java
@@ -4,10 +4,10 @@
 import cobaltseam.membership.PeerMessage;
 import java.util.Objects;
 
-/** What members tell each other of the parts that they lend. */
+/** The messages by which members lend capacity to each other. */
 public sealed interface CapacityLeaseMessage extends PeerMessage {
   /**
-   * Asks for so much of what the one asked holds, in place of all that it lent the teller before.
+   * Requests an amount of the receiver's capacity, in place of all that it lent the sender before.
    */
   record LeaseRequest(MessageHeader from, long id, long amount) implements CapacityLeaseMessage {
     public LeaseRequest {
@@ -15,7 +15,9 @@
     }
   }
 
-  /** The answer: so much, for so long after it was asked for by the clock of the one that asked. */
+  /**
+   * The reply: an amount, and how long after the request it may be used, by the borrower's clock.
+   */
   record LeaseGrant(MessageHeader from, long id, long amount, long durationUs)
       implements CapacityLeaseMessage {
     public LeaseGrant {
--- a/src/main/java/cobaltseam/capacity/CapacityLeases.java
+++ b/src/main/java/cobaltseam/capacity/CapacityLeases.java
@@ -349,8 +349,8 @@
    * An answer is not given up before its message is too late to count, but after two rounds it is
    * asked again.
    */
-  private boolean isWaitedFor(PendingRequest o, Timestamp now) {
-    return now.since(o.requestedAt).compareTo(options.round().times(1.5)) < 0;
+  private boolean isWaitedFor(PendingRequest request, Timestamp now) {
+    return now.since(request.requestedAt).compareTo(options.round().times(1.5)) < 0;
   }
 
   private boolean isAsked(Member of, Timestamp now) {
@@ -381,39 +381,39 @@
   // ---- what comes
 
   /** What to tell after a word that its carrier found whole, of one that counts. */
-  public List<OutgoingMessage> heard(CapacityLeaseMessage word, Timestamp now) {
+  public List<OutgoingMessage> heard(CapacityLeaseMessage message, Timestamp now) {
     followCurrentView(now);
-    Member from = word.from().member();
+    Member from = message.from().member();
     if (currentView == null
         || !currentView.contains(from.name(), from.incarnation())
         || from.name().equals(context.self().name())) {
       return List.of();
     }
-    if (word instanceof LeaseRequest b) {
-      return List.of(lend(from, b, now));
+    if (message instanceof LeaseRequest request) {
+      return List.of(lend(from, request, now));
     }
-    LeaseGrant l = (LeaseGrant) word;
-    PendingRequest asked = pending.get(l.id());
+    LeaseGrant grant = (LeaseGrant) message;
+    PendingRequest asked = pending.get(grant.id());
     if (asked == null
         || !asked.lender.equals(from)
-        || l.amount() < 0
-        || l.amount() > options.whole()
-        || l.durationUs() < 0
-        || l.durationUs() > context.outlasts().us()) {
+        || grant.amount() < 0
+        || grant.amount() > options.whole()
+        || grant.durationUs() < 0
+        || grant.durationUs() > context.outlasts().us()) {
       return List.of();
     }
-    pending.remove(l.id());
-    Timestamp until = asked.requestedAt.plus(new TimeSpan(l.durationUs()));
+    pending.remove(grant.id());
+    Timestamp until = asked.requestedAt.plus(new TimeSpan(grant.durationUs()));
     BorrowedLease before = borrowed.get(from.name());
-    if (l.amount() < asked.amount) {
+    if (grant.amount() < asked.amount) {
       exhaustedUntil.put(
           from.name(), now.plus(options.round().times(EXHAUSTED_LENDER_BACKOFF_ROUNDS)));
     }
-    if (l.amount() > 0
+    if (grant.amount() > 0
         && now.isBefore(until)
         && (before == null || !before.lender.equals(from) || before.until.isBefore(until))) {
       // In place of what it lent before: it holds only the larger one back for this process.
-      borrowed.put(from.name(), new BorrowedLease(from, l.amount(), until));
+      borrowed.put(from.name(), new BorrowedLease(from, grant.amount(), until));
     }
     return List.of();
   }
--- a/src/main/java/cobaltseam/capacity/CapacityOptions.java
+++ b/src/main/java/cobaltseam/capacity/CapacityOptions.java
@@ -3,15 +3,15 @@
 import cobaltseam.dispatch.TimeSpan;
 
 /**
- * How a whole is divided.
+ * How the capacity of all engines is divided.
  *
- * @param whole in parts that are not divided further
+ * @param whole the capacity of all engines, in indivisible units
  * @param standaloneShare the share of it that every process holds a part of whatever it knows, each
  *     one in {@code processes}
- * @param processes at most so many ever run at once
- * @param floor the share of its even part that a member keeps, though it needs nothing
- * @param round between two looks at what to ask for
- * @param maxRequestsPerRound how many are asked in one at the most
+ * @param processes the largest number of processes that ever run at once
+ * @param floor the share of its even part that a member keeps even without demand
+ * @param round the time between two rounds of requests
+ * @param maxRequestsPerRound the largest number of requests in one round
  */
 public record CapacityOptions(
     long whole,
@@ -32,12 +32,12 @@
     }
   }
 
-  /** What each process holds whatever it knows. */
+  /** The amount that each process may use without a lease. */
   public long alonePart() {
     return (long) (whole * standaloneShare) / processes;
   }
 
-  /** What the members of a view divide among them. */
+  /** The amount that the members of a view divide between them. */
   long dividedAmount() {
     return whole - alonePart() * processes;
   }
--- a/src/main/java/cobaltseam/capacity/DemandEstimate.java
+++ b/src/main/java/cobaltseam/capacity/DemandEstimate.java
@@ -4,9 +4,9 @@
 import cobaltseam.dispatch.Timestamp;
 
 /**
- * What a process needs, from a running sum of what it was asked for: its mean rate, of which news
- * counts by half after a stated span. Thin traffic comes in clumps; the span is to hold several
- * commands, or parts would follow chance.
+ * The demand of a process: a decaying average of the rate at which a running sum rises. The
+ * half-life must cover several requests, as sparse traffic comes in bursts and the average would
+ * otherwise follow chance.
  */
 public final class DemandEstimate {
   private final TimeSpan halfLife;
@@ -15,16 +15,19 @@
   private double rate;
 
   /**
-   * How much of the mean is news yet, from 0 to 1: a process that began a moment ago knows its rate
-   * by that alone.
+   * The weight of all samples so far, from 0 to 1. Dividing by it removes the bias of the average
+   * towards its start at zero.
    */
   private double confidence;
 
+  /**
+   * @param halfLife after which a sample counts by half
+   */
   public DemandEstimate(TimeSpan halfLife) {
     this.halfLife = halfLife;
   }
 
-  /** The rate a second, after the sum has come to this. */
+  /** Adds a sample of the running sum, and returns the average rate per second. */
   public double told(double sum, Timestamp now) {
     if (updatedAt != null && updatedAt.isBefore(now)) {
       TimeSpan since = now.since(updatedAt);
--- a/src/main/java/cobaltseam/capacity/LoadReportMessage.java
+++ b/src/main/java/cobaltseam/capacity/LoadReportMessage.java
@@ -4,9 +4,9 @@
 import cobaltseam.membership.PeerMessage;
 import java.util.Objects;
 
-/** What members tell each other of what engines told them. */
+/** The messages by which members exchange the load reports of engines. */
 public sealed interface LoadReportMessage extends PeerMessage {
-  /** Asks for all that is known. */
+  /** Requests all known reports. */
   record ReportsRequest(MessageHeader from, long id) implements LoadReportMessage {
     public ReportsRequest {
       Objects.requireNonNull(from);
@@ -14,7 +14,7 @@
   }
 
   /**
-   * The answer: of each engine how many commands it said that it holds, and how many milliseconds
+   * The reply: how many requests each engine reported to have in flight, and how many milliseconds
    * ago at the most.
    */
   record ReportsReply(MessageHeader from, long id, long[] engines, int[] inFlight, int[] agesMs)
--- a/src/main/java/cobaltseam/capacity/LoadReports.java
+++ b/src/main/java/cobaltseam/capacity/LoadReports.java
@@ -17,27 +17,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What engines last told any dispatcher of the fleet of the commands that they hold. A dispatcher
- * with little traffic hears an engine every few seconds; all together hear it many times a second.
- * It does no I/O: moments, chance and messages come from the caller, who asks {@link #due} no later
- * than {@link #wake}.
+ * The latest load report of each engine to any dispatcher of the fleet. A dispatcher with little
+ * traffic gets a report of an engine every few seconds; all together get many a second. It does no
+ * I/O: time, randomness and messages come from the caller, who asks {@link #due} no later than
+ * {@link #wake}.
  *
- * <p>Of each engine the youngest report is kept. They spread by asking few others each round, and
- * not by telling: then the own clock bounds how old one is at the most, however long a message
- * took. What is older than its end is nothing.
+ * <p>The latest report of each engine is kept. In each round a few others are asked for theirs;
+ * reports are pulled and not pushed, since then the own clock bounds their age, however long a
+ * message was delayed. Reports beyond the maximum age are dropped.
  *
- * <p>Guards: answers that nobody asked for, and those of members outside the view, teach nothing;
- * nor do engines that this dispatcher does not list, figures below zero, or more engines than one
- * answer may hold.
+ * <p>Guards: replies without a pending request, replies of members outside the view, negative
+ * figures and more engines than one reply may hold are ignored.
  */
 public final class LoadReports {
   /**
-   * How they are spread.
+   * The options of the exchange.
    *
-   * @param round between two rounds of asking
-   * @param requestsPerRound how many in one
-   * @param maxAge after which a report is nothing
-   * @param maxClockRateRatio by which part the rates of two clocks differ at most
+   * @param round the time between two rounds of requests
+   * @param requestsPerRound how many requests one round makes
+   * @param maxAge the age at which a report is dropped
+   * @param maxClockRateRatio the largest difference between the rates of two clocks, as a ratio
    */
   public record LoadReportOptions(
       TimeSpan round, int requestsPerRound, TimeSpan maxAge, double maxClockRateRatio) {
@@ -50,16 +49,16 @@
   }
 
   /**
-   * An engine told at this moment, or later, that it holds so many commands that do not wait for
-   * memory.
+   * How many requests an engine had in flight that do not wait for memory, at this time or later.
    */
   public record LoadReport(EngineId engine, double inFlight, Timestamp at) {}
 
-  /** A datagram to an address; it may be lost. */
+  /** A message to an address; it may be lost. */
   public record OutgoingMessage(InetSocketAddress to, LoadReportMessage word) {}
 
   /**
-   * Engines in one answer: what a peer makes this process hold is bounded, and it fits a datagram.
+   * Engines in one reply: bounds the memory that peers can make this process use, and fits a
+   * datagram.
    */
   public static final int MAX_ENGINES = 512;
 
@@ -76,25 +75,28 @@
   private List<LoadReport> received = new ArrayList<>();
   private Timestamp nextRoundAt;
 
+  /**
+   * @param now the first round begins within one round from then
+   */
   public LoadReports(LoadReportOptions options, RandomGenerator random, Timestamp now) {
     this.options = options;
     this.random = random;
     nextRoundAt = now.plus(options.round().times(random.nextDouble()));
   }
 
-  /** What an engine told this dispatcher itself. */
+  /** Adds a report that an engine made to this dispatcher itself. */
   public void told(LoadReport report) {
     if (isYounger(report)) {
       latest.put(report.engine(), report);
     }
   }
 
-  private boolean isYounger(LoadReport r) {
-    LoadReport held = latest.get(r.engine());
-    return held == null ? latest.size() < MAX_ENGINES : held.at().isBefore(r.at());
+  private boolean isYounger(LoadReport report) {
+    LoadReport known = latest.get(report.engine());
+    return known == null ? latest.size() < MAX_ENGINES : known.at().isBefore(report.at());
   }
 
-  /** What others were told that is younger than what was known here; each once. */
+  /** Reports of other dispatchers that are later than those known here; each is returned once. */
   public List<LoadReport> news() {
     List<LoadReport> all = received;
     received = new ArrayList<>();
@@ -106,7 +108,7 @@
     return nextRoundAt;
   }
 
-  /** What to send now. */
+  /** Starts a round if one is due, and returns the requests to send. */
   public List<OutgoingMessage> due(View view, MessageHeader self, Timestamp now) {
     if (now.isBefore(nextRoundAt)) {
       return List.of();
@@ -130,7 +132,7 @@
     return tells;
   }
 
-  /** What to tell after a word that its carrier found whole, of one that counts. */
+  /** Handles an authenticated message of a member, and returns the replies to send. */
   public List<OutgoingMessage> heard(
       LoadReportMessage word, View view, MessageHeader self, Timestamp now) {
     Member from = word.from().member();
@@ -162,29 +164,29 @@
     for (int i = 0; i < engines.length; i++) {
       engines[i] = fresh.get(i).engine().value();
       inHand[i] = (int) Math.min(MAX_IN_FLIGHT, Math.round(fresh.get(i).inFlight()));
-      // Rounded up: never told younger than it is.
+      // Rounded up, so that an age is never understated.
       ages[i] = (int) (now.since(fresh.get(i).at()).us() / US_PER_MS + 1);
     }
     return new ReportsReply(self, id, engines, inHand, ages);
   }
 
-  private void learn(ReportsReply table, int i, PendingRequest asked) {
-    int age = table.agesMs()[i];
-    int inHand = table.inFlight()[i];
+  private void learn(ReportsReply table, int index, PendingRequest asked) {
+    int age = table.agesMs()[index];
+    int inHand = table.inFlight()[index];
     if (age < 0 || inHand < 0 || inHand > MAX_IN_FLIGHT) {
       return;
     }
     Timestamp at =
         asked.requestedAt.minus(
             new TimeSpan(Math.round(age * US_PER_MS * (1 + 2 * options.maxClockRateRatio()))));
-    LoadReport report = new LoadReport(new EngineId(table.engines()[i]), inHand, at);
+    LoadReport report = new LoadReport(new EngineId(table.engines()[index]), inHand, at);
     if (asked.requestedAt.since(at).compareTo(options.maxAge()) < 0 && isYounger(report)) {
       latest.put(report.engine(), report);
       received.add(report);
     }
   }
 
-  /** Reports held: bounded. */
+  /** The number of reports; bounded. */
   public int size() {
     return latest.size();
   }
--- a/src/main/java/cobaltseam/coordination/FleetCoordinator.java
+++ b/src/main/java/cobaltseam/coordination/FleetCoordinator.java
@@ -33,43 +33,44 @@
 import java.util.stream.Collectors;
 
 /**
- * All that this process decides together with others, as one: what comes is handed to the module
- * that it is for, and after each thing each module hears what it hangs on: membership, then the
- * lease, then what acts under it. It does no I/O and decides nothing of its own, so that the
- * service and the fleets in virtual time can't differ in how modules are joined. Parts that are
+ * Joins the modules that decide together with other members. It routes each message to its module,
+ * and after each step lets the modules follow what they depend on: membership first, then the
+ * lease, then the modules that act under it. It does no I/O and decides nothing itself, so the
+ * service and the fleets in virtual time can't differ in how modules are joined. Modules that are
  * null are off.
  */
 public final class FleetCoordinator {
-  /** What is to be done. */
+  /** Carries out what the modules ask for. */
   public interface EffectSink {
-    /** A datagram; it may be lost. */
+    /** Sends a message to a member; it may be lost. */
     void tell(InetSocketAddress to, PeerMessage message);
 
-    /** Of membership, all but datagrams. */
+    /** An action of membership other than a message. */
     void act(MembershipAction act);
 
-    /** Of the agreement, what is acted on and what is noted. */
+    /** An effect of the agreement: an activation or a recorded event. */
     void doing(AgreementEffect doing);
   }
 
-  /** What was sent so far by this process. */
+  /** How many attempts this process made so far. */
   public interface AttemptCounts {
+    /** First attempts of requests. */
     long firstAttempts();
 
-    /** Further ones, and those that it would have made. */
+    /** Retries, and those that it would have made if the budget had allowed them. */
     long wantedRetries();
   }
 
   /**
-   * The name of the figure by which members say how many further sends others may ask them for, in
+   * The name of the figure that says how many retries others may request of a member, in
    * thousandths.
    */
   public static final String SPARE_RETRIES_FIGURE = "repeats.spare";
 
-  /** The name of the figure by which members say what they need. */
+  /** The name of the figure that says the demand of a member. */
   public static final String DEMAND = "spread.demand";
 
-  /** Figures are whole numbers; demand is said in this many to one. */
+  /** Figures are integers; a demand of one is this figure. */
   private static final double DEMAND_UNITS = 1000;
 
   private final Membership membership;
@@ -87,7 +88,7 @@
 
   /**
    * @param lease null if nothing of this needs one
-   * @param gossip null if members tell no figures
+   * @param gossip null if members share no figures
    */
   public FleetCoordinator(
       Membership membership,
@@ -102,23 +103,23 @@
     this.effects = effects;
   }
 
-  /** Has this process hold a part of a whole; needs a lease and sharing. */
+  /** Turns on capacity leases; they need a lease and gossip. */
   public void holds(CapacityLeases leases) {
     capacityLeases = leases;
   }
 
-  /** Has members tell each other what engines told them. */
+  /** Turns on the exchange of load reports. */
   public void setLoadReports(LoadReports reports) {
     loadReports = reports;
   }
 
-  /** Has members cap further sends together; needs sharing. */
+  /** Turns on the retry budget; it needs gossip. */
   public void setRetryBudget(RetryBudget budget, AttemptCounts counts) {
     retryBudget = budget;
     attemptCounts = counts;
   }
 
-  /** What holdings hang on. */
+  /** What capacity leases depend on: the view, the lease and the demand of members. */
   public CapacityLeases.LeaseContext under() {
     return new CapacityLeases.LeaseContext() {
       @Override
@@ -160,7 +161,7 @@
     };
   }
 
-  /** A demand as the figure under which it is said. */
+  /** The figure that says a demand. */
   public static long figure(double demand) {
     return Math.round(Math.min(demand, Integer.MAX_VALUE) * DEMAND_UNITS);
   }
@@ -170,24 +171,29 @@
     return figure / DEMAND_UNITS;
   }
 
-  // ---- what happens
+  // ---- input
 
+  /** Starts membership; to be called once, before anything else. */
   public void start(Timestamp now) {
     handleActions(membership.start(now), now);
   }
 
+  /** Leaves the fleet and tells the other members. */
   public void leave(Timestamp now) {
     handleActions(membership.leave(now), now);
   }
 
+  /** The persistent state with this number, and all before it, is on disk. */
   public void kept(long number, Timestamp now) {
     handleActions(membership.kept(number), now);
   }
 
+  /** State could not be persisted, with the reason. */
   public void persistFailed(String why, Timestamp now) {
     handleActions(membership.notKept(why, now), now);
   }
 
+  /** An operator asks for a new lineage in place of this view, whose majority is gone. */
   public void foundAnew(ViewId said, Timestamp now) {
     handleActions(membership.foundAnew(said, now), now);
   }
@@ -197,10 +203,10 @@
     handleActions(membership.due(now), now);
   }
 
-  /** A message that its carrier found whole, of this fleet and sealed as it should be. */
+  /** Handles an authenticated message of a member of this fleet. */
   public void heard(PeerMessage message, Timestamp now) {
-    if (message instanceof MembershipMessage m) {
-      handleActions(membership.heard(m, now), now);
+    if (message instanceof MembershipMessage membershipMessage) {
+      handleActions(membership.heard(membershipMessage, now), now);
     } else if (message instanceof AgreementMessage word) {
       if (agreement != null) {
         handleEffects(agreement.receive(word, now), now);
@@ -244,7 +250,7 @@
     return other == null || one.isBefore(other) ? one : other;
   }
 
-  // ---- what follows
+  // ---- results
 
   private void handleActions(List<MembershipAction> acts, Timestamp now) {
     for (MembershipAction act : acts) {
@@ -296,7 +302,8 @@
   }
 
   /**
-   * Each in turn hears of what it hangs on, before anything else is done with what is known now.
+   * Lets each module follow what it depends on, in a fixed order; to be called after any module was
+   * called directly.
    */
   public void follow(Timestamp now) {
     if (isFollowing) {
--- /dev/null
+++ b/src/main/java/cobaltseam/retrybudget/package-info.java
@@ -0,0 +1,11 @@
+/**
+ * A budget for retries that holds over the whole fleet.
+ *
+ * <p>Entry point: {@link cobaltseam.retrybudget.RetryBudget}. First attempts earn retries, which
+ * may be spent for one window here or be transferred to another member that needs more.
+ *
+ * <p>Nothing here does I/O or starts a thread: the caller passes the time and the random generator,
+ * and calls from one thread; only the remaining retries are shared with the thread that spends
+ * them. Amounts are thousandths of a retry; times are microseconds of a monotonic clock.
+ */
+package cobaltseam.retrybudget;
--- a/src/main/java/cobaltseam/sharing/StateGossip.java
+++ b/src/main/java/cobaltseam/sharing/StateGossip.java
@@ -14,23 +14,24 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What the members of a view know of each other. It does no I/O: moments, chance and messages come
+ * What the members of a view know of each other. It does no I/O: time, randomness and messages come
  * from the caller, who asks {@link #due} no later than {@link #nextRoundAt}.
  *
- * <p>Each member says figures of itself alone, under a version that rises. They spread by asking:
- * each round a few others, drawn from the view, are asked for what is newer than what is held here.
- * Asked for and not told unasked, since then the time a message took is bounded by this process's
- * own clock: the age held is the oldest that it can be, however long messages were delayed. A
- * figure that has reached its end is unknown. What is told of one outside the view is not kept.
+ * <p>Each member states figures of itself alone, under a rising version. In each round a few
+ * others, drawn from the view, are asked for updates that are newer than what is known here.
+ * Updates are pulled and not pushed, since then the delay of a message is bounded by this process's
+ * own clock: the recorded age is the largest that it can be, however long messages were delayed. A
+ * figure that has reached its maximum age is unknown. Figures of members outside the view are
+ * dropped.
  *
- * <p>Guards: an answer nobody waits for teaches nothing (a replay, a late one); of oneself nothing
- * is believed, but a higher number under the own birth makes the own next one higher still (a
- * process started anew under the same birth).
+ * <p>Guards: a reply without a pending request (a replay, a late one) is ignored. Figures of this
+ * process itself are ignored, but a higher version number under its own incarnation raises its next
+ * one above it (a restart under the same incarnation).
  */
 public final class StateGossip {
   /**
-   * Bytes of a statement beside its figures, and of one figure beside its name: what a message's
-   * bound counts.
+   * Bytes of a statement without its figures; with those of a figure without its name it bounds the
+   * size of a message.
    */
   private static final int STATEMENT_BYTES = 64;
 
@@ -38,8 +39,8 @@
   private static final int KNOWN_VERSION_BYTES = 24;
 
   /**
-   * So many asks wait for their answer at the most: what peers that stay silent make this process
-   * hold is bounded.
+   * Requests that wait for their reply: bounds the memory that silent peers can make this process
+   * use.
    */
   private static final int MAX_PENDING_REQUESTS = 64;
 
@@ -50,14 +51,14 @@
     MemberFigures figures;
 
     /**
-     * The earliest moment, by this process's clock, at which its member can have stood by it last.
+     * The earliest time, by this process's clock, at which its member can have confirmed it last.
      */
     Timestamp confirmedAt;
   }
 
   private record PendingRequest(MemberName member, Timestamp requestedAt) {}
 
-  /** One message and whom it is for. */
+  /** A message to a member; it may be lost. */
   public record Send(MemberName to, SharingMessage message) {}
 
   private final MemberName self;
@@ -68,13 +69,17 @@
   private final Map<Long, PendingRequest> pending = new HashMap<>();
   private List<MemberName> others = List.of();
 
-  /** Those of the view not asked yet in this turn: each is asked once before any is asked again. */
+  /** Members not asked yet in this turn: each is asked once before any is asked again. */
   private final List<MemberName> notYetAsked = new ArrayList<>();
 
   private long versionNumber;
   private MemberFigures ownFigures;
   private Timestamp nextRoundAt;
 
+  /**
+   * @param self the name of this member
+   * @param now the first round begins within one round from then
+   */
   public StateGossip(
       MemberName self,
       Incarnation incarnation,
@@ -85,13 +90,13 @@
     this.incarnation = incarnation;
     this.options = options;
     this.random = random;
-    // A process started anew under its birth must not say other figures under a version that it
-    // gave before.
+    // A process restarted under the same incarnation must not state other figures under a version
+    // that it used before.
     versionNumber = random.nextLong(MAX_FIRST_NUMBER);
     nextRoundAt = now.plus(options.round().times(random.nextDouble()));
   }
 
-  /** The members of the view now. Of one that is not in it nothing is known any more. */
+  /** Sets the members of the view; the figures of all others are dropped. */
   public void view(Set<MemberName> members) {
     others = members.stream().filter(m -> !m.equals(self)).sorted().toList();
     states.keySet().retainAll(new HashSet<>(others));
@@ -99,17 +104,17 @@
     pending.values().removeIf(o -> !members.contains(o.member()));
   }
 
-  /** This process is another member from now on. */
+  /** Sets the incarnation of this process. */
   public void setIncarnation(Incarnation current) {
     incarnation = current;
   }
 
-  /** What this member says of itself under this name; 0 if it does not. */
+  /** The figure of this name that this member states; 0 if it states none. */
   public long ownFigure(String figure) {
     return ownFigures == null ? 0 : ownFigures.byName().getOrDefault(figure, 0L);
   }
 
-  /** What this member says of itself from now on. */
+  /** Sets the figures that this member states. */
   public void say(MemberFigures figures) {
     ownFigures = figures;
     versionNumber++;
@@ -120,7 +125,7 @@
     return nextRoundAt;
   }
 
-  /** What to send now. */
+  /** Starts a round if one is due, and returns the requests to send. */
   public List<Send> due(Timestamp now) {
     if (now.isBefore(nextRoundAt)) {
       return List.of();
@@ -146,8 +151,8 @@
   }
 
   /**
-   * What is held, as much as a message holds; what is left out is drawn, so that nothing is for
-   * good.
+   * The known versions, as many as fit a message; which are left out is drawn, so that none is left
+   * out for good.
    */
   private Map<MemberName, SharingMessage.KnownVersion> knownVersions(Timestamp now) {
     List<MemberName> names = new ArrayList<>(states.keySet());
@@ -168,7 +173,7 @@
     return known;
   }
 
-  /** What to send after a message. */
+  /** Handles a message and returns the replies to send. */
   public List<Send> heard(SharingMessage message, Timestamp now) {
     if (!others.contains(message.from())) {
       return List.of();
@@ -193,18 +198,22 @@
     List<Statement> newer = new ArrayList<>();
     List<SharingMessage.Reaffirmation> reaffirmations = new ArrayList<>();
     int bytes = 0;
-    for (Statement s : statements) {
-      SharingMessage.KnownVersion knownVersion = request.known().get(s.member());
-      int comparison = knownVersion == null ? -1 : knownVersion.version().compareTo(s.version());
-      // A figure that is the same is told as such only where that adds a round to its life there.
+    for (Statement statement : statements) {
+      SharingMessage.KnownVersion knownVersion = request.known().get(statement.member());
+      int comparison =
+          knownVersion == null ? -1 : knownVersion.version().compareTo(statement.version());
+      // An unchanged figure is reaffirmed only if that extends its life at the requester by a
+      // round.
       boolean isYounger =
-          comparison == 0 && s.age().plus(options.round()).compareTo(knownVersion.age()) < 0;
+          comparison == 0
+              && statement.age().plus(options.round()).compareTo(knownVersion.age()) < 0;
       if (comparison > 0
           || comparison == 0 && !isYounger
-          || s.age().compareTo(options.maxAge()) >= 0) {
+          || statement.age().compareTo(options.maxAge()) >= 0) {
         continue;
       }
-      int addedBytes = isYounger ? KNOWN_VERSION_BYTES + s.member().value().length() : bytes(s);
+      int addedBytes =
+          isYounger ? KNOWN_VERSION_BYTES + statement.member().value().length() : bytes(statement);
       if (bytes > 0 && bytes + addedBytes > options.maxMessageBytes()) {
         sends.add(
             new Send(
@@ -215,9 +224,11 @@
         bytes = 0;
       }
       if (isYounger) {
-        reaffirmations.add(new SharingMessage.Reaffirmation(s.member(), s.version(), s.age()));
+        reaffirmations.add(
+            new SharingMessage.Reaffirmation(
+                statement.member(), statement.version(), statement.age()));
       } else {
-        newer.add(s);
+        newer.add(statement);
       }
       bytes += addedBytes;
     }
@@ -230,10 +241,12 @@
     return sends;
   }
 
-  private static int bytes(Statement s) {
+  private static int bytes(Statement statement) {
     return STATEMENT_BYTES
-        + s.member().value().length()
-        + s.figures().byName().keySet().stream().mapToInt(n -> n.length() + FIGURE_BYTES).sum();
+        + statement.member().value().length()
+        + statement.figures().byName().keySet().stream()
+            .mapToInt(n -> n.length() + FIGURE_BYTES)
+            .sum();
   }
 
   private void learn(SharingMessage.UpdateReply reply, Timestamp now) {
@@ -241,43 +254,45 @@
     if (request == null || !request.member().equals(reply.from())) {
       return;
     }
-    for (Statement s : reply.statements()) {
-      if (s.member().equals(self)) {
-        // A former process of this birth said more: whoever holds that would not believe this one.
-        if (s.version().incarnation().equals(incarnation) && s.version().number() > versionNumber) {
-          versionNumber = s.version().number() + 1;
+    for (Statement statement : reply.statements()) {
+      if (statement.member().equals(self)) {
+        // An earlier process of this incarnation used higher numbers: members that know them would
+        // ignore this one.
+        if (statement.version().incarnation().equals(incarnation)
+            && statement.version().number() > versionNumber) {
+          versionNumber = statement.version().number() + 1;
         }
         continue;
       }
-      KnownState state = states.get(s.member());
-      if (!others.contains(s.member())
-          || s.age().us() < 0
-          || state != null && state.version.compareTo(s.version()) >= 0) {
+      KnownState state = states.get(statement.member());
+      if (!others.contains(statement.member())
+          || statement.age().us() < 0
+          || state != null && state.version.compareTo(statement.version()) >= 0) {
         continue;
       }
-      Timestamp from = confirmedAt(request, s.age());
+      Timestamp from = confirmedAt(request, statement.age());
       if (now.since(from).compareTo(options.maxAge()) < 0) {
         KnownState fresh = new KnownState();
-        fresh.version = s.version();
-        fresh.figures = s.figures();
+        fresh.version = statement.version();
+        fresh.figures = statement.figures();
         fresh.confirmedAt = from;
-        states.put(s.member(), fresh);
+        states.put(statement.member(), fresh);
       }
     }
-    for (SharingMessage.Reaffirmation s : reply.standing()) {
-      KnownState state = states.get(s.member());
+    for (SharingMessage.Reaffirmation statement : reply.standing()) {
+      KnownState state = states.get(statement.member());
       if (state != null
-          && s.age().us() >= 0
-          && state.version.equals(s.version())
-          && state.confirmedAt.isBefore(confirmedAt(request, s.age()))) {
-        state.confirmedAt = confirmedAt(request, s.age());
+          && statement.age().us() >= 0
+          && state.version.equals(statement.version())
+          && state.confirmedAt.isBefore(confirmedAt(request, statement.age()))) {
+        state.confirmedAt = confirmedAt(request, statement.age());
       }
     }
   }
 
   /**
-   * It left its teller after it was asked for: by then it was as old as told at the most, by a
-   * clock of another rate.
+   * When a figure of the stated age was confirmed at the earliest: the reply was sent after the
+   * request, and the sender's clock may run at another rate.
    */
   private Timestamp confirmedAt(PendingRequest request, TimeSpan age) {
     return request.requestedAt().minus(age.times(1 + 2 * options.maxClockRateRatio()));
@@ -287,7 +302,7 @@
     return now.since(state.confirmedAt);
   }
 
-  /** What is known of a member now; null if nothing is, or it has reached its end. */
+  /** What is known of a member now; null if nothing is, or it has reached its maximum age. */
   public KnownFigures known(MemberName member, Timestamp now) {
     KnownState state = states.get(member);
     return state == null || age(state, now).compareTo(options.maxAge()) >= 0
@@ -296,8 +311,8 @@
   }
 
   /**
-   * The sum of one figure over those of whom it is known, how many that are, and of how many it is
-   * not: of a sum that leaves some out nobody may believe that they have nothing.
+   * The sum of one figure over the members of which it is known, with the number of members of
+   * which it is not: a caller must not take these for zero.
    */
   public Sum sum(String figure, Timestamp now) {
     long sum = ownFigures == null ? 0 : ownFigures.byName().getOrDefault(figure, 0L);
@@ -316,7 +331,7 @@
   /** A sum over members, how many it counts and how many are unknown. */
   public record Sum(long sum, int counted, int unknown) {}
 
-  /** Statements held of others: bounded by the view. */
+  /** The number of other members with known figures; bounded by the view. */
   public int size() {
     return states.size();
   }
--- a/src/test/java/cobaltseam/capacity/CapacityLeasesTest.java
+++ b/src/test/java/cobaltseam/capacity/CapacityLeasesTest.java
@@ -29,15 +29,15 @@
   private static final int ALONE = 10;
   private static final int SETTLED = 900;
 
-  private final Ground ground = new Ground();
+  private final TestLeaseContext ground = new TestLeaseContext();
   private final CapacityLeases holdings =
       new CapacityLeases(TERMS, ground, new SplittableRandom(1));
 
-  private static Member member(int i) {
+  private static Member member(int index) {
     return new Member(
-        new MemberName("n" + i),
-        new Incarnation(i + 1),
-        new InetSocketAddress("127.0.0.1", 1000 + i));
+        new MemberName("n" + index),
+        new Incarnation(index + 1),
+        new InetSocketAddress("127.0.0.1", 1000 + index));
   }
 
   private static View view(long number, int... members) {
@@ -48,16 +48,16 @@
     return new View(new ViewId(7, number), of, null);
   }
 
-  private static MessageHeader teller(int i) {
-    return new MessageHeader(member(i), 0, ViewId.NONE, true);
+  private static MessageHeader teller(int index) {
+    return new MessageHeader(member(index), 0, ViewId.NONE, true);
   }
 
-  private static Timestamp at(double s) {
-    return new Timestamp(Math.round(s * 1e6));
+  private static Timestamp at(double seconds) {
+    return new Timestamp(Math.round(seconds * 1e6));
   }
 
   /** What the process is told; it is member 0. */
-  private static final class Ground implements CapacityLeases.LeaseContext {
+  private static final class TestLeaseContext implements CapacityLeases.LeaseContext {
     View view;
     Timestamp lease;
     final Map<MemberName, Double> demand = new HashMap<>();
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void withoutAViewOrALeaseThereIsTheLonePart() {
+  void withoutViewOrLeaseOnlyTheStandalonePartIsUsable() {
     assertEquals(ALONE, holdings.usable(at(0)));
     ground.view = view(1, 0, 1, 2);
     holdings.follow(at(0));
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void aNewcomerHoldsNothingUntilAllLeasesBeforeHaveEnded() {
+  void newMemberHasNoPartUntilAllEarlierLeasesHaveEnded() {
     ground.view = view(4, 0, 1, 2);
     ground.lease = at(9);
     holdings.follow(at(1));
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void aPartShrinksAtOnceAndGrowsOnceAllLeasesBeforeHaveEnded() {
+  void partShrinksAtOnceAndGrowsAfterAllEarlierLeasesHaveEnded() {
     settled(view(1, 0, 1, 2), 60);
     ground.view = view(2, 0, 1, 2, 3, 4);
     holdings.follow(at(10));
@@ -143,7 +143,7 @@
   }
 
   @Test
-  void oneThatMissedAViewHoldsNothingForAWhile() {
+  void memberThatMissedAViewHasNoPartUntilLeasesHaveEnded() {
     settled(view(1, 0, 1, 2), 60);
     ground.view = view(3, 0, 1, 2);
     holdings.follow(at(10));
@@ -156,15 +156,15 @@
     assertEquals(ALONE, holdings.usable(at(22)));
   }
 
-  private LeaseGrant asked(int by, long amount, double s) {
+  private LeaseGrant asked(int by, long amount, double seconds) {
     List<CapacityLeases.OutgoingMessage> tells =
-        holdings.heard(new LeaseRequest(teller(by), 99, amount), at(s));
+        holdings.heard(new LeaseRequest(teller(by), 99, amount), at(seconds));
     assertEquals(1, tells.size());
     return (LeaseGrant) tells.get(0).word();
   }
 
   @Test
-  void whatIsLentIsGoneUntilItEndsAndEndsBeforeTheLease() {
+  void lentCapacityIsUnusableUntilItEndsBeforeTheLease() {
     settled(view(1, 0, 1, 2), 11);
     ground.demand.put(new MemberName("n1"), 9.0);
     holdings.needs(0);
@@ -181,7 +181,7 @@
   }
 
   @Test
-  void toTwoNoMoreIsLentThanThereIs() {
+  void twoBorrowersGetNoMoreThanTheLenderHas() {
     settled(view(1, 0, 1, 2), 60);
     ground.demand.put(new MemberName("n1"), 9.0);
     ground.demand.put(new MemberName("n2"), 9.0);
@@ -196,7 +196,7 @@
   }
 
   @Test
-  void withoutALeaseNothingIsLent() {
+  void nothingIsLentWithoutALease() {
     settled(view(1, 0, 1, 2), 60);
     ground.demand.put(new MemberName("n1"), 9.0);
     ground.lease = at(9);
@@ -217,14 +217,14 @@
         "nor to another process of its name");
   }
 
-  private LeaseRequest borrows(double s) {
-    List<CapacityLeases.OutgoingMessage> tells = holdings.follow(at(s));
+  private LeaseRequest borrows(double seconds) {
+    List<CapacityLeases.OutgoingMessage> tells = holdings.follow(at(seconds));
     assertEquals(1, tells.size(), tells.toString());
     return (LeaseRequest) tells.get(0).word();
   }
 
   @Test
-  void whatIsBorrowedCountsFromTheAskAndOnce() {
+  void borrowedCapacityCountsOnceAndFromTheRequest() {
     settled(view(1, 0, 1), 60);
     holdings.needs(9);
     ground.demand.put(new MemberName("n1"), 0.0);
@@ -247,7 +247,7 @@
   }
 
   @Test
-  void whatNobodyAskedForOrIsTooMuchIsNotBelieved() {
+  void unrequestedOrInvalidGrantsAreIgnored() {
     settled(view(1, 0, 1), 60);
     holdings.needs(9);
     ground.demand.put(new MemberName("n1"), 0.0);
@@ -260,7 +260,7 @@
   }
 
   @Test
-  void ofTheSameLenderTheLaterLoanTakesThePlaceOfTheFormer() {
+  void laterGrantOfALenderReplacesTheEarlierOne() {
     settled(view(1, 0, 1), 60);
     holdings.needs(9);
     ground.demand.put(new MemberName("n1"), 0.0);
@@ -271,7 +271,7 @@
   }
 
   @Test
-  void ofWhomNothingIsKnownNothingIsAsked() {
+  void membersOfUnknownDemandAreNotAsked() {
     settled(view(1, 0, 1, 2), 60);
     holdings.needs(9);
     assertEquals(List.of(), holdings.follow(at(10)));
@@ -280,12 +280,12 @@
   }
 
   @Test
-  void demandIsAMeanThatForgetsByHalves() {
+  void demandIsADecayingAverageWithTheStatedHalfLife() {
     DemandEstimate demand = new DemandEstimate(new TimeSpan(1_000_000));
     assertEquals(0, demand.told(0, at(0)));
     assertEquals(50, demand.told(50, at(1)), 1e-9, "it knows its rate by the first second alone");
-    for (int s = 2; s < 30; s++) {
-      demand.told(50 * s, at(s));
+    for (int seconds = 2; seconds < 30; seconds++) {
+      demand.told(50 * seconds, at(seconds));
     }
     double sum = 50 * 29;
     assertEquals(25, demand.told(sum, at(30)), 1e-6);
--- a/src/test/java/cobaltseam/capacity/LoadReportsTest.java
+++ b/src/test/java/cobaltseam/capacity/LoadReportsTest.java
@@ -31,15 +31,15 @@
       new LoadReports.LoadReportOptions(new TimeSpan(100_000), 1, new TimeSpan(3_000_000), 0.001);
   private static final EngineId E = new EngineId(7);
 
-  private static Member member(int i) {
+  private static Member member(int index) {
     return new Member(
-        new MemberName(String.format("n%03d", i)),
+        new MemberName(String.format("n%03d", index)),
         new Incarnation(1),
-        new InetSocketAddress("127.0.0.1", 1000 + i));
+        new InetSocketAddress("127.0.0.1", 1000 + index));
   }
 
-  private static MessageHeader teller(int i) {
-    return new MessageHeader(member(i), 0, ViewId.NONE, true);
+  private static MessageHeader teller(int index) {
+    return new MessageHeader(member(index), 0, ViewId.NONE, true);
   }
 
   private static View view(int members) {
@@ -50,13 +50,13 @@
     return new View(new ViewId(1, 1), of, null);
   }
 
-  private static Timestamp at(double s) {
-    return new Timestamp(Math.round(s * 1e6));
+  private static Timestamp at(double seconds) {
+    return new Timestamp(Math.round(seconds * 1e6));
   }
 
   /** The id of an ask that member 0 has out. */
-  private static long asked(LoadReports reports, double s) {
-    for (double t = s; t < s + 5; t += 0.1) {
+  private static long asked(LoadReports reports, double seconds) {
+    for (double t = seconds; t < seconds + 5; t += 0.1) {
       List<LoadReports.OutgoingMessage> tells = reports.due(view(2), teller(0), at(t));
       if (!tells.isEmpty()) {
         return ((ReportsRequest) tells.get(0).word()).id();
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void theYoungestCountsAndIsNewOnce() {
+  void latestReportCountsAndIsPassedOnOnce() {
     LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
     reports.told(new LoadReport(E, 4, at(9.9)));
     assertEquals(List.of(), reports.news(), "what was told here is no news");
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void whatNobodyAskedForTeachesNothing() {
+  void unrequestedOrInvalidRepliesAreIgnored() {
     LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
     long id = asked(reports, 10);
     reports.heard(table(1, id + 1, 9, 1), view(2), teller(0), at(10.1));
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void whatIsTooOldIsNothing() {
+  void expiredReportsAreIgnored() {
     LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
     long id = asked(reports, 10);
     reports.heard(table(1, id, 9, 3100), view(2), teller(0), at(10.1));
@@ -124,10 +124,10 @@
     assertEquals(0, reports.size());
   }
 
-  private record Late(double at, int to, LoadReportMessage word) {}
+  private record Delivery(double at, int to, LoadReportMessage word) {}
 
   @Test
-  void aHundredMembersKnowWhatOneWasToldAndNeverAsYoungerThanItIs() {
+  void reportsReachAHundredMembersAndAgesAreNeverUnderstated() {
     View view = view(100);
     SplittableRandom chance = new SplittableRandom(3);
     List<LoadReports> all = new ArrayList<>();
@@ -135,27 +135,27 @@
       all.add(new LoadReports(TERMS, chance.split(), at(0)));
     }
     Map<Integer, Double> toldAt = new HashMap<>();
-    PriorityQueue<Late> late = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
+    PriorityQueue<Delivery> late = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
     double ages = 0;
     int looks = 0;
     for (int ms = 0; ms < 6000; ms += 10) {
-      double s = 1 + ms / 1000.0;
+      double seconds = 1 + ms / 1000.0;
       if (ms % 50 == 0) {
         // Each time another member is told another figure.
         int figure = ms / 50;
-        toldAt.put(figure, s);
-        all.get(chance.nextInt(100)).told(new LoadReport(E, figure, at(s)));
+        toldAt.put(figure, seconds);
+        all.get(chance.nextInt(100)).told(new LoadReport(E, figure, at(seconds)));
       }
       for (int i = 0; i < 100; i++) {
-        for (LoadReports.OutgoingMessage tell : all.get(i).due(view, teller(i), at(s))) {
-          send(late, tell, s, chance);
+        for (LoadReports.OutgoingMessage tell : all.get(i).due(view, teller(i), at(seconds))) {
+          send(late, tell, seconds, chance);
         }
       }
-      while (!late.isEmpty() && late.peek().at <= s) {
-        Late l = late.poll();
+      while (!late.isEmpty() && late.peek().at <= seconds) {
+        Delivery delivery = late.poll();
         for (LoadReports.OutgoingMessage tell :
-            all.get(l.to).heard(l.word, view, teller(l.to), at(s))) {
-          send(late, tell, s, chance);
+            all.get(delivery.to).heard(delivery.word, view, teller(delivery.to), at(seconds))) {
+          send(late, tell, seconds, chance);
         }
       }
       for (int i = 0; i < 100; i++) {
@@ -164,7 +164,7 @@
               news.at().us() <= toldAt.get((int) news.inFlight()) * 1e6,
               "told as younger than it is");
           if (ms > 2000) {
-            ages += s - news.at().us() / 1e6;
+            ages += seconds - news.at().us() / 1e6;
             looks++;
           }
         }
@@ -178,14 +178,14 @@
 
   /** A datagram may be lost, late or doubled. */
   private static void send(
-      PriorityQueue<Late> late,
+      PriorityQueue<Delivery> late,
       LoadReports.OutgoingMessage tell,
-      double s,
+      double seconds,
       SplittableRandom chance) {
     for (int n = chance.nextInt(10) == 0 ? 0 : chance.nextInt(10) == 0 ? 2 : 1; n > 0; n--) {
       late.add(
-          new Late(
-              s + chance.nextDouble() * chance.nextDouble() * 0.2,
+          new Delivery(
+              seconds + chance.nextDouble() * chance.nextDouble() * 0.2,
               tell.to().getPort() - 1000,
               tell.word()));
     }
--- a/src/test/java/cobaltseam/retrybudget/RetryBudgetTest.java
+++ b/src/test/java/cobaltseam/retrybudget/RetryBudgetTest.java
@@ -32,11 +32,11 @@
   private static final RetryBudgetOptions TERMS =
       new RetryBudgetOptions(0.1, 0, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001);
 
-  private static Member member(int i, long birth) {
+  private static Member member(int index, long birth) {
     return new Member(
-        new MemberName("n" + i),
+        new MemberName("n" + index),
         new Incarnation(birth),
-        new InetSocketAddress("127.0.0.1", 1000 + i));
+        new InetSocketAddress("127.0.0.1", 1000 + index));
   }
 
   private static View view(int members) {
@@ -47,21 +47,21 @@
     return new View(new ViewId(1, 1), of, null);
   }
 
-  private static MessageHeader teller(int i) {
-    return new MessageHeader(member(i, 1), 0, ViewId.NONE, true);
+  private static MessageHeader teller(int index) {
+    return new MessageHeader(member(index, 1), 0, ViewId.NONE, true);
   }
 
-  private static Timestamp at(double s) {
-    return new Timestamp(Math.round(s * 1e6));
+  private static Timestamp at(double seconds) {
+    return new Timestamp(Math.round(seconds * 1e6));
   }
 
   /** A purse and whoever spends from it. */
-  private static class One {
+  private static class Spender {
     final AtomicLong left = new AtomicLong();
     final RetryBudget purse;
     long firsts, wanted;
 
-    One(RetryBudgetOptions terms, long seed) {
+    Spender(RetryBudgetOptions terms, long seed) {
       purse =
           new RetryBudget(
               terms,
@@ -85,14 +85,15 @@
           && left.addAndGet(-RetryBudget.UNITS_PER_RETRY) >= 0;
     }
 
-    List<RetryBudget.OutgoingMessage> follow(Map<MemberName, Long> spares, int self, double s) {
-      return purse.follow(firsts, wanted, spares, view(3), teller(self), at(s));
+    List<RetryBudget.OutgoingMessage> follow(
+        Map<MemberName, Long> spares, int self, double seconds) {
+      return purse.follow(firsts, wanted, spares, view(3), teller(self), at(seconds));
     }
   }
 
   @Test
-  void firstSendsEarnWhatMayBeSpentForAWindow() {
-    One one = new One(TERMS, 1);
+  void firstAttemptsEarnRetriesForOneWindow() {
+    Spender one = new Spender(TERMS, 1);
     one.follow(Map.of(), 0, 0);
     assertTrue(!one.spends(), "nothing is earned yet");
     one.firsts = 25;
@@ -111,9 +112,9 @@
   }
 
   @Test
-  void aloneAProcessEarnsItsStatedPartAndNoMoreIsSavedUp() {
-    One one =
-        new One(
+  void standaloneRateIsEarnedAndNotSavedBeyondAWindow() {
+    Spender one =
+        new Spender(
             new RetryBudgetOptions(0, 2, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001),
             1);
     for (int ds = 0; ds <= 1000; ds++) {
@@ -124,9 +125,9 @@
   }
 
   @Test
-  void aPauseEarnsNoMoreThanAWindow() {
-    One one =
-        new One(
+  void pauseEarnsNoMoreThanOneWindow() {
+    Spender one =
+        new Spender(
             new RetryBudgetOptions(0, 2, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001),
             1);
     one.follow(Map.of(), 0, 0);
@@ -135,12 +136,12 @@
   }
 
   @Test
-  void whatIsGivenIsGoneAndCountsOnceForWhoeverAsked() {
-    One giver = new One(TERMS, 1);
+  void transferLeavesTheGiverAndCountsOnceForTheReceiver() {
+    Spender giver = new Spender(TERMS, 1);
     giver.follow(Map.of(), 1, 0);
     giver.firsts = 400;
     giver.follow(Map.of(), 1, 1);
-    One asker = new One(TERMS, 2);
+    Spender asker = new Spender(TERMS, 2);
     asker.follow(Map.of(), 0, 0);
     asker.wanted = 1000;
     List<RetryBudget.OutgoingMessage> asks =
@@ -161,8 +162,8 @@
   }
 
   @Test
-  void whatNobodyAskedForAndNonsenseGiveNothing() {
-    One one = new One(TERMS, 1);
+  void unrequestedOrInvalidTransfersAreIgnored() {
+    Spender one = new Spender(TERMS, 1);
     one.follow(Map.of(), 0, 0);
     one.wanted = 1000;
     BudgetRequest beg =
@@ -191,67 +192,70 @@
         () -> new BudgetTransfer(teller(1), 1, new long[1], new long[2]));
   }
 
-  private record Late(double at, int to, long life, RetryBudgetMessage word) {}
+  private record Delivery(double at, int to, long life, RetryBudgetMessage word) {}
 
   /**
    * What a drawn day came to: the most that further sends were over what their bound was, in any
    * stretch that was looked at.
    */
-  private static double day(long seed, RetryBudgetOptions terms, boolean forgets, boolean doubles) {
+  private static double runRandomDay(
+      long seed, RetryBudgetOptions terms, boolean forgets, boolean doubles) {
     SplittableRandom chance = new SplittableRandom(seed);
     int members = 3 + chance.nextInt(8);
-    One[] all = new One[members];
+    Spender[] all = new Spender[members];
     double[] rates = new double[members];
     double[] stands = new double[members];
     long[] lives = new long[members];
     for (int i = 0; i < members; i++) {
-      all[i] = new One(terms, chance.nextLong());
+      all[i] = new Spender(terms, chance.nextLong());
       rates[i] = 1 + 0.001 * (chance.nextDouble() - 0.5);
     }
     View view = view(members);
-    PriorityQueue<Late> late = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
+    PriorityQueue<Delivery> late = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
     List<Double> firsts = new ArrayList<>();
     List<Double> further = new ArrayList<>();
     double loss = chance.nextDouble() * 0.4;
     for (int ms = 0; ms < 60_000; ms += 20) {
-      double s = ms / 1000.0;
+      double seconds = ms / 1000.0;
       for (int i = 0; i < members; i++) {
         if (chance.nextInt(20_000) == 0) {
           // Killed; it starts anew with nothing.
-          all[i] = new One(terms, chance.nextLong());
+          all[i] = new Spender(terms, chance.nextLong());
           lives[i]++;
         } else if (chance.nextInt(10_000) == 0) {
-          stands[i] = s + chance.nextDouble() * 15;
+          stands[i] = seconds + chance.nextDouble() * 15;
         }
-        if (s < stands[i]) {
+        if (seconds < stands[i]) {
           continue;
         }
-        boolean heavy = i == (int) (s / 15) % members;
+        boolean heavy = i == (int) (seconds / 15) % members;
         if (chance.nextInt(heavy ? 1 : 8) == 0) {
           all[i].firsts++;
-          firsts.add(s);
+          firsts.add(seconds);
         }
         if (chance.nextInt(heavy ? 2 : 400) == 0 && all[i].spends()) {
-          further.add(s);
+          further.add(seconds);
         }
         Map<MemberName, Long> spares = new HashMap<>();
         for (int o = 0; o < members; o++) {
           spares.put(new MemberName("n" + o), all[o].purse.spareUnits());
         }
-        One one = all[i];
-        for (RetryBudget.OutgoingMessage t :
-            one.purse.follow(one.firsts, one.wanted, spares, view, teller(i), at(s * rates[i]))) {
-          send(late, t, s, loss, doubles, lives, chance);
+        Spender one = all[i];
+        for (RetryBudget.OutgoingMessage end :
+            one.purse.follow(
+                one.firsts, one.wanted, spares, view, teller(i), at(seconds * rates[i]))) {
+          send(late, end, seconds, loss, doubles, lives, chance);
         }
       }
-      while (!late.isEmpty() && late.peek().at <= s) {
-        Late l = late.poll();
-        if (s < stands[l.to]) {
-          late.add(new Late(stands[l.to], l.to, l.life, l.word));
+      while (!late.isEmpty() && late.peek().at <= seconds) {
+        Delivery delivery = late.poll();
+        if (seconds < stands[delivery.to]) {
+          late.add(new Delivery(stands[delivery.to], delivery.to, delivery.life, delivery.word));
         } else {
-          for (RetryBudget.OutgoingMessage t :
-              all[l.to].purse.receive(l.word, view, teller(l.to), at(s * rates[l.to]))) {
-            send(late, t, s, loss, doubles, lives, chance);
+          for (RetryBudget.OutgoingMessage end :
+              all[delivery.to].purse.receive(
+                  delivery.word, view, teller(delivery.to), at(seconds * rates[delivery.to]))) {
+            send(late, end, seconds, loss, doubles, lives, chance);
           }
         }
       }
@@ -260,12 +264,12 @@
     double window = terms.window().us() / 1e6 * 1.003 + 0.1;
     for (double from = 0; from < 60; from += 2.5) {
       for (double to = from + 2.5; to <= 60; to += 5) {
-        double f = from;
-        double t = to;
-        long sent = further.stream().filter(x -> x >= f && x < t).count();
+        double start = from;
+        double end = to;
+        long sent = further.stream().filter(x -> x >= start && x < end).count();
         double bound =
-            terms.ratio() * firsts.stream().filter(x -> x >= f - window && x < t).count()
-                + terms.standaloneRate() * members * (t - f + window) / (window - 0.1);
+            terms.ratio() * firsts.stream().filter(x -> x >= start - window && x < end).count()
+                + terms.standaloneRate() * members * (end - start + window) / (window - 0.1);
         over = Math.max(over, sent - bound);
       }
     }
@@ -273,9 +277,9 @@
   }
 
   private static void send(
-      PriorityQueue<Late> late,
+      PriorityQueue<Delivery> late,
       RetryBudget.OutgoingMessage tell,
-      double s,
+      double seconds,
       double loss,
       boolean doubles,
       long[] lives,
@@ -285,18 +289,21 @@
         n > 0;
         n--) {
       late.add(
-          new Late(
-              s + chance.nextDouble() * chance.nextDouble() * 0.4, to, lives[to], tell.message()));
+          new Delivery(
+              seconds + chance.nextDouble() * chance.nextDouble() * 0.4,
+              to,
+              lives[to],
+              tell.message()));
     }
   }
 
   @Test
-  void whateverComesBetweenThemNoMoreIsSentAgainThanAllEarned() {
+  void retriesOfAllMembersNeverExceedWhatTheyEarnedUnderFaults() {
     for (long seed = 1; seed <= 40; seed++) {
-      double over = day(seed, TERMS, false, true);
+      double over = runRandomDay(seed, TERMS, false, true);
       assertTrue(over <= 1e-6, "seed " + seed + ": " + over + " over the bound");
       over =
-          day(
+          runRandomDay(
               seed,
               new RetryBudgetOptions(
                   0.05, 1, new TimeSpan(5_000_000), new TimeSpan(100_000), 0.001),
@@ -308,14 +315,14 @@
   }
 
   @Test
-  void whereOneNeedsMoreThanItEarnsOthersGiveIt() {
+  void memberInNeedGetsTransfersOfOthers() {
     double moved = 0;
     double stays = 0;
     for (long seed = 1; seed <= 10; seed++) {
-      moved += day(seed, TERMS, true, false);
+      moved += runRandomDay(seed, TERMS, true, false);
       // Rounds so long that nobody is ever asked.
       stays +=
-          day(
+          runRandomDay(
               seed,
               new RetryBudgetOptions(
                   0.1, 0, new TimeSpan(10_000_000), new TimeSpan(9_999_999), 0.001),
--- a/src/test/java/cobaltseam/sharing/StateGossipTest.java
+++ b/src/test/java/cobaltseam/sharing/StateGossipTest.java
@@ -51,12 +51,13 @@
     long said;
     final Map<MemberName, Version> newest = new HashMap<>();
 
-    Process(MemberName name, Incarnation birth, long at, double rate, SplittableRandom r) {
+    Process(MemberName name, Incarnation birth, long at, double rate, SplittableRandom seeds) {
       this.name = name;
       this.birth = birth;
       begun = at;
       this.rate = rate;
-      module = new StateGossip(name, birth, TERMS, new SplittableRandom(r.nextLong()), clock(at));
+      module =
+          new StateGossip(name, birth, TERMS, new SplittableRandom(seeds.nextLong()), clock(at));
     }
 
     Timestamp clock(long at) {
@@ -76,37 +77,37 @@
    */
   private final Map<MemberName, TreeMap<Long, Long>> stoodBy = new HashMap<>();
 
-  private SplittableRandom r = new SplittableRandom(1);
+  private SplittableRandom random = new SplittableRandom(1);
   private long now = 1_000_000;
   private int order;
   private double loss, doubled;
   private long longest = 2_000;
 
-  private static MemberName name(int i) {
-    return new MemberName("d" + i);
+  private static MemberName name(int index) {
+    return new MemberName("d" + index);
   }
 
-  private Process start(int i, long birth, double rate) {
-    Process p = new Process(name(i), new Incarnation(birth), now, rate, r);
-    running.put(p.name, p);
-    view.add(p.name);
-    running.values().forEach(q -> q.module.view(view));
-    return p;
+  private Process start(int index, long birth, double rate) {
+    Process process = new Process(name(index), new Incarnation(birth), now, rate, random);
+    running.put(process.name, process);
+    view.add(process.name);
+    running.values().forEach(other -> other.module.view(view));
+    return process;
   }
 
   /** What is said is told apart by its value: no two statements of all say the same. */
-  private void say(Process p) {
-    long value = now * 1000 + running.size() + p.said++ % 7;
-    p.module.say(new MemberFigures(Map.of(OUT, value)));
-    stoodBy.computeIfAbsent(p.name, k -> new TreeMap<>()).put(value, now);
-    p.said = value;
+  private void say(Process process) {
+    long value = now * 1000 + running.size() + process.said++ % 7;
+    process.module.say(new MemberFigures(Map.of(OUT, value)));
+    stoodBy.computeIfAbsent(process.name, figures -> new TreeMap<>()).put(value, now);
+    process.said = value;
   }
 
   private void carry(List<Send> sends) {
     for (Send s : sends) {
-      for (int copies = r.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
-        if (r.nextDouble() >= loss) {
-          air.add(new Flight(now + 1 + r.nextLong(longest), order++, s.to(), s.message()));
+      for (int copies = random.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
+        if (random.nextDouble() >= loss) {
+          air.add(new Flight(now + 1 + random.nextLong(longest), order++, s.to(), s.message()));
         }
       }
     }
@@ -114,19 +115,19 @@
 
   private void pass(long us) {
     for (long end = now + us; now < end; now += 20_000) {
-      for (Process p : running.values()) {
-        if (p.said > 0) {
-          stoodBy.get(p.name).put(p.said, now);
+      for (Process process : running.values()) {
+        if (process.said > 0) {
+          stoodBy.get(process.name).put(process.said, now);
         }
-        if (silentUntil.getOrDefault(p.name, 0L) <= now) {
-          carry(p.module.due(p.clock(now)));
+        if (silentUntil.getOrDefault(process.name, 0L) <= now) {
+          carry(process.module.due(process.clock(now)));
         }
       }
       while (!air.isEmpty() && air.peek().at() <= now) {
-        Flight f = air.remove();
-        Process p = running.get(f.to());
-        if (p != null && silentUntil.getOrDefault(p.name, 0L) <= now) {
-          carry(p.module.heard(f.message(), p.clock(now)));
+        Flight flight = air.remove();
+        Process process = running.get(flight.to());
+        if (process != null && silentUntil.getOrDefault(process.name, 0L) <= now) {
+          carry(process.module.heard(flight.message(), process.clock(now)));
         }
       }
     }
@@ -138,31 +139,33 @@
    */
   private int check() {
     int known = 0;
-    for (Process p : running.values()) {
+    for (Process process : running.values()) {
       for (MemberName of : view) {
-        KnownFigures k = of.equals(p.name) ? null : p.module.known(of, p.clock(now));
-        if (k == null) {
+        KnownFigures figures =
+            of.equals(process.name) ? null : process.module.known(of, process.clock(now));
+        if (figures == null) {
           // Once forgotten, a process started anew under its birth may begin below its former
           // number.
-          p.newest.remove(of);
+          process.newest.remove(of);
         } else {
           known++;
-          Version before = p.newest.put(of, k.version());
+          Version before = process.newest.put(of, figures.version());
           assertTrue(
-              before == null || before.compareTo(k.version()) <= 0, "back to what was said before");
-          Long stood = stoodBy.get(of).get(k.figures().byName().get(OUT));
+              before == null || before.compareTo(figures.version()) <= 0,
+              "back to what was said before");
+          Long stood = stoodBy.get(of).get(figures.figures().byName().get(OUT));
           assertNotNull(stood, "nobody said that");
-          double most = k.age().us() * 1.003 + 40_000;
+          double most = figures.age().us() * 1.003 + 40_000;
           assertTrue(
               now - stood <= most,
               of
                   + " at "
-                  + p.name
+                  + process.name
                   + " is "
                   + (now - stood)
                   + " us old and is held for "
-                  + k.age().us());
-          assertTrue(k.age().compareTo(TERMS.maxAge()) < 0, "past its end and still known");
+                  + figures.age().us());
+          assertTrue(figures.age().compareTo(TERMS.maxAge()) < 0, "past its end and still known");
         }
       }
     }
@@ -170,9 +173,9 @@
   }
 
   @Test
-  void ofAHundredEachIsKnownToAllWithinTenRounds() {
-    for (int i = 0; i < 100; i++) {
-      say(start(i, 5, 1));
+  void hundredMembersKnowEachOtherWithinTenRounds() {
+    for (int index = 0; index < 100; index++) {
+      say(start(index, 5, 1));
     }
     pass(10_000_000);
     assertEquals(100 * 99, check());
@@ -183,32 +186,32 @@
       longs = {
         1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24
       })
-  void noFigureIsEverYoungerThanItsAgeWhateverTheNetworkDoes(long seed) {
-    r = new SplittableRandom(seed);
-    loss = 0.3 * r.nextDouble();
+  void agesAreNeverUnderstatedUnderNetworkFaults(long seed) {
+    random = new SplittableRandom(seed);
+    loss = 0.3 * random.nextDouble();
     doubled = 0.2;
     longest = seed % 3 == 0 ? 12_000_000 : 400_000;
-    int members = 3 + r.nextInt(8);
-    for (int i = 0; i < members; i++) {
-      say(start(i, 5, 1 + TERMS.maxClockRateRatio() * (2 * r.nextDouble() - 1)));
+    int members = 3 + random.nextInt(8);
+    for (int index = 0; index < members; index++) {
+      say(start(index, 5, 1 + TERMS.maxClockRateRatio() * (2 * random.nextDouble() - 1)));
     }
     int known = 0;
     for (int step = 0; step < 150; step++) {
-      pass(20_000L * (1 + r.nextInt(25)));
-      int i = r.nextInt(members);
-      Process p = running.get(name(i));
-      switch (r.nextInt(8)) {
-        case 0 -> running.remove(name(i));
+      pass(20_000L * (1 + random.nextInt(25)));
+      int index = random.nextInt(members);
+      Process process = running.get(name(index));
+      switch (random.nextInt(8)) {
+        case 0 -> running.remove(name(index));
         case 1 -> {
-          if (p == null) {
+          if (process == null) {
             // Started anew, with or without what made it the same member.
-            say(start(i, r.nextBoolean() ? 5 : 6 + step, 1));
+            say(start(index, random.nextBoolean() ? 5 : 6 + step, 1));
           }
         }
-        case 2 -> silentUntil.put(name(i), now + r.nextLong(6_000_000));
+        case 2 -> silentUntil.put(name(index), now + random.nextLong(6_000_000));
         default -> {
-          if (p != null) {
-            say(p);
+          if (process != null) {
+            say(process);
           }
         }
       }
@@ -218,81 +221,82 @@
   }
 
   @Test
-  void whatAMemberStandsByStaysKnownThoughItSaysNothingNew() {
-    for (int i = 0; i < 40; i++) {
-      say(start(i, 5, 1));
+  void reaffirmedFiguresStayKnown() {
+    for (int index = 0; index < 40; index++) {
+      say(start(index, 5, 1));
     }
     pass(60_000_000);
     assertEquals(40 * 39, check());
   }
 
   @Test
-  void whatADeadMemberSaidIsUnknownAtItsEndHoweverLongItStayedInTheAir() {
+  void figuresOfADeadMemberExpireDespiteDelayedMessages() {
     longest = 9_000_000;
-    for (int i = 0; i < 12; i++) {
-      say(start(i, 5, 1));
+    for (int index = 0; index < 12; index++) {
+      say(start(index, 5, 1));
     }
     pass(12_000_000);
     running.remove(name(0));
     pass(TERMS.maxAge().us() + 100_000);
-    for (Process p : running.values()) {
+    for (Process process : running.values()) {
       assertNull(
-          p.module.known(name(0), p.clock(now)),
+          process.module.known(name(0), process.clock(now)),
           "told on from one to the next it must not stay young");
     }
   }
 
   @Test
-  void whoIsNotKnownIsNotCountedAsNothing() {
-    Process p = start(0, 5, 1);
+  void sumReportsUnknownMembersSeparately() {
+    Process process = start(0, 5, 1);
     start(1, 5, 1);
     Process third = start(2, 5, 1);
-    p.module.say(new MemberFigures(Map.of(OUT, 4L)));
+    process.module.say(new MemberFigures(Map.of(OUT, 4L)));
     third.module.say(new MemberFigures(Map.of("other", 1L)));
     pass(5_000_000);
     assertEquals(
         new StateGossip.Sum(4, 1, 2),
-        p.module.sum(OUT, p.clock(now)),
+        process.module.sum(OUT, process.clock(now)),
         "one silent, one that does not say it");
   }
 
   @Test
-  void anAnswerThatNobodyAskedForTeachesNothing() {
-    Process p = start(0, 5, 1);
+  void unrequestedReplyIsIgnored() {
+    Process process = start(0, 5, 1);
     start(1, 5, 1);
-    Statement s =
+    Statement statement =
         new Statement(
             name(1),
             new Version(new Incarnation(5), 9),
             new MemberFigures(Map.of(OUT, 1L)),
             TimeSpan.ZERO);
-    p.module.heard(
-        new SharingMessage.UpdateReply(name(1), 77, List.of(s), List.of()), p.clock(now));
-    assertNull(p.module.known(name(1), p.clock(now)));
+    process.module.heard(
+        new SharingMessage.UpdateReply(name(1), 77, List.of(statement), List.of()),
+        process.clock(now));
+    assertNull(process.module.known(name(1), process.clock(now)));
   }
 
   @Test
-  void ofOneOutsideTheViewNothingIsKept() {
-    Process p = start(0, 5, 1);
+  void figuresOfMembersOutsideTheViewAreDropped() {
+    Process process = start(0, 5, 1);
     say(start(1, 5, 1));
     say(start(2, 5, 1));
     pass(5_000_000);
-    assertEquals(2, p.module.size());
-    p.module.view(Set.of(name(0), name(1)));
-    assertEquals(1, p.module.size());
+    assertEquals(2, process.module.size());
+    process.module.view(Set.of(name(0), name(1)));
+    assertEquals(1, process.module.size());
     running.remove(name(2));
     pass(3_000_000);
     assertNull(
-        p.module.known(name(2), p.clock(now)),
+        process.module.known(name(2), process.clock(now)),
         "told again by one whose view is older, and not kept");
   }
 
   @Test
-  void oneStartedAnewUnderItsBirthIsBelievedAgain() {
-    Process p = start(0, 5, 1);
-    Process q = start(1, 5, 1);
-    for (int i = 0; i < 20; i++) {
-      say(q);
+  void restartUnderTheSameIncarnationIsBelievedAgain() {
+    Process process = start(0, 5, 1);
+    Process other = start(1, 5, 1);
+    for (int index = 0; index < 20; index++) {
+      say(other);
     }
     pass(4_000_000);
     running.remove(name(1));
@@ -302,18 +306,20 @@
     pass(6_000_000);
     again.module.say(new MemberFigures(Map.of(OUT, -2L)));
     pass(3_000_000);
-    assertEquals(-2L, p.module.known(name(1), p.clock(now)).figures().byName().get(OUT));
+    assertEquals(
+        -2L, process.module.known(name(1), process.clock(now)).figures().byName().get(OUT));
   }
 
   @Test
-  void anAnswerIsCutIntoPartsThatFitAndEachMemberIsAskedInItsTurn() {
-    for (int i = 0; i < 60; i++) {
-      say(start(i, 5, 1));
+  void replyIsSplitToFitAndMembersAreAskedInTurn() {
+    for (int index = 0; index < 60; index++) {
+      say(start(index, 5, 1));
     }
     pass(10_000_000);
-    Process p = running.get(name(0));
+    Process process = running.get(name(0));
     List<Send> parts =
-        p.module.heard(new SharingMessage.UpdateRequest(name(1), 1, Map.of()), p.clock(now));
+        process.module.heard(
+            new SharingMessage.UpdateRequest(name(1), 1, Map.of()), process.clock(now));
     assertTrue(parts.size() > 2, parts.size() + " parts");
     Set<MemberName> told = new HashSet<>();
     for (Send s : parts) {
@@ -326,18 +332,19 @@
     }
     assertEquals(60, told.size());
     StateGossip fresh =
-        new StateGossip(name(0), new Incarnation(6), TERMS, new SplittableRandom(4), p.clock(now));
+        new StateGossip(
+            name(0), new Incarnation(6), TERMS, new SplittableRandom(4), process.clock(now));
     fresh.view(view);
     List<MemberName> asked = new ArrayList<>();
     for (int round = 0; round < 20; round++) {
-      fresh.due(p.clock(now += SECOND.us())).forEach(s -> asked.add(s.to()));
+      fresh.due(process.clock(now += SECOND.us())).forEach(s -> asked.add(s.to()));
     }
     assertEquals(60, asked.size());
     assertEquals(59, new HashSet<>(asked).size(), "each once before any is asked again");
   }
 
   @Test
-  void termsThatContradictThemselvesAreRefused() {
+  void contradictingOptionsAreRejected() {
     assertThrows(
         IllegalArgumentException.class, () -> new GossipOptions(SECOND, 3, SECOND, 1200, 0.001));
     assertThrows(
