--- a/src/main/java/cobaltseam/capacity/CapacityLeases.java
+++ b/src/main/java/cobaltseam/capacity/CapacityLeases.java
@@ -19,63 +19,65 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which part of a whole this process may use, such that the parts of all never come to more than
- * the whole, whatever part of them is cut off, stands still, is killed or starts anew. It does no
- * I/O: moments, chance and messages come from the caller, who asks {@link #follow} no later than
- * {@link #nextFollowAt}, and reads {@link #usable} before each use.
+ * Which amount of a whole this process may use, such that the amounts of all processes never exceed
+ * the whole, whichever of them are partitioned, paused, killed or restarted. It does no I/O: time,
+ * randomness and messages come from the caller, who calls {@link #follow} no later than {@link
+ * #nextFollowAt}, and reads {@link #usable} before each use.
  *
- * <p>A small part is each process's own whatever it knows. The rest is divided evenly over the
- * members of the view, and used only under a lease on that view. A new view makes parts larger, or
- * gives a newcomer one, only once all leases on those before have ended; it makes them smaller at
- * once. Of its even part a member lends what others need more: what is lent is gone here until the
- * loan ends, and a loan ends before the lease under which it was given. So whoever forgets holds
- * nothing, and what was lent to one that is lost comes back by itself.
+ * <p>A small standalone part is each process's own without a lease. The rest is divided evenly over
+ * the members of the view, and used only under a lease on that view. A new view enlarges parts, or
+ * gives a new member one, only once all leases on earlier views have ended; it shrinks them at
+ * once. Of its even part a member lends what others need more: a lent amount can't be used here
+ * until its lease ends, and it ends before the lease on the view under which it was granted. So a
+ * process that loses its state holds nothing, and what was lent to a lost member comes back by
+ * itself.
  *
- * <p>Who needs more: parts follow demand, as far as it is known; of whom it is not known keeps an
- * even part.
+ * <p>Parts follow demand as far as it is known; a member of unknown demand keeps its even part.
  */
 public final class CapacityLeases {
-  /** What this hangs on: the agreed view, and whether it may be acted on. */
+  /** What this depends on: the agreed view, and whether it may be acted on. */
   public interface LeaseContext {
     /** The view that is held, or null. */
     View view();
 
+    /** This process as a member. */
     Member self();
 
+    /** The header of messages that are sent now. */
     MessageHeader teller();
 
-    /** Until when a majority's word counts that the view is the newest; null if it does not. */
+    /** Until when the lease on the view lasts; null if there is none. */
     Timestamp leaseUntil();
 
-    /** After so long all leases on earlier views have ended, by any clock. */
+    /** The time after which all leases on earlier views have ended, by any clock. */
     TimeSpan outlasts();
 
-    /** By which part the rates of two clocks differ at most. */
+    /** The largest difference between the rates of two clocks, as a ratio. */
     double clockRates();
 
     /**
-     * What a member said that it needs, or null if that is not known; of this process itself it is
-     * not asked.
+     * The demand that a member stated, or null if it is not known; not called for this process
+     * itself.
      */
     Double demand(MemberName of);
   }
 
-  /** A datagram to an address; it may be lost. */
+  /** A message to an address; it may be lost. */
   public record OutgoingMessage(InetSocketAddress to, CapacityLeaseMessage word) {}
 
-  /** Up to this moment so much may be used; an end that is null never comes. */
+  /** An amount that may be used until a time; null for no end. */
   public record CapacityStep(Timestamp until, long amount) {}
 
-  /** So many asks wait for their answer at the most. */
+  /** Requests that wait for their reply. */
   private static final int MAX_PENDING_REQUESTS = 64;
 
-  /** A loan is asked for again once less than this part of a lease is left of it. */
+  /** A borrowed amount is renewed once less than this part of a lease is left of it. */
   private static final double RENEW_AT_REMAINING_RATIO = 0.4;
 
-  /** What is missing is asked for from this part of an even part on. */
+  /** The smallest missing amount that is requested, as a part of the even part. */
   private static final double MIN_REQUEST_RATIO = 0.02;
 
-  /** Whoever lent less than it was asked for is asked for no more for so many rounds. */
+  /** A lender that granted less than requested is not asked for more for so many rounds. */
   private static final int EXHAUSTED_LENDER_BACKOFF_ROUNDS = 4;
 
   private record PreviousView(long evenPart, Timestamp until) {}
@@ -92,10 +94,10 @@
   private View currentView;
   private long evenPart;
 
-  /** Even parts of views before, which others may use yet. */
+  /** The even parts of earlier views, which other members may still use. */
   private final List<PreviousView> previousViews = new ArrayList<>();
 
-  /** Until then what others use is not known here, and nothing is held of the view. */
+  /** Until then it is not known what others use, and the even part can't be used. */
   private Timestamp unknownUntil;
 
   private final Map<Member, List<LentLease>> lent = new HashMap<>();
@@ -105,6 +107,9 @@
   private double demand;
   private Timestamp nextRoundAt;
 
+  /**
+   * @param context what this depends on; read at each call
+   */
   public CapacityLeases(CapacityOptions options, LeaseContext context, RandomGenerator random) {
     this.options = options;
     this.context = context;
@@ -113,12 +118,12 @@
 
   // ---- what is asked
 
-  /** What this process needs, in any measure that all members use. */
+  /** Sets the demand of this process, in any unit that all members use. */
   public void needs(double demand) {
     this.demand = Math.max(0, demand);
   }
 
-  /** What may be used at this moment. */
+  /** The amount that may be used at this time. */
   public long usable(Timestamp now) {
     long all = options.alonePart() + (hasLease(now) ? ownPart(now) : 0);
     for (BorrowedLease in : borrowed.values()) {
@@ -128,8 +133,8 @@
   }
 
   /**
-   * What may be used from now on if nothing more is heard, in steps down: for a reader that must
-   * not ask this process's thread.
+   * The amounts that may be used from now on if no further message arrives, in falling steps: for a
+   * reader on another thread.
    */
   public List<CapacityStep> usableSteps(Timestamp now) {
     List<Timestamp> ends = new ArrayList<>();
@@ -158,7 +163,7 @@
     return steps;
   }
 
-  /** The even part of the view that this process may divide between itself and others. */
+  /** The even part that this process may use itself or lend. */
   public long evenPart(Timestamp now) {
     if (currentView == null || unknownUntil != null && now.isBefore(unknownUntil)) {
       return 0;
@@ -170,12 +175,12 @@
     return least;
   }
 
-  /** What is lent out. */
+  /** The amount that is lent to others. */
   public long lentAmount(Timestamp now) {
     return lent.values().stream().mapToLong(outs -> reservedAmount(outs, now)).sum();
   }
 
-  /** What is borrowed. */
+  /** The amount that is borrowed from others. */
   public long borrowedAmount(Timestamp now) {
     return borrowed.values().stream()
         .filter(in -> now.isBefore(in.until))
@@ -198,7 +203,7 @@
     return Math.max(0, evenPart(now) - lentAmount(now));
   }
 
-  /** The borrower uses one of these at a time, and never two. */
+  /** The largest of the leases of one borrower, as it uses only one of them at a time. */
   private static long reservedAmount(List<LentLease> outs, Timestamp now) {
     return outs.stream()
         .filter(o -> now.isBefore(o.until))
@@ -209,7 +214,7 @@
 
   // ---- what follows
 
-  /** What follows from the view, from time and from what is needed. */
+  /** Follows the view, the time and the demand, and returns the requests to send. */
   public List<OutgoingMessage> follow(Timestamp now) {
     View view = context.view();
     if (view != currentView) {
@@ -243,8 +248,7 @@
     if (follows) {
       previousViews.add(new PreviousView(evenPart, now.plus(context.outlasts())));
     } else {
-      // A newcomer, one that started anew, or one that missed a view: what others use is not known
-      // here.
+      // A new or restarted member, or one that missed a view, does not know what others use.
       previousViews.clear();
       unknownUntil = now.plus(context.outlasts());
     }
@@ -256,8 +260,8 @@
   }
 
   /**
-   * The part that a member should have, where all that is known of demand is met alike; the even
-   * part where it is not known.
+   * The amount that a member should have so that all known demand is met alike; the even part if
+   * its demand is not known.
    */
   private double target(Double needs, double known, double sum) {
     if (needs == null || sum <= 0) {
@@ -267,8 +271,11 @@
   }
 
   /**
-   * What is known of needs: of those of the view, how many they are with this process, and their
-   * sum.
+   * The known demand of the members of the view.
+   *
+   * @param byMember the demand of each other member of which it is known
+   * @param knownCount how many members are known, with this process
+   * @param sum the sum of their demand, with that of this process
    */
   private record DemandSummary(Map<Member, Double> byMember, double knownCount, double sum) {}
 
@@ -287,8 +294,8 @@
 
   private List<OutgoingMessage> asks(Timestamp now) {
     DemandSummary needs = needs();
-    // Of whom how much is to be lent in all: as before, as far as that is needed yet, and as what
-    // is on its way says.
+    // The total to borrow of each member: what is borrowed already, as far as it is still needed,
+    // and what pending requests will bring.
     double missing = target(demand, needs.knownCount, needs.sum) - ownPart(now);
     Map<Member, Double> wanted = new HashMap<>();
     TimeSpan soon = context.outlasts().times(RENEW_AT_REMAINING_RATIO);
@@ -321,7 +328,7 @@
         wanted.merge(of, more, Double::sum);
       }
     }
-    // What brings most goes first: crumbs of many lenders would else take all asks of a round.
+    // The largest gains go first: small amounts of many lenders would else use up a round.
     Map<Member, Double> brings = new HashMap<>();
     wanted.forEach(
         (m, amount) -> {
@@ -345,10 +352,7 @@
         .toList();
   }
 
-  /**
-   * An answer is not given up before its message is too late to count, but after two rounds it is
-   * asked again.
-   */
+  /** Whether a reply is still expected. A later one counts, but the lender may be asked again. */
   private boolean isWaitedFor(PendingRequest request, Timestamp now) {
     return now.since(request.requestedAt).compareTo(options.round().times(1.5)) < 0;
   }
@@ -357,7 +361,7 @@
     return pending.values().stream().anyMatch(o -> o.lender.equals(of) && isWaitedFor(o, now));
   }
 
-  /** By chance, each by what it seems to have left, so that not all ask the same one. */
+  /** Draws a lender with a chance by its spare amount, so that not all members ask the same one. */
   private Member drawLender(Map<Member, Double> spare) {
     List<Member> members = new ArrayList<>(spare.keySet());
     members.sort(Comparator.comparing(Member::name));
@@ -380,7 +384,7 @@
 
   // ---- what comes
 
-  /** What to tell after a word that its carrier found whole, of one that counts. */
+  /** Handles an authenticated message of a member, and returns the replies to send. */
   public List<OutgoingMessage> heard(CapacityLeaseMessage message, Timestamp now) {
     followCurrentView(now);
     Member from = message.from().member();
@@ -412,13 +416,13 @@
     if (grant.amount() > 0
         && now.isBefore(until)
         && (before == null || !before.lender.equals(from) || before.until.isBefore(until))) {
-      // In place of what it lent before: it holds only the larger one back for this process.
+      // Replaces the earlier lease: the lender reserves only the larger of the two.
       borrowed.put(from.name(), new BorrowedLease(from, grant.amount(), until));
     }
     return List.of();
   }
 
-  /** Brings the view up to now without asking for anything. */
+  /** Follows the current view without making requests. */
   private void followCurrentView(Timestamp now) {
     if (context.view() != currentView) {
       followView(context.view(), now);
@@ -433,14 +437,14 @@
     }
     long before = lent.containsKey(to) ? reservedAmount(lent.get(to), now) : 0;
     double free = evenPart(now) - others - Math.ceil(target(demand, needs.knownCount, needs.sum));
-    // The loan ends before the lease under which it is given, by whichever clock.
+    // It ends before the lease on the view under which it is granted, by any clock.
     TimeSpan lasts =
         hasLease(now)
             ? context.leaseUntil().since(now).times(1 / (1 + 2 * context.clockRates()))
             : TimeSpan.ZERO;
     long amount =
         lasts.isPositive() ? Math.max(0, Math.min(asked.amount(), (long) Math.floor(free))) : 0;
-    // What it holds back for this one already is no more than its even part.
+    // The sum of all reserved amounts must not exceed the even part.
     if (amount > 0 && others + Math.max(before, amount) <= evenPart(now)) {
       lent.computeIfAbsent(to, m -> new ArrayList<>())
           .add(new LentLease(amount, now.plus(lasts.times(1 + 2 * context.clockRates()))));
--- a/src/main/java/cobaltseam/retrybudget/RetryBudget.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudget.java
@@ -17,48 +17,47 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What this process may yet spend on further sends, such that all sends over first sends stay under
- * a set figure over the whole fleet, whatever part of it is cut off, stands still, is killed or
- * starts anew. It does no I/O: moments, chance and messages come from the caller, who asks {@link
- * #follow} no later than {@link #nextFollowAt}.
+ * How many retries this process may make, such that the retries for each first attempt stay under a
+ * set ratio over the whole fleet, whichever members are partitioned, paused, killed or restarted.
+ * It does no I/O: time, randomness and messages come from the caller, who calls {@link #follow} no
+ * later than {@link #nextFollowAt}.
  *
- * <p>Each first send earns a part of a further one, which may be spent for one window, here or at
- * the member that it was given to. What is given is gone here before it is told; what is lost on
- * the way is lost. So no view and no lease is needed: nothing is spent twice since nothing is in
- * two purses, and whoever forgets holds nothing. Beside it each process earns a small figure as
- * time passes.
+ * <p>Each first attempt earns a part of a retry, which may be spent for one window, here or at the
+ * member that it was transferred to. A transfer is taken from the budget here before it is sent,
+ * and is lost if its message is lost. So no view and no lease is needed: nothing is in two budgets
+ * at once, and a process that loses its state holds nothing. In addition each process earns a small
+ * amount as time passes.
  *
- * <p>Amounts are thousandths of a send. What is spent is taken from what is left by whoever sends,
- * without a wait; this only learns of it.
+ * <p>Amounts are thousandths of a retry. The event loop takes retries from the remaining ones
+ * directly, without a wait; this class sees that at its next step.
  */
 public final class RetryBudget {
-  /** What is left, shared with whoever sends: it takes from it, and nobody else does but this. */
+  /** The remaining retries, in thousandths; shared with the event loop, which takes from them. */
   public interface RemainingRetries {
+    /** The remaining retries, in thousandths. */
     long get();
 
     /**
-     * Adds to it, or takes from it; false if by now it is not what was expected, and nothing is
-     * done.
+     * Sets the remaining retries if they are as expected; false, without a change, if they are not.
      */
     boolean compareAndSet(long expected, long to);
   }
 
-  /** A datagram to an address; it may be lost. */
+  /** A message to an address; it may be lost. */
   public record OutgoingMessage(InetSocketAddress to, RetryBudgetMessage message) {}
 
+  /** One retry, in the units of all amounts. */
   public static final long UNITS_PER_RETRY = 1000;
 
-  /** In how many cells what is left is kept, by when it ends: each is a part of a window. */
+  /** The largest number of grants that are kept apart by when they end. */
   public static final int MAX_GRANTS = 32;
 
   private static final int MAX_PENDING_REQUESTS = 8;
 
-  /**
-   * Needs are a mean that forgets by half in this part of a window, and what is held covers them
-   * for so much of one.
-   */
+  /** The half-life of the average need, in windows. */
   private static final double NEED_HALF_LIFE_WINDOWS = 0.25;
 
+  /** For so many windows the need is kept in reserve and not transferred. */
   private static final double RESERVE_WINDOWS = 0.25;
 
   private static final class BudgetGrant {
@@ -78,19 +77,24 @@
   private final RandomGenerator random;
 
   /**
-   * By when they end, soonest first; their sum is what is left and what was spent since it was
-   * looked at.
+   * Sorted by their end, soonest first. Their sum is the remaining retries and those spent since
+   * the last step.
    */
   private final List<BudgetGrant> grants = new ArrayList<>();
 
   private final Map<Long, PendingRequest> pending = new HashMap<>();
-  private Timestamp updatedAt, nextExchangeAt;
-  private long firstAttempts, wantedRetries;
+  private Timestamp updatedAt;
+  private Timestamp nextExchangeAt;
+  private long firstAttempts;
+  private long wantedRetries;
   private double earnedFraction;
 
-  /** Further sends a second that were wanted lately. */
+  /** The average number of retries per second that were wanted lately. */
   private double neededPerSecond;
 
+  /**
+   * @param remaining nothing else but this and the event loop changes it
+   */
   public RetryBudget(
       RetryBudgetOptions options, RemainingRetries remaining, RandomGenerator random) {
     this.options = options;
@@ -100,12 +104,12 @@
 
   // ---- what is asked
 
-  /** Further sends a second that were wanted lately. */
+  /** The average number of retries per second that were wanted lately. */
   public double neededPerSecond() {
     return neededPerSecond;
   }
 
-  /** What others may ask for, in thousandths of a send. */
+  /** The amount that other members may request, in thousandths of a retry. */
   public long spareUnits() {
     return Math.max(0, remaining.get() - reserveUnits());
   }
@@ -115,11 +119,12 @@
         neededPerSecond * options.window().us() / 1e6 * RESERVE_WINDOWS * UNITS_PER_RETRY);
   }
 
-  /** Whether it is to be asked what follows. */
+  /** Whether {@link #follow} is due. */
   public boolean isDue(Timestamp now) {
     return nextExchangeAt == null || !now.isBefore(nextExchangeAt);
   }
 
+  /** When {@link #follow} is to be called next. */
   public Timestamp nextFollowAt(Timestamp now) {
     return nextExchangeAt == null || !now.isBefore(nextExchangeAt)
         ? now.plus(options.exchangeInterval())
@@ -129,12 +134,12 @@
   // ---- what follows
 
   /**
-   * Brings what is left up to this moment, and asks for more where that does not cover what is
-   * wanted.
+   * Brings the budget up to this time, and requests more of another member if the remaining retries
+   * do not cover the need.
    *
-   * @param firstAttemptsSoFar first sends of this process so far
-   * @param wantedRetriesSoFar further sends of it so far, and those that it would have made
-   * @param spares what members said that others may ask them for
+   * @param firstAttemptsSoFar first attempts of this process so far
+   * @param wantedRetriesSoFar its retries so far, and those that it would have made
+   * @param spares the amount that others may request of each member
    */
   public List<OutgoingMessage> follow(
       long firstAttemptsSoFar,
@@ -171,12 +176,12 @@
         : requestUnits(missing, spares, view, self, now);
   }
 
-  /** Takes from the cells what was spent since, and from what is left what has ended. */
+  /** Takes from the grants what was spent, and from the remaining retries what has expired. */
   private void settle(Timestamp now) {
     while (true) {
       long current = remaining.get();
       long spent = grants.stream().mapToLong(c -> c.amount).sum() - current;
-      // The sooner it ends the sooner it is taken to be spent: nothing lasts longer for it.
+      // The grant that ends soonest is taken to be spent first, so that none lasts longer for it.
       for (BudgetGrant grant : grants) {
         long part = Math.min(spent, grant.amount);
         grant.amount -= part;
@@ -192,8 +197,8 @@
   }
 
   /**
-   * What was sent since the last look is taken to have been sent right after it: it may be spent
-   * for no longer than a window.
+   * First attempts since the last step are taken to have been made right after it, so that what
+   * they earn is spent within one window.
    */
   private void earn(long newFirstAttempts, TimeSpan since, Timestamp now) {
     earnedFraction +=
@@ -209,7 +214,7 @@
     if (amount <= 0 || !now.isBefore(until)) {
       return;
     }
-    // Cells are few: one that ends a little sooner takes what is added.
+    // There are few grants: one that ends a little sooner takes what is added.
     TimeSpan near = options.window().times(1.0 / (MAX_GRANTS / 2));
     BudgetGrant into = null;
     for (BudgetGrant grant : grants) {
@@ -243,7 +248,7 @@
               && spare != null
               && spare >= UNITS_PER_RETRY
               && pending.values().stream().noneMatch(o -> o.member.equals(member));
-      // By chance, each by what it seems to have left, so that not all ask the same one.
+      // Drawn with a chance by the spare amount, so that not all members ask the same one.
       double draw = other ? spare * random.nextDouble() : 0;
       if (draw > most) {
         best = member;
@@ -260,7 +265,7 @@
 
   // ---- what comes
 
-  /** What to tell after a word that its carrier found whole, of one that counts. */
+  /** Handles an authenticated message of a member, and returns the replies to send. */
   public List<OutgoingMessage> receive(
       RetryBudgetMessage message, View view, MessageHeader self, Timestamp now) {
     Member from = message.from().member();
@@ -288,8 +293,8 @@
   }
 
   /**
-   * Half of what it can do without at the most, so that two that need it both get some; what lasts
-   * longest, as that is of use there.
+   * Transfers at most half of the spare amount, so that two members in need both get some, and of
+   * it what lasts longest.
    */
   private BudgetTransfer transferUnits(BudgetRequest request, MessageHeader self, Timestamp now) {
     settle(now);
@@ -298,13 +303,13 @@
     long allowed = Math.min(Math.max(0, request.amount()), spareUnits() / 2);
     for (int i = grants.size() - 1; i >= 0 && allowed > 0; i--) {
       BudgetGrant grant = grants.get(i);
-      // By a clock that runs slower it ends no later there.
+      // Shortened so that it ends no later there, by a slower clock.
       long lifetimeUs =
           Math.round(grant.until.since(now).us() * (1 - 2 * options.maxClockRateRatio()));
       long part = lifetimeUs <= 0 ? 0 : Math.min(allowed, grant.amount);
       long current = remaining.get();
       if (part > 0 && current >= part && remaining.compareAndSet(current, current - part)) {
-        // Gone from here before it is told; what was spent meanwhile is seen at the next look.
+        // Taken from here before it is sent; what was spent meanwhile is seen at the next step.
         grant.amount -= part;
         allowed -= part;
         amounts.add(part);
--- a/src/main/java/cobaltseam/retrybudget/RetryBudgetMessage.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudgetMessage.java
@@ -4,9 +4,9 @@
 import cobaltseam.membership.PeerMessage;
 import java.util.Objects;
 
-/** What members tell each other to move what they may yet spend on further sends. */
+/** The messages by which members transfer parts of their retry budgets. */
 public sealed interface RetryBudgetMessage extends PeerMessage {
-  /** Asks for so many thousandths of a send. */
+  /** Requests an amount in thousandths of a retry. */
   record BudgetRequest(MessageHeader from, long id, long amount) implements RetryBudgetMessage {
     public BudgetRequest {
       Objects.requireNonNull(from);
@@ -14,7 +14,7 @@
   }
 
   /**
-   * The answer: amounts that are the teller's no more, and for how long after the ask each may be
+   * The reply: amounts that left the sender's budget, and how long after the request each may be
    * spent.
    */
   record BudgetTransfer(MessageHeader from, long id, long[] amounts, long[] lifetimesUs)
--- a/src/main/java/cobaltseam/retrybudget/RetryBudgetOptions.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudgetOptions.java
@@ -3,13 +3,13 @@
 import cobaltseam.dispatch.TimeSpan;
 
 /**
- * How further sends are capped over a fleet.
+ * How retries are limited over a fleet.
  *
- * @param ratio further sends for each first one
- * @param standaloneRate further sends in a window that each process has beside, whatever it knows
- * @param window for which what was earned may be spent
- * @param exchangeInterval between two looks at whom to ask
- * @param maxClockRateRatio by which part the rates of two clocks differ at most
+ * @param ratio retries for each first attempt
+ * @param standaloneRate retries in a window that each process earns in addition
+ * @param window the time for which an earned retry may be spent
+ * @param exchangeInterval the time between two requests to other members
+ * @param maxClockRateRatio the largest difference between the rates of two clocks, as a ratio
  */
 public record RetryBudgetOptions(
     double ratio,
