--- a/src/main/java/cobaltseam/authentication/KeyRing.java
+++ b/src/main/java/cobaltseam/authentication/KeyRing.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * The keys of seals by their ids, 1 to 255; two and more are valid at once, so that they can be
- * changed one by one.
+ * The secret keys for message authentication by their ids, 1 to 255. Several keys are valid at
+ * once, so that keys can be rotated one dispatcher at a time. Immutable.
  */
 public final class KeyRing {
   private static final int MIN_KEY_BYTES = 16;
@@ -19,10 +19,10 @@
   }
 
   /**
-   * Reads a key file: a line a key, its id, a space, and at least 32 hex digits; lines that are
-   * empty or begin with # are passed over.
+   * Parses a key file. Each line has a key: its id, a space, and at least 32 hex digits. Empty
+   * lines and lines that begin with # are ignored.
    *
-   * @throws IllegalArgumentException with the line that can't be used, never with what stands there
+   * @throws IllegalArgumentException with the number of an invalid line, never with its content
    */
   public static KeyRing read(String text) {
     Map<Integer, byte[]> keys = new TreeMap<>();
@@ -55,10 +55,12 @@
     return new KeyRing(keys);
   }
 
+  /** Whether there is a key of this id. */
   public boolean contains(int id) {
     return keys.containsKey(id);
   }
 
+  /** The key of this id, or null. */
   byte[] key(int id) {
     return keys.get(id);
   }
--- a/src/main/java/cobaltseam/authentication/MessageAuthenticator.java
+++ b/src/main/java/cobaltseam/authentication/MessageAuthenticator.java
@@ -9,13 +9,13 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * What may follow a message to show who wrote it: a mark, a form, the id of a key, a sequence, and
- * an HMAC-SHA-256 (RFC 2104, FIPS 198-1) with that key over what goes without saying, the message,
- * and the seal up to there. What goes without saying is known to both sides and not sent: both
- * addresses of an advert's datagram, the name of a fleet.
+ * Signs and verifies messages by a trailer: magic bytes, a format number, the id of a key, a
+ * sequence, and an HMAC-SHA-256 (RFC 2104, FIPS 198-1) with that key over the associated data, the
+ * message, and the trailer up to there. Associated data is known to both sides and not sent: both
+ * addresses of a VRRP datagram, or the name of a fleet.
  */
 public final class MessageAuthenticator {
-  /** Bytes of a seal. */
+  /** The bytes of a trailer. */
   public static final int LENGTH = 44;
 
   private static final int TRAILER_HEADER_BYTES = 12;
@@ -25,16 +25,18 @@
 
   private MessageAuthenticator() {}
 
-  /** Why a seal does not hold. */
+  /** Why a trailer is not valid. */
   public enum Rejection {
+    /** The key ring has no key of this id. */
     KEY_UNKNOWN,
+    /** The HMAC does not match. */
     FORGED
   }
 
-  /** The sequence and the key that a seal tells of; believed only once it is checked. */
+  /** The key id and the sequence of a trailer, which prove nothing before it is verified. */
   public record Trailer(int keyId, long sequence) {}
 
-  /** Whether a seal stands from this index on, as far as its form tells. */
+  /** Whether the bytes from this offset on have the form of a trailer. */
   public static boolean hasTrailer(byte[] bytes, int offset) {
     if (offset < 0 || bytes.length - offset != LENGTH) {
       return false;
@@ -43,7 +45,7 @@
     return trailer.getShort() == MAGIC && trailer.get() == FORMAT;
   }
 
-  /** A message with its seal behind it. */
+  /** Returns the message followed by its trailer; the key ring must contain the key. */
   public static byte[] sign(
       byte[] message, byte[] associatedData, KeyRing keys, int keyId, long sequence) {
     byte[] bytes = Arrays.copyOf(message, message.length + LENGTH);
@@ -58,14 +60,14 @@
     return bytes;
   }
 
-  /** What the seal behind a message of this length tells. */
+  /** Reads the trailer behind a message of this length, without verifying it. */
   public static Trailer readTrailer(byte[] bytes, int length) {
     ByteBuffer trailer = ByteBuffer.wrap(bytes, length, LENGTH);
     trailer.position(length + 3);
     return new Trailer(trailer.get() & 0xff, trailer.getLong());
   }
 
-  /** Why the seal behind a message of this length does not hold, or nothing if it does. */
+  /** Why the trailer behind a message of this length is not valid, or nothing if it is. */
   public static Optional<Rejection> verify(
       byte[] bytes, int length, byte[] associatedData, KeyRing keys) {
     byte[] key = keys.key(readTrailer(bytes, length).keyId());
--- a/src/main/java/cobaltseam/logging/Field.java
+++ b/src/main/java/cobaltseam/logging/Field.java
@@ -1,18 +1,16 @@
 package cobaltseam.logging;
 
-/**
- * A value in a log line that has a name of its own where lines are written as JSON; as text only
- * its value shows.
- */
+/** A parameter of a log line: in JSON it is a field of its own, as text only its value shows. */
 public record Field(String name, Object value) {
   /** The name of the event field: it never shows in text. */
   static final String EVENT = "event";
 
-  /** Names what a line tells of; see docs/on-call.md. */
+  /** The event id of a line; see docs/on-call.md. */
   public static Field event(String name) {
     return new Field(EVENT, name);
   }
 
+  /** A named value. */
   public static Field of(String name, Object value) {
     return new Field(name, value);
   }
--- a/src/main/java/cobaltseam/logging/JsonLines.java
+++ b/src/main/java/cobaltseam/logging/JsonLines.java
@@ -21,7 +21,7 @@
   private static final JsonFactory JSON = new JsonFactory();
   private static final String NO_EVENT = "log";
 
-  /** All log lines of this process are JSON from now on. */
+  /** Formats all log lines of this process as JSON from now on. */
   public static void install() {
     for (Handler handler : Logger.getLogger("").getHandlers()) {
       handler.setFormatter(new JsonLines());
@@ -38,16 +38,18 @@
       json.writeStringField("level", record.getLevel().getName());
       json.writeStringField("logger", record.getLoggerName());
       String event = NO_EVENT;
-      for (Object o : parameters) {
-        event = o instanceof Field f && f.name().equals(Field.EVENT) ? f.toString() : event;
+      for (Object parameter : parameters) {
+        if (parameter instanceof Field field && field.name().equals(Field.EVENT)) {
+          event = field.toString();
+        }
       }
       json.writeStringField(Field.EVENT, event);
       json.writeStringField("message", formatMessage(record));
       Set<String> written =
           new HashSet<>(Set.of("at", "level", "logger", Field.EVENT, "message", "error"));
-      for (Object o : parameters) {
-        if (o instanceof Field f && written.add(f.name())) {
-          write(json, f);
+      for (Object parameter : parameters) {
+        if (parameter instanceof Field field && written.add(field.name())) {
+          write(json, field);
         }
       }
       if (record.getThrown() != null) {
--- a/src/main/java/cobaltseam/mastership/Mastership.java
+++ b/src/main/java/cobaltseam/mastership/Mastership.java
@@ -319,7 +319,7 @@
    * each peer that advertises as active. A peer whose claims expired fades out over the longest
    * time that one of its attempts can still use an engine; so does, after a start, a former active
    * dispatcher that was never received. In a split each claimant that receives the other one leaves
-   * it its share; one that receives nothing uses the whole engines, so that each claimant gives an
+   * it its share; one that receives nothing uses all capacity, so that each claimant gives an
    * engine at most its full capacity.
    */
   public double effectiveDispatcherCount(Timestamp now) {
--- a/src/main/java/cobaltseam/postgres/ClientMessage.java
+++ b/src/main/java/cobaltseam/postgres/ClientMessage.java
@@ -1,29 +1,28 @@
 package cobaltseam.postgres;
 
-/** One message of a client, as far as the service needs it. */
+/** One message of a client, with the parts that the service uses. */
 public sealed interface ClientMessage {
-  /** Start-up with protocol 3.0. */
+  /** StartupMessage of protocol 3.0. */
   record Startup() implements ClientMessage {}
 
-  /** SSLRequest or GSSENCRequest: asks for a reply of one byte before the start-up. */
+  /** SSLRequest or GSSENCRequest: expects a reply of one byte before the start-up. */
   record EncryptionRequest() implements ClientMessage {}
 
-  /** CancelRequest: names the session whose command is no longer wanted. */
+  /** CancelRequest: names the session whose request is to be cancelled. */
   record Cancel(int session, int secret) implements ClientMessage {}
 
-  /** A simple query: its statement, without the zero behind it. */
+  /** Query: a simple query with its statement, without the terminating zero. */
   record Query(byte[] text) implements ClientMessage {}
 
+  /** Terminate: the client ends the session. */
   record Terminate() implements ClientMessage {}
 
-  /** Ends a row of messages of the extended protocol, which is not spoken here. */
+  /** Sync: ends a series of messages of the extended protocol, which is not supported. */
   record Sync() implements ClientMessage {}
 
-  /** A well-formed message that is not spoken here. */
+  /** A valid message of a type that is not supported. */
   record Unspoken(char type) implements ClientMessage {}
 
-  /**
-   * What came is no PostgreSQL protocol, or is longer than allowed; nothing after it can be read.
-   */
+  /** Bytes that are not a valid message, or too many; nothing after them can be parsed. */
   record Malformed(String reason) implements ClientMessage {}
 }
--- a/src/main/java/cobaltseam/postgres/ClientParser.java
+++ b/src/main/java/cobaltseam/postgres/ClientParser.java
@@ -4,12 +4,15 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** Takes PostgreSQL's protocol 3.0, as clients write it, from bytes in any pieces. */
+/**
+ * Parses the messages of clients in PostgreSQL's protocol 3.0 from bytes in any pieces. What a
+ * client can make it store is bounded. One thread calls it, except where noted.
+ */
 public final class ClientParser {
-  /** The longest start-up packet, as PostgreSQL itself has it. */
+  /** The longest start-up packet, as in PostgreSQL itself. */
   static final int MAX_STARTUP_BYTES = 10_000;
 
-  /** The longest message: a statement with its comment. */
+  /** The longest message, which is a statement with its comment. */
   static final int MAX_MESSAGE_BYTES = 1 << 16;
 
   private static final int PROTOCOL_3_0 = 3 << 16;
@@ -20,27 +23,28 @@
 
   private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
 
-  /** Read by other threads too, as a hint. */
+  /** The bytes used of the buffer; other threads read it as a hint. */
   private volatile int length;
 
   private boolean isStarted;
   private boolean isBroken;
 
-  /** The bytes that it holds of messages not yet whole. */
+  /** The size of the buffer for incomplete messages, in bytes. */
   public int held() {
     return buffer.length;
   }
 
+  /** Whether nothing more is parsed, after a malformed message or {@link #refuse}. */
   public boolean isBroken() {
     return isBroken;
   }
 
-  /** Whether part of a message has come and the rest has not; from any thread, as it was lately. */
+  /** Whether a message was received in part; may be called from any thread, and may be stale. */
   public boolean isInMessage() {
     return length > 0;
   }
 
-  /** Takes nothing more, and says why. */
+  /** Stops parsing, and passes on a malformed message with the reason. */
   public void refuse(String reason, Consumer<ClientMessage> messages) {
     if (!isBroken) {
       reportMalformed(reason, messages);
@@ -49,7 +53,7 @@
     }
   }
 
-  /** Takes what has come and hands on each message that is whole. */
+  /** Parses received bytes, and passes on each complete message. */
   public void take(ByteBuffer in, Consumer<ClientMessage> messages) {
     while (in.hasRemaining() && !isBroken) {
       int piece = Math.min(in.remaining(), MAX_MESSAGE_BYTES);
@@ -73,7 +77,7 @@
     }
   }
 
-  /** Reads the message that starts here; its whole length, or 0 if it is not whole yet. */
+  /** Parses the message at this offset; returns its length, or 0 if it is not complete yet. */
   private int parseNext(int start, Consumer<ClientMessage> messages) {
     int typeBytes = isStarted ? 1 : 0;
     if (length - start < typeBytes + Integer.BYTES) {
--- a/src/main/java/cobaltseam/postgres/Replies.java
+++ b/src/main/java/cobaltseam/postgres/Replies.java
@@ -5,29 +5,36 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Writes the messages of PostgreSQL's protocol 3.0 that a server sends. */
+/** Encodes the messages of a server in PostgreSQL's protocol 3.0, one after the other. */
 public final class Replies {
-  /** The state that must not be told as a refusal: nothing is said of what ran. */
+  /** SQLSTATE of a failed request, whose effect is unknown: a retry may not be harmless. */
   public static final String FAILED = "58000";
 
-  /** The refusal after which trying again is harmless. */
+  /** SQLSTATE of a request that was shed: a retry is harmless. */
   public static final String SHED = "53300";
 
-  /** The server can't take it now: as class 53, trying again is harmless. */
+  /** SQLSTATE of a request that is rejected by a backup or at shutdown: a retry is harmless. */
   public static final String STANDS_BY = "57P03";
 
+  /** SQLSTATE of a statement that can't be used. */
   public static final String BAD_STATEMENT = "42601";
+
+  /** SQLSTATE of a message that is not supported. */
   public static final String NOT_SPOKEN = "0A000";
+
+  /** SQLSTATE of a protocol violation. */
   public static final String BAD_PROTOCOL = "08P01";
+
   private static final int TEXT_TYPE_OID = 25;
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream(128);
 
+  /** The encoded messages. */
   public byte[] bytes() {
     return out.toByteArray();
   }
 
-  /** What a started session is told before its first statement. */
+  /** AuthenticationOk, ParameterStatus, BackendKeyData and ReadyForQuery after a start-up. */
   public Replies welcome(int session, int secret) {
     write('R', ByteBuffer.allocate(4).putInt(0).array());
     String[] parameters = {
@@ -52,14 +59,17 @@
     return ready();
   }
 
+  /** ReadyForQuery. */
   public Replies ready() {
     return write('Z', new byte[] {'I'});
   }
 
+  /** EmptyQueryResponse. */
   public Replies emptyStatement() {
     return write('I', new byte[0]);
   }
 
+  /** ErrorResponse with a severity such as ERROR or FATAL and an SQLSTATE. */
   public Replies error(String severity, String sqlState, String text) {
     String body =
         'S'
@@ -74,11 +84,12 @@
     return write('E', body.getBytes(StandardCharsets.UTF_8));
   }
 
+  /** CommandComplete with a tag such as SELECT 1. */
   public Replies complete(String tag) {
     return write('C', (tag + '\0').getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Names the columns, all of them text. */
+  /** RowDescription of text columns. */
   public Replies columns(List<String> names) {
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     body.writeBytes(ByteBuffer.allocate(2).putShort((short) names.size()).array());
@@ -97,7 +108,7 @@
     return write('T', body.toByteArray());
   }
 
-  /** One row, from text with a tab between its columns. */
+  /** DataRow, from text with a tab between its columns, from an offset to another, exclusive. */
   public Replies row(byte[] text, int from, int to) {
     int columns = 1;
     for (int i = from; i < to; i++) {
--- a/src/main/java/cobaltseam/postgres/Statement.java
+++ b/src/main/java/cobaltseam/postgres/Statement.java
@@ -1,11 +1,17 @@
 package cobaltseam.postgres;
 
 /**
- * What a statement says of its command. The profile, the call and the time to live are there in
- * each that can be used; the share is null where none is named, the estimates are zero where none
- * are given, the data set is below zero where none is read. The idempotency key, by which engines
- * know a repeat, is null where the client names none. The text is the statement as it came, without
- * the comment that holds the fields.
+ * A request, as the fields in the comment of its statement describe it.
+ *
+ * @param profile the name of its request class
+ * @param call the client's id of the request, 16 hex digits
+ * @param timeToLiveMs the client's time to live, in milliseconds
+ * @param share the name of its tenant, or null
+ * @param workMs the estimated work, in milliseconds of one thread, or 0
+ * @param memoryMb the estimated memory, in megabytes, or 0
+ * @param dataSet the number of the data set that it uses, or below zero
+ * @param idempotencyKey by which engines recognise a retry, or null
+ * @param text the statement as received, without the comment with the fields
  */
 public record Statement(
     String profile,
--- a/src/main/java/cobaltseam/resp/EngineAnswer.java
+++ b/src/main/java/cobaltseam/resp/EngineAnswer.java
@@ -6,19 +6,38 @@
 import java.util.Map;
 
 /**
- * One answer of an engine: the id that it is for, its word, its fields, and its body as it came.
+ * One response of an engine.
+ *
+ * @param id the id of the attempt that it answers
+ * @param word its status code or kind, such as {@link #OK} or {@link #CHUNK}
+ * @param fields its fields by name
+ * @param body its body, unchanged
  */
 public record EngineAnswer(String id, String word, Map<String, String> fields, byte[] body) {
+  /** The attempt has completed; the body is the first page of its result. */
   public static final String OK = "200";
+
+  /** The engine has no capacity for the attempt. */
   public static final String FULL = "503";
+
+  /** The attempt has failed. */
   public static final String ERROR = "500";
+
+  /** The time to live of the attempt was over before it ran. */
   public static final String OVER = "504";
+
+  /** A progress report of a running attempt. */
   public static final String STATUS = "status";
+
+  /** A further page of a result. */
   public static final String CHUNK = "chunk";
+
+  /** The response to a health check of the connection. */
   public static final String ALIVE = "alive";
+
   private static final int ITEM_COUNT = 4;
 
-  /** Reads an array of the wire, or null if it is no answer. */
+  /** Parses a RESP array; null if it is not a response. */
   public static EngineAnswer of(List<byte[]> items) {
     if (items.size() != ITEM_COUNT) {
       return null;
@@ -33,18 +52,18 @@
     return new EngineAnswer(text(items.get(0)), text(items.get(1)), fields, items.get(3));
   }
 
-  /** A whole number that is not negative, or -1 where it is absent or something else. */
+  /** A field as an integer of up to nine digits, or -1 if it is absent or something else. */
   public int whole(String name) {
     String value = fields.getOrDefault(name, "");
     return value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : -1;
   }
 
-  /** A number that is not negative, or -1. */
+  /** A field as a finite number that is not negative, or -1 if it is absent or something else. */
   public double number(String name) {
     return number(fields, name);
   }
 
-  /** One value of the load report, or -1 where it is not told. */
+  /** One value of the load report, or -1 if it is absent or not a number. */
   public double reported(String name) {
     Map<String, String> report = new HashMap<>();
     for (String value : fields.getOrDefault("rep", "").split(";")) {
--- a/src/main/java/cobaltseam/resp/EngineCommands.java
+++ b/src/main/java/cobaltseam/resp/EngineCommands.java
@@ -3,14 +3,16 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Writes what an engine is told, as RESP arrays of bulk strings. */
+/** Encodes the commands for engines, as RESP arrays of bulk strings. */
 public final class EngineCommands {
   private EngineCommands() {}
 
   /**
-   * Runs a statement, its bytes as they came.
+   * Runs a statement, whose bytes are passed on unchanged.
    *
-   * @param idempotencyKey by which engines know a repeat, or null
+   * @param id of the attempt
+   * @param timeToLiveMs after which the engine no longer starts it, in milliseconds
+   * @param idempotencyKey by which engines recognise a retry, or null
    */
   public static byte[] pull(
       String id, String requestClass, long timeToLiveMs, String idempotencyKey, byte[] statement) {
@@ -19,22 +21,22 @@
     return array(bytes("PULL"), bytes(id), bytes(allFields), statement);
   }
 
-  /** Gives a command up. */
+  /** Cancels an attempt. */
   public static byte[] kill(String id) {
     return array(bytes("KILL"), bytes(id));
   }
 
-  /** Asks for one further page. */
+  /** Requests one further page of a result. */
   public static byte[] scroll(String id, int page) {
     return array(bytes("SCROLL"), bytes(id), bytes(Integer.toString(page)));
   }
 
-  /** Wants no more pages. */
+  /** Releases a result of which no more pages are needed. */
   public static byte[] discard(String id) {
     return array(bytes("DISCARD"), bytes(id));
   }
 
-  /** Asks whether the connection works. */
+  /** Checks the health of the connection. */
   public static byte[] echo(String tag) {
     return array(bytes("ECHO"), bytes(tag));
   }
--- a/src/main/java/cobaltseam/resp/RespParser.java
+++ b/src/main/java/cobaltseam/resp/RespParser.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Takes RESP arrays of bulk strings from bytes in any pieces. */
+/**
+ * Parses RESP arrays of bulk strings from bytes in any pieces. What a peer can make it store is
+ * bounded. After an error nothing more is parsed. Not thread-safe.
+ */
 public final class RespParser {
   private static final int MAX_ITEMS = 16;
   private static final int MAX_ARRAY_BYTES = 1 << 16;
@@ -17,14 +20,18 @@
   private List<byte[]> items = new ArrayList<>();
   private int missingItems;
 
-  /** Bytes that the items of this array may still have. */
+  /** Bytes that the remaining items of this array may have. */
   private int remainingBytes;
 
   private byte[] item;
   private int receivedBytes;
   private String error;
 
-  /** Takes what has come, hands on each array that is whole; tells what is wrong, or null. */
+  /**
+   * Parses received bytes, and passes on each complete array.
+   *
+   * @return what is wrong, or null
+   */
   public String take(ByteBuffer in, Consumer<List<byte[]>> arrays) {
     while (error == null && in.hasRemaining()) {
       if (item != null) {
@@ -43,7 +50,7 @@
     return error;
   }
 
-  /** A line that tells the items of an array or the bytes of an item. */
+  /** Parses a line with the number of items of an array, or of bytes of an item. */
   private void parseHeader(byte[] header) {
     char type = missingItems == 0 ? '*' : '$';
     int max = missingItems == 0 ? MAX_ITEMS : remainingBytes;
--- a/src/main/java/cobaltseam/resp/Result.java
+++ b/src/main/java/cobaltseam/resp/Result.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** The result of a command, gathered page by page; its rows stay the bytes that came. */
+/**
+ * The result of a request, collected page by page; its rows stay as received, columns separated by
+ * tabs. Not thread-safe.
+ */
 public final class Result {
   private static final int MAX_PAGES = 64;
   private static final int MAX_BYTES = 1 << 16;
@@ -14,23 +17,28 @@
   private int rowCount;
   private int columnCount = UNKNOWN;
 
-  /** A result of so many pages. */
+  /** A result of this many pages, none of which was received yet. */
   public Result(int pages) {
     this.pages = new byte[Math.max(0, Math.min(pages, MAX_PAGES))][];
     missingPages = pages;
   }
 
-  /** Whether a result may have so many pages. */
+  /** Whether a result may have this many pages. */
   public static boolean canHave(int pages) {
     return pages >= 1 && pages <= MAX_PAGES;
   }
 
-  /** Whether this page has come already. */
+  /** Whether this page was received. */
   public boolean has(int page) {
     return page >= 0 && page < pages.length && pages[page] != null;
   }
 
-  /** Takes a page in; tells what is wrong with it, or null. */
+  /**
+   * Adds a page.
+   *
+   * @param page its index, from 0
+   * @return what is wrong with it, or null
+   */
   public String add(int page, byte[] body) {
     if (page < 0 || page >= pages.length || pages[page] != null) {
       return "page " + page + " of " + pages.length + " is none of those to come";
@@ -59,23 +67,27 @@
     return null;
   }
 
+  /** Whether all pages were received. */
   public boolean isWhole() {
     return missingPages == 0;
   }
 
+  /** The number of pages, received or not. */
   public int pageCount() {
     return pages.length;
   }
 
+  /** The number of rows received. */
   public int rowCount() {
     return rowCount;
   }
 
-  /** The columns of each row, or the number given where there is no row. */
+  /** The number of columns of each row, or a default if there is no row. */
   public int columns(int otherwise) {
     return columnCount == UNKNOWN ? otherwise : columnCount;
   }
 
+  /** All pages of a complete result, in order. */
   public List<byte[]> pages() {
     return List.of(pages);
   }
--- a/src/main/java/cobaltseam/settings/Settings.java
+++ b/src/main/java/cobaltseam/settings/Settings.java
@@ -12,7 +12,16 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** What our own file switches on; a part that is null is off. */
+/**
+ * What our own settings file turns on. A part that is null is off.
+ *
+ * @param jsonLog whether log lines are JSON
+ * @param hall the virtual addresses that this dispatcher shares by VRRP
+ * @param fleet the fleet that this dispatcher is a member of
+ * @param agreed how the fleet agrees on a configuration
+ * @param spread how the fleet shares the capacity of the engines
+ * @param repeats how the fleet shares a retry budget
+ */
 public record Settings(
     boolean jsonLog,
     VirtualAddressSettings hall,
@@ -27,7 +36,12 @@
   private static final int GOSSIP_PEERS_PER_ROUND = 3;
   private static final int GOSSIP_EXPIRY_ROUNDS = 10;
 
-  /** How members tell each other their figures. */
+  /**
+   * How members exchange their figures by gossip.
+   *
+   * @param maxBytes of one message
+   * @param maxClockDrift by which part the rates of two clocks differ at most
+   */
   public cobaltseam.sharing.GossipOptions sharing(int maxBytes, double maxClockDrift) {
     TimeSpan round = spread != null ? spread.round() : DEFAULT_GOSSIP_PERIOD;
     return new cobaltseam.sharing.GossipOptions(
@@ -39,8 +53,15 @@
   }
 
   /**
-   * The group of dispatchers that share virtual addresses by VRRP; elsewhere is below zero where it
-   * is not set.
+   * The group of dispatchers that share virtual addresses by VRRP.
+   *
+   * @param listen where advertisements are sent from and received
+   * @param peers where the other dispatchers of the group receive advertisements
+   * @param coverage what the checksum of IPv4 advertisements covers when they are sent
+   * @param acceptsOtherIntervals whether advertisements with another interval are accepted
+   * @param dispatchersElsewhere dispatchers with traffic outside the group, or below zero if unset
+   * @param answersAsBackup whether the dispatcher's own address answers while it is not active
+   * @param authentication null where advertisements are not authenticated
    */
   public record VirtualAddressSettings(
       InetSocketAddress listen,
@@ -52,24 +73,35 @@
       List<RouterSettings> routers,
       AuthenticationSettings authentication,
       HealthScore.HealthScoreOptions healthScore) {
+    /** The IP addresses that advertisements are accepted from. */
     public Set<InetAddress> peerAddresses() {
       return peers.stream().map(InetSocketAddress::getAddress).collect(Collectors.toSet());
     }
 
+    /** The options of all virtual routers. */
     public List<RouterOptions> routerOptions() {
       return routers.stream().map(RouterSettings::options).toList();
     }
   }
 
-  /** One virtual router, and where clients are taken in while it is active. */
+  /** One virtual router, and the address that accepts clients while it is active. */
   public record RouterSettings(RouterOptions options, InetSocketAddress serviceAddress) {}
 
   /**
    * The fleet that this dispatcher is a member of.
    *
-   * @param folder where it keeps what it promised, or null
-   * @param foundAnew the view whose majority an operator says is gone for good, or null
-   * @param sealing null where messages have no seal
+   * @param fleet the name of the fleet
+   * @param listen where messages are received
+   * @param advertise the address that the other members use
+   * @param seeds addresses that are asked for the other members
+   * @param founders the names of the members that bootstrap the first view
+   * @param period between two health checks of a member
+   * @param patience periods for which a suspected member may refute the suspicion, besides one for
+   *     each tenfold of members
+   * @param helpers how many members check indirectly one that does not respond
+   * @param folder where persistent state is stored, or null
+   * @param foundAnew the view to bootstrap again because its majority is lost, or null
+   * @param sealing null where messages are not authenticated
    */
   public record MembershipSettings(
       String fleet,
@@ -83,7 +115,7 @@
       Path folder,
       String foundAnew,
       AuthenticationSettings sealing) {
-    /** What is read at the start alone, keys of seals aside. */
+    /** The settings that are read at the start only, apart from the keys. */
     public MembershipSettings fixed() {
       return new MembershipSettings(
           fleet, listen, advertise, seeds, founders, period, patience, helpers, folder, null, null);
@@ -91,23 +123,24 @@
   }
 
   /**
-   * That the fleet agrees on the settings of decisions: for how long two members may contradict
-   * each other.
+   * How the fleet agrees on a configuration.
+   *
+   * @param contradiction for how long two members may use contradicting configurations at most
    */
   public record AgreementSettings(TimeSpan contradiction) {}
 
   /**
-   * What the fleet knows together of engines and of what its members need.
+   * How the fleet shares the capacity of the engines.
    *
-   * @param byDemand whether parts of the engines follow demand; else they are even over the view
-   * @param alone the share of engines that dispatchers hold whatever they know, all together
-   * @param floor the share of its even part that one keeps, though it needs nothing
-   * @param lease for how long a part outlives the word of a majority
-   * @param window after which half of what a dispatcher was asked for counts no more
-   * @param round between two rounds of asking others
-   * @param end after which a figure of another is unknown
-   * @param news between two rounds of asking another what engines told it; zero for never
-   * @param audit whether each change of the own part is written to the log
+   * @param byDemand whether shares follow demand; else they are even over the view
+   * @param alone the share of the engines that all dispatchers together have without a majority
+   * @param floor the part of its even share that a member keeps without demand
+   * @param lease for how long a share is valid after the last message of a majority
+   * @param window the half-life of measured demand
+   * @param round between two rounds of gossip
+   * @param end after which a figure of another member expires
+   * @param news between two requests for load reports of engines; zero for never
+   * @param audit whether each change of the own share is logged
    */
   public record CapacitySettings(
       boolean byDemand,
@@ -122,19 +155,29 @@
     private static final long TOTAL_UNITS = 1_000_000_000L;
     private static final int MAX_LEASES = 16;
 
-    /** Rounds after which what an engine told is nothing. */
+    /** Periods after which a load report expires. */
     private static final int LOAD_REPORT_EXPIRY_PERIODS = 30;
 
-    /** In how many parts the engines are divided. */
+    /** The number of units that the engines are divided into. */
     public long whole() {
       return TOTAL_UNITS;
     }
 
+    /**
+     * The options of capacity leases.
+     *
+     * @param processes how many dispatchers run at once at most
+     */
     public cobaltseam.capacity.CapacityOptions terms(int processes) {
       return new cobaltseam.capacity.CapacityOptions(
           TOTAL_UNITS, alone, processes, floor, lease.times(0.25), MAX_LEASES);
     }
 
+    /**
+     * The options of load reports.
+     *
+     * @param maxClockDrift by which part the rates of two clocks differ at most
+     */
     public cobaltseam.capacity.LoadReports.LoadReportOptions reports(double maxClockDrift) {
       return new cobaltseam.capacity.LoadReports.LoadReportOptions(
           news, 1, news.times(LOAD_REPORT_EXPIRY_PERIODS), maxClockDrift);
@@ -142,20 +185,30 @@
   }
 
   /**
-   * That further sends are capped over the fleet.
+   * How the fleet shares a retry budget.
    *
-   * @param ratio further sends for each first one
-   * @param alone further sends in a window that each dispatcher has beside, whatever it knows
-   * @param window for which what first sends earn may be spent
-   * @param round between two looks at whom to ask for more
+   * @param ratio retries allowed for each first attempt
+   * @param alone further retries in a window that each dispatcher has on its own
+   * @param window for which the retries that first attempts earn may be used
+   * @param round between two checks whether to request budget from other members
    */
   public record RetryBudgetSettings(double ratio, double alone, TimeSpan window, TimeSpan round) {
+    /**
+     * The options of the retry budget.
+     *
+     * @param maxClockDrift by which part the rates of two clocks differ at most
+     */
     public cobaltseam.retrybudget.RetryBudgetOptions terms(double maxClockDrift) {
       return new cobaltseam.retrybudget.RetryBudgetOptions(
           ratio, alone, window, round, maxClockDrift);
     }
   }
 
-  /** The keys of seals, the one to write with, and how much clocks may differ. */
+  /**
+   * How messages are authenticated.
+   *
+   * @param writeKey the id of the key to sign with
+   * @param clockDifference by how much the clocks of two dispatchers may differ
+   */
   public record AuthenticationSettings(KeyRing keys, int writeKey, TimeSpan clockDifference) {}
 }
--- a/src/main/java/cobaltseam/store/AtomicFile.java
+++ b/src/main/java/cobaltseam/store/AtomicFile.java
@@ -13,10 +13,11 @@
 import java.util.zip.CRC32C;
 
 /**
- * One value in a folder of its own, such that a crash at any moment leaves the old or the new one
- * whole: it is written aside, synced, renamed over the old one, and the folder synced. There is one
- * generation only: for promises an older value is worse than none, so one that is not whole is set
- * aside and counts as none. One process at a time has the folder.
+ * A file with one value, in a folder of its own, that is replaced atomically: a crash at any moment
+ * leaves either the old or the new value. A new value is written to a temporary file, synced and
+ * renamed over the old one, then the folder is synced. No older value is kept: the file stores
+ * promises, for which an older value is worse than none, so a corrupt value is moved aside and
+ * treated as absent. A lock file gives the folder to one process at a time. Not thread-safe.
  *
  * <p>Layout, big-endian: the bytes {@code CSWF}, a 4-byte format number, a 4-byte length of the
  * value, a 4-byte CRC32C (RFC 3720, appendix B.4) of the format number, the length and the value,
@@ -26,23 +27,28 @@
   private static final int MAGIC = 0x43535746;
   private static final int HEADER_BYTES = 16;
 
-  /** A longer value is neither written nor read. */
+  /** The largest value that is written or read. */
   public static final int MAX_VALUE_BYTES = 1 << 24;
 
   private static final String LOCK_FILE_NAME = "lock";
 
-  /** What a folder held. */
+  /** What was found in the folder. */
   public enum ReadStatus {
+    /** There is no file. */
     NOTHING,
+    /** There is a value. */
     VALUE,
-    /** Not whole: set aside under {@code .broken}. */
+    /** The file is corrupt, and was moved aside with the suffix {@code .broken}. */
     BROKEN,
-    /** Of a later program: left in place, and nothing may be written over it. */
+    /** The file has a newer format: it stays in place and must not be overwritten. */
     LATER
   }
 
   /**
-   * @param value null unless found
+   * The result of reading.
+   *
+   * @param found what was found
+   * @param value the value, or null if none was found
    */
   public record Reading(ReadStatus found, byte[] value) {}
 
@@ -59,9 +65,10 @@
   }
 
   /**
-   * Takes the folder, which is made where it is missing.
+   * Locks the folder, which is created if it is missing.
    *
-   * @throws IOException if it can't be written, or another process has it
+   * @param format the format number that values are written with; higher ones are not read
+   * @throws IOException if the folder can't be written, or another process has locked it
    */
   public static AtomicFile open(Path folder, String name, int format) throws IOException {
     Files.createDirectories(folder);
@@ -81,7 +88,7 @@
     return new AtomicFile(folder, name, format, channel);
   }
 
-  /** What is there. */
+  /** Reads the value, after dropping an unfinished write. */
   public Reading read() throws IOException {
     Files.deleteIfExists(temporaryFile());
     if (!Files.exists(file)) {
@@ -100,7 +107,7 @@
     return result;
   }
 
-  /** The same of the bytes of a file. */
+  /** Decodes the bytes of a file, which may have this format number at most. */
   public static Reading decode(byte[] bytes, int format) {
     ByteBuffer in = ByteBuffer.wrap(bytes);
     if (bytes.length < HEADER_BYTES || in.getInt() != MAGIC) {
@@ -133,7 +140,11 @@
     return folder.resolve(file.getFileName() + ".new");
   }
 
-  /** Returns once the value is on disk, in place of the one before. */
+  /**
+   * Replaces the value, and returns once the new one is on disk.
+   *
+   * @throws IOException if it is too large or can't be written; the old value stays then
+   */
   public void write(byte[] value) throws IOException {
     if (value.length > MAX_VALUE_BYTES) {
       throw new IOException(value.length + " bytes are more than " + MAX_VALUE_BYTES);
--- a/src/main/java/cobaltseam/store/BackgroundWriter.java
+++ b/src/main/java/cobaltseam/store/BackgroundWriter.java
@@ -9,15 +9,18 @@
 import java.util.function.Supplier;
 
 /**
- * Writes the newest of the values given to it on a thread of its own, so that a slow disk holds up
- * nobody. What is given while one is being written replaces what waits: each holds all that those
- * before it did.
+ * Writes values to a file on a thread of its own, so that a slow disk blocks nobody. Each value
+ * contains everything of the ones before it, so only the newest value is written: a value that is
+ * submitted during a write replaces the one that waits.
  */
 public final class BackgroundWriter implements AutoCloseable {
   private record PendingWrite(long number, Supplier<byte[]> value) {}
 
-  /** What can't be written, in words. */
+  /** Is called when a value can't be written. */
   public interface FailureListener {
+    /**
+     * @param reason in words
+     */
     void onFailure(String reason);
   }
 
@@ -28,15 +31,17 @@
   private final ExecutorService executor;
 
   /**
-   * Both are called on the writer's thread: with the number of what was written, or with why it
-   * could not be.
+   * Both listeners are called on the writer's thread.
+   *
+   * @param file is closed with this writer
+   * @param onWritten is called with the number of a value once it is on disk
    */
   public BackgroundWriter(
       AtomicFile file, LongConsumer onWritten, FailureListener failureListener) {
     this.file = file;
     this.onWritten = onWritten;
     this.failureListener = failureListener;
-    // One runs and one waits: a third would find what the second is to write.
+    // One task runs and one waits; a third would find the value already written by the second.
     executor =
         new ThreadPoolExecutor(
             1,
@@ -52,7 +57,12 @@
             new ThreadPoolExecutor.DiscardPolicy());
   }
 
-  /** The value is asked for on the writer's thread. */
+  /**
+   * Submits a value.
+   *
+   * @param number must rise with each value
+   * @param value is called on the writer's thread
+   */
   public void give(long number, Supplier<byte[]> value) {
     pending.set(new PendingWrite(number, value));
     executor.execute(this::write);
@@ -71,10 +81,7 @@
     }
   }
 
-  /**
-   * Returns once what is being written is written, within a second; what waits is dropped with the
-   * process.
-   */
+  /** Waits up to a second for the write that is running; a waiting one may be lost. */
   @Override
   public void close() {
     executor.shutdown();
@@ -82,7 +89,7 @@
       executor.awaitTermination(1, TimeUnit.SECONDS);
       file.close();
     } catch (java.io.IOException e) {
-      // The lock ends with the process all the same.
+      // The lock is released with the process in any case.
       failureListener.onFailure("closing: " + e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/test/java/cobaltseam/cli/CobaltseamCommandTest.java
+++ b/src/test/java/cobaltseam/cli/CobaltseamCommandTest.java
@@ -28,9 +28,9 @@
 class CobaltseamCommandTest {
   private static final String HEX = "3133640100640 5ccc000020a".replace(" ", "");
 
-  private record Ran(int code, String out, String err) {}
+  private record CommandResult(int code, String out, String err) {}
 
-  private static Ran run(String... args) {
+  private static CommandResult run(String... args) {
     PrintStream out = System.out;
     PrintStream err = System.err;
     ByteArrayOutputStream said = new ByteArrayOutputStream();
@@ -38,7 +38,7 @@
     System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
     System.setErr(new PrintStream(wrong, true, StandardCharsets.UTF_8));
     try {
-      return new Ran(
+      return new CommandResult(
           CobaltseamCommand.run(args),
           said.toString(StandardCharsets.UTF_8).strip(),
           wrong.toString(StandardCharsets.UTF_8));
@@ -48,7 +48,7 @@
     }
   }
 
-  private static Ran vrrp(String what, String... more) {
+  private static CommandResult vrrp(String what, String... more) {
     List<String> args =
         new ArrayList<>(
             List.of("vrrp", what, "--source", "192.0.2.1", "--destination", "224.0.0.18"));
@@ -58,7 +58,7 @@
 
   @Test
   void encodeIsTheInverseOfDecode() throws IOException {
-    Ran decoded = vrrp("decode", HEX);
+    CommandResult decoded = vrrp("decode", HEX);
     assertEquals(0, decoded.code, decoded.err);
     JsonNode json = new ObjectMapper().readTree(decoded.out);
     assertEquals(51, json.path("virtualRouterId").asInt());
@@ -83,7 +83,7 @@
 
   @Test
   void badInputExitsWith1AndItsReason() {
-    Ran bad = vrrp("decode", HEX.replace("05cc", "05cd"));
+    CommandResult bad = vrrp("decode", HEX.replace("05cc", "05cd"));
     assertEquals(1, bad.code);
     assertEquals("", bad.out);
     assertTrue(bad.err.contains("checksum"), bad.err);
@@ -129,7 +129,7 @@
       for (String option : List.of("--help", "--version")) {
         List<String> args = new ArrayList<>(List.of(of));
         args.add(option);
-        Ran ran = run(args.toArray(String[]::new));
+        CommandResult ran = run(args.toArray(String[]::new));
         assertEquals(0, ran.code, args + ran.err);
         assertTrue(ran.out.contains("cobaltseam"), args + ran.out);
       }
@@ -176,7 +176,7 @@
               }
             });
     speaker.start();
-    Ran ran = run("vrrp", "watch", "--config", file.toString(), "--seconds", "3");
+    CommandResult ran = run("vrrp", "watch", "--config", file.toString(), "--seconds", "3");
     speaker.join();
     assertEquals(0, ran.code, ran.err);
     List<String> states = new ArrayList<>();
@@ -201,12 +201,12 @@
                 peers = []
                 router = [{id = 7, addresses = ["192.0.2.10"], serve = "192.0.2.10:5050"}]
                 """);
-    Ran on = run("check", "--config", file.toString());
+    CommandResult on = run("check", "--config", file.toString());
     assertEquals(0, on.code, on.err);
     assertTrue(on.out.contains("virtual router 7/ipv4: priority 100, interval 1000 ms"), on.out);
     assertTrue(run("check").out.contains("mastership: off"));
     Files.writeString(file, "mastership = 1\n");
-    Ran bad = run("check", "--config", file.toString());
+    CommandResult bad = run("check", "--config", file.toString());
     assertEquals(1, bad.code);
     assertTrue(bad.err.contains("mastership: 1 stands there"), bad.err);
   }
--- a/src/test/java/cobaltseam/logging/PrintedNamesTest.java
+++ b/src/test/java/cobaltseam/logging/PrintedNamesTest.java
@@ -28,7 +28,7 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void labelsAreThoseThatWerePrintedBefore(String row) throws ReflectiveOperationException {
+  void labelsAreUnchanged(String row) throws ReflectiveOperationException {
     String[] parts = row.split(": ");
     Class<?> type = Class.forName("cobaltseam." + parts[0]);
     Method label = type.getDeclaredMethod("label");
--- /dev/null
+++ b/src/test/java/cobaltseam/mastership/AdvertisementFilterTest.java
@@ -0,0 +1,123 @@
+package cobaltseam.mastership;
+
+import static cobaltseam.mastership.MastershipFixture.HIGHER;
+import static cobaltseam.mastership.MastershipFixture.LOWER;
+import static cobaltseam.mastership.MastershipFixture.SECOND;
+import static cobaltseam.mastership.MastershipFixture.SELF;
+import static cobaltseam.mastership.MastershipFixture.START;
+import static cobaltseam.mastership.MastershipFixture.advert;
+import static cobaltseam.mastership.MastershipFixture.newMastership;
+import static cobaltseam.mastership.MastershipFixture.options;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import cobaltseam.authentication.KeyRing;
+import cobaltseam.dispatch.TimeSpan;
+import cobaltseam.dispatch.Timestamp;
+import cobaltseam.vrrp.AdvertisementAuthenticator;
+import cobaltseam.vrrp.AdvertisementCodec;
+import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
+import cobaltseam.vrrp.RejectionReason;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** Which datagrams are accepted as advertisements, with and without authentication. */
+class AdvertisementFilterTest {
+  private static final KeyRing KEYS =
+      KeyRing.read("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
+  private static final TimeSpan MAX_CLOCK_DIFFERENCE = SECOND.times(0.5);
+
+  private static byte[] signed(Timestamp sent, KeyRing keys, int key) {
+    return AdvertisementAuthenticator.sign(
+        AdvertisementCodec.encode(advert(200), LOWER, SELF, ChecksumCoverage.MESSAGE),
+        LOWER,
+        SELF,
+        keys,
+        key,
+        sent.us());
+  }
+
+  private Timestamp now = START;
+
+  @Test
+  void forgedReplayedAndStaleAdvertisementsAreRejected() {
+    Mastership mastership = newMastership(options(1, 100, true, TimeSpan.ZERO));
+    mastership.start(now);
+    AdvertisementFilter filter =
+        new AdvertisementFilter(
+            SELF, mastership, new ReplayGuard(START, MAX_CLOCK_DIFFERENCE), Set.of(LOWER), KEYS);
+    byte[] recorded = signed(START.plus(MAX_CLOCK_DIFFERENCE), KEYS, 1);
+    now = START.plus(SECOND);
+    assertEquals(
+        RejectionReason.STALE,
+        filter.evaluate(recorded, LOWER, SELF, now).rejection(),
+        "sent before the start, by its clock");
+    byte[] good = signed(now, KEYS, 1);
+    assertEquals(200, filter.evaluate(good, LOWER, SELF, now).advertisement().priority());
+    assertEquals(RejectionReason.REPLAYED, filter.evaluate(good, LOWER, SELF, now).rejection());
+    assertEquals(
+        RejectionReason.REPLAYED,
+        filter.evaluate(signed(now.minus(new TimeSpan(1)), KEYS, 1), LOWER, SELF, now).rejection());
+    byte[] late = signed(now.plus(new TimeSpan(1)), KEYS, 2);
+    now = now.plus(SECOND.times(2));
+    assertEquals(RejectionReason.STALE, filter.evaluate(late, LOWER, SELF, now).rejection());
+    assertEquals(
+        RejectionReason.EARLY,
+        filter.evaluate(signed(now.plus(SECOND), KEYS, 1), LOWER, SELF, now).rejection());
+    assertEquals(
+        RejectionReason.FORGED,
+        filter
+            .evaluate(signed(now, KeyRing.read("1 " + "00".repeat(16)), 1), LOWER, SELF, now)
+            .rejection());
+    assertEquals(
+        RejectionReason.KEY_UNKNOWN,
+        filter
+            .evaluate(signed(now, KeyRing.read("3 " + "00".repeat(16)), 3), LOWER, SELF, now)
+            .rejection());
+    assertEquals(
+        RejectionReason.UNSEALED,
+        filter
+            .evaluate(
+                AdvertisementCodec.encode(advert(200), LOWER, SELF, ChecksumCoverage.MESSAGE),
+                LOWER,
+                SELF,
+                now)
+            .rejection());
+    assertEquals(
+        RejectionReason.UNKNOWN_SENDER, filter.evaluate(good, HIGHER, SELF, now).rejection());
+    assertEquals(RejectionReason.OUR_OWN, filter.evaluate(good, SELF, SELF, now).rejection());
+    assertEquals(1, filter.acceptedCount());
+    assertEquals(2, filter.rejectedCount(RejectionReason.REPLAYED));
+    // After a restart of the receiver an advertisement that was accepted before is rejected.
+    ReplayGuard restarted = new ReplayGuard(now, MAX_CLOCK_DIFFERENCE);
+    AdvertisementFilter again =
+        new AdvertisementFilter(SELF, mastership, restarted, Set.of(LOWER), KEYS);
+    assertEquals(RejectionReason.STALE, again.evaluate(good, LOWER, SELF, now).rejection());
+    // A key is valid from when it is added until it is removed.
+    again.reconfigure(Set.of(LOWER), KeyRing.read("2 " + "cd".repeat(16)));
+    now = now.plus(SECOND.times(2));
+    assertEquals(
+        RejectionReason.KEY_UNKNOWN,
+        again.evaluate(signed(now, KEYS, 1), LOWER, SELF, now).rejection());
+    assertEquals(
+        200, again.evaluate(signed(now, KEYS, 2), LOWER, SELF, now).advertisement().priority());
+  }
+
+  @Test
+  void withoutAuthenticationEitherChecksumIsAcceptedAndCounted() {
+    Mastership mastership = newMastership(options(1, 100, true, TimeSpan.ZERO));
+    mastership.start(now);
+    AdvertisementFilter filter =
+        new AdvertisementFilter(
+            SELF, mastership, new ReplayGuard(START, TimeSpan.ZERO), Set.of(LOWER), null);
+    for (ChecksumCoverage covers : ChecksumCoverage.values()) {
+      assertEquals(
+          200,
+          filter
+              .evaluate(
+                  AdvertisementCodec.encode(advert(200), LOWER, SELF, covers), LOWER, SELF, now)
+              .advertisement()
+              .priority());
+      assertEquals(1, filter.acceptedCountWith(covers));
+    }
+  }
+}
--- a/src/test/java/cobaltseam/mastership/Exploration.java
+++ b/src/test/java/cobaltseam/mastership/Exploration.java
@@ -15,56 +15,75 @@
 import java.util.Set;
 
 /**
- * Every state that a few routers can come to, on the real rules, when adverts are lost, doubled or
- * late and routers stand still or start anew, each a bounded number of times at every possible
- * place. From every state on, with no more of that, exactly one must become active and stay so.
+ * Explores all states that a few routers can reach with the real state machine while advertisements
+ * are lost, duplicated or late and routers pause or restart, each fault a bounded number of times
+ * at every possible place. From every state on, without further faults, exactly one router must
+ * become active and stay so.
  */
 final class Exploration {
   static final TimeSpan INTERVAL = new TimeSpan(100_000);
   private static final TimeSpan LATENCY = new TimeSpan(1_000);
-  private static final TimeSpan LATE = INTERVAL.times(1.5);
-  private static final List<TimeSpan> FREEZES =
+  private static final TimeSpan LATENESS = INTERVAL.times(1.5);
+  private static final List<TimeSpan> PAUSES =
       List.of(INTERVAL.times(0.5), INTERVAL.times(3.2), INTERVAL.times(10));
   private static final Timestamp ZERO = new Timestamp(0);
 
-  /** How often each thing may go wrong. */
-  record Faults(int lost, int doubled, int late, int freezes, int restarts) {
-    boolean none() {
-      return equals(new Faults(0, 0, 0, 0, 0));
+  /** How often each fault may still occur. */
+  record Faults(int lost, int doubled, int late, int pauses, int restarts) {
+    static final Faults NONE = new Faults(0, 0, 0, 0, 0);
+
+    Faults afterLoss() {
+      return new Faults(lost - 1, doubled, late, pauses, restarts);
+    }
+
+    Faults afterDuplication() {
+      return new Faults(lost, doubled - 1, late, pauses, restarts);
+    }
+
+    Faults afterDelay() {
+      return new Faults(lost, doubled, late - 1, pauses, restarts);
+    }
+
+    Faults afterPause() {
+      return new Faults(lost, doubled, late, pauses - 1, restarts);
+    }
+
+    Faults afterRestart() {
+      return new Faults(lost, doubled, late, pauses, restarts - 1);
     }
   }
 
-  private record Flying(int from, int to, int priority, Timestamp at) {}
+  private record InFlightAdvertisement(int from, int to, int priority, Timestamp arrivesAt) {}
 
-  /** All moments count from now. */
-  private record World(
+  /** The state of all routers and of the network; all times are relative to now. */
+  private record SystemState(
       List<RouterState> routers,
-      List<Timestamp> frozen,
-      List<Flying> flying,
-      Faults left,
+      List<Timestamp> pausedUntil,
+      List<InFlightAdvertisement> inFlight,
+      Faults faultsLeft,
       Timestamp overlapSince) {}
 
-  private final List<RouterOptions> terms;
-  private final List<InetAddress> selves = new ArrayList<>();
-  private final Set<World> seen = new HashSet<>();
-  private final TimeSpan settle;
-  private final boolean fencesHold;
+  private final List<RouterOptions> options;
+  private final List<InetAddress> addresses = new ArrayList<>();
+  private final Set<SystemState> seen = new HashSet<>();
+  private final TimeSpan settleTime;
+  private final boolean requiresNoOverlap;
   private long steps;
   private TimeSpan longestOverlap = TimeSpan.ZERO;
 
-  Exploration(List<RouterOptions> terms, Faults faults) {
-    this.terms = terms;
-    for (int i = 0; i < terms.size(); i++) {
-      selves.add(Addresses.read("10.0.0." + (i + 1)).orElseThrow());
+  Exploration(List<RouterOptions> options, Faults bounds) {
+    this.options = options;
+    for (int i = 0; i < options.size(); i++) {
+      addresses.add(Addresses.read("10.0.0." + (i + 1)).orElseThrow());
     }
-    // A down interval after the last fault, the longest freeze and lateness, and what an unheard
-    // claim takes to yield.
-    settle =
+    // Two active down intervals after the longest pause and lateness: one until a router becomes
+    // active, one until another that did not receive its advertisements yields.
+    settleTime =
         INTERVAL
             .times(2 * VirtualRouter.MAX_MISSED_ADVERTISEMENTS + 4)
-            .plus(FREEZES.get(2))
-            .plus(LATE);
-    fencesHold = faults.lost == 0 && faults.late == 0 && faults.restarts == 0;
+            .plus(PAUSES.get(2))
+            .plus(LATENESS);
+    requiresNoOverlap = bounds.lost == 0 && bounds.late == 0 && bounds.restarts == 0;
   }
 
   int states() {
@@ -79,268 +98,325 @@
     return longestOverlap;
   }
 
-  /** Explores all; throws with what went wrong. */
+  /** Explores all states; throws an AssertionError that describes the first violation. */
   void run(Faults faults) {
     List<RouterState> start =
-        terms.stream()
-            .map(t -> VirtualRouter.start(t, t.priority(), TimeSpan.ZERO, ZERO).state())
+        options.stream()
+            .map(
+                router ->
+                    VirtualRouter.start(router, router.priority(), TimeSpan.ZERO, ZERO).state())
             .toList();
-    Deque<World> open = new ArrayDeque<>();
-    add(open, new World(start, Collections.nCopies(terms.size(), ZERO), List.of(), faults, null));
+    Deque<SystemState> open = new ArrayDeque<>();
+    add(
+        open,
+        new SystemState(start, Collections.nCopies(options.size(), ZERO), List.of(), faults, null));
     while (!open.isEmpty()) {
-      World world = open.removeLast();
-      settles(world);
-      step(world, true).forEach(w -> add(open, w));
+      SystemState state = open.removeLast();
+      checkConvergence(state);
+      successors(state, true).forEach(next -> add(open, next));
     }
   }
 
-  private void add(Deque<World> open, World world) {
-    if (seen.add(world)) {
-      open.addLast(world);
+  private void add(Deque<SystemState> open, SystemState state) {
+    if (seen.add(state)) {
+      open.addLast(state);
     }
   }
 
-  /** Without further faults exactly one is active after a while, and the same one stays. */
-  private void settles(World from) {
-    World world =
-        new World(
-            from.routers, from.frozen, from.flying, new Faults(0, 0, 0, 0, 0), from.overlapSince);
+  /** Checks that without further faults exactly one router becomes active and stays so. */
+  private void checkConvergence(SystemState from) {
+    SystemState state =
+        new SystemState(
+            from.routers, from.pausedUntil, from.inFlight, Faults.NONE, from.overlapSince);
     TimeSpan spent = TimeSpan.ZERO;
     int active = -1;
-    while (spent.compareTo(settle.plus(INTERVAL.times(5))) < 0) {
-      TimeSpan wait = next(world).since(ZERO);
+    while (spent.compareTo(settleTime.plus(INTERVAL.times(5))) < 0) {
+      TimeSpan wait = nextEventTime(state).since(ZERO);
       spent = spent.plus(wait);
-      world = step(world, false).get(0);
-      if (spent.compareTo(settle) >= 0) {
-        List<Integer> now = active(world);
+      state = successors(state, false).get(0);
+      if (spent.compareTo(settleTime) >= 0) {
+        List<Integer> now = activeRouters(state);
         if (now.size() != 1 || active >= 0 && now.get(0) != active) {
           throw new AssertionError(
-              "active: " + now + " after " + spent + " of " + from + ", now " + world);
+              "active: " + now + " after " + spent + " of " + from + ", now " + state);
         }
         active = now.get(0);
       }
     }
   }
 
-  private static List<Integer> active(World world) {
+  private static List<Integer> activeRouters(SystemState state) {
     List<Integer> active = new ArrayList<>();
-    for (int i = 0; i < world.routers.size(); i++) {
-      if (world.routers.get(i).role() == Role.ACTIVE) {
+    for (int i = 0; i < state.routers.size(); i++) {
+      if (state.routers.get(i).role() == Role.ACTIVE) {
         active.add(i);
       }
     }
     return active;
   }
 
-  private Timestamp wakeOf(World w, int i) {
-    Timestamp wake = w.routers.get(i).wakeAt();
-    return wake == null ? null : later(wake, w.frozen.get(i));
+  private Timestamp wakeOf(SystemState state, int index) {
+    Timestamp wake = state.routers.get(index).wakeAt();
+    return wake == null ? null : later(wake, state.pausedUntil.get(index));
   }
 
   private static Timestamp later(Timestamp one, Timestamp other) {
     return one.isBefore(other) ? other : one;
   }
 
-  private Timestamp next(World w) {
+  private Timestamp nextEventTime(SystemState state) {
     Timestamp next = null;
-    for (int i = 0; i < w.routers.size(); i++) {
-      Timestamp at = wakeOf(w, i);
+    for (int i = 0; i < state.routers.size(); i++) {
+      Timestamp at = wakeOf(state, i);
       next = at != null && (next == null || at.isBefore(next)) ? at : next;
     }
-    for (Flying f : w.flying) {
-      Timestamp at = later(f.at, w.frozen.get(f.to));
+    for (InFlightAdvertisement advertisement : state.inFlight) {
+      Timestamp at = later(advertisement.arrivesAt, state.pausedUntil.get(advertisement.to));
       next = next == null || at.isBefore(next) ? at : next;
     }
     return later(next, ZERO);
   }
 
-  /** Every world that the next event can lead to; what has flown is heard before what is due. */
-  private List<World> step(World w, boolean faulty) {
+  /**
+   * All states that the next event can lead to; an advertisement that has arrived is handled before
+   * a timer.
+   */
+  private List<SystemState> successors(SystemState state, boolean faulty) {
     steps++;
-    Timestamp now = next(w);
-    List<World> worlds = new ArrayList<>();
-    Flying come =
-        w.flying.stream()
-            .filter(f -> !now.isBefore(later(f.at, w.frozen.get(f.to))))
-            .findFirst()
-            .orElse(null);
-    if (come != null) {
-      List<Flying> rest = new ArrayList<>(w.flying);
-      rest.remove(come);
-      World heard = new World(w.routers, w.frozen, rest, w.left, w.overlapSince);
-      Advertisement advert = new Advertisement(1, come.priority, 10, List.of(selves.get(0)));
-      follow(
-          heard,
-          come.to,
-          now,
-          faulty,
-          worlds,
-          (t, s) ->
-              VirtualRouter.onAdvertisement(
-                  t, s, selves.get(come.to), selves.get(come.from), advert, now));
-      return worlds;
-    }
-    for (int i = 0; i < w.routers.size(); i++) {
-      Timestamp at = wakeOf(w, i);
-      if (at == null || now.isBefore(at)) {
-        continue;
-      }
-      if (faulty && w.left.freezes > 0) {
-        for (TimeSpan freeze : FREEZES) {
-          List<Timestamp> frozen = new ArrayList<>(w.frozen);
-          frozen.set(i, now.plus(freeze));
-          Faults left =
-              new Faults(
-                  w.left.lost, w.left.doubled, w.left.late, w.left.freezes - 1, w.left.restarts);
-          worlds.add(shifted(new World(w.routers, frozen, w.flying, left, w.overlapSince), now));
-        }
+    Timestamp now = nextEventTime(state);
+    for (InFlightAdvertisement advertisement : state.inFlight) {
+      if (!now.isBefore(later(advertisement.arrivesAt, state.pausedUntil.get(advertisement.to)))) {
+        return afterArrival(state, advertisement, now, faulty);
       }
-      if (faulty && w.left.restarts > 0) {
-        List<RouterState> routers = new ArrayList<>(w.routers);
-        routers.set(
-            i, VirtualRouter.start(terms.get(i), terms.get(i).priority(), INTERVAL, now).state());
-        Faults left =
-            new Faults(
-                w.left.lost, w.left.doubled, w.left.late, w.left.freezes, w.left.restarts - 1);
-        worlds.add(shifted(new World(routers, w.frozen, w.flying, left, w.overlapSince), now));
+    }
+    for (int i = 0; i < state.routers.size(); i++) {
+      Timestamp wake = wakeOf(state, i);
+      if (wake != null && !now.isBefore(wake)) {
+        return afterTimer(state, i, now, faulty);
       }
-      follow(
-          w,
-          i,
-          now,
-          faulty,
-          worlds,
-          (t, s) ->
-              s.wakeAt() != null && !now.isBefore(s.wakeAt())
-                  ? VirtualRouter.onTimer(t, s, now)
-                  : new Transition(s));
-      return worlds;
     }
-    throw new AssertionError("nothing is due at " + now + " in " + w);
+    throw new AssertionError("nothing is due at " + now + " in " + state);
+  }
+
+  private List<SystemState> afterArrival(
+      SystemState state, InFlightAdvertisement arrived, Timestamp now, boolean faulty) {
+    List<InFlightAdvertisement> rest = new ArrayList<>(state.inFlight);
+    rest.remove(arrived);
+    SystemState received =
+        new SystemState(
+            state.routers, state.pausedUntil, rest, state.faultsLeft, state.overlapSince);
+    Advertisement advertisement =
+        new Advertisement(1, arrived.priority, 10, List.of(addresses.get(0)));
+    InetAddress receiver = addresses.get(arrived.to);
+    InetAddress sender = addresses.get(arrived.from);
+    List<SystemState> successors = new ArrayList<>();
+    addSuccessors(
+        received,
+        arrived.to,
+        now,
+        faulty,
+        successors,
+        (router, before) ->
+            VirtualRouter.onAdvertisement(router, before, receiver, sender, advertisement, now));
+    return successors;
+  }
+
+  private List<SystemState> afterTimer(
+      SystemState state, int index, Timestamp now, boolean faulty) {
+    List<SystemState> successors = new ArrayList<>();
+    if (faulty && state.faultsLeft.pauses > 0) {
+      PAUSES.forEach(pause -> successors.add(paused(state, index, pause, now)));
+    }
+    if (faulty && state.faultsLeft.restarts > 0) {
+      successors.add(restarted(state, index, now));
+    }
+    addSuccessors(
+        state,
+        index,
+        now,
+        faulty,
+        successors,
+        (router, before) ->
+            before.wakeAt() != null && !now.isBefore(before.wakeAt())
+                ? VirtualRouter.onTimer(router, before, now)
+                : new Transition(before));
+    return successors;
+  }
+
+  private SystemState paused(SystemState state, int index, TimeSpan pause, Timestamp now) {
+    List<Timestamp> pausedUntil = new ArrayList<>(state.pausedUntil);
+    pausedUntil.set(index, now.plus(pause));
+    return relativeTo(
+        new SystemState(
+            state.routers,
+            pausedUntil,
+            state.inFlight,
+            state.faultsLeft.afterPause(),
+            state.overlapSince),
+        now);
+  }
+
+  private SystemState restarted(SystemState state, int index, Timestamp now) {
+    RouterOptions router = options.get(index);
+    List<RouterState> routers = new ArrayList<>(state.routers);
+    routers.set(index, VirtualRouter.start(router, router.priority(), INTERVAL, now).state());
+    return relativeTo(
+        new SystemState(
+            routers,
+            state.pausedUntil,
+            state.inFlight,
+            state.faultsLeft.afterRestart(),
+            state.overlapSince),
+        now);
   }
 
   private interface Event {
-    Transition on(RouterOptions terms, RouterState standing);
+    Transition apply(RouterOptions router, RouterState before);
   }
 
-  /** The fence first, as in service; then the event; then each way that its adverts can go. */
-  private void follow(
-      World w, int i, Timestamp now, boolean faulty, List<World> worlds, Event event) {
-    RouterState before = w.routers.get(i);
-    Transition fenced = VirtualRouter.fenceIfOverdue(terms.get(i), before, now);
-    Transition change = event.on(terms.get(i), fenced.state());
-    List<MastershipAction> acts = new ArrayList<>(fenced.actions());
-    acts.addAll(change.actions());
-    taking(before.role() == Role.ACTIVE, change.state().role() == Role.ACTIVE, acts);
-    List<RouterState> routers = new ArrayList<>(w.routers);
-    routers.set(i, change.state());
-    List<World> ways = List.of(new World(routers, w.frozen, w.flying, w.left, w.overlapSince));
-    for (MastershipAction act : acts) {
-      if (act instanceof MastershipAction.Advertise advertise) {
+  /**
+   * Checks the fence first, as the service does, then applies the event, then follows each way that
+   * its advertisements can be delivered.
+   */
+  private void addSuccessors(
+      SystemState state,
+      int index,
+      Timestamp now,
+      boolean faulty,
+      List<SystemState> successors,
+      Event event) {
+    RouterState before = state.routers.get(index);
+    Transition fenced = VirtualRouter.fenceIfOverdue(options.get(index), before, now);
+    Transition change = event.apply(options.get(index), fenced.state());
+    List<MastershipAction> actions = new ArrayList<>(fenced.actions());
+    actions.addAll(change.actions());
+    checkTraffic(before.role() == Role.ACTIVE, change.state().role() == Role.ACTIVE, actions);
+    List<RouterState> routers = new ArrayList<>(state.routers);
+    routers.set(index, change.state());
+    List<SystemState> states =
+        List.of(
+            new SystemState(
+                routers, state.pausedUntil, state.inFlight, state.faultsLeft, state.overlapSince));
+    for (MastershipAction action : actions) {
+      if (action instanceof MastershipAction.Advertise advertise) {
         for (int to = 0; to < routers.size(); to++) {
-          if (to != i) {
-            ways = flown(ways, new Flying(i, to, advertise.priority(), now.plus(LATENCY)), faulty);
+          if (to != index) {
+            states =
+                deliveries(
+                    states,
+                    new InFlightAdvertisement(index, to, advertise.priority(), now.plus(LATENCY)),
+                    faulty);
           }
         }
       }
     }
-    ways.forEach(x -> worlds.add(shifted(overlap(x, now), now)));
+    states.forEach(next -> successors.add(relativeTo(withOverlap(next, now), now)));
   }
 
-  /** Traffic is taken by no other than an active one: what acts say must be what its role is. */
-  private static void taking(boolean before, boolean after, List<MastershipAction> acts) {
-    boolean taking = before;
-    for (MastershipAction act : acts) {
-      if (act instanceof MastershipAction.Acquire == taking
-          && !(act instanceof MastershipAction.Advertise)) {
-        throw new AssertionError(acts + " while taking: " + taking);
+  /** Checks that a router serves exactly while it is active, by its actions and its role. */
+  private static void checkTraffic(boolean before, boolean after, List<MastershipAction> actions) {
+    boolean serving = before;
+    for (MastershipAction action : actions) {
+      if (action instanceof MastershipAction.Acquire == serving
+          && !(action instanceof MastershipAction.Advertise)) {
+        throw new AssertionError(actions + " while taking: " + serving);
       }
-      taking =
-          act instanceof MastershipAction.Acquire
-              || taking && !(act instanceof MastershipAction.Release);
+      serving =
+          action instanceof MastershipAction.Acquire
+              || serving && !(action instanceof MastershipAction.Release);
     }
-    if (taking != after) {
-      throw new AssertionError(acts + " lead to taking: " + taking + ", active: " + after);
+    if (serving != after) {
+      throw new AssertionError(actions + " lead to taking: " + serving + ", active: " + after);
     }
   }
 
-  private static List<World> flown(List<World> ways, Flying advert, boolean faulty) {
-    List<World> more = new ArrayList<>();
-    for (World w : ways) {
-      Faults l = w.left;
-      more.add(with(w, l, advert));
-      if (faulty && l.lost > 0) {
-        more.add(with(w, new Faults(l.lost - 1, l.doubled, l.late, l.freezes, l.restarts)));
+  /** Each way that an advertisement can be delivered, from each of these states. */
+  private static List<SystemState> deliveries(
+      List<SystemState> states, InFlightAdvertisement advertisement, boolean faulty) {
+    List<SystemState> more = new ArrayList<>();
+    for (SystemState state : states) {
+      Faults faults = state.faultsLeft;
+      more.add(withInFlight(state, faults, advertisement));
+      if (faulty && faults.lost > 0) {
+        more.add(withInFlight(state, faults.afterLoss()));
       }
-      Flying late = new Flying(advert.from, advert.to, advert.priority, advert.at.plus(LATE));
-      if (faulty && l.doubled > 0) {
-        more.add(
-            with(
-                w, new Faults(l.lost, l.doubled - 1, l.late, l.freezes, l.restarts), advert, late));
+      InFlightAdvertisement late =
+          new InFlightAdvertisement(
+              advertisement.from,
+              advertisement.to,
+              advertisement.priority,
+              advertisement.arrivesAt.plus(LATENESS));
+      if (faulty && faults.doubled > 0) {
+        more.add(withInFlight(state, faults.afterDuplication(), advertisement, late));
       }
-      if (faulty && l.late > 0) {
-        more.add(with(w, new Faults(l.lost, l.doubled, l.late - 1, l.freezes, l.restarts), late));
+      if (faulty && faults.late > 0) {
+        more.add(withInFlight(state, faults.afterDelay(), late));
       }
     }
     return more;
   }
 
-  private static World with(World w, Faults left, Flying... adverts) {
-    List<Flying> flying = new ArrayList<>(w.flying);
-    flying.addAll(List.of(adverts));
-    return new World(w.routers, w.frozen, flying, left, w.overlapSince);
+  private static SystemState withInFlight(
+      SystemState state, Faults faultsLeft, InFlightAdvertisement... advertisements) {
+    List<InFlightAdvertisement> inFlight = new ArrayList<>(state.inFlight);
+    inFlight.addAll(List.of(advertisements));
+    return new SystemState(
+        state.routers, state.pausedUntil, inFlight, faultsLeft, state.overlapSince);
   }
 
-  /** Two that may both take traffic at this moment: for how long by now. */
-  private World overlap(World w, Timestamp now) {
+  /** Sets since when two routers may both serve, and checks for how long they may. */
+  private SystemState withOverlap(SystemState state, Timestamp now) {
     int admitted = 0;
-    for (int i = 0; i < w.routers.size(); i++) {
-      Timestamp fence = VirtualRouter.fenceTime(terms.get(i), w.routers.get(i));
-      // One that stands still takes nothing; when it goes on, its fence or the adverts that wait
-      // for it decide.
-      boolean frozen = now.isBefore(w.frozen.get(i));
-      admitted += fence != null && !fence.isBefore(now) && !frozen ? 1 : 0;
+    for (int i = 0; i < state.routers.size(); i++) {
+      Timestamp fence = VirtualRouter.fenceTime(options.get(i), state.routers.get(i));
+      // A paused router serves nothing; afterwards its fence time or the waiting advertisements
+      // decide.
+      boolean isPaused = now.isBefore(state.pausedUntil.get(i));
+      admitted += fence != null && !fence.isBefore(now) && !isPaused ? 1 : 0;
     }
-    Timestamp since = admitted < 2 ? null : w.overlapSince == null ? now : w.overlapSince;
+    Timestamp since = admitted < 2 ? null : state.overlapSince == null ? now : state.overlapSince;
     if (since != null) {
       longestOverlap = longestOverlap.max(now.since(since));
-      if (fencesHold && now.since(since).compareTo(LATENCY) > 0) {
-        throw new AssertionError("two take traffic for " + now.since(since) + " in " + w);
+      if (requiresNoOverlap && now.since(since).compareTo(LATENCY) > 0) {
+        throw new AssertionError("two take traffic for " + now.since(since) + " in " + state);
       }
     }
-    return new World(w.routers, w.frozen, w.flying, w.left, since);
+    return new SystemState(
+        state.routers, state.pausedUntil, state.inFlight, state.faultsLeft, since);
   }
 
-  /** The same world with now as the moment zero; what is long past is all the same. */
-  private World shifted(World w, Timestamp now) {
+  /** The same state with all times relative to now; times that no longer matter become zero. */
+  private SystemState relativeTo(SystemState state, Timestamp now) {
     TimeSpan past = now.since(ZERO);
     List<RouterState> routers = new ArrayList<>();
-    for (RouterState s : w.routers) {
+    for (RouterState router : state.routers) {
       routers.add(
           new RouterState(
-              s.role(),
+              router.role(),
               ZERO,
-              s.reason(),
-              s.priority(),
-              s.activeInterval(),
-              moved(s.wakeAt(), past, false),
-              moved(s.lastAdvertisedAt(), past, false),
-              moved(s.preemptionAllowedFrom(), past, true)));
+              router.reason(),
+              router.priority(),
+              router.activeInterval(),
+              shift(router.wakeAt(), past, false),
+              shift(router.lastAdvertisedAt(), past, false),
+              shift(router.preemptionAllowedFrom(), past, true)));
     }
-    return new World(
+    return new SystemState(
         routers,
-        w.frozen.stream().map(m -> moved(m, past, true)).toList(),
-        w.flying.stream().map(f -> new Flying(f.from, f.to, f.priority, f.at.minus(past))).toList(),
-        w.left,
-        moved(w.overlapSince, past, false));
+        state.pausedUntil.stream().map(m -> shift(m, past, true)).toList(),
+        state.inFlight.stream()
+            .map(f -> new InFlightAdvertisement(f.from, f.to, f.priority, f.arrivesAt.minus(past)))
+            .toList(),
+        state.faultsLeft,
+        shift(state.overlapSince, past, false));
   }
 
-  private static Timestamp moved(Timestamp moment, TimeSpan by, boolean onlyAhead) {
+  private static Timestamp shift(Timestamp moment, TimeSpan by, boolean onlyAhead) {
     Timestamp to = moment == null ? null : moment.minus(by);
     return to != null && onlyAhead && to.isBefore(ZERO) ? ZERO : to;
   }
 
-  static RouterOptions terms(int priority, boolean preempts) {
+  static RouterOptions routerOptions(int priority, boolean preempts) {
     return new RouterOptions(
         new VirtualRouterId(1, false),
         priority,
@@ -351,8 +427,8 @@
   }
 
   /**
-   * A line of the table in docs/design-mastership.md for each row of arguments: priorities, then
-   * faults.
+   * Prints a row of the table in docs/design-mastership.md for each argument: preemption,
+   * priorities, then faults.
    */
   public static void main(String[] args) {
     System.out.println(
@@ -362,19 +438,19 @@
       String[] parts = arg.split("[:,]");
       boolean preempts = parts[0].equals("preempt");
       int[] faults = new int[5];
-      List<RouterOptions> terms = new ArrayList<>();
+      List<RouterOptions> options = new ArrayList<>();
       for (int i = 1; i < parts.length - 5; i++) {
-        terms.add(terms(Integer.parseInt(parts[i]), preempts));
+        options.add(routerOptions(Integer.parseInt(parts[i]), preempts));
       }
       for (int i = 0; i < 5; i++) {
         faults[i] = Integer.parseInt(parts[parts.length - 5 + i]);
       }
       Faults of = new Faults(faults[0], faults[1], faults[2], faults[3], faults[4]);
-      Exploration exploration = new Exploration(terms, of);
+      Exploration exploration = new Exploration(options, of);
       exploration.run(of);
       System.out.println(
           "| "
-              + terms.stream().map(t -> Integer.toString(t.priority())).toList()
+              + options.stream().map(t -> Integer.toString(t.priority())).toList()
               + " | "
               + preempts
               + " | "
--- a/src/test/java/cobaltseam/mastership/ExplorationTest.java
+++ b/src/test/java/cobaltseam/mastership/ExplorationTest.java
@@ -25,7 +25,7 @@
     "200 100, true, 0, 2, 0, 2, 0",
     "200 150 100, true, 0, 1, 0, 2, 0",
   })
-  void oneIsActiveOnceMessagesFlow(
+  void exactlyOneRouterIsActiveOnceMessagesArrive(
       String priorities,
       boolean preempts,
       int lost,
@@ -33,12 +33,12 @@
       int late,
       int freezes,
       int restarts) {
-    List<RouterOptions> terms =
+    List<RouterOptions> options =
         Arrays.stream(priorities.split(" "))
-            .map(p -> Exploration.terms(Integer.parseInt(p), preempts))
+            .map(p -> Exploration.routerOptions(Integer.parseInt(p), preempts))
             .toList();
     Faults faults = new Faults(lost, doubled, late, freezes, restarts);
-    Exploration exploration = new Exploration(terms, faults);
+    Exploration exploration = new Exploration(options, faults);
     exploration.run(faults);
     assertTrue(exploration.states() > 100, "only " + exploration.states() + " states");
   }
--- a/src/test/java/cobaltseam/postgres/PostgresTest.java
+++ b/src/test/java/cobaltseam/postgres/PostgresProtocolTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The client wire and the statement scanner, on bytes alone. */
-class PostgresTest {
+class PostgresProtocolTest {
   private static final String FIELDS = "/* op=report,call=9b1f03aa5c7e2d41,ttl=1500 */ ";
 
   private static ByteBuffer session(String... queries) {
@@ -29,76 +29,76 @@
     return out.put((byte) 'X').putInt(4).flip();
   }
 
-  /** What the messages say, in short. */
-  private static List<String> told(ClientParser parser, ByteBuffer... pieces) {
-    List<String> told = new ArrayList<>();
+  /** Parses these pieces; each message as its type, a query with its text. */
+  private static List<String> parse(ClientParser parser, ByteBuffer... pieces) {
+    List<String> messages = new ArrayList<>();
     for (ByteBuffer piece : pieces) {
       parser.take(
           piece,
-          m ->
-              told.add(
-                  m instanceof ClientMessage.Query q
-                      ? "Query " + new String(q.text(), StandardCharsets.UTF_8)
-                      : m.getClass().getSimpleName()));
+          message ->
+              messages.add(
+                  message instanceof ClientMessage.Query query
+                      ? "Query " + new String(query.text(), StandardCharsets.UTF_8)
+                      : message.getClass().getSimpleName()));
     }
-    return told;
+    return messages;
   }
 
   @Test
-  void aSessionReadsTheSameWhereverItIsCut() {
+  void aSessionIsParsedWhereverTheBytesAreCut() {
     byte[] all = session("SELECT 'ı'", "").array();
     int length = session("SELECT 'ı'", "").limit();
-    List<String> whole =
+    List<String> expected =
         List.of("EncryptionRequest", "Startup", "Query SELECT 'ı'", "Query ", "Terminate");
     for (int cut = 0; cut <= length; cut++) {
       assertEquals(
-          whole,
-          told(
+          expected,
+          parse(
               new ClientParser(),
               ByteBuffer.wrap(all, 0, cut).slice(),
               ByteBuffer.wrap(all, cut, length - cut).slice()),
           "cut at " + cut);
     }
     ClientParser slow = new ClientParser();
-    List<String> told = new ArrayList<>();
+    List<String> messages = new ArrayList<>();
     for (int i = 0; i < length; i++) {
-      told.addAll(told(slow, ByteBuffer.wrap(all, i, 1)));
+      messages.addAll(parse(slow, ByteBuffer.wrap(all, i, 1)));
     }
-    assertEquals(whole, told);
+    assertEquals(expected, messages);
   }
 
   @Test
   void aCancelRequestNamesItsSession() {
-    List<ClientMessage> told = new ArrayList<>();
+    List<ClientMessage> messages = new ArrayList<>();
     new ClientParser()
         .take(
             ByteBuffer.allocate(16).putInt(16).putInt(80877102).putInt(7).putInt(-9).flip(),
-            told::add);
-    assertEquals(List.of(new ClientMessage.Cancel(7, -9)), told);
+            messages::add);
+    assertEquals(List.of(new ClientMessage.Cancel(7, -9)), messages);
   }
 
   @Test
-  void whatIsNoProtocolIsToldOnceAndNothingIsReadBehindIt() {
+  void aProtocolViolationIsReportedOnceAndEndsParsing() {
     int[][] heads = {{7, 3 << 16}, {10_001, 3 << 16}, {8, 2 << 16}, {8, 80877102}, {-1, 0}};
     for (int[] head : heads) {
       ByteBuffer bad = ByteBuffer.allocate(64).putInt(head[0]).putInt(head[1]);
       assertEquals(
-          List.of("Malformed"), told(new ClientParser(), bad.position(64).flip(), session()));
+          List.of("Malformed"), parse(new ClientParser(), bad.position(64).flip(), session()));
     }
     ByteBuffer started = ByteBuffer.allocate(64).putInt(8).putInt(3 << 16);
     assertEquals(
         List.of("Startup", "Malformed"),
-        told(
+        parse(
             new ClientParser(),
             started.put((byte) 'Q').putInt(ClientParser.MAX_MESSAGE_BYTES + 1).flip()));
     ByteBuffer unended = ByteBuffer.allocate(64).putInt(8).putInt(3 << 16);
     assertEquals(
         List.of("Startup", "Malformed"),
-        told(new ClientParser(), unended.put((byte) 'Q').putInt(5).put((byte) 'x').flip()));
+        parse(new ClientParser(), unended.put((byte) 'Q').putInt(5).put((byte) 'x').flip()));
   }
 
   @Test
-  void garbageNeverThrowsAndEndsTheReading() {
+  void randomBytesNeverThrowAndEndParsing() {
     SplittableRandom random = new SplittableRandom(11);
     for (int i = 0; i < 3000; i++) {
       byte[] bytes = new byte[random.nextInt(1, 200)];
@@ -107,14 +107,14 @@
           i % 2 == 0
               ? ByteBuffer.wrap(bytes)
               : ByteBuffer.allocate(8 + bytes.length).putInt(8).putInt(3 << 16).put(bytes).flip();
-      List<String> told = told(new ClientParser(), in);
-      int malformed = told.indexOf("Malformed");
-      assertTrue(malformed < 0 || malformed == told.size() - 1, told.toString());
+      List<String> messages = parse(new ClientParser(), in);
+      int malformed = messages.indexOf("Malformed");
+      assertTrue(malformed < 0 || malformed == messages.size() - 1, messages.toString());
     }
   }
 
   @Test
-  void rowsAreFramedAsTheProtocolHasThem() {
+  void rowsAreEncodedAsTheProtocolRequires() {
     byte[] row = "a\t\tçö".getBytes(StandardCharsets.UTF_8);
     ByteBuffer out =
         ByteBuffer.wrap(new Replies().row(row, 0, row.length).complete("SELECT 1").bytes());
@@ -131,18 +131,19 @@
   }
 
   @Test
-  void fieldsStandInAnyOrderAndTheStatementStaysAsItCame() throws StatementScanner.Unusable {
+  void fieldsAreParsedInAnyOrderAndTheStatementIsUnchanged() throws StatementScanner.Unusable {
     byte[] text =
         "-- é\n /*x*/ /*  space=96 ,ttl=1500,new=1,org=acme,work=820.5,call=9B1f03aa5c7e2d41,op=report*/\n select 1 -- \u00fc"
             .getBytes(StandardCharsets.UTF_8);
-    Statement s = StatementScanner.scan(text);
-    assertEquals("report", s.profile());
-    assertEquals("9B1f03aa5c7e2d41", s.call());
-    assertEquals(1500, s.timeToLiveMs());
-    assertEquals("acme", s.share());
-    assertEquals(820.5, s.workMs());
-    assertEquals(96, s.memoryMb());
-    assertEquals("-- é\n /*x*/ select 1 -- \u00fc", new String(s.text(), StandardCharsets.UTF_8));
+    Statement statement = StatementScanner.scan(text);
+    assertEquals("report", statement.profile());
+    assertEquals("9B1f03aa5c7e2d41", statement.call());
+    assertEquals(1500, statement.timeToLiveMs());
+    assertEquals("acme", statement.share());
+    assertEquals(820.5, statement.workMs());
+    assertEquals(96, statement.memoryMb());
+    assertEquals(
+        "-- é\n /*x*/ select 1 -- \u00fc", new String(statement.text(), StandardCharsets.UTF_8));
     byte[] odd = (FIELDS + "select '\u0000'").getBytes(StandardCharsets.UTF_8);
     odd[odd.length - 2] = (byte) 0xff;
     assertArrayEquals(
@@ -151,7 +152,7 @@
   }
 
   @Test
-  void statementsWithoutUsableFieldsAreTold() {
+  void statementsWithoutValidFieldsAreRejected() {
     String call = "call=9b1f03aa5c7e2d41";
     for (String bad :
         List.of(
@@ -175,7 +176,7 @@
   }
 
   @Test
-  void theDataSetComesFromTheSchemaThatIsReadOrWritten() throws StatementScanner.Unusable {
+  void theDataSetIsThatOfTheFirstSchemaReadOrWritten() throws StatementScanner.Unusable {
     Object[][] cases = {
       {17, "SELECT day FROM sales_17.orders WHERE tag = '3f9c'"},
       {17, "select x from Sales_17 . orders"},
@@ -202,7 +203,7 @@
   }
 
   @Test
-  void theScannerEndsOnAnyText() {
+  void theScannerTerminatesOnAnyText() {
     SplittableRandom random = new SplittableRandom(5);
     String[] parts = {
       "'", "\"", "$", "$a$", "/*", "*/", "--", "\n", "from", "a_1.", ".", ",", "(", ")", "E'", "\\",
--- a/src/test/java/cobaltseam/resp/RespTest.java
+++ b/src/test/java/cobaltseam/resp/RespProtocolTest.java
@@ -14,8 +14,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The engine wire, on bytes alone. */
-class RespTest {
+/** The engine protocol, on bytes alone. */
+class RespProtocolTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
@@ -34,20 +34,20 @@
   }
 
   @Test
-  void whatIsWrittenIsReadWhereverItIsCut() {
+  void commandsAreParsedWhereverTheBytesAreCut() {
     byte[] all =
         bytes(
             new String(
                     EngineCommands.pull("id1", "report", 40, null, bytes("select '\r\n$3'")),
                     StandardCharsets.UTF_8)
                 + new String(EngineCommands.scroll("id1", 2), StandardCharsets.UTF_8));
-    List<List<String>> whole =
+    List<List<String>> expected =
         List.of(
             List.of("PULL", "id1", "lane=report,ttl=40", "select '\r\n$3'"),
             List.of("SCROLL", "id1", "2"));
     for (int cut = 0; cut <= all.length; cut++) {
       assertEquals(
-          whole,
+          expected,
           read(
               new RespParser(), Arrays.copyOf(all, cut), Arrays.copyOfRange(all, cut, all.length)));
     }
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void whatIsNoAnswerIsToldAndNothingIsKeptForIt() {
+  void invalidBytesAreReportedAndNotBuffered() {
     for (String bad :
         List.of(
             "+OK\r\n",
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void anAnswerIsAskedForItsFields() {
+  void fieldsOfAResponseAreParsed() {
     EngineAnswer array =
         EngineAnswer.of(
             List.of(
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void aResultTakesEachPageOnceAndOnlyWholeRows() {
+  void aResultAcceptsEachPageOnceAndOnlyCompleteRows() {
     Result result = new Result(3);
     assertNull(result.add(2, bytes("e\tf\n")));
     assertNull(result.add(0, bytes("a\tb\nc\td\n")));
--- a/src/test/java/cobaltseam/service/VirtualAddressServiceTest.java
+++ b/src/test/java/cobaltseam/service/VirtualAddressServiceTest.java
@@ -1,18 +1,11 @@
 package cobaltseam.service;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.authentication.KeyRing;
-import cobaltseam.deployment.JsonObjectReader;
-import cobaltseam.dispatch.TimeSpan;
-import cobaltseam.settings.SettingsReader;
 import cobaltseam.standin.AdvertLink.Fault;
-import cobaltseam.standin.BusStandIn;
 import cobaltseam.standin.ClientStandIn;
-import cobaltseam.standin.DispatcherProcess;
-import cobaltseam.standin.EngineStandIn;
 import cobaltseam.standin.HallRig;
 import cobaltseam.standin.HallRig.Plan;
 import cobaltseam.standin.Ledger.End;
@@ -21,9 +14,7 @@
 import cobaltseam.vrrp.AdvertisementAuthenticator;
 import cobaltseam.vrrp.AdvertisementCodec;
 import cobaltseam.vrrp.DecodeResult.ChecksumCoverage;
-import com.fasterxml.jackson.core.JsonFactory;
 import java.io.IOException;
-import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -35,46 +26,46 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two dispatchers of a hall as real processes, with the adverts between them lost, cut and forged.
+ * Two dispatchers that share a virtual address, as real processes, while advertisements between
+ * them are lost, cut and forged.
  */
 class VirtualAddressServiceTest {
-  private static final long SOON_MS = 30_000;
+  private static final long TIMEOUT_MS = 30_000;
 
   @TempDir Path folder;
 
-  private static String shown(HallRig rig, int i, String name) throws Exception {
-    try (ClientStandIn client = new ClientStandIn(rig.owns[i], 5000)) {
+  private static String shown(HallRig rig, int index, String name) throws Exception {
+    try (ClientStandIn client = new ClientStandIn(rig.owns[index], 5000)) {
       return client.show("mastership").getOrDefault(name, "");
     }
   }
 
-  private static String state(HallRig rig, int i) throws Exception {
-    return shown(rig, i, "router_51/ipv4_state");
+  private static String state(HallRig rig, int index) throws Exception {
+    return shown(rig, index, "router_51/ipv4_state");
   }
 
-  private static void awaitShown(HallRig rig, int i, String name, String value) throws Exception {
-    for (long waited = 0; !shown(rig, i, name).equals(value); waited += 20) {
-      assertTrue(waited < SOON_MS, name + " is never " + value + ":\n" + rig.dispatchers[i].log());
+  private static void awaitShown(HallRig rig, int index, String name, String value)
+      throws Exception {
+    for (long waited = 0; !shown(rig, index, name).equals(value); waited += 20) {
+      assertTrue(
+          waited < TIMEOUT_MS, name + " is never " + value + ":\n" + rig.dispatchers[index].log());
       HallRig.sleep(20);
     }
   }
 
-  private static void awaitState(HallRig rig, int i, String state) throws Exception {
-    awaitShown(rig, i, "router_51/ipv4_state", state);
+  private static void awaitState(HallRig rig, int index, String state) throws Exception {
+    awaitShown(rig, index, "router_51/ipv4_state", state);
   }
 
-  /** The other becomes the preferred one, and is followed. */
-  private static void flip(HallRig rig, int to) throws Exception {
+  /** Gives the other dispatcher the higher priority, and waits until it is active. */
+  private static void moveMastership(HallRig rig, int to) throws Exception {
     for (int i = 0; i < 2; i++) {
       rig.dispatchers[i].own(rig.own(i, i == to ? 200 : 50));
       rig.dispatchers[i].signal("HUP");
@@ -82,15 +73,16 @@
     awaitState(rig, to, "active");
   }
 
-  /** All that was taken was answered once; what else clients saw was never taken. */
-  private static void accounted(HallRig rig, Map<String, Long> one, Map<String, Long> other) {
+  /** Checks that each admitted request has one final answer, and no other request has one. */
+  private static void assertAccountedFor(
+      HallRig rig, Map<String, Long> one, Map<String, Long> other) {
     Map<End, Integer> seen = rig.ledger.counts();
-    long taken = one.get("commands_taken") + other.get("commands_taken");
-    long told = 0;
+    long admitted = one.get("commands_taken") + other.get("commands_taken");
+    long answered = 0;
     for (String end : new String[] {"answered", "shed", "failed", "departed"}) {
-      told += one.get("commands_" + end) + other.get("commands_" + end);
+      answered += one.get("commands_" + end) + other.get("commands_" + end);
     }
-    assertEquals(taken, told, "every command taken has one final answer");
+    assertEquals(admitted, answered, "every command taken has one final answer");
     assertEquals(
         (long) seen.get(End.ANSWERED),
         one.get("commands_answered") + other.get("commands_answered"),
@@ -105,23 +97,20 @@
         seen.toString());
     assertEquals(0, seen.get(End.SILENT));
     assertEquals(0, one.get("faults") + other.get("faults"));
-    audited(rig);
+    assertNoRuleBroken(rig);
   }
 
-  private static void audited(HallRig rig) {
+  private static void assertNoRuleBroken(HallRig rig) {
     assertEquals(0, rig.ranTwice(), "no effect twice");
     assertEquals(0, rig.answeredUnrun(), "answered is what an engine ran");
     assertEquals(0, rig.turnedAwayRun(), "nothing is taken by a backup");
     assertEquals(0, rig.shedThoughRun(), "shed only where harmless");
   }
 
-  /**
-   * Adverts are lost; whoever is active, and however often that changes, each command has its one
-   * answer.
-   */
+  /** Whoever is active, and however often that changes, each request has exactly one answer. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.1, 0.3, 0.6})
-  void everyAcceptedCommandIsAccountedForUnderLoss(double loss) throws Exception {
+  void everyAdmittedRequestIsAccountedForUnderLoss(double loss) throws Exception {
     try (HallRig rig = new HallRig(Plan.of(100, 7), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
@@ -130,7 +119,7 @@
       rig.startClients(8, 1, 2500);
       for (int flip = 0; flip < 3; flip++) {
         HallRig.sleep(300);
-        flip(rig, flip % 2 == 0 ? 1 : 0);
+        moveMastership(rig, flip % 2 == 0 ? 1 : 0);
       }
       rig.links[0].fault(Fault.NONE);
       rig.links[1].fault(Fault.NONE);
@@ -138,55 +127,55 @@
       awaitState(rig, 0, "backup");
       rig.stopClients();
       assertTrue(rig.ledger.counts().get(End.ANSWERED) > 100, rig.ledger.counts().toString());
-      accounted(rig, rig.dispatchers[0].end(), rig.dispatchers[1].end());
+      assertAccountedFor(rig, rig.dispatchers[0].end(), rig.dispatchers[1].end());
     }
   }
 
   @Test
-  void aKilledOneIsFollowedAndOneThatEndsHandsOverInItsSkew() throws Exception {
+  void aPeerTakesOverFromAKilledDispatcherAndFromOneThatResigns() throws Exception {
     try (HallRig rig = new HallRig(Plan.of(200, 8), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
       rig.startClients(6, 1, 2500);
-      rig.awaitAnswer(System.nanoTime(), SOON_MS);
+      rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
       rig.dispatchers[0].kill();
       long killed = System.nanoTime();
-      rig.dispatchers[1].await("mastership.taken", 0, SOON_MS);
-      rig.awaitAnswer(killed, SOON_MS);
+      rig.dispatchers[1].await("mastership.taken", 0, TIMEOUT_MS);
+      rig.awaitAnswer(killed, TIMEOUT_MS);
       int from = rig.dispatchers[0].lines();
       rig.dispatchers[0].start();
-      // It comes back and is preferred.
-      rig.dispatchers[0].await("mastership.taken", from, SOON_MS);
-      rig.awaitAnswer(System.nanoTime(), SOON_MS);
+      // After its restart it has the higher priority again.
+      rig.dispatchers[0].await("mastership.taken", from, TIMEOUT_MS);
+      rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
       from = rig.dispatchers[1].lines();
       rig.dispatchers[0].end();
-      rig.dispatchers[1].await("mastership.taken", from, SOON_MS);
-      rig.awaitAnswer(System.nanoTime(), SOON_MS);
+      rig.dispatchers[1].await("mastership.taken", from, TIMEOUT_MS);
+      rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
       rig.stopClients();
-      audited(rig);
+      assertNoRuleBroken(rig);
     }
   }
 
   @Test
-  void oneThatStoodStillStepsBackBeforeItTakesOrSends() throws Exception {
+  void aPausedDispatcherStepsBackBeforeItAdmitsOrForwards() throws Exception {
     try (HallRig rig = new HallRig(Plan.of(100, 9), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
       rig.startClients(6, 1, 2000);
-      rig.awaitAnswer(System.nanoTime(), SOON_MS);
+      rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
       rig.dispatchers[0].signal("STOP");
-      rig.dispatchers[1].await("mastership.taken", 0, SOON_MS);
-      rig.awaitAnswer(System.nanoTime(), SOON_MS);
+      rig.dispatchers[1].await("mastership.taken", 0, TIMEOUT_MS);
+      rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
       int from = rig.dispatchers[0].lines();
       rig.dispatchers[0].signal("CONT");
-      int left = rig.dispatchers[0].await("mastership.left", from, SOON_MS);
+      int left = rig.dispatchers[0].await("mastership.left", from, TIMEOUT_MS);
       assertTrue(
           rig.dispatchers[0].log().lines().toList().get(left - 1).contains("fenced"),
           rig.dispatchers[0].log());
-      // And claims again, as the preferred one.
-      rig.dispatchers[0].await("mastership.taken", left, SOON_MS);
+      // It becomes active again, since its priority is higher.
+      rig.dispatchers[0].await("mastership.taken", left, TIMEOUT_MS);
       rig.stopClients();
-      audited(rig);
+      assertNoRuleBroken(rig);
     }
   }
 
@@ -199,8 +188,8 @@
       rig.links[0].cut(true);
       awaitState(rig, 1, "active");
       HallRig.sleep(200);
-      // The one that hears the other shares the engines with it; the one that hears nothing does
-      // not yet.
+      // The dispatcher that receives the other's advertisements shares the engines with it; the
+      // one that receives none does not yet.
       awaitShown(rig, 0, "engines_shared_over", "2.00");
       rig.links[1].cut(true);
       assertEquals("active", state(rig, 0));
@@ -209,13 +198,13 @@
       awaitState(rig, 1, "backup");
       assertEquals("active", state(rig, 0));
       rig.stopClients();
-      accounted(rig, rig.dispatchers[0].end(), rig.dispatchers[1].end());
+      assertAccountedFor(rig, rig.dispatchers[0].end(), rig.dispatchers[1].end());
     }
   }
 
-  /** Engines that take long and hold little: at the flip some commands are out and some held. */
+  /** Slow engines of small capacity: some requests are in flight and some are queued. */
   @Test
-  void atAFlipWhatIsHeldIsShedAtOnceAndWhatIsOutIsAnswered() throws Exception {
+  void onReleaseQueuedRequestsAreShedAtOnceAndThoseInFlightComplete() throws Exception {
     try (HallRig rig =
         new HallRig(new Plan(1, 2, 800, 100, new int[] {150, 100}, true, "", 12), folder)) {
       rig.start();
@@ -239,13 +228,13 @@
         clients.get(i).start();
       }
       for (long waited = 0; rig.engines.get(0).running() < 2; waited += 5) {
-        assertTrue(waited < SOON_MS);
+        assertTrue(waited < TIMEOUT_MS);
         HallRig.sleep(5);
       }
       HallRig.sleep(50);
-      flip(rig, 1);
+      moveMastership(rig, 1);
       for (Thread client : clients) {
-        client.join(SOON_MS);
+        client.join(TIMEOUT_MS);
       }
       long answered = ends.values().stream().filter(e -> e == End.ANSWERED).count();
       long shed = ends.values().stream().filter(e -> e == End.SHED).count();
@@ -271,30 +260,30 @@
   }
 
   @Test
-  void oneWhoseAddressIsStillHeldLetsAnotherServe() throws Exception {
+  void aDispatcherThatCantBindItsAddressLetsAnotherServe() throws Exception {
     try (HallRig rig = new HallRig(Plan.of(100, 13), folder)) {
       try (ServerSocket holder = new ServerSocket()) {
         holder.bind(rig.serves[0]);
         rig.start();
-        rig.dispatchers[0].await("mastership.bind_failed", 0, SOON_MS);
-        rig.dispatchers[0].await("unable", 0, SOON_MS);
+        rig.dispatchers[0].await("mastership.bind_failed", 0, TIMEOUT_MS);
+        rig.dispatchers[0].await("unable", 0, TIMEOUT_MS);
         awaitState(rig, 1, "active");
-        try (ClientStandIn client = connected(rig.serves[1])) {
+        try (ClientStandIn client = connect(rig.serves[1])) {
           assertEquals(End.ANSWERED, client.command("00000000000000d0", "look", 2000));
         }
       }
-      // The address is free again: the preferred one tries after a while, and serves.
-      rig.dispatchers[0].await("mastership.serves", 0, SOON_MS);
+      // The address is free again: the dispatcher retries after its backoff, and serves.
+      rig.dispatchers[0].await("mastership.serves", 0, TIMEOUT_MS);
       awaitState(rig, 1, "backup");
     }
   }
 
   @Test
-  void forgedReplayedAndGarbledAdvertsMoveNothingAndKeysChangeOneByOne() throws Exception {
+  void forgedReplayedAndInvalidAdvertisementsAreRejectedAndKeysRotate() throws Exception {
     String seal = "[mastership.seal]\nkeys = \"keys\"\nwrite_key = %d\nclock_difference_ms = 400\n";
     Plan plan = new Plan(1, 8, 20, 100, new int[] {150, 100}, true, seal.formatted(1), 14);
     try (HallRig rig = new HallRig(plan, folder)) {
-      // Seals cover the datagram's addresses, so what comes over a link is not what was sealed.
+      // Authentication covers the datagram's addresses, which a link changes.
       for (int i = 0; i < 2; i++) {
         Files.writeString(
             rig.dispatchers[i].folder().toPath().resolve("keys"), "1 " + "ab".repeat(16) + "\n");
@@ -307,71 +296,82 @@
       byte[] plain = AdvertisementCodec.encode(advert, peer, self, ChecksumCoverage.MESSAGE);
       rig.start();
       awaitState(rig, 0, "active");
-      // Sealed by the right key in the peer's name, an advert counts.
+      // An advertisement signed with the right key in the peer's name is accepted.
       rig.links[1].say(AdvertisementAuthenticator.sign(plain, peer, self, keys, 1, now()));
-      rig.dispatchers[0].await("higher_heard", 0, SOON_MS);
+      rig.dispatchers[0].await("higher_heard", 0, TIMEOUT_MS);
       awaitState(rig, 0, "active");
       int from = rig.dispatchers[0].lines();
-      byte[] sealed =
-          AdvertisementAuthenticator.sign(plain, peer, self, keys, 1, now() - 1_500_000);
-      SplittableRandom chance = new SplittableRandom(14);
-      for (int i = 0; i < 2000; i++) {
-        byte[] bytes =
-            switch (i % 4) {
-              case 0 -> plain;
-              case 1 -> sealed;
-              case 2 -> AdvertisementAuthenticator.sign(plain, peer, self, keys, 2, now());
-              default -> {
-                byte[] noise = new byte[chance.nextInt(5000)];
-                chance.nextBytes(noise);
-                yield noise;
-              }
-            };
-        rig.links[1].say(bytes);
-      }
+      byte[] stale = AdvertisementAuthenticator.sign(plain, peer, self, keys, 1, now() - 1_500_000);
+      sendInvalid(rig, plain, stale, keys);
       awaitAbove(rig, "adverts_refused_unsealed", 100);
       awaitAbove(rig, "adverts_refused_stale", 100);
       awaitAbove(rig, "adverts_refused_key_unknown", 100);
       assertEquals("active", state(rig, 0));
       assertTrue(
           rig.dispatchers[0].log().lines().skip(from).noneMatch(l -> l.contains("higher_heard")));
-      // A second key comes in by SIGHUP, then the first one goes.
-      for (String file :
-          new String[] {
-            "1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16), "2 " + "cd".repeat(16)
-          }) {
-        Files.writeString(rig.dispatchers[0].folder().toPath().resolve("keys"), file);
-        rig.dispatchers[0].own(rig.own(0, 150).replace("write_key = 1", "write_key = 2"));
-        int at = rig.dispatchers[0].lines();
-        rig.dispatchers[0].signal("HUP");
-        rig.dispatchers[0].await("configuration.read", at, SOON_MS);
-        at = rig.dispatchers[0].lines();
-        rig.links[1].say(AdvertisementAuthenticator.sign(plain, peer, self, keys, 2, now()));
-        rig.dispatchers[0].await("higher_heard", at, SOON_MS);
-        awaitState(rig, 0, "active");
-      }
-      // And a file of keys that can't be used changes nothing.
+      rotateKeys(rig, plain, keys);
+      // An invalid key file changes nothing.
       Files.writeString(rig.dispatchers[0].folder().toPath().resolve("keys"), "2 short");
       int at = rig.dispatchers[0].lines();
       rig.dispatchers[0].signal("HUP");
-      rig.dispatchers[0].await("configuration.unusable", at, SOON_MS);
+      rig.dispatchers[0].await("configuration.unusable", at, TIMEOUT_MS);
       assertEquals("active", state(rig, 0));
     }
   }
 
+  /** Sends unauthenticated, stale, unknown-key and random datagrams in the peer's name. */
+  private static void sendInvalid(HallRig rig, byte[] plain, byte[] stale, KeyRing keys)
+      throws Exception {
+    InetAddress peer = rig.seenAs(1);
+    InetAddress self = rig.listens(0).getAddress();
+    SplittableRandom random = new SplittableRandom(14);
+    for (int i = 0; i < 2000; i++) {
+      byte[] bytes =
+          switch (i % 4) {
+            case 0 -> plain;
+            case 1 -> stale;
+            case 2 -> AdvertisementAuthenticator.sign(plain, peer, self, keys, 2, now());
+            default -> {
+              byte[] noise = new byte[random.nextInt(5000)];
+              random.nextBytes(noise);
+              yield noise;
+            }
+          };
+      rig.links[1].say(bytes);
+    }
+  }
+
+  /** Adds a second key by SIGHUP, then removes the first one. */
+  private static void rotateKeys(HallRig rig, byte[] plain, KeyRing keys) throws Exception {
+    InetAddress peer = rig.seenAs(1);
+    InetAddress self = rig.listens(0).getAddress();
+    for (String file :
+        new String[] {"1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16), "2 " + "cd".repeat(16)}) {
+      Files.writeString(rig.dispatchers[0].folder().toPath().resolve("keys"), file);
+      rig.dispatchers[0].own(rig.own(0, 150).replace("write_key = 1", "write_key = 2"));
+      int at = rig.dispatchers[0].lines();
+      rig.dispatchers[0].signal("HUP");
+      rig.dispatchers[0].await("configuration.read", at, TIMEOUT_MS);
+      at = rig.dispatchers[0].lines();
+      rig.links[1].say(AdvertisementAuthenticator.sign(plain, peer, self, keys, 2, now()));
+      rig.dispatchers[0].await("higher_heard", at, TIMEOUT_MS);
+      awaitState(rig, 0, "active");
+    }
+  }
+
   private static long now() {
     return ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
   }
 
   private static void awaitAbove(HallRig rig, String name, int least) throws Exception {
     for (long waited = 0; Integer.parseInt("0" + shown(rig, 0, name)) < least; waited += 20) {
-      assertTrue(waited < SOON_MS, name);
+      assertTrue(waited < TIMEOUT_MS, name);
       HallRig.sleep(20);
     }
   }
 
   @Test
-  void aSilentBusCostsPriorityAndNothingFlipsForWhatAllSeeAlike() throws Exception {
+  void aSilentEndpointWatchLowersPriorityWithoutMovingMastership() throws Exception {
     Plan plan =
         new Plan(
             1,
@@ -391,8 +391,8 @@
       rig.start();
       awaitState(rig, 0, "active");
       rig.bus.silent(true);
-      rig.dispatchers[0].await("mastership.fitness", 0, SOON_MS);
-      rig.dispatchers[1].await("mastership.fitness", 0, SOON_MS);
+      rig.dispatchers[0].await("mastership.fitness", 0, TIMEOUT_MS);
+      rig.dispatchers[1].await("mastership.fitness", 0, TIMEOUT_MS);
       awaitShown(rig, 0, "fitness_steps", "50 [bus_silent]");
       rig.bus.silent(false);
       awaitShown(rig, 0, "fitness_steps", "0 []");
@@ -400,90 +400,20 @@
     }
   }
 
-  /** In this process, to break something within: mastership ends, and what is in hand does not. */
-  @Test
-  void aFaultInMastershipEndsItAndNothingElse() throws Exception {
-    try (EngineStandIn engine = new EngineStandIn("127.0.0.1", p -> 600);
-        BusStandIn bus = new BusStandIn("127.0.0.1")) {
-      String known = bus.tell(true, BusStandIn.target(1, engine.address(), "in_service"));
-      ServiceConfiguration told =
-          ServiceConfiguration.of(
-              JsonObjectReader.of(
-                  new JsonFactory()
-                      .createParser(
-                          DispatcherProcess.configuration(
-                              "n0", new InetSocketAddress("127.0.0.1", 0), 0, 1, 8, bus, known))));
-      InetSocketAddress serve;
-      InetSocketAddress adverts;
-      try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName("127.0.78.1"));
-          DatagramSocket udp = new DatagramSocket(new InetSocketAddress("127.0.78.1", 0))) {
-        serve = (InetSocketAddress) probe.getLocalSocketAddress();
-        adverts = (InetSocketAddress) udp.getLocalSocketAddress();
-      }
-      Path file =
-          Files.writeString(
-              folder.resolve("own.toml"),
-              """
-                    [mastership]
-                    listen = "127.0.78.1:%d"
-                    peers = []
-                    router = [{id = 1, interval_ms = 50, addresses = ["192.0.2.10"], serve = "127.0.78.1:%d"}]
-                    """
-                  .formatted(adverts.getPort(), serve.getPort()));
-      AtomicBoolean broken = new AtomicBoolean();
-      DispatcherService service = new DispatcherService(told);
-      service.joins(
-          SettingsReader.read(file).hall(),
-          () -> {
-            if (broken.get()) {
-              throw new IllegalStateException("for the test");
-            }
-            return new VirtualAddressService.HealthReport(TimeSpan.ZERO, 1, 0, 0);
-          });
-      service.open();
-      Thread loop =
-          new Thread(
-              () -> {
-                try {
-                  service.loop();
-                } catch (InterruptedException e) {
-                  Thread.currentThread().interrupt();
-                }
-              });
-      loop.start();
-      try (ClientStandIn client = connected(serve)) {
-        CompletableFuture<End> asked =
-            CompletableFuture.supplyAsync(() -> client.command("00000000000000e0", "look", 2500));
-        while (engine.running() == 0) {
-          HallRig.sleep(5);
-        }
-        broken.set(true);
-        assertEquals(End.ANSWERED, asked.get(SOON_MS, TimeUnit.MILLISECONDS));
-      }
-      try (ClientStandIn client = new ClientStandIn(service.address(), 5000)) {
-        assertEquals("ended by a fault", client.show("mastership").get("mastership"));
-        assertEquals(End.TURNED_AWAY, client.command("00000000000000e2", "look", 2500));
-      }
-      assertThrows(IOException.class, () -> new ClientStandIn(serve, 500));
-      loop.interrupt();
-      loop.join();
-      service.close();
-    }
-  }
-
-  private static ClientStandIn connected(InetSocketAddress to) {
+  /** Connects as soon as something listens at an address. */
+  static ClientStandIn connect(InetSocketAddress to) {
     for (long waited = 0; ; waited += 10) {
       try {
         return new ClientStandIn(to, 8000);
       } catch (IOException e) {
-        assertTrue(waited < SOON_MS, "nothing listens on " + to);
+        assertTrue(waited < TIMEOUT_MS, "nothing listens on " + to);
         HallRig.sleep(10);
       }
     }
   }
 
   @Test
-  void aBackupTakesNothingAndSaysWhenToComeBack() throws Exception {
+  void aBackupRejectsRequestsWithARetryAfterTime() throws Exception {
     try (HallRig rig = new HallRig(Plan.of(100, 11), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
--- a/src/test/java/cobaltseam/settings/SettingsReaderTest.java
+++ b/src/test/java/cobaltseam/settings/SettingsReaderTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Our own file: what it sets, and everything that can be wrong with it. */
+/** Our own settings file: what it sets, and all errors that it can have. */
 class SettingsReaderTest {
-  private static final String WHOLE =
+  private static final String COMPLETE =
       """
             [logging]
             form = "json"
@@ -46,17 +46,17 @@
     return Files.writeString(folder.resolve("cobaltseam.toml"), text);
   }
 
-  private String wrong(String text) throws IOException {
+  private String errorsOf(String text) throws IOException {
     Path file = write(text);
-    String why =
+    String errors =
         assertThrows(InvalidInputException.class, () -> SettingsReader.read(file)).getMessage();
-    for (String line : why.split("\n")) {
+    for (String line : errors.split("\n")) {
       assertTrue(line.startsWith(file.toString()), line);
     }
-    return why;
+    return errors;
   }
 
-  private static final String MEMBER =
+  private static final String MEMBERSHIP =
       """
             [membership]
             fleet = "north"
@@ -64,10 +64,10 @@
             """;
 
   @Test
-  void whatHangsOnMembershipNeedsItAndHasDefaults() throws IOException {
-    Settings setup =
-        SettingsReader.read(write(MEMBER + "[agreement]\n[spread]\nwindow_ms = 500\n"));
-    assertEquals(new TimeSpan(2_000_000), setup.agreed().contradiction());
+  void sectionsOfTheFleetNeedMembershipAndHaveDefaults() throws IOException {
+    Settings settings =
+        SettingsReader.read(write(MEMBERSHIP + "[agreement]\n[spread]\nwindow_ms = 500\n"));
+    assertEquals(new TimeSpan(2_000_000), settings.agreed().contradiction());
     assertEquals(
         new Settings.CapacitySettings(
             false,
@@ -79,73 +79,74 @@
             new TimeSpan(10_000_000),
             new TimeSpan(100_000),
             false),
-        setup.spread());
+        settings.spread());
     assertEquals(
         new Settings.RetryBudgetSettings(0.3, 1, new TimeSpan(10_000_000), new TimeSpan(100_000)),
-        SettingsReader.read(write(MEMBER + "[repeats]\nratio = 0.3\n")).repeats());
-    assertTrue(wrong("[repeats]\n").contains("it needs [membership]"));
+        SettingsReader.read(write(MEMBERSHIP + "[repeats]\nratio = 0.3\n")).repeats());
+    assertTrue(errorsOf("[repeats]\n").contains("it needs [membership]"));
     assertTrue(
-        wrong(MEMBER + "[repeats]\nround_ms = 600\nwindow_ms = 500\n")
+        errorsOf(MEMBERSHIP + "[repeats]\nround_ms = 600\nwindow_ms = 500\n")
             .contains("shorter than repeats.window_ms"));
-    assertTrue(wrong("[spread]\n").contains("it needs [membership]"));
-    assertTrue(wrong("[agreement]\n").contains("it needs [membership]"));
+    assertTrue(errorsOf("[spread]\n").contains("it needs [membership]"));
+    assertTrue(errorsOf("[agreement]\n").contains("it needs [membership]"));
     assertTrue(
-        wrong(MEMBER + "[agreement]\ncontradiction_ms = 500\n[spread]\nlease_ms = 500\n")
+        errorsOf(MEMBERSHIP + "[agreement]\ncontradiction_ms = 500\n[spread]\nlease_ms = 500\n")
             .contains("one of the two"));
     assertTrue(
-        wrong(MEMBER + "[spread]\nround_ms = 5000\nunknown_after_ms = 5000\n")
+        errorsOf(MEMBERSHIP + "[spread]\nround_ms = 5000\nunknown_after_ms = 5000\n")
             .contains("longer than spread.round_ms"));
-    assertTrue(wrong(MEMBER + "[spread]\nalone = 1.5\n").contains("spread.alone"));
+    assertTrue(errorsOf(MEMBERSHIP + "[spread]\nalone = 1.5\n").contains("spread.alone"));
   }
 
   @Test
-  void nothingIsOnInAnEmptyFile() throws IOException {
+  void anEmptyFileTurnsNothingOn() throws IOException {
     assertEquals(Settings.OFF, SettingsReader.read(write("")));
   }
 
   @Test
-  void aWholeFileIsRead() throws IOException {
-    Settings setup = SettingsReader.read(write(WHOLE));
-    assertTrue(setup.jsonLog());
-    assertEquals(ChecksumCoverage.PSEUDO_HEADER, setup.hall().coverage());
-    assertEquals(150, setup.hall().routerOptions().get(0).priority());
+  void aCompleteFileIsRead() throws IOException {
+    Settings settings = SettingsReader.read(write(COMPLETE));
+    assertTrue(settings.jsonLog());
+    assertEquals(ChecksumCoverage.PSEUDO_HEADER, settings.hall().coverage());
+    assertEquals(150, settings.hall().routerOptions().get(0).priority());
     assertEquals(
-        new TimeSpan(250_000), setup.hall().routerOptions().get(0).advertisementInterval());
-    assertTrue(setup.hall().routerOptions().get(0).preempts());
-    assertEquals(2, setup.hall().authentication().writeKey());
-    assertEquals(-1, setup.hall().dispatchersElsewhere());
-    assertEquals(40, setup.hall().healthScore().bounds().get(HealthSignal.LATE).prioritySteps());
-    assertNull(setup.hall().healthScore().bounds().get(HealthSignal.MEMORY));
+        new TimeSpan(250_000), settings.hall().routerOptions().get(0).advertisementInterval());
+    assertTrue(settings.hall().routerOptions().get(0).preempts());
+    assertEquals(2, settings.hall().authentication().writeKey());
+    assertEquals(-1, settings.hall().dispatchersElsewhere());
+    assertEquals(40, settings.hall().healthScore().bounds().get(HealthSignal.LATE).prioritySteps());
+    assertNull(settings.hall().healthScore().bounds().get(HealthSignal.MEMORY));
     assertEquals(
-        100, setup.hall().healthScore().bounds().get(HealthSignal.NO_ENGINE).prioritySteps());
+        100, settings.hall().healthScore().bounds().get(HealthSignal.NO_ENGINE).prioritySteps());
   }
 
   @Test
-  void allThatIsWrongIsToldAtOnce() throws IOException {
-    String why =
-        wrong(
-            WHOLE
+  void allErrorsAreReportedAtOnce() throws IOException {
+    String errors =
+        errorsOf(
+            COMPLETE
                 .replace("priority = 150", "priority = 300")
                 .replace("interval_ms = 250", "interval_ms = 255")
                 .replace("\"json\"", "\"xml\"")
                 .replace("[mastership.seal]", "[mastership.seals]")
                 .replace("serve = \"127.0.0.21:5050\"", ""));
     assertTrue(
-        why.contains(
+        errors.contains(
             "mastership.router[0].priority: 300 stands there; a whole number, from 1 to 255, default 100"),
-        why);
-    assertTrue(why.contains("mastership.router[0].interval_ms: 255 stands there"), why);
-    assertTrue(why.contains("a multiple of 10"), why);
-    assertTrue(why.contains("logging.form: \"xml\" stands there; one of [\"text\",\"json\"]"), why);
-    assertTrue(why.contains("mastership.seals: {"), why);
-    assertTrue(why.contains("mastership.router[0].serve: nothing stands there"), why);
-    assertEquals(5, why.split("\n").length, why);
+        errors);
+    assertTrue(errors.contains("mastership.router[0].interval_ms: 255 stands there"), errors);
+    assertTrue(errors.contains("a multiple of 10"), errors);
+    assertTrue(
+        errors.contains("logging.form: \"xml\" stands there; one of [\"text\",\"json\"]"), errors);
+    assertTrue(errors.contains("mastership.seals: {"), errors);
+    assertTrue(errors.contains("mastership.router[0].serve: nothing stands there"), errors);
+    assertEquals(5, errors.split("\n").length, errors);
   }
 
   @Test
-  void keysAreCheckedAgainstEachOther() throws IOException {
+  void settingsAreCheckedAgainstEachOther() throws IOException {
     String twice =
-        WHOLE.replace(
+        COMPLETE.replace(
             "[mastership.seal]",
             """
                 [[mastership.router]]
@@ -153,36 +154,36 @@
                 addresses = ["2001:db8::1"]
                 serve = "127.0.0.21:5050"
                 [mastership.seal]""");
-    String why =
-        wrong(
+    String errors =
+        errorsOf(
             twice
                 .replace(
                     "\"127.0.0.12:1112\"", "\"127.0.0.11:1\", \"127.0.0.9:1\", \"127.0.0.9:2\"")
                 .replace("write_key = 2", "write_key = 3")
                 .replace("well_below = 0.2", "well_below = 0.9"));
-    assertTrue(why.contains("mastership.peers[0]"), why);
-    assertTrue(why.contains("mastership.peers[2]"), why);
-    assertTrue(why.contains("mastership.router[1].id: 51"), why);
-    assertTrue(why.contains("mastership.router[1].addresses[0]"), why);
-    assertTrue(why.contains("mastership.router[1].serve"), why);
-    assertTrue(why.contains("mastership.seal.write_key: 3"), why);
-    assertTrue(why.contains("mastership.fitness.late.well_below: 0.9"), why);
-    assertEquals(7, why.split("\n").length, why);
+    assertTrue(errors.contains("mastership.peers[0]"), errors);
+    assertTrue(errors.contains("mastership.peers[2]"), errors);
+    assertTrue(errors.contains("mastership.router[1].id: 51"), errors);
+    assertTrue(errors.contains("mastership.router[1].addresses[0]"), errors);
+    assertTrue(errors.contains("mastership.router[1].serve"), errors);
+    assertTrue(errors.contains("mastership.seal.write_key: 3"), errors);
+    assertTrue(errors.contains("mastership.fitness.late.well_below: 0.9"), errors);
+    assertEquals(7, errors.split("\n").length, errors);
   }
 
   @Test
-  void filesThatCantBeReadAreTold() throws IOException {
-    assertTrue(wrong("[mastership\n").contains("it is not TOML"));
-    assertTrue(wrong(WHOLE.replace("\"keys\"", "\"none\"")).contains("mastership.seal.keys"));
+  void filesThatCantBeReadAreReported() throws IOException {
+    assertTrue(errorsOf("[mastership\n").contains("it is not TOML"));
+    assertTrue(errorsOf(COMPLETE.replace("\"keys\"", "\"none\"")).contains("mastership.seal.keys"));
     assertTrue(
-        wrong(WHOLE.replace("127.0.0.21:5050", "0.0.0.0:5050"))
+        errorsOf(COMPLETE.replace("127.0.0.21:5050", "0.0.0.0:5050"))
             .contains("mastership.router[0].serve"));
     assertTrue(
-        wrong(WHOLE.replace("127.0.0.21:5050", "localhost:5050"))
+        errorsOf(COMPLETE.replace("127.0.0.21:5050", "localhost:5050"))
             .contains("mastership.router[0].serve"));
-    Path gone = folder.resolve("gone.toml");
+    Path missing = folder.resolve("gone.toml");
     assertTrue(
-        assertThrows(InvalidInputException.class, () -> SettingsReader.read(gone))
+        assertThrows(InvalidInputException.class, () -> SettingsReader.read(missing))
             .getMessage()
             .contains("can't be read"));
   }
--- a/src/test/java/cobaltseam/store/AtomicFileTest.java
+++ b/src/test/java/cobaltseam/store/AtomicFileTest.java
@@ -21,35 +21,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * What is on disk is the old or the new value whole, whatever ends the process or spoils the bytes.
- */
+/** The file has the old or the new value, however the process ends, and detects changed bytes. */
 class AtomicFileTest {
   private static final byte[] OLD = {1, 2, 3};
 
   @TempDir Path folder;
 
   @Test
-  void everySpoiledByteAndEveryShorterFileIsKnown() throws IOException {
+  void everyChangedByteAndEveryOtherLengthIsDetected() throws IOException {
     try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
       assertEquals(ReadStatus.NOTHING, file.read().found());
       file.write(OLD);
       assertArrayEquals(OLD, file.read().value());
     }
-    byte[] whole = Files.readAllBytes(folder.resolve("value"));
-    for (int i = 0; i < whole.length; i++) {
-      byte[] spoiled = whole.clone();
-      spoiled[i] ^= 0x10;
-      assertEquals(ReadStatus.BROKEN, AtomicFile.decode(spoiled, 1).found(), "byte " + i);
+    byte[] bytes = Files.readAllBytes(folder.resolve("value"));
+    for (int i = 0; i < bytes.length; i++) {
+      byte[] changed = bytes.clone();
+      changed[i] ^= 0x10;
+      assertEquals(ReadStatus.BROKEN, AtomicFile.decode(changed, 1).found(), "byte " + i);
       assertEquals(
-          ReadStatus.BROKEN, AtomicFile.decode(Arrays.copyOf(whole, i), 1).found(), "cut to " + i);
+          ReadStatus.BROKEN, AtomicFile.decode(Arrays.copyOf(bytes, i), 1).found(), "cut to " + i);
     }
     assertEquals(
-        ReadStatus.BROKEN, AtomicFile.decode(Arrays.copyOf(whole, whole.length + 1), 1).found());
+        ReadStatus.BROKEN, AtomicFile.decode(Arrays.copyOf(bytes, bytes.length + 1), 1).found());
   }
 
   @Test
-  void whatIsNotWholeIsSetAsideAndWhatWasBeingWrittenIsDropped() throws IOException {
+  void aCorruptFileIsMovedAsideAndAnUnfinishedWriteIsDropped() throws IOException {
     Files.write(folder.resolve("value"), new byte[] {9});
     Files.write(folder.resolve("value.new"), new byte[] {8});
     try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
@@ -61,7 +59,7 @@
   }
 
   @Test
-  void aLaterProgramsFileIsLeftInPlace() throws IOException {
+  void aFileOfANewerFormatStaysInPlace() throws IOException {
     try (AtomicFile file = AtomicFile.open(folder, "value", 2)) {
       file.write(OLD);
     }
@@ -75,7 +73,7 @@
   }
 
   @Test
-  void oneAtATimeHasTheFolder() throws IOException {
+  void onlyOneProcessLocksTheFolder() throws IOException {
     AtomicFile first = AtomicFile.open(folder, "value", 1);
     assertThrows(IOException.class, () -> AtomicFile.open(folder, "value", 1));
     first.close();
@@ -83,7 +81,7 @@
   }
 
   @Test
-  void theWriterTellsTheNewestItWroteAndWhyItCannot() throws Exception {
+  void theWriterReportsTheNewestValueWrittenAndFailures() throws Exception {
     AtomicLong newest = new AtomicLong();
     CountDownLatch last = new CountDownLatch(1);
     CountDownLatch failed = new CountDownLatch(1);
@@ -109,7 +107,7 @@
     }
   }
 
-  /** Writes ever higher numbers, and says each once it is written. */
+  /** Writes rising numbers, and prints each once it is written. */
   public static final class WriterProcess {
     public static void main(String[] args) throws IOException {
       try (AtomicFile file = AtomicFile.open(Path.of(args[0]), "value", 1)) {
@@ -127,10 +125,11 @@
     }
   }
 
-  /** Kills a writing process so often; the last number that was said, over all of them. */
-  static long kills(Path folder, int times, long seed) throws IOException, InterruptedException {
+  /** Kills a writing process this many times; returns the last number that was acknowledged. */
+  static long killWriters(Path folder, int times, long seed)
+      throws IOException, InterruptedException {
     SplittableRandom chance = new SplittableRandom(seed);
-    long said = 0;
+    long acknowledged = 0;
     for (int kill = 0; kill < times; kill++) {
       Process process =
           new ProcessBuilder(
@@ -148,35 +147,37 @@
         ReadStatus expected = kill == 0 ? ReadStatus.NOTHING : ReadStatus.VALUE;
         assertEquals(expected.name(), out.readLine(), "kill " + kill);
         for (int lines = 1 + chance.nextInt(40); lines > 0; lines--) {
-          said = Long.parseLong(out.readLine());
+          acknowledged = Long.parseLong(out.readLine());
         }
         process.toHandle().destroyForcibly();
         for (String line = out.readLine(); line != null && !line.isEmpty(); line = out.readLine()) {
-          // A line may be cut by the kill: what it says then is less.
-          said = Math.max(said, Long.parseLong(line));
+          // A line may be cut by the kill; its number is lower then.
+          acknowledged = Math.max(acknowledged, Long.parseLong(line));
         }
       }
       process.waitFor();
       try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
         AtomicFile.Reading reading = file.read();
         assertEquals(ReadStatus.VALUE, reading.found(), "kill " + kill);
-        long held = ByteBuffer.wrap(reading.value()).getLong();
-        assertTrue(held == said || held == said + 1, "held " + held + ", said " + said);
-        said = held;
+        long stored = ByteBuffer.wrap(reading.value()).getLong();
+        assertTrue(
+            stored == acknowledged || stored == acknowledged + 1,
+            "held " + stored + ", said " + acknowledged);
+        acknowledged = stored;
       }
     }
-    return said;
+    return acknowledged;
   }
 
   @Test
-  void aProcessKilledWhileItWritesLeavesTheOldOrTheNew() throws Exception {
-    assertTrue(kills(folder, 8, 1) > 0);
+  void aProcessKilledDuringAWriteLeavesTheOldOrTheNewValue() throws Exception {
+    assertTrue(killWriters(folder, 8, 1) > 0);
   }
 
-  /** A figure of docs/measures-membership.md: so many kills. */
+  /** Prints the figure of docs/measures-membership.md for this many kills. */
   public static void main(String[] args) throws Exception {
     Path folder = Files.createTempDirectory("kills");
     System.out.println(
-        args[0] + " kills, last number " + kills(folder, Integer.parseInt(args[0]), 1));
+        args[0] + " kills, last number " + killWriters(folder, Integer.parseInt(args[0]), 1));
   }
 }
--- a/src/test/java/cobaltseam/vrrp/AdvertisementCodecTest.java
+++ b/src/test/java/cobaltseam/vrrp/AdvertisementCodecTest.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Adverts as bytes. The known ones were worked out by hand from RFC 9568, their sums included. */
+/** Advertisements as bytes; the known ones were computed by hand from RFC 9568. */
 class AdvertisementCodecTest {
   private static final InetAddress FROM = ip("192.0.2.1");
   private static final InetAddress TO = ip("224.0.0.18");
@@ -34,12 +34,12 @@
     return HexFormat.of().parseHex(text.replace(" ", ""));
   }
 
-  private static RejectionReason refusal(byte[] bytes) {
+  private static RejectionReason rejectionOf(byte[] bytes) {
     return ((DecodeResult.Rejected) AdvertisementCodec.decode(bytes, FROM, TO)).reason();
   }
 
   @Test
-  void knownIpv4WithEitherChecksum() {
+  void knownIpv4BytesWithEitherChecksum() {
     Advertisement advert = new Advertisement(51, 100, 100, List.of(ip("192.0.2.10")));
     byte[] message = hex("31 33 64 01 00 64 a8 5c c0 00 02 0a");
     byte[] pseudo = hex("31 33 64 01 00 64 05 cc c0 00 02 0a");
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void knownIpv6NeedsThePseudoHeader() {
+  void knownIpv6BytesNeedThePseudoHeader() {
     Advertisement advert = new Advertisement(1, 200, 4095, List.of(ip("fe80::a")));
     byte[] known = hex("31 01 c8 01 0f ff fa 53 fe80 0000 0000 0000 0000 0000 0000 000a");
     assertArrayEquals(
@@ -70,25 +70,27 @@
   }
 
   @Test
-  void eachWrongAdvertHasItsOwnReason() {
-    assertEquals(RejectionReason.TOO_SHORT, refusal(new byte[7]));
-    assertEquals(RejectionReason.VERSION, refusal(hex("21 33 64 01 00 64 a8 5c c0 00 02 0a")));
-    assertEquals(RejectionReason.VERSION, refusal(hex("f1 33 64 01 00 64 a8 5c c0 00 02 0a")));
-    assertEquals(RejectionReason.TYPE, refusal(hex("32 33 64 01 00 64 a8 5c c0 00 02 0a")));
-    assertEquals(RejectionReason.NO_ADDRESS, refusal(hex("31 33 64 00 00 64 6a 68")));
-    assertEquals(RejectionReason.LENGTH, refusal(hex("31 33 64 02 00 64 a8 5b c0 00 02 0a")));
-    assertEquals(RejectionReason.LENGTH, refusal(hex("31 33 64 01 00 64 a8 5c c0 00 02 0a 00 00")));
-    assertEquals(RejectionReason.CHECKSUM, refusal(hex("31 33 64 01 00 64 a8 5d c0 00 02 0a")));
-    assertEquals(RejectionReason.ROUTER_ZERO, refusal(hex("31 00 64 01 00 64 a8 8f c0 00 02 0a")));
+  void eachInvalidAdvertisementHasItsOwnReason() {
+    assertEquals(RejectionReason.TOO_SHORT, rejectionOf(new byte[7]));
+    assertEquals(RejectionReason.VERSION, rejectionOf(hex("21 33 64 01 00 64 a8 5c c0 00 02 0a")));
+    assertEquals(RejectionReason.VERSION, rejectionOf(hex("f1 33 64 01 00 64 a8 5c c0 00 02 0a")));
+    assertEquals(RejectionReason.TYPE, rejectionOf(hex("32 33 64 01 00 64 a8 5c c0 00 02 0a")));
+    assertEquals(RejectionReason.NO_ADDRESS, rejectionOf(hex("31 33 64 00 00 64 6a 68")));
+    assertEquals(RejectionReason.LENGTH, rejectionOf(hex("31 33 64 02 00 64 a8 5b c0 00 02 0a")));
     assertEquals(
-        RejectionReason.INTERVAL_ZERO, refusal(hex("31 33 64 01 00 00 a8 c0 c0 00 02 0a")));
+        RejectionReason.LENGTH, rejectionOf(hex("31 33 64 01 00 64 a8 5c c0 00 02 0a 00 00")));
+    assertEquals(RejectionReason.CHECKSUM, rejectionOf(hex("31 33 64 01 00 64 a8 5d c0 00 02 0a")));
+    assertEquals(
+        RejectionReason.ROUTER_ZERO, rejectionOf(hex("31 00 64 01 00 64 a8 8f c0 00 02 0a")));
+    assertEquals(
+        RejectionReason.INTERVAL_ZERO, rejectionOf(hex("31 33 64 01 00 00 a8 c0 c0 00 02 0a")));
     assertEquals(
         new DecodeResult.Rejected(RejectionReason.FAMILY),
         AdvertisementCodec.decode(hex("31 33 64 01 00 64 a8 5c c0 00 02 0a"), FROM, TO6));
   }
 
   @Test
-  void reservedBitsAreIgnoredAndBoundsHold() {
+  void reservedBitsAreIgnoredAndBoundsAreChecked() {
     DecodeResult.Decoded read =
         (DecodeResult.Decoded)
             AdvertisementCodec.decode(hex("31 33 64 01 f0 64 b8 5b c0 00 02 0a"), FROM, TO);
@@ -112,23 +114,23 @@
   }
 
   /**
-   * Whole adverts with bytes changed, cut and added, and plain noise: never an exception, and all
-   * reasons occur.
+   * Valid advertisements with changed, missing and added bytes, and random bytes: never an
+   * exception, and all reasons occur.
    */
   @Test
-  void anyBytesAreReadOrRefused() {
+  void anyBytesAreDecodedOrRejected() {
     SplittableRandom chance = new SplittableRandom(9568);
-    byte[] whole =
+    byte[] plain =
         AdvertisementCodec.encode(
             new Advertisement(7, 100, 10, List.of(ip("192.0.2.10"), ip("192.0.2.11"))),
             FROM,
             TO,
             ChecksumCoverage.MESSAGE);
-    byte[] sealed = AdvertisementAuthenticator.sign(whole, FROM, TO, KEYS, 2, 42);
+    byte[] signed = AdvertisementAuthenticator.sign(plain, FROM, TO, KEYS, 2, 42);
     Set<RejectionReason> seen = EnumSet.noneOf(RejectionReason.class);
     int read = 0;
     for (int i = 0; i < 1_000_000; i++) {
-      byte[] bytes = Arrays.copyOf(chance.nextBoolean() ? whole : sealed, chance.nextInt(80));
+      byte[] bytes = Arrays.copyOf(chance.nextBoolean() ? plain : signed, chance.nextInt(80));
       for (int changes = chance.nextInt(3); changes > 0 && bytes.length > 0; changes--) {
         bytes[chance.nextInt(Math.min(bytes.length, 10))] ^= (byte) (1 << chance.nextInt(8));
       }
@@ -155,27 +157,27 @@
   }
 
   @Test
-  void aSealHoldsForItsBytesAddressesAndKeysOnly() {
-    byte[] whole =
+  void aTrailerIsValidOnlyForItsBytesAddressesAndKeys() {
+    byte[] plain =
         AdvertisementCodec.encode(
             new Advertisement(7, 100, 10, List.of(FROM)), FROM, TO, ChecksumCoverage.MESSAGE);
-    byte[] sealed = AdvertisementAuthenticator.sign(whole, FROM, TO, KEYS, 2, 42);
-    DecodeResult.Decoded read = (DecodeResult.Decoded) AdvertisementCodec.decode(sealed, FROM, TO);
+    byte[] signed = AdvertisementAuthenticator.sign(plain, FROM, TO, KEYS, 2, 42);
+    DecodeResult.Decoded read = (DecodeResult.Decoded) AdvertisementCodec.decode(signed, FROM, TO);
     assertTrue(read.hasTrailer());
     assertEquals(
         new MessageAuthenticator.Trailer(2, 42),
-        MessageAuthenticator.readTrailer(sealed, read.length()));
-    assertTrue(AdvertisementAuthenticator.verify(sealed, read.length(), FROM, TO, KEYS).isEmpty());
+        MessageAuthenticator.readTrailer(signed, read.length()));
+    assertTrue(AdvertisementAuthenticator.verify(signed, read.length(), FROM, TO, KEYS).isEmpty());
     assertEquals(
         RejectionReason.FORGED,
-        AdvertisementAuthenticator.verify(sealed, read.length(), FROM, FROM, KEYS).orElseThrow());
+        AdvertisementAuthenticator.verify(signed, read.length(), FROM, FROM, KEYS).orElseThrow());
     assertEquals(
         RejectionReason.KEY_UNKNOWN,
         AdvertisementAuthenticator.verify(
-                sealed, read.length(), FROM, TO, KeyRing.read("1 " + "ab".repeat(32)))
+                signed, read.length(), FROM, TO, KeyRing.read("1 " + "ab".repeat(32)))
             .orElseThrow());
-    for (int i = 0; i < sealed.length; i++) {
-      byte[] changed = sealed.clone();
+    for (int i = 0; i < signed.length; i++) {
+      byte[] changed = signed.clone();
       changed[i] ^= 1;
       DecodeResult now = AdvertisementCodec.decode(changed, FROM, TO);
       assertTrue(
@@ -187,7 +189,7 @@
   }
 
   @Test
-  void keyFilesThatCantBeUsedAreRefusedWithoutShowingKeys() {
+  void invalidKeyFilesAreRejectedWithoutShowingKeys() {
     for (String bad :
         List.of(
             "",
@@ -203,7 +205,7 @@
   }
 
   @Test
-  void addressesAreReadAndWrittenWithoutLookups() {
+  void addressesAreParsedAndFormattedWithoutLookups() {
     assertEquals("2001:db8::1", Addresses.text(ip("2001:DB8:0:0:0:0:0:1")));
     assertEquals("2001:db8:0:1:1:1:1:1", Addresses.text(ip("2001:db8:0:1:1:1:1:1")));
     assertEquals("::", Addresses.text(ip("::")));
