--- a/src/test/java/cobaltseam/standin/AdvertLink.java
+++ b/src/test/java/cobaltseam/standin/AdvertLink.java
@@ -25,6 +25,7 @@
   public record Fault(double lost, double doubled, double late, int lateMs) {
     public static final Fault NONE = new Fault(0, 0, 0, 0);
 
+    /** A fault that only loses this part of the adverts. */
     public static Fault loss(double share) {
       return new Fault(share, 0, 0, 0);
     }
@@ -54,14 +55,17 @@
     EngineStandIn.thread(this::run).start();
   }
 
+  /** From now on the link has these faults. */
   public void fault(Fault now) {
     fault = now;
   }
 
+  /** Cuts the link, or restores it. */
   public void cut(boolean now) {
     cut = now;
   }
 
+  /** The number of adverts that were passed on. */
   public long passed() {
     return passed.get();
   }
--- a/src/test/java/cobaltseam/standin/BusStandIn.java
+++ b/src/test/java/cobaltseam/standin/BusStandIn.java
@@ -22,12 +22,14 @@
   private final List<String> events = new ArrayList<>();
   private volatile boolean silent;
 
+  /** Starts an event bus on a free port of this host. */
   public BusStandIn(String host) throws IOException {
     server = new ServerSocket();
     server.bind(new InetSocketAddress(InetAddress.getByName(host), 0), 64);
     EngineStandIn.thread(this::accept).start();
   }
 
+  /** Where it listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getLocalSocketAddress();
   }
--- a/src/test/java/cobaltseam/standin/ClientStandIn.java
+++ b/src/test/java/cobaltseam/standin/ClientStandIn.java
@@ -22,6 +22,7 @@
   private final DataOutputStream out;
   private String lastError = "";
 
+  /** Connects and starts a session; an answer is awaited for at most this many milliseconds. */
   public ClientStandIn(InetSocketAddress to, int waitMs) throws IOException {
     try {
       socket.connect(to, CONNECT_MS);
@@ -42,6 +43,7 @@
     return command(call, profile, ttlMs, 50);
   }
 
+  /** Writes a statement with this estimate of its work, and waits for its outcome. */
   public End command(String call, String profile, int ttlMs, int workMs) {
     try {
       begin(call, profile, ttlMs, workMs);
--- a/src/test/java/cobaltseam/standin/DispatcherProcess.java
+++ b/src/test/java/cobaltseam/standin/DispatcherProcess.java
@@ -144,22 +144,26 @@
     }
   }
 
+  /** The number of lines in the log so far. */
   public int lines() {
     synchronized (log) {
       return log.size();
     }
   }
 
+  /** The log so far. */
   public String log() {
     synchronized (log) {
       return String.join("\n", log);
     }
   }
 
+  /** Whether the process runs. */
   public boolean isAlive() {
     return process != null && process.isAlive();
   }
 
+  /** Kills the process, and waits until it has ended. */
   public void kill() throws InterruptedException {
     process.destroyForcibly().waitFor();
   }
@@ -191,6 +195,7 @@
     return counters;
   }
 
+  /** Sends a signal to the process, for instance HUP. */
   public void signal(String name) throws IOException, InterruptedException {
     if (new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor()
         != 0) {
@@ -213,6 +218,7 @@
     Files.writeString(own, text);
   }
 
+  /** The folder that holds the files of the process. */
   public File folder() {
     return folder.toFile();
   }
--- a/src/test/java/cobaltseam/standin/EngineStandIn.java
+++ b/src/test/java/cobaltseam/standin/EngineStandIn.java
@@ -60,10 +60,12 @@
     return thread;
   }
 
+  /** Where it listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getLocalSocketAddress();
   }
 
+  /** The executions of each request, by call id. */
   public Map<String, Ran> ledger() {
     return ledger;
   }
@@ -78,6 +80,7 @@
     failing = now;
   }
 
+  /** The number of requests that run now. */
   public int running() {
     return running.get();
   }
--- a/src/test/java/cobaltseam/standin/FlipRun.java
+++ b/src/test/java/cobaltseam/standin/FlipRun.java
@@ -20,6 +20,7 @@
 public final class FlipRun {
   private FlipRun() {}
 
+  /** Runs one measurement and prints its table. */
   public static void main(String[] args) throws Exception {
     switch (args.length == 0 ? "" : args[0]) {
       case "flips" -> flips(Integer.parseInt(args[1]), Integer.parseInt(args[2]));
@@ -35,16 +36,16 @@
     }
   }
 
-  private static String state(HallRig rig, int i) throws IOException {
-    try (ClientStandIn client = new ClientStandIn(rig.owns[i], 5000)) {
+  private static String state(HallRig rig, int index) throws IOException {
+    try (ClientStandIn client = new ClientStandIn(rig.owns[index], 5000)) {
       return client.show("mastership").get("router_51/ipv4_state");
     }
   }
 
-  private static void awaitState(HallRig rig, int i, String state) throws IOException {
-    for (long waited = 0; !state(rig, i).equals(state); waited += 5) {
+  private static void awaitState(HallRig rig, int index, String state) throws IOException {
+    for (long waited = 0; !state(rig, index).equals(state); waited += 5) {
       if (waited > 60_000) {
-        throw new AssertionError("never " + state + ":\n" + rig.dispatchers[i].log());
+        throw new AssertionError("never " + state + ":\n" + rig.dispatchers[index].log());
       }
       HallRig.sleep(5);
     }
@@ -126,10 +127,10 @@
     }
   }
 
-  private static void restart(HallRig rig, int i) throws IOException, InterruptedException {
-    int from = rig.dispatchers[i].lines();
-    rig.dispatchers[i].start();
-    rig.dispatchers[i].await("service.started", from, 30_000);
+  private static void restart(HallRig rig, int index) throws IOException, InterruptedException {
+    int from = rig.dispatchers[index].lines();
+    rig.dispatchers[index].start();
+    rig.dispatchers[index].await("service.started", from, 30_000);
   }
 
   private static long unaccounted(Map<String, Long> counters) {
--- a/src/test/java/cobaltseam/standin/HallRig.java
+++ b/src/test/java/cobaltseam/standin/HallRig.java
@@ -30,6 +30,7 @@
       boolean preempts,
       String more,
       long seed) {
+    /** A small rig with these advert intervals, in milliseconds. */
     public static Plan of(int intervalMs, long seed) {
       return new Plan(2, 8, 20, intervalMs, new int[] {150, 100}, true, "", seed);
     }
@@ -64,6 +65,7 @@
 
   private final List<Thread> clients = new ArrayList<>();
 
+  /** Starts all parts but the dispatchers, whose files go into this folder. */
   public HallRig(Plan plan, Path folder) throws IOException {
     this.plan = plan;
     bus = new BusStandIn("127.0.0.1");
@@ -114,7 +116,7 @@
   }
 
   /** Our own settings file of one dispatcher. */
-  public String own(int i, int priority) {
+  public String own(int index, int priority) {
     return """
                 [logging]
                 form = "json"
@@ -132,15 +134,16 @@
                 %s
                 """
         .formatted(
-            text(listens[i]),
-            text(seen[1 - i]),
+            text(listens[index]),
+            text(seen[1 - index]),
             priority,
             plan.intervalMs,
             plan.preempts,
-            text(serves[i]),
+            text(serves[index]),
             plan.more);
   }
 
+  /** Starts both dispatchers, and returns when they serve. */
   public void start() throws IOException, InterruptedException {
     for (DispatcherProcess d : dispatchers) {
       d.start();
@@ -150,13 +153,14 @@
     }
   }
 
-  public InetSocketAddress listens(int i) {
-    return listens[i];
+  /** The address on which a dispatcher receives adverts. */
+  public InetSocketAddress listens(int index) {
+    return listens[index];
   }
 
   /** The address from which the other dispatcher receives adverts of dispatcher i. */
-  public InetAddress seenAs(int i) {
-    return seen[i].getAddress();
+  public InetAddress seenAs(int index) {
+    return seen[index].getAddress();
   }
 
   // ---- clients
@@ -221,6 +225,7 @@
     }
   }
 
+  /** Sleeps; an interrupt ends the sleep and stays set. */
   public static void sleep(long ms) {
     try {
       Thread.sleep(ms);
@@ -229,6 +234,7 @@
     }
   }
 
+  /** Stops the clients, and waits until each has its last outcome. */
   public void stopClients() throws InterruptedException {
     going.set(false);
     for (Thread client : clients) {
--- a/src/test/java/cobaltseam/standin/Ledger.java
+++ b/src/test/java/cobaltseam/standin/Ledger.java
@@ -33,10 +33,12 @@
     }
   }
 
+  /** The outcomes by call id. */
   public Map<String, Entry> entries() {
     return entries;
   }
 
+  /** The number of requests with each outcome. */
   public Map<End, Integer> counts() {
     Map<End, Integer> counts = new EnumMap<>(End.class);
     for (End end : End.values()) {
