--- a/src/main/java/cobaltseam/service/RequestTable.java
+++ b/src/main/java/cobaltseam/service/RequestTable.java
@@ -402,8 +402,8 @@
                 request.id, number, placement.engine(), request.statement, clock.now());
   }
 
-  private void recordFault(RuntimeException e) {
+  private void recordFault(RuntimeException fault) {
     counters.add(Count.FAULTS);
-    LOG.log(Level.ERROR, "a fault in a decision", e);
+    LOG.log(Level.ERROR, "a fault in a decision", fault);
   }
 }
