--- a/src/main/java/cobaltseam/sharing/GossipOptions.java
+++ b/src/main/java/cobaltseam/sharing/GossipOptions.java
@@ -3,9 +3,14 @@
 import cobaltseam.dispatch.TimeSpan;
 
 /**
- * How knowledge is spread: between two rounds of one member, how many it asks in one, how old a
- * figure may be before it is unknown, the bytes of one message, and by how much clocks' rates may
- * differ (0.001 is one part in a thousand).
+ * The options of gossip.
+ *
+ * @param round the time between two rounds of requests
+ * @param requestsPerRound how many members are asked in one round
+ * @param maxAge the age at which a figure is unknown
+ * @param maxMessageBytes about how many bytes one message may have; at least 512
+ * @param maxClockRateRatio the largest difference between the rates of two clocks; 0.001 is one
+ *     part in a thousand
  */
 public record GossipOptions(
     TimeSpan round,
--- a/src/main/java/cobaltseam/sharing/KnownFigures.java
+++ b/src/main/java/cobaltseam/sharing/KnownFigures.java
@@ -2,5 +2,10 @@
 
 import cobaltseam.dispatch.TimeSpan;
 
-/** What is known of a member now: its figures, and how old they are at the most. */
+/**
+ * What is known of a member now.
+ *
+ * @param version the version under which the member stated the figures
+ * @param age the largest age that they can have
+ */
 public record KnownFigures(Version version, MemberFigures figures, TimeSpan age) {}
--- a/src/main/java/cobaltseam/sharing/MemberFigures.java
+++ b/src/main/java/cobaltseam/sharing/MemberFigures.java
@@ -4,13 +4,14 @@
 import java.util.TreeMap;
 
 /**
- * What one member says of itself, by name of figure. A figure that is not there is unknown, never
- * zero. Names that this build does not know are passed on as they came.
+ * The figures that one member states of itself, by name. A missing figure is unknown, not zero.
+ * Figures of unknown names are passed on unchanged.
  */
 public record MemberFigures(Map<String, Long> byName) {
-  /** No member says more than this many figures: what a peer makes others hold is bounded. */
+  /** The largest number of figures: bounds the memory that a peer can make others use. */
   public static final int MAX_FIGURES = 256;
 
+  /** The longest name of a figure, in characters. */
   public static final int MAX_NAME_LENGTH = 64;
 
   public MemberFigures {
--- a/src/main/java/cobaltseam/sharing/SharingMessage.java
+++ b/src/main/java/cobaltseam/sharing/SharingMessage.java
@@ -6,11 +6,12 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** What members tell each other of what they know. Only what was asked for is believed. */
+/** The messages of gossip. A reply counts only if it was requested. */
 public sealed interface SharingMessage {
+  /** The sender. */
   MemberName from();
 
-  /** Which statement of a member the one that asks has, and how old it is there at the most. */
+  /** The version that the requester knows of a member, and the largest age that it can have. */
   record KnownVersion(Version version, TimeSpan age) {
     public KnownVersion {
       Objects.requireNonNull(version);
@@ -19,8 +20,8 @@
   }
 
   /**
-   * Asks for all that is newer than this, or the same and younger; of whom nothing is said, nothing
-   * is known.
+   * Requests all statements that are newer than the known ones, or the same and younger. Of members
+   * that are not listed nothing is known.
    */
   record UpdateRequest(MemberName from, long id, Map<MemberName, KnownVersion> known)
       implements SharingMessage {
@@ -31,8 +32,8 @@
   }
 
   /**
-   * The member stood by this statement no longer ago than that: the figures are those that the one
-   * that asked has.
+   * Confirms a version that the requester knows: its member confirmed it no longer ago than the
+   * age.
    */
   record Reaffirmation(MemberName member, Version version, TimeSpan age) {
     public Reaffirmation {
@@ -42,7 +43,7 @@
     }
   }
 
-  /** The answer to one ask, in one or several parts. */
+  /** The reply to one request, in one or several parts. */
   record UpdateReply(
       MemberName from, long id, List<Statement> statements, List<Reaffirmation> standing)
       implements SharingMessage {
--- a/src/main/java/cobaltseam/sharing/SharingPeerMessage.java
+++ b/src/main/java/cobaltseam/sharing/SharingPeerMessage.java
@@ -4,17 +4,19 @@
 import cobaltseam.membership.PeerMessage;
 import java.util.Objects;
 
-/** What members tell each other of what they know, with who speaks, as every message has it. */
+/** A message of gossip with the header that every message between members has. */
 public sealed interface SharingPeerMessage extends PeerMessage {
+  /** The message of gossip. */
   SharingMessage body();
 
+  /** Adds a header to a message of gossip. */
   static SharingPeerMessage of(MessageHeader from, SharingMessage told) {
     return told instanceof SharingMessage.UpdateRequest ask
         ? new SharingRequest(from, ask)
         : new SharingReply(from, (SharingMessage.UpdateReply) told);
   }
 
-  /** An ask. */
+  /** A request. */
   record SharingRequest(MessageHeader from, SharingMessage.UpdateRequest body)
       implements SharingPeerMessage {
     public SharingRequest {
@@ -23,7 +25,7 @@
     }
   }
 
-  /** What answers one. */
+  /** A reply to a request. */
   record SharingReply(MessageHeader from, SharingMessage.UpdateReply body)
       implements SharingPeerMessage {
     public SharingReply {
--- a/src/main/java/cobaltseam/sharing/Statement.java
+++ b/src/main/java/cobaltseam/sharing/Statement.java
@@ -4,7 +4,11 @@
 import cobaltseam.membership.MemberName;
 import java.util.Objects;
 
-/** What a member said of itself, and how long ago at least that was when this left its teller. */
+/**
+ * The figures that a member stated of itself.
+ *
+ * @param age the largest age that they could have when the sender sent this
+ */
 public record Statement(MemberName member, Version version, MemberFigures figures, TimeSpan age) {
   public Statement {
     Objects.requireNonNull(member);
--- a/src/main/java/cobaltseam/sharing/Version.java
+++ b/src/main/java/cobaltseam/sharing/Version.java
@@ -4,8 +4,8 @@
 import java.util.Objects;
 
 /**
- * Which statement of a member: of a later birth is newer, and within one birth that of the higher
- * number.
+ * The version of a member's statement: that of a later incarnation is newer, and within one
+ * incarnation that of the higher number.
  */
 public record Version(Incarnation incarnation, long number) implements Comparable<Version> {
   public Version {
--- a/src/main/java/cobaltseam/transport/AdvertDatagramSocket.java
+++ b/src/main/java/cobaltseam/transport/AdvertDatagramSocket.java
@@ -11,28 +11,26 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The UDP socket of adverts. A thread of its own reads it and hands over what comes from peers, no
- * more of each at once than a bound: whoever floods it takes the others' turn neither here nor at
- * the thread that owns the state.
+ * The UDP socket of mastership adverts. A thread of its own reads it and hands over the datagrams
+ * of peers, no more of each at once than a bound: a peer that floods it delays the others neither
+ * here nor at the thread that owns the state.
  */
 public final class AdvertDatagramSocket {
-  /**
-   * Who hears of a datagram, on the reading thread; it calls {@link #heard} once it is through with
-   * it.
-   */
+  /** Gets each datagram on the reading thread; it calls {@link #heard} once it is done with it. */
   public interface Receiver {
+    /** Gets a datagram, which belongs to the receiver from then on. */
     void receive(byte[] bytes, InetAddress source);
   }
 
   /**
-   * The longest advert with its seal has 4,132 bytes: what is longer comes cut, and is refused for
-   * its length.
+   * The longest advert with its authentication has 4,132 bytes: a longer datagram arrives cut, and
+   * is rejected for its length.
    */
   private static final int MAX_ADVERT_BYTES = 4200;
 
   /**
-   * Bytes of all peers that may wait to be heard, each its even part and at least two datagrams,
-   * with what keeps one.
+   * Bytes of all peers that may wait to be read, with the overhead of each datagram: each peer has
+   * an even part, and at least two datagrams.
    */
   private static final int MAX_UNREAD_BYTES = 1 << 20;
 
@@ -46,13 +44,17 @@
   private volatile Map<InetAddress, AtomicInteger> unreadBytes = Map.of();
   private volatile int maxUnreadBytesPerPeer;
 
+  /**
+   * @param at the address to bind
+   * @param peers the addresses whose datagrams are handed over
+   */
   public AdvertDatagramSocket(InetSocketAddress at, Set<InetAddress> peers, Receiver receiver) {
     datagrams = new DatagramEndpoint(at, MAX_ADVERT_BYTES, this::receive);
     this.receiver = receiver;
     peers(peers);
   }
 
-  /** From now on only what comes from these addresses is handed over. */
+  /** From now on only datagrams from these addresses are handed over. */
   public void peers(Set<InetAddress> peers) {
     Map<InetAddress, AtomicInteger> next = new ConcurrentHashMap<>();
     peers.forEach(p -> next.put(p, unreadBytes.getOrDefault(p, new AtomicInteger())));
@@ -86,7 +88,7 @@
     }
   }
 
-  /** A datagram of this peer has been heard: others may wait in its place. */
+  /** Frees the space of a datagram of this peer, so that others may wait in its place. */
   public void heard(byte[] bytes, InetAddress source) {
     AtomicInteger waiting = unreadBytes.get(source);
     if (waiting != null) {
@@ -94,22 +96,26 @@
     }
   }
 
-  /** Datagrams from others than peers since this was last asked. */
+  /** The number of datagrams from other addresses since the last call. */
   public long strangers() {
     return unknownSources.getAndSet(0);
   }
 
-  /** Datagrams beyond the bound since this was last asked. */
+  /** The number of datagrams dropped beyond the bound since the last call. */
   public long tooMany() {
     return dropped.getAndSet(0);
   }
 
-  /** Sends one; it never waits. */
+  /**
+   * Sends a datagram; it never waits.
+   *
+   * @throws IOException if the system rejects it
+   */
   public void send(byte[] bytes, InetSocketAddress to) throws IOException {
     datagrams.send(bytes, to);
   }
 
-  /** Closes it; nothing is handed over from then on. */
+  /** Closes the socket; nothing is handed over from then on. */
   public void close() {
     datagrams.close();
   }
--- a/src/main/java/cobaltseam/transport/DatagramEndpoint.java
+++ b/src/main/java/cobaltseam/transport/DatagramEndpoint.java
@@ -9,9 +9,9 @@
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
 
-/** A UDP socket that a thread of its own reads; what it keeps is one buffer. */
+/** A UDP socket that a thread of its own reads into one buffer. */
 final class DatagramEndpoint {
-  /** Hears of each datagram, on the reading thread; the buffer is good for the call alone. */
+  /** Gets each datagram on the reading thread; the buffer is valid during the call alone. */
   interface Receiver {
     void receive(ByteBuffer bytes, InetSocketAddress from);
   }
@@ -23,7 +23,7 @@
   private Selector selector;
 
   /**
-   * @param maxDatagramBytes what is longer comes cut
+   * @param maxDatagramBytes a longer datagram arrives cut
    */
   DatagramEndpoint(InetSocketAddress address, int maxDatagramBytes, Receiver receiver) {
     this.address = address;
@@ -63,7 +63,9 @@
       } catch (ClosedSelectorException e) {
         return;
       } catch (IOException e) {
-        // An error that a datagram of ours brought back; the socket stays.
+        // An error of an earlier datagram that was sent, such as an unreachable port: the socket
+        // stays
+        // open.
         continue;
       }
     }
@@ -74,12 +76,12 @@
     return channel.isOpen() ? (InetSocketAddress) channel.receive(buffer) : null;
   }
 
-  /** Sends one; it never waits. */
+  /** Sends a datagram; it never waits. */
   void send(byte[] bytes, InetSocketAddress to) throws IOException {
     channel.send(ByteBuffer.wrap(bytes), to);
   }
 
-  /** Closes it; nothing is handed over from then on. */
+  /** Closes the socket; nothing is handed over from then on. */
   void close() {
     try {
       if (channel != null) {
@@ -87,7 +89,7 @@
       }
       selector.close();
     } catch (IOException e) {
-      // Nothing of it is left to be used.
+      // It is not used any more, so there is nothing to repair.
       channel = null;
     }
   }
--- a/src/main/java/cobaltseam/transport/MessageCodec.java
+++ b/src/main/java/cobaltseam/transport/MessageCodec.java
@@ -30,10 +30,10 @@
 import java.util.function.Function;
 
 /**
- * What members tell each other, as bytes: CBOR (RFC 8949) of a version, the fleet's name, the kind
- * of message and its fields by name, and a {@link MessageAuthenticator} behind it where there are
- * keys. Fields that are not known are passed over, so that a later program may add some; a kind
- * that is not known is refused and changes nothing.
+ * The codec of messages between members: CBOR (RFC 8949) of a version, the fleet's name, the kind
+ * of message and its fields by name, followed by a trailer of {@link MessageAuthenticator} if there
+ * are keys. Unknown fields are ignored, so that a later program may add some; a message of unknown
+ * kind is rejected.
  */
 public final class MessageCodec {
   /** A longer message is neither written nor read. */
@@ -41,7 +41,7 @@
 
   private static final int VERSION = 1;
 
-  /** Why bytes are not taken for a message that counts. */
+  /** Why a datagram is rejected. */
   public enum RejectionReason {
     TOO_LONG,
     UNSEALED,
@@ -52,12 +52,13 @@
     OTHER_FLEET,
     KIND;
 
+    /** The word for it in logs and in SHOW. */
     public String label() {
       return name().toLowerCase(java.util.Locale.ROOT);
     }
   }
 
-  /** What bytes came to: a message, or why none counts. */
+  /** The result of decoding: a message, or why the bytes are rejected. One of the two is null. */
   public record DecodedMessage(PeerMessage message, RejectionReason rejection) {}
 
   private final ObjectMapper mapper;
@@ -68,7 +69,8 @@
   private long sequence;
 
   /**
-   * @param keys the keys of seals, or null where messages have none
+   * @param keys the keys of authentication, or null if messages are not authenticated
+   * @param writeKey the id of the key to sign with
    */
   public MessageCodec(String fleet, KeyRing keys, int writeKey) {
     this.fleet = fleet;
@@ -91,7 +93,7 @@
         .build();
   }
 
-  /** Names, births and addresses as one item each. */
+  /** Names, incarnations and addresses as one item each. */
   private static SimpleModule scalarTypes() {
     SimpleModule module = new SimpleModule();
     module.addKeyDeserializer(
@@ -175,7 +177,7 @@
     return bytes.length > MAX_MESSAGE_BYTES ? null : bytes;
   }
 
-  /** Reads a datagram; whatever it holds, it throws nothing. */
+  /** Decodes a datagram; whatever it contains, this throws nothing. */
   public DecodedMessage read(byte[] bytes) {
     if (bytes.length > MAX_MESSAGE_BYTES) {
       return rejected(RejectionReason.TOO_LONG);
@@ -217,7 +219,7 @@
           ? rejected(RejectionReason.MALFORMED)
           : new DecodedMessage(message, null);
     } catch (IOException | RuntimeException e) {
-      // A library's own faults on hostile bytes are the bytes' fault: nothing of them is kept.
+      // The parser may throw anything on hostile bytes; they are malformed then.
       return rejected(RejectionReason.MALFORMED);
     }
   }
--- a/src/main/java/cobaltseam/transport/PeerDatagramSocket.java
+++ b/src/main/java/cobaltseam/transport/PeerDatagramSocket.java
@@ -8,11 +8,11 @@
 import java.util.function.Consumer;
 
 /**
- * The UDP socket of messages between members. Who they are is not known beforehand, so what waits
- * to be heard is bounded for all together; seals are checked by whoever hears it.
+ * The UDP socket of messages between members. Its peers are not known beforehand, so the datagrams
+ * that wait to be read are bounded for all peers together; the receiver authenticates them.
  */
 public final class PeerDatagramSocket {
-  /** Bytes that may wait to be heard, each datagram with what keeps it. */
+  /** Bytes that may wait to be read, with the overhead of each datagram. */
   private static final int MAX_UNREAD_BYTES = 1 << 20;
 
   private static final int OVERHEAD_BYTES = 128;
@@ -24,11 +24,11 @@
   private final AtomicLong dropped = new AtomicLong();
 
   /**
-   * @param receiver hears of each datagram, on the reading thread; {@link #release} once it is
+   * @param receiver gets each datagram on the reading thread, and calls {@link #release} once it is
    *     through with it
    */
   public PeerDatagramSocket(InetSocketAddress at, Consumer<byte[]> receiver) {
-    // One byte more than is taken: what is longer is seen to be.
+    // One byte more than the largest message, so that a longer datagram is seen to be longer.
     datagrams = new DatagramEndpoint(at, MessageCodec.MAX_MESSAGE_BYTES + 1, this::receive);
     this.receiver = receiver;
   }
@@ -52,22 +52,26 @@
     receiver.accept(bytes);
   }
 
-  /** A datagram has been heard: others may wait in its place. */
+  /** Frees the space of a datagram, so that others may wait in its place. */
   public void release(byte[] bytes) {
     unreadBytes.addAndGet(-bytes.length - OVERHEAD_BYTES);
   }
 
-  /** Datagrams beyond the bound since this was last asked. */
+  /** The number of datagrams dropped beyond the bound since the last call. */
   public long takeDroppedCount() {
     return dropped.getAndSet(0);
   }
 
-  /** Sends one; it never waits. */
+  /**
+   * Sends a datagram; it never waits.
+   *
+   * @throws IOException if the system rejects it
+   */
   public void send(byte[] bytes, InetSocketAddress to) throws IOException {
     datagrams.send(bytes, to);
   }
 
-  /** Closes it; nothing is handed over from then on. */
+  /** Closes the socket; nothing is handed over from then on. */
   public void close() {
     datagrams.close();
   }
--- a/src/main/java/cobaltseam/transport/PersistentStateCodec.java
+++ b/src/main/java/cobaltseam/transport/PersistentStateCodec.java
@@ -7,17 +7,20 @@
 import java.util.Optional;
 
 /**
- * What a member keeps in its folder, as CBOR (RFC 8949); fields that are not known are passed over.
+ * The codec of what a member persists in its folder: CBOR (RFC 8949); unknown fields are ignored.
  */
 public final class PersistentStateCodec {
-  /** Of the folder's file. */
+  /** The name of the file in the folder. */
   public static final String FILE_NAME = "seat";
 
+  /** The version of the format. */
   public static final int FORMAT = 1;
+
   private static final ObjectMapper MAPPER = MessageCodec.mapper();
 
   private PersistentStateCodec() {}
 
+  /** The bytes of a state. */
   public static byte[] write(PersistentState kept) {
     try {
       return MAPPER.writeValueAsBytes(kept);
@@ -26,7 +29,7 @@
     }
   }
 
-  /** Nothing, if the bytes are whole but not of this kind. */
+  /** Decodes a state; empty if the bytes are not one. */
   public static Optional<PersistentState> read(byte[] bytes) {
     try {
       return Optional.ofNullable(MAPPER.readValue(bytes, PersistentState.class));
