--- a/src/test/java/cobaltseam/retrybudget/RetryBudgetTest.java
+++ b/src/test/java/cobaltseam/retrybudget/RetryBudgetTest.java
@@ -59,7 +59,8 @@
   private static class Spender {
     final AtomicLong left = new AtomicLong();
     final RetryBudget purse;
-    long firsts, wanted;
+    long firsts;
+    long wanted;
 
     Spender(RetryBudgetOptions terms, long seed) {
       purse =
--- a/src/test/java/cobaltseam/sharing/StateGossipTest.java
+++ b/src/test/java/cobaltseam/sharing/StateGossipTest.java
@@ -80,7 +80,8 @@
   private SplittableRandom random = new SplittableRandom(1);
   private long now = 1_000_000;
   private int order;
-  private double loss, doubled;
+  private double loss;
+  private double doubled;
   private long longest = 2_000;
 
   private static MemberName name(int index) {
