--- a/src/test/java/cobaltseam/mastership/AdvertisementFilterTest.java
+++ b/src/test/java/cobaltseam/mastership/AdvertisementFilterTest.java
@@ -87,6 +87,19 @@
     assertEquals(RejectionReason.OUR_OWN, filter.evaluate(good, SELF, SELF, now).rejection());
     assertEquals(1, filter.acceptedCount());
     assertEquals(2, filter.rejectedCount(RejectionReason.REPLAYED));
+  }
+
+  @Test
+  void afterARestartOldAdvertisementsAreRejectedAndKeysRotate() {
+    Mastership mastership = newMastership(options(1, 100, true, TimeSpan.ZERO));
+    mastership.start(now);
+    AdvertisementFilter before =
+        new AdvertisementFilter(
+            SELF, mastership, new ReplayGuard(START, MAX_CLOCK_DIFFERENCE), Set.of(LOWER), KEYS);
+    now = START.plus(SECOND);
+    byte[] good = signed(now, KEYS, 1);
+    assertEquals(200, before.evaluate(good, LOWER, SELF, now).advertisement().priority());
+    now = now.plus(SECOND.times(2));
     // After a restart of the receiver an advertisement that was accepted before is rejected.
     ReplayGuard restarted = new ReplayGuard(now, MAX_CLOCK_DIFFERENCE);
     AdvertisementFilter again =
