--- a/src/main/java/cobaltseam/adapter/SimulatedDispatcher.java
+++ b/src/main/java/cobaltseam/adapter/SimulatedDispatcher.java
@@ -55,13 +55,13 @@
   SimulatedDispatcher(JsonObjectReader born, List<WireDecision> reply) {
     JsonObjectReader settings = born.object("settings");
     Deployment deployment = DeploymentReader.read(settings);
-    dispatcher = new Dispatcher(deployment, born.whole("nonce64"));
+    dispatcher = new Dispatcher(deployment, born.integer("nonce64"));
     List<String> loadColumns =
         settings.has("load_report") && settings.object("load_report").has("fields")
             ? settings.object("load_report").texts("fields")
             : List.of();
-    queuedColumn = loadColumns.indexOf(DeploymentReader.QUEUE_REPORT);
-    inFlightColumn = loadColumns.indexOf(DeploymentReader.IN_HAND_REPORT);
+    queuedColumn = loadColumns.indexOf(DeploymentReader.QUEUED_REPORT_FIELD);
+    inFlightColumn = loadColumns.indexOf(DeploymentReader.IN_FLIGHT_REPORT_FIELD);
     watchesEndpoints = settings.text("discovery", "").equals("subscribe");
     this.reply = reply;
     if (watchesEndpoints) {
@@ -79,7 +79,7 @@
   }
 
   void acceptRequest(JsonObjectReader event, Timestamp now) {
-    boolean hasEstimate = (event.whole("attrs", 0) & ESTIMATE_VALID_FLAG) != 0;
+    boolean hasEstimate = (event.integer("attrs", 0) & ESTIMATE_VALID_FLAG) != 0;
     String tenant = event.text("project", null);
     Request request =
         new Request(
@@ -87,25 +87,25 @@
             new RequestClassId(event.text("kind")),
             tenant == null || tenant.equals("0") ? null : new TenantId(tenant),
             event.has("order_key") ? new SequenceKey(event.text("order_key")) : null,
-            new Timestamp(event.whole("due_us")),
-            new TimeSpan(hasEstimate ? event.whole("guess_us", 0) : 0),
+            new Timestamp(event.integer("due_us")),
+            new TimeSpan(hasEstimate ? event.integer("guess_us", 0) : 0),
             event.has("table_group") ? new DataSetId((long) event.number("table_group")) : null,
             event.number("mem_mb", 0));
     addPlacement(request.id(), dispatcher.place(request, now));
   }
 
   void completeAttempt(JsonObjectReader event, Timestamp now) {
-    long usage = event.whole("note", 0);
+    long usage = event.integer("note", 0);
     AttemptResult result = attemptResult(event.text("verdict"));
     boolean hasUsage = result == AttemptResult.COMPLETED && usage > 0;
     RequestId id = new RequestId(event.text("op_id"));
     AttemptOutcome outcome =
         new AttemptOutcome(
             id,
-            (int) event.whole("copy"),
-            new EngineId(event.whole("node")),
+            (int) event.integer("copy"),
+            new EngineId(event.integer("node")),
             result,
-            new TimeSpan(event.whole("duration_us", 0)),
+            new TimeSpan(event.integer("duration_us", 0)),
             event.flag("settled"),
             new TimeSpan(hasUsage ? usage / USAGE_MEMORY_RANGE * 1000 : -1),
             hasUsage ? usage % USAGE_MEMORY_RANGE * MEMORY_STEP_MB : -1,
@@ -153,9 +153,9 @@
   /** A report of an attempt in flight: of its progress, a memory shortfall or a wait. */
   void updateAttempt(JsonObjectReader event, Timestamp now) {
     RequestId id = new RequestId(event.text("op_id"));
-    int attempt = (int) event.whole("copy", 0);
+    int attempt = (int) event.integer("copy", 0);
     double amount = event.number("amount", 0);
-    switch ((int) event.whole("what")) {
+    switch ((int) event.integer("what")) {
       case PROGRESS_REPORT -> dispatcher.updateProgress(id, attempt, amount, now);
       case MEMORY_SHORTFALL_REPORT -> dispatcher.updateMemoryShortfall(id, attempt, amount);
       case BLOCKED_REPORT -> {
@@ -168,7 +168,7 @@
   }
 
   void timerElapsed(JsonObjectReader event) {
-    if (event.whole("name") == lastTimer) {
+    if (event.integer("name") == lastTimer) {
       timerDueAt = null;
     }
   }
--- a/src/main/java/cobaltseam/adapter/SimulatorAdapter.java
+++ b/src/main/java/cobaltseam/adapter/SimulatorAdapter.java
@@ -57,10 +57,10 @@
   }
 
   private void answerBatch(JsonObjectReader batch, JsonGenerator out) throws IOException {
-    Timestamp now = new Timestamp(batch.whole("time_us"));
+    Timestamp now = new Timestamp(batch.integer("time_us"));
     Map<Long, List<SimulatedDispatcher.WireDecision>> replies = new LinkedHashMap<>();
     for (JsonObjectReader group : batch.objects("groups")) {
-      long number = group.whole("dispatcher");
+      long number = group.integer("dispatcher");
       List<SimulatedDispatcher.WireDecision> reply =
           replies.computeIfAbsent(number, n -> new ArrayList<>());
       for (JsonObjectReader event : group.objects("events")) {
@@ -93,7 +93,7 @@
       List<SimulatedDispatcher.WireDecision> reply,
       Timestamp now) {
     if (name.equals("roster")) {
-      endpointLists.put(event.whole("ref"), endpointList(event));
+      endpointLists.put(event.integer("ref"), endpointList(event));
       return;
     }
     if (name.equals("stop")) {
@@ -117,7 +117,7 @@
         case "verdict" -> dispatcher.completeAttempt(event, now);
         case "sync" ->
             dispatcher.updateEndpoints(
-                event, endpointLists.getOrDefault(event.whole("ref", 0), List.of()), now);
+                event, endpointLists.getOrDefault(event.integer("ref", 0), List.of()), now);
         case "withdrawn" -> dispatcher.clientLeft(event, now);
         case "elapsed" -> dispatcher.timerElapsed(event);
         case "change" -> dispatcher.updateAttempt(event, now);
@@ -138,17 +138,17 @@
       String state = entry.text("lifecycle");
       list.add(
           new EndpointStatus(
-              new EngineId(entry.whole("node")),
+              new EngineId(entry.integer("node")),
               new LocationId(entry.text("failure_domain", "")),
               new MachineTypeId(entry.text("model", "")),
-              new GroupId(entry.whole("block", 0)),
+              new GroupId(entry.integer("block", 0)),
               switch (state) {
                 case "up" -> EndpointStatus.EndpointState.UP;
                 case "draining" -> EndpointStatus.EndpointState.DRAINING;
                 case "removed" -> EndpointStatus.EndpointState.GONE;
                 default -> throw new InvalidInputException("roster: unknown 'lifecycle' " + state);
               },
-              new Timestamp(entry.whole("launched_us", 0))));
+              new Timestamp(entry.integer("launched_us", 0))));
     }
     return list;
   }
--- a/src/main/java/cobaltseam/agreement/AgreementEffect.java
+++ b/src/main/java/cobaltseam/agreement/AgreementEffect.java
@@ -12,7 +12,7 @@
   record MembershipEffect(MembershipAction action) implements AgreementEffect {}
 
   /** Act on this from now on, for all keys at once. */
-  record Activate(ActiveConfiguration on) implements AgreementEffect {}
+  record Activate(ActiveConfiguration configuration) implements AgreementEffect {}
 
   /** Log an event. */
   record EventRecorded(AgreementEvent event, String detail) implements AgreementEffect {}
--- a/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
+++ b/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
@@ -38,16 +38,17 @@
   /**
    * Its options.
    *
-   * @param contradiction for no longer than this two processes act on contradicting versions
-   * @param clockRates the largest difference between the rates of two clocks, as a ratio
+   * @param maxContradiction for no longer than this two processes act on contradicting versions
+   * @param maxClockRateRatio the largest difference between the rates of two clocks, as a ratio
    * @param maxDocumentBytes the largest document, in bytes
    */
-  public record AgreementOptions(TimeSpan contradiction, double clockRates, int maxDocumentBytes) {}
+  public record AgreementOptions(
+      TimeSpan maxContradiction, double maxClockRateRatio, int maxDocumentBytes) {}
 
   /** What documents mean. It has no state and answers the same every time. */
   public interface ConfigurationValidator {
     /** Why this process can't act on a document, or null if it can. */
-    String check(byte[] content);
+    String rejectionReason(byte[] content);
 
     /**
      * Whether to act on the one while another process acts on the other would break what the two
@@ -94,13 +95,14 @@
     this.membership = membership;
     this.lease = lease;
     this.validator = validator;
-    TimeSpan retryInterval = options.contradiction.times(RETRY_PERIODS);
+    TimeSpan retryInterval = options.maxContradiction.times(RETRY_PERIODS);
     documents =
         new DocumentStore(options.maxDocumentBytes, retryInterval, membership, effects, random);
     proposals =
-        new ProposalTracker(options.contradiction, retryInterval, membership, documents, effects);
+        new ProposalTracker(
+            options.maxContradiction, retryInterval, membership, documents, effects);
     history = new VersionHistory(membership);
-    membership.accepts(documents::containsForVote, this::content);
+    membership.setDocuments(documents::containsForVote, this::content);
   }
 
   /** The hash of a document: SHA-256 in hexadecimal digits. */
@@ -115,7 +117,7 @@
   // ---- state
 
   /** What this process acts on now. */
-  public ActiveConfiguration acting() {
+  public ActiveConfiguration activeConfiguration() {
     return active;
   }
 
@@ -126,7 +128,7 @@
 
   /** How long this process may act without a message from a majority. */
   public TimeSpan leaseLeft(Timestamp now) {
-    return lease.left(now);
+    return lease.remaining(now);
   }
 
   /** The document of a version, or null if it is not here. */
@@ -136,7 +138,7 @@
 
   /** Whether all members of the view have said that they hold it. */
   public boolean isHeldByAll() {
-    return membership.view() != null && membership.isHeldByAll();
+    return membership.view() != null && membership.isViewReportedByAll();
   }
 
   /** When {@link #follow} is to be called next at the latest. */
@@ -146,9 +148,9 @@
     boolean isPending =
         proposals.version() != null || documents.isFetching() || active.mode() == Mode.BACK;
     double periods = isPending ? RETRY_PERIODS : 2 * RETRY_PERIODS;
-    Deadline wake = new Deadline(now, now.plus(options.contradiction.times(periods)));
+    Deadline wake = new Deadline(now, now.plus(options.maxContradiction.times(periods)));
     if (active.mode() != Mode.BACK) {
-      wake.include(lease.until());
+      wake.include(lease.expiresAt());
     }
     history.forEachDeadline(wake::include);
     return wake.at;
@@ -179,7 +181,7 @@
    */
   public List<AgreementEffect> follow(Timestamp now) {
     View view = membership.view();
-    history.follow(view, lease.outlasts(), now);
+    history.follow(view, lease.maxDuration(), now);
     if (view != null) {
       documents.fetchMissing(view, now);
       proposeFirst(view, now);
@@ -192,7 +194,7 @@
   // ---- documents and proposals
 
   /** Adds a document that was persisted beside a vote. */
-  public void knows(byte[] content) {
+  public void addPersistedDocument(byte[] content) {
     documents.put(hash(content), content);
   }
 
@@ -200,7 +202,7 @@
    * Sets the document that a first version is made of where the view has none, and that is acted on
    * where nothing is agreed yet.
    */
-  public void own(byte[] content) {
+  public void setOwnDocument(byte[] content) {
     ownDocument = content;
     ownHash = hash(content);
     documents.put(ownHash, content);
@@ -238,7 +240,7 @@
     if (content.length > options.maxDocumentBytes) {
       return content.length + " bytes are more than " + options.maxDocumentBytes;
     }
-    String rejection = validator.check(content);
+    String rejection = validator.rejectionReason(content);
     if (rejection != null) {
       return rejection;
     }
@@ -255,7 +257,7 @@
   public List<AgreementEffect> receive(AgreementMessage message, Timestamp now) {
     View view = membership.view();
     Member sender = message.from().member();
-    if (!membership.spoke(message, now)
+    if (!membership.acceptSender(message, now)
         || view == null
         || !view.contains(sender.name(), sender.incarnation())) {
       return follow(now);
@@ -293,7 +295,8 @@
     if (content != null && offeredBy != null) {
       effects.send(
           offeredBy,
-          new VersionCheck(membership.teller(), offeredVersion, validator.check(content)));
+          new VersionCheck(
+              membership.header(), offeredVersion, validator.rejectionReason(content)));
     }
   }
 
@@ -374,7 +377,7 @@
     addHash(used, view.configuration());
     addHash(used, offeredVersion);
     addHash(used, proposals.version());
-    addHash(used, membership.accepted());
+    addHash(used, membership.acceptedConfiguration());
     if (ownDocument != null) {
       used.add(ownHash);
     }
--- a/src/main/java/cobaltseam/agreement/ConservativeMerge.java
+++ b/src/main/java/cobaltseam/agreement/ConservativeMerge.java
@@ -39,7 +39,7 @@
     table.put("Deployment.overQuotaWeight", "the smaller");
     table.put("Deployment.rules", "part by part");
     table.put("Deployment.capabilities", "part by part");
-    table.put("Deployment.place", "never: each stands somewhere");
+    table.put("Deployment.site", "never: each stands somewhere");
     table.put("RequestClass.id", "never");
     table.put("RequestClass.threads", "the larger: an engine is filled less");
     table.put("RequestClass.priorityWeight", "never");
@@ -51,7 +51,7 @@
     table.put("RequestClass.retrySafety", "the stricter");
     table.put("RequestClass.deduplicationScope", "the narrower");
     table.put("RequestClass.deduplicationWindow", "the shorter");
-    table.put("RequestClass.inOrder", "in order if either says so");
+    table.put("RequestClass.isOrdered", "in order if either says so");
     table.put("RequestClass.locations", "those that both allow");
     table.put("RequestClass.machineTypes", "those that both allow");
     table.put("RequestClass.loadsDataSet", "never: it guides the choice of an engine alone");
@@ -109,7 +109,7 @@
         Math.min(earlier.overQuotaWeight(), later.overQuotaWeight()),
         mergeRules(earlier.rules(), later.rules()),
         mergeCapabilities(earlier.capabilities(), later.capabilities()),
-        later.place());
+        later.site());
   }
 
   private static MachineType mergeMachineType(MachineType earlier, MachineType later) {
@@ -140,7 +140,7 @@
                         RetrySafety.NOT_IDEMPOTENT,
                         requestClass.deduplicationScope(),
                         requestClass.deduplicationWindow(),
-                        requestClass.inOrder(),
+                        requestClass.isOrdered(),
                         requestClass.locations(),
                         requestClass.machineTypes(),
                         requestClass.loadsDataSet(),
@@ -164,7 +164,7 @@
             capabilities.maxRetryAfter(),
             capabilities.progressInterval(),
             capabilities.hasMemoryGrants()),
-        deployment.place());
+        deployment.site());
   }
 
   /**
@@ -200,7 +200,7 @@
         stricter(earlier.retrySafety(), later.retrySafety()),
         stricter(earlier.deduplicationScope(), later.deduplicationScope()),
         smaller(earlier.deduplicationWindow(), later.deduplicationWindow()),
-        earlier.inOrder() || later.inOrder(),
+        earlier.isOrdered() || later.isOrdered(),
         allowed(earlier.locations(), later.locations()),
         allowed(earlier.machineTypes(), later.machineTypes()),
         later.loadsDataSet(),
--- a/src/main/java/cobaltseam/agreement/DocumentStore.java
+++ b/src/main/java/cobaltseam/agreement/DocumentStore.java
@@ -147,7 +147,7 @@
     incoming.requestedAt = now;
     if (incoming.source != null) {
       int index = incoming.bytes == null ? 0 : incoming.bytes.position();
-      effects.send(incoming.source, new ContentRequest(membership.teller(), incoming.hash, index));
+      effects.send(incoming.source, new ContentRequest(membership.header(), incoming.hash, index));
     }
   }
 
@@ -197,7 +197,7 @@
     effects.send(
         to,
         new ContentPart(
-            membership.teller(),
+            membership.header(),
             request.hash(),
             index,
             document.length,
--- a/src/main/java/cobaltseam/agreement/ProposalTracker.java
+++ b/src/main/java/cobaltseam/agreement/ProposalTracker.java
@@ -163,7 +163,7 @@
   private void submit(Timestamp now) {
     proposal.isSubmitted = true;
     membership
-        .offer(proposal.version, now)
+        .proposeConfiguration(proposal.version, now)
         .forEach(action -> effects.add(new AgreementEffect.MembershipEffect(action)));
   }
 
@@ -178,11 +178,11 @@
     missing.forEach(
         member ->
             effects.send(
-                member, new VersionOffer(membership.teller(), proposal.version, contentLength)));
+                member, new VersionOffer(membership.header(), proposal.version, contentLength)));
   }
 
   private void end() {
     proposal = null;
-    membership.withdraw();
+    membership.withdrawConfiguration();
   }
 }
--- a/src/main/java/cobaltseam/agreement/VersionHistory.java
+++ b/src/main/java/cobaltseam/agreement/VersionHistory.java
@@ -75,7 +75,7 @@
   void expire(Timestamp now) {
     superseded.removeIf(version -> !now.isBefore(version.until));
     boolean isRemovalOver = removedUntil == null || !now.isBefore(removedUntil);
-    if (!superseded.isEmpty() && isRemovalOver && membership.isHeldByAll()) {
+    if (!superseded.isEmpty() && isRemovalOver && membership.isViewReportedByAll()) {
       superseded.clear();
     }
   }
--- a/src/main/java/cobaltseam/authentication/KeyRing.java
+++ b/src/main/java/cobaltseam/authentication/KeyRing.java
@@ -24,7 +24,7 @@
    *
    * @throws IllegalArgumentException with the number of an invalid line, never with its content
    */
-  public static KeyRing read(String text) {
+  public static KeyRing parse(String text) {
     Map<Integer, byte[]> keys = new TreeMap<>();
     int lineNumber = 0;
     for (String line : text.split("\\R")) {
--- a/src/main/java/cobaltseam/authentication/MessageAuthenticator.java
+++ b/src/main/java/cobaltseam/authentication/MessageAuthenticator.java
@@ -16,7 +16,7 @@
  */
 public final class MessageAuthenticator {
   /** The bytes of a trailer. */
-  public static final int LENGTH = 44;
+  public static final int TRAILER_BYTES = 44;
 
   private static final int TRAILER_HEADER_BYTES = 12;
   private static final short MAGIC = (short) 0xc05e;
@@ -38,18 +38,18 @@
 
   /** Whether the bytes from this offset on have the form of a trailer. */
   public static boolean hasTrailer(byte[] bytes, int offset) {
-    if (offset < 0 || bytes.length - offset != LENGTH) {
+    if (offset < 0 || bytes.length - offset != TRAILER_BYTES) {
       return false;
     }
-    ByteBuffer trailer = ByteBuffer.wrap(bytes, offset, LENGTH);
+    ByteBuffer trailer = ByteBuffer.wrap(bytes, offset, TRAILER_BYTES);
     return trailer.getShort() == MAGIC && trailer.get() == FORMAT;
   }
 
   /** Returns the message followed by its trailer; the key ring must contain the key. */
   public static byte[] sign(
       byte[] message, byte[] associatedData, KeyRing keys, int keyId, long sequence) {
-    byte[] bytes = Arrays.copyOf(message, message.length + LENGTH);
-    ByteBuffer.wrap(bytes, message.length, LENGTH)
+    byte[] bytes = Arrays.copyOf(message, message.length + TRAILER_BYTES);
+    ByteBuffer.wrap(bytes, message.length, TRAILER_BYTES)
         .putShort(MAGIC)
         .put(FORMAT)
         .put((byte) keyId)
@@ -62,7 +62,7 @@
 
   /** Reads the trailer behind a message of this length, without verifying it. */
   public static Trailer readTrailer(byte[] bytes, int length) {
-    ByteBuffer trailer = ByteBuffer.wrap(bytes, length, LENGTH);
+    ByteBuffer trailer = ByteBuffer.wrap(bytes, length, TRAILER_BYTES);
     trailer.position(length + 3);
     return new Trailer(trailer.get() & 0xff, trailer.getLong());
   }
--- a/src/main/java/cobaltseam/capacity/CapacityLeases.java
+++ b/src/main/java/cobaltseam/capacity/CapacityLeases.java
@@ -22,7 +22,7 @@
  * Which amount of a whole this process may use, such that the amounts of all processes never exceed
  * the whole, whichever of them are partitioned, paused, killed or restarted. It does no I/O: time,
  * randomness and messages come from the caller, who calls {@link #follow} no later than {@link
- * #nextFollowAt}, and reads {@link #usable} before each use.
+ * #nextFollowAt}, and reads {@link #usableAmount} before each use.
  *
  * <p>A small standalone part is each process's own without a lease. The rest is divided evenly over
  * the members of the view, and used only under a lease on that view. A new view enlarges parts, or
@@ -44,16 +44,16 @@
     Member self();
 
     /** The header of messages that are sent now. */
-    MessageHeader teller();
+    MessageHeader messageHeader();
 
     /** Until when the lease on the view lasts; null if there is none. */
     Timestamp leaseUntil();
 
     /** The time after which all leases on earlier views have ended, by any clock. */
-    TimeSpan outlasts();
+    TimeSpan maxLeaseDuration();
 
     /** The largest difference between the rates of two clocks, as a ratio. */
-    double clockRates();
+    double maxClockRateRatio();
 
     /**
      * The demand that a member stated, or null if it is not known; not called for this process
@@ -63,7 +63,7 @@
   }
 
   /** A message to an address; it may be lost. */
-  public record OutgoingMessage(InetSocketAddress to, CapacityLeaseMessage word) {}
+  public record OutgoingMessage(InetSocketAddress to, CapacityLeaseMessage message) {}
 
   /** An amount that may be used until a time; null for no end. */
   public record CapacityStep(Timestamp until, long amount) {}
@@ -124,8 +124,8 @@
   }
 
   /** The amount that may be used at this time. */
-  public long usable(Timestamp now) {
-    long all = options.alonePart() + (hasLease(now) ? ownPart(now) : 0);
+  public long usableAmount(Timestamp now) {
+    long all = options.standalonePart() + (hasLease(now) ? ownPart(now) : 0);
     for (BorrowedLease in : borrowed.values()) {
       all += now.isBefore(in.until) ? in.amount : 0;
     }
@@ -153,13 +153,14 @@
         continue;
       }
       long all =
-          options.alonePart() + (hasLease(now) && !context.leaseUntil().isBefore(end) ? own : 0);
+          options.standalonePart()
+              + (hasLease(now) && !context.leaseUntil().isBefore(end) ? own : 0);
       for (BorrowedLease in : borrowed.values()) {
         all += !in.until.isBefore(end) ? in.amount : 0;
       }
       steps.add(new CapacityStep(end, all));
     }
-    steps.add(new CapacityStep(null, options.alonePart()));
+    steps.add(new CapacityStep(null, options.standalonePart()));
     return steps;
   }
 
@@ -234,7 +235,9 @@
     }
     // After a pause there is one round, not all those that were missed.
     nextRoundAt = now.plus(options.round());
-    pending.values().removeIf(o -> now.since(o.requestedAt).compareTo(context.outlasts()) >= 0);
+    pending
+        .values()
+        .removeIf(o -> now.since(o.requestedAt).compareTo(context.maxLeaseDuration()) >= 0);
     exhaustedUntil.values().removeIf(until -> !now.isBefore(until));
     return asks(now);
   }
@@ -246,11 +249,11 @@
             && view.id().lineage() == currentView.id().lineage()
             && view.id().number() == currentView.id().number() + 1;
     if (follows) {
-      previousViews.add(new PreviousView(evenPart, now.plus(context.outlasts())));
+      previousViews.add(new PreviousView(evenPart, now.plus(context.maxLeaseDuration())));
     } else {
       // A new or restarted member, or one that missed a view, does not know what others use.
       previousViews.clear();
-      unknownUntil = now.plus(context.outlasts());
+      unknownUntil = now.plus(context.maxLeaseDuration());
     }
     currentView = view;
     evenPart = view == null ? 0 : options.dividedAmount() / view.members().size();
@@ -267,7 +270,8 @@
     if (needs == null || sum <= 0) {
       return evenPart;
     }
-    return options.floor() * evenPart + (1 - options.floor()) * evenPart * known * needs / sum;
+    return options.minEvenShare() * evenPart
+        + (1 - options.minEvenShare()) * evenPart * known * needs / sum;
   }
 
   /**
@@ -298,7 +302,7 @@
     // and what pending requests will bring.
     double missing = target(demand, needs.knownCount, needs.sum) - ownPart(now);
     Map<Member, Double> wanted = new HashMap<>();
-    TimeSpan soon = context.outlasts().times(RENEW_AT_REMAINING_RATIO);
+    TimeSpan soon = context.maxLeaseDuration().times(RENEW_AT_REMAINING_RATIO);
     for (BorrowedLease in : borrowed.values()) {
       double keeps = Math.max(0, Math.min(missing, in.amount));
       missing -= keeps;
@@ -379,13 +383,14 @@
   private OutgoingMessage request(Member of, long amount, Timestamp now) {
     long id = random.nextLong();
     pending.put(id, new PendingRequest(of, amount, now));
-    return new OutgoingMessage(of.peerAddress(), new LeaseRequest(context.teller(), id, amount));
+    return new OutgoingMessage(
+        of.peerAddress(), new LeaseRequest(context.messageHeader(), id, amount));
   }
 
   // ---- what comes
 
   /** Handles an authenticated message of a member, and returns the replies to send. */
-  public List<OutgoingMessage> heard(CapacityLeaseMessage message, Timestamp now) {
+  public List<OutgoingMessage> receive(CapacityLeaseMessage message, Timestamp now) {
     followCurrentView(now);
     Member from = message.from().member();
     if (currentView == null
@@ -403,7 +408,7 @@
         || grant.amount() < 0
         || grant.amount() > options.whole()
         || grant.durationUs() < 0
-        || grant.durationUs() > context.outlasts().us()) {
+        || grant.durationUs() > context.maxLeaseDuration().us()) {
       return List.of();
     }
     pending.remove(grant.id());
@@ -440,19 +445,19 @@
     // It ends before the lease on the view under which it is granted, by any clock.
     TimeSpan lasts =
         hasLease(now)
-            ? context.leaseUntil().since(now).times(1 / (1 + 2 * context.clockRates()))
+            ? context.leaseUntil().since(now).times(1 / (1 + 2 * context.maxClockRateRatio()))
             : TimeSpan.ZERO;
     long amount =
         lasts.isPositive() ? Math.max(0, Math.min(asked.amount(), (long) Math.floor(free))) : 0;
     // The sum of all reserved amounts must not exceed the even part.
     if (amount > 0 && others + Math.max(before, amount) <= evenPart(now)) {
       lent.computeIfAbsent(to, m -> new ArrayList<>())
-          .add(new LentLease(amount, now.plus(lasts.times(1 + 2 * context.clockRates()))));
+          .add(new LentLease(amount, now.plus(lasts.times(1 + 2 * context.maxClockRateRatio()))));
     } else {
       amount = 0;
     }
     return new OutgoingMessage(
         to.peerAddress(),
-        new LeaseGrant(context.teller(), asked.id(), amount, amount == 0 ? 0 : lasts.us()));
+        new LeaseGrant(context.messageHeader(), asked.id(), amount, amount == 0 ? 0 : lasts.us()));
   }
 }
--- a/src/main/java/cobaltseam/capacity/CapacityOptions.java
+++ b/src/main/java/cobaltseam/capacity/CapacityOptions.java
@@ -8,23 +8,23 @@
  * @param whole the capacity of all engines, in indivisible units
  * @param standaloneShare the share of it that every process holds a part of whatever it knows, each
  *     one in {@code processes}
- * @param processes the largest number of processes that ever run at once
- * @param floor the share of its even part that a member keeps even without demand
+ * @param maxProcesses the largest number of processes that ever run at once
+ * @param minEvenShare the share of its even part that a member keeps even without demand
  * @param round the time between two rounds of requests
  * @param maxRequestsPerRound the largest number of requests in one round
  */
 public record CapacityOptions(
     long whole,
     double standaloneShare,
-    int processes,
-    double floor,
+    int maxProcesses,
+    double minEvenShare,
     TimeSpan round,
     int maxRequestsPerRound) {
   public CapacityOptions {
     if (whole < 1
         || !(standaloneShare >= 0 && standaloneShare <= 1)
-        || processes < 1
-        || !(floor >= 0 && floor <= 1)
+        || maxProcesses < 1
+        || !(minEvenShare >= 0 && minEvenShare <= 1)
         || !round.isPositive()
         || maxRequestsPerRound < 1) {
       throw new IllegalArgumentException(
@@ -33,12 +33,12 @@
   }
 
   /** The amount that each process may use without a lease. */
-  public long alonePart() {
-    return (long) (whole * standaloneShare) / processes;
+  public long standalonePart() {
+    return (long) (whole * standaloneShare) / maxProcesses;
   }
 
   /** The amount that the members of a view divide between them. */
   long dividedAmount() {
-    return whole - alonePart() * processes;
+    return whole - standalonePart() * maxProcesses;
   }
 }
--- a/src/main/java/cobaltseam/capacity/DemandEstimate.java
+++ b/src/main/java/cobaltseam/capacity/DemandEstimate.java
@@ -28,10 +28,10 @@
   }
 
   /** Adds a sample of the running sum, and returns the average rate per second. */
-  public double told(double sum, Timestamp now) {
+  public double update(double sum, Timestamp now) {
     if (updatedAt != null && updatedAt.isBefore(now)) {
       TimeSpan since = now.since(updatedAt);
-      double decay = Math.pow(0.5, since.over(halfLife));
+      double decay = Math.pow(0.5, since.dividedBy(halfLife));
       rate = rate * decay + (sum - total) / since.us() * 1e6 * (1 - decay);
       confidence = confidence * decay + 1 - decay;
     }
--- a/src/main/java/cobaltseam/capacity/LoadReports.java
+++ b/src/main/java/cobaltseam/capacity/LoadReports.java
@@ -19,8 +19,8 @@
 /**
  * The latest load report of each engine to any dispatcher of the fleet. A dispatcher with little
  * traffic gets a report of an engine every few seconds; all together get many a second. It does no
- * I/O: time, randomness and messages come from the caller, who asks {@link #due} no later than
- * {@link #wake}.
+ * I/O: time, randomness and messages come from the caller, who asks {@link #runRound} no later than
+ * {@link #nextRoundAt}.
  *
  * <p>The latest report of each engine is kept. In each round a few others are asked for theirs;
  * reports are pulled and not pushed, since then the own clock bounds their age, however long a
@@ -54,7 +54,7 @@
   public record LoadReport(EngineId engine, double inFlight, Timestamp at) {}
 
   /** A message to an address; it may be lost. */
-  public record OutgoingMessage(InetSocketAddress to, LoadReportMessage word) {}
+  public record OutgoingMessage(InetSocketAddress to, LoadReportMessage message) {}
 
   /**
    * Engines in one reply: bounds the memory that peers can make this process use, and fits a
@@ -85,7 +85,7 @@
   }
 
   /** Adds a report that an engine made to this dispatcher itself. */
-  public void told(LoadReport report) {
+  public void addLocal(LoadReport report) {
     if (isYounger(report)) {
       latest.put(report.engine(), report);
     }
@@ -97,19 +97,19 @@
   }
 
   /** Reports of other dispatchers that are later than those known here; each is returned once. */
-  public List<LoadReport> news() {
+  public List<LoadReport> takeReceived() {
     List<LoadReport> all = received;
     received = new ArrayList<>();
     return all;
   }
 
-  /** When to ask {@link #due} next. */
-  public Timestamp wake() {
+  /** When to ask {@link #runRound} next. */
+  public Timestamp nextRoundAt() {
     return nextRoundAt;
   }
 
   /** Starts a round if one is due, and returns the requests to send. */
-  public List<OutgoingMessage> due(View view, MessageHeader self, Timestamp now) {
+  public List<OutgoingMessage> runRound(View view, MessageHeader self, Timestamp now) {
     if (now.isBefore(nextRoundAt)) {
       return List.of();
     }
@@ -133,7 +133,7 @@
   }
 
   /** Handles an authenticated message of a member, and returns the replies to send. */
-  public List<OutgoingMessage> heard(
+  public List<OutgoingMessage> receive(
       LoadReportMessage word, View view, MessageHeader self, Timestamp now) {
     Member from = word.from().member();
     if (view == null || !view.contains(from.name(), from.incarnation())) {
--- a/src/main/java/cobaltseam/cli/CheckCommand.java
+++ b/src/main/java/cobaltseam/cli/CheckCommand.java
@@ -39,11 +39,11 @@
     try {
       Settings settings = own.file == null ? Settings.OFF : SettingsReader.read(own.file);
       out.println("own file: " + (own.file == null ? "none" : own.file));
-      out.println("logging: " + (settings.jsonLog() ? "json" : "text"));
-      out.println("mastership: " + describe(settings.hall()));
-      out.println("membership: " + describe(settings.fleet()));
-      if (settings.hall() != null) {
-        settings.hall().routers().forEach(router -> out.println(describe(router)));
+      out.println("logging: " + (settings.logsJson() ? "json" : "text"));
+      out.println("mastership: " + describe(settings.virtualAddresses()));
+      out.println("membership: " + describe(settings.membership()));
+      if (settings.virtualAddresses() != null) {
+        settings.virtualAddresses().routers().forEach(router -> out.println(describe(router)));
       }
     } catch (InvalidInputException e) {
       errors.add(e.getMessage());
@@ -78,11 +78,11 @@
         + ", "
         + settings.seeds().size()
         + " seeds, founders "
-        + settings.founders()
+        + settings.bootstrapMembers()
         + ", period "
         + settings.period().us() / US_PER_MS
         + " ms, seals "
-        + describe(settings.sealing());
+        + describe(settings.authentication());
   }
 
   private static String describe(Settings.AuthenticationSettings settings) {
--- a/src/main/java/cobaltseam/cli/VrrpCommand.java
+++ b/src/main/java/cobaltseam/cli/VrrpCommand.java
@@ -38,7 +38,7 @@
    * @throws InvalidInputException if it is not an address, with the option's name and the value
    */
   static InetAddress parseAddress(String option, String text) {
-    return Addresses.read(text)
+    return Addresses.parse(text)
         .orElseThrow(
             () ->
                 new InvalidInputException(
--- a/src/main/java/cobaltseam/cli/VrrpDecodeCommand.java
+++ b/src/main/java/cobaltseam/cli/VrrpDecodeCommand.java
@@ -64,7 +64,7 @@
           "maxAdvertiseIntervalCentiseconds", advertisement.maxAdvertiseIntervalCentiseconds());
       json.writeArrayFieldStart("addresses");
       for (InetAddress address : advertisement.addresses()) {
-        json.writeString(Addresses.text(address));
+        json.writeString(Addresses.format(address));
       }
       json.writeEndArray();
       json.writeStringField(
--- a/src/main/java/cobaltseam/cli/VrrpWatchCommand.java
+++ b/src/main/java/cobaltseam/cli/VrrpWatchCommand.java
@@ -58,7 +58,7 @@
   @Override
   public Integer call() throws IOException, InterruptedException {
     Settings.VirtualAddressSettings settings =
-        own.file == null ? null : SettingsReader.read(own.file).hall();
+        own.file == null ? null : SettingsReader.read(own.file).virtualAddresses();
     if (settings == null) {
       throw new InvalidInputException(
           "the own file, by --config or COBALTSEAM_CONFIG, names no [mastership]");
@@ -91,7 +91,7 @@
           datagrams.poll(untilNextEvent(observer, end, now).us() + 1, TimeUnit.MICROSECONDS);
       List<ActiveRouterChange> changes = new ArrayList<>();
       if (datagram != null) {
-        socket.heard(datagram.bytes, datagram.source);
+        socket.release(datagram.bytes, datagram.source);
         AdvertisementFilter.Verdict verdict =
             filter.evaluate(datagram.bytes, datagram.source, self, now());
         if (verdict.advertisement() != null) {
@@ -157,7 +157,7 @@
       json.writeStringField("state", stateLabel(change.active().size()));
       json.writeArrayFieldStart("active");
       for (InetAddress address : change.active()) {
-        json.writeString(Addresses.text(address));
+        json.writeString(Addresses.format(address));
       }
       json.writeEndArray();
       json.writeEndObject();
--- a/src/main/java/cobaltseam/coordination/FleetCoordinator.java
+++ b/src/main/java/cobaltseam/coordination/FleetCoordinator.java
@@ -43,13 +43,13 @@
   /** Carries out what the modules ask for. */
   public interface EffectSink {
     /** Sends a message to a member; it may be lost. */
-    void tell(InetSocketAddress to, PeerMessage message);
+    void send(InetSocketAddress to, PeerMessage message);
 
     /** An action of membership other than a message. */
-    void act(MembershipAction act);
+    void handleMembership(MembershipAction act);
 
     /** An effect of the agreement: an activation or a recorded event. */
-    void doing(AgreementEffect doing);
+    void handleAgreement(AgreementEffect doing);
   }
 
   /** How many attempts this process made so far. */
@@ -68,7 +68,7 @@
   public static final String SPARE_RETRIES_FIGURE = "repeats.spare";
 
   /** The name of the figure that says the demand of a member. */
-  public static final String DEMAND = "spread.demand";
+  public static final String DEMAND_FIGURE = "spread.demand";
 
   /** Figures are integers; a demand of one is this figure. */
   private static final double DEMAND_UNITS = 1000;
@@ -104,7 +104,7 @@
   }
 
   /** Turns on capacity leases; they need a lease and gossip. */
-  public void holds(CapacityLeases leases) {
+  public void setCapacityLeases(CapacityLeases leases) {
     capacityLeases = leases;
   }
 
@@ -120,7 +120,7 @@
   }
 
   /** What capacity leases depend on: the view, the lease and the demand of members. */
-  public CapacityLeases.LeaseContext under() {
+  public CapacityLeases.LeaseContext leaseContext() {
     return new CapacityLeases.LeaseContext() {
       @Override
       public View view() {
@@ -133,41 +133,41 @@
       }
 
       @Override
-      public MembershipMessage.MessageHeader teller() {
-        return membership.teller();
+      public MembershipMessage.MessageHeader messageHeader() {
+        return membership.header();
       }
 
       @Override
       public Timestamp leaseUntil() {
-        return lease.until();
+        return lease.expiresAt();
       }
 
       @Override
-      public TimeSpan outlasts() {
-        return lease.outlasts();
+      public TimeSpan maxLeaseDuration() {
+        return lease.maxDuration();
       }
 
       @Override
-      public double clockRates() {
-        return lease.terms().maxClockRateRatio();
+      public double maxClockRateRatio() {
+        return lease.options().maxClockRateRatio();
       }
 
       @Override
       public Double demand(MemberName of) {
-        KnownFigures known = gossip.known(of, lastFollowAt);
-        Long said = known == null ? null : known.figures().byName().get(DEMAND);
-        return said == null || said < 0 ? null : FleetCoordinator.demand(said.longValue());
+        KnownFigures known = gossip.figuresOf(of, lastFollowAt);
+        Long said = known == null ? null : known.figures().byName().get(DEMAND_FIGURE);
+        return said == null || said < 0 ? null : FleetCoordinator.figureToDemand(said.longValue());
       }
     };
   }
 
   /** The figure that says a demand. */
-  public static long figure(double demand) {
+  public static long demandToFigure(double demand) {
     return Math.round(Math.min(demand, Integer.MAX_VALUE) * DEMAND_UNITS);
   }
 
   /** The demand that a figure says. */
-  public static double demand(long figure) {
+  public static double figureToDemand(long figure) {
     return figure / DEMAND_UNITS;
   }
 
@@ -184,65 +184,65 @@
   }
 
   /** The persistent state with this number, and all before it, is on disk. */
-  public void kept(long number, Timestamp now) {
-    handleActions(membership.kept(number), now);
+  public void persisted(long number, Timestamp now) {
+    handleActions(membership.onStateWritten(number), now);
   }
 
   /** State could not be persisted, with the reason. */
   public void persistFailed(String why, Timestamp now) {
-    handleActions(membership.notKept(why, now), now);
+    handleActions(membership.onStateWriteFailed(why, now), now);
   }
 
   /** An operator asks for a new lineage in place of this view, whose majority is gone. */
-  public void foundAnew(ViewId said, Timestamp now) {
-    handleActions(membership.foundAnew(said, now), now);
+  public void rebootstrap(ViewId said, Timestamp now) {
+    handleActions(membership.rebootstrap(said, now), now);
   }
 
   /** Time has passed. */
-  public void due(Timestamp now) {
-    handleActions(membership.due(now), now);
+  public void advance(Timestamp now) {
+    handleActions(membership.onTimer(now), now);
   }
 
   /** Handles an authenticated message of a member of this fleet. */
-  public void heard(PeerMessage message, Timestamp now) {
+  public void receive(PeerMessage message, Timestamp now) {
     if (message instanceof MembershipMessage membershipMessage) {
-      handleActions(membership.heard(membershipMessage, now), now);
+      handleActions(membership.receive(membershipMessage, now), now);
     } else if (message instanceof AgreementMessage word) {
       if (agreement != null) {
         handleEffects(agreement.receive(word, now), now);
       }
-    } else if (membership.spoke(message, now)) {
+    } else if (membership.acceptSender(message, now)) {
       lastFollowAt = now;
       if (message instanceof LeaseMessage word && lease != null) {
-        lease.heard(word, now).forEach(t -> effects.tell(t.to(), t.word()));
+        lease.receive(word, now).forEach(t -> effects.send(t.to(), t.message()));
       } else if (message instanceof SharingPeerMessage said && gossip != null) {
-        sendGossip(gossip.heard(said.body(), now));
+        sendGossip(gossip.receive(said.body(), now));
       } else if (message instanceof CapacityLeaseMessage word && capacityLeases != null) {
-        capacityLeases.heard(word, now).forEach(t -> effects.tell(t.to(), t.word()));
+        capacityLeases.receive(word, now).forEach(t -> effects.send(t.to(), t.message()));
       } else if (message instanceof RetryBudgetMessage word && retryBudget != null) {
         retryBudget
-            .receive(word, membership.view(), membership.teller(), now)
-            .forEach(t -> effects.tell(t.to(), t.message()));
+            .receive(word, membership.view(), membership.header(), now)
+            .forEach(t -> effects.send(t.to(), t.message()));
       } else if (message instanceof LoadReportMessage word && loadReports != null) {
         loadReports
-            .heard(word, membership.view(), membership.teller(), now)
-            .forEach(t -> effects.tell(t.to(), t.word()));
+            .receive(word, membership.view(), membership.header(), now)
+            .forEach(t -> effects.send(t.to(), t.message()));
       }
     }
     follow(now);
   }
 
-  /** When {@link #due} is to be asked next; null once this process has left. */
-  public Timestamp wake(Timestamp now) {
-    Timestamp wake = membership.wake(now);
+  /** When {@link #advance} is to be asked next; null once this process has left. */
+  public Timestamp nextAdvanceAt(Timestamp now) {
+    Timestamp wake = membership.nextWakeup(now);
     if (wake == null) {
       return null;
     }
-    wake = lease == null ? wake : earlier(wake, lease.wake(now));
+    wake = lease == null ? wake : earlier(wake, lease.nextWakeup(now));
     wake = agreement == null ? wake : earlier(wake, agreement.nextFollowAt(now));
     wake = gossip == null ? wake : earlier(wake, gossip.nextRoundAt());
     wake = retryBudget == null ? wake : earlier(wake, retryBudget.nextFollowAt(now));
-    wake = loadReports == null ? wake : earlier(wake, loadReports.wake());
+    wake = loadReports == null ? wake : earlier(wake, loadReports.nextRoundAt());
     return capacityLeases == null ? wake : earlier(wake, capacityLeases.nextFollowAt(now));
   }
 
@@ -255,9 +255,9 @@
   private void handleActions(List<MembershipAction> acts, Timestamp now) {
     for (MembershipAction act : acts) {
       if (act instanceof MembershipAction.Send tell) {
-        effects.tell(tell.to(), tell.message());
+        effects.send(tell.to(), tell.message());
       } else {
-        effects.act(act);
+        effects.handleMembership(act);
       }
     }
     follow(now);
@@ -267,11 +267,11 @@
     List<MembershipAction> acts = new ArrayList<>();
     for (AgreementEffect doing : doings) {
       if (doing instanceof AgreementEffect.Send tell) {
-        effects.tell(tell.to(), tell.message());
+        effects.send(tell.to(), tell.message());
       } else if (doing instanceof AgreementEffect.MembershipEffect of) {
         acts.add(of.action());
       } else {
-        effects.doing(doing);
+        effects.handleAgreement(doing);
       }
     }
     if (!acts.isEmpty()) {
@@ -282,7 +282,7 @@
   private Map<MemberName, Long> spareRetries(Timestamp now) {
     Map<MemberName, Long> spares = new HashMap<>();
     for (Member m : membership.view() == null ? List.<Member>of() : membership.view().members()) {
-      KnownFigures known = gossip.known(m.name(), now);
+      KnownFigures known = gossip.figuresOf(m.name(), now);
       Long said = known == null ? null : known.figures().byName().get(SPARE_RETRIES_FIGURE);
       if (said != null) {
         spares.put(m.name(), said);
@@ -291,12 +291,12 @@
     return spares;
   }
 
-  private void sendGossip(List<StateGossip.Send> sends) {
+  private void sendGossip(List<StateGossip.OutgoingMessage> sends) {
     View view = membership.view();
-    for (StateGossip.Send send : sends) {
+    for (StateGossip.OutgoingMessage send : sends) {
       Member to = view == null ? null : view.of(send.to());
       if (to != null) {
-        effects.tell(to.peerAddress(), SharingPeerMessage.of(membership.teller(), send.message()));
+        effects.send(to.peerAddress(), SharingPeerMessage.of(membership.header(), send.message()));
       }
     }
   }
@@ -312,7 +312,7 @@
     isFollowing = true;
     lastFollowAt = now;
     if (lease != null) {
-      lease.follow(now).forEach(t -> effects.tell(t.to(), t.word()));
+      lease.onTimer(now).forEach(t -> effects.send(t.to(), t.message()));
     }
     if (agreement != null) {
       handleEffects(agreement.follow(now), now);
@@ -325,12 +325,12 @@
             gossipView == null
                 ? Set.of()
                 : gossipView.members().stream().map(Member::name).collect(Collectors.toSet());
-        gossip.view(names);
+        gossip.setView(names);
       }
-      sendGossip(gossip.due(now));
+      sendGossip(gossip.runRound(now));
     }
     if (capacityLeases != null) {
-      capacityLeases.follow(now).forEach(t -> effects.tell(t.to(), t.word()));
+      capacityLeases.follow(now).forEach(t -> effects.send(t.to(), t.message()));
     }
     if (retryBudget != null && retryBudget.isDue(now)) {
       retryBudget
@@ -339,14 +339,14 @@
               attemptCounts.wantedRetries(),
               spareRetries(now),
               membership.view(),
-              membership.teller(),
+              membership.header(),
               now)
-          .forEach(t -> effects.tell(t.to(), t.message()));
+          .forEach(t -> effects.send(t.to(), t.message()));
     }
     if (loadReports != null) {
       loadReports
-          .due(membership.view(), membership.teller(), now)
-          .forEach(t -> effects.tell(t.to(), t.word()));
+          .runRound(membership.view(), membership.header(), now)
+          .forEach(t -> effects.send(t.to(), t.message()));
     }
     isFollowing = false;
   }
--- a/src/main/java/cobaltseam/deployment/DeploymentReader.java
+++ b/src/main/java/cobaltseam/deployment/DeploymentReader.java
@@ -12,10 +12,10 @@
 /** Turns the platform's start-up parameters into a {@link Deployment}. */
 public final class DeploymentReader {
   /** The name, in load reports of engines, of the requests that wait for memory. */
-  public static final String QUEUE_REPORT = "pending";
+  public static final String QUEUED_REPORT_FIELD = "pending";
 
   /** The name, in load reports of engines, of all requests in flight, waiting ones included. */
-  public static final String IN_HAND_REPORT = "busy_reqs";
+  public static final String IN_FLIGHT_REPORT_FIELD = "busy_reqs";
 
   private DeploymentReader() {}
 
@@ -31,8 +31,8 @@
     List<Deployment.Quota> quotas = quotas(parameters);
     requireKnownMachineTypes(requestClasses, machineTypes);
     return new Deployment(
-        (int) parameters.whole("position"),
-        (int) parameters.whole("balancers"),
+        (int) parameters.integer("position"),
+        (int) parameters.integer("balancers"),
         requestClasses,
         machineTypes,
         quotas,
@@ -72,7 +72,7 @@
         span(fields, "hard_limit_us"),
         retrySafety(fields.text("repeat")),
         deduplicationScope(fields.text("key_scope", "all")),
-        new TimeSpan(fields.whole("window_us", 0)),
+        new TimeSpan(fields.integer("window_us", 0)),
         fields.flag("in_order"),
         fields.has("confined_to")
             ? fields.texts("confined_to").stream().map(LocationId::new).toList()
@@ -146,7 +146,7 @@
     boolean hasRetryBudget = fields.has("counted_over_us");
     // The retry budget binds where it is given, so one that can't be kept is an error.
     if (hasRetryBudget
-        && (fields.whole("counted_over_us") <= 0
+        && (fields.integer("counted_over_us") <= 0
             || fields.number("spare_attempts", 0) < 0
             || fields.number("repeat_ratio", 0) < 0)) {
       throw new InvalidInputException(
@@ -154,10 +154,10 @@
     }
     return new Deployment.Rules(
         fields.number("cold_from", 1),
-        new TimeSpan(fields.whole("warm_within_us", 0)),
+        new TimeSpan(fields.integer("warm_within_us", 0)),
         fields.number("fall_multiple", 1),
-        new TimeSpan(fields.whole("overload_for_us", 0)),
-        new TimeSpan(fields.whole("key_rest_us", 0)),
+        new TimeSpan(fields.integer("overload_for_us", 0)),
+        new TimeSpan(fields.integer("key_rest_us", 0)),
         hasRetryBudget ? fields.number("spare_attempts", 0) : null,
         hasRetryBudget ? fields.number("repeat_ratio", 0) : null,
         hasRetryBudget ? span(fields, "counted_over_us") : null);
@@ -169,31 +169,31 @@
     if (!List.of("wait", "shrink", "page").contains(outOfMemory)) {
       throw new InvalidInputException("family_info: unknown 'out_of_memory' " + outOfMemory);
     }
-    if (limits.whole("most_tries", 1) < 1 || limits.whole("max_retry_after_us", 0) < 0) {
+    if (limits.integer("most_tries", 1) < 1 || limits.integer("max_retry_after_us", 0) < 0) {
       throw new InvalidInputException(
           "limits: 'most_tries' at least 1, 'max_retry_after_us' not below 0");
     }
     return new Deployment.Capabilities(
         span(parameters, "tick_us"),
-        (int) limits.whole("most_tries", 1),
+        (int) limits.integer("most_tries", 1),
         limits.flag("cancel"),
         family.flag("ranks_heeded"),
         limits.flag("retry_after"),
-        new TimeSpan(limits.whole("max_retry_after_us", 0)),
-        new TimeSpan(family.whole("tells_every_us", 0)),
+        new TimeSpan(limits.integer("max_retry_after_us", 0)),
+        new TimeSpan(family.integer("tells_every_us", 0)),
         family.flag("takes_grants"));
   }
 
-  private static Deployment.Place place(JsonObjectReader parameters) {
+  private static Deployment.DispatcherSite place(JsonObjectReader parameters) {
     String zone = parameters.text("zone", null);
     boolean isCrossZonePriced =
         parameters.has("prices") && parameters.object("prices").number("cross_zone", 0) > 0;
     return zone == null
-        ? Deployment.Place.UNKNOWN
-        : new Deployment.Place(new LocationId(zone), isCrossZonePriced);
+        ? Deployment.DispatcherSite.UNKNOWN
+        : new Deployment.DispatcherSite(new LocationId(zone), isCrossZonePriced);
   }
 
   private static TimeSpan span(JsonObjectReader fields, String name) {
-    return new TimeSpan(fields.whole(name));
+    return new TimeSpan(fields.integer(name));
   }
 }
--- a/src/main/java/cobaltseam/deployment/JsonObjectReader.java
+++ b/src/main/java/cobaltseam/deployment/JsonObjectReader.java
@@ -120,13 +120,13 @@
   }
 
   /** The number in a field as an integer; a fraction is cut off. */
-  public long whole(String name) {
+  public long integer(String name) {
     return as(Number.class, name, "a number").longValue();
   }
 
   /** The number in a field as an integer, or a default if the field is missing. */
-  public long whole(String name, long defaultValue) {
-    return has(name) ? whole(name) : defaultValue;
+  public long integer(String name, long defaultValue) {
+    return has(name) ? integer(name) : defaultValue;
   }
 
   /** The number in a field. */
--- a/src/main/java/cobaltseam/dispatch/AttemptOutcome.java
+++ b/src/main/java/cobaltseam/dispatch/AttemptOutcome.java
@@ -40,7 +40,7 @@
     }
 
     /** Whether the result proves that no engine ran the request. */
-    public boolean neverRan() {
+    public boolean hasNeverRun() {
       return neverRan;
     }
   }
--- a/src/main/java/cobaltseam/dispatch/Deployment.java
+++ b/src/main/java/cobaltseam/dispatch/Deployment.java
@@ -9,7 +9,7 @@
  * @param dispatcherIndex this dispatcher's number among all, from 0
  * @param dispatcherCount how many dispatchers share the engines
  * @param overQuotaWeight the factor to the priority weight of a request over its tenant's quota
- * @param place where this dispatcher runs
+ * @param site where this dispatcher runs
  */
 public record Deployment(
     int dispatcherIndex,
@@ -20,7 +20,7 @@
     double overQuotaWeight,
     Rules rules,
     Capabilities capabilities,
-    Place place) {
+    DispatcherSite site) {
   /** A deployment in which the dispatcher's own location is unknown. */
   public Deployment(
       int dispatcherIndex,
@@ -40,17 +40,17 @@
         overQuotaWeight,
         rules,
         capabilities,
-        Place.UNKNOWN);
+        DispatcherSite.UNKNOWN);
   }
 
   /**
    * Where this dispatcher runs.
    *
    * @param location null if unknown
-   * @param crossingCosts whether traffic to other locations has a price
+   * @param hasCrossingCosts whether traffic to other locations has a price
    */
-  public record Place(LocationId location, boolean crossingCosts) {
-    public static final Place UNKNOWN = new Place(null, false);
+  public record DispatcherSite(LocationId location, boolean hasCrossingCosts) {
+    public static final DispatcherSite UNKNOWN = new DispatcherSite(null, false);
   }
 
   /** Whether a request may run more than once, the least strict first. */
@@ -77,7 +77,7 @@
    * @param deadline how long a client waits, from when its request is accepted
    * @param deduplicationScope null if engines do not deduplicate
    * @param deduplicationWindow how long engines remember an idempotency key
-   * @param inOrder whether requests with the same key run in the order in which they are accepted
+   * @param isOrdered whether requests with the same key run in the order in which they are accepted
    * @param locations where requests may run; null if anywhere
    * @param machineTypes what requests may run on; null if on any
    * @param loadsDataSet whether a request loads its data set, and holds it on its engine until it
@@ -95,7 +95,7 @@
       RetrySafety retrySafety,
       DeduplicationScope deduplicationScope,
       TimeSpan deduplicationWindow,
-      boolean inOrder,
+      boolean isOrdered,
       List<LocationId> locations,
       List<MachineTypeId> machineTypes,
       boolean loadsDataSet,
--- a/src/main/java/cobaltseam/dispatch/Dispatcher.java
+++ b/src/main/java/cobaltseam/dispatch/Dispatcher.java
@@ -112,7 +112,7 @@
       close(request);
       return Placement.queue();
     }
-    if (!result.neverRan()) {
+    if (!result.hasNeverRun()) {
       request.recordMayHaveRun(attempt, engine);
     }
     request.setGiveUpAt(timeouts.giveUpAt(request));
@@ -258,7 +258,7 @@
   }
 
   /** The work of all requests accepted so far, in microseconds of one thread. */
-  public double offeredLoad() {
+  public double offeredWorkUs() {
     return admission.offeredWorkUs();
   }
 
--- a/src/main/java/cobaltseam/dispatch/EngineHealth.java
+++ b/src/main/java/cobaltseam/dispatch/EngineHealth.java
@@ -128,7 +128,7 @@
 
   void addStay(double threads, TimeSpan stay) {
     double weight =
-        Math.min(1, stay.over(settings.shortestObjective())) * PolicyConstants.SAMPLE_WEIGHT;
+        Math.min(1, stay.dividedBy(settings.shortestObjective())) * PolicyConstants.SAMPLE_WEIGHT;
     meanThreads += (threads - meanThreads) * weight;
     meanStay = meanStay.plus(stay.minus(meanStay).times(weight));
   }
@@ -149,7 +149,7 @@
     callLate =
         nextCallDue != null && now.since(nextCallDue).compareTo(settings.refreshInterval()) > 0;
     double objectives =
-        decayedAt == null ? 0 : now.since(decayedAt).over(settings.shortestObjective());
+        decayedAt == null ? 0 : now.since(decayedAt).dividedBy(settings.shortestObjective());
     double keep = Math.pow(0.5, objectives / HALF_LIFE_OBJECTIVES);
     decayedAt = now;
     slownessSamples.decay(keep);
@@ -157,7 +157,7 @@
     loadSamples.decay(keep);
     for (RequestClassStats each : requestClasses.all()) {
       TimeSpan objective = each.definition().latencyObjective();
-      each.decaySlowness(Math.pow(keep, settings.shortestObjective().over(objective)));
+      each.decaySlowness(Math.pow(keep, settings.shortestObjective().dividedBy(objective)));
     }
     engines.sorted().forEach(e -> e.decayHealthSamples(keep));
   }
@@ -212,7 +212,7 @@
       return;
     }
     for (Attempt attempt : engine.attempts()) {
-      double ratio = now.since(attempt.sentAt()).over(attempt.expectedLatency());
+      double ratio = now.since(attempt.sentAt()).dividedBy(attempt.expectedLatency());
       if (ratio > PolicyConstants.SLOW_RATIO) {
         engine.returnBorrowed(attempt);
       }
--- a/src/main/java/cobaltseam/dispatch/EngineState.java
+++ b/src/main/java/cobaltseam/dispatch/EngineState.java
@@ -174,7 +174,8 @@
    * the mean of all engines.
    */
   double estimatedInFlight(double meanPerCore, TimeSpan halfLife, Timestamp now) {
-    double weight = reportedInFlight < 0 ? 0 : Math.pow(0.5, now.since(reportedAt).over(halfLife));
+    double weight =
+        reportedInFlight < 0 ? 0 : Math.pow(0.5, now.since(reportedAt).dividedBy(halfLife));
     return reportedInFlight * weight + meanPerCore * cores * (1 - weight);
   }
 
--- a/src/main/java/cobaltseam/dispatch/EngineWarmup.java
+++ b/src/main/java/cobaltseam/dispatch/EngineWarmup.java
@@ -59,7 +59,7 @@
     if (!isWarmingUp(now)) {
       return 1;
     }
-    double progress = Math.max(0, now.since(startedAt).over(slowStart.duration()));
+    double progress = Math.max(0, now.since(startedAt).dividedBy(slowStart.duration()));
     return slowStart.startFraction() + (1 - slowStart.startFraction()) * progress;
   }
 
--- a/src/main/java/cobaltseam/dispatch/OutcomeRecorder.java
+++ b/src/main/java/cobaltseam/dispatch/OutcomeRecorder.java
@@ -32,7 +32,7 @@
     double ratio =
         Math.max(
             1 / PolicyConstants.MAX_RATIO,
-            Math.min(PolicyConstants.MAX_RATIO, latency.over(attempt.expectedLatency())));
+            Math.min(PolicyConstants.MAX_RATIO, latency.dividedBy(attempt.expectedLatency())));
     if (ratio > PolicyConstants.NEAR_RATIO && isExcused(attempt, outcome.result())) {
       if (outcome.result() == AttemptResult.COMPLETED) {
         engine.recordCompletion(now);
--- a/src/main/java/cobaltseam/dispatch/RequestRules.java
+++ b/src/main/java/cobaltseam/dispatch/RequestRules.java
@@ -28,7 +28,7 @@
         requestClass.retrySafety(),
         scope == null ? Set.of() : Set.of(scope),
         requestClass.deduplicationWindow(),
-        requestClass.inOrder(),
+        requestClass.isOrdered(),
         capabilities.maxAttempts(),
         deployment.rules().sequenceKeyRest(),
         requestClass.locations() == null ? null : Set.copyOf(requestClass.locations()),
--- a/src/main/java/cobaltseam/dispatch/TimeSpan.java
+++ b/src/main/java/cobaltseam/dispatch/TimeSpan.java
@@ -20,7 +20,7 @@
   }
 
   /** This span as a multiple of another. */
-  public double over(TimeSpan other) {
+  public double dividedBy(TimeSpan other) {
     return (double) us / other.us;
   }
 
--- a/src/main/java/cobaltseam/emulator/Baseline.java
+++ b/src/main/java/cobaltseam/emulator/Baseline.java
@@ -126,7 +126,7 @@
       request.profile = profiles.get(command.requestClass().value());
       request.taken = now;
       open.put(command.id(), request);
-      if (request.profile.inOrder() && command.sequenceKey() != null) {
+      if (request.profile.isOrdered() && command.sequenceKey() != null) {
         lines.computeIfAbsent(command.sequenceKey(), k -> new ArrayDeque<>()).add(request);
       }
     }
@@ -202,7 +202,7 @@
   /** Whether one in order has to wait for an earlier one of its key, or for the key to rest. */
   private boolean waits(OpenRequest request, Timestamp now) {
     Deque<OpenRequest> line =
-        request.profile.inOrder() && request.command.sequenceKey() != null
+        request.profile.isOrdered() && request.command.sequenceKey() != null
             ? lines.get(request.command.sequenceKey())
             : null;
     if (line == null) {
@@ -279,8 +279,8 @@
     }
     request.out = null;
     AttemptOutcome.AttemptResult ending = outcome.result();
-    request.mayHaveRun |= !ending.neverRan();
-    if (request.profile.inOrder()
+    request.mayHaveRun |= !ending.hasNeverRun();
+    if (request.profile.isOrdered()
         && request.command.sequenceKey() != null
         && (ending == AttemptOutcome.AttemptResult.TIMED_OUT
             || ending == AttemptOutcome.AttemptResult.CONNECTION_LOST
@@ -298,7 +298,7 @@
     if (!repeats
         || request.sends >= told.capabilities().maxAttempts()
         || told.rules().freeRetries() != null
-        || request.profile.inOrder()) {
+        || request.profile.isOrdered()) {
       return giveUp(request);
     }
     again.add(request);
--- a/src/main/java/cobaltseam/emulator/EmulatedFleet.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedFleet.java
@@ -120,7 +120,8 @@
             new cobaltseam.sharing.GossipOptions(ROUND, ASKED, ROUND.times(10), MOST_BYTES, CLOCKS),
             own.split(),
             time.now());
-    one.sharing.view(new java.util.HashSet<>(view.members().stream().map(Member::name).toList()));
+    one.sharing.setView(
+        new java.util.HashSet<>(view.members().stream().map(Member::name).toList()));
     one.capacityLeases =
         new CapacityLeases(
             new CapacityOptions(WHOLE, 0.1, processes.length, 0.25, LEASE.times(0.25), 16),
@@ -130,7 +131,7 @@
       // The fleet was formed long before the run begins.
       one.capacityLeases.follow(time.now().minus(LEASE.times(2)));
     }
-    dispatcher.setSharingDispatchers((double) WHOLE / one.capacityLeases.usable(time.now()));
+    dispatcher.setSharingDispatchers((double) WHOLE / one.capacityLeases.usableAmount(time.now()));
     turn(index, one.incarnation);
     return decorate(one, Policy.ofDispatcher(dispatcher));
   }
@@ -144,7 +145,7 @@
       @Override
       public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
         if (outcome.inFlightAtEngine() >= 0) {
-          one.loadReports.told(
+          one.loadReports.addLocal(
               new LoadReports.LoadReport(
                   outcome.engine(),
                   Math.max(0, outcome.inFlightAtEngine() - Math.max(0, outcome.queuedAtEngine())),
@@ -157,8 +158,8 @@
 
   private void startExchange(int index, int life) {
     if (processes[index].incarnation == life) {
-      send(processes[index].loadReports.due(view, header(index), time.now()));
-      time.at(processes[index].loadReports.wake().us(), () -> startExchange(index, life));
+      send(processes[index].loadReports.runRound(view, header(index), time.now()));
+      time.at(processes[index].loadReports.nextRoundAt().us(), () -> startExchange(index, life));
     }
   }
 
@@ -172,10 +173,10 @@
       after(
           to,
           () -> {
-            send(processes[to].loadReports.heard(tell.word(), view, header(to), time.now()));
+            send(processes[to].loadReports.receive(tell.message(), view, header(to), time.now()));
             processes[to]
                 .loadReports
-                .news()
+                .takeReceived()
                 .forEach(
                     r ->
                         processes[to].dispatcher.updateEngineLoad(
@@ -202,7 +203,7 @@
       }
 
       @Override
-      public MessageHeader teller() {
+      public MessageHeader messageHeader() {
         return EmulatedFleet.this.header(index);
       }
 
@@ -212,20 +213,21 @@
       }
 
       @Override
-      public TimeSpan outlasts() {
+      public TimeSpan maxLeaseDuration() {
         return LEASE.times(1 + 2 * CLOCKS);
       }
 
       @Override
-      public double clockRates() {
+      public double maxClockRateRatio() {
         return CLOCKS;
       }
 
       @Override
       public Double demand(MemberName of) {
-        KnownFigures known = processes[index].sharing.known(of, time.now());
-        Long said = known == null ? null : known.figures().byName().get(FleetCoordinator.DEMAND);
-        return said == null ? null : Double.valueOf(FleetCoordinator.demand(said));
+        KnownFigures known = processes[index].sharing.figuresOf(of, time.now());
+        Long said =
+            known == null ? null : known.figures().byName().get(FleetCoordinator.DEMAND_FIGURE);
+        return said == null ? null : Double.valueOf(FleetCoordinator.figureToDemand(said));
       }
     };
   }
@@ -237,25 +239,26 @@
       return;
     }
     Timestamp now = time.now();
-    double rate = one.demand.told(one.dispatcher.offeredLoad(), now);
+    double rate = one.demand.update(one.dispatcher.offeredWorkUs(), now);
     one.capacityLeases.needs(rate);
-    one.sharing.say(
-        new MemberFigures(Map.of(FleetCoordinator.DEMAND, FleetCoordinator.figure(rate))));
-    shares(index, one.sharing.due(now));
-    one.capacityLeases.follow(now).forEach(t -> send(t.to(), t.word()));
+    one.sharing.setFigures(
+        new MemberFigures(
+            Map.of(FleetCoordinator.DEMAND_FIGURE, FleetCoordinator.demandToFigure(rate))));
+    shares(index, one.sharing.runRound(now));
+    one.capacityLeases.follow(now).forEach(t -> send(t.to(), t.message()));
     publishFigures(one);
     time.after(LEASE.times(0.25), () -> turn(index, life));
   }
 
   private void publishFigures(FleetMember one) {
     one.dispatcher.setSharingDispatchers(
-        (double) WHOLE / Math.max(1, one.capacityLeases.usable(time.now())));
+        (double) WHOLE / Math.max(1, one.capacityLeases.usableAmount(time.now())));
   }
 
-  private void shares(int from, List<StateGossip.Send> sends) {
-    for (StateGossip.Send send : sends) {
+  private void shares(int from, List<StateGossip.OutgoingMessage> sends) {
+    for (StateGossip.OutgoingMessage send : sends) {
       int to = Integer.parseInt(send.to().value().substring(1));
-      after(to, () -> shares(to, processes[to].sharing.heard(send.message(), time.now())));
+      after(to, () -> shares(to, processes[to].sharing.receive(send.message(), time.now())));
     }
   }
 
@@ -264,7 +267,10 @@
     after(
         to,
         () -> {
-          processes[to].capacityLeases.heard(word, time.now()).forEach(t -> send(t.to(), t.word()));
+          processes[to]
+              .capacityLeases
+              .receive(word, time.now())
+              .forEach(t -> send(t.to(), t.message()));
           publishFigures(processes[to]);
         });
   }
--- a/src/main/java/cobaltseam/emulator/InvariantChecker.java
+++ b/src/main/java/cobaltseam/emulator/InvariantChecker.java
@@ -188,7 +188,7 @@
       int dispatcher, RequestId id, ObservedRequest observed, EngineModel engine, long now) {
     ObservedAttempt first =
         observed.sends.stream()
-            .filter(x -> x.ending == null || !x.ending.neverRan())
+            .filter(x -> x.ending == null || !x.ending.hasNeverRun())
             .findFirst()
             .orElse(null);
     if (first != null && observed.profile.retrySafety() == RetrySafety.NOT_IDEMPOTENT) {
@@ -332,7 +332,7 @@
         && observed.profile.retrySafety() != RetrySafety.IDEMPOTENT
         && !(observed.profile.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY
             && observed.profile.deduplicationScope() == DeduplicationScope.ALL)
-        && observed.sends.stream().anyMatch(x -> x.ending == null || !x.ending.neverRan())) {
+        && observed.sends.stream().anyMatch(x -> x.ending == null || !x.ending.hasNeverRun())) {
       violations(Rule.TWICE, dispatcher, id, "shed though it may have run");
     }
     if (told == FinalAnswer.ANSWERED && observed.sends.stream().noneMatch(x -> x.ranUs >= 0)) {
--- a/src/main/java/cobaltseam/fleet/AgreementHunt.java
+++ b/src/main/java/cobaltseam/fleet/AgreementHunt.java
@@ -115,7 +115,7 @@
     }
     ActivationRecord.Contradiction longest =
         ActivationRecord.longest(fleet.activations(), harmless, fleet.now());
-    if (longest.seconds() > TERMS.contradiction().us() / 1e6) {
+    if (longest.seconds() > TERMS.maxContradiction().us() / 1e6) {
       broken.add("contradiction for " + longest);
     }
     long editions =
--- a/src/main/java/cobaltseam/fleet/VirtualFleet.java
+++ b/src/main/java/cobaltseam/fleet/VirtualFleet.java
@@ -127,7 +127,7 @@
   private static final ConfigurationAgreement.ConfigurationValidator TEXTS =
       new ConfigurationAgreement.ConfigurationValidator() {
         @Override
-        public String check(byte[] content) {
+        public String rejectionReason(byte[] content) {
           return new String(content, StandardCharsets.UTF_8).startsWith("no")
               ? "it can't be acted on"
               : null;
@@ -253,7 +253,7 @@
 
   /** The quorum state that a process believes in. */
   public QuorumState quorumState(int index) {
-    return processes[index].membership.standing();
+    return processes[index].membership.quorumState();
   }
 
   /** The view that a process holds, or null. */
@@ -263,13 +263,13 @@
 
   /** An operator has a process found another line in place of this view. */
   public void bootstrapAgain(int index, ViewId said) {
-    processes[index].coordinator.foundAnew(said, moment(index));
+    processes[index].coordinator.rebootstrap(said, moment(index));
     scheduleWake(index);
   }
 
   /** Over how many members a process shares the engines now. */
   public int carriers(int index) {
-    return processes[index].membership.carriers(moment(index));
+    return processes[index].membership.engineSharerCount(moment(index));
   }
 
   /** The processes that run now. */
@@ -330,9 +330,9 @@
         events.add(
             new Event(now + MAX_WRITE_S, turns++, event.process, event.life, null, event.keep));
       } else if (process.alive && event.life == process.life && process.writing == event.keep) {
-        process.persistentState = event.keep.what();
+        process.persistentState = event.keep.state();
         process.writing = null;
-        process.coordinator.kept(event.keep.number(), moment(event.process));
+        process.coordinator.persisted(event.keep.number(), moment(event.process));
         scheduleWake(event.process);
       }
     } else if (event.message != null) {
@@ -381,12 +381,12 @@
     if (process.wake < now - plan.healthCheckIntervalS / 2) {
       due(index);
     }
-    process.coordinator.heard(message, moment(index));
+    process.coordinator.receive(message, moment(index));
     scheduleWake(index);
   }
 
   private void due(int index) {
-    processes[index].coordinator.due(moment(index));
+    processes[index].coordinator.advance(moment(index));
     scheduleWake(index);
   }
 
@@ -419,7 +419,7 @@
     Member self = new Member(name(index), new Incarnation(++incarnations), addresses.get(index));
     process.membership =
         plan.withPersistence
-            ? Membership.lasting(options, self, process.persistentState, chance.split())
+            ? Membership.withFolder(options, self, process.persistentState, chance.split())
             : new Membership(options, self, chance.split());
     recordedEvents.add(
         new RecordedEvent(
@@ -443,8 +443,8 @@
             process.membership, lease, process.agreement, process.sharing, out(index, process));
     if (capacityOptions != null) {
       process.capacityLeases =
-          new CapacityLeases(capacityOptions, process.coordinator.under(), chance.split());
-      process.coordinator.holds(process.capacityLeases);
+          new CapacityLeases(capacityOptions, process.coordinator.leaseContext(), chance.split());
+      process.coordinator.setCapacityLeases(process.capacityLeases);
       needs(index, demands[index]);
     }
     process.coordinator.start(moment(index));
@@ -456,9 +456,9 @@
     process.agreement =
         new ConfigurationAgreement(
             agreementOptions, process.membership, lease, TEXTS, chance.split());
-    process.agreement.own("first".getBytes(StandardCharsets.UTF_8));
+    process.agreement.setOwnDocument("first".getBytes(StandardCharsets.UTF_8));
     if (process.persistentState != null) {
-      process.persistentState.documents().forEach(process.agreement::knows);
+      process.persistentState.documents().forEach(process.agreement::addPersistedDocument);
     }
     recordActivation(index, null);
   }
@@ -478,7 +478,7 @@
         process.alive = false;
         recordActivation(index, null);
         if (process.writing != null && chance.nextBoolean()) {
-          process.persistentState = process.writing.what();
+          process.persistentState = process.writing.state();
         }
         process.writing = null;
         process.resumes =
@@ -509,7 +509,7 @@
     } else if (process.alive) {
       if (process.agreement != null) {
         process.coordinator.follow(moment(index));
-        recordActivation(index, process.agreement.acting());
+        recordActivation(index, process.agreement.activeConfiguration());
       }
       due(index);
       while (!process.unread.isEmpty() && process.alive) {
@@ -571,12 +571,12 @@
     long life = process.life;
     return new FleetCoordinator.EffectSink() {
       @Override
-      public void tell(InetSocketAddress to, PeerMessage message) {
+      public void send(InetSocketAddress to, PeerMessage message) {
         VirtualFleet.this.send(index, to, message);
       }
 
       @Override
-      public void act(MembershipAction act) {
+      public void handleMembership(MembershipAction act) {
         if (act instanceof MembershipAction.Persist keep) {
           process.writing = keep;
           events.add(
@@ -598,9 +598,9 @@
       }
 
       @Override
-      public void doing(AgreementEffect doing) {
+      public void handleAgreement(AgreementEffect doing) {
         if (doing instanceof AgreementEffect.Activate on) {
-          recordActivation(index, on.on());
+          recordActivation(index, on.configuration());
         } else if (doing instanceof AgreementEffect.EventRecorded noted) {
           notes.merge(noted.event().label(), 1, Integer::sum);
         }
@@ -613,7 +613,7 @@
     if (capacityOptions != null) {
       recordUsage();
     }
-    Timestamp wake = process.coordinator.wake(moment(index));
+    Timestamp wake = process.coordinator.nextAdvanceAt(moment(index));
     if (wake == null) {
       return;
     }
@@ -645,8 +645,9 @@
     demands[index] = demand;
     if (processes[index].capacityLeases != null) {
       processes[index].capacityLeases.needs(demand);
-      processes[index].sharing.say(
-          new MemberFigures(Map.of(FleetCoordinator.DEMAND, FleetCoordinator.figure(demand))));
+      processes[index].sharing.setFigures(
+          new MemberFigures(
+              Map.of(FleetCoordinator.DEMAND_FIGURE, FleetCoordinator.demandToFigure(demand))));
     }
   }
 
@@ -654,7 +655,7 @@
   public long usable(int index) {
     Process process = processes[index];
     return process.alive && process.capacityLeases != null && !isSuspended(index)
-        ? process.capacityLeases.usable(moment(index))
+        ? process.capacityLeases.usableAmount(moment(index))
         : 0;
   }
 
@@ -682,14 +683,14 @@
     }
     double missed = 0;
     long settled =
-        capacityOptions.whole() - capacityOptions.alonePart() * capacityOptions.processes();
+        capacityOptions.whole() - capacityOptions.standalonePart() * capacityOptions.maxProcesses();
     for (int index = 0; index < processes.length && sum > 0; index++) {
       if (processes[index].alive) {
         double even = (double) settled / alive;
         double due =
-            capacityOptions.alonePart()
-                + capacityOptions.floor() * even
-                + (1 - capacityOptions.floor()) * settled * demands[index] / sum;
+            capacityOptions.standalonePart()
+                + capacityOptions.minEvenShare() * even
+                + (1 - capacityOptions.minEvenShare()) * settled * demands[index] / sum;
         missed += Math.abs(usable(index) - due);
       }
     }
@@ -718,7 +719,7 @@
    */
   public void enableAgreement(ConfigurationAgreement.AgreementOptions terms, double clocksApart) {
     agreementOptions = terms;
-    leaseOptions = new Lease.LeaseOptions(terms.contradiction(), terms.clockRates());
+    leaseOptions = new Lease.LeaseOptions(terms.maxContradiction(), terms.maxClockRateRatio());
     for (Process process : processes) {
       process.rate = 1 + clocksApart * (chance.nextDouble() - 0.5);
     }
@@ -737,7 +738,7 @@
 
   /** The configuration that is active at a process. */
   public ActiveConfiguration acting(int index) {
-    return processes[index].agreement.acting();
+    return processes[index].agreement.activeConfiguration();
   }
 
   /** What all acted on, in the order in which it was. */
--- a/src/main/java/cobaltseam/mastership/Mastership.java
+++ b/src/main/java/cobaltseam/mastership/Mastership.java
@@ -340,7 +340,7 @@
 
   private double remainingShare(Timestamp from, Timestamp now) {
     return maxAttemptDuration.isPositive()
-        ? Math.max(0, 1 - now.since(from).over(maxAttemptDuration))
+        ? Math.max(0, 1 - now.since(from).dividedBy(maxAttemptDuration))
         : 0;
   }
 
--- a/src/main/java/cobaltseam/membership/Lease.java
+++ b/src/main/java/cobaltseam/membership/Lease.java
@@ -39,7 +39,7 @@
   }
 
   /** A datagram to send; it may be lost. */
-  public record OutgoingMessage(InetSocketAddress to, LeaseMessage word) {}
+  public record OutgoingMessage(InetSocketAddress to, LeaseMessage message) {}
 
   /** The part of its duration after which a lease is renewed. */
   private static final double RENEW_AFTER_FRACTION = 0.25;
@@ -62,7 +62,7 @@
   private final RandomGenerator random;
   private final Map<Long, Round> rounds = new LinkedHashMap<>();
   private View leasedView;
-  private Timestamp until;
+  private Timestamp expiresAt;
   private Timestamp renewAt;
 
   /** A lease that is not held yet. */
@@ -73,27 +73,27 @@
   }
 
   /** Until when this process may act without hearing from a majority; null if it may not. */
-  public Timestamp until() {
-    return until;
+  public Timestamp expiresAt() {
+    return expiresAt;
   }
 
   /** How long this process may still act; zero if it may not. */
-  public TimeSpan left(Timestamp now) {
-    return until == null || !now.isBefore(until) ? TimeSpan.ZERO : until.since(now);
+  public TimeSpan remaining(Timestamp now) {
+    return expiresAt == null || !now.isBefore(expiresAt) ? TimeSpan.ZERO : expiresAt.since(now);
   }
 
   /** After this time all leases granted before have ended, whichever clock is the slower. */
-  public TimeSpan outlasts() {
+  public TimeSpan maxDuration() {
     return options.duration().times(1 + 2 * options.maxClockRateRatio());
   }
 
   /** The settings. */
-  public LeaseOptions terms() {
+  public LeaseOptions options() {
     return options;
   }
 
-  /** When {@link #follow} must be called next; null without a view. */
-  public Timestamp wake(Timestamp now) {
+  /** When {@link #onTimer} must be called next; null without a view. */
+  public Timestamp nextWakeup(Timestamp now) {
     if (renewAt == null || now.isBefore(renewAt)) {
       return renewAt;
     }
@@ -101,17 +101,17 @@
   }
 
   /** Follows changes of the view, and requests a renewal if one is due. */
-  public List<OutgoingMessage> follow(Timestamp now) {
+  public List<OutgoingMessage> onTimer(Timestamp now) {
     View view = membership.view();
     if (view != leasedView) {
       boolean isSameLineage =
           view != null && leasedView != null && view.id().lineage() == leasedView.id().lineage();
-      until = isSameLineage ? until : null;
+      expiresAt = isSameLineage ? expiresAt : null;
       leasedView = view;
       renewAt = view == null ? null : now;
     }
     List<OutgoingMessage> messages = new ArrayList<>();
-    if (view == null || now.isBefore(renewAt) || !membership.isNewest()) {
+    if (view == null || now.isBefore(renewAt) || !membership.hasNoSuccessor()) {
       return messages;
     }
     renewAt = now.plus(options.duration().times(RENEW_AFTER_FRACTION));
@@ -124,7 +124,7 @@
     for (Member member : view.members()) {
       if (!member.name().equals(membership.self().name())) {
         messages.add(
-            new OutgoingMessage(member.peerAddress(), new LeaseRenewal(membership.teller(), id)));
+            new OutgoingMessage(member.peerAddress(), new LeaseRenewal(membership.header(), id)));
       }
     }
     addGrant(round, membership.self(), view);
@@ -136,27 +136,27 @@
     round.grantedBy.add(grantor.name());
     if (round.grantedBy.size() >= view.majority()) {
       Timestamp endsAt = round.sentAt.plus(options.duration());
-      until = until == null || until.isBefore(endsAt) ? endsAt : until;
+      expiresAt = expiresAt == null || expiresAt.isBefore(endsAt) ? endsAt : expiresAt;
     }
   }
 
   /**
-   * Processes a message whose sender {@link Membership#spoke} accepted.
+   * Processes a message whose sender {@link Membership#acceptSender} accepted.
    *
    * @return the messages to send
    */
-  public List<OutgoingMessage> heard(LeaseMessage message, Timestamp now) {
+  public List<OutgoingMessage> receive(LeaseMessage message, Timestamp now) {
     View view = membership.view();
     Member from = message.from().member();
     if (view == null || !view.contains(from.name(), from.incarnation())) {
       return List.of();
     }
     if (message instanceof LeaseRenewal renewal
-        && membership.isNewest()
+        && membership.hasNoSuccessor()
         && renewal.from().view().equals(view.id())) {
       return List.of(
           new OutgoingMessage(
-              from.peerAddress(), new LeaseGrant(membership.teller(), renewal.id())));
+              from.peerAddress(), new LeaseGrant(membership.header(), renewal.id())));
     }
     Round round = message instanceof LeaseGrant grant ? rounds.get(grant.id()) : null;
     if (round != null
--- a/src/main/java/cobaltseam/membership/Membership.java
+++ b/src/main/java/cobaltseam/membership/Membership.java
@@ -16,8 +16,8 @@
 /**
  * One process among those of its fleet: agreed views over the {@link FailureDetector}. It does no
  * I/O and starts no thread: time, randomness and messages come from the caller, which calls {@link
- * #due} no later than {@link #wake} says and carries out the returned actions in their order. It is
- * not thread-safe.
+ * #onTimer} no later than {@link #nextWakeup} says and carries out the returned actions in their
+ * order. It is not thread-safe.
  *
  * <p>A view follows only from its predecessor, by a majority of it ({@link ViewChange}). The first
  * member in order that seems alive proposes the next view once the wanted change is stable; if that
@@ -48,7 +48,7 @@
    * @param former what the folder holds; null if the folder is new. If it is of another member, or
    *     of this one at another address, it is not continued
    */
-  public static Membership lasting(
+  public static Membership withFolder(
       MembershipOptions options, Member self, PersistentState former, RandomGenerator random) {
     if (former == null || !former.self().name().equals(self.name())) {
       return new Membership(options, self, random, null, 1);
@@ -111,8 +111,8 @@
     return localView.view();
   }
 
-  /** What may be made of the view now; after a pause the caller calls {@link #due} first. */
-  public QuorumState standing() {
+  /** What may be made of the view now; after a pause the caller calls {@link #onTimer} first. */
+  public QuorumState quorumState() {
     return quorum.state();
   }
 
@@ -121,36 +121,36 @@
    * members removed from it whose attempts may still occupy engines. It rises at once and falls
    * only after that. Zero without a view.
    */
-  public int carriers(Timestamp now) {
+  public int engineSharerCount(Timestamp now) {
     int occupying = removedMembers.occupyingCount(now);
     return localView.hasView() ? view().members().size() + occupying : 0;
   }
 
-  /** When {@link #carriers} may next fall by itself; null if it will not. */
-  public Timestamp carriersFallAt() {
+  /** When {@link #engineSharerCount} may next fall by itself; null if it will not. */
+  public Timestamp nextEngineSharerExpiry() {
     return removedMembers.nextExpiry();
   }
 
   /**
    * How a member seems from here, for operators.
    *
-   * @param incarnation its status version
-   * @param since when its condition last changed
-   * @param heard when it was last heard; null if never
+   * @param statusVersion its status version
+   * @param conditionSince when its condition last changed
+   * @param lastHeardAt when it was last heard; null if never
    * @param roundTrip of its last answered health check; null before the first
-   * @param by the members that suspect it, by name
+   * @param suspectedBy the members that suspect it, by name
    */
   public record MemberStatus(
       Member member,
-      long incarnation,
+      long statusVersion,
       MemberCondition condition,
-      Timestamp since,
-      Timestamp heard,
+      Timestamp conditionSince,
+      Timestamp lastHeardAt,
       TimeSpan roundTrip,
-      List<MemberName> by) {}
+      List<MemberName> suspectedBy) {}
 
   /** The status of all known peers, by name. */
-  public List<MemberStatus> seen() {
+  public List<MemberStatus> memberStatuses() {
     return detector.peers().stream().map(Membership::status).toList();
   }
 
@@ -166,22 +166,22 @@
   }
 
   /** The health score of this process, from 0 for healthy to {@link LocalHealth#MAX_SCORE}. */
-  public int health() {
+  public int healthScore() {
     return detector.healthScore();
   }
 
   /** When the view was installed, or confirmed after a restart; null before the first. */
-  public Timestamp viewSince() {
+  public Timestamp viewInstalledAt() {
     return localView.installedAt();
   }
 
   /** A process that pauses for less than this is not removed. */
-  public TimeSpan bears() {
+  public TimeSpan toleratedPause() {
     return detector.minSuspicionTimeout();
   }
 
   /** Whether promises outlive this process. */
-  public boolean isLasting() {
+  public boolean isPersistent() {
     return persistence.isEnabled();
   }
 
@@ -209,8 +209,8 @@
     return finish();
   }
 
-  /** When {@link #due} must be called next; null once this process has left. */
-  public Timestamp wake(Timestamp now) {
+  /** When {@link #onTimer} must be called next; null once this process has left. */
+  public Timestamp nextWakeup(Timestamp now) {
     if (isLeaving) {
       return null;
     }
@@ -230,7 +230,7 @@
    *
    * @return the actions that waited for it
    */
-  public List<MembershipAction> kept(long number) {
+  public List<MembershipAction> onStateWritten(long number) {
     return persistence.onWritten(number);
   }
 
@@ -240,7 +240,7 @@
    *
    * @param why the cause, for the log
    */
-  public List<MembershipAction> notKept(String why, Timestamp now) {
+  public List<MembershipAction> onStateWriteFailed(String why, Timestamp now) {
     if (persistence.isEnabled()) {
       persistence.disable();
       actions.recordEvent(MembershipEvent.FOLDER_LOST, self().name(), why);
@@ -253,7 +253,7 @@
   }
 
   /** Does what is due at this time. */
-  public List<MembershipAction> due(Timestamp now) {
+  public List<MembershipAction> onTimer(Timestamp now) {
     if (!isLeaving) {
       MemberName name = self().name();
       TimeSpan late = detector.onTimer(now);
@@ -289,7 +289,7 @@
    * @param documentOf the document of a version, or null if it is not here; it is persisted with
    *     the vote
    */
-  public void accepts(
+  public void setDocuments(
       Predicate<ConfigurationVersion> hasDocument,
       Function<ConfigurationVersion, byte[]> documentOf) {
     driver.setDocumentCheck(hasDocument);
@@ -297,17 +297,17 @@
   }
 
   /** The configuration version that this process accepted for the next view, or null. */
-  public ConfigurationVersion accepted() {
+  public ConfigurationVersion acceptedConfiguration() {
     return localView.acceptedConfiguration();
   }
 
   /** Stops proposing a configuration version; one under way may still be chosen. */
-  public void withdraw() {
+  public void withdrawConfiguration() {
     driver.withdrawConfiguration();
   }
 
   /** Proposes a configuration version until it, or another with its number, is installed. */
-  public List<MembershipAction> offer(ConfigurationVersion version, Timestamp now) {
+  public List<MembershipAction> proposeConfiguration(ConfigurationVersion version, Timestamp now) {
     driver.proposeConfiguration(version);
     if (!isLeaving && localView.hasView()) {
       driver.proposeIfDue(now);
@@ -319,7 +319,7 @@
    * Whether this process has accepted no successor of its view. If a majority says so, the view had
    * no successor at that time.
    */
-  public boolean isNewest() {
+  public boolean hasNoSuccessor() {
     return localView.hasView()
         && localView.state().accepted() == null
         && !quorum.isResumed()
@@ -327,7 +327,7 @@
   }
 
   /** Whether all members of the view have reported it or a later one; a view is held. */
-  public boolean isHeldByAll() {
+  public boolean isViewReportedByAll() {
     for (Member member : view().members()) {
       if (!member.name().equals(self().name()) && !hasReportedView(member)) {
         return false;
@@ -348,7 +348,7 @@
    *
    * @return whether the message counts
    */
-  public boolean spoke(PeerMessage message, Timestamp now) {
+  public boolean acceptSender(PeerMessage message, Timestamp now) {
     if (isLeaving || detector.isQuiet(now) || !detector.acceptSender(message.from(), now)) {
       return false;
     }
@@ -357,7 +357,7 @@
   }
 
   /** The header of every message that this process sends now. */
-  public MessageHeader teller() {
+  public MessageHeader header() {
     return detector.header();
   }
 
@@ -370,13 +370,13 @@
    * @return what follows; a {@link MembershipEvent#NOT_FOUNDED_ANEW} with the cause if that
    *     majority may live
    */
-  public List<MembershipAction> foundAnew(ViewId lost, Timestamp now) {
+  public List<MembershipAction> rebootstrap(ViewId lost, Timestamp now) {
     rebootstrap.run(lost, now);
     return finish();
   }
 
   /** Processes a message that its transport has authenticated as one of this fleet. */
-  public List<MembershipAction> heard(MembershipMessage message, Timestamp now) {
+  public List<MembershipAction> receive(MembershipMessage message, Timestamp now) {
     boolean isForQuiet =
         message instanceof MembershipMessage.StatePart
             || message instanceof MembershipMessage.NameTaken;
--- a/src/main/java/cobaltseam/membership/MembershipAction.java
+++ b/src/main/java/cobaltseam/membership/MembershipAction.java
@@ -8,16 +8,17 @@
   record Send(InetSocketAddress to, MembershipMessage message) implements MembershipAction {}
 
   /**
-   * Write a state to the folder, then call {@link Membership#kept} with its number, or {@link
-   * Membership#notKept} if it can't be written. A later state replaces all earlier ones.
+   * Write a state to the folder, then call {@link Membership#onStateWritten} with its number, or
+   * {@link Membership#onStateWriteFailed} if it can't be written. A later state replaces all
+   * earlier ones.
    */
-  record Persist(long number, PersistentState what) implements MembershipAction {}
+  record Persist(long number, PersistentState state) implements MembershipAction {}
 
   /** Another view applies from now on; null for none. */
   record ViewInstalled(View view) implements MembershipAction {}
 
   /** Write an event to the log. */
-  record EventRecorded(MembershipEvent event, MemberName who, String detail)
+  record EventRecorded(MembershipEvent event, MemberName member, String detail)
       implements MembershipAction {}
 
   /** The events of membership; their labels are printed. */
--- a/src/main/java/cobaltseam/membership/ViewId.java
+++ b/src/main/java/cobaltseam/membership/ViewId.java
@@ -22,7 +22,7 @@
   }
 
   /** Parses what {@link #toString} writes; null if the text has another form. */
-  public static ViewId read(String text) {
+  public static ViewId parse(String text) {
     if (!text.matches("[0-9a-f]{1,15}/[0-9]{1,18}")) {
       return null;
     }
--- a/src/main/java/cobaltseam/postgres/ClientMessage.java
+++ b/src/main/java/cobaltseam/postgres/ClientMessage.java
@@ -21,7 +21,7 @@
   record Sync() implements ClientMessage {}
 
   /** A valid message of a type that is not supported. */
-  record Unspoken(char type) implements ClientMessage {}
+  record Unsupported(char type) implements ClientMessage {}
 
   /** Bytes that are not a valid message, or too many; nothing after them can be parsed. */
   record Malformed(String reason) implements ClientMessage {}
--- a/src/main/java/cobaltseam/postgres/ClientParser.java
+++ b/src/main/java/cobaltseam/postgres/ClientParser.java
@@ -30,11 +30,11 @@
   private boolean isBroken;
 
   /** The size of the buffer for incomplete messages, in bytes. */
-  public int held() {
+  public int bufferBytes() {
     return buffer.length;
   }
 
-  /** Whether nothing more is parsed, after a malformed message or {@link #refuse}. */
+  /** Whether nothing more is parsed, after a malformed message or {@link #fail}. */
   public boolean isBroken() {
     return isBroken;
   }
@@ -45,7 +45,7 @@
   }
 
   /** Stops parsing, and passes on a malformed message with the reason. */
-  public void refuse(String reason, Consumer<ClientMessage> messages) {
+  public void fail(String reason, Consumer<ClientMessage> messages) {
     if (!isBroken) {
       reportMalformed(reason, messages);
       length = 0;
@@ -54,7 +54,7 @@
   }
 
   /** Parses received bytes, and passes on each complete message. */
-  public void take(ByteBuffer in, Consumer<ClientMessage> messages) {
+  public void parse(ByteBuffer in, Consumer<ClientMessage> messages) {
     while (in.hasRemaining() && !isBroken) {
       int piece = Math.min(in.remaining(), MAX_MESSAGE_BYTES);
       if (buffer.length - length < piece) {
@@ -131,7 +131,7 @@
       case 'X' -> messages.accept(new ClientMessage.Terminate());
       case 'S' -> messages.accept(new ClientMessage.Sync());
       case 'P', 'B', 'D', 'E', 'C', 'F', 'H', 'd', 'c', 'f', 'p' ->
-          messages.accept(new ClientMessage.Unspoken(type));
+          messages.accept(new ClientMessage.Unsupported(type));
       default -> reportMalformed("message type " + (int) type, messages);
     }
   }
--- a/src/main/java/cobaltseam/postgres/Replies.java
+++ b/src/main/java/cobaltseam/postgres/ServerMessageWriter.java
@@ -6,36 +6,36 @@
 import java.util.List;
 
 /** Encodes the messages of a server in PostgreSQL's protocol 3.0, one after the other. */
-public final class Replies {
+public final class ServerMessageWriter {
   /** SQLSTATE of a failed request, whose effect is unknown: a retry may not be harmless. */
-  public static final String FAILED = "58000";
+  public static final String SQLSTATE_FAILED = "58000";
 
   /** SQLSTATE of a request that was shed: a retry is harmless. */
-  public static final String SHED = "53300";
+  public static final String SQLSTATE_SHED = "53300";
 
   /** SQLSTATE of a request that is rejected by a backup or at shutdown: a retry is harmless. */
-  public static final String STANDS_BY = "57P03";
+  public static final String SQLSTATE_CANNOT_CONNECT_NOW = "57P03";
 
   /** SQLSTATE of a statement that can't be used. */
-  public static final String BAD_STATEMENT = "42601";
+  public static final String SQLSTATE_SYNTAX_ERROR = "42601";
 
   /** SQLSTATE of a message that is not supported. */
-  public static final String NOT_SPOKEN = "0A000";
+  public static final String SQLSTATE_FEATURE_NOT_SUPPORTED = "0A000";
 
   /** SQLSTATE of a protocol violation. */
-  public static final String BAD_PROTOCOL = "08P01";
+  public static final String SQLSTATE_PROTOCOL_VIOLATION = "08P01";
 
   private static final int TEXT_TYPE_OID = 25;
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream(128);
 
   /** The encoded messages. */
-  public byte[] bytes() {
+  public byte[] toByteArray() {
     return out.toByteArray();
   }
 
   /** AuthenticationOk, ParameterStatus, BackendKeyData and ReadyForQuery after a start-up. */
-  public Replies welcome(int session, int secret) {
+  public ServerMessageWriter startupResponse(int session, int secret) {
     write('R', ByteBuffer.allocate(4).putInt(0).array());
     String[] parameters = {
       "server_version",
@@ -56,21 +56,21 @@
           'S', (parameters[i] + '\0' + parameters[i + 1] + '\0').getBytes(StandardCharsets.UTF_8));
     }
     write('K', ByteBuffer.allocate(8).putInt(session).putInt(secret).array());
-    return ready();
+    return readyForQuery();
   }
 
   /** ReadyForQuery. */
-  public Replies ready() {
+  public ServerMessageWriter readyForQuery() {
     return write('Z', new byte[] {'I'});
   }
 
   /** EmptyQueryResponse. */
-  public Replies emptyStatement() {
+  public ServerMessageWriter emptyQueryResponse() {
     return write('I', new byte[0]);
   }
 
   /** ErrorResponse with a severity such as ERROR or FATAL and an SQLSTATE. */
-  public Replies error(String severity, String sqlState, String text) {
+  public ServerMessageWriter errorResponse(String severity, String sqlState, String text) {
     String body =
         'S'
             + severity
@@ -85,12 +85,12 @@
   }
 
   /** CommandComplete with a tag such as SELECT 1. */
-  public Replies complete(String tag) {
+  public ServerMessageWriter commandComplete(String tag) {
     return write('C', (tag + '\0').getBytes(StandardCharsets.UTF_8));
   }
 
   /** RowDescription of text columns. */
-  public Replies columns(List<String> names) {
+  public ServerMessageWriter rowDescription(List<String> names) {
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     body.writeBytes(ByteBuffer.allocate(2).putShort((short) names.size()).array());
     for (String name : names) {
@@ -109,7 +109,7 @@
   }
 
   /** DataRow, from text with a tab between its columns, from an offset to another, exclusive. */
-  public Replies row(byte[] text, int from, int to) {
+  public ServerMessageWriter dataRow(byte[] text, int from, int to) {
     int columns = 1;
     for (int i = from; i < to; i++) {
       columns += text[i] == '\t' ? 1 : 0;
@@ -127,7 +127,7 @@
     return this;
   }
 
-  private Replies write(char type, byte[] body) {
+  private ServerMessageWriter write(char type, byte[] body) {
     writeHeader(type, body.length);
     out.writeBytes(body);
     return this;
--- a/src/main/java/cobaltseam/postgres/StatementScanner.java
+++ b/src/main/java/cobaltseam/postgres/StatementScanner.java
@@ -11,10 +11,10 @@
  */
 public final class StatementScanner {
   /** A statement is not valid; the message says why. */
-  public static final class Unusable extends Exception {
+  public static final class InvalidStatementException extends Exception {
     private static final long serialVersionUID = 1;
 
-    Unusable(String why) {
+    InvalidStatementException(String why) {
       super(why, null, false, false);
     }
   }
@@ -40,9 +40,10 @@
   /**
    * Scans a statement.
    *
-   * @throws Unusable if it has no comment with valid fields, or no statement behind it
+   * @throws InvalidStatementException if it has no comment with valid fields, or no statement
+   *     behind it
    */
-  public static Statement scan(byte[] text) throws Unusable {
+  public static Statement scan(byte[] text) throws InvalidStatementException {
     SqlCursor cursor = new SqlCursor(text);
     int start = 0;
     Map<String, String> fields = Map.of();
@@ -55,17 +56,17 @@
         int length = cursor.position() - start - COMMENT_MARKS_LENGTH;
         fields = parseFields(new String(text, start + 2, length, StandardCharsets.UTF_8));
       } else {
-        throw new Unusable("no comment with fields ahead of the statement");
+        throw new InvalidStatementException("no comment with fields ahead of the statement");
       }
     }
     cursor.skipSpace();
     byte[] forwarded = withoutRange(text, start, cursor.position());
     if (isEmpty(forwarded)) {
-      throw new Unusable("no statement behind the comment");
+      throw new InvalidStatementException("no statement behind the comment");
     }
     String call = requireField(fields, "call");
     if (!call.matches("[0-9a-fA-F]{16}")) {
-      throw new Unusable("'call' is not 16 hex digits");
+      throw new InvalidStatementException("'call' is not 16 hex digits");
     }
     double timeToLiveMs = parseNumber(fields, "ttl", requireField(fields, "ttl"));
     return new Statement(
@@ -97,10 +98,11 @@
     return fields;
   }
 
-  private static String requireField(Map<String, String> fields, String name) throws Unusable {
+  private static String requireField(Map<String, String> fields, String name)
+      throws InvalidStatementException {
     String value = fields.get(name);
     if (value == null || value.isEmpty()) {
-      throw new Unusable("'" + name + "' is missing");
+      throw new InvalidStatementException("'" + name + "' is missing");
     }
     return value;
   }
@@ -109,10 +111,11 @@
    * The idempotency key, which is forwarded unchanged in a list of fields: so it must not contain
    * what ends a field or a line there.
    */
-  private static String idempotencyKey(Map<String, String> fields) throws Unusable {
+  private static String idempotencyKey(Map<String, String> fields)
+      throws InvalidStatementException {
     String key = fields.get("dedupe");
     if (key != null && !key.matches("[!-~&&[^,=]]{1," + MAX_IDEMPOTENCY_KEY_CHARS + "}")) {
-      throw new Unusable(
+      throw new InvalidStatementException(
           "'dedupe' is not 1 to "
               + MAX_IDEMPOTENCY_KEY_CHARS
               + " printable characters without comma, equals sign and space");
@@ -121,11 +124,11 @@
   }
 
   private static double parseNumber(Map<String, String> fields, String name, String absent)
-      throws Unusable {
+      throws InvalidStatementException {
     String value = fields.getOrDefault(name, absent);
     if (value.matches("[0-9]{1,12}([.][0-9]{0,12})?")) {
       return Double.parseDouble(value);
     }
-    throw new Unusable("'" + name + "' is not a number");
+    throw new InvalidStatementException("'" + name + "' is not a number");
   }
 }
--- a/src/main/java/cobaltseam/resp/EngineAnswer.java
+++ b/src/main/java/cobaltseam/resp/EngineResponse.java
@@ -9,22 +9,22 @@
  * One response of an engine.
  *
  * @param id the id of the attempt that it answers
- * @param word its status code or kind, such as {@link #OK} or {@link #CHUNK}
+ * @param code its status code or kind, such as {@link #OK} or {@link #CHUNK}
  * @param fields its fields by name
  * @param body its body, unchanged
  */
-public record EngineAnswer(String id, String word, Map<String, String> fields, byte[] body) {
+public record EngineResponse(String id, String code, Map<String, String> fields, byte[] body) {
   /** The attempt has completed; the body is the first page of its result. */
   public static final String OK = "200";
 
   /** The engine has no capacity for the attempt. */
-  public static final String FULL = "503";
+  public static final String CAPACITY_EXCEEDED = "503";
 
   /** The attempt has failed. */
   public static final String ERROR = "500";
 
   /** The time to live of the attempt was over before it ran. */
-  public static final String OVER = "504";
+  public static final String DEADLINE_EXCEEDED = "504";
 
   /** A progress report of a running attempt. */
   public static final String STATUS = "status";
@@ -38,7 +38,7 @@
   private static final int ITEM_COUNT = 4;
 
   /** Parses a RESP array; null if it is not a response. */
-  public static EngineAnswer of(List<byte[]> items) {
+  public static EngineResponse parse(List<byte[]> items) {
     if (items.size() != ITEM_COUNT) {
       return null;
     }
@@ -49,22 +49,22 @@
         fields.put(field.substring(0, separator), field.substring(separator + 1));
       }
     }
-    return new EngineAnswer(text(items.get(0)), text(items.get(1)), fields, items.get(3));
+    return new EngineResponse(text(items.get(0)), text(items.get(1)), fields, items.get(3));
   }
 
   /** A field as an integer of up to nine digits, or -1 if it is absent or something else. */
-  public int whole(String name) {
+  public int integerField(String name) {
     String value = fields.getOrDefault(name, "");
     return value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : -1;
   }
 
   /** A field as a finite number that is not negative, or -1 if it is absent or something else. */
-  public double number(String name) {
-    return number(fields, name);
+  public double numberField(String name) {
+    return numberField(fields, name);
   }
 
   /** One value of the load report, or -1 if it is absent or not a number. */
-  public double reported(String name) {
+  public double loadReportValue(String name) {
     Map<String, String> report = new HashMap<>();
     for (String value : fields.getOrDefault("rep", "").split(";")) {
       int separator = value.indexOf(':');
@@ -72,10 +72,10 @@
         report.put(value.substring(0, separator), value.substring(separator + 1));
       }
     }
-    return number(report, name);
+    return numberField(report, name);
   }
 
-  private static double number(Map<String, String> from, String name) {
+  private static double numberField(Map<String, String> from, String name) {
     try {
       double value = Double.parseDouble(from.getOrDefault(name, "-1"));
       return value >= 0 && value < Double.POSITIVE_INFINITY ? value : -1;
--- a/src/main/java/cobaltseam/resp/RespParser.java
+++ b/src/main/java/cobaltseam/resp/RespParser.java
@@ -32,7 +32,7 @@
    *
    * @return what is wrong, or null
    */
-  public String take(ByteBuffer in, Consumer<List<byte[]>> arrays) {
+  public String parse(ByteBuffer in, Consumer<List<byte[]>> arrays) {
     while (error == null && in.hasRemaining()) {
       if (item != null) {
         readItem(in, arrays);
--- a/src/main/java/cobaltseam/resp/Result.java
+++ b/src/main/java/cobaltseam/resp/Result.java
@@ -24,12 +24,12 @@
   }
 
   /** Whether a result may have this many pages. */
-  public static boolean canHave(int pages) {
+  public static boolean isValidPageCount(int pages) {
     return pages >= 1 && pages <= MAX_PAGES;
   }
 
   /** Whether this page was received. */
-  public boolean has(int page) {
+  public boolean hasPage(int page) {
     return page >= 0 && page < pages.length && pages[page] != null;
   }
 
@@ -39,7 +39,7 @@
    * @param page its index, from 0
    * @return what is wrong with it, or null
    */
-  public String add(int page, byte[] body) {
+  public String addPage(int page, byte[] body) {
     if (page < 0 || page >= pages.length || pages[page] != null) {
       return "page " + page + " of " + pages.length + " is none of those to come";
     }
@@ -68,7 +68,7 @@
   }
 
   /** Whether all pages were received. */
-  public boolean isWhole() {
+  public boolean isComplete() {
     return missingPages == 0;
   }
 
@@ -83,7 +83,7 @@
   }
 
   /** The number of columns of each row, or a default if there is no row. */
-  public int columns(int otherwise) {
+  public int columnCountOr(int otherwise) {
     return columnCount == UNKNOWN ? otherwise : columnCount;
   }
 
--- a/src/main/java/cobaltseam/retrybudget/RetryBudget.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudget.java
@@ -157,7 +157,7 @@
     if (since.isPositive()) {
       settle(now);
       earn(firstAttemptsSoFar - firstAttempts, since, now);
-      double decay = Math.pow(0.5, since.over(options.window().times(NEED_HALF_LIFE_WINDOWS)));
+      double decay = Math.pow(0.5, since.dividedBy(options.window().times(NEED_HALF_LIFE_WINDOWS)));
       neededPerSecond =
           neededPerSecond * decay
               + (wantedRetriesSoFar - wantedRetries) * 1e6 / since.us() * (1 - decay);
@@ -203,7 +203,7 @@
   private void earn(long newFirstAttempts, TimeSpan since, Timestamp now) {
     earnedFraction +=
         (newFirstAttempts * options.ratio()
-                + options.standaloneRate() * Math.min(1, since.over(options.window())))
+                + options.standaloneRate() * Math.min(1, since.dividedBy(options.window())))
             * UNITS_PER_RETRY;
     long earnedUnits = (long) earnedFraction;
     earnedFraction -= earnedUnits;
--- a/src/main/java/cobaltseam/service/AgreedConfiguration.java
+++ b/src/main/java/cobaltseam/service/AgreedConfiguration.java
@@ -78,7 +78,7 @@
     agreement =
         new ConfigurationAgreement(
             new ConfigurationAgreement.AgreementOptions(
-                settings.contradiction(), MAX_CLOCK_RATE_RATIO, MAX_DOCUMENT_BYTES),
+                settings.maxContradiction(), MAX_CLOCK_RATE_RATIO, MAX_DOCUMENT_BYTES),
             membership,
             lease,
             new DeploymentValidator(),
@@ -87,7 +87,7 @@
 
   private final class DeploymentValidator implements ConfigurationAgreement.ConfigurationValidator {
     @Override
-    public String check(byte[] content) {
+    public String rejectionReason(byte[] content) {
       try {
         deployment(content);
         return null;
@@ -147,12 +147,12 @@
 
   /** Adds the documents that the state folder held. */
   void addPersisted(List<byte[]> documents) {
-    documents.forEach(agreement::knows);
+    documents.forEach(agreement::addPersistedDocument);
   }
 
   /** Sets the document that a first version is made of. */
   void setOwn(byte[] document) {
-    agreement.own(document);
+    agreement.setOwnDocument(document);
   }
 
   /** Proposes a document to the fleet; a rejection is logged and shown. */
@@ -180,7 +180,7 @@
    */
   Timestamp activeUntil(Timestamp now) {
     boolean mayAct =
-        agreement.acting().mode() != ActiveConfiguration.Mode.BACK
+        agreement.activeConfiguration().mode() != ActiveConfiguration.Mode.BACK
             && agreement.leaseLeft(now).isPositive();
     return mayAct ? now.plus(agreement.leaseLeft(now)) : null;
   }
@@ -235,7 +235,7 @@
 
   /** The rows of SHOW cobaltseam.agreement. */
   List<String[]> rows(Timestamp now) {
-    ActiveConfiguration configuration = agreement.acting();
+    ActiveConfiguration configuration = agreement.activeConfiguration();
     List<String[]> rows = new ArrayList<>();
     rows.add(row("acts", configuration.mode().label() + " on " + configuration.versions()));
     rows.add(
--- a/src/main/java/cobaltseam/service/Attempt.java
+++ b/src/main/java/cobaltseam/service/Attempt.java
@@ -56,6 +56,6 @@
 
   /** The id of the request on the engines' wire. */
   String callId() {
-    return statement.call();
+    return statement.callId();
   }
 }
--- a/src/main/java/cobaltseam/service/ClientConnections.java
+++ b/src/main/java/cobaltseam/service/ClientConnections.java
@@ -2,7 +2,7 @@
 
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.logging.Field;
-import cobaltseam.postgres.Replies;
+import cobaltseam.postgres.ServerMessageWriter;
 import cobaltseam.service.Counters.Count;
 import java.net.SocketAddress;
 import java.util.function.Consumer;
@@ -113,7 +113,10 @@
     client.slotKey = slots.add(client);
     if (client.slotKey == SlotTable.NONE) {
       counters.add(Count.CLIENTS_TURNED_AWAY);
-      write(client, new Replies().error("FATAL", Replies.SHED, "too many clients"));
+      write(
+          client,
+          new ServerMessageWriter()
+              .errorResponse("FATAL", ServerMessageWriter.SQLSTATE_SHED, "too many clients"));
       close(client);
       return false;
     }
@@ -311,7 +314,7 @@
   }
 
   /** Writes to a client, or closes its connection if it does not read what was written before. */
-  void write(ClientSession client, Replies replies) {
+  void write(ClientSession client, ServerMessageWriter replies) {
     long unreadBytes = client.session.getScheduledWriteBytes();
     boolean isTotalExceeded =
         client.session.getService().getScheduledWriteBytes() > MAX_TOTAL_UNREAD_BYTES;
@@ -323,6 +326,6 @@
       remove(client);
       return;
     }
-    client.lastWrite = client.session.write(IoBuffer.wrap(replies.bytes()));
+    client.lastWrite = client.session.write(IoBuffer.wrap(replies.toByteArray()));
   }
 }
--- a/src/main/java/cobaltseam/service/ClientInput.java
+++ b/src/main/java/cobaltseam/service/ClientInput.java
@@ -87,11 +87,11 @@
     }
     Timestamp readAt = clock.now();
     client.receivedBytes += input.remaining();
-    client.parser.take(input.buf(), parsed -> post(client, parsed, readAt));
-    updateParserBytes(client, client.parser.held());
+    client.parser.parse(input.buf(), parsed -> post(client, parsed, readAt));
+    updateParserBytes(client, client.parser.bufferBytes());
     if (client.isFlooding) {
       refuse(client, "too many messages at once", readAt);
-    } else if (heldBytes.get() > maxHeldBytes && client.parser.held() > MAX_SMALL_BYTES) {
+    } else if (heldBytes.get() > maxHeldBytes && client.parser.bufferBytes() > MAX_SMALL_BYTES) {
       refuse(client, "too much is held for all clients", readAt);
     }
   }
@@ -139,8 +139,8 @@
 
   /** Reads nothing more from a client: its connection is closed once the event loop gets to it. */
   private void refuse(ClientSession client, String reason, Timestamp readAt) {
-    client.parser.refuse(reason, message -> post(client, message, readAt));
-    updateParserBytes(client, client.parser.held());
+    client.parser.fail(reason, message -> post(client, message, readAt));
+    updateParserBytes(client, client.parser.bufferBytes());
   }
 
   private void updateParserBytes(ClientSession client, int bytes) {
--- a/src/main/java/cobaltseam/service/ClientReplies.java
+++ b/src/main/java/cobaltseam/service/ClientReplies.java
@@ -1,7 +1,7 @@
 package cobaltseam.service;
 
 import cobaltseam.dispatch.TimeSpan;
-import cobaltseam.postgres.Replies;
+import cobaltseam.postgres.ServerMessageWriter;
 import cobaltseam.resp.Result;
 import java.nio.charset.StandardCharsets;
 import java.util.Collections;
@@ -17,14 +17,15 @@
   private ClientReplies() {}
 
   /** The rows of a result, one a line of its pages, and the tag of the statement. */
-  static Replies rows(Result result, byte[] statement) {
-    Replies replies =
-        new Replies().columns(Collections.nCopies(result.columns(MIN_COLUMNS), "column"));
+  static ServerMessageWriter rows(Result result, byte[] statement) {
+    ServerMessageWriter replies =
+        new ServerMessageWriter()
+            .rowDescription(Collections.nCopies(result.columnCountOr(MIN_COLUMNS), "column"));
     for (byte[] page : result.pages()) {
       int rowStart = 0;
       for (int i = 0; i < page.length; i++) {
         if (page[i] == '\n') {
-          replies.row(page, rowStart, i);
+          replies.dataRow(page, rowStart, i);
           rowStart = i + 1;
         }
       }
@@ -32,38 +33,43 @@
     int length = Math.min(statement.length, INSERT.length());
     boolean isInsert =
         new String(statement, 0, length, StandardCharsets.US_ASCII).equalsIgnoreCase(INSERT);
-    return replies.complete((isInsert ? "INSERT 0 " : "SELECT ") + result.rowCount());
+    return replies.commandComplete((isInsert ? "INSERT 0 " : "SELECT ") + result.rowCount());
   }
 
-  static Replies shed(TimeSpan retryAfter) {
-    return new Replies()
-        .error("ERROR", Replies.SHED, "shed, trying again is harmless" + retryAdvice(retryAfter));
+  static ServerMessageWriter shed(TimeSpan retryAfter) {
+    return new ServerMessageWriter()
+        .errorResponse(
+            "ERROR",
+            ServerMessageWriter.SQLSTATE_SHED,
+            "shed, trying again is harmless" + retryAdvice(retryAfter));
   }
 
-  static Replies failed() {
-    return new Replies().error("ERROR", Replies.FAILED, "failed");
+  static ServerMessageWriter failed() {
+    return new ServerMessageWriter()
+        .errorResponse("ERROR", ServerMessageWriter.SQLSTATE_FAILED, "failed");
   }
 
   /** The refusal of a statement, or with severity FATAL of a connection, during a shutdown. */
-  static Replies shuttingDown(String severity) {
-    return new Replies().error(severity, Replies.STANDS_BY, SHUTTING_DOWN);
+  static ServerMessageWriter shuttingDown(String severity) {
+    return new ServerMessageWriter()
+        .errorResponse(severity, ServerMessageWriter.SQLSTATE_CANNOT_CONNECT_NOW, SHUTTING_DOWN);
   }
 
   /** The refusal of a statement where another dispatcher is active. */
-  static Replies standingBy(TimeSpan retryAfter) {
-    return new Replies()
-        .error(
+  static ServerMessageWriter standingBy(TimeSpan retryAfter) {
+    return new ServerMessageWriter()
+        .errorResponse(
             "ERROR",
-            Replies.STANDS_BY,
+            ServerMessageWriter.SQLSTATE_CANNOT_CONNECT_NOW,
             "another dispatcher is active here, trying again is harmless"
                 + retryAdvice(retryAfter));
   }
 
-  static Replies unsupportedMessage(char type) {
-    return new Replies()
-        .error(
+  static ServerMessageWriter unsupportedMessage(char type) {
+    return new ServerMessageWriter()
+        .errorResponse(
             "ERROR",
-            Replies.NOT_SPOKEN,
+            ServerMessageWriter.SQLSTATE_FEATURE_NOT_SUPPORTED,
             "only simple queries are spoken here, not message '" + type + "'");
   }
 
--- a/src/main/java/cobaltseam/service/ClientSession.java
+++ b/src/main/java/cobaltseam/service/ClientSession.java
@@ -4,7 +4,7 @@
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.postgres.ClientMessage;
 import cobaltseam.postgres.ClientParser;
-import cobaltseam.postgres.Replies;
+import cobaltseam.postgres.ServerMessageWriter;
 import cobaltseam.resp.Result;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -19,7 +19,7 @@
 final class ClientSession implements ResponseHandle {
   /** Sends the final answer to the statement that a session has open. */
   interface StatementListener {
-    void finish(ClientSession client, Replies replies);
+    void finish(ClientSession client, ServerMessageWriter replies);
 
     /**
      * Whether a cancel request for this session has been read that the event loop has not processed
--- a/src/main/java/cobaltseam/service/ClientSessions.java
+++ b/src/main/java/cobaltseam/service/ClientSessions.java
@@ -4,7 +4,7 @@
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.logging.Field;
 import cobaltseam.postgres.ClientMessage;
-import cobaltseam.postgres.Replies;
+import cobaltseam.postgres.ServerMessageWriter;
 import cobaltseam.postgres.Statement;
 import cobaltseam.postgres.StatementScanner;
 import cobaltseam.service.ClientSession.ReceivedMessage;
@@ -39,9 +39,9 @@
     boolean admits(SocketAddress at);
 
     /** Whether sessions at this address may stay open. */
-    boolean stays(SocketAddress at);
+    boolean keepsSessions(SocketAddress at);
 
-    TimeSpan comeBack(SocketAddress at);
+    TimeSpan retryAfter(SocketAddress at);
   }
 
   private final Clock clock;
@@ -97,17 +97,17 @@
   }
 
   /** From now on requests are admitted only where and while this gate admits them. */
-  void guardedBy(AdmissionGate by) {
-    gate = by;
+  void setAdmissionGate(AdmissionGate admissionGate) {
+    gate = admissionGate;
   }
 
   /** {@code SHOW cobaltseam.NAME} returns these rows from now on. */
-  void shows(String name, Supplier<List<String[]>> rows) {
+  void registerShow(String name, Supplier<List<String[]>> rows) {
     showStatements.register(name, rows);
   }
 
   /** How many clients are connected. */
-  int open() {
+  int openClients() {
     return connections.size();
   }
 
@@ -138,7 +138,7 @@
   @Override
   public void opened(ClientSession client) {
     boolean isAdded = connections.add(client);
-    if (isAdded && gate != null && !gate.stays(client.session.getLocalAddress())) {
+    if (isAdded && gate != null && !gate.keepsSessions(client.session.getLocalAddress())) {
       client.closeWhenIdle = true;
       connections.closeIfIdle(client);
     }
@@ -203,8 +203,8 @@
       client.session.closeNow();
     } else if (message instanceof ClientMessage.Sync) {
       client.isSkippingToSync = false;
-      connections.write(client, new Replies().ready());
-    } else if (message instanceof ClientMessage.Unspoken unsupported) {
+      connections.write(client, new ServerMessageWriter().readyForQuery());
+    } else if (message instanceof ClientMessage.Unsupported unsupported) {
       if (!client.isSkippingToSync) {
         client.isSkippingToSync = true;
         connections.write(client, ClientReplies.unsupportedMessage(unsupported.type()));
@@ -219,7 +219,9 @@
       connections.write(client, ClientReplies.shuttingDown("FATAL"));
       connections.close(client);
     } else {
-      connections.write(client, new Replies().welcome((int) client.slotKey, client.cancelSecret));
+      connections.write(
+          client,
+          new ServerMessageWriter().startupResponse((int) client.slotKey, client.cancelSecret));
     }
   }
 
@@ -230,7 +232,10 @@
         Field.of("client", client.session.getRemoteAddress()),
         Field.of("reason", reason),
         Field.event("client.closed"));
-    connections.write(client, new Replies().error("FATAL", Replies.BAD_PROTOCOL, reason));
+    connections.write(
+        client,
+        new ServerMessageWriter()
+            .errorResponse("FATAL", ServerMessageWriter.SQLSTATE_PROTOCOL_VIOLATION, reason));
     connections.close(client);
   }
 
@@ -259,29 +264,30 @@
 
   private void processQuery(ClientSession client, byte[] text, Timestamp readAt) {
     if (StatementScanner.isEmpty(text)) {
-      connections.write(client, new Replies().emptyStatement().ready());
+      connections.write(client, new ServerMessageWriter().emptyQueryResponse().readyForQuery());
       return;
     }
-    Replies shown = showStatements.replyTo(text);
+    ServerMessageWriter shown = showStatements.replyTo(text);
     if (shown != null) {
-      connections.write(client, shown.ready());
+      connections.write(client, shown.readyForQuery());
       return;
     }
     if (connections.isShuttingDown()) {
       counters.add(Count.STATEMENTS_AFTER_SHUTDOWN);
-      connections.write(client, ClientReplies.shuttingDown("ERROR").ready());
+      connections.write(client, ClientReplies.shuttingDown("ERROR").readyForQuery());
       return;
     }
     SocketAddress localAddress = client.session.getLocalAddress();
     if (gate != null && !gate.admits(localAddress)) {
       counters.add(Count.MASTERSHIP_TURNED_AWAY);
-      connections.write(client, ClientReplies.standingBy(gate.comeBack(localAddress)).ready());
+      connections.write(
+          client, ClientReplies.standingBy(gate.retryAfter(localAddress)).readyForQuery());
       return;
     }
     Statement statement;
     try {
       statement = StatementScanner.scan(text);
-    } catch (StatementScanner.Unusable e) {
+    } catch (StatementScanner.InvalidStatementException e) {
       rejectStatement(client, e.getMessage());
       return;
     }
@@ -313,7 +319,11 @@
         Field.of("client", client.session.getRemoteAddress()),
         Field.of("reason", reason),
         Field.event("statement.unusable"));
-    connections.write(client, new Replies().error("ERROR", Replies.BAD_STATEMENT, reason).ready());
+    connections.write(
+        client,
+        new ServerMessageWriter()
+            .errorResponse("ERROR", ServerMessageWriter.SQLSTATE_SYNTAX_ERROR, reason)
+            .readyForQuery());
     // A client that sends the next such statement at once, whatever the answer, would otherwise
     // take all the time of a processor.
     int before = client.consecutiveUnusable++;
@@ -332,12 +342,12 @@
   }
 
   @Override
-  public void finish(ClientSession client, Replies replies) {
+  public void finish(ClientSession client, ServerMessageWriter replies) {
     connections.setBusy(client, false);
     client.requestKey = SlotTable.NONE;
     client.statementText = null;
     connections.releaseStatement(client);
-    connections.write(client, replies.ready());
+    connections.write(client, replies.readyForQuery());
     processPending(client);
     connections.closeIfIdle(client);
   }
--- a/src/main/java/cobaltseam/service/ConfigurationCheck.java
+++ b/src/main/java/cobaltseam/service/ConfigurationCheck.java
@@ -36,7 +36,7 @@
     service.open();
     Thread client = new Thread(() -> sendEmptyQuery(service));
     client.start();
-    service.loop();
+    service.runLoop();
     client.join();
     service.close();
     System.out.println(configuration.name() + ": " + service.counters());
--- a/src/main/java/cobaltseam/service/ConfigurationReloader.java
+++ b/src/main/java/cobaltseam/service/ConfigurationReloader.java
@@ -131,7 +131,9 @@
       fleet.propose(document);
     }
     ServiceConfiguration next =
-        isProposed && fleetBridge.acts() != null ? read.withDeployment(fleetBridge.acts()) : read;
+        isProposed && fleetBridge.activeSettings() != null
+            ? read.withDeployment(fleetBridge.activeSettings())
+            : read;
     if (!next.name().equals(configuration.name())
         || !next.listen().equals(configuration.listen())) {
       LOG.log(
@@ -140,11 +142,11 @@
           Field.event("configuration.partly"));
     }
     if (!isProposed && !next.deployment().equals(configuration.deployment())) {
-      requests.moveTo(next.deployment());
+      requests.applySettings(next.deployment());
       LOG.log(
           Level.INFO,
           "the settings of decisions have changed, with {0} requests open",
-          Field.of("inHand", requests.inHand()),
+          Field.of("inHand", requests.openRequests()),
           Field.event("configuration.moved"));
     }
     counters.add(Count.CONFIGURATIONS_READ);
@@ -161,17 +163,17 @@
   }
 
   private void apply(Settings settings) {
-    if (fleet != null && settings.fleet() != null) {
-      fleet.renewed(settings.fleet());
-    } else if (fleet != null || settings.fleet() != null) {
+    if (fleet != null && settings.membership() != null) {
+      fleet.applyRenewedSettings(settings.membership());
+    } else if (fleet != null || settings.membership() != null) {
       LOG.log(
           Level.WARNING,
           "whether membership is on stays until the next start",
           Field.event("configuration.partly"));
     }
-    if (virtualAddresses != null && settings.hall() != null) {
-      virtualAddresses.renewed(settings.hall());
-    } else if (virtualAddresses != null || settings.hall() != null) {
+    if (virtualAddresses != null && settings.virtualAddresses() != null) {
+      virtualAddresses.reconfigure(settings.virtualAddresses());
+    } else if (virtualAddresses != null || settings.virtualAddresses() != null) {
       LOG.log(
           Level.WARNING,
           "whether mastership is on stays until the next start",
--- a/src/main/java/cobaltseam/service/DispatcherService.java
+++ b/src/main/java/cobaltseam/service/DispatcherService.java
@@ -154,20 +154,20 @@
    */
   public static void run(Path settingsFile) throws IOException, InterruptedException {
     Settings settings = settingsFile == null ? null : SettingsReader.read(settingsFile);
-    if (settings != null && settings.jsonLog()) {
+    if (settings != null && settings.logsJson()) {
       JsonLines.install();
     }
     ServiceConfiguration configuration = ServiceConfiguration.read(System.getenv());
     Warmup.run(configuration);
     DispatcherService service = new DispatcherService(configuration);
     service.reloader.setSettingsFile(settingsFile);
-    if (settings != null && settings.hall() != null) {
-      service.joins(settings.hall());
+    if (settings != null && settings.virtualAddresses() != null) {
+      service.enableVirtualAddresses(settings.virtualAddresses());
     }
-    if (settings != null && settings.fleet() != null) {
-      service.joinsFleet(settings, Files.readAllBytes(Path.of(System.getenv("GW_CONFIG"))));
+    if (settings != null && settings.membership() != null) {
+      service.enableFleet(settings, Files.readAllBytes(Path.of(System.getenv("GW_CONFIG"))));
     }
-    service.readAnewOnHangUp(System.getenv());
+    service.reloadOnHangUp(System.getenv());
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
@@ -186,7 +186,7 @@
           Field.of("name", configuration.name()),
           Field.of("address", service.address()),
           Field.event("service.started"));
-      service.loop();
+      service.runLoop();
     } finally {
       service.ended.countDown();
     }
@@ -214,11 +214,11 @@
   // ---- the start
 
   /** Turns virtual addresses on; to be called before {@link #open}. */
-  void joins(Settings.VirtualAddressSettings settings) {
-    joins(settings, this::healthReport);
+  void enableVirtualAddresses(Settings.VirtualAddressSettings settings) {
+    enableVirtualAddresses(settings, this::healthReport);
   }
 
-  void joins(
+  void enableVirtualAddresses(
       Settings.VirtualAddressSettings settings,
       Supplier<VirtualAddressService.HealthReport> healthReport) {
     virtualAddresses =
@@ -236,10 +236,13 @@
     reloader.setVirtualAddresses(virtualAddresses);
   }
 
-  /** Turns the fleet on; to be called before {@link #open}, and after {@link #joins}. */
-  void joinsFleet(Settings settings, byte[] configurationFile) {
+  /**
+   * Turns the fleet on; to be called before {@link #open}, and after {@link
+   * #enableVirtualAddresses}.
+   */
+  void enableFleet(Settings settings, byte[] configurationFile) {
     ServiceConfiguration configuration = reloader.configuration();
-    boolean isAgreementOn = settings.agreed() != null;
+    boolean isAgreementOn = settings.agreement() != null;
     boolean hasVirtualAddresses = virtualAddresses != null;
     fleetBridge =
         new FleetBridge(requests, inbox, clock, configuration.deployment(), hasVirtualAddresses);
@@ -262,12 +265,12 @@
         endpointWatch.silence(clock.now()),
         engines.inService(),
         engines.failing(),
-        (double) (clients.open() + engines.openConnections())
+        (double) (clients.openClients() + engines.openConnections())
             / reloader.configuration().maxSockets());
   }
 
   /** From now on SIGHUP has the configuration read again. */
-  void readAnewOnHangUp(Map<String, String> environment) {
+  void reloadOnHangUp(Map<String, String> environment) {
     reloader.reloadOnHangUp(environment);
   }
 
@@ -299,7 +302,7 @@
    */
   void open() throws IOException {
     watchEndpoints();
-    if (virtualAddresses == null || virtualAddresses.answersStandingBy()) {
+    if (virtualAddresses == null || virtualAddresses.answersAsBackup()) {
       acceptor.bind(reloader.configuration().listen());
     }
     if (virtualAddresses != null) {
@@ -318,7 +321,7 @@
   // ---- the event loop
 
   /** Runs the event loop on this thread until the service was asked to stop and has ended. */
-  void loop() throws InterruptedException {
+  void runLoop() throws InterruptedException {
     while (!isOver()) {
       eventLoop.runTurn();
     }
@@ -329,10 +332,10 @@
     @Override
     public void checkAuthority() {
       if (virtualAddresses != null) {
-        virtualAddresses.look();
+        virtualAddresses.fenceIfOverdue();
       }
       if (fleetBridge != null) {
-        fleetBridge.look();
+        fleetBridge.exchange();
       }
     }
 
@@ -404,7 +407,7 @@
         null,
         () -> {
           if (virtualAddresses != null) {
-            virtualAddresses.leave();
+            virtualAddresses.resign();
           }
           if (fleet != null) {
             fleet.leave();
--- a/src/main/java/cobaltseam/service/EndpointWatch.java
+++ b/src/main/java/cobaltseam/service/EndpointWatch.java
@@ -284,7 +284,7 @@
     try (JsonParser parser = json.createParser(line)) {
       event = JsonObjectReader.of(parser);
     }
-    long offset = event.whole(WatchEvent.OFFSET_FIELD);
+    long offset = event.integer(WatchEvent.OFFSET_FIELD);
     boolean isComplete =
         event.has(WatchEvent.EVENT_FIELD)
             && event.object(WatchEvent.EVENT_FIELD).flag(WatchEvent.COMPLETE_FIELD);
--- a/src/main/java/cobaltseam/service/EngineAnswers.java
+++ b/src/main/java/cobaltseam/service/EngineAnswers.java
@@ -4,8 +4,8 @@
 import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.logging.Field;
-import cobaltseam.resp.EngineAnswer;
 import cobaltseam.resp.EngineCommands;
+import cobaltseam.resp.EngineResponse;
 import cobaltseam.resp.Result;
 import cobaltseam.service.Counters.Count;
 import java.util.List;
@@ -57,16 +57,16 @@
    *
    * @param protocolError what is wrong with what came behind them, or null
    */
-  void process(EngineConnection connection, List<EngineAnswer> answers, String protocolError) {
+  void process(EngineConnection connection, List<EngineResponse> answers, String protocolError) {
     connection.receivedAt = clock.now();
     pool.setFailed(connection, false);
-    for (EngineAnswer answer : answers) {
+    for (EngineResponse answer : answers) {
       if (!pool.isOpen(connection)) {
         return;
       }
       if (answer == null) {
         protocolError(connection, "an array that is no answer");
-      } else if (!answer.word().equals(EngineAnswer.ALIVE)) {
+      } else if (!answer.code().equals(EngineResponse.ALIVE)) {
         process(connection, answer);
       }
     }
@@ -75,31 +75,32 @@
     }
   }
 
-  private void process(EngineConnection connection, EngineAnswer answer) {
+  private void process(EngineConnection connection, EngineResponse answer) {
     Attempt attempt = connection.attempts.get(answer.id());
     if (attempt == null) {
       processUnknown(connection, answer);
       return;
     }
-    double inFlight = answer.reported(DeploymentReader.IN_HAND_REPORT);
-    double queue = answer.reported(DeploymentReader.QUEUE_REPORT);
+    double inFlight = answer.loadReportValue(DeploymentReader.IN_FLIGHT_REPORT_FIELD);
+    double queue = answer.loadReportValue(DeploymentReader.QUEUED_REPORT_FIELD);
     attempt.reportedInFlight = inFlight >= 0 ? inFlight : attempt.reportedInFlight;
     attempt.reportedQueue = queue >= 0 ? queue : attempt.reportedQueue;
-    switch (answer.word()) {
-      case EngineAnswer.STATUS -> processStatus(connection, attempt, answer);
-      case EngineAnswer.OK -> addFirstPage(connection, attempt, answer);
-      case EngineAnswer.CHUNK -> addPage(connection, attempt, answer.whole("page"), answer.body());
-      case EngineAnswer.FULL, EngineAnswer.OVER ->
+    switch (answer.code()) {
+      case EngineResponse.STATUS -> processStatus(connection, attempt, answer);
+      case EngineResponse.OK -> addFirstPage(connection, attempt, answer);
+      case EngineResponse.CHUNK ->
+          addPage(connection, attempt, answer.integerField("page"), answer.body());
+      case EngineResponse.CAPACITY_EXCEEDED, EngineResponse.DEADLINE_EXCEEDED ->
           listener.end(attempt, AttemptResult.CAPACITY_EXCEEDED);
-      case EngineAnswer.ERROR -> listener.end(attempt, AttemptResult.ERROR);
-      default -> protocolError(connection, "an answer '" + answer.word() + "'");
+      case EngineResponse.ERROR -> listener.end(attempt, AttemptResult.ERROR);
+      default -> protocolError(connection, "an answer '" + answer.code() + "'");
     }
   }
 
-  private void processStatus(EngineConnection connection, Attempt attempt, EngineAnswer answer) {
+  private void processStatus(EngineConnection connection, Attempt attempt, EngineResponse answer) {
     counters.add(Count.NOTES);
     String subject = answer.fields().getOrDefault("why", "");
-    double value = answer.number("v");
+    double value = answer.numberField("v");
     switch (subject) {
       case "progress" -> listener.progressed(attempt, value, connection.receivedAt);
       case "spill_mb" -> listener.memoryShort(attempt, value);
@@ -113,7 +114,7 @@
   }
 
   /** An answer to an attempt that is not on this connection: cancelled, or never sent. */
-  private void processUnknown(EngineConnection connection, EngineAnswer answer) {
+  private void processUnknown(EngineConnection connection, EngineResponse answer) {
     if (!connection.isAbandoned(answer.id())) {
       counters.add(Count.UNKNOWN_ANSWERS);
       log.warn(
@@ -127,18 +128,18 @@
       return;
     }
     counters.add(Count.LATE_ANSWERS);
-    if (answer.word().equals(EngineAnswer.OK) && answer.whole("pages") > 1) {
+    if (answer.code().equals(EngineResponse.OK) && answer.integerField("pages") > 1) {
       connection.write(EngineCommands.discard(answer.id()));
     }
   }
 
-  private void addFirstPage(EngineConnection connection, Attempt attempt, EngineAnswer answer) {
+  private void addFirstPage(EngineConnection connection, Attempt attempt, EngineResponse answer) {
     if (attempt.result != null) {
       counters.add(Count.SECOND_COPIES);
       return;
     }
-    int pages = answer.whole("pages");
-    if (!Result.canHave(pages)) {
+    int pages = answer.integerField("pages");
+    if (!Result.isValidPageCount(pages)) {
       rejectResult(connection, attempt, "a result of " + pages + " pages");
       return;
     }
@@ -151,15 +152,15 @@
   }
 
   private void addPage(EngineConnection connection, Attempt attempt, int page, byte[] body) {
-    if (attempt.result != null && attempt.result.has(page)) {
+    if (attempt.result != null && attempt.result.hasPage(page)) {
       counters.add(Count.SECOND_COPIES);
       return;
     }
     String error =
-        attempt.result == null ? "a page before the first" : attempt.result.add(page, body);
+        attempt.result == null ? "a page before the first" : attempt.result.addPage(page, body);
     if (error != null) {
       rejectResult(connection, attempt, error);
-    } else if (attempt.result.isWhole()) {
+    } else if (attempt.result.isComplete()) {
       listener.end(attempt, AttemptResult.COMPLETED);
     }
   }
--- a/src/main/java/cobaltseam/service/EngineConnections.java
+++ b/src/main/java/cobaltseam/service/EngineConnections.java
@@ -6,8 +6,8 @@
 import cobaltseam.dispatch.RequestId;
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.postgres.Statement;
-import cobaltseam.resp.EngineAnswer;
 import cobaltseam.resp.EngineCommands;
+import cobaltseam.resp.EngineResponse;
 import cobaltseam.service.Counters.Count;
 import java.util.List;
 import org.apache.mina.transport.socket.SocketConnector;
@@ -189,7 +189,7 @@
         attempt.connection.write(
             EngineCommands.pull(
                 attempt.callId(),
-                attempt.statement.profile(),
+                attempt.statement.requestClass(),
                 timeoutMs,
                 attempt.statement.idempotencyKey(),
                 attempt.statement.text()));
@@ -250,7 +250,7 @@
 
   @Override
   public void received(
-      EngineConnection connection, List<EngineAnswer> received, String protocolError) {
+      EngineConnection connection, List<EngineResponse> received, String protocolError) {
     answers.process(connection, received, protocolError);
   }
 
--- a/src/main/java/cobaltseam/service/EngineInput.java
+++ b/src/main/java/cobaltseam/service/EngineInput.java
@@ -1,6 +1,6 @@
 package cobaltseam.service;
 
-import cobaltseam.resp.EngineAnswer;
+import cobaltseam.resp.EngineResponse;
 import cobaltseam.resp.RespParser;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,7 @@
      * @param answers an element is null where an array is no answer
      * @param protocolError what is wrong with what came behind them, or null
      */
-    void received(EngineConnection connection, List<EngineAnswer> answers, String protocolError);
+    void received(EngineConnection connection, List<EngineResponse> answers, String protocolError);
 
     /**
      * The connection was closed.
@@ -63,7 +63,7 @@
 
   @Override
   public void messageReceived(IoSession session, Object message) {
-    List<EngineAnswer> answers = new ArrayList<>();
+    List<EngineResponse> answers = new ArrayList<>();
     RespParser parser = (RespParser) session.getAttribute(PARSER_ATTRIBUTE);
     AtomicInteger unprocessedBytes = (AtomicInteger) session.getAttribute(UNPROCESSED_ATTRIBUTE);
     IoBuffer input = (IoBuffer) message;
@@ -72,7 +72,7 @@
     String protocolError =
         isTooMuch
             ? "more than is asked for"
-            : parser.take(input.buf(), items -> answers.add(EngineAnswer.of(items)));
+            : parser.parse(input.buf(), items -> answers.add(EngineResponse.parse(items)));
     if (protocolError != null) {
       session.closeNow();
     }
--- a/src/main/java/cobaltseam/service/EventLoop.java
+++ b/src/main/java/cobaltseam/service/EventLoop.java
@@ -74,10 +74,10 @@
 
   /** Runs the tasks that were posted, waiting at most this long for the first of them. */
   private void runTasks(TimeSpan maxWait) throws InterruptedException {
-    Runnable task = inbox.next(maxWait);
+    Runnable task = inbox.poll(maxWait);
     for (int count = 1;
         task != null;
-        task = count++ < MAX_TASKS_PER_TURN ? inbox.next(TimeSpan.ZERO) : null) {
+        task = count++ < MAX_TASKS_PER_TURN ? inbox.poll(TimeSpan.ZERO) : null) {
       steps.checkAuthority();
       task.run();
     }
@@ -97,7 +97,9 @@
   }
 
   private void runTimers() {
-    for (Runnable due = timers.due(clock.now()); due != null; due = timers.due(clock.now())) {
+    for (Runnable due = timers.pollDue(clock.now());
+        due != null;
+        due = timers.pollDue(clock.now())) {
       try {
         due.run();
       } catch (RuntimeException e) {
--- a/src/main/java/cobaltseam/service/EventLoopQueue.java
+++ b/src/main/java/cobaltseam/service/EventLoopQueue.java
@@ -50,7 +50,7 @@
   }
 
   /** Takes the next task, or returns null if none comes within this time. */
-  Runnable next(TimeSpan maxWait) throws InterruptedException {
+  Runnable poll(TimeSpan maxWait) throws InterruptedException {
     Runnable task = tasks.poll();
     return task != null || !maxWait.isPositive()
         ? task
--- a/src/main/java/cobaltseam/service/FleetBridge.java
+++ b/src/main/java/cobaltseam/service/FleetBridge.java
@@ -94,12 +94,12 @@
 
   /** Has the load reports of engines collected; to be called before the first request. */
   void collectReports() {
-    requests.reportsTo(this);
+    requests.setLoadReports(this);
   }
 
   /** Has retries limited over the fleet; to be called before the first request. */
   void limitRetries() {
-    requests.cappedBy(this);
+    requests.setRetryLimit(this);
   }
 
   // ---- called by the fleet's thread
@@ -171,8 +171,8 @@
   // ---- called by the event loop
 
   /** Exchanges values with the fleet's thread and applies what has changed since the last call. */
-  void look() {
-    offered.setOpaque(Double.doubleToRawLongBits(requests.offered()));
+  void exchange() {
+    offered.setOpaque(Double.doubleToRawLongBits(requests.offeredLoad()));
     applyRemoteReports();
     publishLocalReports();
     FleetSnapshot latest = snapshot.getAcquire();
@@ -187,7 +187,7 @@
         remoteReports.getAcquire() == null ? null : remoteReports.getAndSet(null);
     if (received != null) {
       received.forEach(
-          report -> requests.reported(report.engine(), report.inFlight(), report.at()));
+          report -> requests.updateEngineLoad(report.engine(), report.inFlight(), report.at()));
     }
   }
 
@@ -200,22 +200,22 @@
   }
 
   /** The number of retries that are left. */
-  long furtherLeft() {
+  long remainingRetries() {
     return remainingRetries.get() / RetryBudget.UNITS_PER_RETRY;
   }
 
   /** Counts the first attempt of a request. */
-  void first() {
+  void countFirstAttempt() {
     firstAttempts.setOpaque(firstAttempts.getPlain() + 1);
   }
 
   /** Counts a retry that was not made because none is left. */
-  void denied() {
+  void countDeniedRetry() {
     wantedRetries.setOpaque(wantedRetries.getPlain() + 1);
   }
 
   /** Counts a retry and takes it from those that are left; false if none is left by now. */
-  boolean takesFurther() {
+  boolean takeRetry() {
     wantedRetries.setOpaque(wantedRetries.getPlain() + 1);
     for (long left = remainingRetries.get();
         left >= RetryBudget.UNITS_PER_RETRY;
@@ -228,7 +228,7 @@
   }
 
   /** An engine reported how many requests it has in flight that do not wait for memory. */
-  void heard(EngineId engine, double inFlight, Timestamp now) {
+  void recordReport(EngineId engine, double inFlight, Timestamp now) {
     if (reports.size() < LoadReports.MAX_ENGINES || reports.containsKey(engine)) {
       reports.put(engine, new LoadReport(engine, inFlight, now));
       hasNewReports = true;
@@ -244,7 +244,7 @@
     boolean isNotable = shared > sharedOver || shared < sharedOver * (1 - MIN_GROWTH_RATIO);
     if (isNotable && !hasMastership) {
       sharedOver = shared;
-      requests.sharedOver(sharedOver);
+      requests.setSharingDispatchers(sharedOver);
     }
   }
 
@@ -253,11 +253,11 @@
       return;
     }
     active = deployment;
-    requests.moveTo(deployment);
+    requests.applySettings(deployment);
     LOG.log(
         Level.INFO,
         "other settings of decisions act from now on, with {0} requests in flight",
-        Field.of("inHand", requests.inHand()),
+        Field.of("inHand", requests.openRequests()),
         Field.event("configuration.moved"));
   }
 
@@ -270,7 +270,7 @@
   }
 
   /** The agreed settings that are active; null where the fleet agrees on none. */
-  Deployment acts() {
+  Deployment activeSettings() {
     return active;
   }
 }
--- a/src/main/java/cobaltseam/service/FleetEffects.java
+++ b/src/main/java/cobaltseam/service/FleetEffects.java
@@ -45,15 +45,15 @@
   }
 
   @Override
-  public void tell(InetSocketAddress to, PeerMessage message) {
+  public void send(InetSocketAddress to, PeerMessage message) {
     messaging.enqueue(to, message);
   }
 
   @Override
-  public void act(MembershipAction action) {
+  public void handleMembership(MembershipAction action) {
     if (action instanceof MembershipAction.Persist persist) {
       counters.add(Count.MEMBERSHIP_KEPT);
-      folder.write(persist.number(), persist.what());
+      folder.write(persist.number(), persist.state());
     } else if (action instanceof MembershipAction.ViewInstalled installed) {
       counters.add(Count.MEMBERSHIP_VIEWS);
       logView(installed.view());
@@ -88,16 +88,16 @@
         });
     log.warn(
         "{0}: {1}, {2}",
-        Field.of("member", recorded.who()),
+        Field.of("member", recorded.member()),
         Field.of("what", recorded.event().label()),
         Field.of("detail", recorded.detail()),
         Field.event("membership." + recorded.event().label()));
   }
 
   @Override
-  public void doing(AgreementEffect effect) {
+  public void handleAgreement(AgreementEffect effect) {
     if (effect instanceof AgreementEffect.Activate activate) {
-      agreed.activate(activate.on());
+      agreed.activate(activate.configuration());
     } else if (effect instanceof AgreementEffect.EventRecorded recorded) {
       agreed.recordEvent(recorded);
     }
--- a/src/main/java/cobaltseam/service/FleetMessaging.java
+++ b/src/main/java/cobaltseam/service/FleetMessaging.java
@@ -45,7 +45,7 @@
     this.settings = settings;
     this.counters = counters;
     this.log = log;
-    Settings.AuthenticationSettings authentication = settings.sealing();
+    Settings.AuthenticationSettings authentication = settings.authentication();
     codec =
         new MessageCodec(
             settings.fleet(),
--- a/src/main/java/cobaltseam/service/FleetModules.java
+++ b/src/main/java/cobaltseam/service/FleetModules.java
@@ -70,15 +70,15 @@
       Counters counters,
       RateLimitedLog log,
       Timestamp now) {
-    capacitySettings = settings.spread();
+    capacitySettings = settings.capacity();
     Deployment own = configuration.deployment();
     SplittableRandom random = new SplittableRandom(configuration.seed() ^ System.nanoTime());
-    membership = createMembership(settings.fleet(), configuration, folder, random.split());
+    membership = createMembership(settings.membership(), configuration, folder, random.split());
     lease = createLease(settings, random);
     agreed =
-        settings.agreed() == null
+        settings.agreement() == null
             ? null
-            : createAgreement(settings.agreed(), own, document, folder, counters, random);
+            : createAgreement(settings.agreement(), own, document, folder, counters, random);
     gossip = createGossip(settings, random, now);
     coordinator =
         new FleetCoordinator(
@@ -91,17 +91,22 @@
         !isDividedByDemand()
             ? null
             : new CapacityLeases(
-                capacitySettings.terms(own.dispatcherCount()), coordinator.under(), random.split());
-    demand = !isDividedByDemand() ? null : new DemandEstimate(capacitySettings.window());
+                capacitySettings.capacityOptions(own.dispatcherCount()),
+                coordinator.leaseContext(),
+                random.split());
+    demand = !isDividedByDemand() ? null : new DemandEstimate(capacitySettings.demandHalfLife());
     loadReports =
-        capacitySettings == null || !capacitySettings.news().isPositive()
+        capacitySettings == null || !capacitySettings.loadReportPeriod().isPositive()
             ? null
-            : new LoadReports(capacitySettings.reports(MAX_CLOCK_RATE_RATIO), random.split(), now);
+            : new LoadReports(
+                capacitySettings.loadReportOptions(MAX_CLOCK_RATE_RATIO), random.split(), now);
     retryBudget =
-        settings.repeats() == null
+        settings.retryBudget() == null
             ? null
             : new RetryBudget(
-                settings.repeats().terms(MAX_CLOCK_RATE_RATIO), bridge.retries(), random.split());
+                settings.retryBudget().retryBudgetOptions(MAX_CLOCK_RATE_RATIO),
+                bridge.retries(),
+                random.split());
     connect(bridge);
   }
 
@@ -118,9 +123,9 @@
     MembershipOptions options =
         new MembershipOptions(
             settings.period(),
-            settings.patience(),
-            settings.helpers(),
-            settings.founders().stream().map(MemberName::new).toList(),
+            settings.suspicionPeriods(),
+            settings.indirectProbes(),
+            settings.bootstrapMembers().stream().map(MemberName::new).toList(),
             settings.seeds(),
             longestDeadline);
     // Later than that of any earlier process here if clocks are right; if they are not, peers say
@@ -129,16 +134,16 @@
     Member self =
         new Member(new MemberName(configuration.name()), incarnation, settings.advertise());
     return folder.isUsable()
-        ? Membership.lasting(options, self, folder.loadedState(), random)
+        ? Membership.withFolder(options, self, folder.loadedState(), random)
         : new Membership(options, self, random);
   }
 
   private Lease createLease(Settings settings, SplittableRandom random) {
     TimeSpan duration = null;
-    if (settings.agreed() != null) {
-      duration = settings.agreed().contradiction();
+    if (settings.agreement() != null) {
+      duration = settings.agreement().maxContradiction();
     } else if (isDividedByDemand()) {
-      duration = capacitySettings.lease();
+      duration = capacitySettings.leaseDuration();
     }
     return duration == null
         ? null
@@ -163,13 +168,13 @@
   }
 
   private StateGossip createGossip(Settings settings, SplittableRandom random, Timestamp now) {
-    if (!isDividedByDemand() && settings.repeats() == null) {
+    if (!isDividedByDemand() && settings.retryBudget() == null) {
       return null;
     }
     return new StateGossip(
         membership.self().name(),
         membership.self().incarnation(),
-        settings.sharing(MessageCodec.MAX_MESSAGE_BYTES / 2, MAX_CLOCK_RATE_RATIO),
+        settings.gossipOptions(MessageCodec.MAX_MESSAGE_BYTES / 2, MAX_CLOCK_RATE_RATIO),
         random.split(),
         now);
   }
@@ -180,7 +185,7 @@
       bridge.collectReports();
     }
     if (capacityLeases != null) {
-      coordinator.holds(capacityLeases);
+      coordinator.setCapacityLeases(capacityLeases);
     }
     if (retryBudget != null) {
       coordinator.setRetryBudget(retryBudget, bridge.attemptCounts());
@@ -190,6 +195,6 @@
 
   /** Whether each member's part of the engines follows its demand. */
   boolean isDividedByDemand() {
-    return capacitySettings != null && capacitySettings.byDemand();
+    return capacitySettings != null && capacitySettings.followsDemand();
   }
 }
--- a/src/main/java/cobaltseam/service/FleetRetryLimit.java
+++ b/src/main/java/cobaltseam/service/FleetRetryLimit.java
@@ -27,7 +27,7 @@
   /** Passes the number of retries that are left to the decision module, before it decides. */
   void updateDispatcher() {
     if (fleet != null) {
-      dispatcher.setRemainingRetries(fleet.furtherLeft());
+      dispatcher.setRemainingRetries(fleet.remainingRetries());
     }
   }
 
@@ -42,10 +42,10 @@
       return true;
     }
     if (earlierAttempts == 0) {
-      fleet.first();
+      fleet.countFirstAttempt();
       return true;
     }
-    return fleet.takesFurther();
+    return fleet.takeRetry();
   }
 
   /**
@@ -55,9 +55,9 @@
    * @param attempts how many attempts of the request there were
    */
   void recordIfDenied(int attempts) {
-    if (fleet != null && attempts > 0 && fleet.furtherLeft() < 1) {
+    if (fleet != null && attempts > 0 && fleet.remainingRetries() < 1) {
       counters.add(Count.REPEATS_DENIED);
-      fleet.denied();
+      fleet.countDeniedRetry();
     }
   }
 }
--- a/src/main/java/cobaltseam/service/FleetService.java
+++ b/src/main/java/cobaltseam/service/FleetService.java
@@ -86,15 +86,15 @@
       boolean hasMastership,
       Clock clock,
       Counters counters) {
-    this.settings = settings.fleet();
-    capacitySettings = settings.spread();
+    this.settings = settings.membership();
+    capacitySettings = settings.capacity();
     this.bridge = bridge;
     this.clock = clock;
     this.counters = counters;
     inbox = new EventLoopQueue(counters);
     RateLimitedLog log = new RateLimitedLog(LOG, clock);
     messaging = new FleetMessaging(this.settings, counters, log, this::receive);
-    folder = new FleetStateFolder(this.settings.folder(), this::stored, this::notStored);
+    folder = new FleetStateFolder(this.settings.stateFolder(), this::stored, this::notStored);
     modules =
         new FleetModules(
             settings,
@@ -118,7 +118,7 @@
   }
 
   private void stored(long number) {
-    inbox.post(null, () -> act(() -> coordinator.kept(number, clock.now())));
+    inbox.post(null, () -> act(() -> coordinator.persisted(number, clock.now())));
   }
 
   private void notStored(String reason) {
@@ -167,18 +167,20 @@
   }
 
   private void runTasks() throws InterruptedException {
-    Runnable task = inbox.next(timers.untilNext(clock.now(), MAX_WAIT));
+    Runnable task = inbox.poll(timers.untilNext(clock.now(), MAX_WAIT));
     int taskCount = 1;
     while (task != null) {
       detectPause();
       task.run();
-      task = taskCount < MAX_TASKS_PER_TURN ? inbox.next(TimeSpan.ZERO) : null;
+      task = taskCount < MAX_TASKS_PER_TURN ? inbox.poll(TimeSpan.ZERO) : null;
       taskCount++;
     }
   }
 
   private void runDueTimers() {
-    for (Runnable due = timers.due(clock.now()); due != null; due = timers.due(clock.now())) {
+    for (Runnable due = timers.pollDue(clock.now());
+        due != null;
+        due = timers.pollDue(clock.now())) {
       try {
         due.run();
       } catch (RuntimeException e) {
@@ -220,20 +222,20 @@
    * Applies what the own settings file says now: an operator's re-bootstrap takes effect, all else
    * waits for the next start.
    */
-  void renewed(Settings.MembershipSettings renewed) {
+  void applyRenewedSettings(Settings.MembershipSettings renewed) {
     inbox.post(null, () -> applyRenewed(renewed));
   }
 
   private void applyRenewed(Settings.MembershipSettings renewed) {
-    if (!renewed.fixed().equals(settings.fixed())) {
+    if (!renewed.withStartupSettingsOnly().equals(settings.withStartupSettingsOnly())) {
       LOG.log(
           Level.WARNING,
           "of [membership] only found_anew is read before the next start",
           Field.event("configuration.partly"));
     }
-    String view = renewed.foundAnew();
+    String view = renewed.rebootstrapView();
     if (view != null && !view.equals(rebootstrappedView)) {
-      act(() -> coordinator.foundAnew(ViewId.read(view), clock.now()));
+      act(() -> coordinator.rebootstrap(ViewId.parse(view), clock.now()));
       // A request that was rejected may be repeated with the same view.
       boolean isDone =
           membership.view() != null
@@ -253,7 +255,7 @@
           if (!hasFailed) {
             messaging
                 .decode(datagram)
-                .ifPresent(message -> act(() -> coordinator.heard(message, clock.now())));
+                .ifPresent(message -> act(() -> coordinator.receive(message, clock.now())));
           }
         });
   }
@@ -272,7 +274,7 @@
 
   private void runDue() {
     messaging.countDropped();
-    act(() -> coordinator.due(clock.now()));
+    act(() -> coordinator.advance(clock.now()));
   }
 
   // ---- results
@@ -289,11 +291,11 @@
     try {
       shareFigures();
       if (modules.loadReports != null) {
-        bridge.localReports().forEach(modules.loadReports::told);
+        bridge.localReports().forEach(modules.loadReports::addLocal);
       }
       step.run();
       if (modules.loadReports != null) {
-        List<LoadReport> received = modules.loadReports.news();
+        List<LoadReport> received = modules.loadReports.takeReceived();
         if (!received.isEmpty()) {
           bridge.addRemoteReports(received);
         }
@@ -314,13 +316,13 @@
 
   private void scheduleWake(Timestamp now) {
     timers.cancel(wakeTimer);
-    dueAt = coordinator.wake(now);
+    dueAt = coordinator.nextAdvanceAt(now);
     wakeTimer = dueAt == null ? null : timers.set(dueAt, this::runDue);
   }
 
   private void scheduleCarriersChange() {
     timers.cancel(carriersTimer);
-    Timestamp at = membership.carriersFallAt();
+    Timestamp at = membership.nextEngineSharerExpiry();
     carriersTimer = at == null ? null : timers.set(at, () -> act(() -> {}));
   }
 
@@ -334,18 +336,18 @@
     figuresAt = now;
     Map<String, Long> figures = new HashMap<>();
     if (modules.capacityLeases != null) {
-      double rate = modules.demand.told(bridge.totalDemand(), now);
+      double rate = modules.demand.update(bridge.totalDemand(), now);
       modules.capacityLeases.needs(rate);
-      figures.put(FleetCoordinator.DEMAND, FleetCoordinator.figure(rate));
+      figures.put(FleetCoordinator.DEMAND_FIGURE, FleetCoordinator.demandToFigure(rate));
     }
     if (modules.retryBudget != null) {
       figures.put(FleetCoordinator.SPARE_RETRIES_FIGURE, modules.retryBudget.spareUnits());
     }
-    modules.gossip.say(new MemberFigures(figures));
+    modules.gossip.setFigures(new MemberFigures(figures));
   }
 
   private void logQuorumState() {
-    QuorumState current = membership.standing();
+    QuorumState current = membership.quorumState();
     if (current != quorumState) {
       quorumState = current;
       LOG.log(
@@ -365,7 +367,7 @@
     }
     snapshot = current;
     bridge.publish(current);
-    if (modules.isDividedByDemand() && capacitySettings.audit()) {
+    if (modules.isDividedByDemand() && capacitySettings.logsChanges()) {
       LOG.log(
           Level.INFO,
           "usable parts of the engines, each with its end: {0}",
@@ -376,7 +378,7 @@
   }
 
   private FleetSnapshot currentSnapshot(Timestamp now) {
-    int carriers = membership.carriers(now);
+    int carriers = membership.engineSharerCount(now);
     FleetSnapshot current = new FleetSnapshot(carriers, null, null, Long.MAX_VALUE, null, null);
     if (agreed != null) {
       Timestamp until = agreed.activeUntil(now);
@@ -386,7 +388,7 @@
     }
     return modules.capacityLeases == null
         ? current
-        : current.withParts(modules.capacityLeases.usableSteps(now), capacitySettings.whole());
+        : current.withParts(modules.capacityLeases.usableSteps(now), capacitySettings.totalUnits());
   }
 
   /** Ends membership until the next start; the service goes on as one without it. */
@@ -417,9 +419,10 @@
     if (modules.capacityLeases == null) {
       return last;
     }
-    long standalone = capacitySettings.terms(bridge.configuredDispatchers()).alonePart();
+    long standalone =
+        capacitySettings.capacityOptions(bridge.configuredDispatchers()).standalonePart();
     return last.withParts(
-        List.of(new CapacityLeases.CapacityStep(null, standalone)), capacitySettings.whole());
+        List.of(new CapacityLeases.CapacityStep(null, standalone)), capacitySettings.totalUnits());
   }
 
   private void refreshStatus() {
--- a/src/main/java/cobaltseam/service/FleetStateFolder.java
+++ b/src/main/java/cobaltseam/service/FleetStateFolder.java
@@ -52,13 +52,13 @@
 
   private PersistentState load(AtomicFile file) {
     try {
-      AtomicFile.Reading reading = file.read();
+      AtomicFile.ReadResult reading = file.read();
       PersistentState state =
           reading.value() == null ? null : PersistentStateCodec.read(reading.value()).orElse(null);
       boolean isUndecodable = reading.value() != null && state == null;
-      if (reading.found() == AtomicFile.ReadStatus.LATER) {
+      if (reading.status() == AtomicFile.ReadStatus.NEWER_FORMAT) {
         continueWithout("written by a later program; it is left as it is");
-      } else if (reading.found() == AtomicFile.ReadStatus.BROKEN || isUndecodable) {
+      } else if (reading.status() == AtomicFile.ReadStatus.CORRUPT || isUndecodable) {
         LOG.log(
             Level.WARNING,
             "the state in folder {0} is corrupt: this process joins as a new member",
@@ -104,7 +104,7 @@
 
   /** Writes a state in the background, in place of any that still waits to be written. */
   void write(long number, PersistentState state) {
-    writer.give(number, () -> PersistentStateCodec.write(state));
+    writer.submit(number, () -> PersistentStateCodec.write(state));
   }
 
   /** Stops the writer, if there is one. */
--- a/src/main/java/cobaltseam/service/FleetStatusRows.java
+++ b/src/main/java/cobaltseam/service/FleetStatusRows.java
@@ -51,8 +51,8 @@
       boolean hasMastership,
       Counters counters,
       Clock clock) {
-    this.settings = settings.fleet();
-    capacitySettings = settings.spread();
+    this.settings = settings.membership();
+    capacitySettings = settings.capacity();
     this.modules = modules;
     this.folder = folder;
     this.messaging = messaging;
@@ -78,7 +78,7 @@
 
   private void register(ClientSessions sessions, String name, Supplier<List<String[]>> rows) {
     suppliers.put(name, rows);
-    sessions.shows(name, () -> published.getAcquire().getOrDefault(name, List.of()));
+    sessions.registerShow(name, () -> published.getAcquire().getOrDefault(name, List.of()));
   }
 
   /** Builds all rows anew and publishes them. */
@@ -110,23 +110,25 @@
                   : Integer.toString(modules.loadReports.size())));
       return rows;
     }
-    long standalone = capacitySettings.terms(bridge.configuredDispatchers()).alonePart();
-    rows.add(row("usable", part(modules.capacityLeases.usable(now))));
+    long standalone =
+        capacitySettings.capacityOptions(bridge.configuredDispatchers()).standalonePart();
+    rows.add(row("usable", part(modules.capacityLeases.usableAmount(now))));
     rows.add(row("alone", part(standalone)));
     rows.add(row("even", part(modules.capacityLeases.evenPart(now))));
     rows.add(row("lent", part(modules.capacityLeases.lentAmount(now))));
     rows.add(row("borrowed", part(modules.capacityLeases.borrowedAmount(now))));
-    rows.add(row("lease_left_ms", Long.toString(modules.lease.left(now).us() / US_PER_MS)));
-    StateGossip.Sum sum = modules.gossip.sum(FleetCoordinator.DEMAND, now);
+    rows.add(row("lease_left_ms", Long.toString(modules.lease.remaining(now).us() / US_PER_MS)));
+    StateGossip.Sum sum = modules.gossip.sum(FleetCoordinator.DEMAND_FIGURE, now);
     rows.add(
         row(
             "demand_threads",
             String.format(
                 Locale.ROOT,
                 "%.3f of %.3f, %d members known, %d not",
-                FleetCoordinator.demand(modules.gossip.ownFigure(FleetCoordinator.DEMAND))
+                FleetCoordinator.figureToDemand(
+                        modules.gossip.ownFigure(FleetCoordinator.DEMAND_FIGURE))
                     / US_PER_SECOND,
-                FleetCoordinator.demand(sum.sum()) / US_PER_SECOND,
+                FleetCoordinator.figureToDemand(sum.sum()) / US_PER_SECOND,
                 sum.counted(),
                 sum.unknown())));
     if (modules.loadReports != null) {
@@ -165,7 +167,7 @@
   }
 
   private String part(long amount) {
-    return String.format(Locale.ROOT, "%.6f", (double) amount / capacitySettings.whole());
+    return String.format(Locale.ROOT, "%.6f", (double) amount / capacitySettings.totalUnits());
   }
 
   /** The rows of membership, under the name "members". */
@@ -183,13 +185,13 @@
                 + membership.self().incarnation()
                 + " at "
                 + settings.advertise()));
-    rows.add(row("standing", membership.standing().label()));
+    rows.add(row("standing", membership.quorumState().label()));
     rows.add(row("view", viewText(view, now)));
     rows.add(row("engines_shared_over", sharedOver() + (hasMastership ? ", by mastership" : "")));
-    rows.add(row("own_health", membership.health() + " (0 is well)"));
+    rows.add(row("own_health", membership.healthScore() + " (0 is well)"));
     rows.add(row("folder", folderText()));
-    rows.add(row("bears_ms", Long.toString(membership.bears().us() / US_PER_MS)));
-    for (Membership.MemberStatus status : membership.seen()) {
+    rows.add(row("bears_ms", Long.toString(membership.toleratedPause().us() / US_PER_MS)));
+    for (Membership.MemberStatus status : membership.memberStatuses()) {
       rows.add(row("member_" + status.member().name(), statusText(status, view, now)));
     }
     messaging
@@ -207,12 +209,12 @@
             + ", "
             + view.members().size()
             + " members, since "
-            + elapsedMs(now, modules.membership.viewSince())
+            + elapsedMs(now, modules.membership.viewInstalledAt())
             + " ms";
   }
 
   private String sharedOver() {
-    int carriers = modules.membership.carriers(clock.now());
+    int carriers = modules.membership.engineSharerCount(clock.now());
     return Integer.toString(hasFailed || carriers == 0 ? bridge.configuredDispatchers() : carriers);
   }
 
@@ -220,7 +222,7 @@
     if (folder.path() == null) {
       return "none";
     }
-    if (modules.membership.isLasting()) {
+    if (modules.membership.isPersistent()) {
       return folder.path().toString();
     }
     return folder.path()
@@ -233,18 +235,20 @@
         view != null && view.contains(status.member().name(), status.member().incarnation());
     return status.condition().name().toLowerCase(Locale.ROOT)
         + " since "
-        + elapsedMs(now, status.since())
+        + elapsedMs(now, status.conditionSince())
         + " ms, "
         + (isInView ? "in the view" : "not in the view")
         + ", birth "
         + status.member().incarnation()
         + " incarnation "
-        + status.incarnation()
+        + status.statusVersion()
         + ", heard "
-        + (status.heard() == null ? "never" : elapsedMs(now, status.heard()) + " ms ago")
+        + (status.lastHeardAt() == null
+            ? "never"
+            : elapsedMs(now, status.lastHeardAt()) + " ms ago")
         + ", round trip "
         + (status.roundTrip() == null ? "unknown" : status.roundTrip().us() + " us")
-        + (status.by().isEmpty() ? "" : ", suspected by " + status.by());
+        + (status.suspectedBy().isEmpty() ? "" : ", suspected by " + status.suspectedBy());
   }
 
   private static long elapsedMs(Timestamp now, Timestamp then) {
--- a/src/main/java/cobaltseam/service/InFlightRequest.java
+++ b/src/main/java/cobaltseam/service/InFlightRequest.java
@@ -21,7 +21,7 @@
   Attempt attempt;
 
   InFlightRequest(Statement statement, ResponseHandle responseHandle) {
-    id = new RequestId(statement.call());
+    id = new RequestId(statement.callId());
     this.statement = statement;
     this.responseHandle = responseHandle;
   }
--- a/src/main/java/cobaltseam/service/MastershipRows.java
+++ b/src/main/java/cobaltseam/service/MastershipRows.java
@@ -78,7 +78,7 @@
               long ageMs = now.since(claim.receivedAt()).us() / US_PER_MS;
               add(
                   rows,
-                  prefix + "peer_" + Addresses.text(peer),
+                  prefix + "peer_" + Addresses.format(peer),
                   "priority " + claim.priority() + ", " + ageMs + " ms ago");
             });
   }
--- a/src/main/java/cobaltseam/service/RequestTable.java
+++ b/src/main/java/cobaltseam/service/RequestTable.java
@@ -76,7 +76,7 @@
    * Applies other settings of the decision module at once, whatever requests are open: {@link
    * Dispatcher#applySettings} says which settings then count for them.
    */
-  void moveTo(Deployment deployment) {
+  void applySettings(Deployment deployment) {
     dispatcher.applySettings(deployment, clock.now());
     translator.applySettings(deployment);
     counters.add(Count.CONFIGURATIONS_MOVED);
@@ -84,34 +84,34 @@
   }
 
   /** Before each attempt this is asked whether the dispatcher may still send. */
-  void sendsWhile(BooleanSupplier allowed) {
+  void setSendPermission(BooleanSupplier allowed) {
     maySend = allowed;
   }
 
   /** From now on the capacity of the engines is shared among so many dispatchers. */
-  void sharedOver(double dispatchers) {
+  void setSharingDispatchers(double dispatchers) {
     dispatcher.setSharingDispatchers(dispatchers);
     isNextStepDue = true;
   }
 
   /** The work of all requests admitted so far, in microseconds of one thread. */
-  double offered() {
-    return dispatcher.offeredLoad();
+  double offeredLoad() {
+    return dispatcher.offeredWorkUs();
   }
 
   /** From now on the fleet receives the load that engines report with attempts. */
-  void reportsTo(FleetBridge bridge) {
+  void setLoadReports(FleetBridge bridge) {
     loadReports = bridge;
   }
 
   /** From now on the fleet limits retries. */
-  void cappedBy(FleetBridge bridge) {
+  void setRetryLimit(FleetBridge bridge) {
     retryLimit.setFleet(bridge);
   }
 
   /** The load that an engine reported to another dispatcher at this time or later. */
-  void reported(EngineId engine, double inHand, Timestamp at) {
-    dispatcher.updateEngineLoad(engine, inHand, at);
+  void updateEngineLoad(EngineId engine, double inFlight, Timestamp at) {
+    dispatcher.updateEngineLoad(engine, inFlight, at);
     isNextStepDue = true;
   }
 
@@ -126,7 +126,7 @@
   // ---- requests
 
   /** How many requests have no final answer yet. */
-  int inHand() {
+  int openRequests() {
     return requestsById.size();
   }
 
@@ -140,7 +140,7 @@
     if (reason != null) {
       return reason;
     }
-    boolean isOpen = requestsById.containsKey(new RequestId(statement.call()));
+    boolean isOpen = requestsById.containsKey(new RequestId(statement.callId()));
     return isOpen ? "a call that is in hand already" : null;
   }
 
@@ -295,7 +295,7 @@
   private void publishLoad(Attempt attempt, Timestamp now) {
     if (loadReports != null && attempt.reportedInFlight >= 0) {
       double running = Math.max(0, attempt.reportedInFlight - Math.max(0, attempt.reportedQueue));
-      loadReports.heard(attempt.engine, running, now);
+      loadReports.recordReport(attempt.engine, running, now);
     }
   }
 
--- a/src/main/java/cobaltseam/service/ServiceConfiguration.java
+++ b/src/main/java/cobaltseam/service/ServiceConfiguration.java
@@ -103,14 +103,14 @@
         address(document.text("listen")),
         address(document.text("bus")),
         Long.parseUnsignedLong(seed, HEX_RADIX),
-        (int) document.object("limits").whole("sockets"),
-        document.object("limits").whole("memory_mb", MIN_MEMORY_MB) << 20,
-        known.whole("offset"),
+        (int) document.object("limits").integer("sockets"),
+        document.object("limits").integer("memory_mb", MIN_MEMORY_MB) << 20,
+        known.integer("offset"),
         events,
         DeploymentReader.read(settings),
-        new TimeSpan(limits.whole("connect_timeout_us")),
-        new TimeSpan(limits.whole("conn_idle_us", 0)),
-        (int) Math.max(1, limits.whole("streams_per_conn", 1)));
+        new TimeSpan(limits.integer("connect_timeout_us")),
+        new TimeSpan(limits.integer("conn_idle_us", 0)),
+        (int) Math.max(1, limits.integer("streams_per_conn", 1)));
   }
 
   /** A copy with other settings of decisions. */
--- a/src/main/java/cobaltseam/service/ShowStatements.java
+++ b/src/main/java/cobaltseam/service/ShowStatements.java
@@ -1,6 +1,6 @@
 package cobaltseam.service;
 
-import cobaltseam.postgres.Replies;
+import cobaltseam.postgres.ServerMessageWriter;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.List;
@@ -21,17 +21,18 @@
   }
 
   /** The reply to a statement that shows a registered table, or null for any other statement. */
-  Replies replyTo(byte[] text) {
+  ServerMessageWriter replyTo(byte[] text) {
     Supplier<List<String[]>> rows = tables.get(tableName(text));
     if (rows == null) {
       return null;
     }
-    Replies replies = new Replies().columns(List.of("name", "value"));
+    ServerMessageWriter replies =
+        new ServerMessageWriter().rowDescription(List.of("name", "value"));
     for (String[] nameAndValue : rows.get()) {
       byte[] row = (nameAndValue[0] + '\t' + nameAndValue[1]).getBytes(StandardCharsets.UTF_8);
-      replies.row(row, 0, row.length);
+      replies.dataRow(row, 0, row.length);
     }
-    return replies.complete("SHOW");
+    return replies.commandComplete("SHOW");
   }
 
   /** The name behind the prefix, or an empty string if the statement is no such SHOW. */
--- a/src/main/java/cobaltseam/service/StatementTranslator.java
+++ b/src/main/java/cobaltseam/service/StatementTranslator.java
@@ -35,10 +35,10 @@
 
   /** Why a statement names no known request class or tenant, or null if it does. */
   String rejectionReason(Statement statement) {
-    if (!requestClasses.contains(statement.profile())) {
+    if (!requestClasses.contains(statement.requestClass())) {
       return "an unknown profile";
     }
-    boolean isTenantUnknown = statement.share() != null && !tenants.contains(statement.share());
+    boolean isTenantUnknown = statement.tenant() != null && !tenants.contains(statement.tenant());
     return isTenantUnknown && !tenants.isEmpty() ? "an unknown holder of a share" : null;
   }
 
@@ -48,15 +48,15 @@
    * @param readAt when the statement was read completely; its deadline is counted from there
    */
   Request toRequest(Statement statement, Timestamp readAt) {
-    boolean hasTenant = statement.share() != null && tenants.contains(statement.share());
+    boolean hasTenant = statement.tenant() != null && tenants.contains(statement.tenant());
     return new Request(
-        new RequestId(statement.call()),
-        new RequestClassId(statement.profile()),
-        hasTenant ? new TenantId(statement.share()) : null,
+        new RequestId(statement.callId()),
+        new RequestClassId(statement.requestClass()),
+        hasTenant ? new TenantId(statement.tenant()) : null,
         null,
         readAt.plus(new TimeSpan(statement.timeToLiveMs() * US_PER_MS)),
         new TimeSpan(Math.round(statement.workMs() * US_PER_MS)),
-        statement.dataSet() < 0 ? null : new DataSetId(statement.dataSet()),
+        statement.dataSetId() < 0 ? null : new DataSetId(statement.dataSetId()),
         statement.memoryMb());
   }
 }
--- a/src/main/java/cobaltseam/service/Timers.java
+++ b/src/main/java/cobaltseam/service/Timers.java
@@ -42,7 +42,7 @@
   }
 
   /** Removes the first timer that is due and returns its task, or null if none is due. */
-  Runnable due(Timestamp now) {
+  Runnable pollDue(Timestamp now) {
     return timers.isEmpty() || now.isBefore(timers.first().at) ? null : timers.pollFirst().due;
   }
 
--- a/src/main/java/cobaltseam/service/VirtualAddressService.java
+++ b/src/main/java/cobaltseam/service/VirtualAddressService.java
@@ -129,9 +129,9 @@
             acceptor, eventLoop, clock, timers, counters, LOG, rateLimitedLog, this);
     settings.routers().forEach(listeners::configure);
     rows = new MastershipRows(mastership, healthScore, filter, listeners);
-    clients.guardedBy(this);
-    clients.shows("mastership", () -> rows.rows(hasFailed, sharingDispatchers, clock.now()));
-    requests.sendsWhile(() -> !mastership.isFenceOverdue(clock.now()));
+    clients.setAdmissionGate(this);
+    clients.registerShow("mastership", () -> rows.rows(hasFailed, sharingDispatchers, clock.now()));
+    requests.setSendPermission(() -> !mastership.isFenceOverdue(clock.now()));
   }
 
   private static TimeSpan maxClockDifference(Settings.VirtualAddressSettings settings) {
@@ -161,7 +161,7 @@
   // ---- life cycle
 
   /** Whether the dispatcher's own address answers clients, with a rejection, while in backup. */
-  boolean answersStandingBy() {
+  boolean answersAsBackup() {
     return settings.answersAsBackup();
   }
 
@@ -183,7 +183,7 @@
   }
 
   /** Applies reloaded settings; those that can't change while running stay until the next start. */
-  void renewed(Settings.VirtualAddressSettings reloaded) {
+  void reconfigure(Settings.VirtualAddressSettings reloaded) {
     settings = withFixedSettings(reloaded);
     Set<InetAddress> peers = settings.peerAddresses();
     healthScore.reconfigure(settings.healthScore());
@@ -193,7 +193,7 @@
             mastership.reconfigure(
                 settings.routerOptions(), peers, dispatchersElsewhere(), clock.now()));
     filter.reconfigure(peers, keys(settings));
-    socket.peers(peers);
+    socket.setPeers(peers);
     listeners.retainOnly(new HashSet<>(mastership.routers()), settings.routers());
   }
 
@@ -237,7 +237,7 @@
   }
 
   /** Resigns, so that a peer takes over within its skew time; requests in flight are finished. */
-  void leave() {
+  void resign() {
     perform(() -> mastership.stop(TransitionReason.ENDED, clock.now()));
   }
 
@@ -254,7 +254,7 @@
     eventLoop.post(
         null,
         () -> {
-          socket.heard(bytes, source);
+          socket.release(bytes, source);
           onAdvertisement(bytes, source);
         });
   }
@@ -275,7 +275,7 @@
       counters.add(Count.MASTERSHIP_ADVERTS_REFUSED);
       rateLimitedLog.warn(
           "advertisement from {0} rejected: {1}",
-          Field.of("peer", Addresses.text(source)),
+          Field.of("peer", Addresses.format(source)),
           Field.of("reason", verdict.rejection().explanation()),
           Field.event("mastership.advert_refused"));
       return;
@@ -285,7 +285,7 @@
   }
 
   /** Steps back first, if a peer may have become active while this process did not run. */
-  void look() {
+  void fenceIfOverdue() {
     if (!hasFailed && mastership.isFenceOverdue(clock.now())) {
       perform(() -> mastership.fence(clock.now()));
     }
@@ -300,8 +300,8 @@
     TimeSpan timerDelay = now.since(nextHealthCheck);
     nextHealthCheck = now.plus(HEALTH_CHECK_PERIOD);
     timers.set(nextHealthCheck, this::checkHealth);
-    countRejected(RejectionReason.UNKNOWN_SENDER, socket.strangers());
-    countRejected(RejectionReason.TOO_MANY, socket.tooMany());
+    countRejected(RejectionReason.UNKNOWN_SENDER, socket.takeUnknownSourceCount());
+    countRejected(RejectionReason.TOO_MANY, socket.takeDroppedCount());
     perform(
         () -> {
           int before = mastership.priorityReduction();
@@ -355,7 +355,7 @@
     double dispatchers = mastership.effectiveDispatcherCount(clock.now());
     if (Math.abs(dispatchers - sharingDispatchers) > MIN_SHARING_CHANGE * sharingDispatchers) {
       sharingDispatchers = dispatchers;
-      requests.sharedOver(dispatchers);
+      requests.setSharingDispatchers(dispatchers);
     }
   }
 
@@ -460,13 +460,13 @@
   }
 
   @Override
-  public boolean stays(SocketAddress address) {
+  public boolean keepsSessions(SocketAddress address) {
     return !listeners.isVirtual(address) || admits(address);
   }
 
   /** An active down interval, after which another dispatcher has taken over. */
   @Override
-  public TimeSpan comeBack(SocketAddress address) {
+  public TimeSpan retryAfter(SocketAddress address) {
     VirtualRouterId router = listeners.routerAt(address);
     return advertisementInterval(router != null ? router : mastership.routers().get(0))
         .times(TAKEOVER_INTERVALS);
--- a/src/main/java/cobaltseam/service/Warmup.java
+++ b/src/main/java/cobaltseam/service/Warmup.java
@@ -116,7 +116,7 @@
           }
           service.endWhenIdle();
         });
-    service.loop();
+    service.runLoop();
   }
 
   private static void join(Thread client) {
@@ -156,7 +156,7 @@
           read > 0;
           read = socket.getInputStream().read(piece)) {
         StringBuilder answers = new StringBuilder();
-        parser.take(
+        parser.parse(
             ByteBuffer.wrap(piece, 0, read),
             items -> {
               String word = new String(items.get(0), StandardCharsets.UTF_8);
--- a/src/main/java/cobaltseam/service/WatchEvent.java
+++ b/src/main/java/cobaltseam/service/WatchEvent.java
@@ -56,15 +56,15 @@
               engine,
               new LocationId(target.text("az", "")),
               new MachineTypeId(target.text("model", "")),
-              new GroupId(target.whole("pod_group", 0)),
+              new GroupId(target.integer("pod_group", 0)),
               state(target.text("state")),
-              new Timestamp(target.whole("boot_ms", 0) * US_PER_MS)));
+              new Timestamp(target.integer("boot_ms", 0) * US_PER_MS)));
       if (target.has("endpoint")) {
         addresses.put(engine, ServiceConfiguration.address(target.text("endpoint")));
       }
     }
     return new WatchEvent(
-        event.whole(OFFSET_FIELD, 0), topology.flag(COMPLETE_FIELD), endpoints, addresses);
+        event.integer(OFFSET_FIELD, 0), topology.flag(COMPLETE_FIELD), endpoints, addresses);
   }
 
   private static EndpointStatus.EndpointState state(String state) {
--- a/src/main/java/cobaltseam/settings/MastershipSection.java
+++ b/src/main/java/cobaltseam/settings/MastershipSection.java
@@ -130,7 +130,7 @@
     for (int i = 0; i < texts.size(); i++) {
       JsonNode text = texts.path(i);
       String key = routerKey + ".addresses[" + i + "]";
-      InetAddress address = Addresses.read(text.asText()).orElse(null);
+      InetAddress address = Addresses.parse(text.asText()).orElse(null);
       if (address == null) {
         errors.add(key, text, "an IPv4 or IPv6 address, written out, is allowed.");
       } else if (listen != null
--- a/src/main/java/cobaltseam/settings/SettingValues.java
+++ b/src/main/java/cobaltseam/settings/SettingValues.java
@@ -56,7 +56,7 @@
     String text = value.isMissingNode() ? "" : value.asText();
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon).replaceAll("^\\[|]$", "");
-    InetAddress address = Addresses.read(host).orElse(null);
+    InetAddress address = Addresses.parse(host).orElse(null);
     int port = colon < 0 || address == null ? -1 : Integer.parseInt(text.substring(colon + 1));
     if (address == null || port < 1 || port > MAX_PORT || address.isAnyLocalAddress()) {
       errors.add(
@@ -84,7 +84,7 @@
     }
     String keyFile = seal.path("keys").asText();
     try {
-      KeyRing keys = KeyRing.read(Files.readString(resolve(keyFile)));
+      KeyRing keys = KeyRing.parse(Files.readString(resolve(keyFile)));
       if (!keys.contains(seal.path("write_key").asInt())) {
         errors.add(
             section + ".seal.write_key",
--- a/src/main/java/cobaltseam/settings/Settings.java
+++ b/src/main/java/cobaltseam/settings/Settings.java
@@ -15,20 +15,20 @@
 /**
  * What our own settings file turns on. A part that is null is off.
  *
- * @param jsonLog whether log lines are JSON
- * @param hall the virtual addresses that this dispatcher shares by VRRP
- * @param fleet the fleet that this dispatcher is a member of
- * @param agreed how the fleet agrees on a configuration
- * @param spread how the fleet shares the capacity of the engines
- * @param repeats how the fleet shares a retry budget
+ * @param logsJson whether log lines are JSON
+ * @param virtualAddresses the virtual addresses that this dispatcher shares by VRRP
+ * @param membership the fleet that this dispatcher is a member of
+ * @param agreement how the fleet agrees on a configuration
+ * @param capacity how the fleet shares the capacity of the engines
+ * @param retryBudget how the fleet shares a retry budget
  */
 public record Settings(
-    boolean jsonLog,
-    VirtualAddressSettings hall,
-    MembershipSettings fleet,
-    AgreementSettings agreed,
-    CapacitySettings spread,
-    RetryBudgetSettings repeats) {
+    boolean logsJson,
+    VirtualAddressSettings virtualAddresses,
+    MembershipSettings membership,
+    AgreementSettings agreement,
+    CapacitySettings capacity,
+    RetryBudgetSettings retryBudget) {
   /** Without a file: everything is off. */
   public static final Settings OFF = new Settings(false, null, null, null, null, null);
 
@@ -42,12 +42,12 @@
    * @param maxBytes of one message
    * @param maxClockDrift by which part the rates of two clocks differ at most
    */
-  public cobaltseam.sharing.GossipOptions sharing(int maxBytes, double maxClockDrift) {
-    TimeSpan round = spread != null ? spread.round() : DEFAULT_GOSSIP_PERIOD;
+  public cobaltseam.sharing.GossipOptions gossipOptions(int maxBytes, double maxClockDrift) {
+    TimeSpan round = capacity != null ? capacity.gossipPeriod() : DEFAULT_GOSSIP_PERIOD;
     return new cobaltseam.sharing.GossipOptions(
         round,
         GOSSIP_PEERS_PER_ROUND,
-        spread != null ? spread.end() : round.times(GOSSIP_EXPIRY_ROUNDS),
+        capacity != null ? capacity.expiresAfter() : round.times(GOSSIP_EXPIRY_ROUNDS),
         maxBytes,
         maxClockDrift);
   }
@@ -94,64 +94,75 @@
    * @param listen where messages are received
    * @param advertise the address that the other members use
    * @param seeds addresses that are asked for the other members
-   * @param founders the names of the members that bootstrap the first view
+   * @param bootstrapMembers the names of the members that bootstrap the first view
    * @param period between two health checks of a member
-   * @param patience periods for which a suspected member may refute the suspicion, besides one for
-   *     each tenfold of members
-   * @param helpers how many members check indirectly one that does not respond
-   * @param folder where persistent state is stored, or null
-   * @param foundAnew the view to bootstrap again because its majority is lost, or null
-   * @param sealing null where messages are not authenticated
+   * @param suspicionPeriods periods for which a suspected member may refute the suspicion, besides
+   *     one for each tenfold of members
+   * @param indirectProbes how many members check indirectly one that does not respond
+   * @param stateFolder where persistent state is stored, or null
+   * @param rebootstrapView the view to bootstrap again because its majority is lost, or null
+   * @param authentication null where messages are not authenticated
    */
   public record MembershipSettings(
       String fleet,
       InetSocketAddress listen,
       InetSocketAddress advertise,
       List<InetSocketAddress> seeds,
-      List<String> founders,
+      List<String> bootstrapMembers,
       TimeSpan period,
-      double patience,
-      int helpers,
-      Path folder,
-      String foundAnew,
-      AuthenticationSettings sealing) {
+      double suspicionPeriods,
+      int indirectProbes,
+      Path stateFolder,
+      String rebootstrapView,
+      AuthenticationSettings authentication) {
     /** The settings that are read at the start only, apart from the keys. */
-    public MembershipSettings fixed() {
+    public MembershipSettings withStartupSettingsOnly() {
       return new MembershipSettings(
-          fleet, listen, advertise, seeds, founders, period, patience, helpers, folder, null, null);
+          fleet,
+          listen,
+          advertise,
+          seeds,
+          bootstrapMembers,
+          period,
+          suspicionPeriods,
+          indirectProbes,
+          stateFolder,
+          null,
+          null);
     }
   }
 
   /**
    * How the fleet agrees on a configuration.
    *
-   * @param contradiction for how long two members may use contradicting configurations at most
+   * @param maxContradiction for how long two members may use contradicting configurations at most
    */
-  public record AgreementSettings(TimeSpan contradiction) {}
+  public record AgreementSettings(TimeSpan maxContradiction) {}
 
   /**
    * How the fleet shares the capacity of the engines.
    *
-   * @param byDemand whether shares follow demand; else they are even over the view
-   * @param alone the share of the engines that all dispatchers together have without a majority
-   * @param floor the part of its even share that a member keeps without demand
-   * @param lease for how long a share is valid after the last message of a majority
-   * @param window the half-life of measured demand
-   * @param round between two rounds of gossip
-   * @param end after which a figure of another member expires
-   * @param news between two requests for load reports of engines; zero for never
-   * @param audit whether each change of the own share is logged
+   * @param followsDemand whether shares follow demand; else they are even over the view
+   * @param aloneShare the share of the engines that all dispatchers together have without a
+   *     majority
+   * @param minShare the part of its even share that a member keeps without demand
+   * @param leaseDuration for how long a share is valid after the last message of a majority
+   * @param demandHalfLife the half-life of measured demand
+   * @param gossipPeriod between two rounds of gossip
+   * @param expiresAfter after which a figure of another member expires
+   * @param loadReportPeriod between two requests for load reports of engines; zero for never
+   * @param logsChanges whether each change of the own share is logged
    */
   public record CapacitySettings(
-      boolean byDemand,
-      double alone,
-      double floor,
-      TimeSpan lease,
-      TimeSpan window,
-      TimeSpan round,
-      TimeSpan end,
-      TimeSpan news,
-      boolean audit) {
+      boolean followsDemand,
+      double aloneShare,
+      double minShare,
+      TimeSpan leaseDuration,
+      TimeSpan demandHalfLife,
+      TimeSpan gossipPeriod,
+      TimeSpan expiresAfter,
+      TimeSpan loadReportPeriod,
+      boolean logsChanges) {
     private static final long TOTAL_UNITS = 1_000_000_000L;
     private static final int MAX_LEASES = 16;
 
@@ -159,7 +170,7 @@
     private static final int LOAD_REPORT_EXPIRY_PERIODS = 30;
 
     /** The number of units that the engines are divided into. */
-    public long whole() {
+    public long totalUnits() {
       return TOTAL_UNITS;
     }
 
@@ -168,9 +179,9 @@
      *
      * @param processes how many dispatchers run at once at most
      */
-    public cobaltseam.capacity.CapacityOptions terms(int processes) {
+    public cobaltseam.capacity.CapacityOptions capacityOptions(int processes) {
       return new cobaltseam.capacity.CapacityOptions(
-          TOTAL_UNITS, alone, processes, floor, lease.times(0.25), MAX_LEASES);
+          TOTAL_UNITS, aloneShare, processes, minShare, leaseDuration.times(0.25), MAX_LEASES);
     }
 
     /**
@@ -178,9 +189,10 @@
      *
      * @param maxClockDrift by which part the rates of two clocks differ at most
      */
-    public cobaltseam.capacity.LoadReports.LoadReportOptions reports(double maxClockDrift) {
+    public cobaltseam.capacity.LoadReports.LoadReportOptions loadReportOptions(
+        double maxClockDrift) {
       return new cobaltseam.capacity.LoadReports.LoadReportOptions(
-          news, 1, news.times(LOAD_REPORT_EXPIRY_PERIODS), maxClockDrift);
+          loadReportPeriod, 1, loadReportPeriod.times(LOAD_REPORT_EXPIRY_PERIODS), maxClockDrift);
     }
   }
 
@@ -188,19 +200,20 @@
    * How the fleet shares a retry budget.
    *
    * @param ratio retries allowed for each first attempt
-   * @param alone further retries in a window that each dispatcher has on its own
+   * @param aloneRetries further retries in a window that each dispatcher has on its own
    * @param window for which the retries that first attempts earn may be used
-   * @param round between two checks whether to request budget from other members
+   * @param requestPeriod between two checks whether to request budget from other members
    */
-  public record RetryBudgetSettings(double ratio, double alone, TimeSpan window, TimeSpan round) {
+  public record RetryBudgetSettings(
+      double ratio, double aloneRetries, TimeSpan window, TimeSpan requestPeriod) {
     /**
      * The options of the retry budget.
      *
      * @param maxClockDrift by which part the rates of two clocks differ at most
      */
-    public cobaltseam.retrybudget.RetryBudgetOptions terms(double maxClockDrift) {
+    public cobaltseam.retrybudget.RetryBudgetOptions retryBudgetOptions(double maxClockDrift) {
       return new cobaltseam.retrybudget.RetryBudgetOptions(
-          ratio, alone, window, round, maxClockDrift);
+          ratio, aloneRetries, window, requestPeriod, maxClockDrift);
     }
   }
 
