--- a/src/main/java/cobaltseam/sharing/StateGossip.java
+++ b/src/main/java/cobaltseam/sharing/StateGossip.java
@@ -15,7 +15,7 @@
 
 /**
  * What the members of a view know of each other. It does no I/O: time, randomness and messages come
- * from the caller, who asks {@link #due} no later than {@link #nextRoundAt}.
+ * from the caller, who asks {@link #runRound} no later than {@link #nextRoundAt}.
  *
  * <p>Each member states figures of itself alone, under a rising version. In each round a few
  * others, drawn from the view, are asked for updates that are newer than what is known here.
@@ -59,7 +59,7 @@
   private record PendingRequest(MemberName member, Timestamp requestedAt) {}
 
   /** A message to a member; it may be lost. */
-  public record Send(MemberName to, SharingMessage message) {}
+  public record OutgoingMessage(MemberName to, SharingMessage message) {}
 
   private final MemberName self;
   private Incarnation incarnation;
@@ -97,7 +97,7 @@
   }
 
   /** Sets the members of the view; the figures of all others are dropped. */
-  public void view(Set<MemberName> members) {
+  public void setView(Set<MemberName> members) {
     others = members.stream().filter(m -> !m.equals(self)).sorted().toList();
     states.keySet().retainAll(new HashSet<>(others));
     notYetAsked.retainAll(new HashSet<>(others));
@@ -115,18 +115,18 @@
   }
 
   /** Sets the figures that this member states. */
-  public void say(MemberFigures figures) {
+  public void setFigures(MemberFigures figures) {
     ownFigures = figures;
     versionNumber++;
   }
 
-  /** When to ask {@link #due} next. */
+  /** When to ask {@link #runRound} next. */
   public Timestamp nextRoundAt() {
     return nextRoundAt;
   }
 
   /** Starts a round if one is due, and returns the requests to send. */
-  public List<Send> due(Timestamp now) {
+  public List<OutgoingMessage> runRound(Timestamp now) {
     if (now.isBefore(nextRoundAt)) {
       return List.of();
     }
@@ -134,7 +134,7 @@
     nextRoundAt = now.plus(options.round());
     pending.values().removeIf(o -> now.since(o.requestedAt()).compareTo(options.maxAge()) >= 0);
     states.values().removeIf(state -> age(state, now).compareTo(options.maxAge()) >= 0);
-    List<Send> sends = new ArrayList<>();
+    List<OutgoingMessage> sends = new ArrayList<>();
     for (int i = 0;
         i < Math.min(options.requestsPerRound(), others.size())
             && pending.size() < MAX_PENDING_REQUESTS;
@@ -145,7 +145,9 @@
       MemberName member = notYetAsked.remove(random.nextInt(notYetAsked.size()));
       long id = random.nextLong();
       pending.put(id, new PendingRequest(member, now));
-      sends.add(new Send(member, new SharingMessage.UpdateRequest(self, id, knownVersions(now))));
+      sends.add(
+          new OutgoingMessage(
+              member, new SharingMessage.UpdateRequest(self, id, knownVersions(now))));
     }
     return sends;
   }
@@ -174,7 +176,7 @@
   }
 
   /** Handles a message and returns the replies to send. */
-  public List<Send> heard(SharingMessage message, Timestamp now) {
+  public List<OutgoingMessage> receive(SharingMessage message, Timestamp now) {
     if (!others.contains(message.from())) {
       return List.of();
     }
@@ -185,7 +187,7 @@
     return List.of();
   }
 
-  private List<Send> answer(SharingMessage.UpdateRequest request, Timestamp now) {
+  private List<OutgoingMessage> answer(SharingMessage.UpdateRequest request, Timestamp now) {
     List<Statement> statements = new ArrayList<>();
     if (ownFigures != null) {
       statements.add(
@@ -194,7 +196,7 @@
     states.forEach(
         (name, state) ->
             statements.add(new Statement(name, state.version, state.figures, age(state, now))));
-    List<Send> sends = new ArrayList<>();
+    List<OutgoingMessage> sends = new ArrayList<>();
     List<Statement> newer = new ArrayList<>();
     List<SharingMessage.Reaffirmation> reaffirmations = new ArrayList<>();
     int bytes = 0;
@@ -216,7 +218,7 @@
           isYounger ? KNOWN_VERSION_BYTES + statement.member().value().length() : bytes(statement);
       if (bytes > 0 && bytes + addedBytes > options.maxMessageBytes()) {
         sends.add(
-            new Send(
+            new OutgoingMessage(
                 request.from(),
                 new SharingMessage.UpdateReply(self, request.id(), newer, reaffirmations)));
         newer.clear();
@@ -234,7 +236,7 @@
     }
     if (bytes > 0) {
       sends.add(
-          new Send(
+          new OutgoingMessage(
               request.from(),
               new SharingMessage.UpdateReply(self, request.id(), newer, reaffirmations)));
     }
@@ -303,7 +305,7 @@
   }
 
   /** What is known of a member now; null if nothing is, or it has reached its maximum age. */
-  public KnownFigures known(MemberName member, Timestamp now) {
+  public KnownFigures figuresOf(MemberName member, Timestamp now) {
     KnownState state = states.get(member);
     return state == null || age(state, now).compareTo(options.maxAge()) >= 0
         ? null
@@ -318,7 +320,7 @@
     long sum = ownFigures == null ? 0 : ownFigures.byName().getOrDefault(figure, 0L);
     int counted = ownFigures != null && ownFigures.byName().containsKey(figure) ? 1 : 0;
     for (MemberName member : others) {
-      KnownFigures state = known(member, now);
+      KnownFigures state = figuresOf(member, now);
       Long value = state == null ? null : state.figures().byName().get(figure);
       if (value != null) {
         sum += value;
--- a/src/main/java/cobaltseam/store/AtomicFile.java
+++ b/src/main/java/cobaltseam/store/AtomicFile.java
@@ -35,22 +35,22 @@
   /** What was found in the folder. */
   public enum ReadStatus {
     /** There is no file. */
-    NOTHING,
+    ABSENT,
     /** There is a value. */
     VALUE,
     /** The file is corrupt, and was moved aside with the suffix {@code .broken}. */
-    BROKEN,
+    CORRUPT,
     /** The file has a newer format: it stays in place and must not be overwritten. */
-    LATER
+    NEWER_FORMAT
   }
 
   /**
    * The result of reading.
    *
-   * @param found what was found
+   * @param status what was found
    * @param value the value, or null if none was found
    */
-  public record Reading(ReadStatus found, byte[] value) {}
+  public record ReadResult(ReadStatus status, byte[] value) {}
 
   private final Path folder;
   private final Path file;
@@ -89,16 +89,16 @@
   }
 
   /** Reads the value, after dropping an unfinished write. */
-  public Reading read() throws IOException {
+  public ReadResult read() throws IOException {
     Files.deleteIfExists(temporaryFile());
     if (!Files.exists(file)) {
-      return new Reading(ReadStatus.NOTHING, null);
+      return new ReadResult(ReadStatus.ABSENT, null);
     }
-    Reading result =
+    ReadResult result =
         Files.size(file) > MAX_VALUE_BYTES + HEADER_BYTES
-            ? new Reading(ReadStatus.BROKEN, null)
+            ? new ReadResult(ReadStatus.CORRUPT, null)
             : decode(Files.readAllBytes(file), format);
-    if (result.found == ReadStatus.BROKEN) {
+    if (result.status == ReadStatus.CORRUPT) {
       Files.move(
           file,
           folder.resolve(file.getFileName() + ".broken"),
@@ -108,25 +108,25 @@
   }
 
   /** Decodes the bytes of a file, which may have this format number at most. */
-  public static Reading decode(byte[] bytes, int format) {
+  public static ReadResult decode(byte[] bytes, int format) {
     ByteBuffer in = ByteBuffer.wrap(bytes);
     if (bytes.length < HEADER_BYTES || in.getInt() != MAGIC) {
-      return new Reading(ReadStatus.BROKEN, null);
+      return new ReadResult(ReadStatus.CORRUPT, null);
     }
     int storedFormat = in.getInt();
     int length = in.getInt();
     int storedChecksum = in.getInt();
     if (length != in.remaining()) {
-      return new Reading(ReadStatus.BROKEN, null);
+      return new ReadResult(ReadStatus.CORRUPT, null);
     }
     byte[] value = new byte[length];
     in.get(value);
     if (storedChecksum != checksum(storedFormat, value)) {
-      return new Reading(ReadStatus.BROKEN, null);
+      return new ReadResult(ReadStatus.CORRUPT, null);
     }
     return storedFormat > format
-        ? new Reading(ReadStatus.LATER, null)
-        : new Reading(ReadStatus.VALUE, value);
+        ? new ReadResult(ReadStatus.NEWER_FORMAT, null)
+        : new ReadResult(ReadStatus.VALUE, value);
   }
 
   private static int checksum(int format, byte[] value) {
--- a/src/main/java/cobaltseam/store/BackgroundWriter.java
+++ b/src/main/java/cobaltseam/store/BackgroundWriter.java
@@ -63,7 +63,7 @@
    * @param number must rise with each value
    * @param value is called on the writer's thread
    */
-  public void give(long number, Supplier<byte[]> value) {
+  public void submit(long number, Supplier<byte[]> value) {
     pending.set(new PendingWrite(number, value));
     executor.execute(this::write);
   }
--- a/src/main/java/cobaltseam/transport/AdvertDatagramSocket.java
+++ b/src/main/java/cobaltseam/transport/AdvertDatagramSocket.java
@@ -16,7 +16,9 @@
  * here nor at the thread that owns the state.
  */
 public final class AdvertDatagramSocket {
-  /** Gets each datagram on the reading thread; it calls {@link #heard} once it is done with it. */
+  /**
+   * Gets each datagram on the reading thread; it calls {@link #release} once it is done with it.
+   */
   public interface Receiver {
     /** Gets a datagram, which belongs to the receiver from then on. */
     void receive(byte[] bytes, InetAddress source);
@@ -51,11 +53,11 @@
   public AdvertDatagramSocket(InetSocketAddress at, Set<InetAddress> peers, Receiver receiver) {
     datagrams = new DatagramEndpoint(at, MAX_ADVERT_BYTES, this::receive);
     this.receiver = receiver;
-    peers(peers);
+    setPeers(peers);
   }
 
   /** From now on only datagrams from these addresses are handed over. */
-  public void peers(Set<InetAddress> peers) {
+  public void setPeers(Set<InetAddress> peers) {
     Map<InetAddress, AtomicInteger> next = new ConcurrentHashMap<>();
     peers.forEach(p -> next.put(p, unreadBytes.getOrDefault(p, new AtomicInteger())));
     unreadBytes = next;
@@ -89,7 +91,7 @@
   }
 
   /** Frees the space of a datagram of this peer, so that others may wait in its place. */
-  public void heard(byte[] bytes, InetAddress source) {
+  public void release(byte[] bytes, InetAddress source) {
     AtomicInteger waiting = unreadBytes.get(source);
     if (waiting != null) {
       waiting.addAndGet(-bytes.length - OVERHEAD_BYTES);
@@ -97,12 +99,12 @@
   }
 
   /** The number of datagrams from other addresses since the last call. */
-  public long strangers() {
+  public long takeUnknownSourceCount() {
     return unknownSources.getAndSet(0);
   }
 
   /** The number of datagrams dropped beyond the bound since the last call. */
-  public long tooMany() {
+  public long takeDroppedCount() {
     return dropped.getAndSet(0);
   }
 
--- a/src/main/java/cobaltseam/transport/MessageCodec.java
+++ b/src/main/java/cobaltseam/transport/MessageCodec.java
@@ -149,12 +149,12 @@
   }
 
   private static String text(InetSocketAddress address) {
-    return Addresses.text(address.getAddress()) + "|" + address.getPort();
+    return Addresses.format(address.getAddress()) + "|" + address.getPort();
   }
 
   private static InetSocketAddress address(String text) {
     int bar = text.indexOf('|');
-    Optional<InetAddress> host = Addresses.read(text.substring(0, Math.max(0, bar)));
+    Optional<InetAddress> host = Addresses.parse(text.substring(0, Math.max(0, bar)));
     return new InetSocketAddress(
         host.orElseThrow(() -> new IllegalArgumentException("not an address")),
         Integer.parseInt(text.substring(bar + 1)));
@@ -184,7 +184,7 @@
     }
     int length = bytes.length;
     if (keys != null) {
-      length -= MessageAuthenticator.LENGTH;
+      length -= MessageAuthenticator.TRAILER_BYTES;
       if (!MessageAuthenticator.hasTrailer(bytes, length)) {
         return rejected(RejectionReason.UNSEALED);
       }
--- a/src/main/java/cobaltseam/vrrp/Addresses.java
+++ b/src/main/java/cobaltseam/vrrp/Addresses.java
@@ -18,7 +18,7 @@
    *
    * @return the address, or nothing if the text is not one
    */
-  public static Optional<InetAddress> read(String text) {
+  public static Optional<InetAddress> parse(String text) {
     if (text == null || text.isEmpty() || text.length() > MAX_TEXT_LENGTH) {
       return Optional.empty();
     }
@@ -68,7 +68,7 @@
   }
 
   /** Formats an address; IPv6 in the canonical form of RFC 5952. */
-  public static String text(InetAddress address) {
+  public static String format(InetAddress address) {
     byte[] bytes = address.getAddress();
     if (bytes.length == 4) {
       return address.getHostAddress();
--- a/src/main/java/cobaltseam/vrrp/AdvertisementCodec.java
+++ b/src/main/java/cobaltseam/vrrp/AdvertisementCodec.java
@@ -81,7 +81,7 @@
     int addressBytes = ipv6 ? 16 : 4;
     int length = HEADER_BYTES + addressBytes * addressCount;
     boolean hasTrailer =
-        bytes.length == length + MessageAuthenticator.LENGTH
+        bytes.length == length + MessageAuthenticator.TRAILER_BYTES
             && MessageAuthenticator.hasTrailer(bytes, length);
     if (bytes.length != length && !hasTrailer) {
       return new DecodeResult.Rejected(RejectionReason.LENGTH);
--- a/src/test/java/cobaltseam/agreement/ConservativeMergeTest.java
+++ b/src/test/java/cobaltseam/agreement/ConservativeMergeTest.java
@@ -129,6 +129,6 @@
     assertTrue(
         ConservativeMerge.withoutRetries(loads).requestClasses().get(0).loadsDataSet()
             && ConservativeMerge.withoutRetries(loads).requestClasses().get(0).waitsForLoads());
-    assertEquals(loads.place(), ConservativeMerge.withoutRetries(loads).place());
+    assertEquals(loads.site(), ConservativeMerge.withoutRetries(loads).site());
   }
 }
--- a/src/test/java/cobaltseam/capacity/CapacityLeasesTest.java
+++ b/src/test/java/cobaltseam/capacity/CapacityLeasesTest.java
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public MessageHeader teller() {
+    public MessageHeader messageHeader() {
       return CapacityLeasesTest.teller(0);
     }
 
@@ -83,12 +83,12 @@
     }
 
     @Override
-    public TimeSpan outlasts() {
+    public TimeSpan maxLeaseDuration() {
       return T.times(1.002);
     }
 
     @Override
-    public double clockRates() {
+    public double maxClockRateRatio() {
       return 0.001;
     }
 
@@ -107,14 +107,16 @@
 
   @Test
   void withoutViewOrLeaseOnlyTheStandalonePartIsUsable() {
-    assertEquals(ALONE, holdings.usable(at(0)));
+    assertEquals(ALONE, holdings.usableAmount(at(0)));
     ground.view = view(1, 0, 1, 2);
     holdings.follow(at(0));
-    assertEquals(ALONE, holdings.usable(at(60)), "no majority said that it is the newest");
+    assertEquals(ALONE, holdings.usableAmount(at(60)), "no majority said that it is the newest");
     ground.lease = at(61);
-    assertEquals(ALONE + SETTLED / 3, holdings.usable(at(60)));
+    assertEquals(ALONE + SETTLED / 3, holdings.usableAmount(at(60)));
     assertEquals(
-        ALONE, holdings.usable(at(61)), "it ends with the lease, whatever is asked in between");
+        ALONE,
+        holdings.usableAmount(at(61)),
+        "it ends with the lease, whatever is asked in between");
   }
 
   @Test
@@ -122,8 +124,8 @@
     ground.view = view(4, 0, 1, 2);
     ground.lease = at(9);
     holdings.follow(at(1));
-    assertEquals(ALONE, holdings.usable(at(3.003)));
-    assertEquals(ALONE + SETTLED / 3, holdings.usable(at(3.005)));
+    assertEquals(ALONE, holdings.usableAmount(at(3.003)));
+    assertEquals(ALONE + SETTLED / 3, holdings.usableAmount(at(3.005)));
   }
 
   @Test
@@ -133,13 +135,13 @@
     holdings.follow(at(10));
     assertEquals(
         ALONE + SETTLED / 5,
-        holdings.usable(at(10)),
+        holdings.usableAmount(at(10)),
         "others may hold their part of the larger view");
     ground.view = view(3, 0, 1);
     holdings.follow(at(20));
     assertEquals(
-        ALONE + SETTLED / 5, holdings.usable(at(22)), "those taken out may hold theirs yet");
-    assertEquals(ALONE + SETTLED / 2, holdings.usable(at(22.01)));
+        ALONE + SETTLED / 5, holdings.usableAmount(at(22)), "those taken out may hold theirs yet");
+    assertEquals(ALONE + SETTLED / 2, holdings.usableAmount(at(22.01)));
   }
 
   @Test
@@ -147,20 +149,20 @@
     settled(view(1, 0, 1, 2), 60);
     ground.view = view(3, 0, 1, 2);
     holdings.follow(at(10));
-    assertEquals(ALONE, holdings.usable(at(11)));
+    assertEquals(ALONE, holdings.usableAmount(at(11)));
     ground.view = null;
     holdings.follow(at(20));
-    assertEquals(ALONE, holdings.usable(at(20)));
+    assertEquals(ALONE, holdings.usableAmount(at(20)));
     ground.view = view(4, 0, 1, 2);
     holdings.follow(at(21));
-    assertEquals(ALONE, holdings.usable(at(22)));
+    assertEquals(ALONE, holdings.usableAmount(at(22)));
   }
 
   private LeaseGrant asked(int by, long amount, double seconds) {
     List<CapacityLeases.OutgoingMessage> tells =
-        holdings.heard(new LeaseRequest(teller(by), 99, amount), at(seconds));
+        holdings.receive(new LeaseRequest(teller(by), 99, amount), at(seconds));
     assertEquals(1, tells.size());
-    return (LeaseGrant) tells.get(0).word();
+    return (LeaseGrant) tells.get(0).message();
   }
 
   @Test
@@ -174,10 +176,10 @@
     assertTrue(
         10_000_000 + lent.durationUs() * 1.001 < 11_000_000,
         "by a clock that runs slower it ends before the lease");
-    assertEquals(ALONE + 75, holdings.usable(at(10)));
+    assertEquals(ALONE + 75, holdings.usableAmount(at(10)));
     ground.lease = at(20);
-    assertEquals(ALONE + 75, holdings.usable(at(10.99)));
-    assertEquals(ALONE + 300, holdings.usable(at(11)), "it comes back by itself");
+    assertEquals(ALONE + 75, holdings.usableAmount(at(10.99)));
+    assertEquals(ALONE + 300, holdings.usableAmount(at(11)), "it comes back by itself");
   }
 
   @Test
@@ -192,7 +194,7 @@
         asked(2, 150, 10).amount() - 75,
         "asked again, the same is said, and not lent once more");
     assertEquals(0, asked(1, 0, 10).amount());
-    assertEquals(ALONE + 75, holdings.usable(at(10)));
+    assertEquals(ALONE + 75, holdings.usableAmount(at(10)));
   }
 
   @Test
@@ -203,7 +205,7 @@
     assertEquals(0, asked(1, 100, 10).amount());
     assertEquals(
         List.of(),
-        holdings.heard(new LeaseRequest(teller(5), 1, 100), at(10)),
+        holdings.receive(new LeaseRequest(teller(5), 1, 100), at(10)),
         "nor anything to one outside the view");
     MessageHeader former =
         new MessageHeader(
@@ -213,14 +215,14 @@
             true);
     assertEquals(
         List.of(),
-        holdings.heard(new LeaseRequest(former, 1, 100), at(10)),
+        holdings.receive(new LeaseRequest(former, 1, 100), at(10)),
         "nor to another process of its name");
   }
 
   private LeaseRequest borrows(double seconds) {
     List<CapacityLeases.OutgoingMessage> tells = holdings.follow(at(seconds));
     assertEquals(1, tells.size(), tells.toString());
-    return (LeaseRequest) tells.get(0).word();
+    return (LeaseRequest) tells.get(0).message();
   }
 
   @Test
@@ -231,12 +233,15 @@
     LeaseRequest borrow = borrows(10);
     assertTrue(borrow.amount() > 300, borrow.toString());
     LeaseGrant lent = new LeaseGrant(teller(1), borrow.id(), 300, 1_500_000);
-    holdings.heard(lent, at(10.4));
-    assertEquals(ALONE + 450 + 300, holdings.usable(at(10.4)));
-    holdings.heard(lent, at(10.5));
+    holdings.receive(lent, at(10.4));
+    assertEquals(ALONE + 450 + 300, holdings.usableAmount(at(10.4)));
+    holdings.receive(lent, at(10.5));
     assertEquals(
-        ALONE + 450 + 300, holdings.usable(at(10.5)), "a message that comes twice counts once");
-    assertEquals(ALONE + 450, holdings.usable(at(11.5)), "1.5 s from the ask, not from the answer");
+        ALONE + 450 + 300,
+        holdings.usableAmount(at(10.5)),
+        "a message that comes twice counts once");
+    assertEquals(
+        ALONE + 450, holdings.usableAmount(at(11.5)), "1.5 s from the ask, not from the answer");
     List<CapacityLeases.CapacityStep> steps = holdings.usableSteps(at(10.5));
     assertEquals(
         List.of(
@@ -252,11 +257,11 @@
     holdings.needs(9);
     ground.demand.put(new MemberName("n1"), 0.0);
     LeaseRequest borrow = borrows(10);
-    holdings.heard(new LeaseGrant(teller(1), borrow.id() + 1, 300, 1_500_000), at(10.1));
-    holdings.heard(new LeaseGrant(teller(1), borrow.id(), 1_000_000, 1_500_000), at(10.1));
-    holdings.heard(new LeaseGrant(teller(1), borrow.id(), 300, 60_000_000), at(10.1));
-    holdings.heard(new LeaseGrant(teller(1), borrow.id(), -300, 1_500_000), at(10.1));
-    assertEquals(ALONE + 450, holdings.usable(at(10.1)));
+    holdings.receive(new LeaseGrant(teller(1), borrow.id() + 1, 300, 1_500_000), at(10.1));
+    holdings.receive(new LeaseGrant(teller(1), borrow.id(), 1_000_000, 1_500_000), at(10.1));
+    holdings.receive(new LeaseGrant(teller(1), borrow.id(), 300, 60_000_000), at(10.1));
+    holdings.receive(new LeaseGrant(teller(1), borrow.id(), -300, 1_500_000), at(10.1));
+    assertEquals(ALONE + 450, holdings.usableAmount(at(10.1)));
   }
 
   @Test
@@ -264,10 +269,10 @@
     settled(view(1, 0, 1), 60);
     holdings.needs(9);
     ground.demand.put(new MemberName("n1"), 0.0);
-    holdings.heard(new LeaseGrant(teller(1), borrows(10).id(), 300, 1_500_000), at(10.1));
+    holdings.receive(new LeaseGrant(teller(1), borrows(10).id(), 300, 1_500_000), at(10.1));
     LeaseRequest again = borrows(11);
-    holdings.heard(new LeaseGrant(teller(1), again.id(), 100, 1_500_000), at(11.1));
-    assertEquals(ALONE + 450 + 100, holdings.usable(at(11.1)), "never both");
+    holdings.receive(new LeaseGrant(teller(1), again.id(), 100, 1_500_000), at(11.1));
+    assertEquals(ALONE + 450 + 100, holdings.usableAmount(at(11.1)), "never both");
   }
 
   @Test
@@ -282,13 +287,13 @@
   @Test
   void demandIsADecayingAverageWithTheStatedHalfLife() {
     DemandEstimate demand = new DemandEstimate(new TimeSpan(1_000_000));
-    assertEquals(0, demand.told(0, at(0)));
-    assertEquals(50, demand.told(50, at(1)), 1e-9, "it knows its rate by the first second alone");
+    assertEquals(0, demand.update(0, at(0)));
+    assertEquals(50, demand.update(50, at(1)), 1e-9, "it knows its rate by the first second alone");
     for (int seconds = 2; seconds < 30; seconds++) {
-      demand.told(50 * seconds, at(seconds));
+      demand.update(50 * seconds, at(seconds));
     }
     double sum = 50 * 29;
-    assertEquals(25, demand.told(sum, at(30)), 1e-6);
-    assertEquals(12.5, demand.told(sum, at(31)), 1e-6);
+    assertEquals(25, demand.update(sum, at(30)), 1e-6);
+    assertEquals(12.5, demand.update(sum, at(31)), 1e-6);
   }
 }
--- a/src/test/java/cobaltseam/capacity/LoadReportsTest.java
+++ b/src/test/java/cobaltseam/capacity/LoadReportsTest.java
@@ -57,9 +57,9 @@
   /** The id of an ask that member 0 has out. */
   private static long asked(LoadReports reports, double seconds) {
     for (double t = seconds; t < seconds + 5; t += 0.1) {
-      List<LoadReports.OutgoingMessage> tells = reports.due(view(2), teller(0), at(t));
+      List<LoadReports.OutgoingMessage> tells = reports.runRound(view(2), teller(0), at(t));
       if (!tells.isEmpty()) {
-        return ((ReportsRequest) tells.get(0).word()).id();
+        return ((ReportsRequest) tells.get(0).message()).id();
       }
     }
     throw new AssertionError("nothing is asked");
@@ -73,30 +73,30 @@
   @Test
   void latestReportCountsAndIsPassedOnOnce() {
     LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
-    reports.told(new LoadReport(E, 4, at(9.9)));
-    assertEquals(List.of(), reports.news(), "what was told here is no news");
+    reports.addLocal(new LoadReport(E, 4, at(9.9)));
+    assertEquals(List.of(), reports.takeReceived(), "what was told here is no news");
     long id = asked(reports, 10);
-    reports.heard(table(1, id, 9, 500), view(2), teller(0), at(10.6));
-    assertEquals(List.of(), reports.news(), "older than what is known");
+    reports.receive(table(1, id, 9, 500), view(2), teller(0), at(10.6));
+    assertEquals(List.of(), reports.takeReceived(), "older than what is known");
     id = asked(reports, 11);
-    reports.heard(table(1, id, 9, 1), view(2), teller(0), at(12));
-    List<LoadReport> news = reports.news();
+    reports.receive(table(1, id, 9, 1), view(2), teller(0), at(12));
+    List<LoadReport> news = reports.takeReceived();
     assertEquals(9, news.get(0).inFlight());
     assertTrue(
         news.get(0).at().isBefore(at(12)), "its age counts from the ask, not from the answer");
-    assertEquals(List.of(), reports.news());
+    assertEquals(List.of(), reports.takeReceived());
   }
 
   @Test
   void unrequestedOrInvalidRepliesAreIgnored() {
     LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
     long id = asked(reports, 10);
-    reports.heard(table(1, id + 1, 9, 1), view(2), teller(0), at(10.1));
-    reports.heard(table(5, id, 9, 1), view(2), teller(0), at(10.1));
-    reports.heard(table(0, id, 9, 1), view(2), teller(0), at(10.1));
-    reports.heard(table(1, id, -1, 1), view(2), teller(0), at(10.1));
+    reports.receive(table(1, id + 1, 9, 1), view(2), teller(0), at(10.1));
+    reports.receive(table(5, id, 9, 1), view(2), teller(0), at(10.1));
+    reports.receive(table(0, id, 9, 1), view(2), teller(0), at(10.1));
+    reports.receive(table(1, id, -1, 1), view(2), teller(0), at(10.1));
     assertEquals(0, reports.size());
-    reports.heard(table(1, id, 9, 1), view(2), teller(0), at(10.1));
+    reports.receive(table(1, id, 9, 1), view(2), teller(0), at(10.1));
     assertEquals(0, reports.size(), "an answer counts once, though it was nonsense");
     assertThrows(
         IllegalArgumentException.class,
@@ -116,11 +116,11 @@
   void expiredReportsAreIgnored() {
     LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
     long id = asked(reports, 10);
-    reports.heard(table(1, id, 9, 3100), view(2), teller(0), at(10.1));
-    reports.heard(table(1, asked(reports, 11), 9, -4), view(2), teller(0), at(11.1));
+    reports.receive(table(1, id, 9, 3100), view(2), teller(0), at(10.1));
+    reports.receive(table(1, asked(reports, 11), 9, -4), view(2), teller(0), at(11.1));
     assertEquals(0, reports.size());
-    reports.told(new LoadReport(E, 4, at(12)));
-    reports.due(view(2), teller(0), at(15.1));
+    reports.addLocal(new LoadReport(E, 4, at(12)));
+    reports.runRound(view(2), teller(0), at(15.1));
     assertEquals(0, reports.size());
   }
 
@@ -144,22 +144,22 @@
         // Each time another member is told another figure.
         int figure = ms / 50;
         toldAt.put(figure, seconds);
-        all.get(chance.nextInt(100)).told(new LoadReport(E, figure, at(seconds)));
+        all.get(chance.nextInt(100)).addLocal(new LoadReport(E, figure, at(seconds)));
       }
       for (int i = 0; i < 100; i++) {
-        for (LoadReports.OutgoingMessage tell : all.get(i).due(view, teller(i), at(seconds))) {
+        for (LoadReports.OutgoingMessage tell : all.get(i).runRound(view, teller(i), at(seconds))) {
           send(late, tell, seconds, chance);
         }
       }
       while (!late.isEmpty() && late.peek().at <= seconds) {
         Delivery delivery = late.poll();
         for (LoadReports.OutgoingMessage tell :
-            all.get(delivery.to).heard(delivery.word, view, teller(delivery.to), at(seconds))) {
+            all.get(delivery.to).receive(delivery.word, view, teller(delivery.to), at(seconds))) {
           send(late, tell, seconds, chance);
         }
       }
       for (int i = 0; i < 100; i++) {
-        for (LoadReport news : all.get(i).news()) {
+        for (LoadReport news : all.get(i).takeReceived()) {
           assertTrue(
               news.at().us() <= toldAt.get((int) news.inFlight()) * 1e6,
               "told as younger than it is");
@@ -187,7 +187,7 @@
           new Delivery(
               seconds + chance.nextDouble() * chance.nextDouble() * 0.2,
               tell.to().getPort() - 1000,
-              tell.word()));
+              tell.message()));
     }
   }
 }
--- a/src/test/java/cobaltseam/cli/CobaltseamCommandTest.java
+++ b/src/test/java/cobaltseam/cli/CobaltseamCommandTest.java
@@ -153,7 +153,7 @@
                 """
                 .formatted(port));
     Advertisement advert =
-        new Advertisement(7, 100, 2, List.of(Addresses.read("192.0.2.10").orElseThrow()));
+        new Advertisement(7, 100, 2, List.of(Addresses.parse("192.0.2.10").orElseThrow()));
     InetAddress to = InetAddress.getByName("127.0.79.1");
     Thread speaker =
         new Thread(
--- a/src/test/java/cobaltseam/dispatch/DispatchRulesModelTest.java
+++ b/src/test/java/cobaltseam/dispatch/DispatchRulesModelTest.java
@@ -83,7 +83,7 @@
         attempt.sentAt().plus(attempt.timeout()).isBefore(observedRequest.request.deadline()),
         "times out before the deadline");
     for (int i = 0; i < earlier.size(); i++) {
-      if (!observedRequest.results.get(i).neverRan()) {
+      if (!observedRequest.results.get(i).hasNeverRun()) {
         checkRetrySafety(earlier.get(i), attempt);
         break;
       }
@@ -129,14 +129,14 @@
 
   private void checkKeyOrder(
       ObservedRequest observedRequest, RequestClass requestClass, SentAttempt attempt) {
-    if (!requestClass.inOrder()) {
+    if (!requestClass.isOrdered()) {
       return;
     }
     for (ObservedRequest other : observed.values()) {
       if (other == observedRequest) {
         return;
       }
-      if (!requestClasses.get(other.request.requestClass()).inOrder()
+      if (!requestClasses.get(other.request.requestClass()).isOrdered()
           || !other.request.sequenceKey().equals(observedRequest.request.sequenceKey())) {
         continue;
       }
@@ -181,7 +181,7 @@
     double warmth =
         RULES.slowStartFraction()
             + (1 - RULES.slowStartFraction())
-                * attempt.sentAt().since(engine.startedAt()).over(RULES.slowStartDuration());
+                * attempt.sentAt().since(engine.startedAt()).dividedBy(RULES.slowStartDuration());
     double maxWorkUs =
         RULES.slowStartLimitFactor() * warmth * cores * RULES.slowStartWindow().us() / dispatchers
             + USUAL_WORK_US;
@@ -199,7 +199,8 @@
         !observedRequest.clientLeft && !observedRequest.results.contains(AttemptResult.COMPLETED),
         "one final answer");
     if (placement.decision() == Placement.Decision.SHED) {
-      boolean mayHaveRun = observedRequest.results.stream().anyMatch(result -> !result.neverRan());
+      boolean mayHaveRun =
+          observedRequest.results.stream().anyMatch(result -> !result.hasNeverRun());
       assertTrue(
           !mayHaveRun
               || requestClass.retrySafety() == RetrySafety.IDEMPOTENT
@@ -395,7 +396,7 @@
     Request newRequest =
         driver.newRequest(
             requestClass.id().value(),
-            requestClass.inOrder() ? "k" + random.nextInt(3) : null,
+            requestClass.isOrdered() ? "k" + random.nextInt(3) : null,
             work);
     ObservedRequest observedRequest = new ObservedRequest();
     observedRequest.request = newRequest;
--- a/src/test/java/cobaltseam/dispatch/EngineChoiceTest.java
+++ b/src/test/java/cobaltseam/dispatch/EngineChoiceTest.java
@@ -142,7 +142,7 @@
             withoutLocation.overQuotaWeight(),
             withoutLocation.rules(),
             withoutLocation.capabilities(),
-            new Deployment.Place(new LocationId("l1"), true));
+            new Deployment.DispatcherSite(new LocationId("l1"), true));
     DispatcherDriver driver = new DispatcherDriver(withLocation, 7);
     driver.updateEndpoints(true, up(1), up(2), up(4), up(5));
     for (int i = 0; i < 2; i++) {
--- a/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
@@ -19,7 +19,7 @@
  */
 class AgreementFleetTest {
   private static final double FORMED = 30;
-  private static final double T = AgreementHunt.TERMS.contradiction().us() / 1e6;
+  private static final double T = AgreementHunt.TERMS.maxContradiction().us() / 1e6;
 
   private static VirtualFleet fleet(int processes, long seed, Fault... troubles) {
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(processes), List.of(troubles), seed);
@@ -168,7 +168,7 @@
     // a wait of no length.
     ConfigurationAgreement.AgreementOptions noWait =
         new ConfigurationAgreement.AgreementOptions(
-            AgreementHunt.TERMS.contradiction(), -0.5, 1 << 20);
+            AgreementHunt.TERMS.maxContradiction(), -0.5, 1 << 20);
     assertTrue(longest(AgreementHunt.TERMS, 1) > 0, "clocks");
     assertTrue(longest(noWait, 0) > 0, "no wait");
     assertEquals(0, longest(AgreementHunt.TERMS, AgreementHunt.CLOCKS));
--- a/src/test/java/cobaltseam/fleet/RealFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/RealFleetTest.java
@@ -12,10 +12,10 @@
 import cobaltseam.membership.MemberUpdate;
 import cobaltseam.membership.MembershipMessage;
 import cobaltseam.membership.ViewId;
-import cobaltseam.standin.BusStandIn;
-import cobaltseam.standin.ClientStandIn;
-import cobaltseam.standin.EngineStandIn;
-import cobaltseam.standin.Ledger;
+import cobaltseam.standin.EmulatedEngine;
+import cobaltseam.standin.EmulatedEventBus;
+import cobaltseam.standin.RequestLedger;
+import cobaltseam.standin.StatementClient;
 import cobaltseam.transport.MessageCodec;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -56,8 +56,8 @@
   }
 
   private static Map<String, String> show(RealFleet fleet, int index) throws Exception {
-    try (ClientStandIn client =
-        new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(index)), 10_000)) {
+    try (StatementClient client =
+        new StatementClient(new InetSocketAddress("127.0.0.1", fleet.port(index)), 10_000)) {
       return client.show("members");
     }
   }
@@ -323,10 +323,10 @@
         new Thread(
             () -> {
               for (long call = (long) to << 32; !until.get(); call++) {
-                try (ClientStandIn session =
-                    new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(to)), 5000)) {
+                try (StatementClient session =
+                    new StatementClient(new InetSocketAddress("127.0.0.1", fleet.port(to)), 5000)) {
                   for (int n = 0; n < 50 && !until.get(); n++, call++) {
-                    session.command("%016x".formatted(call), "look", 100, workMs);
+                    session.execute("%016x".formatted(call), "look", 100, workMs);
                     Thread.sleep(20);
                   }
                 } catch (java.io.IOException e) {
@@ -392,8 +392,8 @@
           Double.parseDouble(rows.get("borrowed")) < 0.1
               || !rows.get("demand_threads").contains("5 members known, 0 not"); ) {
         assertTrue(System.nanoTime() - from < LONG_S * 1e9, rows.toString());
-        try (ClientStandIn client =
-            new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(2)), 10_000)) {
+        try (StatementClient client =
+            new StatementClient(new InetSocketAddress("127.0.0.1", fleet.port(2)), 10_000)) {
           rows = client.show("spread");
         }
       }
@@ -407,15 +407,15 @@
   @Test
   void whatEnginesTellOneAllKnowAndEachCommandHasItsOneEnding() throws Exception {
     AtomicBoolean over = new AtomicBoolean();
-    try (EngineStandIn one = new EngineStandIn("127.0.0.1", p -> 20);
-        EngineStandIn two = new EngineStandIn("127.0.0.1", p -> 20);
-        BusStandIn bus = new BusStandIn("127.0.0.1")) {
+    try (EmulatedEngine one = new EmulatedEngine("127.0.0.1", p -> 20);
+        EmulatedEngine two = new EmulatedEngine("127.0.0.1", p -> 20);
+        EmulatedEventBus bus = new EmulatedEventBus("127.0.0.1")) {
       List<String> known =
           List.of(
-              bus.tell(
+              bus.publish(
                   true,
-                  BusStandIn.target(1, one.address(), "in_service"),
-                  BusStandIn.target(2, two.address(), "in_service")));
+                  EmulatedEventBus.target(1, one.address(), "in_service"),
+                  EmulatedEventBus.target(2, two.address(), "in_service")));
       List<Fault> script = List.of(new Fault(Kind.LOSS, 0, 60, List.of(), List.of(), 0.3));
       RealFleetPlan plan =
           RealFleetPlan.of(4)
@@ -426,7 +426,7 @@
         settles(fleet);
         assertEquals(
             "0", shown(fleet, 3).get("engines_reported"), "nobody asked an engine anything yet");
-        Map<Ledger.End, Integer> ends = new ConcurrentHashMap<>();
+        Map<RequestLedger.Outcome, Integer> ends = new ConcurrentHashMap<>();
         AtomicInteger asked = new AtomicInteger();
         List<Thread> clients =
             List.of(client(fleet, 0, ends, asked, over), client(fleet, 1, ends, asked, over));
@@ -441,7 +441,7 @@
         for (Thread client : clients) {
           client.join();
         }
-        assertTrue(ends.getOrDefault(Ledger.End.ANSWERED, 0) > 0, ends.toString());
+        assertTrue(ends.getOrDefault(RequestLedger.Outcome.ANSWERED, 0) > 0, ends.toString());
         assertEquals(
             asked.get(),
             ends.values().stream().mapToInt(Integer::intValue).sum(),
@@ -456,18 +456,18 @@
   @Test
   void furtherSendsOfAllStayUnderTheirPartOfFirstOnes() throws Exception {
     AtomicBoolean over = new AtomicBoolean();
-    try (EngineStandIn one = new EngineStandIn("127.0.0.1", p -> 5);
-        EngineStandIn two = new EngineStandIn("127.0.0.1", p -> 5);
-        EngineStandIn three = new EngineStandIn("127.0.0.1", p -> 5);
-        BusStandIn bus = new BusStandIn("127.0.0.1")) {
-      List<EngineStandIn> engines = List.of(one, two, three);
+    try (EmulatedEngine one = new EmulatedEngine("127.0.0.1", p -> 5);
+        EmulatedEngine two = new EmulatedEngine("127.0.0.1", p -> 5);
+        EmulatedEngine three = new EmulatedEngine("127.0.0.1", p -> 5);
+        EmulatedEventBus bus = new EmulatedEventBus("127.0.0.1")) {
+      List<EmulatedEngine> engines = List.of(one, two, three);
       List<String> known =
           List.of(
-              bus.tell(
+              bus.publish(
                   true,
-                  BusStandIn.target(1, one.address(), "in_service"),
-                  BusStandIn.target(2, two.address(), "in_service"),
-                  BusStandIn.target(3, three.address(), "in_service")));
+                  EmulatedEventBus.target(1, one.address(), "in_service"),
+                  EmulatedEventBus.target(2, two.address(), "in_service"),
+                  EmulatedEventBus.target(3, three.address(), "in_service")));
       // One further send for each hundred first ones, and one in 25 seconds for each process;
       // uncapped there are some 90.
       RealFleetPlan plan =
@@ -482,7 +482,7 @@
         fleet.startAll();
         settles(fleet);
         long from = System.nanoTime();
-        Map<Ledger.End, Integer> ends = new ConcurrentHashMap<>();
+        Map<RequestLedger.Outcome, Integer> ends = new ConcurrentHashMap<>();
         AtomicInteger asked = new AtomicInteger();
         List<Thread> clients = new java.util.ArrayList<>();
         for (int index = 0; index < 12; index++) {
@@ -491,8 +491,8 @@
         awaitBegun(engines, 400);
         // Two of three fail all that they get; then one process ends and another stands still with
         // what it has left.
-        one.failing(true);
-        two.failing(true);
+        one.setFailing(true);
+        two.setFailing(true);
         awaitBegun(engines, 1200);
         fleet.kill(1);
         fleet.suspend(2);
@@ -509,7 +509,7 @@
         engines.forEach(
             e ->
                 e.ledger()
-                    .forEach((call, ran) -> sends.merge(call, ran.begun().get(), Integer::sum)));
+                    .forEach((call, ran) -> sends.merge(call, ran.started().get(), Integer::sum)));
         int further = sends.values().stream().mapToInt(n -> n - 1).sum();
         // Each life of a process earns its own part, for its window as well.
         double most = 0.01 * sends.size() + 0.2 * (4 + 1) * (seconds + 5) / 5;
@@ -535,7 +535,7 @@
     }
   }
 
-  private static void awaitBegun(List<EngineStandIn> engines, int commands)
+  private static void awaitBegun(List<EmulatedEngine> engines, int commands)
       throws InterruptedException {
     for (long from = System.nanoTime();
         engines.stream().mapToInt(e -> e.ledger().size()).sum() < commands; ) {
@@ -546,15 +546,15 @@
 
   private static Map<String, String> shown(RealFleet fleet, int index, String what)
       throws Exception {
-    try (ClientStandIn client =
-        new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(index)), 10_000)) {
+    try (StatementClient client =
+        new StatementClient(new InetSocketAddress("127.0.0.1", fleet.port(index)), 10_000)) {
       return client.show(what);
     }
   }
 
   private static Map<String, String> shown(RealFleet fleet, int index) throws Exception {
-    try (ClientStandIn client =
-        new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(index)), 10_000)) {
+    try (StatementClient client =
+        new StatementClient(new InetSocketAddress("127.0.0.1", fleet.port(index)), 10_000)) {
       return client.show("spread");
     }
   }
@@ -571,19 +571,22 @@
   private static Thread client(
       RealFleet fleet,
       int to,
-      Map<Ledger.End, Integer> ends,
+      Map<RequestLedger.Outcome, Integer> ends,
       AtomicInteger asked,
       AtomicBoolean until) {
     Thread client =
         new Thread(
             () -> {
               while (!until.get()) {
-                try (ClientStandIn session =
-                    new ClientStandIn(new InetSocketAddress("127.0.0.1", fleet.port(to)), 10_000)) {
-                  for (Ledger.End end = Ledger.End.ANSWERED;
-                      !until.get() && end != Ledger.End.CUT && end != Ledger.End.SILENT; ) {
+                try (StatementClient session =
+                    new StatementClient(
+                        new InetSocketAddress("127.0.0.1", fleet.port(to)), 10_000)) {
+                  for (RequestLedger.Outcome end = RequestLedger.Outcome.ANSWERED;
+                      !until.get()
+                          && end != RequestLedger.Outcome.CUT
+                          && end != RequestLedger.Outcome.SILENT; ) {
                     end =
-                        session.command(
+                        session.execute(
                             "%016x".formatted((long) to << 32 | asked.incrementAndGet()),
                             "look",
                             2000,
--- a/src/test/java/cobaltseam/mastership/AdvertisementFilterTest.java
+++ b/src/test/java/cobaltseam/mastership/AdvertisementFilterTest.java
@@ -23,7 +23,7 @@
 /** Which datagrams are accepted as advertisements, with and without authentication. */
 class AdvertisementFilterTest {
   private static final KeyRing KEYS =
-      KeyRing.read("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
+      KeyRing.parse("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
   private static final TimeSpan MAX_CLOCK_DIFFERENCE = SECOND.times(0.5);
 
   private static byte[] signed(Timestamp sent, KeyRing keys, int key) {
@@ -66,12 +66,12 @@
     assertEquals(
         RejectionReason.FORGED,
         filter
-            .evaluate(signed(now, KeyRing.read("1 " + "00".repeat(16)), 1), LOWER, SELF, now)
+            .evaluate(signed(now, KeyRing.parse("1 " + "00".repeat(16)), 1), LOWER, SELF, now)
             .rejection());
     assertEquals(
         RejectionReason.KEY_UNKNOWN,
         filter
-            .evaluate(signed(now, KeyRing.read("3 " + "00".repeat(16)), 3), LOWER, SELF, now)
+            .evaluate(signed(now, KeyRing.parse("3 " + "00".repeat(16)), 3), LOWER, SELF, now)
             .rejection());
     assertEquals(
         RejectionReason.UNSEALED,
@@ -106,7 +106,7 @@
         new AdvertisementFilter(SELF, mastership, restarted, Set.of(LOWER), KEYS);
     assertEquals(RejectionReason.STALE, again.evaluate(good, LOWER, SELF, now).rejection());
     // A key is valid from when it is added until it is removed.
-    again.reconfigure(Set.of(LOWER), KeyRing.read("2 " + "cd".repeat(16)));
+    again.reconfigure(Set.of(LOWER), KeyRing.parse("2 " + "cd".repeat(16)));
     now = now.plus(SECOND.times(2));
     assertEquals(
         RejectionReason.KEY_UNKNOWN,
--- a/src/test/java/cobaltseam/mastership/Exploration.java
+++ b/src/test/java/cobaltseam/mastership/Exploration.java
@@ -74,7 +74,7 @@
   Exploration(List<RouterOptions> options, Faults bounds) {
     this.options = options;
     for (int i = 0; i < options.size(); i++) {
-      addresses.add(Addresses.read("10.0.0." + (i + 1)).orElseThrow());
+      addresses.add(Addresses.parse("10.0.0." + (i + 1)).orElseThrow());
     }
     // Two active down intervals after the longest pause and lateness: one until a router becomes
     // active, one until another that did not receive its advertisements yields.
@@ -423,7 +423,7 @@
         INTERVAL,
         preempts,
         TimeSpan.ZERO,
-        List.of(Addresses.read("192.0.2.10").orElseThrow()));
+        List.of(Addresses.parse("192.0.2.10").orElseThrow()));
   }
 
   /**
--- a/src/test/java/cobaltseam/mastership/MastershipFixture.java
+++ b/src/test/java/cobaltseam/mastership/MastershipFixture.java
@@ -21,7 +21,7 @@
   private MastershipFixture() {}
 
   private static InetAddress ip(String text) {
-    return Addresses.read(text).orElseThrow();
+    return Addresses.parse(text).orElseThrow();
   }
 
   static RouterOptions options(int router, int priority, boolean preempts, TimeSpan delay) {
--- a/src/test/java/cobaltseam/membership/MembershipTest.java
+++ b/src/test/java/cobaltseam/membership/MembershipTest.java
@@ -47,7 +47,7 @@
   private void deliver(List<MembershipAction> actions) {
     for (MembershipAction action : actions) {
       if (action instanceof MembershipAction.Send send && members.containsKey(send.to())) {
-        deliver(members.get(send.to()).heard(send.message(), now));
+        deliver(members.get(send.to()).receive(send.message(), now));
       } else if (action instanceof MembershipAction.EventRecorded event) {
         events.add(event);
       }
@@ -59,9 +59,9 @@
     while (now.isBefore(until)) {
       now = now.plus(PERIOD.times(0.125));
       for (Membership member : List.copyOf(members.values())) {
-        if (member.wake(now) != null
-            && !now.isBefore(member.wake(now.minus(PERIOD.times(0.125))))) {
-          deliver(member.due(now));
+        if (member.nextWakeup(now) != null
+            && !now.isBefore(member.nextWakeup(now.minus(PERIOD.times(0.125))))) {
+          deliver(member.onTimer(now));
         }
       }
     }
@@ -121,7 +121,7 @@
         new MembershipMessage.MessageHeader(
             former.self(), 50, former.view() == null ? ViewId.NONE : former.view().id(), true);
     deliver(
-        first.heard(
+        first.receive(
             new MembershipMessage.StatePart(
                 formerHeader,
                 List.of(
@@ -147,12 +147,12 @@
                 MemberCondition.ALIVE,
                 liar.name()));
       }
-      first.heard(
+      first.receive(
           new MembershipMessage.StatePart(
               new MembershipMessage.MessageHeader(liar, 0, ViewId.NONE, false), updates, true),
           now);
     }
-    assertTrue(first.seen().size() <= 4096, "holds " + first.seen().size());
+    assertTrue(first.memberStatuses().size() <= 4096, "holds " + first.memberStatuses().size());
   }
 
   @Test
--- a/src/test/java/cobaltseam/postgres/PostgresProtocolTest.java
+++ b/src/test/java/cobaltseam/postgres/PostgresProtocolTest.java
@@ -33,7 +33,7 @@
   private static List<String> parse(ClientParser parser, ByteBuffer... pieces) {
     List<String> messages = new ArrayList<>();
     for (ByteBuffer piece : pieces) {
-      parser.take(
+      parser.parse(
           piece,
           message ->
               messages.add(
@@ -71,7 +71,7 @@
   void aCancelRequestNamesItsSession() {
     List<ClientMessage> messages = new ArrayList<>();
     new ClientParser()
-        .take(
+        .parse(
             ByteBuffer.allocate(16).putInt(16).putInt(80877102).putInt(7).putInt(-9).flip(),
             messages::add);
     assertEquals(List.of(new ClientMessage.Cancel(7, -9)), messages);
@@ -117,7 +117,11 @@
   void rowsAreEncodedAsTheProtocolRequires() {
     byte[] row = "a\t\tçö".getBytes(StandardCharsets.UTF_8);
     ByteBuffer out =
-        ByteBuffer.wrap(new Replies().row(row, 0, row.length).complete("SELECT 1").bytes());
+        ByteBuffer.wrap(
+            new ServerMessageWriter()
+                .dataRow(row, 0, row.length)
+                .commandComplete("SELECT 1")
+                .toByteArray());
     assertEquals('D', out.get());
     assertEquals(4 + 2 + 3 * 4 + 5, out.getInt());
     assertEquals(3, out.getShort());
@@ -131,15 +135,16 @@
   }
 
   @Test
-  void fieldsAreParsedInAnyOrderAndTheStatementIsUnchanged() throws StatementScanner.Unusable {
+  void fieldsAreParsedInAnyOrderAndTheStatementIsUnchanged()
+      throws StatementScanner.InvalidStatementException {
     byte[] text =
         "-- é\n /*x*/ /*  space=96 ,ttl=1500,new=1,org=acme,work=820.5,call=9B1f03aa5c7e2d41,op=report*/\n select 1 -- \u00fc"
             .getBytes(StandardCharsets.UTF_8);
     Statement statement = StatementScanner.scan(text);
-    assertEquals("report", statement.profile());
-    assertEquals("9B1f03aa5c7e2d41", statement.call());
+    assertEquals("report", statement.requestClass());
+    assertEquals("9B1f03aa5c7e2d41", statement.callId());
     assertEquals(1500, statement.timeToLiveMs());
-    assertEquals("acme", statement.share());
+    assertEquals("acme", statement.tenant());
     assertEquals(820.5, statement.workMs());
     assertEquals(96, statement.memoryMb());
     assertEquals(
@@ -169,14 +174,15 @@
             "/* op=a,ttl=1," + call + " */ ;",
             "-- op=a,ttl=1," + call)) {
       assertThrows(
-          StatementScanner.Unusable.class,
+          StatementScanner.InvalidStatementException.class,
           () -> StatementScanner.scan(bad.getBytes(StandardCharsets.UTF_8)),
           bad);
     }
   }
 
   @Test
-  void theDataSetIsThatOfTheFirstSchemaReadOrWritten() throws StatementScanner.Unusable {
+  void theDataSetIsThatOfTheFirstSchemaReadOrWritten()
+      throws StatementScanner.InvalidStatementException {
     Object[][] cases = {
       {17, "SELECT day FROM sales_17.orders WHERE tag = '3f9c'"},
       {17, "select x from Sales_17 . orders"},
@@ -197,7 +203,7 @@
     for (Object[] c : cases) {
       assertEquals(
           ((Integer) c[0]).longValue(),
-          StatementScanner.scan((FIELDS + c[1]).getBytes(StandardCharsets.UTF_8)).dataSet(),
+          StatementScanner.scan((FIELDS + c[1]).getBytes(StandardCharsets.UTF_8)).dataSetId(),
           c[1].toString());
     }
   }
@@ -218,7 +224,7 @@
         assertInstanceOf(
             Statement.class,
             StatementScanner.scan(text.toString().getBytes(StandardCharsets.UTF_8)));
-      } catch (StatementScanner.Unusable e) {
+      } catch (StatementScanner.InvalidStatementException e) {
         throw new AssertionError(text.toString(), e);
       }
     }
--- a/src/test/java/cobaltseam/resp/RespProtocolTest.java
+++ b/src/test/java/cobaltseam/resp/RespProtocolTest.java
@@ -24,7 +24,7 @@
     List<List<String>> read = new ArrayList<>();
     for (byte[] piece : pieces) {
       assertNull(
-          parser.take(
+          parser.parse(
               ByteBuffer.wrap(piece),
               items ->
                   read.add(
@@ -77,64 +77,69 @@
             "*1\r\n$1\r\nabc",
             "*99999999999999999",
             "*1\r\n$99999999999999\r\n")) {
-      assertNotNull(new RespParser().take(ByteBuffer.wrap(bytes(bad)), items -> {}), bad);
+      assertNotNull(new RespParser().parse(ByteBuffer.wrap(bytes(bad)), items -> {}), bad);
     }
     SplittableRandom random = new SplittableRandom(3);
     for (int i = 0; i < 3000; i++) {
       byte[] garbage = new byte[64];
       random.nextBytes(garbage);
-      new RespParser().take(ByteBuffer.wrap(garbage), items -> {});
+      new RespParser().parse(ByteBuffer.wrap(garbage), items -> {});
     }
   }
 
   @Test
   void fieldsOfAResponseAreParsed() {
-    EngineAnswer array =
-        EngineAnswer.of(
+    EngineResponse array =
+        EngineResponse.parse(
             List.of(
                 bytes("i"),
                 bytes("200"),
                 bytes("pages=3,rep=pending:0;busy_reqs:6.482,why=x"),
                 bytes("a\tb\n")));
-    assertEquals("i 200 3", array.id() + " " + array.word() + " " + array.whole("pages"));
-    assertEquals(6.482, array.reported(DeploymentReader.IN_HAND_REPORT));
-    assertEquals(0, array.reported(DeploymentReader.QUEUE_REPORT));
-    assertEquals(-1, array.reported("util"));
-    EngineAnswer none = EngineAnswer.of(List.of(bytes("i"), bytes("200"), bytes("-"), bytes("")));
-    assertEquals(-1, none.reported(DeploymentReader.IN_HAND_REPORT));
-    assertEquals(-1, none.whole("pages"));
-    EngineAnswer odd =
-        EngineAnswer.of(
+    assertEquals("i 200 3", array.id() + " " + array.code() + " " + array.integerField("pages"));
+    assertEquals(6.482, array.loadReportValue(DeploymentReader.IN_FLIGHT_REPORT_FIELD));
+    assertEquals(0, array.loadReportValue(DeploymentReader.QUEUED_REPORT_FIELD));
+    assertEquals(-1, array.loadReportValue("util"));
+    EngineResponse none =
+        EngineResponse.parse(List.of(bytes("i"), bytes("200"), bytes("-"), bytes("")));
+    assertEquals(-1, none.loadReportValue(DeploymentReader.IN_FLIGHT_REPORT_FIELD));
+    assertEquals(-1, none.integerField("pages"));
+    EngineResponse odd =
+        EngineResponse.parse(
             List.of(
                 bytes("i"), bytes("x"), bytes("v=NaN,w=1e999,page=99999999999,=,a"), bytes("")));
     assertEquals(
-        List.of(-1.0, -1.0, -1.0), List.of(odd.number("v"), odd.number("w"), odd.number("a")));
-    assertEquals(-1, odd.whole("page"));
-    assertNull(EngineAnswer.of(List.of(bytes("i"), bytes("200"))));
+        List.of(-1.0, -1.0, -1.0),
+        List.of(odd.numberField("v"), odd.numberField("w"), odd.numberField("a")));
+    assertEquals(-1, odd.integerField("page"));
+    assertNull(EngineResponse.parse(List.of(bytes("i"), bytes("200"))));
   }
 
   @Test
   void aResultAcceptsEachPageOnceAndOnlyCompleteRows() {
     Result result = new Result(3);
-    assertNull(result.add(2, bytes("e\tf\n")));
-    assertNull(result.add(0, bytes("a\tb\nc\td\n")));
-    assertNotNull(result.add(0, bytes("a\tb\n")));
-    assertNotNull(result.add(3, bytes("a\tb\n")));
-    assertNotNull(result.add(-1, bytes("a\tb\n")));
-    assertNotNull(new Result(1).add(0, bytes("a\tb")));
-    assertNotNull(new Result(1).add(0, bytes("a\tb\nc\n")));
-    assertNotNull(new Result(1).add(0, new byte[1 << 17]));
-    assertTrue(!result.isWhole());
-    assertNull(result.add(1, bytes("")));
-    assertTrue(result.isWhole());
+    assertNull(result.addPage(2, bytes("e\tf\n")));
+    assertNull(result.addPage(0, bytes("a\tb\nc\td\n")));
+    assertNotNull(result.addPage(0, bytes("a\tb\n")));
+    assertNotNull(result.addPage(3, bytes("a\tb\n")));
+    assertNotNull(result.addPage(-1, bytes("a\tb\n")));
+    assertNotNull(new Result(1).addPage(0, bytes("a\tb")));
+    assertNotNull(new Result(1).addPage(0, bytes("a\tb\nc\n")));
+    assertNotNull(new Result(1).addPage(0, new byte[1 << 17]));
+    assertTrue(!result.isComplete());
+    assertNull(result.addPage(1, bytes("")));
+    assertTrue(result.isComplete());
     assertEquals(
         "a\tb\nc\td\n|" + "|e\tf\n",
         String.join(
             "|", result.pages().stream().map(p -> new String(p, StandardCharsets.UTF_8)).toList()));
     assertEquals(3, result.rowCount());
-    assertEquals(2, result.columns(9));
-    assertEquals(9, new Result(1).columns(9));
+    assertEquals(2, result.columnCountOr(9));
+    assertEquals(9, new Result(1).columnCountOr(9));
     assertTrue(
-        Result.canHave(1) && !Result.canHave(0) && !Result.canHave(-1) && !Result.canHave(65));
+        Result.isValidPageCount(1)
+            && !Result.isValidPageCount(0)
+            && !Result.isValidPageCount(-1)
+            && !Result.isValidPageCount(65));
   }
 }
--- a/src/test/java/cobaltseam/service/AnswerRaceTest.java
+++ b/src/test/java/cobaltseam/service/AnswerRaceTest.java
@@ -22,26 +22,26 @@
    */
   @Test
   void anAnswerCountsThoughItsConnectionEndsRightBehindIt() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    Client client = new Client(look(1, 10_000));
+    TestClient client = new TestClient(look(1, 10_000));
     Message pull = poll(one, two);
     CountDownLatch held = holdUpSockets();
     answerWell(pull);
     pull.from().close();
     held.countDown();
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
     assertTrue(client.ask("SHOW cobaltseam.counters").contains("sends|1"), "it was sent again");
   }
 
   /** The client gets all pages of a result or none. */
   @Test
   void aResultCutOffBetweenPagesIsRetriedWhereThatIsAllowed() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    Client client = new Client(look(1, 20_000));
+    TestClient client = new TestClient(look(1, 20_000));
     Message first = poll(one, two);
     first.answer(first.id(), "200", "pages=2", ROWS);
     assertEquals("SCROLL", poll(one, two).items().get(0));
@@ -49,20 +49,20 @@
     Message again = poll(one, two);
     assertEquals(first.id(), again.id());
     answerWell(again);
-    assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.told());
+    assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.readReplies());
   }
 
   @Test
   void aResultCutOffFailsARequestThatIsNotIdempotent() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    Client client = new Client(command("once", 1, 20_000));
+    TestClient client = new TestClient(command("once", 1, 20_000));
     Message first = poll(one, two);
-    first.say("*4\r\n$16\r\n" + first.id().substring(0, 7));
+    first.write("*4\r\n$16\r\n" + first.id().substring(0, 7));
     first.reset();
-    assertEquals(List.of("error 58"), client.told());
-    Client watch = new Client();
+    assertEquals(List.of("error 58"), client.readReplies());
+    TestClient watch = new TestClient();
     assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|1"));
   }
 
@@ -72,17 +72,17 @@
    */
   @Test
   void anAnswerThatNeverEndsTimesOutAndIsRetried() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    Client client = new Client(look(1, 20_000));
+    TestClient client = new TestClient(look(1, 20_000));
     Message first = poll(one, two);
-    first.say("*4\r\n$16\r\n" + first.id() + "\r\n$3\r\n200\r\n$7\r\npages=1\r\n$48000\r\nhalf");
+    first.write("*4\r\n$16\r\n" + first.id() + "\r\n$3\r\n200\r\n$7\r\npages=1\r\n$48000\r\nhalf");
     Message again = poll(one, two);
     assertEquals(first.id(), again.id());
     assertNotEquals(first.from(), again.from());
     answerWell(again);
-    assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.told());
+    assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.readReplies());
   }
 
   /**
@@ -91,10 +91,10 @@
    */
   @Test
   void aRequestThatIsNotIdempotentFailsWhateverPartOfItsAnswerIsMissing() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    Client client = new Client();
+    TestClient client = new TestClient();
     String first = "*4\r\n$16\r\n%s\r\n$3\r\n200\r\n$7\r\npages=%d\r\n$%d\r\n%s";
     int call = 0;
     for (String part :
@@ -104,16 +104,17 @@
             first.formatted("ID", 2, ROWS.length(), ROWS + "\r\n"))) {
       client.query(client.out, command("once", ++call, 1500));
       Message pull = poll(one, two);
-      pull.say(part.replace("ID", pull.id()));
-      assertEquals(List.of("error 58"), client.told(), part);
+      pull.write(part.replace("ID", pull.id()));
+      assertEquals(List.of("error 58"), client.readReplies(), part);
     }
     assertNoSecondPull(one);
     assertNoSecondPull(two);
   }
 
-  private static void assertNoSecondPull(Peer peer) {
+  private static void assertNoSecondPull(EmulatedPeer peer) {
     assertTrue(
-        peer.heard.stream().noneMatch(m -> m.items().get(0).equals("PULL")), peer.heard.toString());
+        peer.received.stream().noneMatch(m -> m.items().get(0).equals("PULL")),
+        peer.received.toString());
   }
 
   /**
@@ -122,12 +123,12 @@
    */
   @Test
   void aConnectionResetWhileIdleIsNotReused() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(command("once", 1, 20_000));
+    TestClient client = new TestClient(command("once", 1, 20_000));
     Message first = engine.next("PULL");
     answerWell(first);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
     first.reset();
     engine.next("closed");
     await(client, "engine_connections_closed|1");
@@ -135,23 +136,23 @@
     Message second = engine.next("PULL");
     assertNotEquals(first.from(), second.from());
     answerWell(second);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
   /** The second answer to a request is dropped, and not taken for that of the next request. */
   @Test
   void aLateSecondAnswerIsNotTakenForThatOfTheNextRequest() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(command("once", 1, 20_000));
+    TestClient client = new TestClient(command("once", 1, 20_000));
     Message first = engine.next("PULL");
     answerWell(first);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
     client.query(client.out, command("once", 2, 20_000));
     Message second = engine.next("PULL");
     assertEquals(first.from(), second.from());
     first.answer(first.id(), "200", "pages=1", "wrong\t0\tx\n");
     second.answer(second.id(), "200", "pages=1", "c\t3\tz\n");
-    assertEquals(List.of("c|3|z", "SELECT 1"), client.told());
+    assertEquals(List.of("c|3|z", "SELECT 1"), client.readReplies());
   }
 }
--- a/src/test/java/cobaltseam/service/AttemptRaceTest.java
+++ b/src/test/java/cobaltseam/service/AttemptRaceTest.java
@@ -12,38 +12,40 @@
   /** Placed before the drain and written after it, the attempt would break the drain. */
   @Test
   void anAttemptThatWaitsForAConnectionToADrainedEngineGoesToAnother() throws Exception {
-    Peer sound = new Peer(true);
-    Crowded crowded = new Crowded();
-    Peer bus = start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
+    EmulatedPeer sound = new EmulatedPeer(true);
+    UnreachableEngine crowded = new UnreachableEngine();
+    EmulatedPeer bus =
+        start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
     Message watch = bus.next("from 7");
-    Client client = new Client(command("once", 1, 20_000));
-    await(new Client(), "sends|1");
-    watch.say(event(8, false, target(2, crowded.address(), "terminating")) + "\n");
-    await(new Client(), "bus_events|1");
-    Peer drained = crowded.relieve();
+    TestClient client = new TestClient(command("once", 1, 20_000));
+    await(new TestClient(), "sends|1");
+    watch.write(event(8, false, target(2, crowded.address(), "terminating")) + "\n");
+    await(new TestClient(), "bus_events|1");
+    EmulatedPeer drained = crowded.relieve();
     Message pull = sound.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
     assertNoPull(drained);
   }
 
   /** A restarted engine warms up: an attempt that waits for it is limited by its slow start. */
   @Test
   void anAttemptThatWaitsForAConnectionToARestartedEngineIsPlacedAgain() throws Exception {
-    Peer sound = new Peer(true);
-    Crowded crowded = new Crowded();
-    Peer bus = start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
+    EmulatedPeer sound = new EmulatedPeer(true);
+    UnreachableEngine crowded = new UnreachableEngine();
+    EmulatedPeer bus =
+        start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
     Message watch = bus.next("from 7");
-    Client client = new Client(command("once", 1, 20_000));
-    await(new Client(), "sends|1");
+    TestClient client = new TestClient(command("once", 1, 20_000));
+    await(new TestClient(), "sends|1");
     String anew =
         target(2, crowded.address(), "in_service")
             .replace("\"boot_ms\":0", "\"boot_ms\":" + System.currentTimeMillis());
-    watch.say(event(8, false, anew) + "\n");
-    await(new Client(), "sends_unreachable|1");
+    watch.write(event(8, false, anew) + "\n");
+    await(new TestClient(), "sends_unreachable|1");
     Message pull = poll(sound, crowded.relieve());
     pull.answer(pull.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
   /**
@@ -51,8 +53,8 @@
    */
   @Test
   void aRetryThatWaitsForAConnectionBeyondTheDeduplicationWindowIsNotSent() throws Exception {
-    Crowded crowded = new Crowded();
-    Peer first = new Peer(true);
+    UnreachableEngine crowded = new UnreachableEngine();
+    EmulatedPeer first = new EmulatedPeer(true);
     start(
         configuration ->
             patient(configuration)
@@ -63,12 +65,12 @@
         IDLE_MS,
         crowded.address(),
         first.address());
-    Client client = new Client(command("once", 1, 20_000));
+    TestClient client = new TestClient(command("once", 1, 20_000));
     first.next("PULL").reset();
     first.next("closed");
-    await(new Client(), "sends|2");
-    Peer late = crowded.relieve();
-    assertEquals(List.of("error 53 pushback"), client.told());
+    await(new TestClient(), "sends|2");
+    EmulatedPeer late = crowded.relieve();
+    assertEquals(List.of("error 53 pushback"), client.readReplies());
     assertNoPull(late);
   }
 
@@ -77,8 +79,8 @@
    */
   @Test
   void eachAttemptOfARequestCarriesItsIdempotencyKey() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     start(
         configuration ->
             configuration.replace(
@@ -88,38 +90,39 @@
         IDLE_MS,
         one.address(),
         two.address());
-    Client client = new Client(command("once", 1, 20_000).replace("op=", "dedupe=k-7f:01,op="));
+    TestClient client =
+        new TestClient(command("once", 1, 20_000).replace("op=", "dedupe=k-7f:01,op="));
     Message first = poll(one, two);
     assertTrue(first.items().get(2).endsWith(",dedupe=k-7f:01"), first.items().get(2));
     first.reset();
     Message again = poll(one, two);
     assertTrue(again.items().get(2).endsWith(",dedupe=k-7f:01"), again.items().get(2));
     again.answer(again.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
   /** Such a key would reach the engine as another key, or as further fields. */
   @Test
   void anUnusableIdempotencyKeyIsRejected() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client();
+    TestClient client = new TestClient();
     assertEquals(List.of("error 42"), client.ask(look(1, 3000).replace("op=", "dedupe=a b,op=")));
     assertEquals(
         List.of("error 42"),
         client.ask(look(1, 3000).replace("op=", "dedupe=" + "k".repeat(129) + ",op=")));
-    assertTrue(engine.heard.isEmpty());
+    assertTrue(engine.received.isEmpty());
   }
 
   /** Unsolicited answers must not take all the processor time; other engines are still used. */
   @Test
   void anEngineThatFloodsWithUnsolicitedAnswersLosesItsConnection() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(look(1, 3000));
+    TestClient client = new TestClient(look(1, 3000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
     try {
       for (int i = 0; i < 2000; i++) {
         pull.answer(pull.id(), "200", "pages=1", ROWS);
@@ -131,6 +134,6 @@
     client.query(client.out, look(2, 3000));
     Message next = engine.next("PULL");
     next.answer(next.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
   }
 }
--- a/src/test/java/cobaltseam/service/ClientDepartureRaceTest.java
+++ b/src/test/java/cobaltseam/service/ClientDepartureRaceTest.java
@@ -37,9 +37,9 @@
    */
   @Test
   void aStatementWithTheEndRightBehindItIsNotForwarded() throws Exception {
-    start(new Peer(true));
-    Client watch = new Client();
-    Client leaver = new Client();
+    start(new EmulatedPeer(true));
+    TestClient watch = new TestClient();
+    TestClient leaver = new TestClient();
     CountDownLatch held = holdUpSockets();
     leaver.query(leaver.out, look(1, 10_000));
     leaver.close();
@@ -51,9 +51,9 @@
   /** The event loop is late: when it processes the statement, the end has been read as well. */
   @Test
   void aStatementProcessedAfterItsClientHasLeftIsNotForwarded() throws Exception {
-    start(new Peer(true));
-    Client watch = new Client();
-    Client leaver = new Client();
+    start(new EmulatedPeer(true));
+    TestClient watch = new TestClient();
+    TestClient leaver = new TestClient();
     CountDownLatch held = holdUp();
     leaver.query(leaver.out, look(1, 10_000));
     awaitRead();
@@ -69,18 +69,18 @@
    */
   @Test
   void aQueuedRequestWhoseClientHasLeftIsNeverSent() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     List<Message> out = new ArrayList<>();
-    List<Client> busy = new ArrayList<>();
+    List<TestClient> busy = new ArrayList<>();
     for (int i = 0; i < ROOM; i++) {
-      busy.add(new Client(heavy(i)));
+      busy.add(new TestClient(heavy(i)));
       out.add(engine.next("PULL"));
     }
-    Client watch = new Client();
-    Client leaver = new Client(heavy(20));
+    TestClient watch = new TestClient();
+    TestClient leaver = new TestClient(heavy(20));
     await(watch, "commands_taken|9");
-    Client stays = new Client(heavy(21));
+    TestClient stays = new TestClient(heavy(21));
     await(watch, "commands_taken|10");
     leaver.close();
     await(watch, "commands_departed|1");
@@ -88,23 +88,23 @@
     Message next = engine.next("PULL");
     assertEquals("%016x".formatted(21), next.id());
     next.answer(next.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", stays.told().get(2));
+    assertEquals("SELECT 2", stays.readReplies().get(2));
   }
 
   /** Capacity is freed in the same turn in which the client of the next queued request leaves. */
   @Test
   void capacityFreedAsAQueuedClientLeavesGoesToTheNext() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     List<Message> out = new ArrayList<>();
     for (int i = 0; i < ROOM; i++) {
-      new Client(heavy(i));
+      new TestClient(heavy(i));
       out.add(engine.next("PULL"));
     }
-    Client watch = new Client();
-    Client leaver = new Client(heavy(20));
+    TestClient watch = new TestClient();
+    TestClient leaver = new TestClient(heavy(20));
     await(watch, "commands_taken|9");
-    new Client(heavy(21));
+    new TestClient(heavy(21));
     await(watch, "commands_taken|10");
     CountDownLatch held = holdUp();
     out.get(0).answer(out.get(0).id(), "200", "pages=1", ROWS);
@@ -118,34 +118,34 @@
   /** A client that ends only its output counts as having left, since it may not read either. */
   @Test
   void aClientThatEndsItsOutputHasLeft() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client leaver = new Client(heavy(1));
+    TestClient leaver = new TestClient(heavy(1));
     engine.next("PULL");
     leaver.socket.shutdownOutput();
     engine.next("closed");
-    await(new Client(), "commands_departed|1");
+    await(new TestClient(), "commands_departed|1");
   }
 
   @Test
   void aClientWhoseConnectionIsResetHasLeft() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client leaver = new Client(heavy(1));
+    TestClient leaver = new TestClient(heavy(1));
     engine.next("PULL");
     leaver.socket.setSoLinger(true, 0);
     leaver.socket.close();
     engine.next("closed");
-    await(new Client(), "commands_departed|1");
+    await(new TestClient(), "commands_departed|1");
   }
 
   /** The attempt is placed and not yet written when its client leaves. */
   @Test
   void anAttemptThatWaitsForAConnectionWhenItsClientLeavesIsNeverWritten() throws Exception {
-    Crowded crowded = new Crowded();
+    UnreachableEngine crowded = new UnreachableEngine();
     start(ServiceRig::patient, SOCKETS, IDLE_MS, crowded.address());
-    Client watch = new Client();
-    Client leaver = new Client(heavy(1));
+    TestClient watch = new TestClient();
+    TestClient leaver = new TestClient(heavy(1));
     await(watch, "sends|1");
     leaver.close();
     await(watch, "commands_departed|1");
@@ -158,13 +158,13 @@
    */
   @Test
   void anAttemptIsNotWrittenIfItsClientsEndIsReadAndNotProcessed() throws Exception {
-    Crowded crowded = new Crowded();
+    UnreachableEngine crowded = new UnreachableEngine();
     start(ServiceRig::patient, SOCKETS, IDLE_MS, crowded.address());
-    Client watch = new Client();
-    Client leaver = new Client(heavy(1));
+    TestClient watch = new TestClient();
+    TestClient leaver = new TestClient(heavy(1));
     await(watch, "sends|1");
     CountDownLatch held = holdUp();
-    Peer engine = crowded.relieve();
+    EmulatedPeer engine = crowded.relieve();
     awaitHandedOver();
     leaver.close();
     awaitRead();
@@ -179,11 +179,11 @@
    */
   @Test
   void aFailureProcessedBeforeTheClientsEndIsNotRetried() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    Client watch = new Client();
-    Client leaver = new Client(look(1, 20_000));
+    TestClient watch = new TestClient();
+    TestClient leaver = new TestClient(look(1, 20_000));
     Message pull = poll(one, two);
     CountDownLatch held = holdUp();
     pull.reset();
@@ -202,13 +202,13 @@
    */
   @Test
   void aFailureProcessedBeforeTheCancelRequestIsNotRetried() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    Client client = new Client(look(1, 20_000));
+    TestClient client = new TestClient(look(1, 20_000));
     Message pull = poll(one, two);
     try (Socket cancel = new Socket(service.address().getAddress(), service.address().getPort())) {
-      await(new Client(), "clients_opened|3");
+      await(new TestClient(), "clients_opened|3");
       CountDownLatch held = holdUp();
       pull.reset();
       awaitRead();
@@ -217,7 +217,7 @@
       held.countDown();
       Thread.sleep(GONE_FOR_MS);
       heldSockets.countDown();
-      Client watch = new Client();
+      TestClient watch = new TestClient();
       await(watch, "commands_departed|1");
       assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|1"), "it was sent again");
     }
@@ -225,7 +225,7 @@
     Message next = poll(one, two);
     assertEquals("%016x".formatted(2), next.id());
     next.answer(next.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
   /**
@@ -234,15 +234,15 @@
    */
   @Test
   void rejectionsReadTogetherWithTheClientsEndsAreNotRetried() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    Client watch = new Client();
-    Client stops = new Client();
-    List<Client> leavers = new ArrayList<>();
+    TestClient watch = new TestClient();
+    TestClient stops = new TestClient();
+    List<TestClient> leavers = new ArrayList<>();
     List<Message> out = new ArrayList<>();
     for (int i = 0; i < PAIRS; i++) {
-      leavers.add(new Client(look(i, 20_000)));
+      leavers.add(new TestClient(look(i, 20_000)));
       out.add(poll(one, two));
     }
     CountDownLatch held = holdUpSockets();
@@ -266,11 +266,11 @@
    */
   @Test
   void aCancelRequestWhoseConnectionClosesRightBehindItIsProcessed() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(heavy(1));
+    TestClient client = new TestClient(heavy(1));
     engine.next("PULL");
-    Client watch = new Client();
+    TestClient watch = new TestClient();
     Socket cancel = new Socket(service.address().getAddress(), service.address().getPort());
     await(watch, "clients_opened|3");
     CountDownLatch held = holdUpSockets();
@@ -287,11 +287,11 @@
    */
   @Test
   void anAnswerThatComesWithTheEndOfItsClientIsDropped() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client leaver = new Client(heavy(1));
+    TestClient leaver = new TestClient(heavy(1));
     Message first = engine.next("PULL");
-    Client watch = new Client();
+    TestClient watch = new TestClient();
     CountDownLatch held = holdUp();
     leaver.close();
     awaitRead();
@@ -305,7 +305,7 @@
       second = engine.next();
     }
     second.answer(second.id(), "200", "pages=1", "c\t3\tz\n");
-    assertEquals(List.of("c|3|z", "SELECT 1"), watch.told());
+    assertEquals(List.of("c|3|z", "SELECT 1"), watch.readReplies());
   }
 
   /**
@@ -314,24 +314,24 @@
    */
   @Test
   void queuedRequestsOfManyClientsThatLeaveAreSkipped() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client watch = new Client();
+    TestClient watch = new TestClient();
     List<Message> out = new ArrayList<>();
     for (int i = 0; i < ROOM; i++) {
-      new Client(heavy(i));
+      new TestClient(heavy(i));
       out.add(engine.next("PULL"));
     }
-    List<Client> leavers = new ArrayList<>();
+    List<TestClient> leavers = new ArrayList<>();
     for (int i = 0; i < LEAVERS; i++) {
-      leavers.add(new Client(heavy(100 + i)));
+      leavers.add(new TestClient(heavy(100 + i)));
     }
     await(watch, "commands_taken|" + (ROOM + LEAVERS));
-    new Client(heavy(99));
+    new TestClient(heavy(99));
     await(watch, "commands_taken|" + (ROOM + LEAVERS + 1));
     CountDownLatch held = holdUp();
     out.get(0).answer(out.get(0).id(), "200", "pages=1", ROWS);
-    for (Client leaver : leavers) {
+    for (TestClient leaver : leavers) {
       leaver.close();
     }
     awaitRead();
@@ -346,18 +346,18 @@
    */
   @Test
   void aCancelRequestIsProcessedAfterTheStatementThatItNames() throws Exception {
-    start(new Peer(true));
-    Client watch = new Client();
-    List<Client> clients = new ArrayList<>();
+    start(new EmulatedPeer(true));
+    TestClient watch = new TestClient();
+    List<TestClient> clients = new ArrayList<>();
     List<Socket> cancels = new ArrayList<>();
     for (int i = 0; i < PAIRS; i++) {
       cancels.add(new Socket(service.address().getAddress(), service.address().getPort()));
-      clients.add(new Client());
+      clients.add(new TestClient());
     }
     awaitRead();
     CountDownLatch held = holdUpSockets();
     for (int i = 0; i < PAIRS; i++) {
-      Client client = clients.get(i);
+      TestClient client = clients.get(i);
       client.query(client.out, command("once", i, 20_000));
       cancels.get(i).getOutputStream().write(client.cancelRequest());
     }
@@ -373,9 +373,9 @@
    */
   @Test
   void aClientThatWritesSlowlyDoesNotTimeOut() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client slow = new Client();
+    TestClient slow = new TestClient();
     byte[] statement = message(look(1, 10_000));
     int pieces = 8;
     for (int i = 0; i < pieces; i++) {
@@ -387,6 +387,6 @@
     }
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", slow.told().get(2));
+    assertEquals("SELECT 2", slow.readReplies().get(2));
   }
 }
--- a/src/test/java/cobaltseam/service/ClientSessionsTest.java
+++ b/src/test/java/cobaltseam/service/ClientSessionsTest.java
@@ -19,10 +19,10 @@
 class ClientSessionsTest extends ServiceRig {
   @Test
   void onlyTheClientThatDoesNotReadLosesItsConnection() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     String page = ("x".repeat(990) + "\t\t\n").repeat(6);
-    Client lazy = new Client();
+    TestClient lazy = new TestClient();
     int asked = 0;
     boolean closed = false;
     while (!closed && asked < 2000) {
@@ -31,7 +31,7 @@
       } catch (SocketException e) {
         closed = true;
       }
-      Message pull = closed ? null : engine.heard.poll(200, TimeUnit.MILLISECONDS);
+      Message pull = closed ? null : engine.received.poll(200, TimeUnit.MILLISECONDS);
       for (int i = 0; pull != null && i < 8; i++) {
         if (i > 0 && !engine.next().items().get(0).equals("SCROLL")) {
           break;
@@ -40,28 +40,28 @@
       }
     }
     assertTrue(closed, "it was never closed");
-    Client other = new Client(look(9999, 3000));
+    TestClient other = new TestClient(look(9999, 3000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", other.told().get(2));
+    assertEquals("SELECT 2", other.readReplies().get(2));
   }
 
   @Test
   void unusableStatementsAndMessagesGetErrorsAndReachNoEngine() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client();
+    TestClient client = new TestClient();
     assertEquals(List.of("error 42"), client.ask("SELECT 1"));
     assertEquals(List.of("error 42"), client.ask(command("unknown", 1, 100)));
     assertEquals(
         List.of("error 42"), client.ask(command("look", 1, 100).replace("op=", "org=nobody,op=")));
     client.out.write(new byte[] {'P', 0, 0, 0, 8, 'x', 0, 0, 0, 'S', 0, 0, 0, 4});
-    assertEquals(List.of("error 0A"), client.told());
-    Client other = new Client();
+    assertEquals(List.of("error 0A"), client.readReplies());
+    TestClient other = new TestClient();
     other.out.write(new byte[] {'Q', -1, 0, 0, 0});
-    assertThrows(IOException.class, other::told);
+    assertThrows(IOException.class, other::readReplies);
     assertEquals(List.of("empty"), client.ask(""));
-    assertTrue(engine.heard.isEmpty());
+    assertTrue(engine.received.isEmpty());
   }
 
   /**
@@ -70,25 +70,25 @@
    */
   @Test
   void onlyClientsThatExceedTheirLimitsLoseTheirConnections() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     ByteArrayOutputStream many = new ByteArrayOutputStream();
     DataOutputStream to = new DataOutputStream(many);
     List<Socket> flooding = new ArrayList<>();
-    List<Client> long0 = new ArrayList<>();
-    Client usual = new Client();
+    List<TestClient> long0 = new ArrayList<>();
+    TestClient usual = new TestClient();
     for (int i = 0; i < 300; i++) {
       usual.query(to, look(5000 + i, 3000));
     }
     for (int i = 0; i < 3; i++) {
-      Client client = new Client();
+      TestClient client = new TestClient();
       client.out.write(many.toByteArray());
       flooding.add(client.socket);
     }
     byte[] half = new byte[60_000];
     System.arraycopy(new byte[] {'Q', 0, 0, -1, -1}, 0, half, 0, 5);
     for (int i = 0; i < 40; i++) {
-      Client client = new Client();
+      TestClient client = new TestClient();
       long0.add(client);
       client.ask("");
       try {
@@ -114,16 +114,16 @@
    */
   @Test
   void idleConnectionsAreEvictedForNewOnes() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(48, IDLE_MS, engine);
-    Client open = new Client(look(1, 10_000));
+    TestClient open = new TestClient(look(1, 10_000));
     Message first = engine.next("PULL");
-    List<Client> stayed = new ArrayList<>();
+    List<TestClient> stayed = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      Client client = new Client(look(100 + i, 3000));
+      TestClient client = new TestClient(look(100 + i, 3000));
       Message pull = engine.next("PULL");
       pull.answer(pull.id(), "200", "pages=1", ROWS);
-      assertEquals("SELECT 2", client.told().get(2));
+      assertEquals("SELECT 2", client.readReplies().get(2));
       stayed.add(client);
     }
     assertTrue(stayed.get(0).in.read() < 0, "the longest idle has given way");
@@ -132,7 +132,7 @@
         "room is made before it is needed: " + service.acceptor.delayedAccepts());
     assertEquals(List.of("empty"), stayed.get(39).ask(""));
     first.answer(first.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", open.told().get(2), "not one with an open statement");
+    assertEquals("SELECT 2", open.readReplies().get(2), "not one with an open statement");
   }
 
   /**
@@ -141,11 +141,11 @@
    */
   @Test
   void anIdleConnectionIsNotEvictedOnceItHasSentAStatement() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(16, IDLE_MS, engine);
-    List<Client> idle = new ArrayList<>();
+    List<TestClient> idle = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      idle.add(new Client());
+      idle.add(new TestClient());
       assertEquals(List.of("empty"), idle.get(i).ask(""));
     }
     CountDownLatch held = holdUp();
@@ -156,13 +156,13 @@
     held.countDown();
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", idle.get(0).told().get(2));
+    assertEquals("SELECT 2", idle.get(0).readReplies().get(2));
     another.close();
   }
 
   @Test
   void connectionsWithoutAStatementAreEvictedAndTimeOut() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(16, IDLE_MS, engine);
     List<Socket> silent = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
@@ -172,10 +172,10 @@
         silent.get(i).getOutputStream().write(new byte[] {0, 0, 0, 9, 0, 3, 0, 0});
       }
     }
-    Client client = new Client(look(1, 3000));
+    TestClient client = new TestClient(look(1, 3000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
     for (Socket each : silent) {
       try {
         assertTrue(each.getInputStream().read() < 0);
@@ -188,9 +188,9 @@
 
   @Test
   void aClientPausesAfterRepeatedUnusableStatements() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client();
+    TestClient client = new TestClient();
     long from = System.nanoTime();
     for (int i = 0; i < 4; i++) {
       assertEquals(List.of("error 42"), client.ask("SELECT " + i));
@@ -201,14 +201,14 @@
     client.query(client.out, look(1, 5000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
   @Test
   void aCancelledOrAbandonedRequestGetsNoAnswer() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(look(1, 3000));
+    TestClient client = new TestClient(look(1, 3000));
     Message pull = engine.next("PULL");
     try (Socket cancel = new Socket(service.address().getAddress(), service.address().getPort())) {
       cancel.getOutputStream().write(client.cancelRequest());
@@ -219,7 +219,7 @@
     client.query(client.out, look(2, 3000));
     Message second = engine.next("PULL");
     second.answer(second.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2), "the only answer is that of the second");
+    assertEquals("SELECT 2", client.readReplies().get(2), "the only answer is that of the second");
     client.query(client.out, look(3, 3000));
     engine.next("PULL");
     client.close();
--- a/src/test/java/cobaltseam/service/ConfigurationReloadProcessTest.java
+++ b/src/test/java/cobaltseam/service/ConfigurationReloadProcessTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.standin.BusStandIn;
-import cobaltseam.standin.ClientStandIn;
 import cobaltseam.standin.DispatcherProcess;
-import cobaltseam.standin.EngineStandIn;
-import cobaltseam.standin.Ledger.End;
+import cobaltseam.standin.EmulatedEngine;
+import cobaltseam.standin.EmulatedEventBus;
+import cobaltseam.standin.RequestLedger.Outcome;
+import cobaltseam.standin.StatementClient;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -29,20 +29,20 @@
   private static final int CLIENTS = 12;
 
   @TempDir Path folder;
-  private BusStandIn bus;
-  private EngineStandIn engine;
+  private EmulatedEventBus bus;
+  private EmulatedEngine engine;
   private InetSocketAddress listen;
   private String known;
   private DispatcherProcess dispatcher;
   private final AtomicBoolean over = new AtomicBoolean();
-  private final Map<String, End> endings = new ConcurrentHashMap<>();
+  private final Map<String, Outcome> endings = new ConcurrentHashMap<>();
   private final List<Thread> load = new ArrayList<>();
 
   @BeforeEach
   void begin() throws Exception {
-    bus = new BusStandIn(HOST);
-    engine = new EngineStandIn(HOST, profile -> 200);
-    known = bus.tell(true, BusStandIn.target(1, engine.address(), "in_service"));
+    bus = new EmulatedEventBus(HOST);
+    engine = new EmulatedEngine(HOST, profile -> 200);
+    known = bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
       listen = new InetSocketAddress(HOST, free.getLocalPort());
     }
@@ -76,15 +76,15 @@
               () -> {
                 int calls = 0;
                 while (!over.get()) {
-                  try (ClientStandIn session = new ClientStandIn(listen, LONG_MS)) {
+                  try (StatementClient session = new StatementClient(listen, LONG_MS)) {
                     while (!over.get()) {
                       String call = "%08x%08x".formatted(number, calls++);
                       endings.put(
                           call,
-                          session.command(call, number % 2 == 0 ? "look" : "once", 3000, 200));
+                          session.execute(call, number % 2 == 0 ? "look" : "once", 3000, 200));
                     }
                   } catch (java.io.IOException e) {
-                    endings.put(number + "-" + calls, End.CUT);
+                    endings.put(number + "-" + calls, Outcome.CUT);
                   }
                 }
               });
@@ -94,7 +94,7 @@
   }
 
   private long count(String counter) throws Exception {
-    try (ClientStandIn session = new ClientStandIn(listen, LONG_MS)) {
+    try (StatementClient session = new StatementClient(listen, LONG_MS)) {
       return Long.parseLong(session.show("counters").get(counter));
     }
   }
@@ -108,7 +108,7 @@
       Thread.sleep(50);
     }
     int from = dispatcher.lines();
-    dispatcher.configured(configuration().replace("\"most_tries\":3", "\"most_tries\":2"));
+    dispatcher.writeConfiguration(configuration().replace("\"most_tries\":3", "\"most_tries\":2"));
     dispatcher.signal("HUP");
     int next = dispatcher.await("the settings of decisions have changed", from, LONG_MS);
     assertTrue(
@@ -117,11 +117,11 @@
     assertEquals(1, count("configurations_moved"));
     // Another file, and 10 ms later the first again; two signals may come as one, and the last file
     // counts.
-    dispatcher.configured(
+    dispatcher.writeConfiguration(
         configuration().replace("\"repeat\":\"read_like\"", "\"repeat\":\"non_idempotent\""));
     dispatcher.signal("HUP");
     Thread.sleep(10);
-    dispatcher.configured(configuration());
+    dispatcher.writeConfiguration(configuration());
     dispatcher.signal("HUP");
     long moved = count("configurations_moved");
     for (long since = System.nanoTime();
@@ -137,7 +137,7 @@
     for (Thread each : load) {
       each.join();
     }
-    Map<String, Long> counters = dispatcher.end();
+    Map<String, Long> counters = dispatcher.terminate();
     assertEquals(0, counters.get("faults"));
     assertEquals(
         counters.get("commands_taken"),
@@ -146,18 +146,18 @@
             + counters.get("commands_failed"),
         "one ending each: " + counters);
     assertTrue(
-        endings.values().stream().allMatch(e -> e == End.ANSWERED || e == End.SHED),
+        endings.values().stream().allMatch(e -> e == Outcome.ANSWERED || e == Outcome.SHED),
         endings.values().toString());
-    engine.ledger().forEach((call, ran) -> assertTrue(ran.done().get() <= 1, call));
+    engine.ledger().forEach((call, ran) -> assertTrue(ran.completed().get() <= 1, call));
   }
 
   @Test
   void aStartWithSighupIgnoredIsLogged() throws Exception {
-    dispatcher.startDeaf();
+    dispatcher.startWithSighupIgnored();
     dispatcher.await("SIGHUP was ignored at the start", 0, LONG_MS);
     dispatcher.await("serves on", 0, LONG_MS);
     dispatcher.signal("HUP");
-    assertEquals(0, dispatcher.end().get("configurations_read"));
+    assertEquals(0, dispatcher.terminate().get("configurations_read"));
   }
 
   @Test
@@ -167,6 +167,6 @@
     dispatcher.signal("HUP");
     dispatcher.await("has reloaded its configuration", 0, LONG_MS);
     assertTrue(!dispatcher.log().contains("SIGHUP was ignored"), dispatcher.log());
-    assertEquals(1, dispatcher.end().get("configurations_read"));
+    assertEquals(1, dispatcher.terminate().get("configurations_read"));
   }
 }
--- a/src/test/java/cobaltseam/service/ConfigurationReloadTest.java
+++ b/src/test/java/cobaltseam/service/ConfigurationReloadTest.java
@@ -20,9 +20,9 @@
 class ConfigurationReloadTest extends ServiceRig {
   @Test
   void theEndpointWatchResumesFromTheLastEventAfterALostConnection() throws Exception {
-    Peer old = new Peer(true);
-    Peer fresh = new Peer(true);
-    Peer bus = start(old);
+    EmulatedPeer old = new EmulatedPeer(true);
+    EmulatedPeer fresh = new EmulatedPeer(true);
+    EmulatedPeer bus = start(old);
     Message from = bus.next();
     assertEquals("from 7", from.items().get(0));
     String change =
@@ -31,9 +31,9 @@
             false,
             target(1, old.address(), "terminated"),
             target(2, fresh.address(), "in_service"));
-    from.say(change.substring(0, 30));
-    from.say(change.substring(30) + "\nno json\n8\n");
-    from.say("10\n");
+    from.write(change.substring(0, 30));
+    from.write(change.substring(30) + "\nno json\n8\n");
+    from.write("10\n");
     assertEquals(
         "closed", bus.next().items().get(0), "a number beyond the last event means one is missing");
     Message anew = bus.next();
@@ -41,41 +41,41 @@
     anew.reset();
     bus.next("closed");
     assertEquals("from 8", bus.next().items().get(0));
-    Client client = new Client(look(1, 3000));
+    TestClient client = new TestClient(look(1, 3000));
     Message pull = fresh.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
-    assertTrue(old.heard.isEmpty());
+    assertEquals("SELECT 2", client.readReplies().get(2));
+    assertTrue(old.received.isEmpty());
   }
 
   /** The real signal, first with files that can't be used: neither may end the process. */
   @Test
   void aReloadMovesTheEndpointWatchAndAnUnusableFileChangesNothing() throws Exception {
-    Peer engine = new Peer(true);
-    Peer old = start(engine);
+    EmulatedPeer engine = new EmulatedPeer(true);
+    EmulatedPeer old = start(engine);
     old.next("from 7");
     Path file = Files.createTempFile("configuration", ".json");
     try {
-      service.readAnewOnHangUp(Map.of("GW_CONFIG", file.toString()));
+      service.reloadOnHangUp(Map.of("GW_CONFIG", file.toString()));
       String bad =
           configuration("127.0.0.1:80", SOCKETS, IDLE_MS).replace("\"limits\"", "\"limitless\"");
-      Client client = new Client();
+      TestClient client = new TestClient();
       int raised = 0;
       for (String unusable : List.of("", "{", bad)) {
         Files.writeString(file, unusable);
         Signal.raise(new Signal("HUP"));
         await(client, "configurations_unusable|" + ++raised);
       }
-      Peer bus = new Peer(false);
+      EmulatedPeer bus = new EmulatedPeer(false);
       Files.writeString(file, configuration(bus.address(), SOCKETS, IDLE_MS));
       Signal.raise(new Signal("HUP"));
       Message from = bus.next("from 7");
       old.next("closed");
-      from.say(event(8, false, target(1, engine.address(), "in_service")) + "\n");
+      from.write(event(8, false, target(1, engine.address(), "in_service")) + "\n");
       client.query(client.out, look(1, 3000));
       Message pull = engine.next("PULL");
       pull.answer(pull.id(), "200", "pages=1", ROWS);
-      assertEquals("SELECT 2", client.told().get(2));
+      assertEquals("SELECT 2", client.readReplies().get(2));
       Files.writeString(
           file,
           configuration(bus.address(), SOCKETS, IDLE_MS).replace("\"offset\":7", "\"offset\":9"));
@@ -92,25 +92,25 @@
   /** Settings that waited until no request is open would never act on a busy dispatcher. */
   @Test
   void reloadedSettingsActWhileRequestsAreInFlightAndQueued() throws Exception {
-    Peer engine = new Peer(true);
-    Peer bus = start(engine);
+    EmulatedPeer engine = new EmulatedPeer(true);
+    EmulatedPeer bus = start(engine);
     bus.next("from 7");
     Path file = Files.createTempFile("configuration", ".json");
     try {
-      service.readAnewOnHangUp(Map.of("GW_CONFIG", file.toString()));
+      service.reloadOnHangUp(Map.of("GW_CONFIG", file.toString()));
       // First latency objectives so long that a slow machine sheds nothing.
       String as =
           configuration(bus.address(), SOCKETS, IDLE_MS, target(1, engine.address(), "in_service"))
               .replace("500000,\"hard_limit_us\":3000000", "30000000,\"hard_limit_us\":60000000");
-      Client watch = new Client();
+      TestClient watch = new TestClient();
       Files.writeString(file, as);
       Signal.raise(new Signal("HUP"));
       await(watch, "configurations_moved|1");
-      List<Client> busy = new ArrayList<>();
+      List<TestClient> busy = new ArrayList<>();
       List<Message> pulls = new ArrayList<>();
       // Eight threads: eight requests are in flight and two queued.
       for (int i = 1; i <= 10; i++) {
-        Client client = new Client();
+        TestClient client = new TestClient();
         client.query(client.out, command("once", i, 60_000).replace("work=100", "work=5000"));
         busy.add(client);
         if (i <= 8) {
@@ -132,9 +132,9 @@
         Message pull = engine.next("PULL");
         pull.answer(pull.id(), "200", "pages=1", "");
       }
-      for (Client client : busy) {
+      for (TestClient client : busy) {
         assertEquals(
-            List.of("SELECT 0"), client.told(), "taken before the move, answered after it");
+            List.of("SELECT 0"), client.readReplies(), "taken before the move, answered after it");
       }
       Files.writeString(file, as);
       Signal.raise(new Signal("HUP"));
@@ -142,7 +142,7 @@
       watch.query(watch.out, command("once", 21, 3000));
       Message pull = engine.next("PULL");
       pull.answer(pull.id(), "200", "pages=1", "");
-      assertEquals(List.of("SELECT 0"), watch.told());
+      assertEquals(List.of("SELECT 0"), watch.readReplies());
     } finally {
       Files.delete(file);
     }
--- a/src/test/java/cobaltseam/service/DispatcherServiceTest.java
+++ b/src/test/java/cobaltseam/service/DispatcherServiceTest.java
@@ -11,19 +11,19 @@
 class DispatcherServiceTest extends ServiceRig {
   @Test
   void aStoppedServiceServesOnUntilNoRequestIsOpen() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(look(1, 4000));
+    TestClient client = new TestClient(look(1, 4000));
     Message pull = engine.next("PULL");
     long asked = System.nanoTime();
     Thread stop = new Thread(service::stop);
     stop.start();
-    Client late = new Client(look(2, 4000));
+    TestClient late = new TestClient(look(2, 4000));
     Message second = engine.next("PULL");
     second.answer(second.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", late.told().get(2), "new connections are still served");
+    assertEquals("SELECT 2", late.readReplies().get(2), "new connections are still served");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
     stop.join(SOON_S * 1000);
     assertFalse(stop.isAlive());
     assertTrue(System.nanoTime() - asked >= TimeUnit.MILLISECONDS.toNanos(700));
--- a/src/test/java/cobaltseam/service/EndpointWatchRaceTest.java
+++ b/src/test/java/cobaltseam/service/EndpointWatchRaceTest.java
@@ -21,36 +21,36 @@
   private final String drained = "terminating";
   @TempDir Path folder;
 
-  private void assertGoesTo(Peer expected, Peer other) throws Exception {
-    Client client = new Client(command("once", 1, 5000));
+  private void assertGoesTo(EmulatedPeer expected, EmulatedPeer other) throws Exception {
+    TestClient client = new TestClient(command("once", 1, 5000));
     Message pull = expected.next("PULL");
-    assertTrue(other.heard.isEmpty(), "the drained engine was sent to");
+    assertTrue(other.received.isEmpty(), "the drained engine was sent to");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
   /** A drain that is skipped for an offset that overtook it would be lost. */
   @Test
   void anOffsetThatOvertakesEventsRequestedAgainSkipsNone() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
-    Peer bus = start(one, two);
-    bus.next("from 7").say("9\n");
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
+    EmulatedPeer bus = start(one, two);
+    bus.next("from 7").write("9\n");
     bus.next("closed");
     Message anew = bus.next("from 7");
-    anew.say(
+    anew.write(
         "9\n" + event(8, false, target(2, two.address(), drained)) + "\n" + event(9, false) + "\n");
-    await(new Client(), "bus_events|2");
+    await(new TestClient(), "bus_events|2");
     assertGoesTo(one, two);
   }
 
   private void reload(String configuration) throws Exception {
     Path file = Files.writeString(folder.resolve("configuration.json"), configuration);
-    service.readAnewOnHangUp(Map.of("GW_CONFIG", file.toString()));
+    service.reloadOnHangUp(Map.of("GW_CONFIG", file.toString()));
     Signal.raise(new Signal("HUP"));
   }
 
-  private String moved(Peer bus, Peer one, Peer two) {
+  private String moved(EmulatedPeer bus, EmulatedPeer one, EmulatedPeer two) {
     return configuration(
         bus.address(),
         SOCKETS,
@@ -65,19 +65,19 @@
    */
   @Test
   void aDrainRightBehindAReloadThatMovesTheWatchIsApplied() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
-    Peer former = start(one, two);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
+    EmulatedPeer former = start(one, two);
     Message watch = former.next("from 7");
-    Peer bus = new Peer(false);
-    Client client = new Client();
+    EmulatedPeer bus = new EmulatedPeer(false);
+    TestClient client = new TestClient();
     CountDownLatch held = holdUp();
     reload(moved(bus, one, two));
     awaitHandedOver();
-    watch.say(event(8, false, target(2, two.address(), drained)) + "\n");
+    watch.write(event(8, false, target(2, two.address(), drained)) + "\n");
     awaitRead();
     held.countDown();
-    bus.next("from 7").say(event(8, false, target(2, two.address(), drained)) + "\n");
+    bus.next("from 7").write(event(8, false, target(2, two.address(), drained)) + "\n");
     await(client, "bus_events|1");
     assertGoesTo(one, two);
   }
@@ -85,14 +85,14 @@
   /** The reloaded configuration holds a list from before the drain. */
   @Test
   void aReloadRightBehindADrainDoesNotUndoIt() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
-    Peer former = start(one, two);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
+    EmulatedPeer former = start(one, two);
     Message watch = former.next("from 7");
-    Peer bus = new Peer(false);
-    Client client = new Client();
+    EmulatedPeer bus = new EmulatedPeer(false);
+    TestClient client = new TestClient();
     CountDownLatch held = holdUp();
-    watch.say(event(8, false, target(2, two.address(), drained)) + "\n");
+    watch.write(event(8, false, target(2, two.address(), drained)) + "\n");
     awaitRead();
     reload(moved(bus, one, two));
     held.countDown();
@@ -104,10 +104,10 @@
   /** The reloaded configuration holds the drain before the event bus sends it. */
   @Test
   void aDrainInAReloadedConfigurationActsAtOnce() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     start(one, two).next("from 7");
-    Peer bus = new Peer(false);
+    EmulatedPeer bus = new EmulatedPeer(false);
     reload(
         configuration(
                 bus.address(),
@@ -123,50 +123,50 @@
   /** An event that stays missing is skipped, or it would hold up all others. */
   @Test
   void anEventThatIsMissingAtTheSecondHeartbeatIsSkipped() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
-    Peer bus = start(one, two);
-    bus.next("from 7").say("8\n");
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
+    EmulatedPeer bus = start(one, two);
+    bus.next("from 7").write("8\n");
     bus.next("closed");
-    bus.next("from 7").say("8\n8\n" + event(9, false, target(2, two.address(), drained)) + "\n");
-    await(new Client(), "bus_events|1");
+    bus.next("from 7").write("8\n8\n" + event(9, false, target(2, two.address(), drained)) + "\n");
+    await(new TestClient(), "bus_events|1");
     assertGoesTo(one, two);
   }
 
   @Test
   void aWatchThatIsSilentFromTheStartIsReconnected() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
-    Peer bus = start(one, two);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
+    EmulatedPeer bus = start(one, two);
     bus.next("from 7");
     bus.next("closed");
-    bus.next("from 7").say(event(8, false, target(2, two.address(), drained)) + "\n");
-    await(new Client(), "bus_events|1");
+    bus.next("from 7").write(event(8, false, target(2, two.address(), drained)) + "\n");
+    await(new TestClient(), "bus_events|1");
     assertGoesTo(one, two);
   }
 
   /** After some heartbeats nothing comes: drains during that silence are requested again. */
   @Test
   void aWatchThatFallsSilentIsReconnectedFromTheLastEvent() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
-    Peer bus = start(one, two);
-    bus.next("from 7").say("7\n" + event(8, false) + "\n8\n");
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
+    EmulatedPeer bus = start(one, two);
+    bus.next("from 7").write("7\n" + event(8, false) + "\n8\n");
     bus.next("closed");
-    bus.next("from 8").say(event(9, false, target(2, two.address(), drained)) + "\n");
-    await(new Client(), "bus_events|2");
+    bus.next("from 8").write(event(9, false, target(2, two.address(), drained)) + "\n");
+    await(new TestClient(), "bus_events|2");
     assertGoesTo(one, two);
   }
 
   /** A complete list makes up for the events before it. */
   @Test
   void aCompleteListIsAppliedThoughEventsBeforeItAreMissing() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
-    Peer bus = start(one, two);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
+    EmulatedPeer bus = start(one, two);
     Message from = bus.next("from 7");
-    from.say(event(12, true, target(1, one.address(), "in_service")) + "\n");
-    Client watch = new Client();
+    from.write(event(12, true, target(1, one.address(), "in_service")) + "\n");
+    TestClient watch = new TestClient();
     await(watch, "bus_events|1");
     assertTrue(watch.ask("SHOW cobaltseam.counters").contains("bus_gaps|0"));
     assertGoesTo(one, two);
@@ -178,13 +178,13 @@
    */
   @Test
   void enginesWithTheSameNumberInTheirNamesAreDrainedSeparately() throws Exception {
-    Peer one = new Peer(true);
-    Peer namesake = new Peer(true);
-    Peer bus = start(one);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer namesake = new EmulatedPeer(true);
+    EmulatedPeer bus = start(one);
     bus.next("from 7")
-        .say(
+        .write(
             event(8, false, target(1, namesake.address(), drained).replace("\"s-", "\"t-")) + "\n");
-    await(new Client(), "bus_events|1");
+    await(new TestClient(), "bus_events|1");
     assertGoesTo(one, namesake);
   }
 
@@ -194,8 +194,8 @@
    */
   @Test
   void theWatchReconnectsThoughIdleClientsHoldTheDescriptors() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     int port;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
@@ -206,14 +206,14 @@
         IDLE_MS,
         one.address(),
         two.address());
-    Client watch = new Client();
+    TestClient watch = new TestClient();
     for (int i = 0; i < 2 * FEW_SOCKETS; i++) {
       Socket idle = new Socket(service.address().getAddress(), service.address().getPort());
       open.add(idle);
       assertEquals(List.of("empty"), watch.ask(""));
     }
-    Peer bus = new Peer(false, port);
-    bus.next("from 7").say(event(8, false, target(2, two.address(), drained)) + "\n");
+    EmulatedPeer bus = new EmulatedPeer(false, port);
+    bus.next("from 7").write(event(8, false, target(2, two.address(), drained)) + "\n");
     await(watch, "bus_events|1");
     assertGoesTo(one, two);
   }
@@ -224,9 +224,9 @@
    */
   @Test
   void aDrainDuringTheStartIsAppliedBeforeClientsCome() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
-    Peer bus = new Peer(false);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
+    EmulatedPeer bus = new EmulatedPeer(false);
     service =
         new DispatcherService(
             told(
@@ -240,7 +240,7 @@
             () -> {
               try {
                 bus.next("from 7")
-                    .say(event(8, false, target(2, two.address(), drained)) + "\n8\n");
+                    .write(event(8, false, target(2, two.address(), drained)) + "\n8\n");
               } catch (Exception e) {
                 throw new IllegalStateException(e);
               }
@@ -255,30 +255,30 @@
   /** Without the event bus the service starts with the list of its configuration. */
   @Test
   void aStartWithoutTheWatchServesByTheConfiguredList() throws Exception {
-    Peer one = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
     service =
         new DispatcherService(
             told("127.0.0.1:9", SOCKETS, IDLE_MS, target(1, one.address(), "in_service")));
     service.awaitEndpointUpdates();
     serve();
-    assertGoesTo(one, new Peer(true));
+    assertGoesTo(one, new EmulatedPeer(true));
   }
 
   /** An older event that is repeated or late does not undo a newer one. */
   @Test
   void anEventOlderThanTheLastOneChangesNothing() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
-    Peer bus = start(one, two);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
+    EmulatedPeer bus = start(one, two);
     bus.next("from 7")
-        .say(
+        .write(
             event(8, false, target(2, two.address(), drained))
                 + "\n"
                 + event(6, false, target(2, two.address(), "in_service"))
                 + "\n"
                 + event(9, false)
                 + "\n");
-    await(new Client(), "bus_events|2");
+    await(new TestClient(), "bus_events|2");
     assertGoesTo(one, two);
   }
 }
--- a/src/test/java/cobaltseam/service/EngineAnswersTest.java
+++ b/src/test/java/cobaltseam/service/EngineAnswersTest.java
@@ -13,9 +13,9 @@
 class EngineAnswersTest extends ServiceRig {
   @Test
   void allPagesOfAResultReachTheClient() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(look(1, 3000));
+    TestClient client = new TestClient(look(1, 3000));
     Message pull = engine.next("PULL");
     assertEquals("SELECT n FROM a_1.t", pull.items().get(3));
     assertTrue(pull.items().get(2).matches("lane=look,ttl=[0-9]+"), pull.items().get(2));
@@ -25,22 +25,22 @@
     assertEquals(List.of("SCROLL", pull.id(), "2"), engine.next().items());
     pull.answer(pull.id(), "chunk", "page=2", "d\t\t\n");
     pull.answer(pull.id(), "chunk", "page=1", "c\t3\tz\n");
-    assertEquals(List.of("a|1|x", "b|2|y", "c|3|z", "d||", "SELECT 4"), client.told());
+    assertEquals(List.of("a|1|x", "b|2|y", "c|3|z", "d||", "SELECT 4"), client.readReplies());
     assertEquals(List.of("empty"), client.ask(" ; "));
     assertTrue(client.ask("SHOW cobaltseam.counters;").contains("commands_answered|1"));
     client.query(client.out, look(2, 3000));
     Message again = engine.next("PULL");
     assertEquals(pull.from(), again.from(), "an unused connection is used again");
     again.answer(again.id(), "200", "pages=1", "");
-    assertEquals(List.of("SELECT 0"), client.told());
+    assertEquals(List.of("SELECT 0"), client.readReplies());
   }
 
   @Test
   void onlyAttemptsThatNeverRanOrAreIdempotentAreRetried() throws Exception {
-    Peer one = new Peer(true);
-    Peer two = new Peer(true);
+    EmulatedPeer one = new EmulatedPeer(true);
+    EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    Client client = new Client(look(1, 3000));
+    TestClient client = new TestClient(look(1, 3000));
     Message first = poll(one, two);
     first.answer(first.id(), "503", "-", "");
     Message second = poll(one, two);
@@ -49,38 +49,39 @@
     assertEquals(
         "PULL", third.items().get(0), "a reset may have run, which this profile may do twice");
     third.answer(third.id(), "200", "pages=1", ROWS);
-    assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.told());
+    assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.readReplies());
     client.query(client.out, command("once", 2, 3000));
     Message once = poll(one, two);
     once.reset();
-    assertEquals(List.of("error 58"), client.told(), "this one may not run twice, nor be refused");
+    assertEquals(
+        List.of("error 58"), client.readReplies(), "this one may not run twice, nor be refused");
   }
 
   @Test
   void aBrokenAnswerFailsItsAttemptAndNoOther() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(command("once", 1, 3000));
+    TestClient client = new TestClient(command("once", 1, 3000));
     Message pull = engine.next("PULL");
     pull.answer("0000000000000009", "200", "pages=1", ROWS);
     pull.answer(pull.id(), "200", "pages=1", "half a row");
     engine.next("closed");
-    assertEquals(List.of("error 58"), client.told());
+    assertEquals(List.of("error 58"), client.readReplies());
     client.query(client.out, command("once", 2, 3000));
-    engine.next("PULL").say("*nonsense\r\n");
+    engine.next("PULL").write("*nonsense\r\n");
     assertEquals("closed", engine.next().items().get(0));
-    assertEquals(List.of("error 58"), client.told());
+    assertEquals(List.of("error 58"), client.readReplies());
     client.query(client.out, look(3, 3000));
     Message good = engine.next("PULL");
     good.answer(good.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
   @Test
   void repeatedAnswersAreIgnored() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(look(1, 3000));
+    TestClient client = new TestClient(look(1, 3000));
     Message pull = engine.next("PULL");
     for (int i = 0; i < 2; i++) {
       pull.answer("00000000000000ff", "200", "pages=1", ROWS);
@@ -90,27 +91,27 @@
     for (int i = 0; i < 2; i++) {
       pull.answer(pull.id(), "chunk", "page=1", "c\t3\tz\n");
     }
-    assertEquals(List.of("a|1|x", "b|2|y", "c|3|z", "SELECT 3"), client.told());
+    assertEquals(List.of("a|1|x", "b|2|y", "c|3|z", "SELECT 3"), client.readReplies());
     client.query(client.out, look(2, 3000));
     Message again = engine.next("PULL");
     assertEquals(pull.from(), again.from(), "the connection is as good as before");
     again.answer(again.id(), "200", "pages=1", "");
-    assertEquals(List.of("SELECT 0"), client.told());
+    assertEquals(List.of("SELECT 0"), client.readReplies());
   }
 
   /** A process that was held up finds answers posted when it goes on. */
   @Test
   void postedAnswersAreProcessedBeforeATimeoutActs() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(command("look", 1, 3000));
+    TestClient client = new TestClient(command("look", 1, 3000));
     Message pull = engine.next("PULL");
     CountDownLatch held = holdUp();
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     Thread.sleep(1000);
     held.countDown();
-    assertEquals("SELECT 2", client.told().get(2));
-    assertTrue(engine.heard.isEmpty(), "the send was given up with its answer there");
+    assertEquals("SELECT 2", client.readReplies().get(2));
+    assertTrue(engine.received.isEmpty(), "the send was given up with its answer there");
   }
 
   /**
@@ -119,9 +120,9 @@
    */
   @Test
   void unreadAnswersAreReadBeforeAnOverdueTimeoutActs() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(command("look", 1, 3000));
+    TestClient client = new TestClient(command("look", 1, 3000));
     Message pull = engine.next("PULL");
     CountDownLatch held = holdUp();
     CountDownLatch heldSockets = holdUpSockets();
@@ -131,7 +132,7 @@
     held.countDown();
     awaitTurn();
     heldSockets.countDown();
-    assertEquals("SELECT 2", client.told().get(2));
-    assertTrue(engine.heard.isEmpty(), "the send was given up with its answer there");
+    assertEquals("SELECT 2", client.readReplies().get(2));
+    assertTrue(engine.received.isEmpty(), "the send was given up with its answer there");
   }
 }
--- a/src/test/java/cobaltseam/service/EngineConnectionsTest.java
+++ b/src/test/java/cobaltseam/service/EngineConnectionsTest.java
@@ -22,15 +22,15 @@
    */
   @Test
   void anAttemptIsCancelledByClosingItsConnectionBeforeTheRetry() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(command("look", 1, 1500));
+    TestClient client = new TestClient(command("look", 1, 1500));
     Message silent = engine.next("PULL");
     List<Message> next = List.of(engine.next(), engine.next());
     assertEquals(
         Set.of("closed", "PULL"), Set.of(next.get(0).items().get(0), next.get(1).items().get(0)));
     assertTrue(silent.from().getInputStream().read() < 0);
-    assertEquals(List.of("error 53 pushback"), client.told());
+    assertEquals(List.of("error 53 pushback"), client.readReplies());
     assertEquals(List.of("empty"), client.ask(""));
   }
 
@@ -41,35 +41,35 @@
       closedPort = listener.getLocalPort();
     }
     start(SOCKETS, IDLE_MS, "127.0.0.1:" + closedPort);
-    Client client = new Client(command("once", 1, 1000));
-    assertEquals(List.of("error 53 pushback"), client.told());
+    TestClient client = new TestClient(command("once", 1, 1000));
+    assertEquals(List.of("error 53 pushback"), client.readReplies());
   }
 
   @Test
   void attemptsOnASharedConnectionAreCancelledByMessage() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(5, IDLE_MS, engine);
-    Client one = new Client(command("once", 1, 700));
+    TestClient one = new TestClient(command("once", 1, 700));
     Message first = engine.next("PULL");
-    Client two = new Client(command("once", 2, 3000));
+    TestClient two = new TestClient(command("once", 2, 3000));
     Message second = engine.next("PULL");
     assertEquals(first.from(), second.from());
     assertEquals(List.of("KILL", first.id()), engine.next().items());
-    assertEquals(List.of("error 58"), one.told());
+    assertEquals(List.of("error 58"), one.readReplies());
     first.answer(first.id(), "200", "pages=2", ROWS);
     assertEquals(List.of("DISCARD", first.id()), engine.next().items(), "a late answer is dropped");
     second.answer(second.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", two.told().get(2));
+    assertEquals("SELECT 2", two.readReplies().get(2));
   }
 
   @Test
   void connectionsIdleTooLongOrToAnEarlierIncarnationAreNotUsed() throws Exception {
-    Peer engine = new Peer(true);
-    Peer bus = start(SOCKETS, 200, engine);
-    Client client = new Client(look(1, 3000));
+    EmulatedPeer engine = new EmulatedPeer(true);
+    EmulatedPeer bus = start(SOCKETS, 200, engine);
+    TestClient client = new TestClient(look(1, 3000));
     Message first = engine.next("PULL");
     first.answer(first.id(), "200", "pages=1", ROWS);
-    client.told();
+    client.readReplies();
     Thread.sleep(250);
     client.query(client.out, command("once", 2, 3000));
     List<Message> next = List.of(engine.next(), engine.next());
@@ -79,12 +79,12 @@
     String restarted =
         target(1, engine.address(), "in_service")
             .replace("\"boot_ms\":0", "\"boot_ms\":" + (System.currentTimeMillis() + 60_000));
-    bus.next().say(event(8, false, restarted) + "\n");
+    bus.next().write(event(8, false, restarted) + "\n");
     assertEquals(
         "closed",
         engine.next().items().get(0),
         "a machine that came back knows no earlier connection");
-    assertEquals(List.of("error 58"), client.told());
+    assertEquals(List.of("error 58"), client.readReplies());
   }
 
   @Test
@@ -107,9 +107,9 @@
           SOCKETS,
           IDLE_MS,
           "127.0.0.1:" + full.getLocalPort());
-      Client client = new Client(command("once", 1, 2000));
+      TestClient client = new TestClient(command("once", 1, 2000));
       long asked = System.nanoTime();
-      assertEquals(List.of("error 53 pushback"), client.told());
+      assertEquals(List.of("error 53 pushback"), client.readReplies());
       assertTrue(System.nanoTime() - asked < TimeUnit.SECONDS.toNanos(2));
       for (Socket socket : waiting) {
         socket.close();
--- a/src/test/java/cobaltseam/service/FleetServiceOrderTest.java
+++ b/src/test/java/cobaltseam/service/FleetServiceOrderTest.java
@@ -66,7 +66,7 @@
       } finally {
         log.removeHandler(says);
       }
-      Client client = new Client();
+      TestClient client = new TestClient();
       for (int i = 0;
           client.ask("SHOW cobaltseam.members").stream()
               .noneMatch(row -> row.startsWith("member_n9"));
@@ -101,9 +101,9 @@
                 period_ms = 200
                 """
                 .formatted(address, address, address));
-    String bus = new Peer(false).address();
+    String bus = new EmulatedPeer(false).address();
     service = new DispatcherService(told(bus, SOCKETS, IDLE_MS));
-    service.joinsFleet(
+    service.enableFleet(
         SettingsReader.read(own),
         configuration(bus, SOCKETS, IDLE_MS).getBytes(StandardCharsets.UTF_8));
   }
--- a/src/test/java/cobaltseam/service/ProcessSignalTest.java
+++ b/src/test/java/cobaltseam/service/ProcessSignalTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltseam.standin.BusStandIn;
-import cobaltseam.standin.ClientStandIn;
 import cobaltseam.standin.DispatcherProcess;
-import cobaltseam.standin.EngineStandIn;
-import cobaltseam.standin.Ledger.End;
+import cobaltseam.standin.EmulatedEngine;
+import cobaltseam.standin.EmulatedEventBus;
+import cobaltseam.standin.RequestLedger.Outcome;
+import cobaltseam.standin.StatementClient;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -37,16 +37,16 @@
   private static final int READY = 9;
 
   @TempDir Path folder;
-  private BusStandIn bus;
-  private EngineStandIn engine;
+  private EmulatedEventBus bus;
+  private EmulatedEngine engine;
   private String known;
   private final List<DispatcherProcess> processes = new ArrayList<>();
 
   @BeforeEach
   void begin() throws Exception {
-    bus = new BusStandIn(HOST);
-    engine = new EngineStandIn(HOST, profile -> RUNS_MS);
-    known = bus.tell(true, BusStandIn.target(1, engine.address(), "in_service"));
+    bus = new EmulatedEventBus(HOST);
+    engine = new EmulatedEngine(HOST, profile -> RUNS_MS);
+    known = bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
   }
 
   @AfterEach
@@ -80,9 +80,9 @@
     process.start();
     process.await("serves on", 0, LONG_MS);
     ExecutorService asks = Executors.newSingleThreadExecutor();
-    try (ClientStandIn client = new ClientStandIn(listen, LONG_MS)) {
-      Future<End> answer =
-          asks.submit(() -> client.command("%016x".formatted(1), "once", 3000, RUNS_MS));
+    try (StatementClient client = new StatementClient(listen, LONG_MS)) {
+      Future<Outcome> answer =
+          asks.submit(() -> client.execute("%016x".formatted(1), "once", 3000, RUNS_MS));
       while (engine.running() == 0) {
         assertFalse(answer.isDone(), "it never came to the engine");
         Thread.onSpinWait();
@@ -91,8 +91,8 @@
       process.signal("TERM");
       process.signal("HUP");
       process.signal("TERM");
-      Map<String, Long> counters = process.ended(from);
-      assertEquals(End.ANSWERED, answer.get(LONG_MS, TimeUnit.MILLISECONDS));
+      Map<String, Long> counters = process.awaitEnd(from);
+      assertEquals(Outcome.ANSWERED, answer.get(LONG_MS, TimeUnit.MILLISECONDS));
       assertEquals(0, counters.get("faults"));
     } finally {
       asks.shutdownNow();
@@ -110,15 +110,15 @@
     process.start();
     process.await("serves on", 0, LONG_MS);
     ExecutorService asks = Executors.newSingleThreadExecutor();
-    try (ClientStandIn client = new ClientStandIn(listen, LONG_MS)) {
+    try (StatementClient client = new StatementClient(listen, LONG_MS)) {
       int from = process.lines();
       process.signal("STOP");
-      client.begin("%016x".formatted(1), "once", 3000, RUNS_MS);
+      client.send("%016x".formatted(1), "once", 3000, RUNS_MS);
       process.signal("TERM");
-      Future<End> answer = asks.submit(client::ending);
+      Future<Outcome> answer = asks.submit(client::awaitOutcome);
       process.signal("CONT");
-      assertEquals(End.ANSWERED, answer.get(LONG_MS, TimeUnit.MILLISECONDS));
-      assertEquals(0, process.ended(from).get("faults"));
+      assertEquals(Outcome.ANSWERED, answer.get(LONG_MS, TimeUnit.MILLISECONDS));
+      assertEquals(0, process.awaitEnd(from).get("faults"));
     } finally {
       asks.shutdownNow();
     }
@@ -143,7 +143,7 @@
             long from = System.nanoTime();
             processes.get(number).start();
             processes.get(number).await("serves on", 0, LONG_MS);
-            try (ClientStandIn client = new ClientStandIn(addresses.get(number), LONG_MS)) {
+            try (StatementClient client = new StatementClient(addresses.get(number), LONG_MS)) {
               client.show("counters");
             }
             return System.nanoTime() - from <= TimeUnit.MILLISECONDS.toNanos(READY_WITHIN_MS);
--- a/src/test/java/cobaltseam/service/ServiceRig.java
+++ b/src/test/java/cobaltseam/service/ServiceRig.java
@@ -48,19 +48,19 @@
   private final Map<DispatcherService, Thread> loops = new LinkedHashMap<>();
 
   /** Accepts connections; what is received on them, and their ends, form one queue of messages. */
-  final class Peer implements AutoCloseable {
+  final class EmulatedPeer implements AutoCloseable {
     final ServerSocket server;
-    final BlockingQueue<Message> heard = new LinkedBlockingQueue<>();
+    final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
     final boolean resp;
 
-    Peer(boolean resp) throws IOException {
+    EmulatedPeer(boolean resp) throws IOException {
       this(resp, 0);
     }
 
     /**
      * @param port where it listens, or 0 for any that is free
      */
-    Peer(boolean resp, int port) throws IOException {
+    EmulatedPeer(boolean resp, int port) throws IOException {
       this.resp = resp;
       server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
       open.add(this);
@@ -85,15 +85,15 @@
             line(in);
             items.add(new String(item, StandardCharsets.UTF_8));
           }
-          heard.add(new Message(socket, resp ? items : List.of(line(in))));
+          received.add(new Message(socket, resp ? items : List.of(line(in))));
         }
       } catch (IOException e) {
-        heard.add(new Message(socket, List.of("closed")));
+        received.add(new Message(socket, List.of("closed")));
       }
     }
 
     Message next() throws InterruptedException {
-      Message message = heard.poll(SOON_S, TimeUnit.SECONDS);
+      Message message = received.poll(SOON_S, TimeUnit.SECONDS);
       assertNotNull(message, "nothing came");
       return message;
     }
@@ -115,7 +115,7 @@
   }
 
   record Message(Socket from, List<String> items) {
-    void say(String text) throws IOException {
+    void write(String text) throws IOException {
       from.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -124,7 +124,7 @@
       for (String item : answer) {
         out.append('$').append(item.length()).append("\r\n").append(item).append("\r\n");
       }
-      say(out.toString());
+      write(out.toString());
     }
 
     void reset() throws IOException {
@@ -164,14 +164,14 @@
   }
 
   /** A client that writes and reads at the test's command. */
-  final class Client implements AutoCloseable {
+  final class TestClient implements AutoCloseable {
     final Socket socket = new Socket(service.address().getAddress(), service.address().getPort());
     final DataInputStream in = new DataInputStream(socket.getInputStream());
     final DataOutputStream out = new DataOutputStream(socket.getOutputStream());
     int session;
     int secret;
 
-    Client(String... behind) throws IOException {
+    TestClient(String... behind) throws IOException {
       open.add(this);
       socket.setSoTimeout(SOON_S * 1000);
       ByteArrayOutputStream first = new ByteArrayOutputStream();
@@ -183,7 +183,7 @@
         query(to, query);
       }
       out.write(first.toByteArray());
-      assertEquals("K", told().get(0));
+      assertEquals("K", readReplies().get(0));
     }
 
     void query(DataOutputStream to, String text) throws IOException {
@@ -202,11 +202,11 @@
 
     List<String> ask(String query) throws IOException {
       query(out, query);
-      return told();
+      return readReplies();
     }
 
     /** The messages up to ReadyForQuery, in short: rows, tags, and the class of errors. */
-    List<String> told() throws IOException {
+    List<String> readReplies() throws IOException {
       List<String> told = new ArrayList<>();
       while (true) {
         char type = (char) in.readByte();
@@ -249,21 +249,22 @@
     }
   }
 
-  Peer start(Peer... engines) throws IOException {
+  EmulatedPeer start(EmulatedPeer... engines) throws IOException {
     return start(SOCKETS, IDLE_MS, engines);
   }
 
-  Peer start(int sockets, int idleMs, Peer... engines) throws IOException {
-    return start(sockets, idleMs, Arrays.stream(engines).map(Peer::address).toArray(String[]::new));
+  EmulatedPeer start(int sockets, int idleMs, EmulatedPeer... engines) throws IOException {
+    return start(
+        sockets, idleMs, Arrays.stream(engines).map(EmulatedPeer::address).toArray(String[]::new));
   }
 
-  Peer start(int sockets, int idleMs, String... engines) throws IOException {
+  EmulatedPeer start(int sockets, int idleMs, String... engines) throws IOException {
     return start(configuration -> configuration, sockets, idleMs, engines);
   }
 
-  Peer start(UnaryOperator<String> changed, int sockets, int idleMs, String... engines)
+  EmulatedPeer start(UnaryOperator<String> changed, int sockets, int idleMs, String... engines)
       throws IOException {
-    Peer bus = new Peer(false);
+    EmulatedPeer bus = new EmulatedPeer(false);
     String[] targets = new String[engines.length];
     Arrays.setAll(targets, i -> target(i + 1, engines[i], "in_service"));
     service =
@@ -286,7 +287,7 @@
         new Thread(
             () -> {
               try {
-                started.loop();
+                started.runLoop();
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -308,11 +309,11 @@
   }
 
   /** An engine whose accept queue is full: no connection comes up until it is relieved. */
-  final class Crowded {
+  final class UnreachableEngine {
     final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     final List<Socket> waiting = new ArrayList<>();
 
-    Crowded() throws IOException {
+    UnreachableEngine() throws IOException {
       open.add(server);
       for (boolean full = false; !full; ) {
         Socket socket = new Socket();
@@ -331,8 +332,8 @@
     }
 
     /** Accepts connections from now on; the peer returned receives what is written to them. */
-    Peer relieve() throws IOException {
-      Peer hears = new Peer(true);
+    EmulatedPeer relieve() throws IOException {
+      EmulatedPeer hears = new EmulatedPeer(true);
       thread(
           () -> {
             while (true) {
@@ -345,17 +346,17 @@
   }
 
   /** Asserts that no request is sent to this peer, now or in the next 2 s. */
-  static void assertNoPull(Peer peer) throws InterruptedException {
-    for (Message m = peer.heard.poll(2, TimeUnit.SECONDS);
+  static void assertNoPull(EmulatedPeer peer) throws InterruptedException {
+    for (Message m = peer.received.poll(2, TimeUnit.SECONDS);
         m != null;
-        m = peer.heard.poll(0, TimeUnit.SECONDS)) {
+        m = peer.received.poll(0, TimeUnit.SECONDS)) {
       assertEquals("closed", m.items().get(0));
     }
-    assertNull(peer.heard.peek());
+    assertNull(peer.received.peek());
   }
 
   /** Waits until a counter has this value. */
-  static void await(Client client, String counter) throws Exception {
+  static void await(TestClient client, String counter) throws Exception {
     for (int i = 0; !client.ask("SHOW cobaltseam.counters").contains(counter); i++) {
       assertTrue(i < SOON_S * 100, counter + " never came");
       Thread.sleep(10);
@@ -363,10 +364,10 @@
   }
 
   /** The next message that comes to any of them. */
-  static Message poll(Peer... peers) throws InterruptedException {
+  static Message poll(EmulatedPeer... peers) throws InterruptedException {
     for (int i = 0; i < SOON_S * 1000; i++) {
-      for (Peer peer : peers) {
-        Message message = peer.heard.poll();
+      for (EmulatedPeer peer : peers) {
+        Message message = peer.received.poll();
         if (message != null && !message.items.get(0).equals("closed")) {
           return message;
         }
@@ -421,7 +422,7 @@
     final CountDownLatch holds = new CountDownLatch(1);
     final CountDownLatch held = new CountDownLatch(1);
 
-    HoldsInRound(Client client) {
+    HoldsInRound(TestClient client) {
       service.acceptor.getManagedSessions().values().stream()
           .filter(s -> s.getRemoteAddress().equals(client.socket.getLocalSocketAddress()))
           .forEach(s -> s.getFilterChain().addLast("holds", this));
--- a/src/test/java/cobaltseam/service/SettingsIsolationTest.java
+++ b/src/test/java/cobaltseam/service/SettingsIsolationTest.java
@@ -36,12 +36,12 @@
 
   @Test
   void twoDispatchersWithSettingsOfDifferentCustomersAreIsolated() throws Exception {
-    Peer mine = new Peer(true);
+    EmulatedPeer mine = new EmulatedPeer(true);
     start(mine);
-    Client ours = new Client();
-    Peer theirs = new Peer(true);
+    TestClient ours = new TestClient();
+    EmulatedPeer theirs = new EmulatedPeer(true);
     start(SettingsIsolationTest::settingsOfOtherCustomer, SOCKETS, IDLE_MS, theirs.address());
-    Client other = new Client();
+    TestClient other = new TestClient();
     assertEquals(List.of("error 42"), ours.ask(command("browse", 1, 5000)));
     assertEquals(List.of("error 42"), ours.ask(withTenant("zeta", look(2, 5000))));
     assertEquals(List.of("error 42"), other.ask(look(3, 5000)));
@@ -56,25 +56,25 @@
     assertTrue(there.items().get(2).startsWith("lane=browse"));
     here.answer(here.id(), "200", "pages=1", "ours\t1\tx\n");
     there.answer(there.id(), "200", "pages=1", "theirs\t1\tx\n");
-    assertEquals(List.of("ours|1|x", "SELECT 1"), ours.told());
-    assertEquals(List.of("theirs|1|x", "SELECT 1"), other.told());
+    assertEquals(List.of("ours|1|x", "SELECT 1"), ours.readReplies());
+    assertEquals(List.of("theirs|1|x", "SELECT 1"), other.readReplies());
   }
 
   /** What was taken ends under the rules of both; what comes after knows the new ones alone. */
   @Test
   void reloadUnderLoadReplacesAllSettingsOfTheFirstCustomer() throws Exception {
-    Peer engine = new Peer(true);
-    Peer bus = start(engine);
+    EmulatedPeer engine = new EmulatedPeer(true);
+    EmulatedPeer bus = start(engine);
     bus.next("from 7");
     Path file = folder.resolve("configuration.json");
-    service.readAnewOnHangUp(Map.of("GW_CONFIG", file.toString()));
-    List<Client> busy = new ArrayList<>();
+    service.reloadOnHangUp(Map.of("GW_CONFIG", file.toString()));
+    List<TestClient> busy = new ArrayList<>();
     List<Message> out = new ArrayList<>();
     for (int i = 0; i < BUSY; i++) {
-      busy.add(new Client(withTenant("acme", command("once", i, 20_000))));
+      busy.add(new TestClient(withTenant("acme", command("once", i, 20_000))));
       out.add(engine.next("PULL"));
     }
-    Client watch = new Client();
+    TestClient watch = new TestClient();
     Files.writeString(
         file,
         settingsOfOtherCustomer(
@@ -86,7 +86,7 @@
     assertEquals(List.of("error 42"), watch.ask(withTenant("acme", command("browse", 21, 5000))));
     for (int i = 0; i < BUSY; i++) {
       out.get(i).answer(out.get(i).id(), "200", "pages=1", "");
-      assertEquals(List.of("SELECT 0"), busy.get(i).told());
+      assertEquals(List.of("SELECT 0"), busy.get(i).readReplies());
     }
     watch.query(
         watch.out,
@@ -95,7 +95,7 @@
     engine.next("closed");
     assertEquals(
         List.of("error 53 pushback"),
-        watch.told(),
+        watch.readReplies(),
         "one send at most under the new settings, not three");
   }
 }
--- a/src/test/java/cobaltseam/service/ShutdownRaceTest.java
+++ b/src/test/java/cobaltseam/service/ShutdownRaceTest.java
@@ -26,7 +26,7 @@
    * seen its connection end.
    */
   private Thread shutDown() throws IOException {
-    Client resting = new Client();
+    TestClient resting = new TestClient();
     assertEquals(List.of("empty"), resting.ask(""));
     Thread stop = new Thread(service::stop);
     stop.start();
@@ -45,23 +45,23 @@
    */
   @Test
   void anIdleClientSeesTheEndOfItsConnectionBeforeTheProcessEnds() throws Exception {
-    start(new Peer(true));
+    start(new EmulatedPeer(true));
     assertEnds(shutDown());
   }
 
   /** The client reads slowly: part of its answer is not written yet when the shutdown comes. */
   @Test
   void anAnswerHalfWrittenWhenTheShutdownComesIsWrittenCompletely() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     service.acceptor.getSessionConfig().setSendBufferSize(SMALL_BUFFER);
-    Client slow = new Client(look(1, 20_000));
+    TestClient slow = new TestClient(look(1, 20_000));
     Message out = engine.next("PULL");
     out.answer(out.id(), "200", "pages=1", "a\n".repeat(MANY_ROWS));
-    await(new Client(), "commands_answered|1");
+    await(new TestClient(), "commands_answered|1");
     assertTrue(service.acceptor.getScheduledWriteBytes() > 0, "the answer was written at once");
     Thread stop = shutDown();
-    List<String> told = slow.told();
+    List<String> told = slow.readReplies();
     assertEquals("SELECT " + MANY_ROWS, told.get(told.size() - 1));
     assertEquals(END, slow.in.read(), "an end, not a reset");
     assertEnds(stop);
@@ -72,22 +72,22 @@
    */
   @Test
   void aStatementReadAfterTheShutdownIsRejectedAtOnceAndNotForwarded() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client hanging = new Client(look(1, 20_000));
+    TestClient hanging = new TestClient(look(1, 20_000));
     Message out = engine.next("PULL");
-    Client halfWritten = new Client();
+    TestClient halfWritten = new TestClient();
     byte[] late = message(look(2, 20_000));
     halfWritten.out.write(late, 0, 30);
     awaitRead();
     Thread stop = shutDown();
     halfWritten.out.write(late, 30, late.length - 30);
-    assertEquals(List.of("error 57"), halfWritten.told(), "trying again is harmless");
+    assertEquals(List.of("error 57"), halfWritten.readReplies(), "trying again is harmless");
     assertEquals(END, halfWritten.in.read());
     out.answer(out.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", hanging.told().get(2), "what was taken before is answered");
+    assertEquals("SELECT 2", hanging.readReplies().get(2), "what was taken before is answered");
     assertEnds(stop);
-    assertTrue(engine.heard.stream().noneMatch(m -> m.items().get(0).equals("PULL")));
+    assertTrue(engine.received.stream().noneMatch(m -> m.items().get(0).equals("PULL")));
   }
 
   /**
@@ -96,21 +96,21 @@
    */
   @Test
   void aRequestThatHangsTooLongIsAbandonedWithAnAnswer() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(
         configuration ->
             configuration.replace("\"hard_limit_us\":3000000", "\"hard_limit_us\":60000000"),
         SOCKETS,
         IDLE_MS,
         engine.address());
-    Client once = new Client(command("once", 1, 60_000));
+    TestClient once = new TestClient(command("once", 1, 60_000));
     engine.next("PULL");
-    Client again = new Client(look(2, 60_000).replace("work=1000", "work=20000"));
+    TestClient again = new TestClient(look(2, 60_000).replace("work=1000", "work=20000"));
     engine.next("PULL");
     long asked = System.nanoTime();
     Thread stop = shutDown();
-    assertEquals(List.of("error 53 pushback"), again.told(), "trying again does no harm");
-    assertEquals(List.of("error 58"), once.told(), "it may have run");
+    assertEquals(List.of("error 53 pushback"), again.readReplies(), "trying again does no harm");
+    assertEquals(List.of("error 58"), once.readReplies(), "it may have run");
     assertTrue(
         System.nanoTime() - asked < LAST_MOMENT_NANOS, "answered before the process may be killed");
     assertEnds(stop);
@@ -119,9 +119,9 @@
   /** The cancel request comes on a new connection, which a closed port would not accept. */
   @Test
   void aCancelRequestIsProcessedWhileItsRequestIsOpen() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(command("once", 1, 20_000));
+    TestClient client = new TestClient(command("once", 1, 20_000));
     engine.next("PULL");
     Thread stop = shutDown();
     try (Socket cancel = new Socket(service.address().getAddress(), service.address().getPort())) {
@@ -138,9 +138,9 @@
    */
   @Test
   void aConnectionThatComesWhileRequestsAreOpenIsRejected() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(look(1, 20_000));
+    TestClient client = new TestClient(look(1, 20_000));
     Message out = engine.next("PULL");
     Thread stop = shutDown();
     byte[] startup = {0, 0, 0, 9, 0, 3, 0, 0, 0};
@@ -156,22 +156,22 @@
       assertTrue(told.contains("57P03"), told);
     }
     out.answer(out.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
+    assertEquals("SELECT 2", client.readReplies().get(2));
     assertEnds(stop);
-    assertTrue(engine.heard.stream().noneMatch(m -> m.items().get(0).equals("PULL")));
+    assertTrue(engine.received.stream().noneMatch(m -> m.items().get(0).equals("PULL")));
   }
 
   /** Several statements are read together in the turn of the shutdown: each gets its own answer. */
   @Test
   void aPendingStatementIsRejectedOnceTheOneBeforeItIsAnswered() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    Client client = new Client(look(1, 20_000), look(2, 20_000));
+    TestClient client = new TestClient(look(1, 20_000), look(2, 20_000));
     Message out = engine.next("PULL");
     Thread stop = shutDown();
     out.answer(out.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.told().get(2));
-    assertEquals(List.of("error 57"), client.told());
+    assertEquals("SELECT 2", client.readReplies().get(2));
+    assertEquals(List.of("error 57"), client.readReplies());
     assertEquals(END, client.in.read());
     assertEnds(stop);
   }
@@ -179,8 +179,8 @@
   /** A client that never completes its message, or never closes, does not keep the process. */
   @Test
   void aClientInTheMiddleOfAMessageDoesNotDelayTheEnd() throws Exception {
-    start(new Peer(true));
-    Client client = new Client();
+    start(new EmulatedPeer(true));
+    TestClient client = new TestClient();
     client.out.write(message(look(1, 20_000)), 0, 30);
     awaitRead();
     assertEnds(shutDown());
@@ -190,14 +190,14 @@
   /** Unread bytes would turn the close into a reset, which may lose the answer. */
   @Test
   void aCloseOverUnreadBytesResetsNothing() throws Exception {
-    start(new Peer(true));
-    Client client = new Client();
+    start(new EmulatedPeer(true));
+    TestClient client = new TestClient();
     byte[] broken = new byte[100_000];
     System.arraycopy(new byte[] {'Q', -1, 0, 0, 0}, 0, broken, 0, 5);
     client.out.write(broken);
     byte[] told = client.in.readAllBytes();
     assertTrue(new String(told, StandardCharsets.UTF_8).contains("FATAL"), "it is told why");
-    assertEquals(List.of("empty"), new Client().ask(""));
+    assertEquals(List.of("empty"), new TestClient().ask(""));
   }
 
   /**
@@ -205,11 +205,11 @@
    */
   @Test
   void bytesThatCrossTheCloseOfAnIdleConnectionResetNothing() throws Exception {
-    start(16, IDLE_MS, new Peer(true));
-    Client idle = new Client();
+    start(16, IDLE_MS, new EmulatedPeer(true));
+    TestClient idle = new TestClient();
     assertEquals(List.of("empty"), idle.ask(""));
     for (int i = 0; i < 6; i++) {
-      assertEquals(List.of("empty"), new Client().ask(""));
+      assertEquals(List.of("empty"), new TestClient().ask(""));
     }
     assertEquals(END, idle.in.read(), "the longest idle gives way");
     idle.query(idle.out, look(1, 3000));
--- a/src/test/java/cobaltseam/service/SlowStartRaceTest.java
+++ b/src/test/java/cobaltseam/service/SlowStartRaceTest.java
@@ -56,7 +56,7 @@
    */
   @Test
   void allDispatchersTogetherKeepToTheSlowStartOfAnEngine() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     long boot = System.currentTimeMillis();
     long bootNanos = System.nanoTime();
     for (int i = 0; i < DISPATCHERS; i++) {
@@ -71,7 +71,7 @@
   /** If attempts that wait for a connection were not counted, all of them would come at once. */
   @Test
   void attemptsThatWaitForAConnectionCountTowardTheSlowStart() throws Exception {
-    Crowded engine = new Crowded();
+    UnreachableEngine engine = new UnreachableEngine();
     long boot = System.currentTimeMillis();
     long bootNanos = System.nanoTime();
     for (int i = 0; i < DISPATCHERS; i++) {
@@ -95,13 +95,13 @@
   /** Some see the restart late: those that know of it keep to their part, and then all do. */
   @Test
   void aRestartThatSomeSeeLateIsRespectedByTheOthersAndThenByAll() throws Exception {
-    Peer engine = new Peer(true);
+    EmulatedPeer engine = new EmulatedPeer(true);
     long boot = System.currentTimeMillis();
     long bootNanos = System.nanoTime();
     List<Message> late = new ArrayList<>();
     for (int i = 0; i < DISPATCHERS; i++) {
       boolean knows = i < DISPATCHERS / 2;
-      Peer bus = startOne(plain -> plain, i, knows ? boot : 0, engine.address());
+      EmulatedPeer bus = startOne(plain -> plain, i, knows ? boot : 0, engine.address());
       if (!knows) {
         late.add(bus.next("from 7"));
       }
@@ -111,7 +111,7 @@
     for (int second = 0; second < FALL_S; second++) {
       for (Message watch : late) {
         // The heartbeat of an event bus without events.
-        watch.say("7\n");
+        watch.write("7\n");
       }
       before.addAll(answerAll(engine, 1));
     }
@@ -122,7 +122,7 @@
             target(1, engine.address(), "in_service")
                 .replace("\"boot_ms\":0", "\"boot_ms\":" + boot));
     for (Message watch : late) {
-      watch.say(told + "\n");
+      watch.write(told + "\n");
     }
     // Attempts of those that did not know of the restart may still come for a while.
     answerAll(engine, 1);
@@ -139,7 +139,7 @@
   /** One request that came to the engine, and the dispatcher that sent it. */
   private record Sent(long atNanos, int dispatcher) {}
 
-  private Peer startOne(UnaryOperator<String> changed, int number, long boot, String engine)
+  private EmulatedPeer startOne(UnaryOperator<String> changed, int number, long boot, String engine)
       throws IOException {
     return start(
         plain -> configuration(changed.apply(plain), number, boot), SOCKETS, IDLE_MS, engine);
@@ -147,7 +147,7 @@
 
   /** A client of the dispatcher started last that sends statements without a pause. */
   private void asks(int dispatcher, int client, int ttlMs) throws IOException {
-    Client session = new Client();
+    TestClient session = new TestClient();
     int first = (dispatcher * CLIENTS + client) * CALLS;
     thread(
         () -> {
@@ -158,11 +158,11 @@
   }
 
   /** Answers at once all requests that come within so many seconds. */
-  private static List<Sent> answerAll(Peer engine, double seconds) throws Exception {
+  private static List<Sent> answerAll(EmulatedPeer engine, double seconds) throws Exception {
     List<Sent> sent = new ArrayList<>();
     long until = System.nanoTime() + (long) (seconds * 1e9);
     for (long left = until - System.nanoTime(); left > 0; left = until - System.nanoTime()) {
-      Message message = engine.heard.poll(left, TimeUnit.NANOSECONDS);
+      Message message = engine.received.poll(left, TimeUnit.NANOSECONDS);
       if (message != null && message.items().get(0).equals("PULL")) {
         sent.add(new Sent(System.nanoTime(), Integer.parseInt(message.id(), 16) / CALLS / CLIENTS));
         message.answer(message.id(), "200", "pages=1", ROWS);
--- a/src/test/java/cobaltseam/service/TimersTest.java
+++ b/src/test/java/cobaltseam/service/TimersTest.java
@@ -22,7 +22,7 @@
     timers.set(new Timestamp(51), () -> run.add(5));
     timers.cancel(cancelled);
     timers.cancel(null);
-    for (Runnable due = timers.due(now); due != null; due = timers.due(now)) {
+    for (Runnable due = timers.pollDue(now); due != null; due = timers.pollDue(now)) {
       due.run();
     }
     assertEquals(List.of(1, 2, 3), run);
--- a/src/test/java/cobaltseam/service/VirtualAddressServiceFaultTest.java
+++ b/src/test/java/cobaltseam/service/VirtualAddressServiceFaultTest.java
@@ -7,12 +7,12 @@
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.settings.Settings;
 import cobaltseam.settings.SettingsReader;
-import cobaltseam.standin.BusStandIn;
-import cobaltseam.standin.ClientStandIn;
 import cobaltseam.standin.DispatcherProcess;
-import cobaltseam.standin.EngineStandIn;
-import cobaltseam.standin.HallRig;
-import cobaltseam.standin.Ledger.End;
+import cobaltseam.standin.EmulatedEngine;
+import cobaltseam.standin.EmulatedEventBus;
+import cobaltseam.standin.RequestLedger.Outcome;
+import cobaltseam.standin.StatementClient;
+import cobaltseam.standin.VirtualAddressRig;
 import com.fasterxml.jackson.core.JsonFactory;
 import java.io.IOException;
 import java.net.DatagramSocket;
@@ -33,9 +33,9 @@
 
   @TempDir Path folder;
 
-  private static ServiceConfiguration configuration(EngineStandIn engine, BusStandIn bus)
+  private static ServiceConfiguration configuration(EmulatedEngine engine, EmulatedEventBus bus)
       throws IOException {
-    String known = bus.tell(true, BusStandIn.target(1, engine.address(), "in_service"));
+    String known = bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
     String json =
         DispatcherProcess.configuration(
             "n0", new InetSocketAddress("127.0.0.1", 0), 0, 1, 8, bus, known);
@@ -61,7 +61,7 @@
                 router = [{id = 1, interval_ms = 50, addresses = ["192.0.2.10"], serve = "127.0.78.1:%d"}]
                 """
                 .formatted(advertisements.getPort(), serviceAddress.getPort()));
-    return SettingsReader.read(file).hall();
+    return SettingsReader.read(file).virtualAddresses();
   }
 
   private static Thread startLoop(DispatcherService service) {
@@ -69,7 +69,7 @@
         new Thread(
             () -> {
               try {
-                service.loop();
+                service.runLoop();
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -80,13 +80,13 @@
 
   @Test
   void aFaultInMastershipEndsOnlyMastership() throws Exception {
-    try (EngineStandIn engine = new EngineStandIn("127.0.0.1", p -> 600);
-        BusStandIn bus = new BusStandIn("127.0.0.1")) {
+    try (EmulatedEngine engine = new EmulatedEngine("127.0.0.1", p -> 600);
+        EmulatedEventBus bus = new EmulatedEventBus("127.0.0.1")) {
       AtomicBoolean broken = new AtomicBoolean();
       Settings.VirtualAddressSettings settings = settings();
       InetSocketAddress serviceAddress = settings.routers().get(0).serviceAddress();
       DispatcherService service = new DispatcherService(configuration(engine, bus));
-      service.joins(
+      service.enableVirtualAddresses(
           settings,
           () -> {
             if (broken.get()) {
@@ -96,20 +96,20 @@
           });
       service.open();
       Thread loop = startLoop(service);
-      try (ClientStandIn client = VirtualAddressServiceTest.connect(serviceAddress)) {
-        CompletableFuture<End> end =
-            CompletableFuture.supplyAsync(() -> client.command("00000000000000e0", "look", 2500));
+      try (StatementClient client = VirtualAddressServiceTest.connect(serviceAddress)) {
+        CompletableFuture<Outcome> end =
+            CompletableFuture.supplyAsync(() -> client.execute("00000000000000e0", "look", 2500));
         while (engine.running() == 0) {
-          HallRig.sleep(5);
+          VirtualAddressRig.sleep(5);
         }
         broken.set(true);
-        assertEquals(End.ANSWERED, end.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertEquals(Outcome.ANSWERED, end.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
       }
-      try (ClientStandIn client = new ClientStandIn(service.address(), 5000)) {
+      try (StatementClient client = new StatementClient(service.address(), 5000)) {
         assertEquals("ended by a fault", client.show("mastership").get("mastership"));
-        assertEquals(End.TURNED_AWAY, client.command("00000000000000e2", "look", 2500));
+        assertEquals(Outcome.TURNED_AWAY, client.execute("00000000000000e2", "look", 2500));
       }
-      assertThrows(IOException.class, () -> new ClientStandIn(serviceAddress, 500));
+      assertThrows(IOException.class, () -> new StatementClient(serviceAddress, 500));
       loop.interrupt();
       loop.join();
       service.close();
--- a/src/test/java/cobaltseam/settings/SettingsReaderTest.java
+++ b/src/test/java/cobaltseam/settings/SettingsReaderTest.java
@@ -67,7 +67,7 @@
   void sectionsOfTheFleetNeedMembershipAndHaveDefaults() throws IOException {
     Settings settings =
         SettingsReader.read(write(MEMBERSHIP + "[agreement]\n[spread]\nwindow_ms = 500\n"));
-    assertEquals(new TimeSpan(2_000_000), settings.agreed().contradiction());
+    assertEquals(new TimeSpan(2_000_000), settings.agreement().maxContradiction());
     assertEquals(
         new Settings.CapacitySettings(
             false,
@@ -79,10 +79,10 @@
             new TimeSpan(10_000_000),
             new TimeSpan(100_000),
             false),
-        settings.spread());
+        settings.capacity());
     assertEquals(
         new Settings.RetryBudgetSettings(0.3, 1, new TimeSpan(10_000_000), new TimeSpan(100_000)),
-        SettingsReader.read(write(MEMBERSHIP + "[repeats]\nratio = 0.3\n")).repeats());
+        SettingsReader.read(write(MEMBERSHIP + "[repeats]\nratio = 0.3\n")).retryBudget());
     assertTrue(errorsOf("[repeats]\n").contains("it needs [membership]"));
     assertTrue(
         errorsOf(MEMBERSHIP + "[repeats]\nround_ms = 600\nwindow_ms = 500\n")
@@ -106,18 +106,27 @@
   @Test
   void aCompleteFileIsRead() throws IOException {
     Settings settings = SettingsReader.read(write(COMPLETE));
-    assertTrue(settings.jsonLog());
-    assertEquals(ChecksumCoverage.PSEUDO_HEADER, settings.hall().coverage());
-    assertEquals(150, settings.hall().routerOptions().get(0).priority());
+    assertTrue(settings.logsJson());
+    assertEquals(ChecksumCoverage.PSEUDO_HEADER, settings.virtualAddresses().coverage());
+    assertEquals(150, settings.virtualAddresses().routerOptions().get(0).priority());
     assertEquals(
-        new TimeSpan(250_000), settings.hall().routerOptions().get(0).advertisementInterval());
-    assertTrue(settings.hall().routerOptions().get(0).preempts());
-    assertEquals(2, settings.hall().authentication().writeKey());
-    assertEquals(-1, settings.hall().dispatchersElsewhere());
-    assertEquals(40, settings.hall().healthScore().bounds().get(HealthSignal.LATE).prioritySteps());
-    assertNull(settings.hall().healthScore().bounds().get(HealthSignal.MEMORY));
+        new TimeSpan(250_000),
+        settings.virtualAddresses().routerOptions().get(0).advertisementInterval());
+    assertTrue(settings.virtualAddresses().routerOptions().get(0).preempts());
+    assertEquals(2, settings.virtualAddresses().authentication().writeKey());
+    assertEquals(-1, settings.virtualAddresses().dispatchersElsewhere());
     assertEquals(
-        100, settings.hall().healthScore().bounds().get(HealthSignal.NO_ENGINE).prioritySteps());
+        40,
+        settings.virtualAddresses().healthScore().bounds().get(HealthSignal.LATE).prioritySteps());
+    assertNull(settings.virtualAddresses().healthScore().bounds().get(HealthSignal.MEMORY));
+    assertEquals(
+        100,
+        settings
+            .virtualAddresses()
+            .healthScore()
+            .bounds()
+            .get(HealthSignal.NO_ENGINE)
+            .prioritySteps());
   }
 
   @Test
--- a/src/test/java/cobaltseam/sharing/StateGossipTest.java
+++ b/src/test/java/cobaltseam/sharing/StateGossipTest.java
@@ -10,7 +10,7 @@
 import cobaltseam.dispatch.Timestamp;
 import cobaltseam.membership.Incarnation;
 import cobaltseam.membership.MemberName;
-import cobaltseam.sharing.StateGossip.Send;
+import cobaltseam.sharing.StateGossip.OutgoingMessage;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -92,20 +92,20 @@
     Process process = new Process(name(index), new Incarnation(birth), now, rate, random);
     running.put(process.name, process);
     view.add(process.name);
-    running.values().forEach(other -> other.module.view(view));
+    running.values().forEach(other -> other.module.setView(view));
     return process;
   }
 
   /** What is said is told apart by its value: no two statements of all say the same. */
   private void say(Process process) {
     long value = now * 1000 + running.size() + process.said++ % 7;
-    process.module.say(new MemberFigures(Map.of(OUT, value)));
+    process.module.setFigures(new MemberFigures(Map.of(OUT, value)));
     stoodBy.computeIfAbsent(process.name, figures -> new TreeMap<>()).put(value, now);
     process.said = value;
   }
 
-  private void carry(List<Send> sends) {
-    for (Send s : sends) {
+  private void carry(List<OutgoingMessage> sends) {
+    for (OutgoingMessage s : sends) {
       for (int copies = random.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
         if (random.nextDouble() >= loss) {
           air.add(new Flight(now + 1 + random.nextLong(longest), order++, s.to(), s.message()));
@@ -121,14 +121,14 @@
           stoodBy.get(process.name).put(process.said, now);
         }
         if (silentUntil.getOrDefault(process.name, 0L) <= now) {
-          carry(process.module.due(process.clock(now)));
+          carry(process.module.runRound(process.clock(now)));
         }
       }
       while (!air.isEmpty() && air.peek().at() <= now) {
         Flight flight = air.remove();
         Process process = running.get(flight.to());
         if (process != null && silentUntil.getOrDefault(process.name, 0L) <= now) {
-          carry(process.module.heard(flight.message(), process.clock(now)));
+          carry(process.module.receive(flight.message(), process.clock(now)));
         }
       }
     }
@@ -143,7 +143,7 @@
     for (Process process : running.values()) {
       for (MemberName of : view) {
         KnownFigures figures =
-            of.equals(process.name) ? null : process.module.known(of, process.clock(now));
+            of.equals(process.name) ? null : process.module.figuresOf(of, process.clock(now));
         if (figures == null) {
           // Once forgotten, a process started anew under its birth may begin below its former
           // number.
@@ -241,7 +241,7 @@
     pass(TERMS.maxAge().us() + 100_000);
     for (Process process : running.values()) {
       assertNull(
-          process.module.known(name(0), process.clock(now)),
+          process.module.figuresOf(name(0), process.clock(now)),
           "told on from one to the next it must not stay young");
     }
   }
@@ -251,8 +251,8 @@
     Process process = start(0, 5, 1);
     start(1, 5, 1);
     Process third = start(2, 5, 1);
-    process.module.say(new MemberFigures(Map.of(OUT, 4L)));
-    third.module.say(new MemberFigures(Map.of("other", 1L)));
+    process.module.setFigures(new MemberFigures(Map.of(OUT, 4L)));
+    third.module.setFigures(new MemberFigures(Map.of("other", 1L)));
     pass(5_000_000);
     assertEquals(
         new StateGossip.Sum(4, 1, 2),
@@ -270,10 +270,10 @@
             new Version(new Incarnation(5), 9),
             new MemberFigures(Map.of(OUT, 1L)),
             TimeSpan.ZERO);
-    process.module.heard(
+    process.module.receive(
         new SharingMessage.UpdateReply(name(1), 77, List.of(statement), List.of()),
         process.clock(now));
-    assertNull(process.module.known(name(1), process.clock(now)));
+    assertNull(process.module.figuresOf(name(1), process.clock(now)));
   }
 
   @Test
@@ -283,12 +283,12 @@
     say(start(2, 5, 1));
     pass(5_000_000);
     assertEquals(2, process.module.size());
-    process.module.view(Set.of(name(0), name(1)));
+    process.module.setView(Set.of(name(0), name(1)));
     assertEquals(1, process.module.size());
     running.remove(name(2));
     pass(3_000_000);
     assertNull(
-        process.module.known(name(2), process.clock(now)),
+        process.module.figuresOf(name(2), process.clock(now)),
         "told again by one whose view is older, and not kept");
   }
 
@@ -302,13 +302,13 @@
     pass(4_000_000);
     running.remove(name(1));
     Process again = start(1, 5, 1);
-    again.module.say(new MemberFigures(Map.of(OUT, -1L)));
+    again.module.setFigures(new MemberFigures(Map.of(OUT, -1L)));
     stoodBy.get(name(1)).put(-1L, now);
     pass(6_000_000);
-    again.module.say(new MemberFigures(Map.of(OUT, -2L)));
+    again.module.setFigures(new MemberFigures(Map.of(OUT, -2L)));
     pass(3_000_000);
     assertEquals(
-        -2L, process.module.known(name(1), process.clock(now)).figures().byName().get(OUT));
+        -2L, process.module.figuresOf(name(1), process.clock(now)).figures().byName().get(OUT));
   }
 
   @Test
@@ -318,12 +318,12 @@
     }
     pass(10_000_000);
     Process process = running.get(name(0));
-    List<Send> parts =
-        process.module.heard(
+    List<OutgoingMessage> parts =
+        process.module.receive(
             new SharingMessage.UpdateRequest(name(1), 1, Map.of()), process.clock(now));
     assertTrue(parts.size() > 2, parts.size() + " parts");
     Set<MemberName> told = new HashSet<>();
-    for (Send s : parts) {
+    for (OutgoingMessage s : parts) {
       assertTrue(
           ((SharingMessage.UpdateReply) s.message()).statements().size() <= 16,
           "a part within its bound");
@@ -335,10 +335,10 @@
     StateGossip fresh =
         new StateGossip(
             name(0), new Incarnation(6), TERMS, new SplittableRandom(4), process.clock(now));
-    fresh.view(view);
+    fresh.setView(view);
     List<MemberName> asked = new ArrayList<>();
     for (int round = 0; round < 20; round++) {
-      fresh.due(process.clock(now += SECOND.us())).forEach(s -> asked.add(s.to()));
+      fresh.runRound(process.clock(now += SECOND.us())).forEach(s -> asked.add(s.to()));
     }
     assertEquals(60, asked.size());
     assertEquals(59, new HashSet<>(asked).size(), "each once before any is asked again");
--- a/src/test/java/cobaltseam/standin/AdvertLink.java
+++ b/src/test/java/cobaltseam/standin/AdvertLink.java
@@ -36,7 +36,7 @@
   private final InetSocketAddress to;
   private final SplittableRandom chance;
   private final ScheduledExecutorService late =
-      Executors.newSingleThreadScheduledExecutor(EngineStandIn::thread);
+      Executors.newSingleThreadScheduledExecutor(EmulatedEngine::thread);
   private final AtomicLong passed = new AtomicLong();
   private volatile Fault fault = Fault.NONE;
   private volatile boolean cut;
@@ -52,26 +52,26 @@
     out = new DatagramSocket(new InetSocketAddress(speaks, 0));
     this.to = to;
     chance = new SplittableRandom(seed);
-    EngineStandIn.thread(this::run).start();
+    EmulatedEngine.thread(this::run).start();
   }
 
   /** From now on the link has these faults. */
-  public void fault(Fault now) {
+  public void setFault(Fault now) {
     fault = now;
   }
 
   /** Cuts the link, or restores it. */
-  public void cut(boolean now) {
+  public void setCut(boolean now) {
     cut = now;
   }
 
   /** The number of adverts that were passed on. */
-  public long passed() {
+  public long passedAdverts() {
     return passed.get();
   }
 
   /** Sends bytes to the receiver as if they came from the sender. */
-  public void say(byte[] bytes) throws IOException {
+  public void sendToReceiver(byte[] bytes) throws IOException {
     out.send(new DatagramPacket(bytes, bytes.length, to));
   }
 
@@ -100,7 +100,7 @@
 
   private void pass(byte[] bytes) {
     try {
-      say(bytes);
+      sendToReceiver(bytes);
       passed.incrementAndGet();
     } catch (IOException e) {
       // The receiver is not there now; the advert is lost.
--- a/src/test/java/cobaltseam/standin/DispatcherProcess.java
+++ b/src/test/java/cobaltseam/standin/DispatcherProcess.java
@@ -45,7 +45,7 @@
       int position,
       int dispatchers,
       int cores,
-      BusStandIn bus,
+      EmulatedEventBus bus,
       String known) {
     return """
                 {"name":"%s","listen":"%s:%d","seed":"8c1f30d27a5be96%d","limits":{"sockets":512,"memory_mb":128},
@@ -79,7 +79,7 @@
   }
 
   /** Starts it with SIGHUP ignored, as nohup does. */
-  public void startDeaf() throws IOException {
+  public void startWithSighupIgnored() throws IOException {
     start(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
   }
 
@@ -103,7 +103,7 @@
     builder.environment().keySet().removeAll(List.of("GW_NAME", "GW_LISTEN", "COBALTSEAM_CONFIG"));
     process = builder.start();
     Process started = process;
-    EngineStandIn.thread(
+    EmulatedEngine.thread(
             () -> {
               try (BufferedReader reader =
                   new BufferedReader(
@@ -169,17 +169,17 @@
   }
 
   /** Sends SIGTERM, and returns the counters that the process prints at its end. */
-  public Map<String, Long> end() throws IOException, InterruptedException {
+  public Map<String, Long> terminate() throws IOException, InterruptedException {
     int from = lines();
     signal("TERM");
-    return ended(from);
+    return awaitEnd(from);
   }
 
   /**
    * Waits until the process has ended, and returns the counters that it printed after this line of
    * its log.
    */
-  public Map<String, Long> ended(int from) throws InterruptedException {
+  public Map<String, Long> awaitEnd(int from) throws InterruptedException {
     if (!process.waitFor(20, TimeUnit.SECONDS)) {
       throw new AssertionError("it does not end:\n" + log());
     }
@@ -209,12 +209,12 @@
   }
 
   /** Writes the platform's configuration; it is read at the next SIGHUP or start. */
-  public void configured(String text) throws IOException {
+  public void writeConfiguration(String text) throws IOException {
     Files.writeString(folder.resolve("config.json"), text);
   }
 
   /** Writes our own settings file; it is read at the next SIGHUP or start. */
-  public void own(String text) throws IOException {
+  public void writeSettings(String text) throws IOException {
     Files.writeString(own, text);
   }
 
--- a/src/test/java/cobaltseam/standin/EngineStandIn.java
+++ b/src/test/java/cobaltseam/standin/EmulatedEngine.java
@@ -30,15 +30,15 @@
  * stops the statements of a connection that closes, and records how often each ran and how many ran
  * at once.
  */
-public final class EngineStandIn implements AutoCloseable {
+public final class EmulatedEngine implements AutoCloseable {
   /** How often an engine started one request, and how often it completed it. */
-  public record Ran(AtomicInteger begun, AtomicInteger done) {}
+  public record Executions(AtomicInteger started, AtomicInteger completed) {}
 
   private final ServerSocket server;
   private final ToLongFunction<String> millis;
   private final ScheduledExecutorService work =
-      Executors.newScheduledThreadPool(2, EngineStandIn::thread);
-  private final Map<String, Ran> ledger = new ConcurrentHashMap<>();
+      Executors.newScheduledThreadPool(2, EmulatedEngine::thread);
+  private final Map<String, Executions> ledger = new ConcurrentHashMap<>();
   private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
   private final AtomicInteger running = new AtomicInteger();
   private final AtomicInteger most = new AtomicInteger();
@@ -47,7 +47,7 @@
   /**
    * @param millis how long a command of a profile runs
    */
-  public EngineStandIn(String host, ToLongFunction<String> millis) throws IOException {
+  public EmulatedEngine(String host, ToLongFunction<String> millis) throws IOException {
     this.millis = millis;
     server = new ServerSocket();
     server.bind(new InetSocketAddress(InetAddress.getByName(host), 0), 256);
@@ -66,17 +66,17 @@
   }
 
   /** The executions of each request, by call id. */
-  public Map<String, Ran> ledger() {
+  public Map<String, Executions> ledger() {
     return ledger;
   }
 
   /** The largest number of requests that ran at once since the last call. */
-  public int most() {
+  public int takeMaxRunning() {
     return most.getAndSet(running.get());
   }
 
   /** From now on every statement fails as soon as it starts, or none does. */
-  public void failing(boolean now) {
+  public void setFailing(boolean now) {
     failing = now;
   }
 
@@ -123,14 +123,15 @@
 
   private void pull(
       Map<String, ScheduledFuture<?>> open, OutputStream out, String id, String fields) {
-    Ran ran = ledger.computeIfAbsent(id, i -> new Ran(new AtomicInteger(), new AtomicInteger()));
-    ran.begun.incrementAndGet();
+    Executions ran =
+        ledger.computeIfAbsent(id, i -> new Executions(new AtomicInteger(), new AtomicInteger()));
+    ran.started.incrementAndGet();
     if (failing) {
       try {
         say(out, id, "500", "-", "");
       } catch (IOException e) {
         // The client has disconnected.
-        ran.done.get();
+        ran.completed.get();
       }
       return;
     }
@@ -151,7 +152,7 @@
                 return;
               }
               running.decrementAndGet();
-              ran.done.incrementAndGet();
+              ran.completed.incrementAndGet();
               try {
                 say(
                     out,
@@ -161,7 +162,7 @@
                     "a\t" + id + "\tx\n");
               } catch (IOException e) {
                 // The client has disconnected; the statement ran all the same.
-                ran.done.get();
+                ran.completed.get();
               }
             },
             wait,
@@ -204,7 +205,7 @@
   }
 
   /** Resets every connection, as a process that dies does. */
-  public void reset() throws IOException {
+  public void resetConnections() throws IOException {
     for (Socket socket : new HashSet<>(sockets)) {
       try {
         socket.setSoLinger(true, 0);
@@ -217,14 +218,14 @@
   }
 
   /** A random time, from half to one and a half times this mean. */
-  public static long around(long millis) {
+  public static long randomAround(long millis) {
     return millis / 2 + ThreadLocalRandom.current().nextLong(millis + 1);
   }
 
   @Override
   public void close() throws IOException {
     server.close();
-    reset();
+    resetConnections();
     work.shutdownNow();
   }
 }
--- a/src/test/java/cobaltseam/standin/BusStandIn.java
+++ b/src/test/java/cobaltseam/standin/EmulatedEventBus.java
@@ -15,7 +15,7 @@
  * An emulated event bus on loopback: sends each client the events that it lacks, and the last
  * offset every 200 ms.
  */
-public final class BusStandIn implements AutoCloseable {
+public final class EmulatedEventBus implements AutoCloseable {
   private static final int BEAT_MS = 200;
 
   private final ServerSocket server;
@@ -23,10 +23,10 @@
   private volatile boolean silent;
 
   /** Starts an event bus on a free port of this host. */
-  public BusStandIn(String host) throws IOException {
+  public EmulatedEventBus(String host) throws IOException {
     server = new ServerSocket();
     server.bind(new InetSocketAddress(InetAddress.getByName(host), 0), 64);
-    EngineStandIn.thread(this::accept).start();
+    EmulatedEngine.thread(this::accept).start();
   }
 
   /** Where it listens. */
@@ -41,7 +41,7 @@
   }
 
   /** Publishes an event. Returns its text, for a configuration that holds it already. */
-  public synchronized String tell(boolean whole, String... targets) {
+  public synchronized String publish(boolean whole, String... targets) {
     events.add(
         "{\"offset\":%d,\"topology\":{\"rev\":%d,\"all\":%b,\"targets\":[%s]}}"
             .formatted(events.size() + 1, events.size() + 1, whole, String.join(",", targets)));
@@ -50,7 +50,7 @@
   }
 
   /** From now on it sends nothing, or sends again. */
-  public synchronized void silent(boolean now) {
+  public synchronized void setSilent(boolean now) {
     silent = now;
     notifyAll();
   }
@@ -59,7 +59,7 @@
     while (!server.isClosed()) {
       try {
         Socket socket = server.accept();
-        EngineStandIn.thread(() -> serve(socket)).start();
+        EmulatedEngine.thread(() -> serve(socket)).start();
       } catch (IOException e) {
         return;
       }
@@ -68,7 +68,7 @@
 
   private void serve(Socket socket) {
     try (socket) {
-      String asked = EngineStandIn.line(new DataInputStream(socket.getInputStream()));
+      String asked = EmulatedEngine.line(new DataInputStream(socket.getInputStream()));
       int told = Integer.parseInt(asked.substring(asked.indexOf(' ') + 1));
       OutputStream out = socket.getOutputStream();
       while (true) {
--- a/src/test/java/cobaltseam/standin/FlipRun.java
+++ b/src/test/java/cobaltseam/standin/FlipRun.java
@@ -1,8 +1,8 @@
 package cobaltseam.standin;
 
 import cobaltseam.standin.AdvertLink.Fault;
-import cobaltseam.standin.HallRig.Plan;
-import cobaltseam.standin.Ledger.End;
+import cobaltseam.standin.RequestLedger.Outcome;
+import cobaltseam.standin.VirtualAddressRig.Plan;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -36,18 +36,19 @@
     }
   }
 
-  private static String state(HallRig rig, int index) throws IOException {
-    try (ClientStandIn client = new ClientStandIn(rig.owns[index], 5000)) {
+  private static String state(VirtualAddressRig rig, int index) throws IOException {
+    try (StatementClient client = new StatementClient(rig.owns[index], 5000)) {
       return client.show("mastership").get("router_51/ipv4_state");
     }
   }
 
-  private static void awaitState(HallRig rig, int index, String state) throws IOException {
+  private static void awaitState(VirtualAddressRig rig, int index, String state)
+      throws IOException {
     for (long waited = 0; !state(rig, index).equals(state); waited += 5) {
       if (waited > 60_000) {
         throw new AssertionError("never " + state + ":\n" + rig.dispatchers[index].log());
       }
-      HallRig.sleep(5);
+      VirtualAddressRig.sleep(5);
     }
   }
 
@@ -63,23 +64,24 @@
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (int percent : new int[] {0, 10, 30, 60}) {
       Path folder = Files.createTempDirectory("flips");
-      try (HallRig rig =
-          new HallRig(new Plan(4, 8, 8, 100, new int[] {150, 100}, true, "", percent), folder)) {
+      try (VirtualAddressRig rig =
+          new VirtualAddressRig(
+              new Plan(4, 8, 8, 100, new int[] {150, 100}, true, "", percent), folder)) {
         rig.start();
         awaitState(rig, 0, "active");
         rig.startClients(clients, 0, 2500);
         Fault fault = new Fault(percent / 100.0, percent / 300.0, percent / 300.0, 150);
         for (AdvertLink link : rig.links) {
-          link.fault(fault);
+          link.setFault(fault);
         }
         long unaccounted = 0;
         for (int flip = 0; flip < flips; flip++) {
           int up = flip % 2 == 0 ? 1 : 0;
           int down = 1 - up;
-          HallRig.sleep(400);
+          VirtualAddressRig.sleep(400);
           switch (flip % 8 / 2) {
             case 1 -> {
-              unaccounted += unaccounted(rig.dispatchers[down].end());
+              unaccounted += unaccounted(rig.dispatchers[down].terminate());
               awaitState(rig, up, "active");
               restart(rig, down);
             }
@@ -96,28 +98,28 @@
             default -> {}
           }
           for (int i = 0; i < 2; i++) {
-            rig.dispatchers[i].own(rig.own(i, i == up ? 200 : 50));
+            rig.dispatchers[i].writeSettings(rig.own(i, i == up ? 200 : 50));
             rig.dispatchers[i].signal("HUP");
           }
           awaitState(rig, up, "active");
         }
         rig.stopClients();
         for (DispatcherProcess d : rig.dispatchers) {
-          unaccounted += unaccounted(d.end());
+          unaccounted += unaccounted(d.terminate());
         }
-        Map<End, Integer> seen = rig.ledger.counts();
+        Map<Outcome, Integer> seen = rig.ledger.counts();
         System.out.printf(
             Locale.ROOT,
             "| %d%% | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d |%n",
             percent,
             flips,
             rig.ledger.entries().size(),
-            seen.get(End.ANSWERED),
-            seen.get(End.SHED),
-            seen.get(End.FAILED),
-            seen.get(End.TURNED_AWAY),
-            seen.get(End.CUT),
-            seen.get(End.SILENT),
+            seen.get(Outcome.ANSWERED),
+            seen.get(Outcome.SHED),
+            seen.get(Outcome.FAILED),
+            seen.get(Outcome.TURNED_AWAY),
+            seen.get(Outcome.CUT),
+            seen.get(Outcome.SILENT),
             rig.ranTwice(),
             rig.answeredUnrun(),
             rig.turnedAwayRun(),
@@ -127,7 +129,8 @@
     }
   }
 
-  private static void restart(HallRig rig, int index) throws IOException, InterruptedException {
+  private static void restart(VirtualAddressRig rig, int index)
+      throws IOException, InterruptedException {
     int from = rig.dispatchers[index].lines();
     rig.dispatchers[index].start();
     rig.dispatchers[index].await("service.started", from, 30_000);
@@ -152,13 +155,14 @@
       for (String fault : new String[] {"KILL", "STOP", "TERM"}) {
         List<Double> ms = new ArrayList<>();
         Path folder = Files.createTempDirectory("takeover");
-        try (HallRig rig =
-            new HallRig(new Plan(1, 8, 1, interval, new int[] {150, 100}, true, "", 1), folder)) {
+        try (VirtualAddressRig rig =
+            new VirtualAddressRig(
+                new Plan(1, 8, 1, interval, new int[] {150, 100}, true, "", 1), folder)) {
           rig.start();
           for (int i = 0; i < runs; i++) {
             awaitState(rig, 0, "active");
             awaitState(rig, 1, "backup");
-            HallRig.sleep(100);
+            VirtualAddressRig.sleep(100);
             long since = System.nanoTime();
             rig.dispatchers[0].signal(fault);
             ms.add((rig.firstAnswer(1, 30_000) - since) / 1e6);
@@ -194,15 +198,16 @@
     for (int interval : new int[] {10, 100, 1000}) {
       for (int percent : new int[] {0, 10, 30, 60}) {
         Path folder = Files.createTempDirectory("false");
-        try (HallRig rig = new HallRig(Plan.of(interval, percent + interval), folder)) {
+        try (VirtualAddressRig rig =
+            new VirtualAddressRig(Plan.of(interval, percent + interval), folder)) {
           rig.start();
           awaitState(rig, 0, "active");
           awaitState(rig, 1, "backup");
           int from = rig.dispatchers[1].lines();
           for (AdvertLink link : rig.links) {
-            link.fault(Fault.loss(percent / 100.0));
+            link.setFault(Fault.loss(percent / 100.0));
           }
-          HallRig.sleep(seconds * 1000L);
+          VirtualAddressRig.sleep(seconds * 1000L);
           long claims =
               rig.dispatchers[1]
                   .log()
@@ -234,20 +239,21 @@
     Path folder = Files.createTempDirectory("split");
     int cores = 8;
     int whole = 2 * cores;
-    try (HallRig rig =
-        new HallRig(new Plan(2, cores, 60, 100, new int[] {150, 100}, true, "", 5), folder)) {
+    try (VirtualAddressRig rig =
+        new VirtualAddressRig(
+            new Plan(2, cores, 60, 100, new int[] {150, 100}, true, "", 5), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
       rig.roving = true;
       rig.startClients(160, 0, 2500);
       String[] names = {"pass both ways", "cut one way", "cut both ways", "pass again"};
       for (int phase = 0; phase < names.length; phase++) {
-        rig.links[0].cut(phase == 1 || phase == 2);
-        rig.links[1].cut(phase == 2);
-        HallRig.sleep(4000);
-        rig.engines.forEach(EngineStandIn::most);
-        HallRig.sleep(4000);
-        int most = rig.engines.stream().mapToInt(EngineStandIn::most).max().orElse(0);
+        rig.links[0].setCut(phase == 1 || phase == 2);
+        rig.links[1].setCut(phase == 2);
+        VirtualAddressRig.sleep(4000);
+        rig.engines.forEach(EmulatedEngine::takeMaxRunning);
+        VirtualAddressRig.sleep(4000);
+        int most = rig.engines.stream().mapToInt(EmulatedEngine::takeMaxRunning).max().orElse(0);
         long active = 0;
         for (int i = 0; i < 2; i++) {
           active += state(rig, i).equals("active") ? 1 : 0;
@@ -277,7 +283,7 @@
       for (int interval : number == 0 ? new int[] {1000} : new int[] {100, 1000}) {
         Path folder = Files.createTempDirectory("routers");
         Plan plan = new Plan(1, 8, 20, interval, new int[] {150, 100}, true, "", 1);
-        try (HallRig rig = new HallRig(plan, folder)) {
+        try (VirtualAddressRig rig = new VirtualAddressRig(plan, folder)) {
           for (int i = 0; i < 2; i++) {
             StringBuilder own = new StringBuilder(rig.own(i, i == 0 ? 150 : 100));
             for (int r = 1; r < number; r++) {
@@ -291,15 +297,15 @@
                           rig.serves[i].getAddress().getHostAddress(),
                           port));
             }
-            rig.dispatchers[i].own(number == 0 ? "" : own.toString());
+            rig.dispatchers[i].writeSettings(number == 0 ? "" : own.toString());
           }
           rig.start();
-          HallRig.sleep(8000);
+          VirtualAddressRig.sleep(8000);
           double[] spent = new double[2];
           for (int i = 0; i < 2; i++) {
             spent[i] = -rig.dispatchers[i].processorMs();
           }
-          HallRig.sleep(10_000);
+          VirtualAddressRig.sleep(10_000);
           for (int i = 0; i < 2; i++) {
             spent[i] += rig.dispatchers[i].processorMs();
           }
--- a/src/test/java/cobaltseam/standin/Ledger.java
+++ b/src/test/java/cobaltseam/standin/RequestLedger.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** The outcomes of requests as their clients saw them, one for each request. */
-public final class Ledger {
+public final class RequestLedger {
   /**
    * The outcome of a request for its client: one of the three final answers, rejected before it was
    * admitted, cut off with its connection, without an answer in time, or never written since there
    * was no connection.
    */
-  public enum End {
+  public enum Outcome {
     ANSWERED,
     SHED,
     FAILED,
@@ -23,7 +23,7 @@
 
   /** One request as its client saw it; times in nanoseconds of this process. */
   public record Entry(
-      String call, String profile, int dispatcher, long asked, long ended, End end) {}
+      String call, String profile, int dispatcher, long asked, long ended, Outcome end) {}
 
   private final Map<String, Entry> entries = new ConcurrentHashMap<>();
 
@@ -39,9 +39,9 @@
   }
 
   /** The number of requests with each outcome. */
-  public Map<End, Integer> counts() {
-    Map<End, Integer> counts = new EnumMap<>(End.class);
-    for (End end : End.values()) {
+  public Map<Outcome, Integer> counts() {
+    Map<Outcome, Integer> counts = new EnumMap<>(Outcome.class);
+    for (Outcome end : Outcome.values()) {
       counts.put(end, 0);
     }
     entries.values().forEach(e -> counts.merge(e.end, 1, Integer::sum));
--- a/src/test/java/cobaltseam/standin/ClientStandIn.java
+++ b/src/test/java/cobaltseam/standin/StatementClient.java
@@ -1,6 +1,6 @@
 package cobaltseam.standin;
 
-import cobaltseam.standin.Ledger.End;
+import cobaltseam.standin.RequestLedger.Outcome;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -14,7 +14,7 @@
 import java.util.Map;
 
 /** One session of a client: sends simple queries one at a time, and reads the outcome of each. */
-public final class ClientStandIn implements AutoCloseable {
+public final class StatementClient implements AutoCloseable {
   private static final int CONNECT_MS = 1000;
 
   private final Socket socket = new Socket();
@@ -23,7 +23,7 @@
   private String lastError = "";
 
   /** Connects and starts a session; an answer is awaited for at most this many milliseconds. */
-  public ClientStandIn(InetSocketAddress to, int waitMs) throws IOException {
+  public StatementClient(InetSocketAddress to, int waitMs) throws IOException {
     try {
       socket.connect(to, CONNECT_MS);
       socket.setTcpNoDelay(true);
@@ -39,35 +39,35 @@
   }
 
   /** Writes a statement and waits for its outcome. */
-  public End command(String call, String profile, int ttlMs) {
-    return command(call, profile, ttlMs, 50);
+  public Outcome execute(String call, String profile, int ttlMs) {
+    return execute(call, profile, ttlMs, 50);
   }
 
   /** Writes a statement with this estimate of its work, and waits for its outcome. */
-  public End command(String call, String profile, int ttlMs, int workMs) {
+  public Outcome execute(String call, String profile, int ttlMs, int workMs) {
     try {
-      begin(call, profile, ttlMs, workMs);
+      send(call, profile, ttlMs, workMs);
     } catch (IOException e) {
-      return End.CUT;
+      return Outcome.CUT;
     }
-    return ending();
+    return awaitOutcome();
   }
 
   /** Writes a statement. */
-  public void begin(String call, String profile, int ttlMs, int workMs) throws IOException {
+  public void send(String call, String profile, int ttlMs, int workMs) throws IOException {
     write(
         "/* op=%s,call=%s,ttl=%d,org=acme,work=%d.0 */ SELECT a FROM s_1.t"
             .formatted(profile, call, ttlMs, workMs));
   }
 
   /** Waits for the outcome of the statement that was written last. */
-  public End ending() {
+  public Outcome awaitOutcome() {
     try {
       return read(null);
     } catch (SocketTimeoutException e) {
-      return End.SILENT;
+      return Outcome.SILENT;
     } catch (IOException e) {
-      return End.CUT;
+      return Outcome.CUT;
     }
   }
 
@@ -95,8 +95,8 @@
     out.write(whole.toByteArray());
   }
 
-  private End read(Map<String, String> rows) throws IOException {
-    End end = End.CUT;
+  private Outcome read(Map<String, String> rows) throws IOException {
+    Outcome end = Outcome.CUT;
     while (true) {
       char type = (char) in.readByte();
       byte[] body = in.readNBytes(in.readInt() - 4);
@@ -104,7 +104,7 @@
         case 'Z' -> {
           return end;
         }
-        case 'C' -> end = End.ANSWERED;
+        case 'C' -> end = Outcome.ANSWERED;
         case 'D' -> {
           if (rows != null) {
             DataInputStream row = new DataInputStream(new java.io.ByteArrayInputStream(body));
@@ -119,8 +119,8 @@
           lastError = state + " " + text.substring(text.indexOf("\0M") + 2).strip();
           end =
               state.equals("57P03")
-                  ? End.TURNED_AWAY
-                  : state.startsWith("53") ? End.SHED : End.FAILED;
+                  ? Outcome.TURNED_AWAY
+                  : state.startsWith("53") ? Outcome.SHED : Outcome.FAILED;
           if (text.startsWith("SFATAL")) {
             return end;
           }
