--- a/src/test/java/cobaltseam/standin/HallRig.java
+++ b/src/test/java/cobaltseam/standin/VirtualAddressRig.java
@@ -1,7 +1,7 @@
 package cobaltseam.standin;
 
-import cobaltseam.standin.Ledger.End;
-import cobaltseam.standin.Ledger.Entry;
+import cobaltseam.standin.RequestLedger.Entry;
+import cobaltseam.standin.RequestLedger.Outcome;
 import java.io.IOException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -19,7 +19,7 @@
  * emulated engines and event bus, and clients that go to whichever dispatcher accepts them, as the
  * network would lead them to the virtual address.
  */
-public final class HallRig implements AutoCloseable {
+public final class VirtualAddressRig implements AutoCloseable {
   /** The parameters of the rig. */
   public record Plan(
       int engines,
@@ -41,14 +41,14 @@
   private static final AtomicInteger HOSTS =
       new AtomicInteger(ProcessHandle.current().pid() % 2 == 0 ? 1 : 120);
 
-  public final List<EngineStandIn> engines = new ArrayList<>();
-  public final BusStandIn bus;
+  public final List<EmulatedEngine> engines = new ArrayList<>();
+  public final EmulatedEventBus bus;
   public final DispatcherProcess[] dispatchers = new DispatcherProcess[2];
 
   /** The links of adverts from each dispatcher to the other. */
   public final AdvertLink[] links = new AdvertLink[2];
 
-  public final Ledger ledger = new Ledger();
+  public final RequestLedger ledger = new RequestLedger();
   public final InetSocketAddress[] serves = new InetSocketAddress[2];
   public final InetSocketAddress[] owns = new InetSocketAddress[2];
   private final InetSocketAddress[] listens = new InetSocketAddress[2];
@@ -66,15 +66,16 @@
   private final List<Thread> clients = new ArrayList<>();
 
   /** Starts all parts but the dispatchers, whose files go into this folder. */
-  public HallRig(Plan plan, Path folder) throws IOException {
+  public VirtualAddressRig(Plan plan, Path folder) throws IOException {
     this.plan = plan;
-    bus = new BusStandIn("127.0.0.1");
+    bus = new EmulatedEventBus("127.0.0.1");
     List<String> targets = new ArrayList<>();
     for (int i = 0; i < plan.engines; i++) {
-      engines.add(new EngineStandIn("127.0.0.1", profile -> EngineStandIn.around(plan.engineMs)));
-      targets.add(BusStandIn.target(i + 1, engines.get(i).address(), "in_service"));
+      engines.add(
+          new EmulatedEngine("127.0.0.1", profile -> EmulatedEngine.randomAround(plan.engineMs)));
+      targets.add(EmulatedEventBus.target(i + 1, engines.get(i).address(), "in_service"));
     }
-    String known = bus.tell(true, targets.toArray(String[]::new));
+    String known = bus.publish(true, targets.toArray(String[]::new));
     for (int i = 0; i < 2; i++) {
       listens[i] = udp(host());
       serves[i] = tcp(host());
@@ -177,7 +178,7 @@
     String[] profiles = {"look", "look", "marked", "once"};
     for (int i = 0; i < number; i++) {
       int mine = i;
-      Thread thread = EngineStandIn.thread(() -> ask(profiles, mine, pauseMs, ttlMs));
+      Thread thread = EmulatedEngine.thread(() -> ask(profiles, mine, pauseMs, ttlMs));
       clients.add(thread);
       thread.start();
     }
@@ -185,22 +186,25 @@
 
   private void ask(String[] profiles, int from, int pauseMs, int ttlMs) {
     int at = from % 2;
-    ClientStandIn client = null;
+    StatementClient client = null;
     for (int i = from; going.get(); i++) {
       String call = call();
       String profile = profiles[i % profiles.length];
       long asked = System.nanoTime();
-      End end = End.UNSENT;
+      Outcome end = Outcome.UNSENT;
       try {
-        client = client == null ? new ClientStandIn(serves[at], ttlMs + 500) : client;
-        end = client.command(call, profile, ttlMs);
+        client = client == null ? new StatementClient(serves[at], ttlMs + 500) : client;
+        end = client.execute(call, profile, ttlMs);
       } catch (IOException e) {
-        end = End.UNSENT;
+        end = Outcome.UNSENT;
       }
-      if (end != End.UNSENT) {
+      if (end != Outcome.UNSENT) {
         ledger.add(new Entry(call, profile, at, asked, System.nanoTime(), end));
       }
-      if (end == End.UNSENT || end == End.CUT || end == End.SILENT || end == End.TURNED_AWAY) {
+      if (end == Outcome.UNSENT
+          || end == Outcome.CUT
+          || end == Outcome.SILENT
+          || end == Outcome.TURNED_AWAY) {
         close(client);
         client = null;
         at = 1 - at;
@@ -210,12 +214,12 @@
         client = null;
         at = java.util.concurrent.ThreadLocalRandom.current().nextInt(2);
       }
-      sleep(end == End.UNSENT ? 1 : pauseMs);
+      sleep(end == Outcome.UNSENT ? 1 : pauseMs);
     }
     close(client);
   }
 
-  private static void close(ClientStandIn client) {
+  private static void close(StatementClient client) {
     try {
       if (client != null) {
         client.close();
@@ -252,7 +256,7 @@
     while (System.nanoTime() < until) {
       long first =
           ledger.entries().values().stream()
-              .filter(e -> e.end() == End.ANSWERED && e.asked() >= since)
+              .filter(e -> e.end() == Outcome.ANSWERED && e.asked() >= since)
               .mapToLong(Entry::ended)
               .min()
               .orElse(-1);
@@ -277,8 +281,8 @@
   public long firstAnswer(int dispatcher, long withinMs) {
     long until = System.nanoTime() + withinMs * 1_000_000;
     while (System.nanoTime() < until) {
-      try (ClientStandIn client = new ClientStandIn(serves[dispatcher], 2000)) {
-        if (client.command(call(), "look", 1500) == End.ANSWERED) {
+      try (StatementClient client = new StatementClient(serves[dispatcher], 2000)) {
+        if (client.execute(call(), "look", 1500) == Outcome.ANSWERED) {
           return System.nanoTime();
         }
       } catch (IOException e) {
@@ -301,21 +305,21 @@
   /** Requests that were answered though no engine completed them. */
   public long answeredUnrun() {
     return ledger.entries().values().stream()
-        .filter(e -> e.end() == End.ANSWERED)
+        .filter(e -> e.end() == Outcome.ANSWERED)
         .filter(
             e ->
                 engines.stream()
                     .noneMatch(
                         g ->
                             g.ledger().containsKey(e.call())
-                                && g.ledger().get(e.call()).done().get() > 0))
+                                && g.ledger().get(e.call()).completed().get() > 0))
         .count();
   }
 
   /** Requests that were rejected before they were admitted, and sent to an engine all the same. */
   public long turnedAwayRun() {
     return ledger.entries().values().stream()
-        .filter(e -> e.end() == End.TURNED_AWAY)
+        .filter(e -> e.end() == Outcome.TURNED_AWAY)
         .filter(e -> engines.stream().anyMatch(g -> g.ledger().containsKey(e.call())))
         .count();
   }
@@ -323,19 +327,19 @@
   /** Requests that were shed after they ran, of the class that is not idempotent. */
   public long shedThoughRun() {
     return ledger.entries().values().stream()
-        .filter(e -> e.end() == End.SHED && e.profile().equals("once"))
+        .filter(e -> e.end() == Outcome.SHED && e.profile().equals("once"))
         .filter(
             e ->
                 engines.stream()
                     .anyMatch(
                         g ->
                             g.ledger().containsKey(e.call())
-                                && g.ledger().get(e.call()).done().get() > 0))
+                                && g.ledger().get(e.call()).completed().get() > 0))
         .count();
   }
 
-  private static int begun(EngineStandIn engine, String call) {
-    return engine.ledger().containsKey(call) ? engine.ledger().get(call).begun().get() : 0;
+  private static int begun(EmulatedEngine engine, String call) {
+    return engine.ledger().containsKey(call) ? engine.ledger().get(call).started().get() : 0;
   }
 
   @Override
@@ -347,7 +351,7 @@
       }
       links[i].close();
     }
-    for (EngineStandIn engine : engines) {
+    for (EmulatedEngine engine : engines) {
       engine.close();
     }
     bus.close();
--- a/src/test/java/cobaltseam/store/AtomicFileTest.java
+++ b/src/test/java/cobaltseam/store/AtomicFileTest.java
@@ -30,7 +30,7 @@
   @Test
   void everyChangedByteAndEveryOtherLengthIsDetected() throws IOException {
     try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
-      assertEquals(ReadStatus.NOTHING, file.read().found());
+      assertEquals(ReadStatus.ABSENT, file.read().status());
       file.write(OLD);
       assertArrayEquals(OLD, file.read().value());
     }
@@ -38,12 +38,14 @@
     for (int i = 0; i < bytes.length; i++) {
       byte[] changed = bytes.clone();
       changed[i] ^= 0x10;
-      assertEquals(ReadStatus.BROKEN, AtomicFile.decode(changed, 1).found(), "byte " + i);
+      assertEquals(ReadStatus.CORRUPT, AtomicFile.decode(changed, 1).status(), "byte " + i);
       assertEquals(
-          ReadStatus.BROKEN, AtomicFile.decode(Arrays.copyOf(bytes, i), 1).found(), "cut to " + i);
+          ReadStatus.CORRUPT,
+          AtomicFile.decode(Arrays.copyOf(bytes, i), 1).status(),
+          "cut to " + i);
     }
     assertEquals(
-        ReadStatus.BROKEN, AtomicFile.decode(Arrays.copyOf(bytes, bytes.length + 1), 1).found());
+        ReadStatus.CORRUPT, AtomicFile.decode(Arrays.copyOf(bytes, bytes.length + 1), 1).status());
   }
 
   @Test
@@ -51,8 +53,8 @@
     Files.write(folder.resolve("value"), new byte[] {9});
     Files.write(folder.resolve("value.new"), new byte[] {8});
     try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
-      assertEquals(ReadStatus.BROKEN, file.read().found());
-      assertEquals(ReadStatus.NOTHING, file.read().found());
+      assertEquals(ReadStatus.CORRUPT, file.read().status());
+      assertEquals(ReadStatus.ABSENT, file.read().status());
       assertArrayEquals(new byte[] {9}, Files.readAllBytes(folder.resolve("value.broken")));
       assertTrue(Files.notExists(folder.resolve("value.new")));
     }
@@ -64,7 +66,7 @@
       file.write(OLD);
     }
     try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
-      assertEquals(ReadStatus.LATER, file.read().found());
+      assertEquals(ReadStatus.NEWER_FORMAT, file.read().status());
       assertNull(file.read().value());
     }
     try (AtomicFile file = AtomicFile.open(folder, "value", 2)) {
@@ -98,11 +100,11 @@
             why -> failed.countDown())) {
       for (long n = 1; n <= 500; n++) {
         long number = n;
-        writer.give(n, () -> ByteBuffer.allocate(8).putLong(number).array());
+        writer.submit(n, () -> ByteBuffer.allocate(8).putLong(number).array());
       }
       assertTrue(last.await(60, TimeUnit.SECONDS));
       assertEquals(500, ByteBuffer.wrap(file.read().value()).getLong());
-      writer.give(501, () -> new byte[AtomicFile.MAX_VALUE_BYTES + 1]);
+      writer.submit(501, () -> new byte[AtomicFile.MAX_VALUE_BYTES + 1]);
       assertTrue(failed.await(60, TimeUnit.SECONDS));
     }
   }
@@ -111,8 +113,8 @@
   public static final class WriterProcess {
     public static void main(String[] args) throws IOException {
       try (AtomicFile file = AtomicFile.open(Path.of(args[0]), "value", 1)) {
-        AtomicFile.Reading before = file.read();
-        System.out.println(before.found());
+        AtomicFile.ReadResult before = file.read();
+        System.out.println(before.status());
         long number = before.value() == null ? 0 : ByteBuffer.wrap(before.value()).getLong();
         while (true) {
           byte[] value = new byte[8 + (int) (number % 5000)];
@@ -144,7 +146,7 @@
               .start();
       try (BufferedReader out =
           new BufferedReader(new InputStreamReader(process.getInputStream()))) {
-        ReadStatus expected = kill == 0 ? ReadStatus.NOTHING : ReadStatus.VALUE;
+        ReadStatus expected = kill == 0 ? ReadStatus.ABSENT : ReadStatus.VALUE;
         assertEquals(expected.name(), out.readLine(), "kill " + kill);
         for (int lines = 1 + chance.nextInt(40); lines > 0; lines--) {
           acknowledged = Long.parseLong(out.readLine());
@@ -157,8 +159,8 @@
       }
       process.waitFor();
       try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
-        AtomicFile.Reading reading = file.read();
-        assertEquals(ReadStatus.VALUE, reading.found(), "kill " + kill);
+        AtomicFile.ReadResult reading = file.read();
+        assertEquals(ReadStatus.VALUE, reading.status(), "kill " + kill);
         long stored = ByteBuffer.wrap(reading.value()).getLong();
         assertTrue(
             stored == acknowledged || stored == acknowledged + 1,
--- a/src/test/java/cobaltseam/transport/MessageCodecTest.java
+++ b/src/test/java/cobaltseam/transport/MessageCodecTest.java
@@ -49,7 +49,7 @@
 /** What members tell each other, as bytes. */
 class MessageCodecTest {
   private static final KeyRing KEYS =
-      KeyRing.read("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
+      KeyRing.parse("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
   private static final Member A =
       new Member(
           new MemberName("a"),
@@ -259,10 +259,10 @@
             .rejection());
     assertEquals(
         RejectionReason.KEY_UNKNOWN,
-        new MessageCodec("rig", KeyRing.read("3 " + "ab".repeat(16)), 3).read(bytes).rejection());
+        new MessageCodec("rig", KeyRing.parse("3 " + "ab".repeat(16)), 3).read(bytes).rejection());
     assertEquals(
         RejectionReason.FORGED,
-        new MessageCodec("rig", KeyRing.read("1 " + "ee".repeat(16)), 1).read(bytes).rejection());
+        new MessageCodec("rig", KeyRing.parse("1 " + "ee".repeat(16)), 1).read(bytes).rejection());
     assertEquals(
         RejectionReason.UNSEALED,
         codec.read(new MessageCodec("rig", null, 0).write(ONE_EACH.get(0))).rejection());
--- a/src/test/java/cobaltseam/vrrp/AdvertisementCodecTest.java
+++ b/src/test/java/cobaltseam/vrrp/AdvertisementCodecTest.java
@@ -24,10 +24,10 @@
   private static final InetAddress FROM6 = ip("fe80::1");
   private static final InetAddress TO6 = ip("ff02::12");
   private static final KeyRing KEYS =
-      KeyRing.read("1 00112233445566778899aabbccddeeff\n# next\n2 " + "ab".repeat(32));
+      KeyRing.parse("1 00112233445566778899aabbccddeeff\n# next\n2 " + "ab".repeat(32));
 
   private static InetAddress ip(String text) {
-    return Addresses.read(text).orElseThrow();
+    return Addresses.parse(text).orElseThrow();
   }
 
   private static byte[] hex(String text) {
@@ -174,7 +174,7 @@
     assertEquals(
         RejectionReason.KEY_UNKNOWN,
         AdvertisementAuthenticator.verify(
-                signed, read.length(), FROM, TO, KeyRing.read("1 " + "ab".repeat(32)))
+                signed, read.length(), FROM, TO, KeyRing.parse("1 " + "ab".repeat(32)))
             .orElseThrow());
     for (int i = 0; i < signed.length; i++) {
       byte[] changed = signed.clone();
@@ -199,21 +199,21 @@
             "1 " + "xy".repeat(16),
             "1 " + "ab".repeat(16) + "\n1 " + "cd".repeat(16))) {
       String why =
-          assertThrows(IllegalArgumentException.class, () -> KeyRing.read(bad)).getMessage();
+          assertThrows(IllegalArgumentException.class, () -> KeyRing.parse(bad)).getMessage();
       assertTrue(!why.contains("abab") && !why.contains("xyxy"), why);
     }
   }
 
   @Test
   void addressesAreParsedAndFormattedWithoutLookups() {
-    assertEquals("2001:db8::1", Addresses.text(ip("2001:DB8:0:0:0:0:0:1")));
-    assertEquals("2001:db8:0:1:1:1:1:1", Addresses.text(ip("2001:db8:0:1:1:1:1:1")));
-    assertEquals("::", Addresses.text(ip("::")));
-    assertEquals("1::", Addresses.text(ip("1:0:0:0:0:0:0:0")));
-    assertEquals("::ffff:c000:201", Addresses.text(ip("::ffff:192.0.2.1")));
+    assertEquals("2001:db8::1", Addresses.format(ip("2001:DB8:0:0:0:0:0:1")));
+    assertEquals("2001:db8:0:1:1:1:1:1", Addresses.format(ip("2001:db8:0:1:1:1:1:1")));
+    assertEquals("::", Addresses.format(ip("::")));
+    assertEquals("1::", Addresses.format(ip("1:0:0:0:0:0:0:0")));
+    assertEquals("::ffff:c000:201", Addresses.format(ip("::ffff:192.0.2.1")));
     for (String bad :
         List.of("localhost", "127.1", "256.0.0.1", "01.2.3.4", "fe80::1%lo", "1:2:3", "", "::g")) {
-      assertTrue(Addresses.read(bad).isEmpty(), bad);
+      assertTrue(Addresses.parse(bad).isEmpty(), bad);
     }
     assertTrue(Addresses.compare(ip("10.0.0.200"), ip("10.0.0.3")) > 0);
   }
