--- a/src/main/java/cobaltseam/service/FleetService.java
+++ b/src/main/java/cobaltseam/service/FleetService.java
@@ -128,7 +128,8 @@
   // ---- start and end
 
   /**
-   * Opens the socket, publishes the first snapshot and starts the thread.
+   * Opens the socket, publishes the first snapshot and the first rows of SHOW, and starts the
+   * thread.
    *
    * @throws IOException if the address can't be bound
    */
@@ -149,6 +150,8 @@
           Field.event("agreement.starts_back"));
     }
     publish();
+    // Clients may ask before the thread has built rows for the first time.
+    status.refresh();
     Thread thread = new Thread(this::run, "fleet");
     thread.setDaemon(true);
     thread.start();
--- a/src/test/java/cobaltseam/standin/StatementClient.java
+++ b/src/test/java/cobaltseam/standin/StatementClient.java
@@ -71,11 +71,18 @@
     }
   }
 
-  /** The rows of SHOW cobaltseam.NAME. */
+  /**
+   * The rows of SHOW cobaltseam.NAME.
+   *
+   * @throws NoTableException if the answer is an error, or a table without rows
+   */
   public Map<String, String> show(String name) throws IOException {
     write("SHOW cobaltseam." + name);
     Map<String, String> rows = new LinkedHashMap<>();
-    read(rows);
+    Outcome outcome = read(rows);
+    if (outcome != Outcome.ANSWERED || rows.isEmpty()) {
+      throw new NoTableException(name, outcome, lastError);
+    }
     return rows;
   }
 
