--- a/src/main/java/cobaltseam/dispatch/AttemptTimeouts.java
+++ b/src/main/java/cobaltseam/dispatch/AttemptTimeouts.java
@@ -114,7 +114,8 @@
 
   /** Where the new settings allow no cancellation, lets an attempt run to its time-out. */
   void keepToSettings(Attempt attempt) {
-    if (!settings.canCancel() && cancellations.remove(attempt)) {
+    boolean isScheduled = attempt.cancelAt() != null;
+    if (!settings.canCancel() && isScheduled && cancellations.remove(attempt)) {
       attempt.setCancelAt(null);
     }
   }
--- a/src/test/java/cobaltseam/dispatch/SettingsChangeTest.java
+++ b/src/test/java/cobaltseam/dispatch/SettingsChangeTest.java
@@ -20,6 +20,8 @@
 
 import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
 import cobaltseam.dispatch.Deployment.Capabilities;
+import cobaltseam.dispatch.Deployment.DeduplicationScope;
+import cobaltseam.dispatch.Deployment.RetrySafety;
 import cobaltseam.dispatch.Deployment.Rules;
 import cobaltseam.dispatch.DispatcherDriver.SentAttempt;
 import cobaltseam.dispatch.EndpointStatus.EndpointState;
@@ -28,6 +30,26 @@
 
 /** What applying other settings keeps of engines, estimates and requests in flight. */
 class SettingsChangeTest {
+  @Test
+  void settingsThatForbidCancellationApplyWhileSomeAttemptsHaveNoneScheduled() {
+    Deployment.RequestClass idempotent = requestClass("p", 1);
+    Deployment.RequestClass once =
+        requestClass(
+            "once", 1, RetrySafety.NOT_IDEMPOTENT, DeduplicationScope.ALL, false, null, null);
+    DispatcherDriver driver =
+        newBusyDriver(soleDispatcher(RULES, CAPABILITIES, idempotent, once), 0, up(1), up(2));
+    driver.submit("once", WORK_US);
+    driver.submit("p", WORK_US);
+    driver.submit("p", WORK_US);
+    assertEquals(3, driver.inFlight.size());
+    applySettings(driver, soleDispatcher(RULES, NO_CANCEL, idempotent, once));
+    assertEquals(3, driver.inFlight.size(), "no attempt is cancelled by the change");
+    for (SentAttempt attempt : List.copyOf(driver.inFlight.values())) {
+      driver.complete(attempt, AttemptResult.COMPLETED, true);
+    }
+    assertTrue(driver.dispatcher.isIdle());
+  }
+
   @Test
   void engineEstimatesAreKeptAcrossASettingsChange() {
     DispatcherDriver earlier = newDriver(CAPABILITIES, 2, 1, 2);
