--- a/src/main/java/cobaltseam/emulator/ClientTraffic.java
+++ b/src/main/java/cobaltseam/emulator/ClientTraffic.java
@@ -143,10 +143,10 @@
 
   private double rate() {
     EmulatedSite.Load load = site.load();
-    double t = (time.nowUs() - Timeline.START_US) / 1e6;
+    double seconds = (time.nowUs() - Timeline.START_US) / 1e6;
     double swing =
-        load.swingS() > 0 ? 1 + load.swing() * Math.sin(2 * Math.PI * t / load.swingS()) : 1;
-    boolean burst = load.burstEveryS() > 0 && t % load.burstEveryS() < load.burstS();
+        load.swingS() > 0 ? 1 + load.swing() * Math.sin(2 * Math.PI * seconds / load.swingS()) : 1;
+    boolean burst = load.burstEveryS() > 0 && seconds % load.burstEveryS() < load.burstS();
     double flood = 1;
     for (int i = 0; i < tenantParts.length; i++) {
       flood += tenantParts[i] * (tenantLoad[i] - 1) / Arrays.stream(tenantParts).sum();
@@ -224,16 +224,7 @@
     long there = time.nowUs() + Math.round(site.network().clientMs() * 1000);
     long until = time.nowUs() + requestClass.deadline().us();
     RequestId id = new RequestId("c" + asked++);
-    Request sent =
-        new Request(
-            id,
-            new RequestClassId(requestClass.name()),
-            request.tenant < 0 ? null : new TenantId(site.tenants().get(request.tenant).name()),
-            request.key == null ? null : new SequenceKey(request.key),
-            new Timestamp(until),
-            new TimeSpan(Math.round(request.estimateUs)),
-            request.order.data(),
-            request.order.memoryMb());
+    Request sent = toRequest(id, request, until);
     boolean[] answered = {false};
     time.at(
         there,
@@ -278,6 +269,18 @@
         });
   }
 
+  private Request toRequest(RequestId id, ClientRequest request, long deadlineUs) {
+    return new Request(
+        id,
+        new RequestClassId(request.order.profile().name()),
+        request.tenant < 0 ? null : new TenantId(site.tenants().get(request.tenant).name()),
+        request.key == null ? null : new SequenceKey(request.key),
+        new Timestamp(deadlineUs),
+        new TimeSpan(Math.round(request.estimateUs)),
+        request.order.data(),
+        request.order.memoryMb());
+  }
+
   private void onFinalAnswer(
       ClientRequest request, InvariantChecker.FinalAnswer what, TimeSpan retryAfter) {
     EmulatedSite.RequestClass requestClass = request.order.profile();
--- a/src/main/java/cobaltseam/emulator/EmulateOptions.java
+++ b/src/main/java/cobaltseam/emulator/EmulateOptions.java
@@ -52,27 +52,31 @@
       description = "dispatchers carry parts as 1 / rank to this power, in place of the world's")
   Double skew;
 
+  private static EmulatedSite.Engines withCount(EmulatedSite.Engines engineSettings, int count) {
+    return new EmulatedSite.Engines(
+        count,
+        engineSettings.cores(),
+        engineSettings.speedSpread(),
+        engineSettings.knee(),
+        engineSettings.fall(),
+        engineSettings.sessions(),
+        engineSettings.slowStartFraction(),
+        engineSettings.slowStartS(),
+        engineSettings.memoryMb(),
+        engineSettings.spill(),
+        engineSettings.warmSets(),
+        engineSettings.warmGain(),
+        Math.min(engineSettings.locations(), count),
+        Math.min(engineSettings.groups(), count),
+        engineSettings.errors());
+  }
+
+  /** The named site in the size and with the load of these options. */
   EmulatedSite world() {
     EmulatedSite site = EmulatedSites.named(world);
     EmulatedSite.Engines engineSettings = site.engines();
     int count = engines == null ? engineSettings.count() : engines;
-    EmulatedSite.Engines of =
-        new EmulatedSite.Engines(
-            count,
-            engineSettings.cores(),
-            engineSettings.speedSpread(),
-            engineSettings.knee(),
-            engineSettings.fall(),
-            engineSettings.sessions(),
-            engineSettings.slowStartFraction(),
-            engineSettings.slowStartS(),
-            engineSettings.memoryMb(),
-            engineSettings.spill(),
-            engineSettings.warmSets(),
-            engineSettings.warmGain(),
-            Math.min(engineSettings.locations(), count),
-            Math.min(engineSettings.groups(), count),
-            engineSettings.errors());
+    EmulatedSite.Engines of = withCount(engineSettings, count);
     EmulatedSite sized =
         new EmulatedSite(
             site.name(),
@@ -89,8 +93,8 @@
             ? sized.capacity() * load
             : site.load().perSecond() * count / engineSettings.count();
     EmulatedSite.Load loadSettings = site.load();
-    // Holders are due what they were at the world's own size.
-    List<EmulatedSite.Tenant> holders =
+    // Quotas grow with the load, as they were at the site's own size.
+    List<EmulatedSite.Tenant> tenants =
         site.tenants().stream()
             .map(
                 h ->
@@ -104,7 +108,7 @@
         of,
         sized.dispatchers(),
         site.requestClasses(),
-        holders,
+        tenants,
         new EmulatedSite.Load(
             perSecond,
             loadSettings.swing(),
--- a/src/main/java/cobaltseam/emulator/Fault.java
+++ b/src/main/java/cobaltseam/emulator/Fault.java
@@ -49,6 +49,7 @@
     /** This share of sends gets a bad plan. */
     BAD_PLANS;
 
+    /** The kind as scripts write it. */
     public String label() {
       return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/cobaltseam/emulator/OutcomeCounts.java
+++ b/src/main/java/cobaltseam/emulator/OutcomeCounts.java
@@ -23,7 +23,8 @@
 
   private final List<ClassOutcome> rows = new ArrayList<>();
   private final List<double[]> seconds = new ArrayList<>();
-  private double busiest, idlest;
+  private double busiest;
+  private double idlest;
   private long looks;
   long admitted;
   long attempts;
@@ -95,27 +96,32 @@
     return offered == 0 ? 0 : rows.stream().mapToDouble(r -> r.weightServed).sum() / offered;
   }
 
+  /** The outcomes of each request class, in the order of the site. */
   public List<ClassOutcome> rows() {
     return rows;
   }
 
-  /** Benefit offered and got by the second in which it was asked for. */
+  /** Priority weight offered and served, by the second in which it was issued. */
   public List<double[]> seconds() {
     return seconds;
   }
 
+  /** Requests that dispatchers admitted. */
   public long admitted() {
     return admitted;
   }
 
+  /** Attempts of all requests. */
   public long attempts() {
     return attempts;
   }
 
+  /** Attempts beyond the first of a request. */
   public long retries() {
     return retries;
   }
 
+  /** Requests that clients issued. */
   public long offered() {
     return rows.stream().mapToLong(r -> r.offered).sum();
   }
--- a/src/main/java/cobaltseam/emulator/Policy.java
+++ b/src/main/java/cobaltseam/emulator/Policy.java
@@ -63,37 +63,37 @@
     }
   }
 
-  /** The decision module itself. */
-  static Policy ofDispatcher(Dispatcher d) {
+  /** The policy that the service runs. */
+  static Policy ofDispatcher(Dispatcher dispatcher) {
     return new Policy() {
       @Override
       public Placement place(Request command, Timestamp now) {
-        return d.place(command, now);
+        return dispatcher.place(command, now);
       }
 
       @Override
       public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
-        return d.completeAttempt(outcome, now);
+        return dispatcher.completeAttempt(outcome, now);
       }
 
       @Override
       public NextStep next(Timestamp now) {
-        return d.next(now);
+        return dispatcher.next(now);
       }
 
       @Override
       public void updateEndpoints(List<EndpointStatus> list, boolean whole, Timestamp now) {
-        d.updateEndpoints(list, whole, now);
+        dispatcher.updateEndpoints(list, whole, now);
       }
 
       @Override
       public void updateProgress(RequestId command, int send, double share, Timestamp now) {
-        d.updateProgress(command, send, share, now);
+        dispatcher.updateProgress(command, send, share, now);
       }
 
       @Override
       public void clientLeft(RequestId command, Timestamp now) {
-        d.clientLeft(command, now);
+        dispatcher.clientLeft(command, now);
       }
     };
   }
--- a/src/main/java/cobaltseam/emulator/Shrink.java
+++ b/src/main/java/cobaltseam/emulator/Shrink.java
@@ -23,6 +23,7 @@
     this.simpler = simpler;
   }
 
+  /** How often a candidate was tried. */
   public int runs() {
     return runs;
   }
--- a/src/main/java/cobaltseam/emulator/Simulation.java
+++ b/src/main/java/cobaltseam/emulator/Simulation.java
@@ -174,9 +174,9 @@
 
       @Override
       public boolean hasRoom(EngineId engine, int threads) {
-        EngineModel e = engine(engine);
-        return e.threads() == 0
-            || e.threads() + threads <= site.engines().cores() * site.engines().knee();
+        EngineModel model = engine(engine);
+        return model.threads() == 0
+            || model.threads() + threads <= site.engines().cores() * site.engines().knee();
       }
     };
   }
@@ -304,14 +304,14 @@
   }
 
   private EndpointStatus endpointStatus(int engine) {
-    EngineModel e = engines.get(engine);
+    EngineModel model = engines.get(engine);
     return new EndpointStatus(
-        e.id,
-        e.location,
+        model.id,
+        model.location,
         new MachineTypeId(EmulatedSite.KIND),
-        e.group,
+        model.group,
         endpointStates.get(engine),
-        new Timestamp(Math.max(0, e.startedUs)));
+        new Timestamp(Math.max(0, model.startedUs)));
   }
 
   /** An endpoint has changed its state: each dispatcher is notified late, and in order. */
--- a/src/main/java/cobaltseam/fleet/Fault.java
+++ b/src/main/java/cobaltseam/fleet/Fault.java
@@ -78,6 +78,7 @@
       return this == KILL || this == TERM || this == GONE || this == LOSE || this == STALE;
     }
 
+    /** The kind as scripts write it. */
     public String label() {
       return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/cobaltseam/fleet/FaultRelays.java
+++ b/src/main/java/cobaltseam/fleet/FaultRelays.java
@@ -44,7 +44,8 @@
   private volatile long since;
   private volatile List<Fault> faults;
   private long turns;
-  private volatile long passed, kept;
+  private volatile long passed;
+  private volatile long kept;
 
   FaultRelays(int processes, List<Fault> faults, long seed, long since) throws IOException {
     this.faults = faults;
--- a/src/main/java/cobaltseam/fleet/RealFleet.java
+++ b/src/main/java/cobaltseam/fleet/RealFleet.java
@@ -32,20 +32,6 @@
  * kept in its folder and read as {@link RecordedEvent}s.
  */
 public final class RealFleet implements AutoCloseable {
-  private static final class ProcessRecord {
-    Process process;
-
-    /** The incarnation that it logged last, and the view; zero and null before. */
-    long incarnation;
-
-    String view;
-    List<String> members = List.of();
-    List<String> activeVersions = List.of();
-    String quorumState = "none";
-    int starts;
-    boolean isSuspended;
-    final Map<String, Integer> events = new HashMap<>();
-  }
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private final RealFleetPlan plan;
