--- a/src/main/java/cobaltseam/adapter/SimulatedDispatcher.java
+++ b/src/main/java/cobaltseam/adapter/SimulatedDispatcher.java
@@ -147,7 +147,7 @@
   }
 
   void clientLeft(JsonObjectReader event, Timestamp now) {
-    dispatcher.clientLeft(new RequestId(event.text("op_id")), now);
+    dispatcher.clientDisconnected(new RequestId(event.text("op_id")), now);
   }
 
   /** A report of an attempt in flight: of its progress, a memory shortfall or a wait. */
--- a/src/main/java/cobaltseam/adapter/SimulatorAdapter.java
+++ b/src/main/java/cobaltseam/adapter/SimulatorAdapter.java
@@ -145,7 +145,7 @@
               switch (state) {
                 case "up" -> EndpointStatus.EndpointState.UP;
                 case "draining" -> EndpointStatus.EndpointState.DRAINING;
-                case "removed" -> EndpointStatus.EndpointState.GONE;
+                case "removed" -> EndpointStatus.EndpointState.REMOVED;
                 default -> throw new InvalidInputException("roster: unknown 'lifecycle' " + state);
               },
               new Timestamp(entry.integer("launched_us", 0))));
--- a/src/main/java/cobaltseam/dispatch/Deployment.java
+++ b/src/main/java/cobaltseam/dispatch/Deployment.java
@@ -47,9 +47,9 @@
    * Where this dispatcher runs.
    *
    * @param location null if unknown
-   * @param hasCrossingCosts whether traffic to other locations has a price
+   * @param hasCrossLocationCosts whether traffic to other locations has a price
    */
-  public record DispatcherSite(LocationId location, boolean hasCrossingCosts) {
+  public record DispatcherSite(LocationId location, boolean hasCrossLocationCosts) {
     public static final DispatcherSite UNKNOWN = new DispatcherSite(null, false);
   }
 
--- a/src/main/java/cobaltseam/dispatch/Dispatcher.java
+++ b/src/main/java/cobaltseam/dispatch/Dispatcher.java
@@ -14,7 +14,7 @@
  * #completeAttempt} what follows an outcome, and {@link #next} what to do next. They call {@code
  * next} after every other call, and do what it says until it names a time to wait. Everything else
  * that a dispatcher learns comes through the update methods, such as {@link #updateEndpoints},
- * {@link #updateProgress} and {@link #clientLeft}.
+ * {@link #updateProgress} and {@link #clientDisconnected}.
  *
  * <p>The ordinary path: each engine has a thread budget of two threads a core, split evenly over
  * the dispatchers. A request goes where most budget is left per core; where none has its threads
@@ -347,7 +347,7 @@
   }
 
   /** The client has left: its request needs no answer any more. */
-  public void clientLeft(RequestId id, Timestamp now) {
+  public void clientDisconnected(RequestId id, Timestamp now) {
     TrackedRequest request = queue.get(id);
     if (request != null) {
       request.finish();
@@ -395,7 +395,7 @@
         timeout,
         settings.hasEnginePriorities() ? request.requestClass().enginePriority() : -1,
         attempt.memoryGrantMb(),
-        request.startWithin(now));
+        request.maxStartDelay(now));
   }
 
   /** The request of an attempt, if that attempt is in flight, or null. */
--- a/src/main/java/cobaltseam/dispatch/EndpointStatus.java
+++ b/src/main/java/cobaltseam/dispatch/EndpointStatus.java
@@ -16,6 +16,6 @@
   public enum EndpointState {
     UP,
     DRAINING,
-    GONE
+    REMOVED
   }
 }
--- a/src/main/java/cobaltseam/dispatch/EngineState.java
+++ b/src/main/java/cobaltseam/dispatch/EngineState.java
@@ -107,12 +107,12 @@
   }
 
   void markGone() {
-    state = EndpointState.GONE;
+    state = EndpointState.REMOVED;
   }
 
   /** One that started lately may be listed again, and what it was sent still counts. */
   boolean canBeForgotten(Timestamp now) {
-    return state == EndpointState.GONE && threadsInUse == 0 && !warmup.isWarmingUp(now);
+    return state == EndpointState.REMOVED && threadsInUse == 0 && !warmup.isWarmingUp(now);
   }
 
   /** Goes on under other settings; borrowing starts afresh. */
--- a/src/main/java/cobaltseam/dispatch/Placement.java
+++ b/src/main/java/cobaltseam/dispatch/Placement.java
@@ -8,7 +8,7 @@
  * @param priority the engine priority; -1 leaves it to the engine
  * @param retryAfter when the client may retry; zero says nothing of that; only with SHED
  * @param memoryGrantMb the memory granted, in megabytes; 0 leaves it to the engine
- * @param startWithin the attempt must not start later than this, however long it waits for a
+ * @param maxStartDelay the attempt must not start later than this, however long it waits for a
  *     connection; null sets no bound
  */
 public record Placement(
@@ -18,7 +18,7 @@
     int priority,
     TimeSpan retryAfter,
     double memoryGrantMb,
-    TimeSpan startWithin) {
+    TimeSpan maxStartDelay) {
   /**
    * Send it, do nothing for now, or give it one of the two final answers: SHED, which a client may
    * safely retry, or FAIL.
@@ -37,9 +37,13 @@
 
   /** Sends it; the parameters are as those of the record. */
   public static Placement send(
-      EngineId engine, TimeSpan timeout, int priority, double memoryGrantMb, TimeSpan startWithin) {
+      EngineId engine,
+      TimeSpan timeout,
+      int priority,
+      double memoryGrantMb,
+      TimeSpan maxStartDelay) {
     return new Placement(
-        Decision.SEND, engine, timeout, priority, TimeSpan.ZERO, memoryGrantMb, startWithin);
+        Decision.SEND, engine, timeout, priority, TimeSpan.ZERO, memoryGrantMb, maxStartDelay);
   }
 
   /** Does nothing for now. */
--- a/src/main/java/cobaltseam/dispatch/PolicySettings.java
+++ b/src/main/java/cobaltseam/dispatch/PolicySettings.java
@@ -49,7 +49,7 @@
         capabilities.allowsRetryAfter() ? capabilities.maxRetryAfter() : TimeSpan.ZERO,
         shortestObjective(deployment, margin),
         deployment.overQuotaWeight(),
-        deployment.site().hasCrossingCosts() ? deployment.site().location() : null,
+        deployment.site().hasCrossLocationCosts() ? deployment.site().location() : null,
         new SlowStart(rules.slowStartFraction(), rules.slowStartDuration(), workFactor));
   }
 
--- a/src/main/java/cobaltseam/dispatch/TrackedRequest.java
+++ b/src/main/java/cobaltseam/dispatch/TrackedRequest.java
@@ -233,7 +233,7 @@
   }
 
   /** How long from now an attempt may start at the latest; null without bound. */
-  TimeSpan startWithin(Timestamp now) {
+  TimeSpan maxStartDelay(Timestamp now) {
     return mayHaveRunSince == null || rules.retrySafety() != RetrySafety.IDEMPOTENT_WITH_KEY
         ? null
         : rules.deduplicationWindow().minus(now.since(mayHaveRunSince));
--- a/src/main/java/cobaltseam/emulator/Policy.java
+++ b/src/main/java/cobaltseam/emulator/Policy.java
@@ -93,7 +93,7 @@
 
       @Override
       public void clientLeft(RequestId command, Timestamp now) {
-        dispatcher.clientLeft(command, now);
+        dispatcher.clientDisconnected(command, now);
       }
     };
   }
--- a/src/main/java/cobaltseam/emulator/Simulation.java
+++ b/src/main/java/cobaltseam/emulator/Simulation.java
@@ -354,7 +354,7 @@
         EmulatedSite.ms(silent ? site.discovery().lagMs() * 2 : 0),
         () -> {
           if (engine.life != EngineModel.ProcessState.RUNS) {
-            changeState(number, EndpointState.GONE);
+            changeState(number, EndpointState.REMOVED);
           }
         });
   }
--- a/src/main/java/cobaltseam/service/EngineConnectionPool.java
+++ b/src/main/java/cobaltseam/service/EngineConnectionPool.java
@@ -103,13 +103,13 @@
           event.endpoints().stream().map(EndpointStatus::engine).collect(Collectors.toSet());
       engines.forEach(
           (engine, known) ->
-              known.state = listed.contains(engine) ? known.state : EndpointState.GONE);
+              known.state = listed.contains(engine) ? known.state : EndpointState.REMOVED);
     }
     for (EndpointStatus status : event.endpoints()) {
       updateEndpoint(status, event.addresses().get(status.engine()));
     }
     for (EngineState known : List.copyOf(engines.values())) {
-      if (known.state == EndpointState.GONE) {
+      if (known.state == EndpointState.REMOVED) {
         List.copyOf(known.connections).stream()
             .filter(connection -> connection.attempts.isEmpty() || connection.session == null)
             .forEach(this::drop);
@@ -117,7 +117,7 @@
     }
     engines
         .values()
-        .removeIf(known -> known.state == EndpointState.GONE && known.connections.isEmpty());
+        .removeIf(known -> known.state == EndpointState.REMOVED && known.connections.isEmpty());
   }
 
   private void updateEndpoint(EndpointStatus status, InetSocketAddress address) {
@@ -274,7 +274,7 @@
   void becameIdle(EngineConnection connection, Timestamp now) {
     connection.idleSince = now;
     EngineState known = engines.get(connection.engine);
-    if (known != null && known.state == EndpointState.GONE) {
+    if (known != null && known.state == EndpointState.REMOVED) {
       drop(connection);
     }
   }
--- a/src/main/java/cobaltseam/service/EngineConnections.java
+++ b/src/main/java/cobaltseam/service/EngineConnections.java
@@ -100,7 +100,8 @@
     Attempt attempt =
         new Attempt(
             requestId, number, engine, statement, now, now.plus(placement.attemptTimeout()));
-    attempt.startBy = placement.startWithin() == null ? null : now.plus(placement.startWithin());
+    attempt.startBy =
+        placement.maxStartDelay() == null ? null : now.plus(placement.maxStartDelay());
     counters.add(Count.SENDS);
     EngineConnection connection = pool.pick(engine, attempt.callId(), now);
     if (connection == null) {
--- a/src/main/java/cobaltseam/service/RequestTable.java
+++ b/src/main/java/cobaltseam/service/RequestTable.java
@@ -187,7 +187,7 @@
     }
     counters.add(Count.COMMANDS_DEPARTED);
     request.responseHandle = null;
-    dispatcher.clientLeft(request.id, clock.now());
+    dispatcher.clientDisconnected(request.id, clock.now());
     if (request.attempt != null) {
       engines.cancel(request.attempt);
     } else {
@@ -347,7 +347,7 @@
         && inFlight.attempt.number == step.cancelAttempt()) {
       engines.cancel(inFlight.attempt);
     } else if (request != null && inFlight == null) {
-      dispatcher.clientLeft(request.id(), now);
+      dispatcher.clientDisconnected(request.id(), now);
     } else if (request != null) {
       place(inFlight, request);
     } else if (step.healthCheck() != null) {
@@ -364,7 +364,7 @@
     } catch (RuntimeException e) {
       recordFault(e);
       placement = Placement.fail();
-      timers.set(clock.now(), () -> dispatcher.clientLeft(request.id, clock.now()));
+      timers.set(clock.now(), () -> dispatcher.clientDisconnected(request.id, clock.now()));
     }
     if (request.responseHandle != null) {
       carryOut(request, placement);
--- a/src/main/java/cobaltseam/service/WatchEvent.java
+++ b/src/main/java/cobaltseam/service/WatchEvent.java
@@ -71,7 +71,7 @@
     return switch (state) {
       case "in_service" -> EndpointStatus.EndpointState.UP;
       case "terminating" -> EndpointStatus.EndpointState.DRAINING;
-      case "terminated" -> EndpointStatus.EndpointState.GONE;
+      case "terminated" -> EndpointStatus.EndpointState.REMOVED;
       default -> throw new InvalidInputException("targets: unknown 'state' " + state);
     };
   }
--- a/src/test/java/cobaltseam/dispatch/DispatchRulesModelTest.java
+++ b/src/test/java/cobaltseam/dispatch/DispatchRulesModelTest.java
@@ -409,7 +409,7 @@
     if (!isFinished(driver, observedRequest)) {
       observedRequest.clientLeft = true;
     }
-    driver.dispatcher.clientLeft(observedRequest.request.id(), driver.now);
+    driver.dispatcher.clientDisconnected(observedRequest.request.id(), driver.now);
     driver.followNextSteps();
   }
 
@@ -420,7 +420,7 @@
         EndpointState state =
             random.nextInt(4) > 0
                 ? EndpointState.UP
-                : random.nextBoolean() ? EndpointState.DRAINING : EndpointState.GONE;
+                : random.nextBoolean() ? EndpointState.DRAINING : EndpointState.REMOVED;
         EndpointStatus earlier = listed.get(new EngineId(id));
         long startedUs =
             earlier == null
