--- a/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
+++ b/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
@@ -102,7 +102,7 @@
         new ProposalTracker(
             options.maxContradiction, retryInterval, membership, documents, effects);
     history = new VersionHistory(membership);
-    membership.setDocuments(documents::containsForVote, this::content);
+    membership.setDocumentAccess(documents::containsForVote, this::content);
   }
 
   /** The hash of a document: SHA-256 in hexadecimal digits. */
--- a/src/main/java/cobaltseam/membership/ActionBuffer.java
+++ b/src/main/java/cobaltseam/membership/ActionBuffer.java
@@ -25,7 +25,7 @@
   }
 
   /** A view applies from now on; null for none. */
-  void viewInstalled(View view) {
+  void addViewInstalled(View view) {
     actions.add(new MembershipAction.ViewInstalled(view));
   }
 
--- a/src/main/java/cobaltseam/membership/Bootstrap.java
+++ b/src/main/java/cobaltseam/membership/Bootstrap.java
@@ -116,7 +116,7 @@
     List<MemberName> names = options.bootstrapMembers();
     return !names.isEmpty()
         && names.get(0).equals(detector.self().name())
-        && !detector.isQuiet(now)
+        && !detector.isSilenced(now)
         && now.since(startedAt).compareTo(periods(LISTEN_PERIODS)) >= 0
         && !guard.isViewReported();
   }
@@ -128,7 +128,7 @@
       Peer peer = detector.peer(name);
       if (name.equals(self.name())) {
         members.add(self);
-      } else if (peer != null && peer.isAlive() && peer.lastHeardAt() != null) {
+      } else if (peer != null && peer.isAlive() && peer.lastReceivedAt() != null) {
         members.add(peer.member());
       }
     }
--- a/src/main/java/cobaltseam/membership/FailureDetector.java
+++ b/src/main/java/cobaltseam/membership/FailureDetector.java
@@ -36,7 +36,7 @@
   private final StateSync stateSync;
   private Timestamp roundEndsAt;
   private Timestamp promisedWakeup;
-  private Timestamp lastHeardAt;
+  private Timestamp lastReceivedAt;
   private long rounds;
 
   FailureDetector(
@@ -96,8 +96,8 @@
   }
 
   /** Whether this process is silent since another one holds its name. */
-  boolean isQuiet(Timestamp now) {
-    return local.isQuiet(now);
+  boolean isSilenced(Timestamp now) {
+    return local.isSilenced(now);
   }
 
   boolean hasSuspects() {
@@ -153,7 +153,7 @@
       updates.extendSuspicions(late);
       roundEndsAt = now;
     }
-    if (isQuiet(now)) {
+    if (isSilenced(now)) {
       roundEndsAt = now.plus(options.healthCheckInterval());
       return wasStopped ? late : TimeSpan.ZERO;
     }
@@ -183,14 +183,14 @@
   /** Whether no member at all was heard for longer than two rounds, after one had been. */
   boolean isIsolated(Timestamp now) {
     TimeSpan limit = roundLength().times(2).plus(options.healthCheckInterval());
-    return lastHeardAt != null && now.since(lastHeardAt).compareTo(limit) > 0;
+    return lastReceivedAt != null && now.since(lastReceivedAt).compareTo(limit) > 0;
   }
 
   /** Checks all these members at once, unless they are known to be gone. */
   void checkAll(Collection<Member> members, Timestamp now) {
     for (Member member : members) {
       Peer peer = peers.get(member.name());
-      if (peer != null && !peer.isGone()) {
+      if (peer != null && !peer.isDeadOrLeft()) {
         healthChecks.check(peer, now);
       }
     }
@@ -230,14 +230,14 @@
       peers.setMember(peer, sender);
     }
     peer.recordMessage(header.view(), now);
-    lastHeardAt = now;
+    lastReceivedAt = now;
     return true;
   }
 
   private void rejectNamesake(Member sender, Timestamp now) {
     if (!sender.incarnation().equals(self().incarnation())
         && !sender.peerAddress().equals(self().peerAddress())
-        && !isQuiet(now)) {
+        && !isSilenced(now)) {
       output.send(sender.peerAddress(), new NameTaken(local.header(), self()));
     }
   }
@@ -255,8 +255,8 @@
         minSuspicionTimeout().times(UpdateProcessor.UNCONFIRMED_SUSPICION_FACTOR);
     return !sender.peerAddress().equals(peer.member().peerAddress())
         && peer.isAlive()
-        && peer.lastHeardAt() != null
-        && now.since(peer.lastHeardAt()).compareTo(silentAfter) < 0;
+        && peer.lastReceivedAt() != null
+        && now.since(peer.lastReceivedAt()).compareTo(silentAfter) < 0;
   }
 
   /** Processes a message of this layer whose sender {@link #acceptSender} accepted. */
@@ -280,8 +280,8 @@
       applyAll(part.state(), now);
       stateSync.requestNextPart(from, part);
     } else if (message instanceof NameTaken taken
-        && !taken.holder().peerAddress().equals(self().peerAddress())) {
-      local.beQuiet(taken.holder(), now);
+        && !taken.owner().peerAddress().equals(self().peerAddress())) {
+      local.silence(taken.owner(), now);
     }
   }
 
--- a/src/main/java/cobaltseam/membership/HealthChecks.java
+++ b/src/main/java/cobaltseam/membership/HealthChecks.java
@@ -155,7 +155,7 @@
       }
       checks.remove();
       judged++;
-      Timestamp heardAt = check.target.lastHeardAt();
+      Timestamp heardAt = check.target.lastReceivedAt();
       if (check.isAnswered || heardAt != null && !heardAt.isBefore(check.sentAt)) {
         continue;
       }
--- a/src/main/java/cobaltseam/membership/Lease.java
+++ b/src/main/java/cobaltseam/membership/Lease.java
@@ -111,7 +111,7 @@
       renewAt = view == null ? null : now;
     }
     List<OutgoingMessage> messages = new ArrayList<>();
-    if (view == null || now.isBefore(renewAt) || !membership.hasNoSuccessor()) {
+    if (view == null || now.isBefore(renewAt) || !membership.hasAcceptedNoSuccessor()) {
       return messages;
     }
     renewAt = now.plus(options.duration().times(RENEW_AFTER_FRACTION));
@@ -152,7 +152,7 @@
       return List.of();
     }
     if (message instanceof LeaseRenewal renewal
-        && membership.hasNoSuccessor()
+        && membership.hasAcceptedNoSuccessor()
         && renewal.from().view().equals(view.id())) {
       return List.of(
           new OutgoingMessage(
--- a/src/main/java/cobaltseam/membership/LocalMember.java
+++ b/src/main/java/cobaltseam/membership/LocalMember.java
@@ -102,13 +102,13 @@
     health.worsen();
   }
 
-  boolean isQuiet(Timestamp now) {
+  boolean isSilenced(Timestamp now) {
     return quietUntil != null && now.isBefore(quietUntil);
   }
 
   /** Stays silent for some periods, since another live process holds the name. */
-  void beQuiet(Member nameHolder, Timestamp now) {
-    if (!isQuiet(now)) {
+  void silence(Member nameHolder, Timestamp now) {
+    if (!isSilenced(now)) {
       output.recordEvent(
           MembershipEvent.NAME_TAKEN,
           member.name(),
--- a/src/main/java/cobaltseam/membership/LocalView.java
+++ b/src/main/java/cobaltseam/membership/LocalView.java
@@ -77,7 +77,7 @@
   /** A majority confirmed the view from the folder. */
   void confirmResumed(Timestamp now) {
     installedAt = now;
-    actions.viewInstalled(state.view());
+    actions.addViewInstalled(state.view());
   }
 
   /** Replaces the state, with another view or the same. */
@@ -126,6 +126,6 @@
       detector.addMembers(view.members(), now);
       removedBy = null;
     }
-    actions.viewInstalled(view);
+    actions.addViewInstalled(view);
   }
 }
--- a/src/main/java/cobaltseam/membership/Membership.java
+++ b/src/main/java/cobaltseam/membership/Membership.java
@@ -136,7 +136,7 @@
    *
    * @param statusVersion its status version
    * @param conditionSince when its condition last changed
-   * @param lastHeardAt when it was last heard; null if never
+   * @param lastReceivedAt when it was last heard; null if never
    * @param roundTrip of its last answered health check; null before the first
    * @param suspectedBy the members that suspect it, by name
    */
@@ -145,7 +145,7 @@
       long statusVersion,
       MemberCondition condition,
       Timestamp conditionSince,
-      Timestamp lastHeardAt,
+      Timestamp lastReceivedAt,
       TimeSpan roundTrip,
       List<MemberName> suspectedBy) {}
 
@@ -160,7 +160,7 @@
         peer.statusVersion(),
         peer.condition(),
         peer.conditionSince(),
-        peer.lastHeardAt(),
+        peer.lastReceivedAt(),
         peer.roundTrip(),
         peer.suspectedBy().stream().sorted().toList());
   }
@@ -176,7 +176,7 @@
   }
 
   /** A process that pauses for less than this is not removed. */
-  public TimeSpan toleratedPause() {
+  public TimeSpan toleratedSuspension() {
     return detector.minSuspicionTimeout();
   }
 
@@ -293,7 +293,7 @@
    * @param documentOf the document of a version, or null if it is not here; it is persisted with
    *     the vote
    */
-  public void setDocuments(
+  public void setDocumentAccess(
       Predicate<ConfigurationVersion> hasDocument,
       Function<ConfigurationVersion, byte[]> documentOf) {
     driver.setDocumentCheck(hasDocument);
@@ -323,7 +323,7 @@
    * Whether this process has accepted no successor of its view. If a majority says so, the view had
    * no successor at that time.
    */
-  public boolean hasNoSuccessor() {
+  public boolean hasAcceptedNoSuccessor() {
     return localView.hasView()
         && localView.state().accepted() == null
         && !quorum.isResumed()
@@ -353,7 +353,7 @@
    * @return whether the message counts
    */
   public boolean acceptSender(PeerMessage message, Timestamp now) {
-    if (isLeaving || detector.isQuiet(now) || !detector.acceptSender(message.from(), now)) {
+    if (isLeaving || detector.isSilenced(now) || !detector.acceptSender(message.from(), now)) {
       return false;
     }
     transfer.requestIfBehind(message.from(), now);
@@ -387,7 +387,9 @@
         message instanceof MembershipMessage.StatePart
             || message instanceof MembershipMessage.NameTaken;
     MessageHeader from = message.from();
-    if (!isLeaving && (isForQuiet || !detector.isQuiet(now)) && detector.acceptSender(from, now)) {
+    if (!isLeaving
+        && (isForQuiet || !detector.isSilenced(now))
+        && detector.acceptSender(from, now)) {
       detector.receive(message, now);
       lineages.end(from.endedView());
       lineageGuard.leaveOldFolder(from, now);
--- a/src/main/java/cobaltseam/membership/MembershipMessage.java
+++ b/src/main/java/cobaltseam/membership/MembershipMessage.java
@@ -36,7 +36,7 @@
    * Whether others may rely on it, so that a process with a folder persists the state behind it
    * before it is sent.
    */
-  default boolean mustOutliveProcess() {
+  default boolean requiresPersistedState() {
     return !(this instanceof HealthCheck
         || this instanceof HealthCheckRequest
         || this instanceof HealthCheckReply
@@ -82,8 +82,8 @@
     }
   }
 
-  /** A part of the full state; {@code more} if there is state after its last name. */
-  record StatePart(MessageHeader from, List<MemberUpdate> state, boolean more)
+  /** A part of the full state; {@code hasMore} if there is state after its last name. */
+  record StatePart(MessageHeader from, List<MemberUpdate> state, boolean hasMore)
       implements MembershipMessage {
     public StatePart {
       Objects.requireNonNull(from);
@@ -92,10 +92,10 @@
   }
 
   /** The name of the recipient is held by a live process at another address. */
-  record NameTaken(MessageHeader from, Member holder) implements MembershipMessage {
+  record NameTaken(MessageHeader from, Member owner) implements MembershipMessage {
     public NameTaken {
       Objects.requireNonNull(from);
-      Objects.requireNonNull(holder);
+      Objects.requireNonNull(owner);
     }
   }
 
--- a/src/main/java/cobaltseam/membership/Peer.java
+++ b/src/main/java/cobaltseam/membership/Peer.java
@@ -14,7 +14,7 @@
   private long statusVersion;
   private MemberCondition condition = MemberCondition.ALIVE;
   private Timestamp conditionSince;
-  private Timestamp lastHeardAt;
+  private Timestamp lastReceivedAt;
   private Timestamp suspectedAt;
   private Timestamp suspicionExpiresAt;
   private final Set<MemberName> suspectedBy = new HashSet<>();
@@ -53,7 +53,7 @@
   }
 
   /** Whether it is dead or has left. */
-  boolean isGone() {
+  boolean isDeadOrLeft() {
     return condition.compareTo(MemberCondition.DEAD) >= 0;
   }
 
@@ -62,8 +62,8 @@
   }
 
   /** When this process last received a message from it; null if never. */
-  Timestamp lastHeardAt() {
-    return lastHeardAt;
+  Timestamp lastReceivedAt() {
+    return lastReceivedAt;
   }
 
   /** When the current suspicion began; null if it was never suspected. */
@@ -132,13 +132,13 @@
   void replaceProcess(Member later, long version, Timestamp now) {
     member = later;
     statusVersion = version;
-    lastHeardAt = null;
+    lastReceivedAt = null;
     viewId = ViewId.NONE;
     conditionSince = now;
   }
 
   void recordMessage(ViewId heldView, Timestamp now) {
-    lastHeardAt = now;
+    lastReceivedAt = now;
     viewId = heldView;
   }
 
--- a/src/main/java/cobaltseam/membership/QuorumTracker.java
+++ b/src/main/java/cobaltseam/membership/QuorumTracker.java
@@ -137,8 +137,8 @@
       Peer peer = detector.peer(member.name());
       boolean wasHeard =
           peer != null
-              && peer.lastHeardAt() != null
-              && !peer.lastHeardAt().isBefore(confirmFrom)
+              && peer.lastReceivedAt() != null
+              && !peer.lastReceivedAt().isBefore(confirmFrom)
               && peer.isSameProcess(member);
       confirmations += wasHeard && !peer.viewId().isAfter(view.id()) ? 1 : 0;
     }
--- a/src/main/java/cobaltseam/membership/Rebootstrap.java
+++ b/src/main/java/cobaltseam/membership/Rebootstrap.java
@@ -101,7 +101,7 @@
       return false;
     }
     boolean isSilent =
-        peer.lastHeardAt() == null || now.since(peer.lastHeardAt()).compareTo(silent) >= 0;
-    return !peer.isSameProcess(member) || peer.isGone() && isSilent;
+        peer.lastReceivedAt() == null || now.since(peer.lastReceivedAt()).compareTo(silent) >= 0;
+    return !peer.isSameProcess(member) || peer.isDeadOrLeft() && isSilent;
   }
 }
--- a/src/main/java/cobaltseam/membership/RemovedMembers.java
+++ b/src/main/java/cobaltseam/membership/RemovedMembers.java
@@ -51,7 +51,7 @@
   }
 
   private void recordRemoval(Member member, Timestamp now) {
-    occupiedUntil.put(member, now.plus(options.maxSendDelay()));
+    occupiedUntil.put(member, now.plus(options.maxAttemptDuration()));
     Integer former = removals.remove(member);
     removals.put(member, former == null ? 1 : former + 1);
   }
--- a/src/main/java/cobaltseam/membership/StatePersistence.java
+++ b/src/main/java/cobaltseam/membership/StatePersistence.java
@@ -123,7 +123,8 @@
     boolean isInstall = action instanceof MembershipAction.ViewInstalled;
     boolean isDependent =
         isInstall
-            || action instanceof MembershipAction.Send send && send.message().mustOutliveProcess();
+            || action instanceof MembershipAction.Send send
+                && send.message().requiresPersistedState();
     if (isDependent && (isInstall || withheld.size() < MAX_WITHHELD)) {
       withheld.add(new WithheldAction(latestNumber, action));
     }
--- a/src/main/java/cobaltseam/membership/StateSync.java
+++ b/src/main/java/cobaltseam/membership/StateSync.java
@@ -50,7 +50,7 @@
     }
     if (isAlone || !local.seesMajority() || round % HEAL_INTERVAL_ROUNDS == 0) {
       peers
-          .sample(local.seesMajority() ? 1 : DEAD_PEERS_PER_ROUND, Peer::isGone)
+          .sample(local.seesMajority() ? 1 : DEAD_PEERS_PER_ROUND, Peer::isDeadOrLeft)
           .forEach(this::requestState);
       requestFromSeeds(isAlone ? MAX_SEEDS_PER_ROUND : 1);
     }
@@ -81,7 +81,7 @@
     // exists.
     peers.removeIf(
         p ->
-            p.isGone()
+            p.isDeadOrLeft()
                 && (local.viewId().lineage() != 0 || p.viewId().lineage() == 0)
                 && now.since(p.conditionSince()).compareTo(forgetAfter) > 0);
   }
@@ -101,7 +101,7 @@
 
   /** Asks for the part that follows the received one, if there is one. */
   void requestNextPart(Peer from, StatePart part) {
-    if (part.more() && !part.state().isEmpty()) {
+    if (part.hasMore() && !part.state().isEmpty()) {
       MemberName last = part.state().get(part.state().size() - 1).member().name();
       output.send(from, new StateRequest(local.header(), last));
     }
--- a/src/main/java/cobaltseam/membership/UpdateProcessor.java
+++ b/src/main/java/cobaltseam/membership/UpdateProcessor.java
@@ -38,7 +38,7 @@
   TimeSpan minSuspicionTimeout() {
     return options
         .healthCheckInterval()
-        .times(options.healthCheckTimeout() + Math.log10(2 + peers.size()));
+        .times(options.suspicionTimeoutPeriods() + Math.log10(2 + peers.size()));
   }
 
   /** The gossip for the next message to a peer; what is said of the peer itself comes first. */
@@ -210,7 +210,7 @@
     long ownStart = LocalMember.startNumber(local.statusVersion());
     long reportedStart = LocalMember.startNumber(update.statusVersion());
     if (!member.peerAddress().equals(self.peerAddress())) {
-      local.beQuiet(member, now);
+      local.silence(member, now);
     } else if (order > 0) {
       // A former process at this address had a later clock; this one still succeeds it.
       local.takeIncarnationAbove(member.incarnation());
--- a/src/main/java/cobaltseam/membership/ViewDeltaPlanner.java
+++ b/src/main/java/cobaltseam/membership/ViewDeltaPlanner.java
@@ -51,7 +51,7 @@
       if (peer == null || isSelf(member.name())) {
         continue;
       }
-      boolean isLost = peer.isGone() && !isHealing || !peer.isSameProcess(member);
+      boolean isLost = peer.isDeadOrLeft() && !isHealing || !peer.isSameProcess(member);
       if (isLost && removed.size() < MAX_REMOVED) {
         removed.add(member);
       }
@@ -109,8 +109,8 @@
       return false;
     }
     boolean wasHeard =
-        peer.lastHeardAt() != null
-            && now.since(peer.lastHeardAt())
+        peer.lastReceivedAt() != null
+            && now.since(peer.lastReceivedAt())
                     .compareTo(options.healthCheckInterval().times(RETAIN_HEARD_WITHIN_PERIODS))
                 < 0;
     return peer.isAlive() || wasHeard;
--- a/src/main/java/cobaltseam/service/FleetStatusRows.java
+++ b/src/main/java/cobaltseam/service/FleetStatusRows.java
@@ -190,7 +190,7 @@
     rows.add(row("engines_shared_over", sharedOver() + (hasMastership ? ", by mastership" : "")));
     rows.add(row("own_health", membership.healthScore() + " (0 is well)"));
     rows.add(row("folder", folderText()));
-    rows.add(row("bears_ms", Long.toString(membership.toleratedPause().us() / US_PER_MS)));
+    rows.add(row("bears_ms", Long.toString(membership.toleratedSuspension().us() / US_PER_MS)));
     for (Membership.MemberStatus status : membership.memberStatuses()) {
       rows.add(row("member_" + status.member().name(), statusText(status, view, now)));
     }
@@ -243,9 +243,9 @@
         + " incarnation "
         + status.statusVersion()
         + ", heard "
-        + (status.lastHeardAt() == null
+        + (status.lastReceivedAt() == null
             ? "never"
-            : elapsedMs(now, status.lastHeardAt()) + " ms ago")
+            : elapsedMs(now, status.lastReceivedAt()) + " ms ago")
         + ", round trip "
         + (status.roundTrip() == null ? "unknown" : status.roundTrip().us() + " us")
         + (status.suspectedBy().isEmpty() ? "" : ", suspected by " + status.suspectedBy());
