--- a/src/main/java/cobaltseam/cli/VrrpWatchCommand.java
+++ b/src/main/java/cobaltseam/cli/VrrpWatchCommand.java
@@ -92,13 +92,13 @@
       List<ActiveRouterChange> changes = new ArrayList<>();
       if (datagram != null) {
         socket.release(datagram.bytes, datagram.source);
-        AdvertisementFilter.Verdict verdict =
+        AdvertisementFilter.FilterResult verdict =
             filter.evaluate(datagram.bytes, datagram.source, self, now());
         if (verdict.advertisement() != null) {
           changes.addAll(observer.onAdvertisement(datagram.source, verdict.advertisement(), now()));
         }
       }
-      changes.addAll(observer.expireClaims(now()));
+      changes.addAll(observer.expireAdvertisements(now()));
       print(changes);
     }
   }
@@ -154,9 +154,9 @@
       json.writeStringField(
           "at", Instant.ofEpochSecond(0, change.since().us() * NS_PER_US).toString());
       json.writeNumberField("virtualRouterId", change.router().value());
-      json.writeStringField("state", stateLabel(change.active().size()));
+      json.writeStringField("state", stateLabel(change.activeRouters().size()));
       json.writeArrayFieldStart("active");
-      for (InetAddress address : change.active()) {
+      for (InetAddress address : change.activeRouters()) {
         json.writeString(Addresses.format(address));
       }
       json.writeEndArray();
--- a/src/main/java/cobaltseam/mastership/ActiveRouterObserver.java
+++ b/src/main/java/cobaltseam/mastership/ActiveRouterObserver.java
@@ -1,7 +1,7 @@
 package cobaltseam.mastership;
 
 import cobaltseam.dispatch.Timestamp;
-import cobaltseam.mastership.Mastership.ObservedClaim;
+import cobaltseam.mastership.Mastership.ReceivedAdvertisement;
 import cobaltseam.vrrp.Addresses;
 import cobaltseam.vrrp.Advertisement;
 import java.net.InetAddress;
@@ -23,9 +23,10 @@
    * silent, two or more in a split.
    */
   public record ActiveRouterChange(
-      VirtualRouterId router, List<InetAddress> active, Timestamp since) {}
+      VirtualRouterId router, List<InetAddress> activeRouters, Timestamp since) {}
 
-  private final Map<VirtualRouterId, Map<InetAddress, ObservedClaim>> claims = new TreeMap<>();
+  private final Map<VirtualRouterId, Map<InetAddress, ReceivedAdvertisement>> claims =
+      new TreeMap<>();
   private final Map<VirtualRouterId, List<InetAddress>> reported = new HashMap<>();
 
   /** Records an accepted advertisement, and returns what has changed by now. */
@@ -37,13 +38,13 @@
         .computeIfAbsent(router, r -> new HashMap<>())
         .put(
             sender,
-            new ObservedClaim(
+            new ReceivedAdvertisement(
                 advertisement.priority(), now, VirtualRouter.advertisementInterval(advertisement)));
-    return expireClaims(now);
+    return expireAdvertisements(now);
   }
 
   /** Drops expired claims, and returns what has changed since the last call. */
-  public List<ActiveRouterChange> expireClaims(Timestamp now) {
+  public List<ActiveRouterChange> expireAdvertisements(Timestamp now) {
     List<ActiveRouterChange> changed = new ArrayList<>();
     claims.forEach(
         (router, claimants) -> {
@@ -62,7 +63,7 @@
   public Timestamp nextExpiry() {
     return claims.values().stream()
         .flatMap(m -> m.values().stream())
-        .map(ObservedClaim::expiresAt)
+        .map(ReceivedAdvertisement::expiresAt)
         .min(Comparator.naturalOrder())
         .orElse(null);
   }
--- a/src/main/java/cobaltseam/mastership/AdvertisementFilter.java
+++ b/src/main/java/cobaltseam/mastership/AdvertisementFilter.java
@@ -21,7 +21,7 @@
  */
 public final class AdvertisementFilter {
   /** The accepted advertisement, or why the datagram was rejected; the other one is null. */
-  public record Verdict(Advertisement advertisement, RejectionReason rejection) {}
+  public record FilterResult(Advertisement advertisement, RejectionReason rejection) {}
 
   private final InetAddress self;
   private final Mastership mastership;
@@ -57,7 +57,7 @@
   }
 
   /** Decides on one datagram that was received from source at destination. */
-  public Verdict evaluate(
+  public FilterResult evaluate(
       byte[] bytes, InetAddress source, InetAddress destination, Timestamp now) {
     if (source.equals(self)) {
       return reject(RejectionReason.OUR_OWN);
@@ -95,12 +95,12 @@
     }
     acceptedCount++;
     acceptedCounts.merge(decoded.coverage(), 1L, Long::sum);
-    return new Verdict(advertisement, null);
+    return new FilterResult(advertisement, null);
   }
 
-  private Verdict reject(RejectionReason reason) {
+  private FilterResult reject(RejectionReason reason) {
     countRejected(reason, 1);
-    return new Verdict(null, reason);
+    return new FilterResult(null, reason);
   }
 
   /** Adds datagrams that were rejected before they reached this filter. */
--- a/src/main/java/cobaltseam/mastership/HealthScore.java
+++ b/src/main/java/cobaltseam/mastership/HealthScore.java
@@ -41,7 +41,7 @@
    * The bounds of a signal: it is unhealthy from one value on and healthy below another one, and
    * lowers the priority by this many steps while it is counted.
    */
-  public record SignalBounds(double unhealthyFrom, double healthyBelow, int prioritySteps) {}
+  public record SignalBounds(double unhealthyFrom, double healthyBelow, int priorityDecrement) {}
 
   /**
    * How signals are judged.
@@ -102,7 +102,7 @@
       if (value != null) {
         updateSignal(state, entry.getValue(), value, now);
       }
-      steps += state.counted ? entry.getValue().prioritySteps() : 0;
+      steps += state.counted ? entry.getValue().priorityDecrement() : 0;
     }
     return steps;
   }
@@ -129,7 +129,7 @@
   }
 
   /** The signals that are counted now. */
-  public List<HealthSignal> countedSignals() {
+  public List<HealthSignal> degradedSignals() {
     List<HealthSignal> counting = new ArrayList<>();
     states.forEach(
         (signal, state) -> {
--- a/src/main/java/cobaltseam/mastership/Mastership.java
+++ b/src/main/java/cobaltseam/mastership/Mastership.java
@@ -23,9 +23,10 @@
  * It does no I/O: the caller passes the time in and carries out the {@link MastershipAction}s that
  * are returned. Not thread-safe.
  *
- * <p>The caller must call {@link #onTimer} no later than {@link #nextWake}, and {@link #canAdmit}
- * before anything that only an active dispatcher may do. After a pause of the process in which a
- * peer may have become active, every event first makes the routers concerned step back to backup.
+ * <p>The caller must call {@link #onTimer} no later than {@link #nextTimerExpiry}, and {@link
+ * #canAdmit} before anything that only an active dispatcher may do. After a pause of the process in
+ * which a peer may have become active, every event first makes the routers concerned step back to
+ * backup.
  */
 public final class Mastership {
   /**
@@ -47,18 +48,18 @@
   }
 
   /** One virtual router, for as long as it is configured. */
-  private static final class RouterSlot {
+  private static final class RouterEntry {
     RouterOptions options;
     RouterState state;
-    Timestamp wakeAt;
+    Timestamp timerExpiresAt;
     Timestamp fenceAt;
 
     /** How often it was unable to serve since it last served. */
-    int failuresInARow;
+    int consecutiveFailures;
   }
 
   /** The last advertisement of a peer for a virtual router. */
-  public record ObservedClaim(int priority, Timestamp receivedAt, TimeSpan interval) {
+  public record ReceivedAdvertisement(int priority, Timestamp receivedAt, TimeSpan interval) {
     /** Until when its sender is taken for active if it sends no other advertisement. */
     Timestamp expiresAt() {
       return priority == Advertisement.RESIGNATION_PRIORITY
@@ -68,10 +69,11 @@
   }
 
   private final InetAddress self;
-  private final TreeMap<VirtualRouterId, RouterSlot> slots = new TreeMap<>();
-  private final TreeSet<RouterTimer> wakeTimers = new TreeSet<>();
+  private final TreeMap<VirtualRouterId, RouterEntry> slots = new TreeMap<>();
+  private final TreeSet<RouterTimer> protocolTimers = new TreeSet<>();
   private final TreeSet<RouterTimer> fenceTimers = new TreeSet<>();
-  private final Map<InetAddress, Map<VirtualRouterId, ObservedClaim>> claims = new HashMap<>();
+  private final Map<InetAddress, Map<VirtualRouterId, ReceivedAdvertisement>> claims =
+      new HashMap<>();
   private final TimeSpan maxAttemptDuration;
   private final TimeSpan minListenPeriod;
   private final boolean acceptsOtherIntervals;
@@ -105,7 +107,7 @@
     this.minListenPeriod = minListenPeriod;
     this.acceptsOtherIntervals = acceptsOtherIntervals;
     for (RouterOptions options : routers) {
-      RouterSlot slot = new RouterSlot();
+      RouterEntry slot = new RouterEntry();
       slot.options = options;
       slots.put(options.router(), slot);
     }
@@ -132,7 +134,7 @@
   /** Stops every router; active ones resign first. */
   public List<MastershipAction> stop(TransitionReason reason, Timestamp now) {
     List<MastershipAction> actions = new ArrayList<>();
-    for (RouterSlot s : slots.values()) {
+    for (RouterEntry s : slots.values()) {
       if (s.state != null && s.state.role() != Role.INITIALIZE) {
         apply(s, VirtualRouter.stop(s.options, s.state, reason, now), actions);
       }
@@ -142,7 +144,7 @@
 
   /** Why an advertisement is rejected here, whoever sent it, or nothing. */
   public Optional<RejectionReason> rejectionReason(Advertisement advertisement) {
-    RouterSlot slot = slots.get(routerIdOf(advertisement));
+    RouterEntry slot = slots.get(routerIdOf(advertisement));
     if (slot == null) {
       return Optional.of(RejectionReason.UNKNOWN_ROUTER);
     }
@@ -164,7 +166,7 @@
   public List<MastershipAction> onAdvertisement(
       InetAddress sender, Advertisement advertisement, Timestamp now) {
     List<MastershipAction> actions = fence(now);
-    RouterSlot slot = slots.get(routerIdOf(advertisement));
+    RouterEntry slot = slots.get(routerIdOf(advertisement));
     if (slot == null || slot.state == null || !peers.contains(sender)) {
       return actions;
     }
@@ -172,7 +174,7 @@
         .computeIfAbsent(sender, s -> new HashMap<>())
         .put(
             slot.options.router(),
-            new ObservedClaim(
+            new ReceivedAdvertisement(
                 advertisement.priority(), now, VirtualRouter.advertisementInterval(advertisement)));
     apply(
         slot,
@@ -186,9 +188,10 @@
     List<MastershipAction> actions = fence(now);
     List<RouterTimer> expired =
         new ArrayList<>(
-            wakeTimers.headSet(new RouterTimer(now, new VirtualRouterId(Integer.MAX_VALUE, true))));
+            protocolTimers.headSet(
+                new RouterTimer(now, new VirtualRouterId(Integer.MAX_VALUE, true))));
     for (RouterTimer timer : expired) {
-      RouterSlot slot = slots.get(timer.router);
+      RouterEntry slot = slots.get(timer.router);
       apply(slot, VirtualRouter.onTimer(slot.options, slot.state, now), actions);
     }
     return actions;
@@ -198,14 +201,14 @@
   public List<MastershipAction> fence(Timestamp now) {
     List<MastershipAction> actions = new ArrayList<>();
     while (!fenceTimers.isEmpty() && fenceTimers.first().at.isBefore(now)) {
-      RouterSlot slot = slots.get(fenceTimers.first().router);
+      RouterEntry slot = slots.get(fenceTimers.first().router);
       apply(slot, VirtualRouter.fenceIfOverdue(slot.options, slot.state, now), actions);
     }
     return actions;
   }
 
   /** Lowers the priority of every router by this many steps, but to no less than 1. */
-  public List<MastershipAction> reducePriority(int steps, Timestamp now) {
+  public List<MastershipAction> setPriorityReduction(int steps, Timestamp now) {
     List<MastershipAction> actions = fence(now);
     if (steps != priorityReduction) {
       priorityReduction = steps;
@@ -225,14 +228,14 @@
   /** The service address of an active router can't be opened: it resigns and backs off. */
   public List<MastershipAction> onUnableToServe(VirtualRouterId router, Timestamp now) {
     List<MastershipAction> actions = fence(now);
-    RouterSlot slot = slots.get(router);
+    RouterEntry slot = slots.get(router);
     if (slot != null && slot.state != null) {
       TimeSpan backoff =
           VirtualRouter.activeDownInterval(slot.state)
               .times(
                   INITIAL_BACKOFF_DOWN_INTERVALS
-                      * Math.pow(2, Math.min(slot.failuresInARow, MAX_BACKOFF_DOUBLINGS)));
-      slot.failuresInARow++;
+                      * Math.pow(2, Math.min(slot.consecutiveFailures, MAX_BACKOFF_DOUBLINGS)));
+      slot.consecutiveFailures++;
       apply(
           slot, VirtualRouter.resignUnableToServe(slot.options, slot.state, backoff, now), actions);
     }
@@ -242,7 +245,7 @@
   /** The service address of a router is open: its next failure counts as the first one. */
   public void onServing(VirtualRouterId router) {
     if (slots.containsKey(router)) {
-      slots.get(router).failuresInARow = 0;
+      slots.get(router).consecutiveFailures = 0;
     }
   }
 
@@ -259,7 +262,7 @@
     Map<VirtualRouterId, RouterOptions> remaining = new TreeMap<>();
     routers.forEach(options -> remaining.put(options.router(), options));
     for (VirtualRouterId id : List.copyOf(slots.keySet())) {
-      RouterSlot slot = slots.get(id);
+      RouterEntry slot = slots.get(id);
       RouterOptions options = remaining.remove(id);
       if (options == null) {
         apply(
@@ -276,7 +279,7 @@
       }
     }
     for (RouterOptions options : remaining.values()) {
-      RouterSlot slot = new RouterSlot();
+      RouterEntry slot = new RouterEntry();
       slot.options = options;
       slots.put(options.router(), slot);
       apply(
@@ -291,17 +294,17 @@
   // ---- queries
 
   /** When to call {@link #onTimer} next, or null. */
-  public Timestamp nextWake() {
-    return wakeTimers.isEmpty() ? null : wakeTimers.first().at;
+  public Timestamp nextTimerExpiry() {
+    return protocolTimers.isEmpty() ? null : protocolTimers.first().at;
   }
 
   /** Whether requests of this virtual router may be admitted and forwarded now. */
   public boolean canAdmit(VirtualRouterId router, Timestamp now) {
-    RouterSlot slot = slots.get(router);
+    RouterEntry slot = slots.get(router);
     return slot != null
         && slot.state != null
         && slot.state.role() == Role.ACTIVE
-        && !VirtualRouter.fenceTime(slot.options, slot.state).isBefore(now);
+        && !VirtualRouter.fenceDeadline(slot.options, slot.state).isBefore(now);
   }
 
   /** Whether a peer may have become active unnoticed: then {@link #fence} must be called first. */
@@ -324,9 +327,9 @@
    */
   public double effectiveDispatcherCount(Timestamp now) {
     double others = 0;
-    for (Map<VirtualRouterId, ObservedClaim> claimsOfPeer : claims.values()) {
+    for (Map<VirtualRouterId, ReceivedAdvertisement> claimsOfPeer : claims.values()) {
       double share = 0;
-      for (ObservedClaim claim : claimsOfPeer.values()) {
+      for (ReceivedAdvertisement claim : claimsOfPeer.values()) {
         share =
             Math.max(
                 share,
@@ -365,8 +368,8 @@
   }
 
   /** The last advertisement of each peer for a router. */
-  public Map<InetAddress, ObservedClaim> claims(VirtualRouterId router) {
-    Map<InetAddress, ObservedClaim> claimsOfPeer = new HashMap<>();
+  public Map<InetAddress, ReceivedAdvertisement> receivedAdvertisements(VirtualRouterId router) {
+    Map<InetAddress, ReceivedAdvertisement> claimsOfPeer = new HashMap<>();
     claims.forEach(
         (peer, of) -> {
           if (of.containsKey(router)) {
@@ -387,13 +390,14 @@
   }
 
   /** Sets the new state of a router, reschedules its two timers, and adds the actions. */
-  private void apply(RouterSlot slot, Transition transition, List<MastershipAction> actions) {
+  private void apply(RouterEntry slot, Transition transition, List<MastershipAction> actions) {
     VirtualRouterId id = slot.options.router();
     slot.state = transition.state();
-    slot.wakeAt = reschedule(wakeTimers, id, slot.wakeAt, slot.state.wakeAt());
+    slot.timerExpiresAt =
+        reschedule(protocolTimers, id, slot.timerExpiresAt, slot.state.timerExpiresAt());
     slot.fenceAt =
         reschedule(
-            fenceTimers, id, slot.fenceAt, VirtualRouter.fenceTime(slot.options, slot.state));
+            fenceTimers, id, slot.fenceAt, VirtualRouter.fenceDeadline(slot.options, slot.state));
     actions.addAll(transition.actions());
   }
 
--- a/src/main/java/cobaltseam/mastership/RouterState.java
+++ b/src/main/java/cobaltseam/mastership/RouterState.java
@@ -10,7 +10,7 @@
  * @param reason why it took this role
  * @param priority its current priority, 0 to 255
  * @param activeInterval the advertisement interval of the active router, as last received
- * @param wakeAt when its timer expires, or null
+ * @param timerExpiresAt when its timer expires, or null
  * @param lastAdvertisedAt when it last advertised as the active router, or null
  * @param preemptionAllowedFrom from when on it may take over from a lower priority
  */
@@ -20,10 +20,10 @@
     TransitionReason reason,
     int priority,
     TimeSpan activeInterval,
-    Timestamp wakeAt,
+    Timestamp timerExpiresAt,
     Timestamp lastAdvertisedAt,
     Timestamp preemptionAllowedFrom) {
-  RouterState withWakeAt(Timestamp at) {
+  RouterState withTimerExpiry(Timestamp at) {
     return new RouterState(
         role, since, reason, priority, activeInterval, at, lastAdvertisedAt, preemptionAllowedFrom);
   }
@@ -35,14 +35,21 @@
         reason,
         newPriority,
         activeInterval,
-        wakeAt,
+        timerExpiresAt,
         lastAdvertisedAt,
         newPreemptionAllowedFrom);
   }
 
   RouterState withActiveInterval(TimeSpan interval) {
     return new RouterState(
-        role, since, reason, priority, interval, wakeAt, lastAdvertisedAt, preemptionAllowedFrom);
+        role,
+        since,
+        reason,
+        priority,
+        interval,
+        timerExpiresAt,
+        lastAdvertisedAt,
+        preemptionAllowedFrom);
   }
 
   RouterState withAdvertisement(Timestamp at, Timestamp next) {
@@ -57,7 +64,7 @@
         newReason,
         priority,
         activeInterval,
-        wakeAt,
+        timerExpiresAt,
         newRole == Role.ACTIVE ? lastAdvertisedAt : null,
         preemptionAllowedFrom);
   }
--- a/src/main/java/cobaltseam/mastership/VirtualRouter.java
+++ b/src/main/java/cobaltseam/mastership/VirtualRouter.java
@@ -56,7 +56,7 @@
    * peer of the same interval becomes active sooner: each adds its skew time, and measures from
    * when it received the advertisement.
    */
-  static Timestamp fenceTime(RouterOptions options, RouterState state) {
+  static Timestamp fenceDeadline(RouterOptions options, RouterState state) {
     return state.role() == Role.ACTIVE
         ? state
             .lastAdvertisedAt()
@@ -86,13 +86,13 @@
         state
             .withRole(Role.BACKUP, TransitionReason.STARTED, now)
             .withPriority(priority, now.plus(options.preemptDelay()));
-    return new Transition(state.withWakeAt(now.plus(listen).plus(activeDownInterval(state))));
+    return new Transition(state.withTimerExpiry(now.plus(listen).plus(activeDownInterval(state))));
   }
 
   /** Shutdown. An active router resigns, so that a peer takes over within its skew time. */
   static Transition stop(
       RouterOptions options, RouterState state, TransitionReason reason, Timestamp now) {
-    RouterState next = state.withRole(Role.INITIALIZE, reason, now).withWakeAt(null);
+    RouterState next = state.withRole(Role.INITIALIZE, reason, now).withTimerExpiry(null);
     return state.role() == Role.ACTIVE
         ? new Transition(
             next,
@@ -109,11 +109,11 @@
           new MastershipAction.Advertise(options.router(), state.priority()));
     }
     if (state.role() != Role.BACKUP) {
-      return new Transition(state.withWakeAt(null));
+      return new Transition(state.withTimerExpiry(null));
     }
     // If this process did not run, advertisements of the active router may still be unread.
-    if (now.since(state.wakeAt()).compareTo(state.activeInterval()) > 0) {
-      return new Transition(state.withWakeAt(now.plus(activeDownInterval(state))));
+    if (now.since(state.timerExpiresAt()).compareTo(state.activeInterval()) > 0) {
+      return new Transition(state.withTimerExpiry(now.plus(activeDownInterval(state))));
     }
     return becomeActive(options, state, TransitionReason.NONE_HEARD, now);
   }
@@ -152,9 +152,9 @@
       // Never later than without the resignation, which only proves that its sender is gone.
       Timestamp afterSkew = now.plus(skewTime(state));
       return new Transition(
-          state.wakeAt() != null && state.wakeAt().isBefore(afterSkew)
+          state.timerExpiresAt() != null && state.timerExpiresAt().isBefore(afterSkew)
               ? state
-              : state.withWakeAt(afterSkew));
+              : state.withTimerExpiry(afterSkew));
     }
     boolean takesOver =
         options.preempts()
@@ -164,7 +164,7 @@
       return new Transition(state);
     }
     RouterState next = state.withActiveInterval(advertisementInterval(advertisement));
-    return new Transition(next.withWakeAt(now.plus(activeDownInterval(next))));
+    return new Transition(next.withTimerExpiry(now.plus(activeDownInterval(next))));
   }
 
   private static Transition onAdvertisementAsActive(
@@ -185,7 +185,7 @@
               .withRole(Role.BACKUP, reason, now)
               .withActiveInterval(advertisementInterval(advertisement));
       return new Transition(
-          next.withWakeAt(now.plus(activeDownInterval(next))),
+          next.withTimerExpiry(now.plus(activeDownInterval(next))),
           new MastershipAction.Release(options.router(), reason));
     }
     // Advertises at once, so that all routers that listen learn who is active.
@@ -199,7 +199,7 @@
 
   /** Steps back to backup if the fence time has passed, so that a peer may have become active. */
   static Transition fenceIfOverdue(RouterOptions options, RouterState state, Timestamp now) {
-    Timestamp fence = fenceTime(options, state);
+    Timestamp fence = fenceDeadline(options, state);
     if (fence == null || !fence.isBefore(now)) {
       return new Transition(state);
     }
@@ -208,7 +208,7 @@
             .withRole(Role.BACKUP, TransitionReason.FENCED, now)
             .withActiveInterval(options.advertisementInterval());
     return new Transition(
-        next.withWakeAt(now.plus(activeDownInterval(next))),
+        next.withTimerExpiry(now.plus(activeDownInterval(next))),
         new MastershipAction.Release(options.router(), TransitionReason.FENCED));
   }
 
@@ -225,7 +225,7 @@
             .withRole(Role.BACKUP, TransitionReason.UNABLE, now)
             .withPriority(state.priority(), now.plus(backoff));
     return new Transition(
-        next.withWakeAt(now.plus(backoff).plus(activeDownInterval(next))),
+        next.withTimerExpiry(now.plus(backoff).plus(activeDownInterval(next))),
         new MastershipAction.Advertise(options.router(), Advertisement.RESIGNATION_PRIORITY),
         new MastershipAction.Release(options.router(), TransitionReason.UNABLE));
   }
@@ -255,8 +255,10 @@
           now.plus(activeDownInterval(next.withActiveInterval(options.advertisementInterval())));
       next =
           next.withActiveInterval(options.advertisementInterval())
-              .withWakeAt(
-                  state.wakeAt() != null && wake.isBefore(state.wakeAt()) ? state.wakeAt() : wake);
+              .withTimerExpiry(
+                  state.timerExpiresAt() != null && wake.isBefore(state.timerExpiresAt())
+                      ? state.timerExpiresAt()
+                      : wake);
     }
     return new Transition(next, actions);
   }
--- a/src/main/java/cobaltseam/mastership/VirtualRouterId.java
+++ b/src/main/java/cobaltseam/mastership/VirtualRouterId.java
@@ -5,16 +5,16 @@
  *
  * @param value the VRID, 1 to 255; the same number may be used once for each address family
  */
-public record VirtualRouterId(int value, boolean ipv6) implements Comparable<VirtualRouterId> {
+public record VirtualRouterId(int value, boolean isIpv6) implements Comparable<VirtualRouterId> {
   @Override
   public int compareTo(VirtualRouterId other) {
     return value != other.value
         ? Integer.compare(value, other.value)
-        : Boolean.compare(ipv6, other.ipv6);
+        : Boolean.compare(isIpv6, other.isIpv6);
   }
 
   @Override
   public String toString() {
-    return value + (ipv6 ? "/ipv6" : "/ipv4");
+    return value + (isIpv6 ? "/ipv6" : "/ipv4");
   }
 }
--- a/src/main/java/cobaltseam/service/MastershipRows.java
+++ b/src/main/java/cobaltseam/service/MastershipRows.java
@@ -44,7 +44,7 @@
     List<String[]> rows = new ArrayList<>();
     add(rows, "mastership", hasFailed ? "ended by a fault" : "on");
     add(rows, "engines_shared_over", String.format(Locale.ROOT, "%.2f", sharingDispatchers));
-    List<String> signals = healthScore.countedSignals().stream().map(HealthSignal::label).toList();
+    List<String> signals = healthScore.degradedSignals().stream().map(HealthSignal::label).toList();
     add(rows, "fitness_steps", mastership.priorityReduction() + " " + signals);
     for (VirtualRouterId router : mastership.routers()) {
       addRouter(rows, router, now);
@@ -72,7 +72,7 @@
         prefix + "serves",
         listeners.addressOf(router) + (listeners.isOpen(router) ? " open" : " closed"));
     mastership
-        .claims(router)
+        .receivedAdvertisements(router)
         .forEach(
             (peer, claim) -> {
               long ageMs = now.since(claim.receivedAt()).us() / US_PER_MS;
--- a/src/main/java/cobaltseam/service/VirtualAddressService.java
+++ b/src/main/java/cobaltseam/service/VirtualAddressService.java
@@ -267,7 +267,7 @@
       return;
     }
     Timestamp now = clock.now();
-    AdvertisementFilter.Verdict verdict;
+    AdvertisementFilter.FilterResult verdict;
     try {
       verdict = filter.evaluate(bytes, source, self, now);
     } catch (RuntimeException e) {
@@ -314,10 +314,10 @@
                 Level.WARNING,
                 "health score: priority reduced by {0} steps, for {1}",
                 Field.of("steps", steps),
-                Field.of("signs", healthScore.countedSignals()),
+                Field.of("signs", healthScore.degradedSignals()),
                 Field.event("mastership.fitness"));
           }
-          return mastership.reducePriority(steps, now);
+          return mastership.setPriorityReduction(steps, now);
         });
   }
 
@@ -347,7 +347,7 @@
       decision.get().forEach(this::carryOut);
       updateSharing();
       timers.cancel(wakeTimer);
-      Timestamp wake = mastership.nextWake();
+      Timestamp wake = mastership.nextTimerExpiry();
       wakeTimer = wake == null ? null : timers.set(wake, this::onWakeTimer);
     } catch (RuntimeException e) {
       fail(e);
--- a/src/main/java/cobaltseam/settings/MastershipSection.java
+++ b/src/main/java/cobaltseam/settings/MastershipSection.java
@@ -148,7 +148,7 @@
     Map<HealthSignal, HealthScore.SignalBounds> bounds = new EnumMap<>(HealthSignal.class);
     for (HealthSignal signal : HealthSignal.values()) {
       HealthScore.SignalBounds read = readBounds(section, schema, signal.label());
-      if (read.prioritySteps() > 0) {
+      if (read.priorityDecrement() > 0) {
         bounds.put(signal, read);
       }
     }
--- a/src/test/java/cobaltseam/mastership/ActiveRouterObserverTest.java
+++ b/src/test/java/cobaltseam/mastership/ActiveRouterObserverTest.java
@@ -18,13 +18,17 @@
   @Test
   void anObserverReportsSilencesAndSplits() {
     ActiveRouterObserver observer = new ActiveRouterObserver();
-    assertEquals(List.of(LOWER), observer.onAdvertisement(LOWER, advert(50), now).get(0).active());
+    assertEquals(
+        List.of(LOWER), observer.onAdvertisement(LOWER, advert(50), now).get(0).activeRouters());
     assertEquals(List.of(), observer.onAdvertisement(LOWER, advert(50), now));
     assertEquals(
-        List.of(LOWER, HIGHER), observer.onAdvertisement(HIGHER, advert(60), now).get(0).active());
-    assertEquals(List.of(HIGHER), observer.onAdvertisement(LOWER, advert(0), now).get(0).active());
-    assertEquals(List.of(), observer.expireClaims(now.plus(SECOND)));
+        List.of(LOWER, HIGHER),
+        observer.onAdvertisement(HIGHER, advert(60), now).get(0).activeRouters());
+    assertEquals(
+        List.of(HIGHER), observer.onAdvertisement(LOWER, advert(0), now).get(0).activeRouters());
+    assertEquals(List.of(), observer.expireAdvertisements(now.plus(SECOND)));
     assertEquals(now.plus(SECOND.times(4)), observer.nextExpiry());
-    assertEquals(List.of(), observer.expireClaims(observer.nextExpiry()).get(0).active());
+    assertEquals(
+        List.of(), observer.expireAdvertisements(observer.nextExpiry()).get(0).activeRouters());
   }
 }
--- a/src/test/java/cobaltseam/mastership/Exploration.java
+++ b/src/test/java/cobaltseam/mastership/Exploration.java
@@ -156,7 +156,7 @@
   }
 
   private Timestamp wakeOf(SystemState state, int index) {
-    Timestamp wake = state.routers.get(index).wakeAt();
+    Timestamp wake = state.routers.get(index).timerExpiresAt();
     return wake == null ? null : later(wake, state.pausedUntil.get(index));
   }
 
@@ -237,7 +237,7 @@
         faulty,
         successors,
         (router, before) ->
-            before.wakeAt() != null && !now.isBefore(before.wakeAt())
+            before.timerExpiresAt() != null && !now.isBefore(before.timerExpiresAt())
                 ? VirtualRouter.onTimer(router, before, now)
                 : new Transition(before));
     return successors;
@@ -368,7 +368,7 @@
   private SystemState withOverlap(SystemState state, Timestamp now) {
     int admitted = 0;
     for (int i = 0; i < state.routers.size(); i++) {
-      Timestamp fence = VirtualRouter.fenceTime(options.get(i), state.routers.get(i));
+      Timestamp fence = VirtualRouter.fenceDeadline(options.get(i), state.routers.get(i));
       // A paused router serves nothing; afterwards its fence time or the waiting advertisements
       // decide.
       boolean isPaused = now.isBefore(state.pausedUntil.get(i));
@@ -397,7 +397,7 @@
               router.reason(),
               router.priority(),
               router.activeInterval(),
-              shift(router.wakeAt(), past, false),
+              shift(router.timerExpiresAt(), past, false),
               shift(router.lastAdvertisedAt(), past, false),
               shift(router.preemptionAllowedFrom(), past, true)));
     }
--- a/src/test/java/cobaltseam/mastership/HealthScoreTest.java
+++ b/src/test/java/cobaltseam/mastership/HealthScoreTest.java
@@ -35,7 +35,7 @@
     }
     assertTrue(changes <= 5, changes + " changes");
     assertTrue(counted > 30_000, "counted in " + counted + " of 36000 looks");
-    assertEquals(List.of(HealthSignal.LATE), healthScore.countedSignals());
+    assertEquals(List.of(HealthSignal.LATE), healthScore.degradedSignals());
     // Between the bounds it stays as it is; well for long enough it ends.
     Timestamp later = START.plus(SECOND.times(4000));
     healthScore.update(Map.of(HealthSignal.LATE, 0.0), later);
--- a/src/test/java/cobaltseam/mastership/MastershipTest.java
+++ b/src/test/java/cobaltseam/mastership/MastershipTest.java
@@ -33,8 +33,8 @@
   private List<MastershipAction> advanceTime(Mastership mastership, double seconds) {
     Timestamp until = now.plus(SECOND.times(seconds));
     List<MastershipAction> actions = new ArrayList<>();
-    while (mastership.nextWake() != null && !until.isBefore(mastership.nextWake())) {
-      now = mastership.nextWake();
+    while (mastership.nextTimerExpiry() != null && !until.isBefore(mastership.nextTimerExpiry())) {
+      now = mastership.nextTimerExpiry();
       actions.addAll(mastership.onTimer(now));
     }
     now = until;
@@ -63,7 +63,7 @@
     Mastership mastership = newMastership(options(1, 100, true, TimeSpan.ZERO));
     assertEquals(List.of(), mastership.start(now));
     // Three intervals and a skew of 156/256 of one.
-    assertEquals(START.plus(new TimeSpan(3_609_375)), mastership.nextWake());
+    assertEquals(START.plus(new TimeSpan(3_609_375)), mastership.nextTimerExpiry());
     assertFalse(mastership.canAdmit(ROUTER, now));
     assertEquals(becomesActive(TransitionReason.NONE_HEARD), advanceTime(mastership, 3.7));
     assertTrue(mastership.canAdmit(ROUTER, now));
@@ -94,9 +94,9 @@
     Mastership mastership = newMastership(options(1, 100, true, TimeSpan.ZERO));
     mastership.start(now);
     mastership.onAdvertisement(HIGHER, advert(200, 200), now);
-    assertEquals(now.plus(new TimeSpan(2 * 3_609_375)), mastership.nextWake());
+    assertEquals(now.plus(new TimeSpan(2 * 3_609_375)), mastership.nextTimerExpiry());
     mastership.onAdvertisement(HIGHER, advert(0, 200), now);
-    assertEquals(now.plus(new TimeSpan(2 * 609_375)), mastership.nextWake());
+    assertEquals(now.plus(new TimeSpan(2 * 609_375)), mastership.nextTimerExpiry());
     assertEquals(becomesActive(TransitionReason.NONE_HEARD), advanceTime(mastership, 1.3));
   }
 
@@ -105,9 +105,9 @@
     Mastership mastership = newMastership(options(1, 1, true, TimeSpan.ZERO));
     mastership.start(now);
     advanceTime(mastership, 3.9);
-    Timestamp before = mastership.nextWake();
+    Timestamp before = mastership.nextTimerExpiry();
     mastership.onAdvertisement(HIGHER, advert(0), now);
-    assertEquals(before, mastership.nextWake());
+    assertEquals(before, mastership.nextTimerExpiry());
   }
 
   @Test
@@ -174,7 +174,7 @@
     assertEquals(
         List.of(new MastershipAction.Release(ROUTER, TransitionReason.FENCED)),
         mastership.onTimer(after));
-    assertEquals(after.plus(new TimeSpan(3_609_375)), mastership.nextWake());
+    assertEquals(after.plus(new TimeSpan(3_609_375)), mastership.nextTimerExpiry());
   }
 
   @Test
@@ -209,7 +209,7 @@
       assertEquals(
           new MastershipAction.Release(ROUTER, TransitionReason.UNABLE),
           mastership.onUnableToServe(ROUTER, now).get(1));
-      waits.add(mastership.nextWake().since(now).us());
+      waits.add(mastership.nextTimerExpiry().since(now).us());
       advanceTime(mastership, 100);
       assertEquals(Role.ACTIVE, role(mastership));
     }
@@ -217,23 +217,23 @@
     assertEquals(List.of(3 * down, 5 * down, 9 * down), waits);
     mastership.onServing(ROUTER);
     mastership.onUnableToServe(ROUTER, now);
-    assertEquals(3 * down, mastership.nextWake().since(now).us());
+    assertEquals(3 * down, mastership.nextTimerExpiry().since(now).us());
   }
 
   @Test
   void aReducedPriorityIsAdvertisedAndNeverBelowOne() {
     Mastership mastership = activeMastership();
-    mastership.reducePriority(30, now);
+    mastership.setPriorityReduction(30, now);
     assertEquals(
         List.of(new MastershipAction.Advertise(ROUTER, 70)),
         advanceTime(mastership, 1).subList(0, 1));
-    mastership.reducePriority(200, now);
+    mastership.setPriorityReduction(200, now);
     assertEquals(new MastershipAction.Advertise(ROUTER, 1), advanceTime(mastership, 1).get(0));
     assertEquals(
         List.of(new MastershipAction.Release(ROUTER, TransitionReason.HIGHER_HEARD)),
         mastership.onAdvertisement(LOWER, advert(50), now));
     // Well again: it takes over once more, in a down interval.
-    mastership.reducePriority(0, now);
+    mastership.setPriorityReduction(0, now);
     for (int i = 0; i < 5; i++) {
       advanceTime(mastership, 0.95);
       mastership.onAdvertisement(LOWER, advert(50), now);
--- a/src/test/java/cobaltseam/settings/SettingsReaderTest.java
+++ b/src/test/java/cobaltseam/settings/SettingsReaderTest.java
@@ -117,7 +117,12 @@
     assertEquals(-1, settings.virtualAddresses().dispatchersElsewhere());
     assertEquals(
         40,
-        settings.virtualAddresses().healthScore().bounds().get(HealthSignal.LATE).prioritySteps());
+        settings
+            .virtualAddresses()
+            .healthScore()
+            .bounds()
+            .get(HealthSignal.LATE)
+            .priorityDecrement());
     assertNull(settings.virtualAddresses().healthScore().bounds().get(HealthSignal.MEMORY));
     assertEquals(
         100,
@@ -126,7 +131,7 @@
             .healthScore()
             .bounds()
             .get(HealthSignal.NO_ENGINE)
-            .prioritySteps());
+            .priorityDecrement());
   }
 
   @Test
