--- a/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
+++ b/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
@@ -227,7 +227,7 @@
    */
   public String propose(byte[] content, long expect, Timestamp now) {
     View view = membership.view();
-    long number = view == null ? 0 : ConfigurationVersion.number(view.configuration());
+    long number = view == null ? 0 : ConfigurationVersion.numberOf(view.configuration());
     if (view == null || !leaseLeft(now).isPositive()) {
       return "no majority is heard";
     }
@@ -275,7 +275,7 @@
   }
 
   private void receiveOffer(VersionOffer offer, View view, Member sender, Timestamp now) {
-    long nextNumber = ConfigurationVersion.number(view.configuration()) + 1;
+    long nextNumber = ConfigurationVersion.numberOf(view.configuration()) + 1;
     if (offer.version().number() != nextNumber
         || offer.contentLength() > options.maxDocumentBytes) {
       return;
--- a/src/main/java/cobaltseam/agreement/ProposalTracker.java
+++ b/src/main/java/cobaltseam/agreement/ProposalTracker.java
@@ -76,7 +76,7 @@
   void begin(byte[] document, Timestamp now) {
     ConfigurationVersion version =
         new ConfigurationVersion(
-            ConfigurationVersion.number(membership.view().configuration()) + 1,
+            ConfigurationVersion.numberOf(membership.view().configuration()) + 1,
             ConfigurationAgreement.hash(document),
             membership.self().name());
     proposal = new Proposal(version, now);
@@ -121,7 +121,7 @@
   }
 
   private boolean endIfSuperseded(View view) {
-    if (ConfigurationVersion.number(view.configuration()) < proposal.version.number()) {
+    if (ConfigurationVersion.numberOf(view.configuration()) < proposal.version.number()) {
       return false;
     }
     if (proposal.version.equals(view.configuration())) {
--- a/src/main/java/cobaltseam/agreement/VersionHistory.java
+++ b/src/main/java/cobaltseam/agreement/VersionHistory.java
@@ -47,8 +47,8 @@
     long newVersions =
         next == null
             ? 0
-            : ConfigurationVersion.number(next.configuration())
-                - ConfigurationVersion.number(previous);
+            : ConfigurationVersion.numberOf(next.configuration())
+                - ConfigurationVersion.numberOf(previous);
     if (next != null && (!isSameLineage || newVersions > 1)) {
       unknownUntil = leasesEnd;
     }
--- a/src/main/java/cobaltseam/capacity/CapacityLeases.java
+++ b/src/main/java/cobaltseam/capacity/CapacityLeases.java
@@ -258,7 +258,7 @@
     currentView = view;
     evenPart = view == null ? 0 : options.dividedAmount() / view.members().size();
     if (view != null) {
-      exhaustedUntil.keySet().removeIf(n -> view.of(n) == null);
+      exhaustedUntil.keySet().removeIf(n -> view.memberNamed(n) == null);
     }
   }
 
--- a/src/main/java/cobaltseam/coordination/FleetCoordinator.java
+++ b/src/main/java/cobaltseam/coordination/FleetCoordinator.java
@@ -294,7 +294,7 @@
   private void sendGossip(List<StateGossip.OutgoingMessage> sends) {
     View view = membership.view();
     for (StateGossip.OutgoingMessage send : sends) {
-      Member to = view == null ? null : view.of(send.to());
+      Member to = view == null ? null : view.memberNamed(send.to());
       if (to != null) {
         effects.send(to.peerAddress(), SharingPeerMessage.of(membership.header(), send.message()));
       }
--- a/src/main/java/cobaltseam/membership/ConfigurationVersion.java
+++ b/src/main/java/cobaltseam/membership/ConfigurationVersion.java
@@ -23,7 +23,7 @@
   }
 
   /** The number of a version; zero for null. */
-  public static long number(ConfigurationVersion version) {
+  public static long numberOf(ConfigurationVersion version) {
     return version == null ? 0 : version.number;
   }
 
--- a/src/main/java/cobaltseam/membership/LineageGuard.java
+++ b/src/main/java/cobaltseam/membership/LineageGuard.java
@@ -32,12 +32,12 @@
    * Gives up a view whose majority has restarted without memory: their promises are forgotten, so
    * it can have no successor.
    */
-  void leaveDeadLineage(Timestamp now) {
+  void leaveUnrecoverableLineage(Timestamp now) {
     View view = localView.view();
     if (view == null) {
       View removedBy = localView.removedBy();
       if (removedBy != null && isDead(removedBy)) {
-        lineages.end(removedBy.id());
+        lineages.recordEnded(removedBy.id());
         localView.clearRemovedBy();
       }
     } else if (!localView.containsSelf(view)) {
@@ -45,8 +45,8 @@
           MembershipEvent.LINE_LEFT,
           "view " + view.id() + " contains a former process of this name",
           now);
-    } else if (!quorum.isComplete() && isDead(view)) {
-      lineages.end(view.id());
+    } else if (!quorum.areAllPeersAliveMembers() && isDead(view)) {
+      lineages.recordEnded(view.id());
       localView.leaveLineage(
           MembershipEvent.LINE_LEFT,
           "most members of view " + view.id() + " have restarted without their state",
@@ -110,8 +110,8 @@
    * lacks later promises. One view ahead is no sign of that if a successor was accepted: then the
    * folder is from the last moment before it.
    */
-  void leaveOldFolder(MessageHeader peer, Timestamp now) {
-    if (!quorum.isResumed() || !peer.view().isAfter(localView.view().id())) {
+  void abandonOutdatedFolder(MessageHeader peer, Timestamp now) {
+    if (!quorum.isRestoredViewUnconfirmed() || !peer.view().isAfter(localView.view().id())) {
       return;
     }
     ViewId own = localView.view().id();
--- a/src/main/java/cobaltseam/membership/LineageHistory.java
+++ b/src/main/java/cobaltseam/membership/LineageHistory.java
@@ -35,16 +35,16 @@
     ended.putAll(former.endedLineages());
   }
 
-  Map<Long, Long> left() {
+  Map<Long, Long> leftLineages() {
     return Collections.unmodifiableMap(left);
   }
 
-  Map<Long, Long> ended() {
+  Map<Long, Long> endedLineages() {
     return Collections.unmodifiableMap(ended);
   }
 
   /** Records that this process leaves a lineage at this view. */
-  void leave(ViewId last) {
+  void recordLeft(ViewId last) {
     left.merge(last.lineage(), last.number(), Math::max);
   }
 
@@ -63,7 +63,7 @@
    * Remembers, and reports from now on, that a view has no successor, so that processes that it
    * removed do not wait for one.
    */
-  void end(ViewId last) {
+  void recordEnded(ViewId last) {
     Long known = ended.get(last.lineage());
     if (last.lineage() == 0
         || known != null && known >= last.number()
@@ -73,11 +73,11 @@
     ended.put(last.lineage(), last.number());
     actions.recordEvent(
         MembershipEvent.LINE_ENDED, detector.self().name(), "view " + last + " has no successor");
-    report();
+    reportLatestEnded();
   }
 
   /** Reports the youngest ended lineage to the peers. */
-  void report() {
+  void reportLatestEnded() {
     ended.keySet().stream()
         .max(Long::compare)
         .ifPresent(lineage -> detector.reportEndedView(new ViewId(lineage, ended.get(lineage))));
--- a/src/main/java/cobaltseam/membership/LocalView.java
+++ b/src/main/java/cobaltseam/membership/LocalView.java
@@ -70,12 +70,12 @@
   }
 
   /** Starts with a view from the folder. */
-  void resume(Timestamp now) {
+  void markRestored(Timestamp now) {
     installedAt = now;
   }
 
   /** A majority confirmed the view from the folder. */
-  void confirmResumed(Timestamp now) {
+  void confirmRestored(Timestamp now) {
     installedAt = now;
     actions.addViewInstalled(state.view());
   }
@@ -113,7 +113,7 @@
   void leaveLineage(MembershipEvent event, String cause, Timestamp now) {
     actions.recordEvent(event, detector.self().name(), cause);
     View before = state.view();
-    lineages.leave(before.id());
+    lineages.recordLeft(before.id());
     state = ViewState.NONE;
     onChanged(before, now);
   }
--- a/src/main/java/cobaltseam/membership/Membership.java
+++ b/src/main/java/cobaltseam/membership/Membership.java
@@ -191,12 +191,12 @@
     detector.start(now);
     if (localView.hasView()) {
       // From the folder: it is a member as before once a majority was heard.
-      localView.resume(now);
+      localView.markRestored(now);
       detector.addMembers(view().members(), now);
       detector.reportView(view().id(), false);
       quorum.requireConfirmation(now);
     }
-    lineages.report();
+    lineages.reportLatestEnded();
     return finish();
   }
 
@@ -273,8 +273,8 @@
 
   private void advance(Timestamp now) {
     driver.dropStaleConfiguration();
-    quorum.confirm(now);
-    lineageGuard.leaveDeadLineage(now);
+    quorum.updateConfirmation(now);
+    lineageGuard.leaveUnrecoverableLineage(now);
     quorum.update(now);
     if (localView.hasView()) {
       transfer.retry(now);
@@ -326,7 +326,7 @@
   public boolean hasAcceptedNoSuccessor() {
     return localView.hasView()
         && localView.state().accepted() == null
-        && !quorum.isResumed()
+        && !quorum.isRestoredViewUnconfirmed()
         && localView.containsSelf(view());
   }
 
@@ -391,13 +391,13 @@
         && (isForQuiet || !detector.isSilenced(now))
         && detector.acceptSender(from, now)) {
       detector.receive(message, now);
-      lineages.end(from.endedView());
-      lineageGuard.leaveOldFolder(from, now);
+      lineages.recordEnded(from.endedView());
+      lineageGuard.abandonOutdatedFolder(from, now);
       lineageGuard.leaveEndedLineage(now);
       lineageGuard.leaveForOtherLineage(from, now);
       transfer.requestIfBehind(from, now);
       route(message, now);
-      quorum.confirm(now);
+      quorum.updateConfirmation(now);
     }
     return finish();
   }
--- a/src/main/java/cobaltseam/membership/QuorumState.java
+++ b/src/main/java/cobaltseam/membership/QuorumState.java
@@ -1,21 +1,27 @@
 package cobaltseam.membership;
 
-/** Whether a process may rely on the last agreed view that it knows. */
+/** Whether this process may rely on the last agreed view that it has installed. */
 public enum QuorumState {
-  /** It has no view: it was not added yet, or was removed. */
-  NONE,
-  /** A majority of the view seems alive from here. */
-  MAJORITY,
+  /** The process has no view: it has not been added yet, or it has been removed. */
+  NONE("none"),
+  /** The failure detector of this process reports a majority of the view as alive. */
+  MAJORITY("majority"),
   /**
-   * This process was stopped or restarted, has not heard a majority since, and a majority may still
-   * answer.
+   * The process was suspended or restarted and has not received messages from a majority since; a
+   * majority may still answer.
    */
-  UNSURE,
-  /** No majority of the view seems alive from here. */
-  MINORITY;
+  UNCONFIRMED("unsure"),
+  /** The failure detector of this process reports no majority of the view as alive. */
+  MINORITY("minority");
 
-  /** The name as it is printed. */
+  private final String label;
+
+  QuorumState(String label) {
+    this.label = label;
+  }
+
+  /** The name as printed in logs and status tables. */
   public String label() {
-    return name().toLowerCase(java.util.Locale.ROOT);
+    return label;
   }
 }
--- a/src/main/java/cobaltseam/membership/QuorumTracker.java
+++ b/src/main/java/cobaltseam/membership/QuorumTracker.java
@@ -22,7 +22,7 @@
   private final MembershipOptions options;
   private final FailureDetector detector;
   private final LocalView localView;
-  private boolean isResumed;
+  private boolean isRestoredViewUnconfirmed;
   private boolean isIsolated;
   private Timestamp confirmFrom;
 
@@ -39,20 +39,23 @@
   private int aliveCount;
 
   /**
-   * @param isResumed whether the view comes from the folder; then this process does not vote before
-   *     a majority is heard, of which one member may know that the folder is old
+   * @param isRestoredViewUnconfirmed whether the view comes from the folder; then this process does
+   *     not vote before a majority is heard, of which one member may know that the folder is old
    */
   QuorumTracker(
-      MembershipOptions options, FailureDetector detector, LocalView localView, boolean isResumed) {
+      MembershipOptions options,
+      FailureDetector detector,
+      LocalView localView,
+      boolean isRestoredViewUnconfirmed) {
     this.options = options;
     this.detector = detector;
     this.localView = localView;
-    this.isResumed = isResumed;
+    this.isRestoredViewUnconfirmed = isRestoredViewUnconfirmed;
   }
 
   @Override
   public void onViewChanged(View before, View view, Timestamp now) {
-    isResumed = false;
+    isRestoredViewUnconfirmed = false;
     detector.reportView(view == null ? ViewId.NONE : view.id(), hasMajority());
     if (view == null) {
       confirmFrom = null;
@@ -67,7 +70,9 @@
     boolean isCutOff = isIsolated && view.members().size() > 1;
     boolean seesMajority = aliveCount() >= view.majority() && !isCutOff;
     if (confirmFrom != null) {
-      return isConfirmationOverdue && !seesMajority ? QuorumState.MINORITY : QuorumState.UNSURE;
+      return isConfirmationOverdue && !seesMajority
+          ? QuorumState.MINORITY
+          : QuorumState.UNCONFIRMED;
     }
     return seesMajority ? QuorumState.MAJORITY : QuorumState.MINORITY;
   }
@@ -77,8 +82,8 @@
   }
 
   /** Whether the view comes from the folder and no majority has confirmed it yet. */
-  boolean isResumed() {
-    return isResumed;
+  boolean isRestoredViewUnconfirmed() {
+    return isRestoredViewUnconfirmed;
   }
 
   /** Since when there is no majority; null while there is one, and without a view. */
@@ -109,7 +114,7 @@
   }
 
   /** Whether all members of the view seem alive, and no other process is known. */
-  boolean isComplete() {
+  boolean areAllPeersAliveMembers() {
     int members = localView.view().members().size();
     return aliveCount() == members && detector.peers().size() == members - 1;
   }
@@ -126,7 +131,7 @@
   }
 
   /** Ends the uncertainty if a majority has been heard and none of it holds a later view. */
-  void confirm(Timestamp now) {
+  void updateConfirmation(Timestamp now) {
     View view = localView.view();
     if (confirmFrom == null || view == null) {
       confirmFrom = null;
@@ -144,9 +149,9 @@
     }
     if (confirmations >= view.majority()) {
       confirmFrom = null;
-      if (isResumed) {
-        isResumed = false;
-        localView.confirmResumed(now);
+      if (isRestoredViewUnconfirmed) {
+        isRestoredViewUnconfirmed = false;
+        localView.confirmRestored(now);
       }
     }
   }
--- a/src/main/java/cobaltseam/membership/Rebootstrap.java
+++ b/src/main/java/cobaltseam/membership/Rebootstrap.java
@@ -42,7 +42,7 @@
     actions.recordEvent(
         MembershipEvent.FOUNDED_ANEW, detector.self().name(), "in place of view " + lost);
     long lineage = nextLineage(localView.view());
-    lineages.end(lost);
+    lineages.recordEnded(lost);
     localView.leaveLineage(MembershipEvent.LINE_LEFT, "an operator ended the lineage", now);
     detector.startIncarnationAbove(new Incarnation(lineage - 1));
     Member self = detector.self();
--- a/src/main/java/cobaltseam/membership/StatePersistence.java
+++ b/src/main/java/cobaltseam/membership/StatePersistence.java
@@ -90,8 +90,8 @@
         && state.self() == detector.self()
         && state.consentedTo() == bootstrap.consentedTo()
         && state.consentedAttempt() == bootstrap.consentedAttempt()
-        && state.leftLineages().equals(lineages.left())
-        && state.endedLineages().equals(lineages.ended());
+        && state.leftLineages().equals(lineages.leftLineages())
+        && state.endedLineages().equals(lineages.endedLineages());
   }
 
   private PersistentState capture() {
@@ -113,8 +113,8 @@
         state.value(),
         bootstrap.consentedTo(),
         bootstrap.consentedAttempt(),
-        lineages.left(),
-        lineages.ended(),
+        lineages.leftLineages(),
+        lineages.endedLineages(),
         documents);
   }
 
--- a/src/main/java/cobaltseam/membership/View.java
+++ b/src/main/java/cobaltseam/membership/View.java
@@ -33,7 +33,7 @@
   }
 
   /** The member with this name, or null. */
-  public Member of(MemberName name) {
+  public Member memberNamed(MemberName name) {
     int from = 0;
     int until = members.size() - 1;
     while (from <= until) {
@@ -50,7 +50,7 @@
 
   /** Whether it contains this very process, not only its name. */
   public boolean contains(MemberName name, Incarnation incarnation) {
-    Member member = of(name);
+    Member member = memberNamed(name);
     return member != null && member.incarnation().equals(incarnation);
   }
 
--- a/src/main/java/cobaltseam/membership/ViewChange.java
+++ b/src/main/java/cobaltseam/membership/ViewChange.java
@@ -168,14 +168,14 @@
         proposed.added().stream()
             .filter(
                 m ->
-                    state.view().of(m.name()) == null
+                    state.view().memberNamed(m.name()) == null
                         || removed.stream().anyMatch(r -> r.name().equals(m.name())))
             .toList();
     // A version is proposed against its predecessor: it is void if another came first.
     ConfigurationVersion version = proposed.configuration();
     boolean isNextVersion =
         version != null
-            && version.number() == ConfigurationVersion.number(state.view().configuration()) + 1;
+            && version.number() == ConfigurationVersion.numberOf(state.view().configuration()) + 1;
     return new ViewDelta(removed, added, isNextVersion ? version : null);
   }
 
--- a/src/main/java/cobaltseam/membership/ViewChangeDriver.java
+++ b/src/main/java/cobaltseam/membership/ViewChangeDriver.java
@@ -126,7 +126,7 @@
 
   private boolean isNextConfiguration(ConfigurationVersion version) {
     return version != null
-        && version.number() == ConfigurationVersion.number(localView.view().configuration()) + 1;
+        && version.number() == ConfigurationVersion.numberOf(localView.view().configuration()) + 1;
   }
 
   private TimeSpan periods(double count) {
@@ -300,7 +300,7 @@
       highestRound = Math.max(highestRound, Math.min(ballot.round(), Long.MAX_VALUE / 2));
     }
     // The view may hold a former incarnation of this process, which has no vote.
-    return !quorum.isResumed()
+    return !quorum.isRestoredViewUnconfirmed()
         && ViewChange.isFromVoter(localView.state(), from, viewId)
         && localView.containsSelf(localView.view());
   }
--- a/src/main/java/cobaltseam/membership/ViewDeltaPlanner.java
+++ b/src/main/java/cobaltseam/membership/ViewDeltaPlanner.java
@@ -35,7 +35,7 @@
 
   /** The change of the members that this process would propose now; maybe empty. */
   ViewDelta plan(Timestamp now) {
-    if (quorum.isComplete()) {
+    if (quorum.areAllPeersAliveMembers()) {
       return ViewDelta.NONE;
     }
     List<Member> removed = planRemovals(now);
@@ -63,7 +63,7 @@
     View view = localView.view();
     List<Member> added = new ArrayList<>();
     for (Peer peer : detector.peers()) {
-      Member current = view.of(peer.member().name());
+      Member current = view.memberNamed(peer.member().name());
       boolean isNameFree =
           current == null || removed.contains(current) && !peer.isSameProcess(current);
       if (isNameFree
@@ -95,7 +95,7 @@
   List<MemberName> retained(List<MemberName> removed, Timestamp now) {
     List<MemberName> retained = new ArrayList<>();
     for (MemberName name : removed) {
-      Member member = localView.view().of(name);
+      Member member = localView.view().memberNamed(name);
       if (member != null && (isSelf(name) || isRetained(member, now))) {
         retained.add(name);
       }
--- a/src/test/java/cobaltseam/fleet/RebootstrapTest.java
+++ b/src/test/java/cobaltseam/fleet/RebootstrapTest.java
@@ -81,7 +81,7 @@
     Fault pause = new Fault(Kind.PAUSE, 75, 40, List.of(3), List.of(), 1);
     VirtualFleet fleet = playedFleet(List.of(pause));
     ViewId lost = fleet.view(3).id();
-    assertEquals(QuorumState.UNSURE, fleet.quorumState(3));
+    assertEquals(QuorumState.UNCONFIRMED, fleet.quorumState(3));
     fleet.bootstrapAgain(3, lost);
     assertEquals(lost, fleet.view(3).id());
   }
@@ -96,7 +96,7 @@
     ViewId held = fleet.view(3).id();
     fleet.bootstrapAgain(3, held);
     assertEquals(held, fleet.view(3).id());
-    assertEquals(QuorumState.UNSURE, fleet.quorumState(3));
+    assertEquals(QuorumState.UNCONFIRMED, fleet.quorumState(3));
   }
 
   /** Suspensions before, during and after the order, of a majority that is gone or cut off. */
--- a/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
@@ -270,7 +270,7 @@
     View before = fleet.view(0);
     fleet.run(FORMED + 0.3001);
     assertEquals(
-        QuorumState.UNSURE,
+        QuorumState.UNCONFIRMED,
         fleet.quorumState(2),
         "it may have an old folder: it hears a majority first");
     kept(fleet, FORMED + 30);
