--- a/src/main/java/cobaltseam/capacity/CapacityLeases.java
+++ b/src/main/java/cobaltseam/capacity/CapacityLeases.java
@@ -21,8 +21,8 @@
 /**
  * Which amount of a whole this process may use, such that the amounts of all processes never exceed
  * the whole, whichever of them are partitioned, paused, killed or restarted. It does no I/O: time,
- * randomness and messages come from the caller, who calls {@link #follow} no later than {@link
- * #nextFollowAt}, and reads {@link #usableAmount} before each use.
+ * randomness and messages come from the caller, who calls {@link #update} no later than {@link
+ * #nextUpdateAt}, and reads {@link #usableAmount} before each use.
  *
  * <p>A small standalone part is each process's own without a lease. The rest is divided evenly over
  * the members of the view, and used only under a lease on that view. A new view enlarges parts, or
@@ -80,7 +80,7 @@
   /** A lender that granted less than requested is not asked for more for so many rounds. */
   private static final int EXHAUSTED_LENDER_BACKOFF_ROUNDS = 4;
 
-  private record PreviousView(long evenPart, Timestamp until) {}
+  private record PreviousView(long equalShare, Timestamp until) {}
 
   private record LentLease(long amount, Timestamp until) {}
 
@@ -92,7 +92,7 @@
   private final LeaseContext context;
   private final RandomGenerator random;
   private View currentView;
-  private long evenPart;
+  private long equalShare;
 
   /** The even parts of earlier views, which other members may still use. */
   private final List<PreviousView> previousViews = new ArrayList<>();
@@ -119,13 +119,13 @@
   // ---- what is asked
 
   /** Sets the demand of this process, in any unit that all members use. */
-  public void needs(double demand) {
+  public void setDemand(double demand) {
     this.demand = Math.max(0, demand);
   }
 
   /** The amount that may be used at this time. */
   public long usableAmount(Timestamp now) {
-    long all = options.standalonePart() + (hasLease(now) ? ownPart(now) : 0);
+    long all = options.standaloneAmount() + (hasLease(now) ? ownPart(now) : 0);
     for (BorrowedLease in : borrowed.values()) {
       all += now.isBefore(in.until) ? in.amount : 0;
     }
@@ -153,25 +153,25 @@
         continue;
       }
       long all =
-          options.standalonePart()
+          options.standaloneAmount()
               + (hasLease(now) && !context.leaseUntil().isBefore(end) ? own : 0);
       for (BorrowedLease in : borrowed.values()) {
         all += !in.until.isBefore(end) ? in.amount : 0;
       }
       steps.add(new CapacityStep(end, all));
     }
-    steps.add(new CapacityStep(null, options.standalonePart()));
+    steps.add(new CapacityStep(null, options.standaloneAmount()));
     return steps;
   }
 
   /** The even part that this process may use itself or lend. */
-  public long evenPart(Timestamp now) {
+  public long equalShare(Timestamp now) {
     if (currentView == null || unknownUntil != null && now.isBefore(unknownUntil)) {
       return 0;
     }
-    long least = evenPart;
+    long least = equalShare;
     for (PreviousView e : previousViews) {
-      least = now.isBefore(e.until) ? Math.min(least, e.evenPart) : least;
+      least = now.isBefore(e.until) ? Math.min(least, e.equalShare) : least;
     }
     return least;
   }
@@ -189,8 +189,8 @@
         .sum();
   }
 
-  /** When {@link #follow} is to be asked again. */
-  public Timestamp nextFollowAt(Timestamp now) {
+  /** When {@link #update} is to be asked again. */
+  public Timestamp nextUpdateAt(Timestamp now) {
     return nextRoundAt == null || !now.isBefore(nextRoundAt)
         ? now.plus(options.round())
         : nextRoundAt;
@@ -201,7 +201,7 @@
   }
 
   private long ownPart(Timestamp now) {
-    return Math.max(0, evenPart(now) - lentAmount(now));
+    return Math.max(0, equalShare(now) - lentAmount(now));
   }
 
   /** The largest of the leases of one borrower, as it uses only one of them at a time. */
@@ -216,7 +216,7 @@
   // ---- what follows
 
   /** Follows the view, the time and the demand, and returns the requests to send. */
-  public List<OutgoingMessage> follow(Timestamp now) {
+  public List<OutgoingMessage> update(Timestamp now) {
     View view = context.view();
     if (view != currentView) {
       followView(view, now);
@@ -239,7 +239,7 @@
         .values()
         .removeIf(o -> now.since(o.requestedAt).compareTo(context.maxLeaseDuration()) >= 0);
     exhaustedUntil.values().removeIf(until -> !now.isBefore(until));
-    return asks(now);
+    return createRequests(now);
   }
 
   private void followView(View view, Timestamp now) {
@@ -249,14 +249,14 @@
             && view.id().lineage() == currentView.id().lineage()
             && view.id().number() == currentView.id().number() + 1;
     if (follows) {
-      previousViews.add(new PreviousView(evenPart, now.plus(context.maxLeaseDuration())));
+      previousViews.add(new PreviousView(equalShare, now.plus(context.maxLeaseDuration())));
     } else {
       // A new or restarted member, or one that missed a view, does not know what others use.
       previousViews.clear();
       unknownUntil = now.plus(context.maxLeaseDuration());
     }
     currentView = view;
-    evenPart = view == null ? 0 : options.dividedAmount() / view.members().size();
+    equalShare = view == null ? 0 : options.sharedAmount() / view.members().size();
     if (view != null) {
       exhaustedUntil.keySet().removeIf(n -> view.memberNamed(n) == null);
     }
@@ -268,10 +268,10 @@
    */
   private double target(Double needs, double known, double sum) {
     if (needs == null || sum <= 0) {
-      return evenPart;
+      return equalShare;
     }
-    return options.minEvenShare() * evenPart
-        + (1 - options.minEvenShare()) * evenPart * known * needs / sum;
+    return options.minRetainedRatio() * equalShare
+        + (1 - options.minRetainedRatio()) * equalShare * known * needs / sum;
   }
 
   /**
@@ -296,10 +296,14 @@
     return new DemandSummary(of, of.size() + 1, sum);
   }
 
-  private List<OutgoingMessage> asks(Timestamp now) {
+  /**
+   * Decides how much to borrow from each member, and returns the requests for it. The total of a
+   * member is what it already lends, as far as that is still needed, what pending requests will
+   * add, and what new requests ask for. The requests that gain the most come first: many small ones
+   * would otherwise use up the limit of a round.
+   */
+  private List<OutgoingMessage> createRequests(Timestamp now) {
     DemandSummary needs = needs();
-    // The total to borrow of each member: what is borrowed already, as far as it is still needed,
-    // and what pending requests will bring.
     double missing = target(demand, needs.knownCount, needs.sum) - ownPart(now);
     Map<Member, Double> wanted = new HashMap<>();
     TimeSpan soon = context.maxLeaseDuration().times(RENEW_AT_REMAINING_RATIO);
@@ -315,12 +319,14 @@
         wanted.merge(o.lender, more, Double::sum);
       }
     }
-    if (missing >= Math.max(1, evenPart * MIN_REQUEST_RATIO)) {
+    if (missing >= Math.max(1, equalShare * MIN_REQUEST_RATIO)) {
       Map<Member, Double> spare = new HashMap<>();
       needs.byMember.forEach(
           (m, need) -> {
             double left =
-                evenPart - target(need, needs.knownCount, needs.sum) - wanted.getOrDefault(m, 0.0);
+                equalShare
+                    - target(need, needs.knownCount, needs.sum)
+                    - wanted.getOrDefault(m, 0.0);
             if (left >= 1 && !exhaustedUntil.containsKey(m.name()) && !isAsked(m, now)) {
               spare.put(m, left);
             }
@@ -332,7 +338,6 @@
         wanted.merge(of, more, Double::sum);
       }
     }
-    // The largest gains go first: small amounts of many lenders would else use up a round.
     Map<Member, Double> brings = new HashMap<>();
     wanted.forEach(
         (m, amount) -> {
@@ -340,7 +345,7 @@
           boolean lasts =
               in != null && in.lender.equals(m) && in.until.since(now).compareTo(soon) >= 0;
           double more = lasts ? amount - in.amount : amount;
-          if (more >= Math.max(1, evenPart * MIN_REQUEST_RATIO) && !isAsked(m, now)) {
+          if (more >= Math.max(1, equalShare * MIN_REQUEST_RATIO) && !isAsked(m, now)) {
             brings.put(m, more);
           }
         });
@@ -406,7 +411,7 @@
     if (asked == null
         || !asked.lender.equals(from)
         || grant.amount() < 0
-        || grant.amount() > options.whole()
+        || grant.amount() > options.totalCapacity()
         || grant.durationUs() < 0
         || grant.durationUs() > context.maxLeaseDuration().us()) {
       return List.of();
@@ -441,7 +446,7 @@
       others += e.getKey().equals(to) ? 0 : reservedAmount(e.getValue(), now);
     }
     long before = lent.containsKey(to) ? reservedAmount(lent.get(to), now) : 0;
-    double free = evenPart(now) - others - Math.ceil(target(demand, needs.knownCount, needs.sum));
+    double free = equalShare(now) - others - Math.ceil(target(demand, needs.knownCount, needs.sum));
     // It ends before the lease on the view under which it is granted, by any clock.
     TimeSpan lasts =
         hasLease(now)
@@ -450,7 +455,7 @@
     long amount =
         lasts.isPositive() ? Math.max(0, Math.min(asked.amount(), (long) Math.floor(free))) : 0;
     // The sum of all reserved amounts must not exceed the even part.
-    if (amount > 0 && others + Math.max(before, amount) <= evenPart(now)) {
+    if (amount > 0 && others + Math.max(before, amount) <= equalShare(now)) {
       lent.computeIfAbsent(to, m -> new ArrayList<>())
           .add(new LentLease(amount, now.plus(lasts.times(1 + 2 * context.maxClockRateRatio()))));
     } else {
--- a/src/main/java/cobaltseam/capacity/CapacityOptions.java
+++ b/src/main/java/cobaltseam/capacity/CapacityOptions.java
@@ -3,42 +3,43 @@
 import cobaltseam.dispatch.TimeSpan;
 
 /**
- * How the capacity of all engines is divided.
+ * The options for dividing the capacity of all engines between the members.
  *
- * @param whole the capacity of all engines, in indivisible units
- * @param standaloneShare the share of it that every process holds a part of whatever it knows, each
- *     one in {@code processes}
+ * @param totalCapacity the capacity of all engines, in indivisible units
+ * @param standaloneRatio the ratio of the total capacity that is set aside for use without a lease;
+ *     each process always has one part in {@code maxProcesses} of it
  * @param maxProcesses the largest number of processes that ever run at once
- * @param minEvenShare the share of its even part that a member keeps even without demand
+ * @param minRetainedRatio the ratio of its equal share that a member retains even without demand
  * @param round the time between two rounds of requests
  * @param maxRequestsPerRound the largest number of requests in one round
  */
 public record CapacityOptions(
-    long whole,
-    double standaloneShare,
+    long totalCapacity,
+    double standaloneRatio,
     int maxProcesses,
-    double minEvenShare,
+    double minRetainedRatio,
     TimeSpan round,
     int maxRequestsPerRound) {
   public CapacityOptions {
-    if (whole < 1
-        || !(standaloneShare >= 0 && standaloneShare <= 1)
+    if (totalCapacity < 1
+        || !(standaloneRatio >= 0 && standaloneRatio <= 1)
         || maxProcesses < 1
-        || !(minEvenShare >= 0 && minEvenShare <= 1)
+        || !(minRetainedRatio >= 0 && minRetainedRatio <= 1)
         || !round.isPositive()
         || maxRequestsPerRound < 1) {
       throw new IllegalArgumentException(
-          "whole from 1, alone and floor from 0 to 1, processes from 1, a round above 0, asks from 1");
+          "total capacity, processes and requests per round must be at least 1, the standalone"
+              + " and retained ratios from 0 to 1, and the round above 0");
     }
   }
 
   /** The amount that each process may use without a lease. */
-  public long standalonePart() {
-    return (long) (whole * standaloneShare) / maxProcesses;
+  public long standaloneAmount() {
+    return (long) (totalCapacity * standaloneRatio) / maxProcesses;
   }
 
   /** The amount that the members of a view divide between them. */
-  long dividedAmount() {
-    return whole - standalonePart() * maxProcesses;
+  long sharedAmount() {
+    return totalCapacity - standaloneAmount() * maxProcesses;
   }
 }
--- a/src/main/java/cobaltseam/capacity/LoadReports.java
+++ b/src/main/java/cobaltseam/capacity/LoadReports.java
@@ -51,7 +51,7 @@
   /**
    * How many requests an engine had in flight that do not wait for memory, at this time or later.
    */
-  public record LoadReport(EngineId engine, double inFlight, Timestamp at) {}
+  public record LoadReport(EngineId engine, double inFlight, Timestamp measuredAt) {}
 
   /** A message to an address; it may be lost. */
   public record OutgoingMessage(InetSocketAddress to, LoadReportMessage message) {}
@@ -85,7 +85,7 @@
   }
 
   /** Adds a report that an engine made to this dispatcher itself. */
-  public void addLocal(LoadReport report) {
+  public void addLocalReport(LoadReport report) {
     if (isYounger(report)) {
       latest.put(report.engine(), report);
     }
@@ -93,11 +93,13 @@
 
   private boolean isYounger(LoadReport report) {
     LoadReport known = latest.get(report.engine());
-    return known == null ? latest.size() < MAX_ENGINES : known.at().isBefore(report.at());
+    return known == null
+        ? latest.size() < MAX_ENGINES
+        : known.measuredAt().isBefore(report.measuredAt());
   }
 
   /** Reports of other dispatchers that are later than those known here; each is returned once. */
-  public List<LoadReport> takeReceived() {
+  public List<LoadReport> takeReceivedReports() {
     List<LoadReport> all = received;
     received = new ArrayList<>();
     return all;
@@ -115,7 +117,7 @@
     }
     // After a pause there is one round, not all those that were missed.
     nextRoundAt = now.plus(options.round());
-    latest.values().removeIf(r -> now.since(r.at()).compareTo(options.maxAge()) >= 0);
+    latest.values().removeIf(r -> now.since(r.measuredAt()).compareTo(options.maxAge()) >= 0);
     pending.values().removeIf(o -> now.since(o.requestedAt).compareTo(options.maxAge()) >= 0);
     List<OutgoingMessage> tells = new ArrayList<>();
     int others = view == null ? 0 : view.members().size() - 1;
@@ -156,7 +158,7 @@
   private ReportsReply reply(MessageHeader self, long id, Timestamp now) {
     List<LoadReport> fresh =
         latest.values().stream()
-            .filter(r -> now.since(r.at()).compareTo(options.maxAge()) < 0)
+            .filter(r -> now.since(r.measuredAt()).compareTo(options.maxAge()) < 0)
             .toList();
     long[] engines = new long[fresh.size()];
     int[] inHand = new int[engines.length];
@@ -165,7 +167,7 @@
       engines[i] = fresh.get(i).engine().value();
       inHand[i] = (int) Math.min(MAX_IN_FLIGHT, Math.round(fresh.get(i).inFlight()));
       // Rounded up, so that an age is never understated.
-      ages[i] = (int) (now.since(fresh.get(i).at()).us() / US_PER_MS + 1);
+      ages[i] = (int) (now.since(fresh.get(i).measuredAt()).us() / US_PER_MS + 1);
     }
     return new ReportsReply(self, id, engines, inHand, ages);
   }
@@ -187,7 +189,7 @@
   }
 
   /** The number of reports; bounded. */
-  public int size() {
+  public int reportCount() {
     return latest.size();
   }
 }
--- a/src/main/java/cobaltseam/coordination/FleetCoordinator.java
+++ b/src/main/java/cobaltseam/coordination/FleetCoordinator.java
@@ -241,9 +241,9 @@
     wake = lease == null ? wake : earlier(wake, lease.nextWakeup(now));
     wake = agreement == null ? wake : earlier(wake, agreement.nextFollowAt(now));
     wake = gossip == null ? wake : earlier(wake, gossip.nextRoundAt());
-    wake = retryBudget == null ? wake : earlier(wake, retryBudget.nextFollowAt(now));
+    wake = retryBudget == null ? wake : earlier(wake, retryBudget.nextUpdateAt(now));
     wake = loadReports == null ? wake : earlier(wake, loadReports.nextRoundAt());
-    return capacityLeases == null ? wake : earlier(wake, capacityLeases.nextFollowAt(now));
+    return capacityLeases == null ? wake : earlier(wake, capacityLeases.nextUpdateAt(now));
   }
 
   private static Timestamp earlier(Timestamp one, Timestamp other) {
@@ -330,11 +330,11 @@
       sendGossip(gossip.runRound(now));
     }
     if (capacityLeases != null) {
-      capacityLeases.follow(now).forEach(t -> effects.send(t.to(), t.message()));
+      capacityLeases.update(now).forEach(t -> effects.send(t.to(), t.message()));
     }
     if (retryBudget != null && retryBudget.isDue(now)) {
       retryBudget
-          .follow(
+          .update(
               attemptCounts.firstAttempts(),
               attemptCounts.wantedRetries(),
               spareRetries(now),
--- a/src/main/java/cobaltseam/emulator/EmulatedFleet.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedFleet.java
@@ -129,7 +129,7 @@
             own.split());
     if (one.incarnation == 1) {
       // The fleet was formed long before the run begins.
-      one.capacityLeases.follow(time.now().minus(LEASE.times(2)));
+      one.capacityLeases.update(time.now().minus(LEASE.times(2)));
     }
     dispatcher.setSharingDispatchers((double) WHOLE / one.capacityLeases.usableAmount(time.now()));
     turn(index, one.incarnation);
@@ -145,7 +145,7 @@
       @Override
       public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
         if (outcome.inFlightAtEngine() >= 0) {
-          one.loadReports.addLocal(
+          one.loadReports.addLocalReport(
               new LoadReports.LoadReport(
                   outcome.engine(),
                   Math.max(0, outcome.inFlightAtEngine() - Math.max(0, outcome.queuedAtEngine())),
@@ -176,11 +176,11 @@
             send(processes[to].loadReports.receive(tell.message(), view, header(to), time.now()));
             processes[to]
                 .loadReports
-                .takeReceived()
+                .takeReceivedReports()
                 .forEach(
                     r ->
                         processes[to].dispatcher.updateEngineLoad(
-                            r.engine(), r.inFlight(), r.at()));
+                            r.engine(), r.inFlight(), r.measuredAt()));
           });
     }
   }
@@ -240,12 +240,12 @@
     }
     Timestamp now = time.now();
     double rate = one.demand.update(one.dispatcher.offeredWorkUs(), now);
-    one.capacityLeases.needs(rate);
-    one.sharing.setFigures(
+    one.capacityLeases.setDemand(rate);
+    one.sharing.setOwnFigures(
         new MemberFigures(
             Map.of(FleetCoordinator.DEMAND_FIGURE, FleetCoordinator.demandToFigure(rate))));
     shares(index, one.sharing.runRound(now));
-    one.capacityLeases.follow(now).forEach(t -> send(t.to(), t.message()));
+    one.capacityLeases.update(now).forEach(t -> send(t.to(), t.message()));
     publishFigures(one);
     time.after(LEASE.times(0.25), () -> turn(index, life));
   }
--- a/src/main/java/cobaltseam/fleet/VirtualFleet.java
+++ b/src/main/java/cobaltseam/fleet/VirtualFleet.java
@@ -644,8 +644,8 @@
   public void needs(int index, double demand) {
     demands[index] = demand;
     if (processes[index].capacityLeases != null) {
-      processes[index].capacityLeases.needs(demand);
-      processes[index].sharing.setFigures(
+      processes[index].capacityLeases.setDemand(demand);
+      processes[index].sharing.setOwnFigures(
           new MemberFigures(
               Map.of(FleetCoordinator.DEMAND_FIGURE, FleetCoordinator.demandToFigure(demand))));
     }
@@ -683,18 +683,19 @@
     }
     double missed = 0;
     long settled =
-        capacityOptions.whole() - capacityOptions.standalonePart() * capacityOptions.maxProcesses();
+        capacityOptions.totalCapacity()
+            - capacityOptions.standaloneAmount() * capacityOptions.maxProcesses();
     for (int index = 0; index < processes.length && sum > 0; index++) {
       if (processes[index].alive) {
         double even = (double) settled / alive;
         double due =
-            capacityOptions.standalonePart()
-                + capacityOptions.minEvenShare() * even
-                + (1 - capacityOptions.minEvenShare()) * settled * demands[index] / sum;
+            capacityOptions.standaloneAmount()
+                + capacityOptions.minRetainedRatio() * even
+                + (1 - capacityOptions.minRetainedRatio()) * settled * demands[index] / sum;
         missed += Math.abs(usable(index) - due);
       }
     }
-    return missed / 2 / capacityOptions.whole();
+    return missed / 2 / capacityOptions.totalCapacity();
   }
 
   private void recordUsage() {
--- a/src/main/java/cobaltseam/retrybudget/RetryBudget.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudget.java
@@ -19,8 +19,8 @@
 /**
  * How many retries this process may make, such that the retries for each first attempt stay under a
  * set ratio over the whole fleet, whichever members are partitioned, paused, killed or restarted.
- * It does no I/O: time, randomness and messages come from the caller, who calls {@link #follow} no
- * later than {@link #nextFollowAt}.
+ * It does no I/O: time, randomness and messages come from the caller, who calls {@link #update} no
+ * later than {@link #nextUpdateAt}.
  *
  * <p>Each first attempt earns a part of a retry, which may be spent for one window, here or at the
  * member that it was transferred to. A transfer is taken from the budget here before it is sent,
@@ -119,13 +119,13 @@
         neededPerSecond * options.window().us() / 1e6 * RESERVE_WINDOWS * UNITS_PER_RETRY);
   }
 
-  /** Whether {@link #follow} is due. */
+  /** Whether {@link #update} is due. */
   public boolean isDue(Timestamp now) {
     return nextExchangeAt == null || !now.isBefore(nextExchangeAt);
   }
 
-  /** When {@link #follow} is to be called next. */
-  public Timestamp nextFollowAt(Timestamp now) {
+  /** When {@link #update} is to be called next. */
+  public Timestamp nextUpdateAt(Timestamp now) {
     return nextExchangeAt == null || !now.isBefore(nextExchangeAt)
         ? now.plus(options.exchangeInterval())
         : nextExchangeAt;
@@ -141,7 +141,7 @@
    * @param wantedRetriesSoFar its retries so far, and those that it would have made
    * @param spares the amount that others may request of each member
    */
-  public List<OutgoingMessage> follow(
+  public List<OutgoingMessage> update(
       long firstAttemptsSoFar,
       long wantedRetriesSoFar,
       Map<MemberName, Long> spares,
@@ -202,8 +202,9 @@
    */
   private void earn(long newFirstAttempts, TimeSpan since, Timestamp now) {
     earnedFraction +=
-        (newFirstAttempts * options.ratio()
-                + options.standaloneRate() * Math.min(1, since.dividedBy(options.window())))
+        (newFirstAttempts * options.retryRatio()
+                + options.standaloneRetriesPerWindow()
+                    * Math.min(1, since.dividedBy(options.window())))
             * UNITS_PER_RETRY;
     long earnedUnits = (long) earnedFraction;
     earnedFraction -= earnedUnits;
--- a/src/main/java/cobaltseam/service/FleetBridge.java
+++ b/src/main/java/cobaltseam/service/FleetBridge.java
@@ -187,7 +187,8 @@
         remoteReports.getAcquire() == null ? null : remoteReports.getAndSet(null);
     if (received != null) {
       received.forEach(
-          report -> requests.updateEngineLoad(report.engine(), report.inFlight(), report.at()));
+          report ->
+              requests.updateEngineLoad(report.engine(), report.inFlight(), report.measuredAt()));
     }
   }
 
--- a/src/main/java/cobaltseam/service/FleetService.java
+++ b/src/main/java/cobaltseam/service/FleetService.java
@@ -294,11 +294,11 @@
     try {
       shareFigures();
       if (modules.loadReports != null) {
-        bridge.localReports().forEach(modules.loadReports::addLocal);
+        bridge.localReports().forEach(modules.loadReports::addLocalReport);
       }
       step.run();
       if (modules.loadReports != null) {
-        List<LoadReport> received = modules.loadReports.takeReceived();
+        List<LoadReport> received = modules.loadReports.takeReceivedReports();
         if (!received.isEmpty()) {
           bridge.addRemoteReports(received);
         }
@@ -340,13 +340,13 @@
     Map<String, Long> figures = new HashMap<>();
     if (modules.capacityLeases != null) {
       double rate = modules.demand.update(bridge.totalDemand(), now);
-      modules.capacityLeases.needs(rate);
+      modules.capacityLeases.setDemand(rate);
       figures.put(FleetCoordinator.DEMAND_FIGURE, FleetCoordinator.demandToFigure(rate));
     }
     if (modules.retryBudget != null) {
       figures.put(FleetCoordinator.SPARE_RETRIES_FIGURE, modules.retryBudget.spareUnits());
     }
-    modules.gossip.setFigures(new MemberFigures(figures));
+    modules.gossip.setOwnFigures(new MemberFigures(figures));
   }
 
   private void logQuorumState() {
@@ -423,7 +423,7 @@
       return last;
     }
     long standalone =
-        capacitySettings.capacityOptions(bridge.configuredDispatchers()).standalonePart();
+        capacitySettings.capacityOptions(bridge.configuredDispatchers()).standaloneAmount();
     return last.withParts(
         List.of(new CapacityLeases.CapacityStep(null, standalone)), capacitySettings.totalUnits());
   }
--- a/src/main/java/cobaltseam/service/FleetStatusRows.java
+++ b/src/main/java/cobaltseam/service/FleetStatusRows.java
@@ -107,18 +107,18 @@
               "engines_reported",
               modules.loadReports == null
                   ? "not told"
-                  : Integer.toString(modules.loadReports.size())));
+                  : Integer.toString(modules.loadReports.reportCount())));
       return rows;
     }
     long standalone =
-        capacitySettings.capacityOptions(bridge.configuredDispatchers()).standalonePart();
+        capacitySettings.capacityOptions(bridge.configuredDispatchers()).standaloneAmount();
     rows.add(row("usable", part(modules.capacityLeases.usableAmount(now))));
     rows.add(row("alone", part(standalone)));
-    rows.add(row("even", part(modules.capacityLeases.evenPart(now))));
+    rows.add(row("even", part(modules.capacityLeases.equalShare(now))));
     rows.add(row("lent", part(modules.capacityLeases.lentAmount(now))));
     rows.add(row("borrowed", part(modules.capacityLeases.borrowedAmount(now))));
     rows.add(row("lease_left_ms", Long.toString(modules.lease.remaining(now).us() / US_PER_MS)));
-    StateGossip.Sum sum = modules.gossip.sum(FleetCoordinator.DEMAND_FIGURE, now);
+    StateGossip.FigureSum sum = modules.gossip.sum(FleetCoordinator.DEMAND_FIGURE, now);
     rows.add(
         row(
             "demand_threads",
@@ -132,7 +132,7 @@
                 sum.counted(),
                 sum.unknown())));
     if (modules.loadReports != null) {
-      rows.add(row("engines_reported", Integer.toString(modules.loadReports.size())));
+      rows.add(row("engines_reported", Integer.toString(modules.loadReports.reportCount())));
     }
     return rows;
   }
@@ -150,7 +150,8 @@
     rows.add(
         row("further_sends_and_denied", Long.toString(bridge.attemptCounts().wantedRetries())));
     rows.add(row("denied", Long.toString(counters.of(Count.REPEATS_DENIED))));
-    StateGossip.Sum spare = modules.gossip.sum(FleetCoordinator.SPARE_RETRIES_FIGURE, clock.now());
+    StateGossip.FigureSum spare =
+        modules.gossip.sum(FleetCoordinator.SPARE_RETRIES_FIGURE, clock.now());
     rows.add(
         row(
             "others_can_spare",
--- a/src/main/java/cobaltseam/sharing/Statement.java
+++ b/src/main/java/cobaltseam/sharing/FiguresUpdate.java
@@ -9,8 +9,9 @@
  *
  * @param age the largest age that they could have when the sender sent this
  */
-public record Statement(MemberName member, Version version, MemberFigures figures, TimeSpan age) {
-  public Statement {
+public record FiguresUpdate(
+    MemberName member, FiguresVersion version, MemberFigures figures, TimeSpan age) {
+  public FiguresUpdate {
     Objects.requireNonNull(member);
     Objects.requireNonNull(version);
     Objects.requireNonNull(figures);
--- a/src/main/java/cobaltseam/sharing/Version.java
+++ b/src/main/java/cobaltseam/sharing/FiguresVersion.java
@@ -7,13 +7,14 @@
  * The version of a member's statement: that of a later incarnation is newer, and within one
  * incarnation that of the higher number.
  */
-public record Version(Incarnation incarnation, long number) implements Comparable<Version> {
-  public Version {
+public record FiguresVersion(Incarnation incarnation, long number)
+    implements Comparable<FiguresVersion> {
+  public FiguresVersion {
     Objects.requireNonNull(incarnation);
   }
 
   @Override
-  public int compareTo(Version other) {
+  public int compareTo(FiguresVersion other) {
     int by = incarnation.compareTo(other.incarnation);
     return by != 0 ? by : Long.compare(number, other.number);
   }
--- a/src/main/java/cobaltseam/sharing/KnownFigures.java
+++ b/src/main/java/cobaltseam/sharing/KnownFigures.java
@@ -8,4 +8,4 @@
  * @param version the version under which the member stated the figures
  * @param age the largest age that they can have
  */
-public record KnownFigures(Version version, MemberFigures figures, TimeSpan age) {}
+public record KnownFigures(FiguresVersion version, MemberFigures figures, TimeSpan age) {}
--- a/src/main/java/cobaltseam/sharing/SharingMessage.java
+++ b/src/main/java/cobaltseam/sharing/SharingMessage.java
@@ -12,7 +12,7 @@
   MemberName from();
 
   /** The version that the requester knows of a member, and the largest age that it can have. */
-  record KnownVersion(Version version, TimeSpan age) {
+  record KnownVersion(FiguresVersion version, TimeSpan age) {
     public KnownVersion {
       Objects.requireNonNull(version);
       Objects.requireNonNull(age);
@@ -35,7 +35,7 @@
    * Confirms a version that the requester knows: its member confirmed it no longer ago than the
    * age.
    */
-  record Reaffirmation(MemberName member, Version version, TimeSpan age) {
+  record Reaffirmation(MemberName member, FiguresVersion version, TimeSpan age) {
     public Reaffirmation {
       Objects.requireNonNull(member);
       Objects.requireNonNull(version);
@@ -45,12 +45,12 @@
 
   /** The reply to one request, in one or several parts. */
   record UpdateReply(
-      MemberName from, long id, List<Statement> statements, List<Reaffirmation> standing)
+      MemberName from, long id, List<FiguresUpdate> updates, List<Reaffirmation> reaffirmations)
       implements SharingMessage {
     public UpdateReply {
       Objects.requireNonNull(from);
-      statements = List.copyOf(statements);
-      standing = List.copyOf(standing);
+      updates = List.copyOf(updates);
+      reaffirmations = List.copyOf(reaffirmations);
     }
   }
 }
--- a/src/main/java/cobaltseam/sharing/StateGossip.java
+++ b/src/main/java/cobaltseam/sharing/StateGossip.java
@@ -47,7 +47,7 @@
   private static final long MAX_FIRST_NUMBER = 1L << 40;
 
   private static final class KnownState {
-    Version version;
+    FiguresVersion version;
     MemberFigures figures;
 
     /**
@@ -115,7 +115,7 @@
   }
 
   /** Sets the figures that this member states. */
-  public void setFigures(MemberFigures figures) {
+  public void setOwnFigures(MemberFigures figures) {
     ownFigures = figures;
     versionNumber++;
   }
@@ -161,7 +161,8 @@
     Map<MemberName, SharingMessage.KnownVersion> known = new HashMap<>();
     known.put(
         self,
-        new SharingMessage.KnownVersion(new Version(incarnation, versionNumber), TimeSpan.ZERO));
+        new SharingMessage.KnownVersion(
+            new FiguresVersion(incarnation, versionNumber), TimeSpan.ZERO));
     int bytes = 0;
     while (!names.isEmpty()) {
       MemberName name = names.remove(random.nextInt(names.size()));
@@ -188,19 +189,20 @@
   }
 
   private List<OutgoingMessage> answer(SharingMessage.UpdateRequest request, Timestamp now) {
-    List<Statement> statements = new ArrayList<>();
+    List<FiguresUpdate> updates = new ArrayList<>();
     if (ownFigures != null) {
-      statements.add(
-          new Statement(self, new Version(incarnation, versionNumber), ownFigures, TimeSpan.ZERO));
+      updates.add(
+          new FiguresUpdate(
+              self, new FiguresVersion(incarnation, versionNumber), ownFigures, TimeSpan.ZERO));
     }
     states.forEach(
         (name, state) ->
-            statements.add(new Statement(name, state.version, state.figures, age(state, now))));
+            updates.add(new FiguresUpdate(name, state.version, state.figures, age(state, now))));
     List<OutgoingMessage> sends = new ArrayList<>();
-    List<Statement> newer = new ArrayList<>();
+    List<FiguresUpdate> newer = new ArrayList<>();
     List<SharingMessage.Reaffirmation> reaffirmations = new ArrayList<>();
     int bytes = 0;
-    for (Statement statement : statements) {
+    for (FiguresUpdate statement : updates) {
       SharingMessage.KnownVersion knownVersion = request.known().get(statement.member());
       int comparison =
           knownVersion == null ? -1 : knownVersion.version().compareTo(statement.version());
@@ -243,7 +245,7 @@
     return sends;
   }
 
-  private static int bytes(Statement statement) {
+  private static int bytes(FiguresUpdate statement) {
     return STATEMENT_BYTES
         + statement.member().value().length()
         + statement.figures().byName().keySet().stream()
@@ -256,7 +258,7 @@
     if (request == null || !request.member().equals(reply.from())) {
       return;
     }
-    for (Statement statement : reply.statements()) {
+    for (FiguresUpdate statement : reply.updates()) {
       if (statement.member().equals(self)) {
         // An earlier process of this incarnation used higher numbers: members that know them would
         // ignore this one.
@@ -281,7 +283,7 @@
         states.put(statement.member(), fresh);
       }
     }
-    for (SharingMessage.Reaffirmation statement : reply.standing()) {
+    for (SharingMessage.Reaffirmation statement : reply.reaffirmations()) {
       KnownState state = states.get(statement.member());
       if (state != null
           && statement.age().us() >= 0
@@ -316,7 +318,7 @@
    * The sum of one figure over the members of which it is known, with the number of members of
    * which it is not: a caller must not take these for zero.
    */
-  public Sum sum(String figure, Timestamp now) {
+  public FigureSum sum(String figure, Timestamp now) {
     long sum = ownFigures == null ? 0 : ownFigures.byName().getOrDefault(figure, 0L);
     int counted = ownFigures != null && ownFigures.byName().containsKey(figure) ? 1 : 0;
     for (MemberName member : others) {
@@ -327,14 +329,14 @@
         counted++;
       }
     }
-    return new Sum(sum, counted, others.size() + 1 - counted);
+    return new FigureSum(sum, counted, others.size() + 1 - counted);
   }
 
   /** A sum over members, how many it counts and how many are unknown. */
-  public record Sum(long sum, int counted, int unknown) {}
+  public record FigureSum(long sum, int counted, int unknown) {}
 
   /** The number of other members with known figures; bounded by the view. */
-  public int size() {
+  public int knownMemberCount() {
     return states.size();
   }
 }
--- a/src/main/java/cobaltseam/transport/WireNames.java
+++ b/src/main/java/cobaltseam/transport/WireNames.java
@@ -19,11 +19,11 @@
 import cobaltseam.membership.ViewDelta;
 import cobaltseam.membership.ViewId;
 import cobaltseam.retrybudget.RetryBudgetMessage;
+import cobaltseam.sharing.FiguresUpdate;
+import cobaltseam.sharing.FiguresVersion;
 import cobaltseam.sharing.MemberFigures;
 import cobaltseam.sharing.SharingMessage;
 import cobaltseam.sharing.SharingPeerMessage;
-import cobaltseam.sharing.Statement;
-import cobaltseam.sharing.Version;
 import com.fasterxml.jackson.databind.PropertyName;
 import com.fasterxml.jackson.databind.cfg.MapperConfig;
 import com.fasterxml.jackson.databind.introspect.Annotated;
@@ -122,8 +122,8 @@
     fields(SharingMessage.UpdateReply.class, "from", "id", "statements", "standing");
     fields(SharingMessage.KnownVersion.class, "version", "age");
     fields(SharingMessage.Reaffirmation.class, "of", "version", "age");
-    fields(Statement.class, "of", "version", "figures", "age");
-    fields(Version.class, "birth", "number");
+    fields(FiguresUpdate.class, "of", "version", "figures", "age");
+    fields(FiguresVersion.class, "birth", "number");
     fields(MemberFigures.class, "byName");
     fields(TimeSpan.class, "us");
   }
--- a/src/test/java/cobaltseam/capacity/CapacityLeasesTest.java
+++ b/src/test/java/cobaltseam/capacity/CapacityLeasesTest.java
@@ -101,7 +101,7 @@
   /** The process holds a view of so many for long enough, and the lease up to a moment. */
   private void settled(View view, double leaseUntil) {
     ground.view = view;
-    holdings.follow(at(0));
+    holdings.update(at(0));
     ground.lease = at(leaseUntil);
   }
 
@@ -109,7 +109,7 @@
   void withoutViewOrLeaseOnlyTheStandalonePartIsUsable() {
     assertEquals(ALONE, holdings.usableAmount(at(0)));
     ground.view = view(1, 0, 1, 2);
-    holdings.follow(at(0));
+    holdings.update(at(0));
     assertEquals(ALONE, holdings.usableAmount(at(60)), "no majority said that it is the newest");
     ground.lease = at(61);
     assertEquals(ALONE + SETTLED / 3, holdings.usableAmount(at(60)));
@@ -123,7 +123,7 @@
   void newMemberHasNoPartUntilAllEarlierLeasesHaveEnded() {
     ground.view = view(4, 0, 1, 2);
     ground.lease = at(9);
-    holdings.follow(at(1));
+    holdings.update(at(1));
     assertEquals(ALONE, holdings.usableAmount(at(3.003)));
     assertEquals(ALONE + SETTLED / 3, holdings.usableAmount(at(3.005)));
   }
@@ -132,13 +132,13 @@
   void partShrinksAtOnceAndGrowsAfterAllEarlierLeasesHaveEnded() {
     settled(view(1, 0, 1, 2), 60);
     ground.view = view(2, 0, 1, 2, 3, 4);
-    holdings.follow(at(10));
+    holdings.update(at(10));
     assertEquals(
         ALONE + SETTLED / 5,
         holdings.usableAmount(at(10)),
         "others may hold their part of the larger view");
     ground.view = view(3, 0, 1);
-    holdings.follow(at(20));
+    holdings.update(at(20));
     assertEquals(
         ALONE + SETTLED / 5, holdings.usableAmount(at(22)), "those taken out may hold theirs yet");
     assertEquals(ALONE + SETTLED / 2, holdings.usableAmount(at(22.01)));
@@ -148,13 +148,13 @@
   void memberThatMissedAViewHasNoPartUntilLeasesHaveEnded() {
     settled(view(1, 0, 1, 2), 60);
     ground.view = view(3, 0, 1, 2);
-    holdings.follow(at(10));
+    holdings.update(at(10));
     assertEquals(ALONE, holdings.usableAmount(at(11)));
     ground.view = null;
-    holdings.follow(at(20));
+    holdings.update(at(20));
     assertEquals(ALONE, holdings.usableAmount(at(20)));
     ground.view = view(4, 0, 1, 2);
-    holdings.follow(at(21));
+    holdings.update(at(21));
     assertEquals(ALONE, holdings.usableAmount(at(22)));
   }
 
@@ -169,7 +169,7 @@
   void lentCapacityIsUnusableUntilItEndsBeforeTheLease() {
     settled(view(1, 0, 1, 2), 11);
     ground.demand.put(new MemberName("n1"), 9.0);
-    holdings.needs(0);
+    holdings.setDemand(0);
     // Its target is a quarter of its even part, as it needs nothing.
     LeaseGrant lent = asked(1, 1000, 10);
     assertEquals(225, lent.amount());
@@ -220,7 +220,7 @@
   }
 
   private LeaseRequest borrows(double seconds) {
-    List<CapacityLeases.OutgoingMessage> tells = holdings.follow(at(seconds));
+    List<CapacityLeases.OutgoingMessage> tells = holdings.update(at(seconds));
     assertEquals(1, tells.size(), tells.toString());
     return (LeaseRequest) tells.get(0).message();
   }
@@ -228,7 +228,7 @@
   @Test
   void borrowedCapacityCountsOnceAndFromTheRequest() {
     settled(view(1, 0, 1), 60);
-    holdings.needs(9);
+    holdings.setDemand(9);
     ground.demand.put(new MemberName("n1"), 0.0);
     LeaseRequest borrow = borrows(10);
     assertTrue(borrow.amount() > 300, borrow.toString());
@@ -254,7 +254,7 @@
   @Test
   void unrequestedOrInvalidGrantsAreIgnored() {
     settled(view(1, 0, 1), 60);
-    holdings.needs(9);
+    holdings.setDemand(9);
     ground.demand.put(new MemberName("n1"), 0.0);
     LeaseRequest borrow = borrows(10);
     holdings.receive(new LeaseGrant(teller(1), borrow.id() + 1, 300, 1_500_000), at(10.1));
@@ -267,7 +267,7 @@
   @Test
   void laterGrantOfALenderReplacesTheEarlierOne() {
     settled(view(1, 0, 1), 60);
-    holdings.needs(9);
+    holdings.setDemand(9);
     ground.demand.put(new MemberName("n1"), 0.0);
     holdings.receive(new LeaseGrant(teller(1), borrows(10).id(), 300, 1_500_000), at(10.1));
     LeaseRequest again = borrows(11);
@@ -278,10 +278,10 @@
   @Test
   void membersOfUnknownDemandAreNotAsked() {
     settled(view(1, 0, 1, 2), 60);
-    holdings.needs(9);
-    assertEquals(List.of(), holdings.follow(at(10)));
+    holdings.setDemand(9);
+    assertEquals(List.of(), holdings.update(at(10)));
     ground.demand.put(new MemberName("n2"), 1.0);
-    assertEquals(member(2).peerAddress(), holdings.follow(at(11)).get(0).to());
+    assertEquals(member(2).peerAddress(), holdings.update(at(11)).get(0).to());
   }
 
   @Test
--- a/src/test/java/cobaltseam/capacity/LoadReportsTest.java
+++ b/src/test/java/cobaltseam/capacity/LoadReportsTest.java
@@ -73,18 +73,19 @@
   @Test
   void latestReportCountsAndIsPassedOnOnce() {
     LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
-    reports.addLocal(new LoadReport(E, 4, at(9.9)));
-    assertEquals(List.of(), reports.takeReceived(), "what was told here is no news");
+    reports.addLocalReport(new LoadReport(E, 4, at(9.9)));
+    assertEquals(List.of(), reports.takeReceivedReports(), "what was told here is no news");
     long id = asked(reports, 10);
     reports.receive(table(1, id, 9, 500), view(2), teller(0), at(10.6));
-    assertEquals(List.of(), reports.takeReceived(), "older than what is known");
+    assertEquals(List.of(), reports.takeReceivedReports(), "older than what is known");
     id = asked(reports, 11);
     reports.receive(table(1, id, 9, 1), view(2), teller(0), at(12));
-    List<LoadReport> news = reports.takeReceived();
+    List<LoadReport> news = reports.takeReceivedReports();
     assertEquals(9, news.get(0).inFlight());
     assertTrue(
-        news.get(0).at().isBefore(at(12)), "its age counts from the ask, not from the answer");
-    assertEquals(List.of(), reports.takeReceived());
+        news.get(0).measuredAt().isBefore(at(12)),
+        "its age counts from the ask, not from the answer");
+    assertEquals(List.of(), reports.takeReceivedReports());
   }
 
   @Test
@@ -95,9 +96,9 @@
     reports.receive(table(5, id, 9, 1), view(2), teller(0), at(10.1));
     reports.receive(table(0, id, 9, 1), view(2), teller(0), at(10.1));
     reports.receive(table(1, id, -1, 1), view(2), teller(0), at(10.1));
-    assertEquals(0, reports.size());
+    assertEquals(0, reports.reportCount());
     reports.receive(table(1, id, 9, 1), view(2), teller(0), at(10.1));
-    assertEquals(0, reports.size(), "an answer counts once, though it was nonsense");
+    assertEquals(0, reports.reportCount(), "an answer counts once, though it was nonsense");
     assertThrows(
         IllegalArgumentException.class,
         () -> new ReportsReply(teller(1), 1, new long[2], new int[1], new int[2]));
@@ -118,10 +119,10 @@
     long id = asked(reports, 10);
     reports.receive(table(1, id, 9, 3100), view(2), teller(0), at(10.1));
     reports.receive(table(1, asked(reports, 11), 9, -4), view(2), teller(0), at(11.1));
-    assertEquals(0, reports.size());
-    reports.addLocal(new LoadReport(E, 4, at(12)));
+    assertEquals(0, reports.reportCount());
+    reports.addLocalReport(new LoadReport(E, 4, at(12)));
     reports.runRound(view(2), teller(0), at(15.1));
-    assertEquals(0, reports.size());
+    assertEquals(0, reports.reportCount());
   }
 
   private record Delivery(double at, int to, LoadReportMessage word) {}
@@ -144,7 +145,7 @@
         // Each time another member is told another figure.
         int figure = ms / 50;
         toldAt.put(figure, seconds);
-        all.get(chance.nextInt(100)).addLocal(new LoadReport(E, figure, at(seconds)));
+        all.get(chance.nextInt(100)).addLocalReport(new LoadReport(E, figure, at(seconds)));
       }
       for (int i = 0; i < 100; i++) {
         for (LoadReports.OutgoingMessage tell : all.get(i).runRound(view, teller(i), at(seconds))) {
@@ -159,12 +160,12 @@
         }
       }
       for (int i = 0; i < 100; i++) {
-        for (LoadReport news : all.get(i).takeReceived()) {
+        for (LoadReport news : all.get(i).takeReceivedReports()) {
           assertTrue(
-              news.at().us() <= toldAt.get((int) news.inFlight()) * 1e6,
+              news.measuredAt().us() <= toldAt.get((int) news.inFlight()) * 1e6,
               "told as younger than it is");
           if (ms > 2000) {
-            ages += seconds - news.at().us() / 1e6;
+            ages += seconds - news.measuredAt().us() / 1e6;
             looks++;
           }
         }
--- a/src/test/java/cobaltseam/retrybudget/RetryBudgetTest.java
+++ b/src/test/java/cobaltseam/retrybudget/RetryBudgetTest.java
@@ -86,29 +86,29 @@
           && left.addAndGet(-RetryBudget.UNITS_PER_RETRY) >= 0;
     }
 
-    List<RetryBudget.OutgoingMessage> follow(
+    List<RetryBudget.OutgoingMessage> update(
         Map<MemberName, Long> spares, int self, double seconds) {
-      return purse.follow(firsts, wanted, spares, view(3), teller(self), at(seconds));
+      return purse.update(firsts, wanted, spares, view(3), teller(self), at(seconds));
     }
   }
 
   @Test
   void firstAttemptsEarnRetriesForOneWindow() {
     Spender one = new Spender(TERMS, 1);
-    one.follow(Map.of(), 0, 0);
+    one.update(Map.of(), 0, 0);
     assertTrue(!one.spends(), "nothing is earned yet");
     one.firsts = 25;
-    one.follow(Map.of(), 0, 1);
+    one.update(Map.of(), 0, 1);
     assertTrue(one.spends() && one.spends() && !one.spends(), "two and a half");
     one.firsts = 30;
-    one.follow(Map.of(), 0, 2);
+    one.update(Map.of(), 0, 2);
     assertTrue(one.spends() && !one.spends(), "the half is kept");
     one.firsts = 130;
-    one.follow(Map.of(), 0, 3);
+    one.update(Map.of(), 0, 3);
     assertEquals(10 * RetryBudget.UNITS_PER_RETRY, one.left.get());
-    one.follow(Map.of(), 0, 11.9);
+    one.update(Map.of(), 0, 11.9);
     assertEquals(10 * RetryBudget.UNITS_PER_RETRY, one.left.get());
-    one.follow(Map.of(), 0, 12);
+    one.update(Map.of(), 0, 12);
     assertEquals(0, one.left.get(), "a window from the look before they were sent");
   }
 
@@ -119,7 +119,7 @@
             new RetryBudgetOptions(0, 2, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001),
             1);
     for (int ds = 0; ds <= 1000; ds++) {
-      one.follow(Map.of(), 0, ds / 10.0);
+      one.update(Map.of(), 0, ds / 10.0);
       assertTrue(one.left.get() <= 2 * RetryBudget.UNITS_PER_RETRY, "at " + ds);
     }
     assertTrue(one.left.get() > 1.8 * RetryBudget.UNITS_PER_RETRY, Long.toString(one.left.get()));
@@ -131,22 +131,22 @@
         new Spender(
             new RetryBudgetOptions(0, 2, new TimeSpan(10_000_000), new TimeSpan(100_000), 0.001),
             1);
-    one.follow(Map.of(), 0, 0);
-    one.follow(Map.of(), 0, 500);
+    one.update(Map.of(), 0, 0);
+    one.update(Map.of(), 0, 500);
     assertTrue(one.left.get() <= 2 * RetryBudget.UNITS_PER_RETRY);
   }
 
   @Test
   void transferLeavesTheGiverAndCountsOnceForTheReceiver() {
     Spender giver = new Spender(TERMS, 1);
-    giver.follow(Map.of(), 1, 0);
+    giver.update(Map.of(), 1, 0);
     giver.firsts = 400;
-    giver.follow(Map.of(), 1, 1);
+    giver.update(Map.of(), 1, 1);
     Spender asker = new Spender(TERMS, 2);
-    asker.follow(Map.of(), 0, 0);
+    asker.update(Map.of(), 0, 0);
     asker.wanted = 1000;
     List<RetryBudget.OutgoingMessage> asks =
-        asker.follow(Map.of(new MemberName("n1"), giver.purse.spareUnits()), 0, 1.2);
+        asker.update(Map.of(new MemberName("n1"), giver.purse.spareUnits()), 0, 1.2);
     BudgetRequest beg = (BudgetRequest) asks.get(0).message();
     BudgetTransfer give =
         (BudgetTransfer) giver.purse.receive(beg, view(3), teller(1), at(1.3)).get(0).message();
@@ -155,9 +155,9 @@
     asker.purse.receive(give, view(3), teller(0), at(1.4));
     asker.purse.receive(give, view(3), teller(0), at(1.4));
     assertEquals(20 * RetryBudget.UNITS_PER_RETRY, asker.left.get(), "once");
-    asker.follow(Map.of(), 0, 9.8);
+    asker.update(Map.of(), 0, 9.8);
     assertEquals(20 * RetryBudget.UNITS_PER_RETRY, asker.left.get());
-    asker.follow(Map.of(), 0, 10);
+    asker.update(Map.of(), 0, 10);
     assertEquals(
         0, asker.left.get(), "it ends there no later than it would have here, by any clock");
   }
@@ -165,10 +165,10 @@
   @Test
   void unrequestedOrInvalidTransfersAreIgnored() {
     Spender one = new Spender(TERMS, 1);
-    one.follow(Map.of(), 0, 0);
+    one.update(Map.of(), 0, 0);
     one.wanted = 1000;
     BudgetRequest beg =
-        (BudgetRequest) one.follow(Map.of(new MemberName("n1"), 50_000L), 0, 1).get(0).message();
+        (BudgetRequest) one.update(Map.of(new MemberName("n1"), 50_000L), 0, 1).get(0).message();
     long[] much = {5_000};
     long[] lasts = {9_000_000};
     one.purse.receive(
@@ -243,7 +243,7 @@
         }
         Spender one = all[i];
         for (RetryBudget.OutgoingMessage end :
-            one.purse.follow(
+            one.purse.update(
                 one.firsts, one.wanted, spares, view, teller(i), at(seconds * rates[i]))) {
           send(late, end, seconds, loss, doubles, lives, chance);
         }
@@ -269,8 +269,11 @@
         double end = to;
         long sent = further.stream().filter(x -> x >= start && x < end).count();
         double bound =
-            terms.ratio() * firsts.stream().filter(x -> x >= start - window && x < end).count()
-                + terms.standaloneRate() * members * (end - start + window) / (window - 0.1);
+            terms.retryRatio() * firsts.stream().filter(x -> x >= start - window && x < end).count()
+                + terms.standaloneRetriesPerWindow()
+                    * members
+                    * (end - start + window)
+                    / (window - 0.1);
         over = Math.max(over, sent - bound);
       }
     }
--- a/src/test/java/cobaltseam/sharing/StateGossipTest.java
+++ b/src/test/java/cobaltseam/sharing/StateGossipTest.java
@@ -49,7 +49,7 @@
     final double rate;
     final StateGossip module;
     long said;
-    final Map<MemberName, Version> newest = new HashMap<>();
+    final Map<MemberName, FiguresVersion> newest = new HashMap<>();
 
     Process(MemberName name, Incarnation birth, long at, double rate, SplittableRandom seeds) {
       this.name = name;
@@ -99,7 +99,7 @@
   /** What is said is told apart by its value: no two statements of all say the same. */
   private void say(Process process) {
     long value = now * 1000 + running.size() + process.said++ % 7;
-    process.module.setFigures(new MemberFigures(Map.of(OUT, value)));
+    process.module.setOwnFigures(new MemberFigures(Map.of(OUT, value)));
     stoodBy.computeIfAbsent(process.name, figures -> new TreeMap<>()).put(value, now);
     process.said = value;
   }
@@ -150,7 +150,7 @@
           process.newest.remove(of);
         } else {
           known++;
-          Version before = process.newest.put(of, figures.version());
+          FiguresVersion before = process.newest.put(of, figures.version());
           assertTrue(
               before == null || before.compareTo(figures.version()) <= 0,
               "back to what was said before");
@@ -251,11 +251,11 @@
     Process process = start(0, 5, 1);
     start(1, 5, 1);
     Process third = start(2, 5, 1);
-    process.module.setFigures(new MemberFigures(Map.of(OUT, 4L)));
-    third.module.setFigures(new MemberFigures(Map.of("other", 1L)));
+    process.module.setOwnFigures(new MemberFigures(Map.of(OUT, 4L)));
+    third.module.setOwnFigures(new MemberFigures(Map.of("other", 1L)));
     pass(5_000_000);
     assertEquals(
-        new StateGossip.Sum(4, 1, 2),
+        new StateGossip.FigureSum(4, 1, 2),
         process.module.sum(OUT, process.clock(now)),
         "one silent, one that does not say it");
   }
@@ -264,10 +264,10 @@
   void unrequestedReplyIsIgnored() {
     Process process = start(0, 5, 1);
     start(1, 5, 1);
-    Statement statement =
-        new Statement(
+    FiguresUpdate statement =
+        new FiguresUpdate(
             name(1),
-            new Version(new Incarnation(5), 9),
+            new FiguresVersion(new Incarnation(5), 9),
             new MemberFigures(Map.of(OUT, 1L)),
             TimeSpan.ZERO);
     process.module.receive(
@@ -282,9 +282,9 @@
     say(start(1, 5, 1));
     say(start(2, 5, 1));
     pass(5_000_000);
-    assertEquals(2, process.module.size());
+    assertEquals(2, process.module.knownMemberCount());
     process.module.setView(Set.of(name(0), name(1)));
-    assertEquals(1, process.module.size());
+    assertEquals(1, process.module.knownMemberCount());
     running.remove(name(2));
     pass(3_000_000);
     assertNull(
@@ -302,10 +302,10 @@
     pass(4_000_000);
     running.remove(name(1));
     Process again = start(1, 5, 1);
-    again.module.setFigures(new MemberFigures(Map.of(OUT, -1L)));
+    again.module.setOwnFigures(new MemberFigures(Map.of(OUT, -1L)));
     stoodBy.get(name(1)).put(-1L, now);
     pass(6_000_000);
-    again.module.setFigures(new MemberFigures(Map.of(OUT, -2L)));
+    again.module.setOwnFigures(new MemberFigures(Map.of(OUT, -2L)));
     pass(3_000_000);
     assertEquals(
         -2L, process.module.figuresOf(name(1), process.clock(now)).figures().byName().get(OUT));
@@ -325,10 +325,10 @@
     Set<MemberName> told = new HashSet<>();
     for (OutgoingMessage s : parts) {
       assertTrue(
-          ((SharingMessage.UpdateReply) s.message()).statements().size() <= 16,
+          ((SharingMessage.UpdateReply) s.message()).updates().size() <= 16,
           "a part within its bound");
       ((SharingMessage.UpdateReply) s.message())
-          .statements()
+          .updates()
           .forEach(st -> assertTrue(told.add(st.member()), "told twice"));
     }
     assertEquals(60, told.size());
--- a/src/test/java/cobaltseam/transport/MessageCodecTest.java
+++ b/src/test/java/cobaltseam/transport/MessageCodecTest.java
@@ -28,11 +28,11 @@
 import cobaltseam.membership.ViewDelta;
 import cobaltseam.membership.ViewId;
 import cobaltseam.retrybudget.RetryBudgetMessage;
+import cobaltseam.sharing.FiguresUpdate;
+import cobaltseam.sharing.FiguresVersion;
 import cobaltseam.sharing.MemberFigures;
 import cobaltseam.sharing.SharingMessage;
 import cobaltseam.sharing.SharingPeerMessage;
-import cobaltseam.sharing.Statement;
-import cobaltseam.sharing.Version;
 import cobaltseam.transport.MessageCodec.RejectionReason;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
@@ -134,7 +134,7 @@
 
   @Test
   void whatOtherPartsSayComesBackAsItWas() {
-    Version version = new Version(new Incarnation(4), 1L << 41);
+    FiguresVersion version = new FiguresVersion(new Incarnation(4), 1L << 41);
     SharingMessage.UpdateRequest ask =
         new SharingMessage.UpdateRequest(
             A.name(),
@@ -145,7 +145,7 @@
             A.name(),
             9,
             List.of(
-                new Statement(
+                new FiguresUpdate(
                     B.name(),
                     version,
                     new MemberFigures(Map.of("spread.demand", 3L)),
--- a/src/test/java/cobaltseam/transport/WireSamples.java
+++ b/src/test/java/cobaltseam/transport/WireSamples.java
@@ -19,11 +19,11 @@
 import cobaltseam.membership.ViewDelta;
 import cobaltseam.membership.ViewId;
 import cobaltseam.retrybudget.RetryBudgetMessage;
+import cobaltseam.sharing.FiguresUpdate;
+import cobaltseam.sharing.FiguresVersion;
 import cobaltseam.sharing.MemberFigures;
 import cobaltseam.sharing.SharingMessage;
 import cobaltseam.sharing.SharingPeerMessage;
-import cobaltseam.sharing.Statement;
-import cobaltseam.sharing.Version;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -51,7 +51,7 @@
       new ConfigurationVersion(3, "ab".repeat(32), FIRST.name());
   private static final ViewDelta CHANGE = new ViewDelta(List.of(SECOND), List.of(FIRST), EDITION);
   private static final List<MemberName> NAMES = List.of(FIRST.name(), SECOND.name());
-  private static final Version VERSION = new Version(new Incarnation(4), 1L << 41);
+  private static final FiguresVersion VERSION = new FiguresVersion(new Incarnation(4), 1L << 41);
 
   private WireSamples() {}
 
@@ -109,8 +109,8 @@
         "ShareAsk",
         new SharingPeerMessage.SharingRequest(
             HEADER, new SharingMessage.UpdateRequest(FIRST.name(), -5, known)));
-    Statement statement =
-        new Statement(
+    FiguresUpdate statement =
+        new FiguresUpdate(
             SECOND.name(),
             VERSION,
             new MemberFigures(Map.of("spread.demand", 3L)),
