--- a/src/main/java/cobaltseam/mastership/ActiveRouterObserver.java
+++ b/src/main/java/cobaltseam/mastership/ActiveRouterObserver.java
@@ -14,28 +14,35 @@
 import java.util.TreeSet;
 
 /**
- * Tracks which senders advertise each virtual router, for an observer that never becomes active
- * itself. Not thread-safe.
+ * Tracks which senders advertise as the active router of each virtual router, for an observer that
+ * takes no part in the election. Not thread-safe.
  */
 public final class ActiveRouterObserver {
   /**
-   * The senders that advertise a router from now on, in order of their addresses: none if all are
-   * silent, two or more in a split.
+   * A change of the set of active routers of a virtual router.
+   *
+   * @param activeRouters the senders of unexpired advertisements, ordered by address: empty if
+   *     there are none, two or more in a split
+   * @param since when the change was detected
    */
   public record ActiveRouterChange(
       VirtualRouterId router, List<InetAddress> activeRouters, Timestamp since) {}
 
-  private final Map<VirtualRouterId, Map<InetAddress, ReceivedAdvertisement>> claims =
+  private final Map<VirtualRouterId, Map<InetAddress, ReceivedAdvertisement>> advertisements =
       new TreeMap<>();
-  private final Map<VirtualRouterId, List<InetAddress>> reported = new HashMap<>();
+  private final Map<VirtualRouterId, List<InetAddress>> lastReported = new HashMap<>();
 
-  /** Records an accepted advertisement, and returns what has changed by now. */
+  /**
+   * Records an accepted advertisement.
+   *
+   * @return the changes since the last call, including those by expiry
+   */
   public List<ActiveRouterChange> onAdvertisement(
       InetAddress sender, Advertisement advertisement, Timestamp now) {
     VirtualRouterId router =
         new VirtualRouterId(advertisement.virtualRouterId(), advertisement.isIpv6());
-    claims
-        .computeIfAbsent(router, r -> new HashMap<>())
+    advertisements
+        .computeIfAbsent(router, id -> new HashMap<>())
         .put(
             sender,
             new ReceivedAdvertisement(
@@ -43,26 +50,30 @@
     return expireAdvertisements(now);
   }
 
-  /** Drops expired claims, and returns what has changed since the last call. */
+  /**
+   * Removes expired advertisements.
+   *
+   * @return the changes since the last call
+   */
   public List<ActiveRouterChange> expireAdvertisements(Timestamp now) {
     List<ActiveRouterChange> changed = new ArrayList<>();
-    claims.forEach(
-        (router, claimants) -> {
-          claimants.values().removeIf(c -> !now.isBefore(c.expiresAt()));
-          TreeSet<InetAddress> active = new TreeSet<>(Addresses::compare);
-          active.addAll(claimants.keySet());
-          List<InetAddress> list = List.copyOf(active);
-          if (!list.equals(reported.put(router, list))) {
-            changed.add(new ActiveRouterChange(router, list, now));
+    advertisements.forEach(
+        (router, bySender) -> {
+          bySender.values().removeIf(a -> !now.isBefore(a.expiresAt()));
+          TreeSet<InetAddress> senders = new TreeSet<>(Addresses::compare);
+          senders.addAll(bySender.keySet());
+          List<InetAddress> activeRouters = List.copyOf(senders);
+          if (!activeRouters.equals(lastReported.put(router, activeRouters))) {
+            changed.add(new ActiveRouterChange(router, activeRouters, now));
           }
         });
     return changed;
   }
 
-  /** When the next claim expires, or null if there is none. */
+  /** When the next advertisement expires, or null if there is none. */
   public Timestamp nextExpiry() {
-    return claims.values().stream()
-        .flatMap(m -> m.values().stream())
+    return advertisements.values().stream()
+        .flatMap(bySender -> bySender.values().stream())
         .map(ReceivedAdvertisement::expiresAt)
         .min(Comparator.naturalOrder())
         .orElse(null);
--- a/src/main/java/cobaltseam/mastership/AdvertisementFilter.java
+++ b/src/main/java/cobaltseam/mastership/AdvertisementFilter.java
@@ -16,11 +16,16 @@
 import java.util.Set;
 
 /**
- * Decides which datagrams are accepted as advertisements, and counts the rejected ones by reason. A
+ * Accepts or rejects received datagrams as advertisements, and counts rejections by reason. A
  * rejected datagram changes no other state. Not thread-safe.
  */
 public final class AdvertisementFilter {
-  /** The accepted advertisement, or why the datagram was rejected; the other one is null. */
+  /**
+   * The result for one datagram. Exactly one component is set; the other is null.
+   *
+   * @param advertisement the accepted advertisement
+   * @param rejection why the datagram was rejected
+   */
   public record FilterResult(Advertisement advertisement, RejectionReason rejection) {}
 
   private final InetAddress self;
@@ -33,9 +38,9 @@
   private long acceptedCount;
 
   /**
-   * @param self the address that our own advertisements come from
-   * @param peers the only senders that are accepted
-   * @param keys the keys of authenticated advertisements, or null to accept unauthenticated ones
+   * @param self the source address of this dispatcher's advertisements
+   * @param peers the addresses that advertisements are accepted from
+   * @param keys the keys that verify advertisements, or null if authentication is off
    */
   public AdvertisementFilter(
       InetAddress self,
@@ -49,14 +54,17 @@
     reconfigure(peers, keys);
   }
 
-  /** Replaces the peers and the keys, and forgets the sequences of other senders and routers. */
+  /**
+   * Replaces the peers and the keys. The replay guard drops the sequences of senders and virtual
+   * routers that are no longer configured.
+   */
   public void reconfigure(Set<InetAddress> newPeers, KeyRing newKeys) {
     peers = Set.copyOf(newPeers);
     keys = newKeys;
     replayGuard.retainOnly(peers, Set.copyOf(mastership.routers()));
   }
 
-  /** Decides on one datagram that was received from source at destination. */
+  /** Accepts or rejects one datagram, given its payload and its addresses. */
   public FilterResult evaluate(
       byte[] bytes, InetAddress source, InetAddress destination, Timestamp now) {
     if (source.equals(self)) {
@@ -72,26 +80,26 @@
     DecodeResult.Decoded decoded = (DecodeResult.Decoded) result;
     Advertisement advertisement = decoded.advertisement();
     if (keys != null) {
-      Optional<RejectionReason> broken =
+      Optional<RejectionReason> authenticationFailure =
           !decoded.hasTrailer()
               ? Optional.of(RejectionReason.UNSEALED)
               : AdvertisementAuthenticator.verify(
                   bytes, decoded.length(), source, destination, keys);
-      if (broken.isPresent()) {
-        return reject(broken.get());
+      if (authenticationFailure.isPresent()) {
+        return reject(authenticationFailure.get());
       }
     }
-    Optional<RejectionReason> other = mastership.rejectionReason(advertisement);
-    if (other.isEmpty() && keys != null) {
-      other =
+    Optional<RejectionReason> rejection = mastership.rejectionReason(advertisement);
+    if (rejection.isEmpty() && keys != null) {
+      rejection =
           replayGuard.check(
               source,
               new VirtualRouterId(advertisement.virtualRouterId(), advertisement.isIpv6()),
               MessageAuthenticator.readTrailer(bytes, decoded.length()).sequence(),
               now);
     }
-    if (other.isPresent()) {
-      return reject(other.get());
+    if (rejection.isPresent()) {
+      return reject(rejection.get());
     }
     acceptedCount++;
     acceptedCounts.merge(decoded.coverage(), 1L, Long::sum);
@@ -103,22 +111,22 @@
     return new FilterResult(null, reason);
   }
 
-  /** Adds datagrams that were rejected before they reached this filter. */
+  /** Counts datagrams that were rejected before they reached this filter. */
   public void countRejected(RejectionReason reason, long count) {
     rejectedCounts.merge(reason, count, Long::sum);
   }
 
-  /** Datagrams rejected for this reason since the start. */
+  /** The number of datagrams rejected for this reason since the start. */
   public long rejectedCount(RejectionReason reason) {
     return rejectedCounts.getOrDefault(reason, 0L);
   }
 
-  /** Advertisements accepted since the start. */
+  /** The number of advertisements accepted since the start. */
   public long acceptedCount() {
     return acceptedCount;
   }
 
-  /** Advertisements accepted since the start whose checksum covered this. */
+  /** The number of advertisements accepted since the start with this checksum coverage. */
   public long acceptedCountWith(ChecksumCoverage coverage) {
     return acceptedCounts.getOrDefault(coverage, 0L);
   }
--- a/src/main/java/cobaltseam/mastership/HealthScore.java
+++ b/src/main/java/cobaltseam/mastership/HealthScore.java
@@ -9,47 +9,51 @@
 import java.util.Map;
 
 /**
- * By how many steps this dispatcher lowers its VRRP priority because it is less able to serve. A
- * signal is counted once it has been unhealthy for a sustained time, and until it has been healthy
- * for the recovery hold-down. A signal that relapses soon doubles its hold-down each time, so that
- * a flapping signal does not move the virtual address back and forth. No signal improves by
- * shedding requests. Not thread-safe.
+ * Computes by how much this dispatcher lowers its VRRP priority while its ability to serve is
+ * impaired. A signal becomes degraded once it has been unhealthy for a sustained time, and recovers
+ * once it has been healthy for the recovery hold-down. Each relapse within twice the hold-down
+ * doubles the hold-down, so that a flapping signal doesn't move the virtual address back and forth;
+ * a later relapse resets the hold-down. All signals are chosen such that shedding requests does not
+ * improve them. Not thread-safe.
  */
 public final class HealthScore {
-  /** What is measured; a higher value is worse. */
+  /** A measured quantity; a higher value is worse. */
   public enum HealthSignal {
-    /** Seconds since the endpoint watch last received anything. */
+    /** Seconds since the endpoint watch last received a message. */
     BUS_SILENT,
     /** 1 if no engine is in service, else 0. */
     NO_ENGINE,
-    /** The part of the engines that fail, 0 to 1. */
+    /** The fraction of engines that fail, 0 to 1. */
     ENGINES_FAILING,
-    /** The part of the file descriptors in use, 0 to 1. */
+    /** The fraction of file descriptors in use, 0 to 1. */
     DESCRIPTORS,
-    /** The part of the heap in use after a collection, 0 to 1. */
+    /** The fraction of the heap in use after a garbage collection, 0 to 1. */
     MEMORY,
-    /** Seconds by which the event loop runs its timers late. */
+    /** The delay of timers in the event loop, in seconds. */
     LATE;
 
-    /** The name in log events, SHOW rows and the settings file. */
+    /** The name in log events, in SHOW rows and in the settings file. */
     public String label() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
   /**
-   * The bounds of a signal: it is unhealthy from one value on and healthy below another one, and
-   * lowers the priority by this many steps while it is counted.
+   * The thresholds of a signal. Between them the signal is neither healthy nor unhealthy.
+   *
+   * @param unhealthyFrom the lowest unhealthy value
+   * @param healthyBelow values below this one are healthy
+   * @param priorityDecrement by how much the priority is lowered while the signal is degraded
    */
   public record SignalBounds(double unhealthyFrom, double healthyBelow, int priorityDecrement) {}
 
   /**
-   * How signals are judged.
+   * The thresholds and times of the health score.
    *
-   * @param bounds the signals that are watched, with their bounds
-   * @param sustainedFor for how long a signal must be unhealthy until it is counted
-   * @param recoveryHoldDown for how long it must be healthy until it is not
-   * @param maxHoldDownDoublings how often the hold-down doubles at most
+   * @param bounds the monitored signals with their thresholds
+   * @param sustainedFor how long a signal must be unhealthy before it becomes degraded
+   * @param recoveryHoldDown how long a degraded signal must be healthy before it recovers
+   * @param maxHoldDownDoublings the maximum number of times the hold-down is doubled
    */
   public record HealthScoreOptions(
       Map<HealthSignal, SignalBounds> bounds,
@@ -62,7 +66,7 @@
   }
 
   private static final class SignalState {
-    boolean counted;
+    boolean degraded;
 
     /** Null while the signal is not unhealthy. */
     Timestamp unhealthySince;
@@ -70,8 +74,8 @@
     /** Null while the signal is not healthy. */
     Timestamp healthySince;
 
-    /** When it last stopped being counted, or null. */
-    Timestamp clearedAt;
+    /** When the signal last recovered, or null. */
+    Timestamp recoveredAt;
 
     int holdDownDoublings;
   }
@@ -79,32 +83,33 @@
   private final Map<HealthSignal, SignalState> states = new EnumMap<>(HealthSignal.class);
   private HealthScoreOptions options;
 
-  /** A score of which no signal is counted yet. */
+  /** Creates a score without degraded signals. */
   public HealthScore(HealthScoreOptions options) {
     this.options = options;
   }
 
-  /** Replaces the options; a counted signal stays counted until it is healthy by the new bounds. */
+  /** Replaces the options; a degraded signal remains so until it recovers by the new ones. */
   public void reconfigure(HealthScoreOptions newOptions) {
     options = newOptions;
     states.keySet().retainAll(newOptions.bounds().keySet());
   }
 
   /**
-   * Records the values measured now, and returns by how many steps to lower the priority. A signal
-   * without a value stays as it is.
+   * Updates the signals with newly measured values. A signal without a value keeps its state.
+   *
+   * @return the sum of the priority decrements of all degraded signals
    */
   public int update(Map<HealthSignal, Double> values, Timestamp now) {
-    int steps = 0;
+    int reduction = 0;
     for (Map.Entry<HealthSignal, SignalBounds> entry : options.bounds().entrySet()) {
       SignalState state = states.computeIfAbsent(entry.getKey(), k -> new SignalState());
       Double value = values.get(entry.getKey());
       if (value != null) {
         updateSignal(state, entry.getValue(), value, now);
       }
-      steps += state.counted ? entry.getValue().priorityDecrement() : 0;
+      reduction += state.degraded ? entry.getValue().priorityDecrement() : 0;
     }
-    return steps;
+    return reduction;
   }
 
   private void updateSignal(SignalState state, SignalBounds bounds, double value, Timestamp now) {
@@ -114,29 +119,32 @@
         !unhealthy ? null : state.unhealthySince == null ? now : state.unhealthySince;
     state.healthySince = !healthy ? null : state.healthySince == null ? now : state.healthySince;
     TimeSpan holdDown = options.recoveryHoldDown().times(1 << state.holdDownDoublings);
-    if (!state.counted
+    if (!state.degraded
         && unhealthy
         && now.since(state.unhealthySince).compareTo(options.sustainedFor()) >= 0) {
-      state.counted = true;
+      state.degraded = true;
       boolean relapsed =
-          state.clearedAt != null && now.since(state.clearedAt).compareTo(holdDown.times(2)) < 0;
+          state.recoveredAt != null
+              && now.since(state.recoveredAt).compareTo(holdDown.times(2)) < 0;
       state.holdDownDoublings =
           relapsed ? Math.min(state.holdDownDoublings + 1, options.maxHoldDownDoublings()) : 0;
-    } else if (state.counted && healthy && now.since(state.healthySince).compareTo(holdDown) >= 0) {
-      state.counted = false;
-      state.clearedAt = now;
+    } else if (state.degraded
+        && healthy
+        && now.since(state.healthySince).compareTo(holdDown) >= 0) {
+      state.degraded = false;
+      state.recoveredAt = now;
     }
   }
 
-  /** The signals that are counted now. */
+  /** The signals that are degraded now. */
   public List<HealthSignal> degradedSignals() {
-    List<HealthSignal> counting = new ArrayList<>();
+    List<HealthSignal> degraded = new ArrayList<>();
     states.forEach(
         (signal, state) -> {
-          if (state.counted) {
-            counting.add(signal);
+          if (state.degraded) {
+            degraded.add(signal);
           }
         });
-    return counting;
+    return degraded;
   }
 }
--- a/src/main/java/cobaltseam/mastership/Mastership.java
+++ b/src/main/java/cobaltseam/mastership/Mastership.java
@@ -18,26 +18,26 @@
 import java.util.TreeSet;
 
 /**
- * All virtual routers of one dispatcher: which ones it is active for, how advertisements, time, the
- * health score and new settings change that, and over how many dispatchers the engines are shared.
- * It does no I/O: the caller passes the time in and carries out the {@link MastershipAction}s that
- * are returned. Not thread-safe.
+ * Runs the virtual routers of one dispatcher. Received advertisements, timers, the health score and
+ * settings changes determine the role of each router. The number of dispatchers that share the
+ * engines is derived from the peers that advertise. This class does no I/O: the caller passes the
+ * current time and carries out the returned {@link MastershipAction}s. Not thread-safe.
  *
  * <p>The caller must call {@link #onTimer} no later than {@link #nextTimerExpiry}, and {@link
- * #canAdmit} before anything that only an active dispatcher may do. After a pause of the process in
- * which a peer may have become active, every event first makes the routers concerned step back to
- * backup.
+ * #canAdmit} before any operation that only an active router may perform. If the process was
+ * suspended for so long that a peer may have become active, every event first returns the affected
+ * routers to backup.
  */
 public final class Mastership {
   /**
-   * A router that is unable to serve stays in backup for this many active down intervals, and twice
-   * as many after each further failure in a row.
+   * A router that is unable to serve stays in backup for this many active down intervals. Each
+   * further consecutive failure doubles the number.
    */
   private static final int INITIAL_BACKOFF_DOWN_INTERVALS = 2;
 
   private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
-  /** When a timer of a router expires. */
+  /** The expiry of a timer of a virtual router. */
   private record RouterTimer(Timestamp at, VirtualRouterId router)
       implements Comparable<RouterTimer> {
     @Override
@@ -47,20 +47,24 @@
     }
   }
 
-  /** One virtual router, for as long as it is configured. */
+  /** A configured virtual router. */
   private static final class RouterEntry {
     RouterOptions options;
     RouterState state;
     Timestamp timerExpiresAt;
-    Timestamp fenceAt;
+    Timestamp fenceDeadline;
 
-    /** How often it was unable to serve since it last served. */
+    /** How often the router was unable to serve since it last served. */
     int consecutiveFailures;
   }
 
-  /** The last advertisement of a peer for a virtual router. */
+  /**
+   * The last advertisement of a peer for a virtual router.
+   *
+   * @param interval the advertisement interval of the peer
+   */
   public record ReceivedAdvertisement(int priority, Timestamp receivedAt, TimeSpan interval) {
-    /** Until when its sender is taken for active if it sends no other advertisement. */
+    /** Until when the sender counts as active unless it advertises again. */
     Timestamp expiresAt() {
       return priority == Advertisement.RESIGNATION_PRIORITY
           ? receivedAt
@@ -69,11 +73,11 @@
   }
 
   private final InetAddress self;
-  private final TreeMap<VirtualRouterId, RouterEntry> slots = new TreeMap<>();
+  private final TreeMap<VirtualRouterId, RouterEntry> routerEntries = new TreeMap<>();
   private final TreeSet<RouterTimer> protocolTimers = new TreeSet<>();
   private final TreeSet<RouterTimer> fenceTimers = new TreeSet<>();
-  private final Map<InetAddress, Map<VirtualRouterId, ReceivedAdvertisement>> claims =
-      new HashMap<>();
+  private final Map<InetAddress, Map<VirtualRouterId, ReceivedAdvertisement>>
+      receivedAdvertisements = new HashMap<>();
   private final TimeSpan maxAttemptDuration;
   private final TimeSpan minListenPeriod;
   private final boolean acceptsOtherIntervals;
@@ -83,14 +87,14 @@
   private Timestamp startedAt;
 
   /**
-   * @param self the address that our advertisements come from
+   * @param self the source address of this dispatcher's advertisements
    * @param peers the addresses that advertisements are accepted from
-   * @param dispatchersElsewhere dispatchers that carry traffic outside this group
-   * @param maxAttemptDuration after which no attempt of a former active dispatcher can still use an
-   *     engine
-   * @param minListenPeriod for how long to listen at least before becoming active
-   * @param acceptsOtherIntervals whether advertisements with another interval than ours are
-   *     accepted
+   * @param dispatchersElsewhere the number of dispatchers outside this group that carry traffic
+   * @param maxAttemptDuration the longest time for which an attempt of a formerly active dispatcher
+   *     can still use an engine
+   * @param minListenPeriod the minimum time to listen after the start before becoming active
+   * @param acceptsOtherIntervals whether advertisements are accepted whose interval differs from
+   *     the configured one
    */
   public Mastership(
       InetAddress self,
@@ -107,19 +111,19 @@
     this.minListenPeriod = minListenPeriod;
     this.acceptsOtherIntervals = acceptsOtherIntervals;
     for (RouterOptions options : routers) {
-      RouterEntry slot = new RouterEntry();
-      slot.options = options;
-      slots.put(options.router(), slot);
+      RouterEntry entry = new RouterEntry();
+      entry.options = options;
+      routerEntries.put(options.router(), entry);
     }
   }
 
   // ---- events
 
-  /** Starts every router. */
+  /** Starts every virtual router. */
   public List<MastershipAction> start(Timestamp now) {
     startedAt = now;
     List<MastershipAction> actions = new ArrayList<>();
-    slots
+    routerEntries
         .values()
         .forEach(
             s ->
@@ -131,10 +135,10 @@
     return actions;
   }
 
-  /** Stops every router; active ones resign first. */
+  /** Stops every virtual router; active ones resign. */
   public List<MastershipAction> stop(TransitionReason reason, Timestamp now) {
     List<MastershipAction> actions = new ArrayList<>();
-    for (RouterEntry s : slots.values()) {
+    for (RouterEntry s : routerEntries.values()) {
       if (s.state != null && s.state.role() != Role.INITIALIZE) {
         apply(s, VirtualRouter.stop(s.options, s.state, reason, now), actions);
       }
@@ -142,43 +146,49 @@
     return actions;
   }
 
-  /** Why an advertisement is rejected here, whoever sent it, or nothing. */
+  /**
+   * Compares an advertisement with the configuration of its virtual router; the sender is not
+   * checked.
+   *
+   * @return why the advertisement is rejected, or empty if it matches the configuration
+   */
   public Optional<RejectionReason> rejectionReason(Advertisement advertisement) {
-    RouterEntry slot = slots.get(routerIdOf(advertisement));
-    if (slot == null) {
+    RouterEntry entry = routerEntries.get(routerIdOf(advertisement));
+    if (entry == null) {
       return Optional.of(RejectionReason.UNKNOWN_ROUTER);
     }
-    if (!new HashSet<>(slot.options.addresses()).equals(new HashSet<>(advertisement.addresses()))) {
+    if (!new HashSet<>(entry.options.addresses())
+        .equals(new HashSet<>(advertisement.addresses()))) {
       return Optional.of(RejectionReason.ADDRESSES_DIFFER);
     }
-    boolean differs =
+    boolean intervalDiffers =
         !VirtualRouter.advertisementInterval(advertisement)
-            .equals(slot.options.advertisementInterval());
-    return differs && !acceptsOtherIntervals
+            .equals(entry.options.advertisementInterval());
+    return intervalDiffers && !acceptsOtherIntervals
         ? Optional.of(RejectionReason.INTERVAL_DIFFERS)
         : Optional.empty();
   }
 
   /**
-   * An advertisement was received that passes {@link #rejectionReason} and the {@link
-   * AdvertisementFilter}.
+   * An advertisement was received that the {@link AdvertisementFilter} accepts, which includes
+   * {@link #rejectionReason}.
    */
   public List<MastershipAction> onAdvertisement(
       InetAddress sender, Advertisement advertisement, Timestamp now) {
     List<MastershipAction> actions = fence(now);
-    RouterEntry slot = slots.get(routerIdOf(advertisement));
-    if (slot == null || slot.state == null || !peers.contains(sender)) {
+    RouterEntry entry = routerEntries.get(routerIdOf(advertisement));
+    if (entry == null || entry.state == null || !peers.contains(sender)) {
       return actions;
     }
-    claims
-        .computeIfAbsent(sender, s -> new HashMap<>())
+    receivedAdvertisements
+        .computeIfAbsent(sender, peer -> new HashMap<>())
         .put(
-            slot.options.router(),
+            entry.options.router(),
             new ReceivedAdvertisement(
                 advertisement.priority(), now, VirtualRouter.advertisementInterval(advertisement)));
     apply(
-        slot,
-        VirtualRouter.onAdvertisement(slot.options, slot.state, self, sender, advertisement, now),
+        entry,
+        VirtualRouter.onAdvertisement(entry.options, entry.state, self, sender, advertisement, now),
         actions);
     return actions;
   }
@@ -191,28 +201,28 @@
             protocolTimers.headSet(
                 new RouterTimer(now, new VirtualRouterId(Integer.MAX_VALUE, true))));
     for (RouterTimer timer : expired) {
-      RouterEntry slot = slots.get(timer.router);
-      apply(slot, VirtualRouter.onTimer(slot.options, slot.state, now), actions);
+      RouterEntry entry = routerEntries.get(timer.router);
+      apply(entry, VirtualRouter.onTimer(entry.options, entry.state, now), actions);
     }
     return actions;
   }
 
-  /** Steps back to backup in every router whose peers may have become active meanwhile. */
+  /** Returns every virtual router to backup whose fence deadline has passed. */
   public List<MastershipAction> fence(Timestamp now) {
     List<MastershipAction> actions = new ArrayList<>();
     while (!fenceTimers.isEmpty() && fenceTimers.first().at.isBefore(now)) {
-      RouterEntry slot = slots.get(fenceTimers.first().router);
-      apply(slot, VirtualRouter.fenceIfOverdue(slot.options, slot.state, now), actions);
+      RouterEntry entry = routerEntries.get(fenceTimers.first().router);
+      apply(entry, VirtualRouter.fenceIfOverdue(entry.options, entry.state, now), actions);
     }
     return actions;
   }
 
-  /** Lowers the priority of every router by this many steps, but to no less than 1. */
-  public List<MastershipAction> setPriorityReduction(int steps, Timestamp now) {
+  /** Sets by how much the priority of every virtual router is lowered; it stays at least 1. */
+  public List<MastershipAction> setPriorityReduction(int reduction, Timestamp now) {
     List<MastershipAction> actions = fence(now);
-    if (steps != priorityReduction) {
-      priorityReduction = steps;
-      slots.values().stream()
+    if (reduction != priorityReduction) {
+      priorityReduction = reduction;
+      routerEntries.values().stream()
           .filter(s -> s.state != null)
           .forEach(
               s ->
@@ -225,31 +235,35 @@
     return actions;
   }
 
-  /** The service address of an active router can't be opened: it resigns and backs off. */
+  /**
+   * The service address of an active router could not be opened: the router resigns and backs off.
+   */
   public List<MastershipAction> onUnableToServe(VirtualRouterId router, Timestamp now) {
     List<MastershipAction> actions = fence(now);
-    RouterEntry slot = slots.get(router);
-    if (slot != null && slot.state != null) {
+    RouterEntry entry = routerEntries.get(router);
+    if (entry != null && entry.state != null) {
       TimeSpan backoff =
-          VirtualRouter.activeDownInterval(slot.state)
+          VirtualRouter.activeDownInterval(entry.state)
               .times(
                   INITIAL_BACKOFF_DOWN_INTERVALS
-                      * Math.pow(2, Math.min(slot.consecutiveFailures, MAX_BACKOFF_DOUBLINGS)));
-      slot.consecutiveFailures++;
+                      * Math.pow(2, Math.min(entry.consecutiveFailures, MAX_BACKOFF_DOUBLINGS)));
+      entry.consecutiveFailures++;
       apply(
-          slot, VirtualRouter.resignUnableToServe(slot.options, slot.state, backoff, now), actions);
+          entry,
+          VirtualRouter.resignUnableToServe(entry.options, entry.state, backoff, now),
+          actions);
     }
     return actions;
   }
 
-  /** The service address of a router is open: its next failure counts as the first one. */
+  /** The service address of a router is open, which resets its backoff. */
   public void onServing(VirtualRouterId router) {
-    if (slots.containsKey(router)) {
-      slots.get(router).consecutiveFailures = 0;
+    if (routerEntries.containsKey(router)) {
+      routerEntries.get(router).consecutiveFailures = 0;
     }
   }
 
-  /** Replaces the settings: routers may change, be removed and be added. */
+  /** Applies new settings, in which virtual routers may be changed, removed and added. */
   public List<MastershipAction> reconfigure(
       Collection<RouterOptions> routers,
       Set<InetAddress> newPeers,
@@ -257,126 +271,141 @@
       Timestamp now) {
     List<MastershipAction> actions = fence(now);
     peers = Set.copyOf(newPeers);
-    claims.keySet().retainAll(peers);
+    receivedAdvertisements.keySet().retainAll(peers);
     dispatchersElsewhere = newDispatchersElsewhere;
-    Map<VirtualRouterId, RouterOptions> remaining = new TreeMap<>();
-    routers.forEach(options -> remaining.put(options.router(), options));
-    for (VirtualRouterId id : List.copyOf(slots.keySet())) {
-      RouterEntry slot = slots.get(id);
-      RouterOptions options = remaining.remove(id);
+    Map<VirtualRouterId, RouterOptions> unmatched = new TreeMap<>();
+    routers.forEach(options -> unmatched.put(options.router(), options));
+    for (VirtualRouterId id : List.copyOf(routerEntries.keySet())) {
+      RouterEntry entry = routerEntries.get(id);
+      RouterOptions options = unmatched.remove(id);
       if (options == null) {
         apply(
-            slot,
-            VirtualRouter.stop(slot.options, slot.state, TransitionReason.REMOVED, now),
+            entry,
+            VirtualRouter.stop(entry.options, entry.state, TransitionReason.REMOVED, now),
             actions);
-        slots.remove(id);
-      } else if (!options.equals(slot.options)) {
-        slot.options = options;
+        routerEntries.remove(id);
+      } else if (!options.equals(entry.options)) {
+        entry.options = options;
         apply(
-            slot,
-            VirtualRouter.changeOptions(options, slot.state, effectivePriority(options), now),
+            entry,
+            VirtualRouter.changeOptions(options, entry.state, effectivePriority(options), now),
             actions);
       }
     }
-    for (RouterOptions options : remaining.values()) {
-      RouterEntry slot = new RouterEntry();
-      slot.options = options;
-      slots.put(options.router(), slot);
+    for (RouterOptions options : unmatched.values()) {
+      RouterEntry entry = new RouterEntry();
+      entry.options = options;
+      routerEntries.put(options.router(), entry);
       apply(
-          slot,
+          entry,
           VirtualRouter.start(options, effectivePriority(options), minListenPeriod, now),
           actions);
     }
-    claims.values().forEach(c -> c.keySet().retainAll(slots.keySet()));
+    receivedAdvertisements
+        .values()
+        .forEach(byRouter -> byRouter.keySet().retainAll(routerEntries.keySet()));
     return actions;
   }
 
   // ---- queries
 
-  /** When to call {@link #onTimer} next, or null. */
+  /** When to call {@link #onTimer} next, or null if no timer runs. */
   public Timestamp nextTimerExpiry() {
     return protocolTimers.isEmpty() ? null : protocolTimers.first().at;
   }
 
-  /** Whether requests of this virtual router may be admitted and forwarded now. */
+  /** Whether requests to this virtual router may be admitted and forwarded now. */
   public boolean canAdmit(VirtualRouterId router, Timestamp now) {
-    RouterEntry slot = slots.get(router);
-    return slot != null
-        && slot.state != null
-        && slot.state.role() == Role.ACTIVE
-        && !VirtualRouter.fenceDeadline(slot.options, slot.state).isBefore(now);
+    RouterEntry entry = routerEntries.get(router);
+    return entry != null
+        && entry.state != null
+        && entry.state.role() == Role.ACTIVE
+        && !VirtualRouter.fenceDeadline(entry.options, entry.state).isBefore(now);
   }
 
-  /** Whether a peer may have become active unnoticed: then {@link #fence} must be called first. */
+  /**
+   * Whether the fence deadline of any virtual router has passed, so that a peer may have become
+   * active. In this case {@link #fence} must be called first.
+   */
   public boolean isFenceOverdue(Timestamp now) {
     return !fenceTimers.isEmpty() && fenceTimers.first().at.isBefore(now);
   }
 
-  /** Whether this dispatcher is active for any virtual router. */
+  /** Whether this dispatcher is the active router of any virtual router. */
   public boolean isActive() {
     return !fenceTimers.isEmpty();
   }
 
   /**
-   * Over how many dispatchers the engines are shared now: those outside the group, this one, and
-   * each peer that advertises as active. A peer whose claims expired fades out over the longest
-   * time that one of its attempts can still use an engine; so does, after a start, a former active
-   * dispatcher that was never received. In a split each claimant that receives the other one leaves
-   * it its share; one that receives nothing uses all capacity, so that each claimant gives an
-   * engine at most its full capacity.
+   * The number of dispatchers that share the engines now: those outside the group, this one, and
+   * each peer that advertises as the active router.
+   *
+   * <p>A peer whose last advertisement has expired counts with a share that falls linearly from 1
+   * at the receipt of this advertisement to 0 after the maximum attempt duration, because its
+   * attempts may still use engines. Until the first advertisement is received after a start, a
+   * formerly active dispatcher is assumed, whose share falls in the same way from the start on.
+   *
+   * <p>In a split, an active router that receives the advertisements of another one leaves it its
+   * share. An active router that receives none uses the full capacity. Thus each active router
+   * sends an engine at most its full capacity.
    */
   public double effectiveDispatcherCount(Timestamp now) {
     double others = 0;
-    for (Map<VirtualRouterId, ReceivedAdvertisement> claimsOfPeer : claims.values()) {
+    for (Map<VirtualRouterId, ReceivedAdvertisement> advertisementsOfPeer :
+        receivedAdvertisements.values()) {
       double share = 0;
-      for (ReceivedAdvertisement claim : claimsOfPeer.values()) {
+      for (ReceivedAdvertisement advertisement : advertisementsOfPeer.values()) {
         share =
             Math.max(
                 share,
-                now.isBefore(claim.expiresAt()) ? 1 : remainingShare(claim.receivedAt(), now));
+                now.isBefore(advertisement.expiresAt())
+                    ? 1
+                    : remainingShare(advertisement.receivedAt(), now));
       }
       others += share;
     }
-    boolean alone = peers.isEmpty() || startedAt == null || !claims.isEmpty();
-    return dispatchersElsewhere + 1 + (alone ? others : remainingShare(startedAt, now));
+    boolean arePeersKnown =
+        peers.isEmpty() || startedAt == null || !receivedAdvertisements.isEmpty();
+    return dispatchersElsewhere + 1 + (arePeersKnown ? others : remainingShare(startedAt, now));
   }
 
-  private double remainingShare(Timestamp from, Timestamp now) {
+  /** The share, 1 to 0, of a dispatcher that was last known to be active at this time. */
+  private double remainingShare(Timestamp lastActiveAt, Timestamp now) {
     return maxAttemptDuration.isPositive()
-        ? Math.max(0, 1 - now.since(from).dividedBy(maxAttemptDuration))
+        ? Math.max(0, 1 - now.since(lastActiveAt).dividedBy(maxAttemptDuration))
         : 0;
   }
 
-  /** By how many steps the priority of every router is lowered now. */
+  /** By how much the priority of every virtual router is lowered now. */
   public int priorityReduction() {
     return priorityReduction;
   }
 
-  /** All configured routers, in order. */
+  /** All configured virtual routers, in order. */
   public List<VirtualRouterId> routers() {
-    return List.copyOf(slots.keySet());
+    return List.copyOf(routerEntries.keySet());
   }
 
-  /** The settings of a configured router. */
+  /** The configuration of a virtual router. */
   public RouterOptions options(VirtualRouterId router) {
-    return slots.get(router).options;
+    return routerEntries.get(router).options;
   }
 
-  /** The state of a configured router, or null before the start. */
+  /** The state of a configured virtual router, or null before the start. */
   public RouterState state(VirtualRouterId router) {
-    return slots.get(router).state;
+    return routerEntries.get(router).state;
   }
 
-  /** The last advertisement of each peer for a router. */
+  /** The last advertisement of each peer for a virtual router, by peer. */
   public Map<InetAddress, ReceivedAdvertisement> receivedAdvertisements(VirtualRouterId router) {
-    Map<InetAddress, ReceivedAdvertisement> claimsOfPeer = new HashMap<>();
-    claims.forEach(
-        (peer, of) -> {
-          if (of.containsKey(router)) {
-            claimsOfPeer.put(peer, of.get(router));
+    Map<InetAddress, ReceivedAdvertisement> byPeer = new HashMap<>();
+    receivedAdvertisements.forEach(
+        (peer, byRouter) -> {
+          if (byRouter.containsKey(router)) {
+            byPeer.put(peer, byRouter.get(router));
           }
         });
-    return claimsOfPeer;
+    return byPeer;
   }
 
   // ---- internals
@@ -389,15 +418,18 @@
     return new VirtualRouterId(advertisement.virtualRouterId(), advertisement.isIpv6());
   }
 
-  /** Sets the new state of a router, reschedules its two timers, and adds the actions. */
-  private void apply(RouterEntry slot, Transition transition, List<MastershipAction> actions) {
-    VirtualRouterId id = slot.options.router();
-    slot.state = transition.state();
-    slot.timerExpiresAt =
-        reschedule(protocolTimers, id, slot.timerExpiresAt, slot.state.timerExpiresAt());
-    slot.fenceAt =
+  /** Sets the new state of a virtual router, reschedules its two timers, and adds the actions. */
+  private void apply(RouterEntry entry, Transition transition, List<MastershipAction> actions) {
+    VirtualRouterId id = entry.options.router();
+    entry.state = transition.state();
+    entry.timerExpiresAt =
+        reschedule(protocolTimers, id, entry.timerExpiresAt, entry.state.timerExpiresAt());
+    entry.fenceDeadline =
         reschedule(
-            fenceTimers, id, slot.fenceAt, VirtualRouter.fenceDeadline(slot.options, slot.state));
+            fenceTimers,
+            id,
+            entry.fenceDeadline,
+            VirtualRouter.fenceDeadline(entry.options, entry.state));
     actions.addAll(transition.actions());
   }
 
--- a/src/main/java/cobaltseam/mastership/MastershipAction.java
+++ b/src/main/java/cobaltseam/mastership/MastershipAction.java
@@ -1,16 +1,16 @@
 package cobaltseam.mastership;
 
-/** What the caller of {@link Mastership} must do, in the order given. */
+/** An action that the caller of {@link Mastership} must carry out, in the returned order. */
 public sealed interface MastershipAction {
-  /** The virtual router concerned. */
+  /** The virtual router that the action applies to. */
   VirtualRouterId router();
 
-  /** Send an advertisement of this priority to every peer; 0 resigns. */
+  /** Sends an advertisement with this priority to every peer; priority 0 resigns. */
   record Advertise(VirtualRouterId router, int priority) implements MastershipAction {}
 
-  /** Serve the virtual router from now on. */
+  /** Starts serving the virtual router. */
   record Acquire(VirtualRouterId router, TransitionReason reason) implements MastershipAction {}
 
-  /** Admit no new requests for the virtual router; those in flight are finished. */
+  /** Stops admitting requests for the virtual router; those in flight are finished. */
   record Release(VirtualRouterId router, TransitionReason reason) implements MastershipAction {}
 }
--- a/src/main/java/cobaltseam/mastership/ReplayGuard.java
+++ b/src/main/java/cobaltseam/mastership/ReplayGuard.java
@@ -10,12 +10,13 @@
 import java.util.Set;
 
 /**
- * Rejects authenticated advertisements that were sent before. A sequence is its sender's clock in
- * microseconds and rises with each advertisement of a virtual router. A sequence is accepted only
- * above the last one, and only if it can't have been sent before this process started: a recorded
- * advertisement would otherwise be accepted once after a restart. Clocks may differ by a configured
- * span; for twice that span after the start advertisements of a correct peer may be rejected, so
- * that no router may become active here until then. Not thread-safe.
+ * Rejects replayed authenticated advertisements. The sequence of an advertisement is the clock of
+ * its sender in microseconds and rises with each advertisement of a virtual router. A sequence is
+ * accepted only if it is above the last accepted one and can't have been sent before this process
+ * started; otherwise a recorded advertisement would be accepted once after each restart. Clocks may
+ * differ by a configured maximum. For twice that difference after the start, advertisements of a
+ * correct peer may be rejected, so no virtual router may become active here until then. Not
+ * thread-safe.
  */
 public final class ReplayGuard {
   private record SenderStream(InetAddress sender, VirtualRouterId router) {}
@@ -25,33 +26,36 @@
   private final Map<SenderStream, Long> lastSequences = new HashMap<>();
 
   /**
-   * @param startedAt when this process started, by its clock
-   * @param maxClockDifference how much the clocks of two dispatchers may differ
+   * @param startedAt when this process started, by its own clock
+   * @param maxClockDifference the maximum difference between the clocks of two dispatchers
    */
   public ReplayGuard(Timestamp startedAt, TimeSpan maxClockDifference) {
     this.startedAt = startedAt;
     this.maxClockDifference = maxClockDifference;
   }
 
-  /** How long to listen after the start before the absence of advertisements means anything. */
+  /**
+   * The time after the start during which valid advertisements may be rejected, so that their
+   * absence doesn't prove that there is no active router.
+   */
   public TimeSpan minListenPeriod() {
     return maxClockDifference.times(2);
   }
 
   /**
-   * Checks the sequence of an advertisement whose authentication is valid, and remembers it if it
-   * is accepted.
+   * Checks the sequence of an advertisement whose authentication is valid, and records it if it is
+   * accepted.
    *
-   * @return why the advertisement is rejected, or nothing
+   * @return why the advertisement is rejected, or empty if it is accepted
    */
   public Optional<RejectionReason> check(
       InetAddress sender, VirtualRouterId router, long sequence, Timestamp now) {
-    Timestamp sent = new Timestamp(sequence);
-    if (!startedAt.plus(maxClockDifference).isBefore(sent)
-        || sent.isBefore(now.minus(maxClockDifference.times(2)))) {
+    Timestamp sentAt = new Timestamp(sequence);
+    if (!startedAt.plus(maxClockDifference).isBefore(sentAt)
+        || sentAt.isBefore(now.minus(maxClockDifference.times(2)))) {
       return Optional.of(RejectionReason.STALE);
     }
-    if (now.plus(maxClockDifference).isBefore(sent)) {
+    if (now.plus(maxClockDifference).isBefore(sentAt)) {
       return Optional.of(RejectionReason.EARLY);
     }
     SenderStream stream = new SenderStream(sender, router);
@@ -62,7 +66,7 @@
     return Optional.empty();
   }
 
-  /** Forgets the sequences of all other senders and routers. */
+  /** Drops the sequences of all other senders and virtual routers. */
   public void retainOnly(Set<InetAddress> peers, Set<VirtualRouterId> routers) {
     lastSequences
         .keySet()
--- a/src/main/java/cobaltseam/mastership/RouterOptions.java
+++ b/src/main/java/cobaltseam/mastership/RouterOptions.java
@@ -7,11 +7,12 @@
 /**
  * The configuration of one virtual router.
  *
- * @param priority 1 to 255; 255 owns the addresses
+ * @param priority 1 to 255; 255 is the address owner
  * @param advertisementInterval 10 ms to 40.95 s, in whole centiseconds
- * @param preempts whether it takes over from an active router of lower priority
- * @param preemptDelay for how long it waits before that, after a start or a rise of its priority
- * @param addresses the virtual addresses, all of one family
+ * @param preempts whether a backup preempts an active router of lower priority (Preempt_Mode)
+ * @param preemptDelay how long preemption is suppressed after a start or an increase of the
+ *     priority
+ * @param addresses the virtual addresses, all of one address family
  */
 public record RouterOptions(
     VirtualRouterId router,
--- a/src/main/java/cobaltseam/mastership/RouterState.java
+++ b/src/main/java/cobaltseam/mastership/RouterState.java
@@ -4,15 +4,16 @@
 import cobaltseam.dispatch.Timestamp;
 
 /**
- * The state of one virtual router.
+ * The immutable protocol state of one virtual router.
  *
- * @param since when it took this role
- * @param reason why it took this role
- * @param priority its current priority, 0 to 255
- * @param activeInterval the advertisement interval of the active router, as last received
- * @param timerExpiresAt when its timer expires, or null
- * @param lastAdvertisedAt when it last advertised as the active router, or null
- * @param preemptionAllowedFrom from when on it may take over from a lower priority
+ * @param since when the router entered this role
+ * @param reason why the router entered this role
+ * @param priority the current priority, 0 to 255
+ * @param activeInterval the advertisement interval of the active router (Active_Adver_Interval)
+ * @param timerExpiresAt when the advertisement timer (active) or the active down timer (backup)
+ *     expires, or null
+ * @param lastAdvertisedAt when the router last advertised while active, or null
+ * @param preemptionAllowedFrom the earliest time at which the router may preempt a lower priority
  */
 public record RouterState(
     Role role,
--- a/src/main/java/cobaltseam/mastership/VirtualRouter.java
+++ b/src/main/java/cobaltseam/mastership/VirtualRouter.java
@@ -9,52 +9,61 @@
 import java.util.List;
 
 /**
- * The state machine of one virtual router, RFC 9568 section 6.4: pure functions from a state and an
- * event to the next state and the actions to carry out, so that all states can be explored.
+ * The state machine of one virtual router, RFC 9568 section 6.4. All methods are pure functions
+ * from a state and an event to the next state and the actions to carry out, so that a test can
+ * explore all reachable states.
  *
- * <p>Beyond the RFC: an active router whose process did not run for as long as its peers wait for
- * its advertisements steps back before it does anything else (the fence time); a backup whose
- * process did not run listens again before it becomes active; preemption may be delayed; and an
- * active router that can't serve resigns and backs off.
+ * <p>Extensions to the RFC:
+ *
+ * <ul>
+ *   <li>Fencing: an active router that was suspended until its fence deadline passed returns to
+ *       backup before it does anything else.
+ *   <li>A backup that was suspended restarts its active down timer before it becomes active.
+ *   <li>Preemption may be delayed.
+ *   <li>An active router that is unable to serve resigns and backs off.
+ * </ul>
  */
 final class VirtualRouter {
-  /** Advertisements of the active router that may be missed before a backup becomes active. */
+  /** Advertisements of the active router that a backup may miss before it becomes active. */
   static final int MAX_MISSED_ADVERTISEMENTS = 3;
 
   private static final int PRIORITY_LEVELS = 256;
   private static final int US_PER_CENTISECOND = 10_000;
 
   /**
-   * An active router answers a lower priority with an advertisement, but no sooner than this part
-   * of the interval after its last one, so that a flood is not answered by a flood.
+   * An active router replies to an advertisement of lower priority with its own, but no sooner than
+   * this fraction of the advertisement interval after its last one. The limit keeps a flood of
+   * advertisements from causing a flood of replies.
    */
-  private static final double MIN_ASSERT_INTERVALS = 0.25;
+  private static final double MIN_REPLY_INTERVAL_FRACTION = 0.25;
 
   private VirtualRouter() {}
 
-  /** The next state, and the actions to carry out in order. */
+  /** The next state, and the actions to carry out in the given order. */
   record Transition(RouterState state, List<MastershipAction> actions) {
     Transition(RouterState state, MastershipAction... actions) {
       this(state, List.of(actions));
     }
   }
 
-  /** Skew_Time of the RFC: what a backup adds to its wait, shorter the higher its priority. */
+  /**
+   * Skew_Time of the RFC: an addition to the active down interval, shorter for higher priorities.
+   */
   static TimeSpan skewTime(RouterState state) {
     return state
         .activeInterval()
         .times((double) (PRIORITY_LEVELS - state.priority()) / PRIORITY_LEVELS);
   }
 
-  /** Active_Down_Interval of the RFC: the silence after which a backup becomes active. */
+  /** Active_Down_Interval of the RFC: a backup becomes active after it without an advertisement. */
   static TimeSpan activeDownInterval(RouterState state) {
     return state.activeInterval().times(MAX_MISSED_ADVERTISEMENTS).plus(skewTime(state));
   }
 
   /**
-   * Until when an active router may act without another advertisement, or null for other roles. No
-   * peer of the same interval becomes active sooner: each adds its skew time, and measures from
-   * when it received the advertisement.
+   * Until when an active router may serve without sending another advertisement, or null in other
+   * roles. No peer with the same advertisement interval becomes active before: its active down
+   * interval also includes its skew time, and starts when it receives the advertisement.
    */
   static Timestamp fenceDeadline(RouterOptions options, RouterState state) {
     return state.role() == Role.ACTIVE
@@ -64,6 +73,7 @@
         : null;
   }
 
+  /** The state before startup. */
   static RouterState initialState(RouterOptions options, int priority, Timestamp now) {
     return new RouterState(
         Role.INITIALIZE,
@@ -76,17 +86,23 @@
         now);
   }
 
-  /** Startup. It listens for at least this long before it becomes active, even as address owner. */
-  static Transition start(RouterOptions options, int priority, TimeSpan listen, Timestamp now) {
+  /**
+   * Startup.
+   *
+   * @param listenPeriod the minimum time before the router becomes active, even as address owner
+   */
+  static Transition start(
+      RouterOptions options, int priority, TimeSpan listenPeriod, Timestamp now) {
     RouterState state = initialState(options, priority, now);
-    if (priority == Advertisement.OWNER_PRIORITY && !listen.isPositive()) {
+    if (priority == Advertisement.OWNER_PRIORITY && !listenPeriod.isPositive()) {
       return becomeActive(options, state, TransitionReason.OWNER, now);
     }
     state =
         state
             .withRole(Role.BACKUP, TransitionReason.STARTED, now)
             .withPriority(priority, now.plus(options.preemptDelay()));
-    return new Transition(state.withTimerExpiry(now.plus(listen).plus(activeDownInterval(state))));
+    return new Transition(
+        state.withTimerExpiry(now.plus(listenPeriod).plus(activeDownInterval(state))));
   }
 
   /** Shutdown. An active router resigns, so that a peer takes over within its skew time. */
@@ -101,7 +117,7 @@
         : new Transition(next);
   }
 
-  /** The timer of the router has expired. */
+  /** The advertisement timer or the active down timer of the router has expired. */
   static Transition onTimer(RouterOptions options, RouterState state, Timestamp now) {
     if (state.role() == Role.ACTIVE) {
       return new Transition(
@@ -111,7 +127,8 @@
     if (state.role() != Role.BACKUP) {
       return new Transition(state.withTimerExpiry(null));
     }
-    // If this process did not run, advertisements of the active router may still be unread.
+    // A timer that is late by more than an interval shows that this process was suspended. Received
+    // advertisements of the active router may still be unread.
     if (now.since(state.timerExpiresAt()).compareTo(state.activeInterval()) > 0) {
       return new Transition(state.withTimerExpiry(now.plus(activeDownInterval(state))));
     }
@@ -149,18 +166,20 @@
   private static Transition onAdvertisementAsBackup(
       RouterOptions options, RouterState state, Advertisement advertisement, Timestamp now) {
     if (advertisement.priority() == Advertisement.RESIGNATION_PRIORITY) {
-      // Never later than without the resignation, which only proves that its sender is gone.
+      // The resignation only shows that its sender is no longer active, so the timer may be
+      // shortened but not extended.
       Timestamp afterSkew = now.plus(skewTime(state));
       return new Transition(
           state.timerExpiresAt() != null && state.timerExpiresAt().isBefore(afterSkew)
               ? state
               : state.withTimerExpiry(afterSkew));
     }
-    boolean takesOver =
+    boolean willPreempt =
         options.preempts()
             && advertisement.priority() < state.priority()
             && !now.isBefore(state.preemptionAllowedFrom());
-    if (takesOver) {
+    if (willPreempt) {
+      // The advertisement doesn't restart the active down timer.
       return new Transition(state);
     }
     RouterState next = state.withActiveInterval(advertisementInterval(advertisement));
@@ -174,12 +193,13 @@
       InetAddress sender,
       Advertisement advertisement,
       Timestamp now) {
-    boolean higher = advertisement.priority() > state.priority();
-    boolean tied =
+    boolean senderHasHigherPriority = advertisement.priority() > state.priority();
+    boolean senderWinsTie =
         advertisement.priority() == state.priority() && Addresses.compare(sender, self) > 0;
-    if (advertisement.priority() != Advertisement.RESIGNATION_PRIORITY && (higher || tied)) {
+    if (advertisement.priority() != Advertisement.RESIGNATION_PRIORITY
+        && (senderHasHigherPriority || senderWinsTie)) {
       TransitionReason reason =
-          higher ? TransitionReason.HIGHER_HEARD : TransitionReason.ADDRESS_HIGHER;
+          senderHasHigherPriority ? TransitionReason.HIGHER_HEARD : TransitionReason.ADDRESS_HIGHER;
       RouterState next =
           state
               .withRole(Role.BACKUP, reason, now)
@@ -188,16 +208,16 @@
           next.withTimerExpiry(now.plus(activeDownInterval(next))),
           new MastershipAction.Release(options.router(), reason));
     }
-    // Advertises at once, so that all routers that listen learn who is active.
+    // Advertises at once, so that all backups learn which router is active.
     if (now.since(state.lastAdvertisedAt())
-            .compareTo(options.advertisementInterval().times(MIN_ASSERT_INTERVALS))
+            .compareTo(options.advertisementInterval().times(MIN_REPLY_INTERVAL_FRACTION))
         < 0) {
       return new Transition(state);
     }
     return onTimer(options, state, now);
   }
 
-  /** Steps back to backup if the fence time has passed, so that a peer may have become active. */
+  /** Returns to backup if the fence deadline has passed, since a peer may have become active. */
   static Transition fenceIfOverdue(RouterOptions options, RouterState state, Timestamp now) {
     Timestamp fence = fenceDeadline(options, state);
     if (fence == null || !fence.isBefore(now)) {
@@ -213,7 +233,8 @@
   }
 
   /**
-   * An active router can't serve: it resigns, and becomes active again after the backoff at best.
+   * An active router is unable to serve: it resigns, and delays preemption and its active down
+   * timer by the backoff.
    */
   static Transition resignUnableToServe(
       RouterOptions options, RouterState state, TimeSpan backoff, Timestamp now) {
@@ -230,13 +251,14 @@
         new MastershipAction.Release(options.router(), TransitionReason.UNABLE));
   }
 
-  /** Sets the priority; after a rise the router waits for the preempt delay before it preempts. */
+  /** Sets the priority; an increase starts the preempt delay. */
   static Transition changePriority(
       RouterOptions options, RouterState state, int priority, Timestamp now) {
-    boolean rose = priority > state.priority();
+    boolean isIncreased = priority > state.priority();
     return new Transition(
         state.withPriority(
-            priority, rose ? now.plus(options.preemptDelay()) : state.preemptionAllowedFrom()));
+            priority,
+            isIncreased ? now.plus(options.preemptDelay()) : state.preemptionAllowedFrom()));
   }
 
   /** Applies new settings. */
@@ -245,24 +267,26 @@
     List<MastershipAction> actions = new ArrayList<>();
     RouterState next = changePriority(options, state, priority, now).state();
     if (state.role() == Role.ACTIVE) {
-      // At once, so that peers that wait by the old interval don't become active in between.
+      // Advertises at once: with a longer interval, the active down timers of peers that still
+      // use the old interval could expire before the next advertisement.
       next =
           next.withActiveInterval(options.advertisementInterval())
               .withAdvertisement(now, now.plus(options.advertisementInterval()));
       actions.add(new MastershipAction.Advertise(options.router(), priority));
     } else if (state.role() == Role.BACKUP) {
-      Timestamp wake =
+      Timestamp expiry =
           now.plus(activeDownInterval(next.withActiveInterval(options.advertisementInterval())));
       next =
           next.withActiveInterval(options.advertisementInterval())
               .withTimerExpiry(
-                  state.timerExpiresAt() != null && wake.isBefore(state.timerExpiresAt())
+                  state.timerExpiresAt() != null && expiry.isBefore(state.timerExpiresAt())
                       ? state.timerExpiresAt()
-                      : wake);
+                      : expiry);
     }
     return new Transition(next, actions);
   }
 
+  /** The Max Advertise Interval of an advertisement as a time span. */
   static TimeSpan advertisementInterval(Advertisement advertisement) {
     return new TimeSpan(
         (long) advertisement.maxAdvertiseIntervalCentiseconds() * US_PER_CENTISECOND);
--- a/src/main/java/cobaltseam/mastership/VirtualRouterId.java
+++ b/src/main/java/cobaltseam/mastership/VirtualRouterId.java
@@ -3,7 +3,8 @@
 /**
  * Identifies one virtual router.
  *
- * @param value the VRID, 1 to 255; the same number may be used once for each address family
+ * @param value the VRID, 1 to 255; unique within one address family
+ * @param isIpv6 whether the virtual addresses are IPv6
  */
 public record VirtualRouterId(int value, boolean isIpv6) implements Comparable<VirtualRouterId> {
   @Override
--- a/src/main/java/cobaltseam/vrrp/Addresses.java
+++ b/src/main/java/cobaltseam/vrrp/Addresses.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** Converts IP addresses from and to text and bytes, without any name lookup. */
+/** Converts IP addresses to and from text and bytes without name lookups. */
 public final class Addresses {
   private static final int IPV6_GROUPS = 8;
   private static final int MAX_TEXT_LENGTH = 45;
@@ -14,9 +14,9 @@
   private Addresses() {}
 
   /**
-   * Parses an IPv4 address in four decimal parts or an IPv6 address without a zone.
+   * Parses an IPv4 address in dotted decimal notation or an IPv6 address without a zone.
    *
-   * @return the address, or nothing if the text is not one
+   * @return the address, or empty if the text is not a valid address
    */
   public static Optional<InetAddress> parse(String text) {
     if (text == null || text.isEmpty() || text.length() > MAX_TEXT_LENGTH) {
@@ -24,13 +24,13 @@
     }
     if (text.matches("(0|[1-9][0-9]{0,2})(\\.(0|[1-9][0-9]{0,2})){3}")) {
       byte[] bytes = new byte[4];
-      String[] parts = text.split("\\.");
+      String[] octets = text.split("\\.");
       for (int i = 0; i < bytes.length; i++) {
-        int part = Integer.parseInt(parts[i]);
-        if (part > 255) {
+        int octet = Integer.parseInt(octets[i]);
+        if (octet > 255) {
           return Optional.empty();
         }
-        bytes[i] = (byte) part;
+        bytes[i] = (byte) octet;
       }
       return Optional.of(fromBytes(bytes));
     }
@@ -38,7 +38,7 @@
       return Optional.empty();
     }
     try {
-      // The JDK only parses a text with a colon, it never looks it up.
+      // A text with a colon is parsed by the JDK as an IPv6 literal and never resolved.
       InetAddress parsed = InetAddress.getByName(text);
       return Optional.of(
           parsed instanceof Inet6Address ? fromBytes(parsed.getAddress()) : toIpv4Mapped(parsed));
@@ -47,7 +47,7 @@
     }
   }
 
-  /** The IPv6 address ::ffff:a.b.c.d, which the JDK's parser returns as IPv4. */
+  /** Restores the IPv6 address ::ffff:a.b.c.d, which the parser of the JDK returns as IPv4. */
   private static InetAddress toIpv4Mapped(InetAddress v4) {
     byte[] bytes = new byte[16];
     bytes[10] = (byte) 0xff;
@@ -56,18 +56,22 @@
     return fromBytes(bytes);
   }
 
-  /** The address of 4 or 16 bytes; 16 bytes are always an IPv6 address. */
+  /**
+   * Creates an address from 4 or 16 bytes; 16 bytes always give an IPv6 address.
+   *
+   * @throws IllegalArgumentException for any other number of bytes
+   */
   static InetAddress fromBytes(byte[] bytes) {
     try {
       return bytes.length == 4
           ? InetAddress.getByAddress(bytes)
           : Inet6Address.getByAddress(null, bytes, -1);
     } catch (UnknownHostException e) {
-      throw new IllegalArgumentException("no address has " + bytes.length + " bytes", e);
+      throw new IllegalArgumentException("an IP address has 4 or 16 bytes, not " + bytes.length, e);
     }
   }
 
-  /** Formats an address; IPv6 in the canonical form of RFC 5952. */
+  /** Formats an address; IPv6 addresses in the canonical form of RFC 5952. */
   public static String format(InetAddress address) {
     byte[] bytes = address.getAddress();
     if (bytes.length == 4) {
@@ -77,23 +81,23 @@
     for (int i = 0; i < IPV6_GROUPS; i++) {
       groups[i] = (bytes[2 * i] & 0xff) << 8 | bytes[2 * i + 1] & 0xff;
     }
-    int longestRunStart = -1;
-    int longestRun = 1;
+    int longestZeroRunStart = -1;
+    int longestZeroRun = 1;
     for (int i = 0; i < IPV6_GROUPS; i++) {
-      int run = 0;
-      while (i + run < IPV6_GROUPS && groups[i + run] == 0) {
-        run++;
+      int zeroRun = 0;
+      while (i + zeroRun < IPV6_GROUPS && groups[i + zeroRun] == 0) {
+        zeroRun++;
       }
-      if (run > longestRun) {
-        longestRunStart = i;
-        longestRun = run;
+      if (zeroRun > longestZeroRun) {
+        longestZeroRunStart = i;
+        longestZeroRun = zeroRun;
       }
     }
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < IPV6_GROUPS; i++) {
-      if (i == longestRunStart) {
+      if (i == longestZeroRunStart) {
         text.append("::");
-        i += longestRun - 1;
+        i += longestZeroRun - 1;
       } else {
         text.append(text.length() == 0 || text.charAt(text.length() - 1) == ':' ? "" : ":")
             .append(Integer.toHexString(groups[i]));
--- a/src/main/java/cobaltseam/vrrp/Advertisement.java
+++ b/src/main/java/cobaltseam/vrrp/Advertisement.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * One advertisement of VRRP version 3.
+ * A VRRP version 3 advertisement.
  *
  * @param virtualRouterId the VRID, 1 to 255
- * @param priority 0 to 255; 0 resigns, 255 owns the addresses
- * @param maxAdvertiseIntervalCentiseconds 1 to 4095
- * @param addresses 1 to 255 virtual addresses of one family
+ * @param priority 0 to 255; 0 is sent by an active router that resigns, 255 by the address owner
+ * @param maxAdvertiseIntervalCentiseconds the Max Advertise Interval, 1 to 4095
+ * @param addresses 1 to 255 virtual addresses of one address family
  */
 public record Advertisement(
     int virtualRouterId,
@@ -23,27 +23,28 @@
   public static final int RESIGNATION_PRIORITY = 0;
 
   /**
-   * @throws IllegalArgumentException with what is out of its bounds
+   * @throws IllegalArgumentException if a component is out of range or the addresses are of
+   *     different families
    */
   public Advertisement {
     addresses = List.copyOf(addresses);
     require(
         virtualRouterId >= 1 && virtualRouterId <= 255,
-        "the virtual router id is not from 1 to 255");
+        "the virtual router ID must be from 1 to 255");
     require(
         priority >= RESIGNATION_PRIORITY && priority <= OWNER_PRIORITY,
-        "the priority is not from 0 to 255");
+        "the priority must be from 0 to 255");
     require(
         maxAdvertiseIntervalCentiseconds >= 1
             && maxAdvertiseIntervalCentiseconds <= MAX_INTERVAL_CENTISECONDS,
-        "the interval is not from 1 to 4095 centiseconds");
+        "the advertisement interval must be from 1 to 4095 centiseconds");
     require(
         !addresses.isEmpty() && addresses.size() <= MAX_ADDRESSES,
-        "there are not 1 to 255 addresses");
+        "the number of addresses must be from 1 to 255");
     boolean ipv6 = addresses.get(0) instanceof Inet6Address;
     require(
         addresses.stream().allMatch(a -> a instanceof Inet6Address == ipv6),
-        "the addresses mix families");
+        "the addresses must be of one address family");
   }
 
   private static void require(boolean condition, String message) {
@@ -52,7 +53,7 @@
     }
   }
 
-  /** Whether its addresses are IPv6. */
+  /** Whether the virtual addresses are IPv6. */
   public boolean isIpv6() {
     return addresses.get(0) instanceof Inet6Address;
   }
--- a/src/main/java/cobaltseam/vrrp/AdvertisementAuthenticator.java
+++ b/src/main/java/cobaltseam/vrrp/AdvertisementAuthenticator.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 
 /**
- * Signs and verifies advertisements by a trailer behind them, which also covers both addresses of
- * the datagram. A router that implements only the RFC may reject advertisements with a trailer.
+ * Signs and verifies advertisements with an authentication trailer, which also covers the source
+ * and destination address of the datagram. The trailer is an extension: a router that implements
+ * only the RFC may reject advertisements with a trailer.
  */
 public final class AdvertisementAuthenticator {
   private AdvertisementAuthenticator() {}
@@ -15,8 +16,8 @@
   /**
    * Returns the advertisement followed by its authentication trailer.
    *
-   * @param keyId the id of a key in the key ring
-   * @param sequence must rise with each advertisement of a sender
+   * @param keyId the ID of a key in the key ring
+   * @param sequence a number that rises with each advertisement of a sender
    */
   public static byte[] sign(
       byte[] advertisement,
@@ -29,13 +30,18 @@
         advertisement, concatenate(source, destination), keys, keyId, sequence);
   }
 
-  /** Why the trailer behind an advertisement of this length is not valid, or nothing if it is. */
+  /**
+   * Verifies the trailer of an advertisement.
+   *
+   * @param length the length of the advertisement without the trailer
+   * @return why the trailer is invalid, or empty if it is valid
+   */
   public static Optional<RejectionReason> verify(
       byte[] bytes, int length, InetAddress source, InetAddress destination, KeyRing keys) {
     return MessageAuthenticator.verify(bytes, length, concatenate(source, destination), keys)
         .map(
-            b ->
-                b == MessageAuthenticator.Rejection.KEY_UNKNOWN
+            rejection ->
+                rejection == MessageAuthenticator.Rejection.KEY_UNKNOWN
                     ? RejectionReason.KEY_UNKNOWN
                     : RejectionReason.FORGED);
   }
--- a/src/main/java/cobaltseam/vrrp/AdvertisementCodec.java
+++ b/src/main/java/cobaltseam/vrrp/AdvertisementCodec.java
@@ -10,11 +10,13 @@
 import java.util.List;
 
 /**
- * Encodes and decodes advertisements by RFC 9568: version and type, virtual router id, priority,
- * number of addresses, interval in 12 bits, checksum, addresses. For IPv6 the checksum also covers
- * a pseudo-header of the datagram's addresses, its length and protocol 112. For IPv4 RFC 9568
- * leaves the pseudo-header out, but RFC 5798 was also implemented with it: both forms are decoded,
- * and either can be encoded.
+ * Encodes and decodes advertisements in the packet format of RFC 9568: version and type, virtual
+ * router ID, priority, number of addresses, 12-bit interval, checksum, addresses.
+ *
+ * <p>For IPv6 the checksum also covers a pseudo-header of the source and destination address, the
+ * length and the protocol number 112. For IPv4 RFC 9568 omits the pseudo-header, but some
+ * implementations of RFC 5798 include it. Therefore both forms are decoded, and either can be
+ * encoded.
  */
 public final class AdvertisementCodec {
   static final int HEADER_BYTES = 8;
@@ -28,8 +30,8 @@
   /**
    * Encodes an advertisement for a datagram between two addresses.
    *
-   * @param covers what the checksum covers for IPv4; IPv6 always includes the pseudo-header
-   * @throws IllegalArgumentException if the addresses are not of the advertisement's family
+   * @param coverage the checksum coverage for IPv4; for IPv6 the pseudo-header is always included
+   * @throws IllegalArgumentException if the addresses are not of the advertisement's address family
    */
   public static byte[] encode(
       Advertisement advertisement,
@@ -38,7 +40,8 @@
       ChecksumCoverage coverage) {
     if (source instanceof Inet6Address != advertisement.isIpv6()
         || destination instanceof Inet6Address != advertisement.isIpv6()) {
-      throw new IllegalArgumentException("source, destination and addresses are not of one family");
+      throw new IllegalArgumentException(
+          "source, destination and virtual addresses must be of one address family");
     }
     int addressBytes = advertisement.isIpv6() ? 16 : 4;
     ByteBuffer out =
@@ -59,7 +62,7 @@
     return bytes;
   }
 
-  /** Decodes the payload of a datagram; any bytes give a result and no exception. */
+  /** Decodes the payload of a datagram. Invalid input gives a rejection, never an exception. */
   public static DecodeResult decode(byte[] bytes, InetAddress source, InetAddress destination) {
     if (bytes.length < HEADER_BYTES) {
       return new DecodeResult.Rejected(RejectionReason.TOO_SHORT);
@@ -94,11 +97,11 @@
     if (coverage == null) {
       return new DecodeResult.Rejected(RejectionReason.CHECKSUM);
     }
-    int router = bytes[1] & 0xff;
-    if (router == 0) {
+    int virtualRouterId = bytes[1] & 0xff;
+    if (virtualRouterId == 0) {
       return new DecodeResult.Rejected(RejectionReason.ROUTER_ZERO);
     }
-    // The four bits before the interval are reserved, and ignored when read.
+    // The four bits before the interval are reserved and ignored on receipt.
     int interval = (bytes[4] & 0xf) << 8 | bytes[5] & 0xff;
     if (interval == 0) {
       return new DecodeResult.Rejected(RejectionReason.INTERVAL_ZERO);
@@ -108,18 +111,18 @@
       addresses.add(Addresses.fromBytes(Arrays.copyOfRange(bytes, offset, offset + addressBytes)));
     }
     return new DecodeResult.Decoded(
-        new Advertisement(router, bytes[2] & 0xff, interval, addresses),
+        new Advertisement(virtualRouterId, bytes[2] & 0xff, interval, addresses),
         coverage,
         length,
         hasTrailer);
   }
 
-  /** The sum of both addresses, the length and the protocol, as 16-bit words. */
+  /** The sum of the 16-bit words of both addresses, the length and the protocol number. */
   private static long sumOfPseudoHeader(InetAddress source, InetAddress destination, int length) {
-    byte[] from = source.getAddress();
-    byte[] to = destination.getAddress();
-    return sumOfWords(from, from.length)
-        + sumOfWords(to, to.length)
+    byte[] sourceBytes = source.getAddress();
+    byte[] destinationBytes = destination.getAddress();
+    return sumOfWords(sourceBytes, sourceBytes.length)
+        + sumOfWords(destinationBytes, destinationBytes.length)
         + length
         + VRRP_PROTOCOL_NUMBER;
   }
--- a/src/main/java/cobaltseam/vrrp/RejectionReason.java
+++ b/src/main/java/cobaltseam/vrrp/RejectionReason.java
@@ -4,27 +4,27 @@
 
 /** Why a datagram is not accepted as an advertisement. */
 public enum RejectionReason {
-  TOO_SHORT("it is shorter than a header of 8 bytes"),
-  VERSION("its version is not 3"),
-  TYPE("its type is not 1, an advertisement"),
-  NO_ADDRESS("it names no address"),
-  LENGTH("its length is not that of its addresses, nor that with a seal"),
-  FAMILY("its source and destination are not of one family"),
-  CHECKSUM("its checksum is wrong"),
-  ROUTER_ZERO("its virtual router id is 0"),
-  INTERVAL_ZERO("its interval is 0"),
-  UNKNOWN_SENDER("its sender is not among the peers"),
-  UNKNOWN_ROUTER("its virtual router is not one of ours"),
-  ADDRESSES_DIFFER("its addresses are not those of our virtual router"),
-  INTERVAL_DIFFERS("its interval is not ours"),
-  OUR_OWN("it says what only we could have sent"),
-  UNSEALED("it has no seal and needs one"),
-  KEY_UNKNOWN("its seal names a key that we don't have"),
-  FORGED("its seal is wrong"),
-  REPLAYED("its sequence is not above the last one"),
-  STALE("it was sent too long ago, or before we started"),
-  EARLY("it was sent later than now"),
-  TOO_MANY("too many are waiting to be heard");
+  TOO_SHORT("the datagram is shorter than the 8-byte header"),
+  VERSION("the version is not 3"),
+  TYPE("the type is not 1 (ADVERTISEMENT)"),
+  NO_ADDRESS("the number of addresses is 0"),
+  LENGTH("the length does not match the number of addresses"),
+  FAMILY("source and destination are of different address families"),
+  CHECKSUM("the checksum is wrong"),
+  ROUTER_ZERO("the virtual router ID is 0"),
+  INTERVAL_ZERO("the advertisement interval is 0"),
+  UNKNOWN_SENDER("the sender is not a configured peer"),
+  UNKNOWN_ROUTER("the virtual router is not configured on this dispatcher"),
+  ADDRESSES_DIFFER("the addresses differ from those configured for the virtual router"),
+  INTERVAL_DIFFERS("the advertisement interval differs from the configured one"),
+  OUR_OWN("the source address is that of this dispatcher"),
+  UNSEALED("the authentication trailer is missing"),
+  KEY_UNKNOWN("the key of the authentication trailer is unknown"),
+  FORGED("the authentication trailer is invalid"),
+  REPLAYED("the sequence is not above the last accepted one"),
+  STALE("the datagram was sent too long ago or before this process started"),
+  EARLY("the send time is ahead of the clock of this dispatcher"),
+  TOO_MANY("too many datagrams are queued");
 
   private final String explanation;
 
@@ -32,12 +32,12 @@
     this.explanation = explanation;
   }
 
-  /** The reason as a clause in English. */
+  /** A description for log messages and command output. */
   public String explanation() {
     return explanation;
   }
 
-  /** The name in counters, SHOW rows and log events. */
+  /** The name in counters, in SHOW rows and in log events. */
   public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
