--- a/src/main/java/cobaltseam/membership/Ballot.java
+++ b/src/main/java/cobaltseam/membership/Ballot.java
@@ -3,15 +3,16 @@
 import java.util.Objects;
 
 /**
- * The ballot of one proposal for the successor of a view, unique by its proposer.
+ * The ballot number of one proposal for the successor of a view. The name and incarnation of the
+ * proposer make it unique.
  *
- * @param round from 1; compared first
+ * @param round from 1; ballots are ordered by round, then proposer, then incarnation
  * @param proposer the name of the proposer
  * @param incarnation the incarnation of the proposer
  */
 public record Ballot(long round, MemberName proposer, Incarnation incarnation)
     implements Comparable<Ballot> {
-  /** Checks that the proposer is set. */
+  /** Throws {@link NullPointerException} if the proposer or its incarnation is null. */
   public Ballot {
     Objects.requireNonNull(proposer);
     Objects.requireNonNull(incarnation);
--- a/src/main/java/cobaltseam/membership/Bootstrap.java
+++ b/src/main/java/cobaltseam/membership/Bootstrap.java
@@ -10,14 +10,17 @@
 import java.util.Set;
 
 /**
- * Creates the first view of a lineage. The first of the bootstrap members asks all others for
- * consent to exactly these processes, and each consents to one attempt of one process. So a lineage
- * begins once, or when nobody is left that held it.
+ * Creates the first view of a lineage. The first bootstrap member in the configured order asks all
+ * other bootstrap members to consent to a first view of exactly these processes. Each of them
+ * consents only to the latest attempt of the latest incarnation of that member, and to none while
+ * it has a view or knows of an existing one. So a second bootstrap succeeds only if no bootstrap
+ * member has a view or knows of one.
  */
 final class Bootstrap implements ViewListener {
-  /** For so many periods after the start, a process waits for a view that exists already. */
-  private static final int LISTEN_PERIODS = 3;
+  /** Health check periods after the start in which peers can report an existing view. */
+  private static final int VIEW_DISCOVERY_PERIODS = 3;
 
+  /** Health check periods between two requests for the missing consents. */
   private static final double RETRY_PERIODS = 0.5;
 
   private final MembershipOptions options;
@@ -31,7 +34,7 @@
   private Timestamp requestedAt;
   private long attempt;
 
-  /** The processes of the current attempt, or null. */
+  /** The members of the first view that the current attempt proposes, or null. */
   private List<Member> proposedMembers;
 
   private final Set<MemberName> consents = new HashSet<>();
@@ -55,6 +58,7 @@
     this.actions = actions;
   }
 
+  /** Restores the last consent from the state of the former process. */
   void restore(PersistentState former) {
     consentedTo = former.consentedTo();
     consentedAttempt = former.consentedAttempt();
@@ -66,28 +70,33 @@
     proposedMembers = null;
   }
 
+  /** Starts the period in which peers can report an existing view. */
   void start(Timestamp now) {
     startedAt = now;
   }
 
-  /** The process that consent was last given to, or null. */
+  /** The incarnation of the process that this process last consented to, or null. */
   Incarnation consentedTo() {
     return consentedTo;
   }
 
-  /** The attempt of that process. */
+  /** The attempt of the process {@link #consentedTo} that was last consented to. */
   long consentedAttempt() {
     return consentedAttempt;
   }
 
-  /** Asks for consents, where this process is the one to do so and no view may exist. */
+  /**
+   * Requests missing consents, if this process is the first bootstrap member and knows of no
+   * existing view.
+   */
   void onTimer(Timestamp now) {
     if (!canBootstrap(now)) {
       return;
     }
     Member self = detector.self();
     if (lineages.hasLeft(self.incarnation().value())) {
-      // A lineage is numbered by the incarnation that began it: the next one needs another.
+      // A lineage is numbered by the incarnation of the process that began it. A new lineage
+      // therefore needs a new incarnation.
       detector.startNewIncarnation();
     }
     List<Member> members = aliveBootstrapMembers();
@@ -117,8 +126,8 @@
     return !names.isEmpty()
         && names.get(0).equals(detector.self().name())
         && !detector.isSilenced(now)
-        && now.since(startedAt).compareTo(periods(LISTEN_PERIODS)) >= 0
-        && !guard.isViewReported();
+        && now.since(startedAt).compareTo(periods(VIEW_DISCOVERY_PERIODS)) >= 0
+        && !guard.isExistingViewKnown();
   }
 
   private List<Member> aliveBootstrapMembers() {
@@ -144,12 +153,12 @@
       return;
     }
     Member self = detector.self();
-    View first = View.of(new ViewId(self.incarnation().value(), 1), proposedMembers);
-    localView.setState(ViewState.of(first), now);
-    first.members().stream().filter(m -> !m.equals(self)).forEach(m -> transfer.sendPart(m, 0));
+    View firstView = View.of(new ViewId(self.incarnation().value(), 1), proposedMembers);
+    localView.setState(ViewState.of(firstView), now);
+    firstView.members().stream().filter(m -> !m.equals(self)).forEach(m -> transfer.sendPart(m, 0));
   }
 
-  /** Counts a consent to the current attempt. */
+  /** Counts a consent to the current attempt, and installs the first view if it was the last. */
   void receiveConsent(BootstrapConsent consent, Timestamp now) {
     Member from = consent.from().member();
     if (proposedMembers != null && consent.attempt() == attempt && proposedMembers.contains(from)) {
@@ -158,19 +167,22 @@
     }
   }
 
-  /** Consents to a request, unless a view may exist or a later request had consent already. */
+  /**
+   * Consents to a request, unless a view may exist or this process has consented to a later
+   * request.
+   */
   void receiveRequest(BootstrapRequest request) {
     Member requester = request.from().member();
     List<MemberName> names = request.members().stream().map(Member::name).sorted().toList();
     if (localView.hasView()
-        || guard.isViewReported()
+        || guard.isExistingViewKnown()
         || !names.equals(options.bootstrapMembers())
         || !requester.name().equals(names.get(0))
         || !request.members().contains(detector.self())) {
       return;
     }
-    int order = consentedTo == null ? 1 : requester.incarnation().compareTo(consentedTo);
-    if (order > 0 || order == 0 && request.attempt() >= consentedAttempt) {
+    int incarnationOrder = consentedTo == null ? 1 : requester.incarnation().compareTo(consentedTo);
+    if (incarnationOrder > 0 || incarnationOrder == 0 && request.attempt() >= consentedAttempt) {
       consentedTo = requester.incarnation();
       consentedAttempt = request.attempt();
       actions.send(requester, new BootstrapConsent(detector.header(), request.attempt()));
--- a/src/main/java/cobaltseam/membership/Lease.java
+++ b/src/main/java/cobaltseam/membership/Lease.java
@@ -14,44 +14,47 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The lease under which this process may act on its view. It does no I/O and is not thread-safe.
+ * The lease under which this process may rely on its view. This class does no I/O and is not
+ * thread-safe.
  *
- * <p>A majority of the view confirms, after it was asked, that it has accepted no successor. That
- * counts for {@link LeaseOptions#duration} from the time of asking, by the local clock. A successor
- * is accepted by a majority too, and the two majorities share a member, which confirmed before it
- * accepted. So once that duration has passed after a successor is chosen, nobody acts on the former
- * view. No member has to remember a lease.
+ * <p>A majority of the view confirms, on request, that it has accepted no successor of the view.
+ * The lease then lasts for {@link LeaseOptions#duration} from the time of the request, by the local
+ * clock. A successor needs a majority of acceptances too, and the two majorities share a member,
+ * which granted the lease before it accepted the successor. So once that duration has passed after
+ * a successor was chosen, no process relies on the former view. Members store no leases.
  */
 public final class Lease {
   /**
    * The settings of a lease.
    *
-   * @param duration how long a lease lasts from the time at which it was requested; more than zero
-   * @param maxClockRateRatio by which part the rates of two clocks differ at most
+   * @param duration how long a lease lasts from the time of its request; more than zero
+   * @param maxClockRateRatio the largest difference between the rates of two clocks, as a ratio
    */
   public record LeaseOptions(TimeSpan duration, double maxClockRateRatio) {
     /** Throws {@link IllegalArgumentException} if the duration is not positive. */
     public LeaseOptions {
       if (!duration.isPositive()) {
-        throw new IllegalArgumentException("the duration of a lease must be more than zero");
+        throw new IllegalArgumentException("the lease duration must be more than zero");
       }
     }
   }
 
-  /** A datagram to send; it may be lost. */
+  /** A message to send as a datagram, which may be lost. */
   public record OutgoingMessage(InetSocketAddress to, LeaseMessage message) {}
 
-  /** The part of its duration after which a lease is renewed. */
+  /** The fraction of its duration after which a lease is renewed. */
   private static final double RENEW_AFTER_FRACTION = 0.25;
 
-  private static final int MAX_ROUNDS = 8;
+  /** The most renewal rounds kept to count grants; the oldest is dropped first. */
+  private static final int MAX_OPEN_ROUNDS = 8;
 
-  private static final class Round {
+  /** One renewal request to all members of the view, and the members that granted it. */
+  private static final class RenewalRound {
     final ViewId viewId;
     final Timestamp sentAt;
     final Set<MemberName> grantedBy = new HashSet<>();
 
-    Round(ViewId viewId, Timestamp sentAt) {
+    RenewalRound(ViewId viewId, Timestamp sentAt) {
       this.viewId = viewId;
       this.sentAt = sentAt;
     }
@@ -60,39 +63,45 @@
   private final LeaseOptions options;
   private final Membership membership;
   private final RandomGenerator random;
-  private final Map<Long, Round> rounds = new LinkedHashMap<>();
+  private final Map<Long, RenewalRound> rounds = new LinkedHashMap<>();
   private View leasedView;
   private Timestamp expiresAt;
   private Timestamp renewAt;
 
-  /** A lease that is not held yet. */
+  /** Creates a lease that no majority has granted yet. */
   public Lease(LeaseOptions options, Membership membership, RandomGenerator random) {
     this.options = options;
     this.membership = membership;
     this.random = random;
   }
 
-  /** Until when this process may act without hearing from a majority; null if it may not. */
+  /**
+   * The time until which this process may rely on its view without further grants; null if no lease
+   * was granted in the lineage of the view.
+   */
   public Timestamp expiresAt() {
     return expiresAt;
   }
 
-  /** How long this process may still act; zero if it may not. */
+  /** The time left until the lease expires; zero without a valid lease. */
   public TimeSpan remaining(Timestamp now) {
     return expiresAt == null || !now.isBefore(expiresAt) ? TimeSpan.ZERO : expiresAt.since(now);
   }
 
-  /** After this time all leases granted before have ended, whichever clock is the slower. */
+  /**
+   * The time after which all leases granted before have expired, by the clock of any process. The
+   * bound includes the largest difference between the rates of two clocks.
+   */
   public TimeSpan maxDuration() {
     return options.duration().times(1 + 2 * options.maxClockRateRatio());
   }
 
-  /** The settings. */
+  /** The settings of this lease. */
   public LeaseOptions options() {
     return options;
   }
 
-  /** When {@link #onTimer} must be called next; null without a view. */
+  /** The time by which {@link #onTimer} must be called next; null without a view. */
   public Timestamp nextWakeup(Timestamp now) {
     if (renewAt == null || now.isBefore(renewAt)) {
       return renewAt;
@@ -100,7 +109,10 @@
     return now.plus(options.duration().times(RENEW_AFTER_FRACTION / 2));
   }
 
-  /** Follows changes of the view, and requests a renewal if one is due. */
+  /**
+   * Requests a renewal if one is due. On a change of view a renewal is due at once; the current
+   * lease is kept only if both views are of the same lineage.
+   */
   public List<OutgoingMessage> onTimer(Timestamp now) {
     View view = membership.view();
     if (view != leasedView) {
@@ -115,10 +127,10 @@
       return messages;
     }
     renewAt = now.plus(options.duration().times(RENEW_AFTER_FRACTION));
-    Round round = new Round(view.id(), now);
+    RenewalRound round = new RenewalRound(view.id(), now);
     long id = random.nextLong();
     rounds.put(id, round);
-    if (rounds.size() > MAX_ROUNDS) {
+    if (rounds.size() > MAX_OPEN_ROUNDS) {
       rounds.remove(rounds.keySet().iterator().next());
     }
     for (Member member : view.members()) {
@@ -131,8 +143,8 @@
     return messages;
   }
 
-  /** Counts a member that confirmed, after the request, that the view has no successor. */
-  private void addGrant(Round round, Member grantor, View view) {
+  /** Counts a grant of a renewal round; grants by a majority of the view extend the lease. */
+  private void addGrant(RenewalRound round, Member grantor, View view) {
     round.grantedBy.add(grantor.name());
     if (round.grantedBy.size() >= view.majority()) {
       Timestamp endsAt = round.sentAt.plus(options.duration());
@@ -141,7 +153,8 @@
   }
 
   /**
-   * Processes a message whose sender {@link Membership#acceptSender} accepted.
+   * Grants a renewal, or counts a grant. The caller has checked the sender with {@link
+   * Membership#acceptSender}.
    *
    * @return the messages to send
    */
@@ -158,7 +171,7 @@
           new OutgoingMessage(
               from.peerAddress(), new LeaseGrant(membership.header(), renewal.id())));
     }
-    Round round = message instanceof LeaseGrant grant ? rounds.get(grant.id()) : null;
+    RenewalRound round = message instanceof LeaseGrant grant ? rounds.get(grant.id()) : null;
     if (round != null
         && round.viewId.equals(view.id())
         && message.from().view().equals(round.viewId)) {
--- a/src/main/java/cobaltseam/membership/LeaseMessage.java
+++ b/src/main/java/cobaltseam/membership/LeaseMessage.java
@@ -3,16 +3,16 @@
 import cobaltseam.membership.MembershipMessage.MessageHeader;
 import java.util.Objects;
 
-/** The messages by which members confirm to each other that their view has no successor. */
+/** The messages by which members request and grant leases on their common view. */
 public sealed interface LeaseMessage extends PeerMessage {
-  /** Asks whether the sender's view has no successor. */
+  /** Asks the recipient to confirm that it has accepted no successor of the sender's view. */
   record LeaseRenewal(MessageHeader from, long id) implements LeaseMessage {
     public LeaseRenewal {
       Objects.requireNonNull(from);
     }
   }
 
-  /** Confirms that the sender holds the same view and has accepted no successor. */
+  /** Confirms that the sender has installed the same view and accepted no successor of it. */
   record LeaseGrant(MessageHeader from, long id) implements LeaseMessage {
     public LeaseGrant {
       Objects.requireNonNull(from);
--- a/src/main/java/cobaltseam/membership/LineageGuard.java
+++ b/src/main/java/cobaltseam/membership/LineageGuard.java
@@ -5,8 +5,8 @@
 import cobaltseam.membership.MembershipMessage.MessageHeader;
 
 /**
- * Leaves a lineage of views that has ended, is dead, or has to give way to another; and an
- * incarnation whose folder turns out to be an old copy.
+ * Decides when this process leaves its lineage: when the lineage has ended, when it can have no
+ * further view, when another lineage takes precedence, or when the state folder is an old copy.
  */
 final class LineageGuard {
   private final FailureDetector detector;
@@ -29,32 +29,33 @@
   }
 
   /**
-   * Gives up a view whose majority has restarted without memory: their promises are forgotten, so
-   * it can have no successor.
+   * Leaves the lineage if a majority of the view has restarted without its state: these members
+   * have lost their promises and no longer vote, so the view can have no successor.
    */
   void leaveUnrecoverableLineage(Timestamp now) {
     View view = localView.view();
     if (view == null) {
       View removedBy = localView.removedBy();
-      if (removedBy != null && isDead(removedBy)) {
+      if (removedBy != null && isUnrecoverable(removedBy)) {
         lineages.recordEnded(removedBy.id());
         localView.clearRemovedBy();
       }
     } else if (!localView.containsSelf(view)) {
       localView.leaveLineage(
           MembershipEvent.LINE_LEFT,
-          "view " + view.id() + " contains a former process of this name",
+          "view " + view.id() + " contains another incarnation of this member",
           now);
-    } else if (!quorum.areAllPeersAliveMembers() && isDead(view)) {
+    } else if (!quorum.areAllPeersAliveMembers() && isUnrecoverable(view)) {
       lineages.recordEnded(view.id());
       localView.leaveLineage(
           MembershipEvent.LINE_LEFT,
-          "most members of view " + view.id() + " have restarted without their state",
+          "too few members of view " + view.id() + " have kept their state for a majority",
           now);
     }
   }
 
-  private boolean isDead(View view) {
+  /** Whether too few of the view's processes remain for a majority of it. */
+  private boolean isUnrecoverable(View view) {
     int replaced = 0;
     for (Member member : view.members()) {
       replaced += isReplaced(member) ? 1 : 0;
@@ -62,6 +63,7 @@
     return view.members().size() - replaced < view.majority();
   }
 
+  /** Whether the member has another incarnation now, which has no vote in the view. */
   private boolean isReplaced(Member member) {
     Member self = detector.self();
     if (member.name().equals(self.name())) {
@@ -72,22 +74,24 @@
   }
 
   /**
-   * Leaves an ended lineage: this process may have missed its last views, and would wait for
-   * members that have left it.
+   * Leaves a lineage that has ended. This process may have missed the last views of the lineage and
+   * would wait for members that have left it.
    */
   void leaveEndedLineage(Timestamp now) {
     View view = localView.view();
     if (view != null
         && lineages.hasEnded(view.id())
         && (lineages.hasEndedLater(view.id()) || quorum.state() == QuorumState.MINORITY)) {
-      localView.leaveLineage(MembershipEvent.LINE_LEFT, "the lineage has ended", now);
+      localView.leaveLineage(
+          MembershipEvent.LINE_LEFT, "the lineage of view " + view.id() + " has ended", now);
     }
   }
 
   /**
-   * Leaves the lineage for that of a peer. Two lineages can live if all bootstrap members forgot
-   * theirs while cut off from the rest, or after a re-bootstrap. Of two with a majority the elder
-   * wins; one with a majority wins against one without.
+   * Leaves the lineage for that of a peer. Two lineages can exist if all bootstrap members lost
+   * their state while partitioned from the other members, or after a re-bootstrap. Of two lineages
+   * with a majority the older one takes precedence; a lineage with a majority takes precedence over
+   * one without.
    */
   void leaveForOtherLineage(MessageHeader peer, Timestamp now) {
     View view = localView.view();
@@ -99,16 +103,19 @@
     if (other != 0
         && other != own
         && lineages.canJoin(peer.view())
-        && (other < own || quorum.isLastingMinority(now))) {
+        && (other < own || quorum.isMajorityPresumedLost(now))) {
       localView.leaveLineage(
-          MembershipEvent.LINE_LEFT, "for the lineage of view " + peer.view(), now);
+          MembershipEvent.LINE_LEFT,
+          "the lineage of view " + peer.view() + " takes precedence",
+          now);
     }
   }
 
   /**
-   * Becomes another process if a peer shows that the folder was restored from an old copy, which
-   * lacks later promises. One view ahead is no sign of that if a successor was accepted: then the
-   * folder is from the last moment before it.
+   * Starts a new incarnation and leaves the lineage if the view that a peer reports shows that the
+   * folder was restored from an old copy, which lacks later promises. A peer that is one view ahead
+   * does not show that if this process has accepted a successor: its last state may have been
+   * written just before the successor was decided.
    */
   void abandonOutdatedFolder(MessageHeader peer, Timestamp now) {
     if (!quorum.isRestoredViewUnconfirmed() || !peer.view().isAfter(localView.view().id())) {
@@ -120,18 +127,18 @@
       actions.recordEvent(
           MembershipEvent.FOLDER_OLD,
           detector.self().name(),
-          "view " + own + ", a peer holds " + peer.view());
+          "the folder has view " + own + ", a peer reports view " + peer.view());
       detector.startNewIncarnation();
-      localView.leaveLineage(MembershipEvent.LINE_LEFT, "its folder may be an old copy", now);
+      localView.leaveLineage(MembershipEvent.LINE_LEFT, "the folder may be an old copy", now);
     }
   }
 
   /**
-   * Whether a view may be held somewhere: by a process that reported one, however dead it seems, or
-   * by those that removed this process. Only a later process of that name, or the end of the
-   * lineage, shows that it is gone.
+   * Whether a view may still be installed at another process: at one that reported a view, even if
+   * that process is considered dead, or at the members that removed this process. That is ruled out
+   * only by a later incarnation of the reporting member, or by the end of the lineage.
    */
-  boolean isViewReported() {
+  boolean isExistingViewKnown() {
     View removedBy = localView.removedBy();
     return removedBy != null && !lineages.hasEnded(removedBy.id())
         || detector.peers().stream()
--- a/src/main/java/cobaltseam/membership/LineageHistory.java
+++ b/src/main/java/cobaltseam/membership/LineageHistory.java
@@ -6,23 +6,26 @@
 import java.util.Map;
 
 /**
- * The lineages of views that this process has left, and those known to have ended. Both are bounded
- * and part of the persistent state.
+ * The lineages that this process has left, and the lineages known to have ended. Both sets are
+ * bounded and part of the persistent state.
  */
 final class LineageHistory {
-  /** Lineages that a process can leave; beyond it, it joins none until it is started again. */
+  /**
+   * The largest number of lineages in each set. A process that has left this many joins no other
+   * lineage until it restarts without this history.
+   */
   private static final int MAX_LINEAGES = 64;
 
   private final FailureDetector detector;
   private final ActionBuffer actions;
 
   /**
-   * The number of the last view held of each lineage that was left. That view and those before it
-   * are never accepted again: the promises made in them are forgotten.
+   * By lineage that this process left, the number of the last view that it had installed. It never
+   * installs that view or an earlier one again, because it has discarded the promises made in them.
    */
   private final Map<Long, Long> left = new HashMap<>();
 
-  /** The number of the last view of each lineage that can have no successor. */
+  /** By lineage known to have ended, the number of its last view, which has no successor. */
   private final Map<Long, Long> ended = new HashMap<>();
 
   LineageHistory(FailureDetector detector, ActionBuffer actions) {
@@ -30,20 +33,27 @@
     this.actions = actions;
   }
 
+  /** Restores both sets from the state of the former process. */
   void restore(PersistentState former) {
     left.putAll(former.leftLineages());
     ended.putAll(former.endedLineages());
   }
 
+  /** By lineage that this process left, the number of its last view there; unmodifiable. */
   Map<Long, Long> leftLineages() {
     return Collections.unmodifiableMap(left);
   }
 
+  /** By lineage known to have ended, the number of its last view; unmodifiable. */
   Map<Long, Long> endedLineages() {
     return Collections.unmodifiableMap(ended);
   }
 
-  /** Records that this process leaves a lineage at this view. */
+  /**
+   * Records that this process leaves the lineage of a view.
+   *
+   * @param last the last view that this process had installed
+   */
   void recordLeft(ViewId last) {
     left.merge(last.lineage(), last.number(), Math::max);
   }
@@ -52,7 +62,7 @@
     return left.containsKey(lineage);
   }
 
-  /** Whether a process without a view may install this one. */
+  /** Whether this process may install a view with this id while it has none. */
   boolean canJoin(ViewId id) {
     Long leftAt = left.get(id.lineage());
     return id.lineage() != 0
@@ -60,8 +70,8 @@
   }
 
   /**
-   * Remembers, and reports from now on, that a view has no successor, so that processes that it
-   * removed do not wait for one.
+   * Records that a view is the last of its lineage, and reports that to peers from now on, so that
+   * processes removed from the view do not wait for a successor.
    */
   void recordEnded(ViewId last) {
     Long known = ended.get(last.lineage());
@@ -76,20 +86,20 @@
     reportLatestEnded();
   }
 
-  /** Reports the youngest ended lineage to the peers. */
+  /** Reports the last view of the latest ended lineage to peers. */
   void reportLatestEnded() {
     ended.keySet().stream()
         .max(Long::compare)
         .ifPresent(lineage -> detector.reportEndedView(new ViewId(lineage, ended.get(lineage))));
   }
 
-  /** Whether this view belongs to the ended part of its lineage. */
+  /** Whether the lineage of a view has ended with that view or a later one. */
   boolean hasEnded(ViewId id) {
     Long last = ended.get(id.lineage());
     return last != null && id.number() <= last;
   }
 
-  /** Whether its lineage has ended with a later view. */
+  /** Whether the lineage of a view has ended with a later view. */
   boolean hasEndedLater(ViewId id) {
     Long last = ended.get(id.lineage());
     return last != null && id.number() < last;
--- a/src/main/java/cobaltseam/membership/LocalView.java
+++ b/src/main/java/cobaltseam/membership/LocalView.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The view that this process holds, with its votes on the successor, and how it changes. */
+/** The view that this process has installed, and its votes on the successor. */
 final class LocalView {
   private final FailureDetector detector;
   private final LineageHistory lineages;
@@ -23,7 +23,7 @@
     this.actions = actions;
   }
 
-  /** Listeners are notified in the order in which they were added. */
+  /** Adds a listener; listeners are notified in the order in which they were added. */
   void addListener(ViewListener listener) {
     listeners.add(listener);
   }
@@ -32,7 +32,7 @@
     return state;
   }
 
-  /** The view, or null. */
+  /** The installed view, or null. */
   View view() {
     return state.view();
   }
@@ -41,14 +41,14 @@
     return state.view() != null;
   }
 
-  /** When the view was installed, or confirmed after a restart; null before the first. */
+  /** When the view was installed, or confirmed after a restart; null before the first view. */
   Timestamp installedAt() {
     return installedAt;
   }
 
   /**
-   * The view that removed this process, until it installs another or that one is known to have
-   * ended; else null.
+   * The view that removed this process. Null if this process was not removed, has installed a view
+   * since, or knows that the lineage of that view has ended.
    */
   View removedBy() {
     return removedBy;
@@ -63,24 +63,24 @@
     return state.accepted() == null || state.value() == null ? null : state.value().configuration();
   }
 
-  /** Whether the view holds this very process. */
+  /** Whether a view contains this process under its current incarnation. */
   boolean containsSelf(View view) {
     Member self = detector.self();
     return view.contains(self.name(), self.incarnation());
   }
 
-  /** Starts with a view from the folder. */
+  /** Records that the process starts with a view from the folder. */
   void markRestored(Timestamp now) {
     installedAt = now;
   }
 
-  /** A majority confirmed the view from the folder. */
+  /** Records that a majority has confirmed the view from the folder, and reports it installed. */
   void confirmRestored(Timestamp now) {
     installedAt = now;
     actions.addViewInstalled(state.view());
   }
 
-  /** Replaces the state, with another view or the same. */
+  /** Replaces the state, and notifies the listeners if the view is another one. */
   void setState(ViewState next, Timestamp now) {
     View before = state.view();
     state = next;
@@ -89,27 +89,35 @@
     }
   }
 
-  /** Drops this process's own proposal. */
+  /** Discards the proposal of this process. */
   void dropProposal() {
-    state = state.with((ViewState.ProposalRound) null);
+    state = state.withRound(null);
   }
 
-  /** Takes a later view of the same lineage, or the first one here. */
-  void follow(View next, Timestamp now) {
+  /**
+   * Installs a later view of the lineage, or the first view of this process. If the view does not
+   * contain this process, leaves the lineage instead.
+   */
+  void installOrLeave(View next, Timestamp now) {
     if (containsSelf(next)) {
       setState(ViewState.of(next), now);
     } else if (hasView()) {
-      leaveRemovedBy(next, now);
+      leaveAfterRemovalBy(next, now);
     }
   }
 
-  /** Gives up the view since a successor of it does not hold this process. */
-  void leaveRemovedBy(View next, Timestamp now) {
+  /** Leaves the lineage because a later view of it does not contain this process. */
+  void leaveAfterRemovalBy(View next, Timestamp now) {
     removedBy = next;
-    leaveLineage(MembershipEvent.TAKEN_OUT, "by view " + next.id(), now);
+    leaveLineage(MembershipEvent.TAKEN_OUT, "removed by view " + next.id(), now);
   }
 
-  /** Gives up the view and never joins its lineage again, up to that view. */
+  /**
+   * Gives up the installed view. This process never installs that view or an earlier one of the
+   * lineage again.
+   *
+   * @param cause the cause, for the log
+   */
   void leaveLineage(MembershipEvent event, String cause, Timestamp now) {
     actions.recordEvent(event, detector.self().name(), cause);
     View before = state.view();
--- a/src/main/java/cobaltseam/membership/QuorumTracker.java
+++ b/src/main/java/cobaltseam/membership/QuorumTracker.java
@@ -4,19 +4,17 @@
 import cobaltseam.dispatch.Timestamp;
 
 /**
- * Whether a majority of the held view seems alive, and whether it has to confirm the view first:
- * after this process was stopped for a while, or has been restarted from its folder.
+ * Tracks whether a majority of the installed view is alive according to the failure detector. After
+ * this process was suspended, or restarted from its folder, a majority must confirm the view first.
  */
 final class QuorumTracker implements ViewListener {
-  /** A minority that lasted longer than this counts as a partition. */
+  /** A loss of the majority that lasts longer than this counts as a partition. */
   private static final double PARTITION_AFTER_PERIODS = 3;
 
-  /**
-   * For so many suspicion timeouts a missing majority must be silent before it is taken for lost.
-   */
-  private static final double SILENT_SUSPICION_TIMEOUTS = 3;
+  /** Suspicion timeouts without a majority after which the majority is presumed lost. */
+  private static final double LOST_AFTER_SUSPICION_TIMEOUTS = 3;
 
-  /** For so long after a partition healed, nobody is removed for being dead. */
+  /** Periods after the end of a partition in which no member is removed for being dead. */
   private static final double HEALING_PERIODS = 8;
 
   private final MembershipOptions options;
@@ -24,23 +22,28 @@
   private final LocalView localView;
   private boolean isRestoredViewUnconfirmed;
   private boolean isIsolated;
-  private Timestamp confirmFrom;
 
-  /** Whether a majority had time to confirm the view since {@link #confirmFrom}, and did not. */
+  /** Since when a confirmation by a majority is awaited; null if none is required. */
+  private Timestamp confirmationRequiredSince;
+
+  /** Whether a majority had enough time to confirm the view and did not. */
   private boolean isConfirmationOverdue;
 
   private Timestamp minoritySince;
   private Timestamp healedAt;
 
-  /** The alive members are counted again only if the view or the detector's version changes. */
+  /** The view for which {@link #aliveCount} was counted. */
   private View countedView;
 
+  /** The version of the failure detector for which {@link #aliveCount} was counted. */
   private long countedVersion = -1;
+
   private int aliveCount;
 
   /**
    * @param isRestoredViewUnconfirmed whether the view comes from the folder; then this process does
-   *     not vote before a majority is heard, of which one member may know that the folder is old
+   *     not vote before it has received messages from a majority, one of which may show that the
+   *     folder is an old copy
    */
   QuorumTracker(
       MembershipOptions options,
@@ -58,7 +61,7 @@
     isRestoredViewUnconfirmed = false;
     detector.reportView(view == null ? ViewId.NONE : view.id(), hasMajority());
     if (view == null) {
-      confirmFrom = null;
+      confirmationRequiredSince = null;
     }
   }
 
@@ -67,9 +70,9 @@
     if (view == null) {
       return QuorumState.NONE;
     }
-    boolean isCutOff = isIsolated && view.members().size() > 1;
-    boolean seesMajority = aliveCount() >= view.majority() && !isCutOff;
-    if (confirmFrom != null) {
+    boolean isIsolatedFromOthers = isIsolated && view.members().size() > 1;
+    boolean seesMajority = aliveCount() >= view.majority() && !isIsolatedFromOthers;
+    if (confirmationRequiredSince != null) {
       return isConfirmationOverdue && !seesMajority
           ? QuorumState.MINORITY
           : QuorumState.UNCONFIRMED;
@@ -81,17 +84,17 @@
     return state() == QuorumState.MAJORITY;
   }
 
-  /** Whether the view comes from the folder and no majority has confirmed it yet. */
+  /** Whether the view was restored from the folder and no majority has confirmed it yet. */
   boolean isRestoredViewUnconfirmed() {
     return isRestoredViewUnconfirmed;
   }
 
-  /** Since when there is no majority; null while there is one, and without a view. */
+  /** Since when this process has seen no majority; null with a majority or without a view. */
   Timestamp minoritySince() {
     return minoritySince;
   }
 
-  /** Whether a partition healed a short while ago, so that members may still come back. */
+  /** Whether a partition ended so recently that members may still become reachable again. */
   boolean isHealing(Timestamp now) {
     return healedAt != null && now.since(healedAt).compareTo(periods(HEALING_PERIODS)) < 0;
   }
@@ -113,42 +116,46 @@
     return aliveCount;
   }
 
-  /** Whether all members of the view seem alive, and no other process is known. */
+  /** Whether all members of the view are alive and no peer outside the view is known. */
   boolean areAllPeersAliveMembers() {
     int members = localView.view().members().size();
     return aliveCount() == members && detector.peers().size() == members - 1;
   }
 
   /**
-   * Asks all members, and counts as unsure until a majority has answered from now on. If none is
-   * alive to answer, this process is a minority once that has lasted {@link
-   * #silenceOfLostMajority}; it never counts as a majority without the answers.
+   * Sends a health check to all members. The quorum state is {@link QuorumState#UNCONFIRMED} until
+   * a majority has answered. If no majority is alive to answer, the state becomes {@link
+   * QuorumState#MINORITY} after {@link #majorityLossTimeout}; it never becomes {@link
+   * QuorumState#MAJORITY} without the answers.
    */
   void requireConfirmation(Timestamp now) {
-    confirmFrom = now;
+    confirmationRequiredSince = now;
     isConfirmationOverdue = false;
     detector.checkAll(localView.view().members(), now);
   }
 
-  /** Ends the uncertainty if a majority has been heard and none of it holds a later view. */
+  /**
+   * Completes the confirmation once a majority has sent messages since it was required and has
+   * reported no later view.
+   */
   void updateConfirmation(Timestamp now) {
     View view = localView.view();
-    if (confirmFrom == null || view == null) {
-      confirmFrom = null;
+    if (confirmationRequiredSince == null || view == null) {
+      confirmationRequiredSince = null;
       return;
     }
     int confirmations = 1;
     for (Member member : view.members()) {
       Peer peer = detector.peer(member.name());
-      boolean wasHeard =
+      boolean hasAnswered =
           peer != null
               && peer.lastReceivedAt() != null
-              && !peer.lastReceivedAt().isBefore(confirmFrom)
+              && !peer.lastReceivedAt().isBefore(confirmationRequiredSince)
               && peer.isSameProcess(member);
-      confirmations += wasHeard && !peer.viewId().isAfter(view.id()) ? 1 : 0;
+      confirmations += hasAnswered && !peer.viewId().isAfter(view.id()) ? 1 : 0;
     }
     if (confirmations >= view.majority()) {
-      confirmFrom = null;
+      confirmationRequiredSince = null;
       if (isRestoredViewUnconfirmed) {
         isRestoredViewUnconfirmed = false;
         localView.confirmRestored(now);
@@ -156,22 +163,23 @@
     }
   }
 
-  /** How long the missing members must be silent before a majority is taken for lost. */
-  TimeSpan silenceOfLostMajority() {
-    return detector.minSuspicionTimeout().times(SILENT_SUSPICION_TIMEOUTS);
+  /** How long this process must have seen no majority before the majority is presumed lost. */
+  TimeSpan majorityLossTimeout() {
+    return detector.minSuspicionTimeout().times(LOST_AFTER_SUSPICION_TIMEOUTS);
   }
 
-  /** Whether the missing majority has been silent for long enough to be taken for lost. */
-  boolean isLastingMinority(Timestamp now) {
+  /** Whether this process has seen no majority for {@link #majorityLossTimeout}. */
+  boolean isMajorityPresumedLost(Timestamp now) {
     return state() == QuorumState.MINORITY
         && minoritySince != null
-        && now.since(minoritySince).compareTo(silenceOfLostMajority()) >= 0;
+        && now.since(minoritySince).compareTo(majorityLossTimeout()) >= 0;
   }
 
-  /** Notices the begin and the end of a partition, and reports the view to the peers. */
+  /** Updates the start and the end of a loss of the majority, and reports the view to peers. */
   void update(Timestamp now) {
     isConfirmationOverdue =
-        confirmFrom != null && now.since(confirmFrom).compareTo(silenceOfLostMajority()) >= 0;
+        confirmationRequiredSince != null
+            && now.since(confirmationRequiredSince).compareTo(majorityLossTimeout()) >= 0;
     isIsolated = detector.isIsolated(now);
     if (!localView.hasView() || hasMajority()) {
       boolean wasPartitioned =
--- a/src/main/java/cobaltseam/membership/Rebootstrap.java
+++ b/src/main/java/cobaltseam/membership/Rebootstrap.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Begins another lineage on an operator's order, after the majority of a view is lost for good. It
- * refuses while that majority may live.
+ * Bootstraps a new lineage on an operator's order after the majority of a view is permanently lost.
+ * The order is rejected while that majority may still be alive.
  */
 final class Rebootstrap {
   private final FailureDetector detector;
@@ -29,31 +29,40 @@
     this.actions = actions;
   }
 
-  /** Ends the lineage of this view and begins another one alone, or records why not. */
+  /**
+   * Ends the lineage of a view and begins a new one with this process as the only member, or
+   * records why the order is rejected.
+   *
+   * @param lost the view whose majority is lost
+   */
   void run(ViewId lost, Timestamp now) {
-    String refusal = refusal(lost, now);
-    if (refusal != null) {
+    String rejectionReason = rejectionReason(lost, now);
+    if (rejectionReason != null) {
       actions.recordEvent(
           MembershipEvent.NOT_FOUNDED_ANEW,
           detector.self().name(),
-          "view " + lost + ": " + refusal);
+          "view " + lost + ": " + rejectionReason);
       return;
     }
     actions.recordEvent(
-        MembershipEvent.FOUNDED_ANEW, detector.self().name(), "in place of view " + lost);
+        MembershipEvent.FOUNDED_ANEW,
+        detector.self().name(),
+        "replaces the lineage of view " + lost);
     long lineage = nextLineage(localView.view());
     lineages.recordEnded(lost);
     localView.leaveLineage(MembershipEvent.LINE_LEFT, "an operator ended the lineage", now);
     detector.startIncarnationAbove(new Incarnation(lineage - 1));
     Member self = detector.self();
-    View first = View.of(new ViewId(self.incarnation().value(), 1), List.of(self));
-    localView.setState(ViewState.of(first), now);
+    View firstView = View.of(new ViewId(self.incarnation().value(), 1), List.of(self));
+    localView.setState(ViewState.of(firstView), now);
   }
 
   /**
-   * A lineage is numbered by the incarnation that began it, and of two the lower number is the
-   * elder. This number is above all that are known here, and no other member of the lost view
-   * chooses the same: each takes the next one with its own remainder.
+   * The number of the new lineage. A lineage is numbered by the incarnation of the process that
+   * began it, and of two lineages the one with the lower number is the older. The new number is
+   * higher than all incarnations and lineages known to this process. No other member of the lost
+   * view chooses the same number: modulo the size of that view, the number equals the index of the
+   * choosing member.
    */
   private long nextLineage(View lostView) {
     List<Member> members = lostView.members();
@@ -68,23 +77,25 @@
     return next + Math.floorMod(members.indexOf(detector.self()) - next, members.size());
   }
 
-  /** Why this process must not re-bootstrap now; null if it may. */
-  private String refusal(ViewId lost, Timestamp now) {
+  /** Why this process must not re-bootstrap now; null if re-bootstrapping is safe. */
+  private String rejectionReason(ViewId lost, Timestamp now) {
     View view = localView.view();
     if (view == null || !view.id().equals(lost)) {
-      return "it holds view " + (view == null ? "none" : view.id());
+      return view == null ? "no view is installed" : "the installed view is " + view.id();
     }
     if (quorum.state() != QuorumState.MINORITY) {
-      return "its quorum state is " + quorum.state().label();
+      return "the quorum state is " + quorum.state().label();
     }
-    TimeSpan silent = quorum.silenceOfLostMajority();
+    TimeSpan requiredSilence = quorum.majorityLossTimeout();
     Timestamp since = quorum.minoritySince();
-    if (since == null || now.since(since).compareTo(silent) < 0) {
-      return "a majority was alive less than " + silent.us() / 1000 + " ms ago";
+    if (since == null || now.since(since).compareTo(requiredSilence) < 0) {
+      return "a majority of the view was alive less than "
+          + requiredSilence.us() / 1000
+          + " ms ago";
     }
     for (Member member : view.members()) {
-      if (!isPresent(member) && !isSurelyGone(member, silent, now)) {
-        return member.name() + " may be alive";
+      if (!isPresent(member) && !isConfirmedLost(member, requiredSilence, now)) {
+        return "member " + member.name() + " may be alive";
       }
     }
     return null;
@@ -94,14 +105,18 @@
     return member.name().equals(detector.self().name()) || detector.isAlive(member);
   }
 
-  /** Whether another process has its name, or it is gone and has been silent for that long. */
-  private boolean isSurelyGone(Member member, TimeSpan silent, Timestamp now) {
+  /**
+   * Whether another incarnation has replaced the member, or the member is dead or has left and has
+   * sent nothing for the required time.
+   */
+  private boolean isConfirmedLost(Member member, TimeSpan requiredSilence, Timestamp now) {
     Peer peer = detector.peer(member.name());
     if (peer == null) {
       return false;
     }
     boolean isSilent =
-        peer.lastReceivedAt() == null || now.since(peer.lastReceivedAt()).compareTo(silent) >= 0;
+        peer.lastReceivedAt() == null
+            || now.since(peer.lastReceivedAt()).compareTo(requiredSilence) >= 0;
     return !peer.isSameProcess(member) || peer.isDeadOrLeft() && isSilent;
   }
 }
--- a/src/main/java/cobaltseam/membership/View.java
+++ b/src/main/java/cobaltseam/membership/View.java
@@ -6,10 +6,10 @@
 import java.util.TreeMap;
 
 /**
- * A numbered set of members, agreed by a majority of its predecessor.
+ * A numbered set of members, chosen by a majority of the previous view.
  *
- * @param members sorted by name, each name once
- * @param configuration the version of the agreed configuration, or null before the first
+ * @param members the members, sorted by name; no name occurs twice
+ * @param configuration the version of the agreed configuration, or null before the first version
  */
 public record View(ViewId id, List<Member> members, ConfigurationVersion configuration) {
   /** Copies the members. */
@@ -48,20 +48,23 @@
     return null;
   }
 
-  /** Whether it contains this very process, not only its name. */
+  /** Whether the view contains the member with this name under this incarnation. */
   public boolean contains(MemberName name, Incarnation incarnation) {
     Member member = memberNamed(name);
     return member != null && member.incarnation().equals(incarnation);
   }
 
-  /** The successor by a change; the removal of a process that is not a member has no effect. */
+  /**
+   * The view that follows from this one by a change. The removal of a process that is not a member
+   * has no effect.
+   */
   View apply(ViewDelta change) {
     List<Member> remaining = new ArrayList<>(members);
     remaining.removeIf(
         m ->
             change.removed().stream()
                 .anyMatch(
-                    o -> o.name().equals(m.name()) && o.incarnation().equals(m.incarnation())));
+                    r -> r.name().equals(m.name()) && r.incarnation().equals(m.incarnation())));
     remaining.addAll(change.added());
     return of(
         id.next(),
--- a/src/main/java/cobaltseam/membership/ViewChange.java
+++ b/src/main/java/cobaltseam/membership/ViewChange.java
@@ -17,12 +17,14 @@
 import java.util.Set;
 
 /**
- * Chooses the one successor of a view by a majority of it: a single-decree Paxos a view (Lamport,
- * "Paxos Made Simple", 2001), whose first phase also asks which members to retain. Each function
- * takes the state of a process and an event, and returns the next state and the messages to send.
+ * Chooses the only successor of a view by a majority of its members, with one instance of
+ * single-decree Paxos per view (Lamport, "Paxos Made Simple", 2001). Phase one also asks the voters
+ * which members to retain. Each function takes the state of a process and an event, and returns the
+ * next state and the messages to send.
  *
- * <p>A vote counts by name and incarnation. A process that restarts without its folder has another
- * incarnation, which no view contains: it is neither asked nor counted until a successor adds it.
+ * <p>Voters are identified by name and incarnation. A process that restarts without its folder has
+ * another incarnation, which no view contains, so it neither receives requests nor votes until a
+ * successor adds it.
  */
 final class ViewChange {
   private ViewChange() {}
@@ -38,7 +40,8 @@
   record OutgoingMessage(Member to, MembershipMessage message) {}
 
   /**
-   * Whether a message is about the held view, and its sender is a process that this view contains.
+   * Whether a message is about the installed view, and that view contains its sender under the
+   * sender's incarnation.
    */
   static boolean isFromVoter(ViewState state, MessageHeader from, ViewId viewId) {
     return state.view() != null
@@ -46,7 +49,11 @@
         && state.view().contains(from.member().name(), from.member().incarnation());
   }
 
-  /** Starts a proposal with a ballot above all that this process knows. */
+  /**
+   * Starts a proposal, with a ballot above all that this process knows of.
+   *
+   * @param highestRound the highest round of a ballot that this process has received
+   */
   static Transition propose(
       ViewState state, MessageHeader self, ViewDelta change, long highestRound) {
     long promisedRound = state.promised() == null ? 0 : state.promised().round();
@@ -58,18 +65,19 @@
     ProposalRound round = new ProposalRound(ballot, change, Map.of(), null, Set.of());
     List<MemberName> removed = change.removed().stream().map(Member::name).toList();
     return new Transition(
-        state.with(round),
-        toAll(state.view(), new Prepare(self, state.view().id(), ballot, removed)));
+        state.withRound(round),
+        messagesToAll(state.view(), new Prepare(self, state.view().id(), ballot, removed)));
   }
 
-  private static List<OutgoingMessage> toAll(View view, MembershipMessage message) {
+  private static List<OutgoingMessage> messagesToAll(View view, MembershipMessage message) {
     return view.members().stream().map(m -> new OutgoingMessage(m, message)).toList();
   }
 
   /**
-   * A voter's answer to phase one.
+   * Answers a request of phase one as a voter: a promise, or a rejection if a higher ballot was
+   * promised.
    *
-   * @param retained of the members to be removed, those whose removal it votes against
+   * @param retained of the members to be removed, the ones whose removal this voter votes against
    */
   static Transition receivePrepare(
       ViewState state, MessageHeader self, Prepare request, List<MemberName> retained) {
@@ -96,7 +104,7 @@
                 retained)));
   }
 
-  /** The proposer counts a promise; phase two follows once the removals are settled. */
+  /** Counts a promise as the proposer; phase two starts once the votes on removals suffice. */
   static Transition receivePromise(ViewState state, MessageHeader self, Promise vote) {
     ProposalRound round = state.round();
     if (round == null || !round.ballot().equals(vote.ballot()) || round.chosen() != null) {
@@ -106,21 +114,23 @@
     promises.put(
         vote.from().member().name(),
         new ReceivedPromise(vote.accepted(), vote.value(), vote.retained()));
-    return proceed(
-        state.with(new ProposalRound(round.ballot(), round.proposed(), promises, null, Set.of())),
+    return startAcceptPhase(
+        state.withRound(
+            new ProposalRound(round.ballot(), round.proposed(), promises, null, Set.of())),
         self,
         false);
   }
 
   /**
-   * Goes on to phase two if a majority has promised. If any of them had accepted a change, the one
-   * of the highest ballot is proposed again; else the proposed change, without the removals that no
-   * majority of the view agrees to.
+   * Starts phase two if a majority has promised. If any voter that promised had accepted a change,
+   * the accepted change of the highest ballot is proposed again. Otherwise the change of this
+   * process is proposed, without the removals that no majority of the view agrees to.
    *
-   * @param withoutMissingVotes whether to go on without the missing votes, which then count as
-   *     against removals
+   * @param withoutMissingVotes whether to start phase two without the missing votes, which then
+   *     count against removals
    */
-  static Transition proceed(ViewState state, MessageHeader self, boolean withoutMissingVotes) {
+  static Transition startAcceptPhase(
+      ViewState state, MessageHeader self, boolean withoutMissingVotes) {
     ProposalRound round = state.round();
     int majority = state.view().majority();
     if (round == null || round.chosen() != null || round.promises().size() < majority) {
@@ -134,16 +144,16 @@
       return new Transition(state);
     }
     if (chosen.isEmpty()) {
-      return new Transition(state.with((ProposalRound) null));
+      return new Transition(state.withRound(null));
     }
-    ProposalRound accepting =
+    ProposalRound acceptRound =
         new ProposalRound(round.ballot(), round.proposed(), round.promises(), chosen, Set.of());
     return new Transition(
-        state.with(accepting),
-        toAll(state.view(), new Accept(self, state.view().id(), round.ballot(), chosen)));
+        state.withRound(acceptRound),
+        messagesToAll(state.view(), new Accept(self, state.view().id(), round.ballot(), chosen)));
   }
 
-  /** What was accepted under the highest ballot of the promises; null if nothing was. */
+  /** The accepted change with the highest ballot among the promises; null if there is none. */
   private static ViewDelta highestAccepted(ProposalRound round) {
     ViewDelta value = null;
     Ballot highest = null;
@@ -156,14 +166,16 @@
     return value;
   }
 
-  /** The part of the proposed change that a majority agrees to; null if votes are awaited. */
+  /**
+   * The part of the proposed change that a majority agrees to; null while more votes are needed.
+   */
   private static ViewDelta agreedChange(ViewState state, boolean withoutMissingVotes) {
     ViewDelta proposed = state.round().proposed();
     List<Member> removed = agreedRemovals(state, withoutMissingVotes);
     if (removed == null) {
       return null;
     }
-    // A member that is added under a retained name would make the name occur twice.
+    // Adding a member under the name of a retained member would make the name occur twice.
     List<Member> added =
         proposed.added().stream()
             .filter(
@@ -171,7 +183,8 @@
                     state.view().memberNamed(m.name()) == null
                         || removed.stream().anyMatch(r -> r.name().equals(m.name())))
             .toList();
-    // A version is proposed against its predecessor: it is void if another came first.
+    // A version is proposed as the successor of a certain version. If another version has taken
+    // that place, the proposed version is dropped.
     ConfigurationVersion version = proposed.configuration();
     boolean isNextVersion =
         version != null
@@ -179,6 +192,7 @@
     return new ViewDelta(removed, added, isNextVersion ? version : null);
   }
 
+  /** The removals that a majority agrees to; null while missing votes could still add one. */
   private static List<Member> agreedRemovals(ViewState state, boolean withoutMissingVotes) {
     ProposalRound round = state.round();
     int majority = state.view().majority();
@@ -198,7 +212,7 @@
     return removed;
   }
 
-  /** Sends the message of the current phase again to members that have not answered. */
+  /** Repeats the request of the current phase to the members that have not answered. */
   static Transition resendUnanswered(ViewState state, MessageHeader self) {
     ProposalRound round = state.round();
     MembershipMessage message =
@@ -213,12 +227,12 @@
         round.chosen() == null ? round.promises().keySet() : round.acceptedBy();
     return new Transition(
         state,
-        toAll(state.view(), message).stream()
-            .filter(t -> !answered.contains(t.to().name()))
+        messagesToAll(state.view(), message).stream()
+            .filter(m -> !answered.contains(m.to().name()))
             .toList());
   }
 
-  /** A voter's answer to phase two. */
+  /** Answers a request of phase two as a voter: an acceptance, or a rejection. */
   static Transition receiveAccept(ViewState state, MessageHeader self, Accept request) {
     Member to = request.from().member();
     if (state.promised() != null && request.ballot().compareTo(state.promised()) < 0) {
@@ -234,7 +248,7 @@
         next, new OutgoingMessage(to, new Accepted(self, request.viewId(), request.ballot())));
   }
 
-  /** The proposer counts an acceptance; a majority of them decides. */
+  /** Counts an acceptance as the proposer; acceptances by a majority decide the change. */
   static Transition receiveAccepted(ViewState state, MessageHeader self, Accepted vote) {
     ProposalRound round = state.round();
     if (round == null || round.chosen() == null || !round.ballot().equals(vote.ballot())) {
@@ -242,16 +256,16 @@
     }
     Set<MemberName> acceptedBy = new HashSet<>(round.acceptedBy());
     acceptedBy.add(vote.from().member().name());
-    ProposalRound counted =
+    ProposalRound updatedRound =
         new ProposalRound(
             round.ballot(), round.proposed(), round.promises(), round.chosen(), acceptedBy);
     if (acceptedBy.size() < state.view().majority()) {
-      return new Transition(state.with(counted));
+      return new Transition(state.withRound(updatedRound));
     }
     View next = state.view().apply(round.chosen());
     List<OutgoingMessage> messages = new ArrayList<>();
     Decided decided = new Decided(self, state.view().id(), round.chosen());
-    // Removed members are notified as well.
+    // Removed members receive the decision as well.
     state.view().members().forEach(m -> messages.add(new OutgoingMessage(m, decided)));
     round.chosen().added().forEach(m -> messages.add(new OutgoingMessage(m, decided)));
     return new Transition(ViewState.of(next), messages);
--- a/src/main/java/cobaltseam/membership/ViewChangeDriver.java
+++ b/src/main/java/cobaltseam/membership/ViewChangeDriver.java
@@ -16,27 +16,38 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Drives {@link ViewChange}: decides when to propose the next view, repeats messages that may be
- * lost, and answers the messages of a view change.
+ * Runs the protocol of {@link ViewChange}: decides when to propose the next view, repeats messages
+ * that may have been lost, and processes the messages of a view change.
  *
- * <p>The first member in order that seems alive proposes once the wanted change is stable; each
- * next one waits longer.
+ * <p>The first alive member in the order of proposers ({@link ViewDeltaPlanner#proposerRank})
+ * proposes once its wanted change is stable. Each later member in that order waits longer.
  */
 final class ViewChangeDriver implements ViewListener {
-  /** How long a wanted change must stay the same before it is proposed. */
-  private static final double SETTLE_PERIODS = 0.5;
+  /**
+   * How long a wanted change must stay the same before it is proposed, and the time between two
+   * repetitions of a decision.
+   */
+  private static final double STABLE_AFTER_PERIODS = 0.5;
 
-  /** The longest wait for a wanted change to settle, and the time between two full checks. */
-  private static final double MAX_SETTLE_PERIODS = 6;
+  /**
+   * The longest wait for a wanted change to become stable, and the time between two health checks
+   * of all members.
+   */
+  private static final double MAX_STABILITY_WAIT_PERIODS = 6;
 
-  /** The additional wait of each next proposer in order. */
-  private static final double NEXT_PROPOSER_PERIODS = 2;
+  /** The additional wait per rank in the order of proposers. */
+  private static final double PROPOSER_RANK_DELAY_PERIODS = 2;
 
-  /** After this, the votes that are missing count as against removals. */
+  /** How long a proposal waits for missing votes, which then count against removals. */
   private static final double VOTE_TIMEOUT_PERIODS = 0.5;
 
+  /** The time after which unanswered messages are sent again. */
   private static final double RESEND_PERIODS = 0.125;
+
+  /** The time after which a proposal without a decision is replaced by a new one. */
   private static final double PROPOSAL_TIMEOUT_PERIODS = 2;
+
+  /** How often a decision is sent again. */
   private static final int DECISION_RESENDS = 2;
 
   private final MembershipOptions options;
@@ -48,19 +59,19 @@
   private final ViewTransfer transfer;
   private final ActionBuffer actions;
 
-  private ViewDelta wanted = ViewDelta.NONE;
+  private ViewDelta wantedChange = ViewDelta.NONE;
   private Timestamp wantedSince;
-  private Timestamp settledFrom;
+  private Timestamp stableFrom;
   private Timestamp proposedAt;
   private Timestamp resendAt;
 
-  /** No proposal before this time, after another proposer had a higher ballot. */
+  /** The time before which this process proposes nothing, after a rejection by a voter. */
   private Timestamp backoffUntil = new Timestamp(0);
 
   private Timestamp nextFullCheckAt = new Timestamp(0);
 
-  /** The messages of a decision of this process that are still to be repeated, or null. */
-  private List<OutgoingMessage> decision;
+  /** The messages of this process's last decision that still have to be repeated, or null. */
+  private List<OutgoingMessage> decisionMessages;
 
   private int decisionResendsLeft;
   private long highestRound;
@@ -91,17 +102,20 @@
 
   @Override
   public void onViewChanged(View before, View view, Timestamp now) {
-    wanted = ViewDelta.NONE;
+    wantedChange = ViewDelta.NONE;
     wantedSince = null;
-    decision = null;
+    decisionMessages = null;
   }
 
-  /** Whether there is something to propose, to repeat or to wait for. */
+  /** Whether a proposal, a wanted change or the repetition of a decision is pending. */
   boolean isPending() {
-    return localView.state().round() != null || wantedSince != null || decision != null;
+    return localView.state().round() != null || wantedSince != null || decisionMessages != null;
   }
 
-  /** Configuration versions are accepted only if their document is here. */
+  /**
+   * Sets the check whether this process has the document of a configuration version. A version is
+   * accepted only if it passes the check.
+   */
   void setDocumentCheck(Predicate<ConfigurationVersion> check) {
     hasDocument = check;
   }
@@ -111,11 +125,15 @@
     proposedConfiguration = version;
   }
 
+  /** Stops proposing a configuration version. */
   void withdrawConfiguration() {
     proposedConfiguration = null;
   }
 
-  /** Withdraws the configuration version if the view has gone past it. */
+  /**
+   * Stops proposing a configuration version that can no longer be the next one of the installed
+   * view.
+   */
   void dropStaleConfiguration() {
     if (proposedConfiguration != null
         && localView.hasView()
@@ -133,17 +151,18 @@
     return options.healthCheckInterval().times(count);
   }
 
-  /** Does what is due while a view is held. */
+  /** Does the work that is due; called only while a view is installed. */
   void onTimer(Timestamp now) {
     if (localView.state().round() != null && !now.isBefore(resendAt)) {
       continueProposal(now);
     }
-    if (decision != null && !now.isBefore(resendAt)) {
+    if (decisionMessages != null && !now.isBefore(resendAt)) {
       resendDecision(now);
     }
     if (detector.hasSuspects() && !now.isBefore(nextFullCheckAt) && planner.proposerRank() == 0) {
-      // Members that fail together are found together: one view change for a rack.
-      nextFullCheckAt = now.plus(periods(MAX_SETTLE_PERIODS));
+      // The check of all members detects members that failed together, such as those of a rack,
+      // at the same time, so that one view change removes them.
+      nextFullCheckAt = now.plus(periods(MAX_STABILITY_WAIT_PERIODS));
       detector.checkAll(localView.view().members(), now);
     }
     proposeIfDue(now);
@@ -151,20 +170,26 @@
 
   private void continueProposal(Timestamp now) {
     resendAt = now.plus(periods(RESEND_PERIODS));
-    boolean isLate = now.since(proposedAt).compareTo(periods(VOTE_TIMEOUT_PERIODS)) >= 0;
-    take(ViewChange.proceed(localView.state(), detector.header(), isLate), now);
+    boolean hasVoteTimeoutExpired =
+        now.since(proposedAt).compareTo(periods(VOTE_TIMEOUT_PERIODS)) >= 0;
+    applyTransition(
+        ViewChange.startAcceptPhase(localView.state(), detector.header(), hasVoteTimeoutExpired),
+        now);
     if (localView.state().round() != null) {
-      take(ViewChange.resendUnanswered(localView.state(), detector.header()), now);
+      applyTransition(ViewChange.resendUnanswered(localView.state(), detector.header()), now);
     }
   }
 
-  /** A datagram may be lost, and a member that misses the decision acts on an older view. */
+  /**
+   * Repeats the decision, because datagrams may be lost and a member that misses the decision keeps
+   * using the former view.
+   */
   private void resendDecision(Timestamp now) {
-    decision.forEach(this::send);
-    resendAt = now.plus(periods(SETTLE_PERIODS));
+    decisionMessages.forEach(this::send);
+    resendAt = now.plus(periods(STABLE_AFTER_PERIODS));
     decisionResendsLeft--;
     if (decisionResendsLeft <= 0) {
-      decision = null;
+      decisionMessages = null;
     }
   }
 
@@ -172,19 +197,20 @@
     actions.send(message.to(), message.message());
   }
 
-  /** Proposes the next view if there is a change to make and it is this process's turn. */
+  /** Proposes the next view if a change is wanted and it is this process's turn. */
   void proposeIfDue(Timestamp now) {
     boolean hasMajority = quorum.hasMajority();
     ViewDelta change = hasMajority ? planner.plan(now) : ViewDelta.NONE;
-    // A change accepted here may have been chosen without anybody knowing: it must be completed.
+    // A change that this process accepted may already have been chosen by a majority without any
+    // process knowing it, so the view change has to be completed.
     boolean isUnfinished = localView.state().accepted() != null && hasMajority;
     boolean isConfigurationDue = isNextConfiguration(proposedConfiguration);
     if (change.isEmpty() && !isUnfinished && !(isConfigurationDue && hasMajority)) {
-      wanted = change;
+      wantedChange = change;
       wantedSince = null;
       return;
     }
-    updateWanted(change, now);
+    updateWantedChange(change, now);
     boolean proposesConfiguration = isConfigurationDue && !isUnfinished;
     boolean isWaiting = isWaiting(now);
     boolean isProposing =
@@ -195,54 +221,61 @@
     }
   }
 
-  private void updateWanted(ViewDelta change, Timestamp now) {
+  private void updateWantedChange(ViewDelta change, Timestamp now) {
     if (wantedSince == null) {
       wantedSince = now;
-      settledFrom = now.plus(periods(SETTLE_PERIODS));
+      stableFrom = now.plus(periods(STABLE_AFTER_PERIODS));
     }
-    if (!change.equals(wanted)) {
-      wanted = change;
-      settledFrom = now.plus(periods(SETTLE_PERIODS));
+    if (!change.equals(wantedChange)) {
+      wantedChange = change;
+      stableFrom = now.plus(periods(STABLE_AFTER_PERIODS));
     }
   }
 
-  /** Whether it is another member's turn, or the wanted change may still grow. */
+  /** Whether it is an earlier proposer's turn, or the wanted change may still grow. */
   private boolean isWaiting(Timestamp now) {
-    boolean isUnsettled = now.isBefore(settledFrom) || planner.hasConfirmedSuspect();
-    Timestamp turn = wantedSince.plus(periods(NEXT_PROPOSER_PERIODS * planner.proposerRank()));
-    return now.isBefore(turn)
-        || isUnsettled && now.isBefore(turn.plus(periods(MAX_SETTLE_PERIODS)));
+    boolean isUnstable = now.isBefore(stableFrom) || planner.hasConfirmedSuspect();
+    Timestamp turnStartsAt =
+        wantedSince.plus(periods(PROPOSER_RANK_DELAY_PERIODS * planner.proposerRank()));
+    return now.isBefore(turnStartsAt)
+        || isUnstable && now.isBefore(turnStartsAt.plus(periods(MAX_STABILITY_WAIT_PERIODS)));
   }
 
   /**
-   * A configuration version waits for no turn; the wanted change of members goes with it only if
-   * that waits no longer.
+   * Starts a proposal. A configuration version is proposed without waiting for this process's turn.
+   *
+   * @param isWaiting whether the wanted change of members still has to wait; then the proposal
+   *     contains the configuration version only
    */
   private void propose(boolean withConfiguration, boolean isWaiting, Timestamp now) {
     proposedAt = now;
     resendAt = now.plus(periods(RESEND_PERIODS));
-    ViewDelta proposal = wanted;
+    ViewDelta proposal = wantedChange;
     if (withConfiguration) {
-      List<Member> removed = isWaiting ? List.of() : wanted.removed();
-      List<Member> added = isWaiting ? List.of() : wanted.added();
+      List<Member> removed = isWaiting ? List.of() : wantedChange.removed();
+      List<Member> added = isWaiting ? List.of() : wantedChange.added();
       proposal = new ViewDelta(removed, added, proposedConfiguration);
     }
-    take(ViewChange.propose(localView.state(), detector.header(), proposal, highestRound), now);
+    applyTransition(
+        ViewChange.propose(localView.state(), detector.header(), proposal, highestRound), now);
   }
 
-  /** Takes over the state after a step and sends its messages; those to itself at once. */
-  private void take(Transition transition, Timestamp now) {
+  /**
+   * Sets the state after a transition and sends its messages. Messages to this process are received
+   * at once.
+   */
+  private void applyTransition(Transition transition, Timestamp now) {
     View before = localView.view();
     View next = transition.state().view();
     if (next != before && !localView.containsSelf(next)) {
-      // It completed an earlier choice, and that removes this process.
+      // This process completed a change that was accepted earlier and that removes it.
       transition.messages().forEach(this::send);
-      localView.leaveRemovedBy(next, now);
+      localView.leaveAfterRemovalBy(next, now);
       return;
     }
     localView.setState(transition.state(), now);
     if (next != before && !transition.messages().isEmpty()) {
-      decision = transition.messages().stream().filter(t -> !isToSelf(t)).toList();
+      decisionMessages = transition.messages().stream().filter(m -> !isToSelf(m)).toList();
       decisionResendsLeft = DECISION_RESENDS;
       resendAt = now.plus(periods(RESEND_PERIODS));
     }
@@ -259,31 +292,31 @@
     return message.to().name().equals(detector.self().name());
   }
 
-  /** Processes a message of a view change; ignores others. */
+  /** Processes a message of a view change; ignores all other messages. */
   void receive(MembershipMessage message, Timestamp now) {
     MessageHeader from = message.from();
     ViewState state = localView.state();
     MessageHeader self = detector.header();
     if (message instanceof Prepare prepare) {
-      if (counts(prepare.viewId(), from, prepare.ballot())) {
+      if (acceptVoter(prepare.viewId(), from, prepare.ballot())) {
         List<MemberName> retained = planner.retained(prepare.removed(), now);
-        take(ViewChange.receivePrepare(state, self, prepare, retained), now);
+        applyTransition(ViewChange.receivePrepare(state, self, prepare, retained), now);
       }
     } else if (message instanceof Promise promise) {
-      if (counts(promise.viewId(), from, null)) {
-        take(ViewChange.receivePromise(state, self, promise), now);
+      if (acceptVoter(promise.viewId(), from, null)) {
+        applyTransition(ViewChange.receivePromise(state, self, promise), now);
       }
     } else if (message instanceof Reject reject) {
-      if (counts(reject.viewId(), from, reject.promised())) {
+      if (acceptVoter(reject.viewId(), from, reject.promised())) {
         receiveReject(reject, now);
       }
     } else if (message instanceof Accept accept) {
-      if (counts(accept.viewId(), from, accept.ballot()) && hasDocumentFor(accept.value())) {
-        take(ViewChange.receiveAccept(state, self, accept), now);
+      if (acceptVoter(accept.viewId(), from, accept.ballot()) && hasDocumentFor(accept.value())) {
+        applyTransition(ViewChange.receiveAccept(state, self, accept), now);
       }
     } else if (message instanceof Accepted accepted) {
-      if (counts(accepted.viewId(), from, null)) {
-        take(ViewChange.receiveAccepted(state, self, accepted), now);
+      if (acceptVoter(accepted.viewId(), from, null)) {
+        applyTransition(ViewChange.receiveAccepted(state, self, accepted), now);
       }
     } else if (message instanceof Decided decided) {
       receiveDecided(decided, now);
@@ -294,12 +327,17 @@
     return change.configuration() == null || hasDocument.test(change.configuration());
   }
 
-  /** Whether a message counts for this process's vote; remembers the highest round seen. */
-  private boolean counts(ViewId viewId, MessageHeader from, Ballot ballot) {
+  /**
+   * Records the round of a message's ballot, and returns whether the sender and this process both
+   * vote in the installed view.
+   *
+   * @param ballot the ballot, or null if the message has none to record
+   */
+  private boolean acceptVoter(ViewId viewId, MessageHeader from, Ballot ballot) {
     if (ballot != null) {
       highestRound = Math.max(highestRound, Math.min(ballot.round(), Long.MAX_VALUE / 2));
     }
-    // The view may hold a former incarnation of this process, which has no vote.
+    // If the view contains an earlier incarnation of this process, this process has no vote.
     return !quorum.isRestoredViewUnconfirmed()
         && ViewChange.isFromVoter(localView.state(), from, viewId)
         && localView.containsSelf(localView.view());
@@ -316,7 +354,7 @@
   private void receiveDecided(Decided decided, Timestamp now) {
     View view = localView.view();
     if (view != null && view.id().equals(decided.viewId())) {
-      localView.follow(view.apply(decided.value()), now);
+      localView.installOrLeave(view.apply(decided.value()), now);
     } else if (view == null && decided.value().added().contains(detector.self())) {
       transfer.requestDecided(decided);
     }
--- a/src/main/java/cobaltseam/membership/ViewDelta.java
+++ b/src/main/java/cobaltseam/membership/ViewDelta.java
@@ -5,7 +5,7 @@
 /**
  * The difference between a view and its successor.
  *
- * @param removed processes to remove, each a certain incarnation
+ * @param removed processes to remove, each identified by name and incarnation
  * @param added processes to add
  * @param configuration the next version of the agreed configuration, or null for no change
  */
--- a/src/main/java/cobaltseam/membership/ViewDeltaPlanner.java
+++ b/src/main/java/cobaltseam/membership/ViewDeltaPlanner.java
@@ -4,15 +4,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Which members the next view should remove and add, and which removals to object to. */
+/**
+ * Plans which members the next view should remove and add, and decides which proposed removals this
+ * process votes against.
+ */
 final class ViewDeltaPlanner {
-  /** Bounds of one change, so that it fits a datagram. */
+  /** The most members that one change removes, so that the change fits a datagram. */
   private static final int MAX_REMOVED = 128;
 
+  /** The most members that one change adds, so that the change fits a datagram. */
   private static final int MAX_ADDED = 64;
 
-  /** A process heard within so many periods is retained, whatever others say of it. */
-  private static final double RETAIN_HEARD_WITHIN_PERIODS = 1.5;
+  /**
+   * A process that sent a message to this one within so many periods is retained, whatever its
+   * condition according to other members.
+   */
+  private static final double RETAIN_IF_RECEIVED_WITHIN_PERIODS = 1.5;
 
   private final MembershipOptions options;
   private final FailureDetector detector;
@@ -33,7 +40,7 @@
     this.removedMembers = removedMembers;
   }
 
-  /** The change of the members that this process would propose now; maybe empty. */
+  /** The change of members that this process would propose now; empty if none is needed. */
   ViewDelta plan(Timestamp now) {
     if (quorum.areAllPeersAliveMembers()) {
       return ViewDelta.NONE;
@@ -44,7 +51,7 @@
 
   private List<Member> planRemovals(Timestamp now) {
     List<Member> removed = new ArrayList<>();
-    // After a partition, those that come back last are given time to say so.
+    // After a partition, members that become reachable last need time to refute their death.
     boolean isHealing = quorum.isHealing(now);
     for (Member member : localView.view().members()) {
       Peer peer = detector.peer(member.name());
@@ -80,7 +87,7 @@
 
   private boolean isAdmissible(Peer peer, Timestamp now) {
     long lineage = peer.viewId().lineage();
-    // A process that holds a view of another lineage follows this one only after it has left that.
+    // A process with a view of another lineage installs this one only after it has left its own.
     boolean isOfOtherLineage = lineage != 0 && lineage != localView.view().id().lineage();
     return !isOfOtherLineage
         && now.since(peer.conditionSince()).compareTo(removedMembers.admissionDelay(peer.member()))
@@ -91,7 +98,7 @@
     return name.equals(detector.self().name());
   }
 
-  /** Of the members to be removed, those whose removal this process votes against. */
+  /** Of the members to be removed, the ones whose removal this process votes against. */
   List<MemberName> retained(List<MemberName> removed, Timestamp now) {
     List<MemberName> retained = new ArrayList<>();
     for (MemberName name : removed) {
@@ -108,15 +115,18 @@
     if (peer == null || !peer.isSameProcess(member) || peer.condition() == MemberCondition.LEFT) {
       return false;
     }
-    boolean wasHeard =
+    boolean hasRecentMessage =
         peer.lastReceivedAt() != null
             && now.since(peer.lastReceivedAt())
-                    .compareTo(options.healthCheckInterval().times(RETAIN_HEARD_WITHIN_PERIODS))
+                    .compareTo(
+                        options.healthCheckInterval().times(RETAIN_IF_RECEIVED_WITHIN_PERIODS))
                 < 0;
-    return peer.isAlive() || wasHeard;
+    return peer.isAlive() || hasRecentMessage;
   }
 
-  /** Whether a member is suspected by more than one, so that it may soon have to be removed. */
+  /**
+   * Whether more than one member suspects the same member, so that it may have to be removed soon.
+   */
   boolean hasConfirmedSuspect() {
     return localView.view().members().stream().anyMatch(this::isConfirmedSuspect);
   }
@@ -130,8 +140,8 @@
   }
 
   /**
-   * How many members that seem alive propose before this process: the order starts with another
-   * member in each view.
+   * The number of alive members that propose before this process. The order of proposers starts at
+   * the next member with each view.
    */
   int proposerRank() {
     int rank = 0;
--- a/src/main/java/cobaltseam/membership/ViewTransfer.java
+++ b/src/main/java/cobaltseam/membership/ViewTransfer.java
@@ -9,16 +9,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Fetches a later view from a peer that reports one, and serves views, in parts. */
+/** Requests a later view from a peer that reports one, and sends the installed view, in parts. */
 final class ViewTransfer implements ViewListener {
   private static final int MAX_MEMBERS_PER_PART = 48;
 
-  /** The largest view. */
+  /** The most members that a view can have. */
   static final int MAX_VIEW_MEMBERS = 4096;
 
+  /** Health check periods after which a request for a view is repeated. */
   private static final double RETRY_PERIODS = 0.125;
+
+  /** The same for a process without a view. */
   private static final double RETRY_WITHOUT_VIEW_PERIODS = 1;
 
+  /** A view of which some parts have been received, in order. */
   private static final class IncomingView {
     final ViewId id;
     final int size;
@@ -39,7 +43,7 @@
   private final ActionBuffer actions;
   private IncomingView incoming;
 
-  /** The last peer that reported a later view, until one is installed. */
+  /** The last peer that reported a later view; null if none has since the last change of view. */
   private MessageHeader source;
 
   private Timestamp requestedAt;
@@ -63,12 +67,12 @@
     source = null;
   }
 
-  /** Whether a later view is known of and not installed yet. */
+  /** Whether a peer has reported a later view that is not installed yet. */
   boolean isPending() {
     return source != null;
   }
 
-  /** Asks the sender of a message for its view if that is later than the one held here. */
+  /** Requests the view of a message's sender if it is later than the installed one. */
   void requestIfBehind(MessageHeader sender, Timestamp now) {
     View view = localView.view();
     boolean isLater =
@@ -78,19 +82,19 @@
     }
     source = sender;
     if (requestedAt == null
-        || isOlderThan(view == null ? RETRY_WITHOUT_VIEW_PERIODS : RETRY_PERIODS, now)) {
+        || hasPassedSinceRequest(view == null ? RETRY_WITHOUT_VIEW_PERIODS : RETRY_PERIODS, now)) {
       request(now);
     }
   }
 
-  /** Asks again if the answer is overdue. */
+  /** Repeats the request for a later view if the reply is overdue. */
   void retry(Timestamp now) {
-    if (isPending() && isOlderThan(RETRY_PERIODS, now)) {
+    if (isPending() && hasPassedSinceRequest(RETRY_PERIODS, now)) {
       request(now);
     }
   }
 
-  private boolean isOlderThan(double periods, Timestamp now) {
+  private boolean hasPassedSinceRequest(double periods, Timestamp now) {
     TimeSpan limit = options.healthCheckInterval().times(periods);
     return now.since(requestedAt).compareTo(limit) >= 0;
   }
@@ -100,21 +104,28 @@
     actions.send(source.member(), new ViewRequest(detector.header(), source.view(), 0));
   }
 
-  /** Asks for the view that a decision led to, in which this process is new. */
+  /** Requests the view that follows from a decision that adds this process. */
   void requestDecided(Decided decided) {
     actions.send(
         decided.from().member(), new ViewRequest(detector.header(), decided.viewId().next(), 0));
   }
 
-  /** Sends the requested part of the view held here, or its first part if it is another view. */
+  /**
+   * Sends the requested part of the installed view, or its first part if the request is for another
+   * view.
+   */
   void receiveRequest(ViewRequest request) {
     if (localView.hasView()) {
-      boolean isSame = request.viewId().equals(localView.view().id());
-      sendPart(request.from().member(), isSame ? request.index() : 0);
+      boolean isInstalledView = request.viewId().equals(localView.view().id());
+      sendPart(request.from().member(), isInstalledView ? request.index() : 0);
     }
   }
 
-  /** Sends the part of the held view that begins at an index. */
+  /**
+   * Sends a part of the installed view.
+   *
+   * @param index the index of the first member to send
+   */
   void sendPart(Member to, int index) {
     View view = localView.view();
     int size = view.members().size();
@@ -131,7 +142,7 @@
             view.configuration()));
   }
 
-  /** Adds a part to the incoming view, and installs the view once it is complete. */
+  /** Adds a part to the incoming view, and installs the view once all parts are received. */
   void receivePart(ViewPart part, Timestamp now) {
     boolean isWanted =
         localView.hasView()
@@ -155,6 +166,6 @@
     }
     View view = View.of(incoming.id, incoming.members, incoming.configuration);
     incoming = null;
-    localView.follow(view, now);
+    localView.installOrLeave(view, now);
   }
 }
--- a/src/test/java/cobaltseam/membership/ViewChangeExploration.java
+++ b/src/test/java/cobaltseam/membership/ViewChangeExploration.java
@@ -19,13 +19,13 @@
 import java.util.Set;
 
 /**
- * Explores the states that a view change can reach with the real rules: messages arrive in any
- * order, never, or twice; several members propose, each another change; processes restart without
- * memory. A message that is never delivered is a lost one. No two different views may ever be held
- * under one number.
+ * Explores the states that {@link ViewChange} can reach. Messages are delivered in any order,
+ * twice, or never, which models loss. Several members propose different changes, and processes
+ * restart, with or without their persisted state. The explored invariant: no two processes install
+ * different views with the same number.
  */
 final class ViewChangeExploration {
-  /** How often each event may happen, and the fault to inject, which the exploration must find. */
+  /** How often each event may happen, and the mutant of the protocol to explore. */
   record Bounds(
       int members,
       int proposals,
@@ -34,17 +34,18 @@
       boolean hasFolders,
       Mutant mutant) {}
 
+  /** A fault in the protocol that the exploration must detect as a violation. */
   enum Mutant {
     NONE,
-    /** A majority is counted over one member fewer. */
+    /** The proposer decides after the first acceptance instead of a majority. */
     SMALL_MAJORITY,
-    /** A restarted process votes as its former incarnation, with nothing promised. */
+    /** A restarted process votes under its former incarnation without its former promises. */
     VOTES_AFTER_RESTART,
-    /** A voter forgets what it accepted when it makes another promise. */
+    /** A voter discards its accepted change when it makes another promise. */
     FORGETS_ACCEPTED,
-    /** A voter accepts a ballot below the promised one. */
+    /** A voter accepts a ballot that is lower than the promised one. */
     IGNORES_PROMISE,
-    /** A process restarts from a folder that was written only after its promise was sent. */
+    /** A process sends its votes before it persists them, and restarts without them. */
     SENDS_BEFORE_PERSISTED
   }
 
@@ -74,8 +75,8 @@
 
   private final Bounds bounds;
   private final List<Member> members = new ArrayList<>();
-  private final View first;
-  private final Set<ExploredState> seen = new HashSet<>();
+  private final View firstView;
+  private final Set<ExploredState> visited = new HashSet<>();
   private final int maxStates;
   private final Random random = new Random(7);
   private String violation;
@@ -86,7 +87,7 @@
     for (int index = 0; index < bounds.members; index++) {
       members.add(member(index, 1));
     }
-    first = View.of(new ViewId(1, 1), members);
+    firstView = View.of(new ViewId(1, 1), members);
   }
 
   private static Member member(int index, long incarnation) {
@@ -97,19 +98,19 @@
   }
 
   int stateCount() {
-    return seen.size();
+    return visited.size();
   }
 
-  /** The first violation found, or null. */
+  /** Explores until a violation or the bound; returns the first violation, or null. */
   String run() {
     List<ViewState> viewStates = new ArrayList<>();
     List<Incarnation> incarnations = new ArrayList<>();
     for (Member member : members) {
-      viewStates.add(ViewState.of(first));
+      viewStates.add(ViewState.of(firstView));
       incarnations.add(member.incarnation());
     }
-    Deque<ExploredState> open = new ArrayDeque<>();
-    open.add(
+    Deque<ExploredState> frontier = new ArrayDeque<>();
+    frontier.add(
         new ExploredState(
             viewStates,
             incarnations,
@@ -117,15 +118,15 @@
             bounds.proposals,
             bounds.restarts,
             bounds.duplicates));
-    while (!open.isEmpty() && violation == null && seen.size() < maxStates) {
-      ExploredState state = open.removeLast();
-      if (seen.add(state)) {
+    while (!frontier.isEmpty() && violation == null && visited.size() < maxStates) {
+      ExploredState state = frontier.removeLast();
+      if (visited.add(state)) {
         check(state);
-        // In random order, so that the states explored before the bound are of all kinds.
+        // The random order makes the states explored before the bound more varied.
         List<ExploredState> next = new ArrayList<>();
         addSuccessors(state, next);
         Collections.shuffle(next, random);
-        open.addAll(next);
+        frontier.addAll(next);
       }
     }
     return violation;
@@ -139,7 +140,7 @@
             .distinct()
             .toList();
     if (views.size() > 1) {
-      violation = "two sets under one number: " + views;
+      violation = "two different views with one number: " + views;
     }
   }
 
@@ -152,29 +153,30 @@
         true);
   }
 
-  private void addSuccessors(ExploredState state, List<ExploredState> open) {
+  private void addSuccessors(ExploredState state, List<ExploredState> successors) {
     for (int index = 0; index < members.size(); index++) {
       ViewState viewState = state.viewStates.get(index);
-      boolean holdsFirst = viewState.view() != null && viewState.view().equals(first);
-      if (holdsFirst && state.proposals > 0 && viewState.round() == null) {
-        open.add(propose(state, index));
+      boolean hasInstalledFirstView =
+          viewState.view() != null && viewState.view().equals(firstView);
+      if (hasInstalledFirstView && state.proposals > 0 && viewState.round() == null) {
+        successors.add(propose(state, index));
       }
       if (state.restarts > 0) {
-        open.add(restart(state, index));
+        successors.add(restart(state, index));
       }
     }
     for (int position = 0; position < state.inFlight.size(); position++) {
-      List<MessageInFlight> rest = new ArrayList<>(state.inFlight);
-      MessageInFlight arriving = rest.remove(position);
-      open.add(deliver(state.withInFlight(rest), arriving));
+      List<MessageInFlight> remaining = new ArrayList<>(state.inFlight);
+      MessageInFlight delivered = remaining.remove(position);
+      successors.add(deliver(state.withInFlight(remaining), delivered));
       if (state.duplicates > 0) {
-        open.add(deliver(state.withoutOneDuplicate(), arriving));
+        successors.add(deliver(state.withoutOneDuplicate(), delivered));
       }
     }
   }
 
   private ExploredState propose(ExploredState state, int index) {
-    // Each proposes to remove another member, so that the chosen change shows its proposer.
+    // Each member proposes to remove a different member, so a chosen change shows its proposer.
     Member removed = members.get((index + 1) % members.size());
     ViewDelta change = new ViewDelta(List.of(removed), List.of());
     Transition transition =
@@ -185,7 +187,7 @@
 
   private ExploredState restart(ExploredState state, int index) {
     boolean keepsIncarnation = bounds.hasFolders || bounds.mutant == Mutant.VOTES_AFTER_RESTART;
-    ViewState restarted = keepsIncarnation ? ViewState.of(first) : ViewState.NONE;
+    ViewState restarted = keepsIncarnation ? ViewState.of(firstView) : ViewState.NONE;
     if (bounds.hasFolders) {
       restarted = persisted(state.viewStates.get(index));
     }
@@ -204,18 +206,18 @@
         state.duplicates);
   }
 
-  /** What a folder restores: all but the process's own proposal. */
+  /** The state that a folder restores: all but the proposal of the process. */
   private ViewState persisted(ViewState viewState) {
     if (bounds.mutant != Mutant.SENDS_BEFORE_PERSISTED) {
-      return viewState.with((ViewState.ProposalRound) null);
+      return viewState.withRound(null);
     }
     return viewState.view() == null ? viewState : ViewState.of(viewState.view());
   }
 
-  private ExploredState deliver(ExploredState state, MessageInFlight arriving) {
-    int index = Integer.parseInt(arriving.to.value().substring(1));
+  private ExploredState deliver(ExploredState state, MessageInFlight delivered) {
+    int index = Integer.parseInt(delivered.to.value().substring(1));
     ViewState viewState = state.viewStates.get(index);
-    MembershipMessage message = arriving.message;
+    MembershipMessage message = delivered.message;
     MessageHeader self = header(state, index);
     if (message instanceof Decided decided) {
       if (viewState.view() != null && viewState.view().id().equals(decided.viewId())) {
@@ -263,7 +265,7 @@
     } else if (message instanceof Accepted accepted) {
       return apply(state, index, deliverAccepted(viewState, self, accepted));
     }
-    return apply(state, index, new Transition(viewState.with((ViewState.ProposalRound) null)));
+    return apply(state, index, new Transition(viewState.withRound(null)));
   }
 
   private Transition deliverAccepted(ViewState viewState, MessageHeader self, Accepted accepted) {
@@ -277,7 +279,10 @@
         : ViewChange.receiveAccepted(viewState, self, accepted);
   }
 
-  /** Applies a transition; messages to itself are delivered at once, others are in flight. */
+  /**
+   * Applies a transition of one process. Messages to that process are delivered at once; all others
+   * are in flight.
+   */
   private ExploredState apply(ExploredState state, int index, Transition transition) {
     List<ViewState> viewStates = new ArrayList<>(state.viewStates);
     ViewState next = transition.state();
@@ -286,7 +291,7 @@
             && !next.view().contains(new MemberName("m" + index), state.incarnations.get(index));
     viewStates.set(index, isRemoved ? ViewState.NONE : next);
     if (isRemoved) {
-      // It decided its own removal; the others must come to the same view.
+      // The process decided its own removal; the other processes must install the same view.
       View decided = next.view();
       if (viewStates.stream()
           .anyMatch(
@@ -294,7 +299,9 @@
                   s.view() != null
                       && s.view().id().equals(decided.id())
                       && !s.view().equals(decided))) {
-        violation = "two sets under one number, one by a process that took itself out: " + decided;
+        violation =
+            "two different views with one number, one decided by a process that it removes: "
+                + decided;
       }
     }
     List<MessageInFlight> inFlight = new ArrayList<>(state.inFlight);
@@ -320,34 +327,41 @@
   }
 
   private static List<MessageInFlight> sorted(List<MessageInFlight> inFlight) {
-    // The order does not matter: states that differ only in it are the same.
+    // Sorted, since states that differ only in the order of messages in flight are equivalent.
     return inFlight.stream()
         .sorted(java.util.Comparator.comparing(MessageInFlight::toString))
         .toList();
   }
 
   /**
-   * Prints a line of the table in docs/measures-membership.md for each argument: members,
-   * proposals, restarts, duplicates, bound, folders (1 for yes), separated by commas.
+   * Prints a line of the table in docs/measures-membership.md for each argument. An argument has
+   * the number of members, proposals, restarts and duplicates, the bound of states, and 1 if
+   * processes have folders, separated by commas.
    */
   public static void main(String[] args) {
     for (String arg : args) {
-      int[] numbers = java.util.Arrays.stream(arg.split(",")).mapToInt(Integer::parseInt).toArray();
+      int[] parameters =
+          java.util.Arrays.stream(arg.split(",")).mapToInt(Integer::parseInt).toArray();
       ViewChangeExploration exploration =
           new ViewChangeExploration(
               new Bounds(
-                  numbers[0], numbers[1], numbers[2], numbers[3], numbers[5] == 1, Mutant.NONE),
-              numbers[4]);
+                  parameters[0],
+                  parameters[1],
+                  parameters[2],
+                  parameters[3],
+                  parameters[5] == 1,
+                  Mutant.NONE),
+              parameters[4]);
       String violation = exploration.run();
       System.out.printf(
           "| %d | %d | %d%s | %d | %d%s | %s |%n",
-          numbers[0],
-          numbers[1],
-          numbers[2],
-          numbers[5] == 1 ? " with folders" : "",
-          numbers[3],
+          parameters[0],
+          parameters[1],
+          parameters[2],
+          parameters[5] == 1 ? " with folders" : "",
+          parameters[3],
           exploration.stateCount(),
-          exploration.stateCount() >= numbers[4] ? " (bound)" : ", all",
+          exploration.stateCount() >= parameters[4] ? " (bound)" : ", all",
           violation == null ? "none" : violation);
     }
   }
--- a/src/test/java/cobaltseam/membership/ViewChangeTest.java
+++ b/src/test/java/cobaltseam/membership/ViewChangeTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** How the members of a view choose its one successor. */
+/** Tests how the members of a view choose its only successor. */
 class ViewChangeTest {
   private static final int MAX_STATES = 150_000;
 
@@ -50,27 +50,27 @@
   }
 
   @Test
-  void explorationFindsNoTwoViewsWithOneNumber() {
-    for (boolean folders : new boolean[] {false, true}) {
+  void explorationFindsNoDifferentViewsWithSameNumber() {
+    for (boolean hasFolders : new boolean[] {false, true}) {
       ViewChangeExploration exploration =
-          new ViewChangeExploration(new Bounds(3, 2, 1, 0, folders, Mutant.NONE), MAX_STATES);
+          new ViewChangeExploration(new Bounds(3, 2, 1, 0, hasFolders, Mutant.NONE), MAX_STATES);
       assertNull(exploration.run());
-      assertTrue(exploration.stateCount() > 10_000, "states " + exploration.stateCount());
+      assertTrue(exploration.stateCount() > 10_000, "explored states: " + exploration.stateCount());
     }
   }
 
   @ParameterizedTest
   @EnumSource(value = Mutant.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-  void explorationFindsEachMutant(Mutant mutant) {
+  void explorationDetectsEachMutant(Mutant mutant) {
     assertNotNull(
         new ViewChangeExploration(
                 new Bounds(3, 2, 1, 0, mutant == Mutant.SENDS_BEFORE_PERSISTED, mutant), MAX_STATES)
             .run(),
-        mutant + " was not found");
+        mutant + " was not detected");
   }
 
   @Test
-  void removalNeedsMajorityThatAgrees() {
+  void removalNeedsAgreementOfMajority() {
     ViewDelta wanted = new ViewDelta(List.of(member("d", 1), member("e", 1)), List.of());
     Transition proposal = ViewChange.propose(ViewState.of(VIEW), header("a"), wanted, 0);
     Ballot ballot = proposal.state().round().ballot();
@@ -80,15 +80,16 @@
     state =
         ViewChange.receivePromise(state, header("a"), promise("b", ballot, null, null, "e"))
             .state();
-    Transition third =
+    Transition afterThirdPromise =
         ViewChange.receivePromise(state, header("a"), promise("c", ballot, null, null, "e"));
     assertNull(
-        third.state().round().chosen(),
+        afterThirdPromise.state().round().chosen(),
         "two of three promises retain e, and two votes are missing");
-    Transition late = ViewChange.proceed(third.state(), header("a"), true);
+    Transition afterVoteTimeout =
+        ViewChange.startAcceptPhase(afterThirdPromise.state(), header("a"), true);
     assertEquals(
         new ViewDelta(List.of(member("d", 1)), List.of()),
-        late.state().round().chosen(),
+        afterVoteTimeout.state().round().chosen(),
         "without the missing votes e is retained");
   }
 
@@ -108,9 +109,9 @@
   }
 
   @Test
-  void valueOfHighestAcceptedBallotIsProposedAgain() {
-    ViewDelta old = new ViewDelta(List.of(member("b", 1)), List.of());
-    ViewDelta newer = new ViewDelta(List.of(member("c", 1)), List.of());
+  void acceptedChangeOfHighestBallotIsProposedAgain() {
+    ViewDelta lowerChange = new ViewDelta(List.of(member("b", 1)), List.of());
+    ViewDelta higherChange = new ViewDelta(List.of(member("c", 1)), List.of());
     Transition proposal =
         ViewChange.propose(
             ViewState.of(VIEW), header("a"), new ViewDelta(List.of(member("e", 1)), List.of()), 9);
@@ -119,18 +120,20 @@
     Ballot low = new Ballot(3, new MemberName("d"), new Incarnation(1));
     Ballot high = new Ballot(4, new MemberName("b"), new Incarnation(1));
     state = ViewChange.receivePromise(state, header("a"), promise("a", ballot, null, null)).state();
-    state = ViewChange.receivePromise(state, header("a"), promise("b", ballot, low, old)).state();
     state =
-        ViewChange.receivePromise(state, header("a"), promise("c", ballot, high, newer, "e"))
+        ViewChange.receivePromise(state, header("a"), promise("b", ballot, low, lowerChange))
+            .state();
+    state =
+        ViewChange.receivePromise(state, header("a"), promise("c", ballot, high, higherChange, "e"))
             .state();
     assertEquals(
-        newer,
+        higherChange,
         state.round().chosen(),
-        "the value of the highest ballot, whatever members are retained");
+        "the accepted change of the highest ballot, whichever members are retained");
   }
 
   @Test
-  void voterRejectsLowerBallotAndReportsPromise() {
+  void voterRejectsLowerBallotAndReportsPromisedBallot() {
     Ballot high = new Ballot(5, new MemberName("b"), new Incarnation(1));
     Ballot low = new Ballot(4, new MemberName("c"), new Incarnation(1));
     Transition promised =
@@ -155,15 +158,16 @@
     assertTrue(ViewChange.isFromVoter(ViewState.of(VIEW), header("b"), VIEW.id()));
     MessageHeader restarted = new MessageHeader(member("b", 2), 0, VIEW.id(), true);
     assertTrue(
-        !ViewChange.isFromVoter(ViewState.of(VIEW), restarted, VIEW.id()), "it has been restarted");
+        !ViewChange.isFromVoter(ViewState.of(VIEW), restarted, VIEW.id()),
+        "the sender has another incarnation");
     assertTrue(
         !ViewChange.isFromVoter(ViewState.of(VIEW), header("f"), VIEW.id()),
-        "it is not in the view");
+        "the sender is not in the view");
     assertTrue(
         !ViewChange.isFromVoter(ViewState.of(VIEW), header("b"), new ViewId(7, 2)),
-        "it is about an older view");
+        "the message is about an earlier view");
     assertTrue(
         !ViewChange.isFromVoter(ViewState.of(VIEW), header("b"), new ViewId(8, 3)),
-        "it is about another lineage");
+        "the message is about another lineage");
   }
 }
