--- a/src/main/java/cobaltseam/membership/ActionBuffer.java
+++ b/src/main/java/cobaltseam/membership/ActionBuffer.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Collects the actions of one call of {@link Membership}, in the order in which they arise. */
+/** Collects the actions that one call of {@link Membership} returns, in the order of creation. */
 final class ActionBuffer implements DetectorOutput {
   private final List<MembershipAction> actions = new ArrayList<>();
 
@@ -24,20 +24,22 @@
     actions.add(new MembershipAction.EventRecorded(event, member, detail));
   }
 
-  /** A view applies from now on; null for none. */
+  /** Adds the notification that a view was installed; null if this process has no view any more. */
   void addViewInstalled(View view) {
     actions.add(new MembershipAction.ViewInstalled(view));
   }
 
+  /** Adds an action before all others. */
   void addFirst(MembershipAction action) {
     actions.add(0, action);
   }
 
+  /** Removes the actions that match. */
   void removeIf(Predicate<MembershipAction> condition) {
     actions.removeIf(condition);
   }
 
-  /** Returns all collected actions and forgets them. */
+  /** Returns all collected actions and clears the buffer. */
   List<MembershipAction> drain() {
     List<MembershipAction> drained = List.copyOf(actions);
     actions.clear();
--- a/src/main/java/cobaltseam/membership/DetectorOutput.java
+++ b/src/main/java/cobaltseam/membership/DetectorOutput.java
@@ -3,15 +3,20 @@
 import cobaltseam.membership.MembershipAction.MembershipEvent;
 import java.net.InetSocketAddress;
 
-/** Takes what the failure detector wants sent or logged. */
+/** Receives the messages that the failure detector sends and the events that it logs. */
 interface DetectorOutput {
-  /** Sends a datagram, which may be lost. */
+  /** Sends a message as a datagram, which may be lost. */
   void send(InetSocketAddress to, MembershipMessage message);
 
-  /** Records an event for the log. */
+  /**
+   * Records an event for the log.
+   *
+   * @param member the member that the event concerns
+   * @param detail further text for the log line
+   */
   void recordEvent(MembershipEvent event, MemberName member, String detail);
 
-  /** Sends a datagram to the address at which a peer is known. */
+  /** Sends a message to the known address of a peer. */
   default void send(Peer to, MembershipMessage message) {
     send(to.member().peerAddress(), message);
   }
--- a/src/main/java/cobaltseam/membership/FailureDetector.java
+++ b/src/main/java/cobaltseam/membership/FailureDetector.java
@@ -14,18 +14,24 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The lower layer of membership: which members seem alive from this process. Health checks in
- * rounds, indirect checks before a suspicion, suspicions that need time and confirmation and can be
- * refuted (SWIM with the changes of Lifeguard). Its result differs between processes and may be
- * wrong; {@link Membership} turns it into agreed views. It does no I/O.
+ * The lower layer of membership: which members this process considers alive. It runs health checks
+ * in roundCount, checks indirectly through relays before it suspects a member, and declares a
+ * suspected member dead unless the member refutes in time (SWIM with the extensions of Lifeguard).
+ * The result differs between processes and may be wrong; {@link Membership} derives agreed views
+ * from it. It does no I/O.
  */
 final class FailureDetector {
-  /** The longest round, in health check intervals, whatever the health score is. */
+  /** The maximum length of a round in health check intervals, for any health score. */
   private static final int MAX_ROUND_PERIODS = 3;
 
-  private static final double LATE_AFTER_PERIODS = 0.5;
+  /** A timer call that is later than this shows that the process was suspended. */
+  private static final double SUSPENDED_AFTER_PERIODS = 0.5;
+
+  /** The time between timer calls while a suspicion or a health check is pending. */
   private static final double PENDING_WAKEUP_PERIODS = 0.125;
-  private static final int LEAVE_MESSAGES = 8;
+
+  /** The number of peers that a leaving process notifies. */
+  private static final int MAX_LEAVE_MESSAGES = 8;
 
   private final MembershipOptions options;
   private final DetectorOutput output;
@@ -35,9 +41,9 @@
   private final HealthChecks healthChecks;
   private final StateSync stateSync;
   private Timestamp roundEndsAt;
-  private Timestamp promisedWakeup;
+  private Timestamp scheduledWakeup;
   private Timestamp lastReceivedAt;
-  private long rounds;
+  private long roundCount;
 
   FailureDetector(
       MembershipOptions options, Member self, RandomGenerator random, DetectorOutput output) {
@@ -59,25 +65,36 @@
     return local.header();
   }
 
-  /** What this process reports of lineages that have ended. */
-  void reportEndedView(ViewId last) {
-    local.reportEndedView(last);
+  /**
+   * Sets the ended view that the headers of subsequent messages report.
+   *
+   * @param lastView the last view of a lineage that has ended
+   */
+  void reportEndedView(ViewId lastView) {
+    local.reportEndedView(lastView);
   }
 
-  /** What this process reports of its view from now on. */
-  void reportView(ViewId held, boolean hasMajority) {
-    local.reportView(held, hasMajority);
+  /**
+   * Sets the view status that the headers of subsequent messages report.
+   *
+   * @param installed the installed view, or {@link ViewId#NONE}
+   * @param hasMajority whether this process considers a majority of that view alive
+   */
+  void reportView(ViewId installed, boolean hasMajority) {
+    local.reportView(installed, hasMajority);
   }
 
-  /** A number that grows whenever the known peers, or the condition of one, change. */
+  /** A number that increases whenever the set of peers or the condition of a peer changes. */
   long version() {
     return peers.version();
   }
 
+  /** The peer with a name, or null if it is not known. */
   Peer peer(MemberName name) {
     return peers.get(name);
   }
 
+  /** All known peers, by name. */
   Collection<Peer> peers() {
     return peers.all();
   }
@@ -86,7 +103,7 @@
     return local.health().score();
   }
 
-  /** Whether this very process, not another incarnation of its name, seems alive. */
+  /** Whether the member is considered alive, in this incarnation and not another one. */
   boolean isAlive(Member member) {
     if (member.name().equals(local.name())) {
       return member.incarnation().equals(self().incarnation());
@@ -95,7 +112,7 @@
     return peer != null && peer.isAlive() && peer.isSameProcess(member);
   }
 
-  /** Whether this process is silent since another one holds its name. */
+  /** Whether this process sends no messages because another live process uses its name. */
   boolean isSilenced(Timestamp now) {
     return local.isSilenced(now);
   }
@@ -104,27 +121,32 @@
     return peers.suspectCount() > 0;
   }
 
-  /** The least time that a member suspected by several has to refute. */
+  /** The minimum time within which a member that several others suspect can refute. */
   TimeSpan minSuspicionTimeout() {
     return updates.minSuspicionTimeout();
   }
 
+  /** Starts the first round; called once, before the first timer call. */
   void start(Timestamp now) {
     roundEndsAt = now;
-    promisedWakeup = now;
+    scheduledWakeup = now;
   }
 
-  /** Counts the starts of this member from one folder, this one included. */
-  void resume(long starts) {
-    local.resume(starts);
+  /**
+   * Sets how often this member has been started with the same state folder.
+   *
+   * @param starts the number of starts, including the current one
+   */
+  void setStartNumber(long starts) {
+    local.setStartNumber(starts);
   }
 
-  /** This process becomes another one: its former promises do not bind it. */
+  /** Changes to a higher incarnation, which is not bound by promises of the former one. */
   void startNewIncarnation() {
     updates.startNewIncarnation();
   }
 
-  /** The same, with an incarnation above that one and above its own. */
+  /** Changes to an incarnation above {@code other} and above the current one. */
   void startIncarnationAbove(Incarnation other) {
     updates.startIncarnationAbove(other);
   }
@@ -132,32 +154,34 @@
   /** When {@link #onTimer} must be called next. */
   Timestamp nextWakeup(Timestamp now) {
     boolean isPending = hasSuspects() || healthChecks.hasUnanswered();
-    Timestamp soon = now.plus(options.healthCheckInterval().times(PENDING_WAKEUP_PERIODS));
-    promisedWakeup = isPending && soon.isBefore(roundEndsAt) ? soon : roundEndsAt;
-    return promisedWakeup;
+    Timestamp pendingWakeup = now.plus(options.healthCheckInterval().times(PENDING_WAKEUP_PERIODS));
+    scheduledWakeup =
+        isPending && pendingWakeup.isBefore(roundEndsAt) ? pendingWakeup : roundEndsAt;
+    return scheduledWakeup;
   }
 
   /**
-   * Does what is due at this time. If this process was stopped for a while, nothing is concluded
-   * from the silence of others meanwhile.
+   * Retries health checks, ends and starts roundCount and expires suspicions that are due. After a
+   * suspension of this process, pending checks are dropped and suspicions extended, since the
+   * process could not receive answers meanwhile.
    *
-   * @return how late the call is, if by more than half a health check interval; else zero
+   * @return the delay of the call if it exceeds {@link #SUSPENDED_AFTER_PERIODS}, else zero
    */
   TimeSpan onTimer(Timestamp now) {
-    TimeSpan late = promisedWakeup == null ? TimeSpan.ZERO : now.since(promisedWakeup);
-    boolean wasStopped =
-        late.compareTo(options.healthCheckInterval().times(LATE_AFTER_PERIODS)) > 0;
-    if (wasStopped) {
+    TimeSpan delay = scheduledWakeup == null ? TimeSpan.ZERO : now.since(scheduledWakeup);
+    boolean wasSuspended =
+        delay.compareTo(options.healthCheckInterval().times(SUSPENDED_AFTER_PERIODS)) > 0;
+    if (wasSuspended) {
       local.health().worsen();
       healthChecks.clear();
-      updates.extendSuspicions(late);
+      updates.extendSuspicions(delay);
       roundEndsAt = now;
     }
     if (isSilenced(now)) {
       roundEndsAt = now.plus(options.healthCheckInterval());
-      return wasStopped ? late : TimeSpan.ZERO;
+      return wasSuspended ? delay : TimeSpan.ZERO;
     }
-    healthChecks.retryUnanswered(now);
+    healthChecks.resendUnanswered(now);
     if (!now.isBefore(roundEndsAt)) {
       healthChecks.endRound(now);
       startRound(now);
@@ -165,14 +189,14 @@
     if (hasSuspects()) {
       updates.expireSuspicions(now);
     }
-    return wasStopped ? late : TimeSpan.ZERO;
+    return wasSuspended ? delay : TimeSpan.ZERO;
   }
 
   private void startRound(Timestamp now) {
-    rounds++;
+    roundCount++;
     roundEndsAt = now.plus(roundLength());
-    healthChecks.startRound(rounds, now);
-    stateSync.startRound(rounds, now);
+    healthChecks.startRound(roundCount, now);
+    stateSync.startRound(roundCount, now);
   }
 
   private TimeSpan roundLength() {
@@ -180,13 +204,16 @@
     return options.healthCheckInterval().times(periods);
   }
 
-  /** Whether no member at all was heard for longer than two rounds, after one had been. */
+  /**
+   * Whether no message of any member was received for two roundCount and one health check interval.
+   * False before the first message.
+   */
   boolean isIsolated(Timestamp now) {
     TimeSpan limit = roundLength().times(2).plus(options.healthCheckInterval());
     return lastReceivedAt != null && now.since(lastReceivedAt).compareTo(limit) > 0;
   }
 
-  /** Checks all these members at once, unless they are known to be gone. */
+  /** Sends a health check to each known member of these that is not dead and has not left. */
   void checkAll(Collection<Member> members, Timestamp now) {
     for (Member member : members) {
       Peer peer = peers.get(member.name());
@@ -197,15 +224,15 @@
   }
 
   /**
-   * Records the sender of any message of a peer.
+   * Processes the header of a message of a peer, of any module.
    *
-   * @return whether the message counts: false for a former process, and for one whose name another
-   *     live process holds
+   * @return whether the message is to be processed: false if it is of an earlier incarnation or
+   *     start of the sender, or if another live process uses the sender's name
    */
   boolean acceptSender(MessageHeader header, Timestamp now) {
     Member sender = header.member();
     if (sender.name().equals(local.name())) {
-      rejectNamesake(sender, now);
+      rejectDuplicateName(sender, now);
       return false;
     }
     Peer peer = peers.get(sender.name());
@@ -234,7 +261,8 @@
     return true;
   }
 
-  private void rejectNamesake(Member sender, Timestamp now) {
+  /** Notifies a process at another address that this process uses its name. */
+  private void rejectDuplicateName(Member sender, Timestamp now) {
     if (!sender.incarnation().equals(self().incarnation())
         && !sender.peerAddress().equals(self().peerAddress())
         && !isSilenced(now)) {
@@ -242,6 +270,7 @@
     }
   }
 
+  /** Whether a message is of an earlier incarnation or start of the peer. */
   private static boolean isFormerProcess(MessageHeader header, Peer peer) {
     int order = header.member().incarnation().compareTo(peer.member().incarnation());
     boolean isFormerStart =
@@ -250,16 +279,17 @@
     return order < 0 || order == 0 && isFormerStart;
   }
 
+  /** Whether an alive peer at another address, from which messages arrive, uses the name. */
   private boolean isNameInUse(Member sender, Peer peer, Timestamp now) {
-    TimeSpan silentAfter =
+    TimeSpan silenceLimit =
         minSuspicionTimeout().times(UpdateProcessor.UNCONFIRMED_SUSPICION_FACTOR);
     return !sender.peerAddress().equals(peer.member().peerAddress())
         && peer.isAlive()
         && peer.lastReceivedAt() != null
-        && now.since(peer.lastReceivedAt()).compareTo(silentAfter) < 0;
+        && now.since(peer.lastReceivedAt()).compareTo(silenceLimit) < 0;
   }
 
-  /** Processes a message of this layer whose sender {@link #acceptSender} accepted. */
+  /** Processes a message of the failure detector whose sender {@link #acceptSender} accepted. */
   void receive(MembershipMessage message, Timestamp now) {
     Peer from = peers.get(message.from().member().name());
     if (message instanceof HealthCheck check) {
@@ -286,18 +316,21 @@
   }
 
   private void applyAll(List<MemberUpdate> received, Timestamp now) {
-    received.forEach(u -> updates.apply(u, now));
+    received.forEach(update -> updates.apply(update, now));
   }
 
-  /** Tells some peers that this process leaves, so that none suspects it. */
+  /**
+   * Notifies up to {@link #MAX_LEAVE_MESSAGES} peers that this process leaves, so that none
+   * suspects it.
+   */
   void leave() {
-    MemberUpdate update = local.update(MemberCondition.LEFT);
+    MemberUpdate update = local.statusUpdate(MemberCondition.LEFT);
     peers
-        .sample(LEAVE_MESSAGES, Peer::isAlive)
-        .forEach(p -> output.send(p, new StatePart(local.header(), List.of(update), false)));
+        .sample(MAX_LEAVE_MESSAGES, Peer::isAlive)
+        .forEach(peer -> output.send(peer, new StatePart(local.header(), List.of(update), false)));
   }
 
-  /** Members of a view that are not known yet count as alive until they fail a health check. */
+  /** Adds the unknown ones of these members as alive; health checks then verify them. */
   void addMembers(Collection<Member> members, Timestamp now) {
     for (Member member : members) {
       if (!member.name().equals(local.name()) && !peers.contains(member.name())) {
--- a/src/main/java/cobaltseam/membership/HealthChecks.java
+++ b/src/main/java/cobaltseam/membership/HealthChecks.java
@@ -12,44 +12,50 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Health checks of peers in rounds, direct ones first and then through relays (SWIM), and the
- * checks that this process relays for others.
+ * Health checks of peers in rounds: direct checks first, then indirect ones through relays (SWIM).
+ * Also the checks that this process relays on behalf of others.
  */
 final class HealthChecks {
+  /** The maximum number of checks relayed at a time; further requests are only acknowledged. */
   private static final int MAX_RELAYED_CHECKS = 1024;
 
-  /** The part of a health check interval after which relays are asked. */
+  /** The fraction of a health check interval after which relays are asked. */
   private static final double DIRECT_TIMEOUT_PERIODS = 0.3;
 
-  /** The part of the direct timeout after which an unanswered check is sent again. */
+  /** The fraction of the direct timeout after which an unanswered check is sent again. */
   private static final double RESEND_FACTOR = 0.6;
 
-  /** A check is judged at the end of a round if it is at least this old. */
-  private static final double MIN_JUDGED_AGE_PERIODS = 0.6;
+  /** An unanswered check counts as failed at the end of a round if it is at least this old. */
+  private static final double MIN_EVALUATED_AGE_PERIODS = 0.6;
 
+  /** How long the reply to a relayed check is forwarded to the requester. */
   private static final double RELAY_LIFETIME_PERIODS = 2;
+
+  /** The number of suspects checked in each round, in addition to the regular checks. */
   private static final int SUSPECTS_PER_ROUND = 3;
 
+  /** A sent health check whose round has not ended. */
   private static final class PendingCheck {
     final Peer target;
     final Timestamp sentAt;
-    final boolean isForOther;
+    final boolean isRelayed;
     Timestamp resendAt;
     boolean hasAskedRelays;
     boolean isAnswered;
-    int relaysAsked;
-    int relaysAcknowledged;
+    int relayRequestCount;
+    int relayAcknowledgementCount;
 
-    PendingCheck(Peer target, Timestamp sentAt, Timestamp resendAt, boolean isForOther) {
+    PendingCheck(Peer target, Timestamp sentAt, Timestamp resendAt, boolean isRelayed) {
       this.target = target;
       this.sentAt = sentAt;
       this.resendAt = resendAt;
-      this.isForOther = isForOther;
-      hasAskedRelays = isForOther;
+      this.isRelayed = isRelayed;
+      // A relay asks no further relays.
+      hasAskedRelays = isRelayed;
     }
   }
 
-  /** A check on behalf of another member, which asked for it under {@code requestId}. */
+  /** A check on behalf of another member, which requested it as {@code requestId}. */
   private record RelayedCheck(Member requester, long requestId, Timestamp expiresAt) {}
 
   private final MembershipOptions options;
@@ -77,28 +83,31 @@
     this.output = output;
   }
 
+  /** Whether a pending check has not been answered. */
   boolean hasUnanswered() {
-    return pending.values().stream().anyMatch(p -> !p.isAnswered);
+    return pending.values().stream().anyMatch(check -> !check.isAnswered);
   }
 
-  /** Drops all pending checks without a conclusion. */
+  /** Drops all pending checks without suspecting their targets. */
   void clear() {
     pending.clear();
   }
 
+  /** The time after which a direct check is sent again and relays are asked. */
   private TimeSpan directTimeout() {
     return options
         .healthCheckInterval()
         .times(DIRECT_TIMEOUT_PERIODS * local.health().timeoutMultiplier());
   }
 
-  /** Checks one peer now. */
+  /** Sends a health check to a peer. */
   void check(Peer target, Timestamp now) {
     check(target, now, false);
   }
 
-  private long check(Peer target, Timestamp now, boolean isForOther) {
-    PendingCheck check = new PendingCheck(target, now, now.plus(directTimeout()), isForOther);
+  /** Sends a health check and returns its identifier. */
+  private long check(Peer target, Timestamp now, boolean isRelayed) {
+    PendingCheck check = new PendingCheck(target, now, now.plus(directTimeout()), isRelayed);
     long id = random.nextLong();
     pending.put(id, check);
     sendCheck(id, target);
@@ -111,8 +120,8 @@
         new HealthCheck(local.header(), id, target.member().name(), updates.updatesFor(target)));
   }
 
-  /** Sends checks that got no answer in time again, the first time through relays as well. */
-  void retryUnanswered(Timestamp now) {
+  /** Sends unanswered checks again after their timeout; the first time, also asks relays. */
+  void resendUnanswered(Timestamp now) {
     TimeSpan direct = directTimeout();
     pending.forEach(
         (id, check) -> {
@@ -130,7 +139,7 @@
 
   private void askRelays(long id, PendingCheck check) {
     for (Peer relay : peers.sample(options.relayCount(), p -> p.isAlive() && p != check.target)) {
-      check.relaysAsked++;
+      check.relayRequestCount++;
       output.send(
           relay,
           new HealthCheckRequest(
@@ -138,65 +147,78 @@
     }
   }
 
-  /** Suspects the peers that did not answer, and adjusts the health score of this process. */
+  /**
+   * Suspects the peers that did not answer, and adjusts the health score of this process and the
+   * number of checks in the next round.
+   */
   void endRound(Timestamp now) {
-    int failed = 0;
-    int judged = 0;
-    boolean isOwnFault = false;
+    int failedCount = 0;
+    int evaluatedCount = 0;
+    boolean isLocalFault = false;
     TimeSpan minAge =
         options
             .healthCheckInterval()
-            .times(MIN_JUDGED_AGE_PERIODS * local.health().timeoutMultiplier());
+            .times(MIN_EVALUATED_AGE_PERIODS * local.health().timeoutMultiplier());
     for (Iterator<PendingCheck> checks = pending.values().iterator(); checks.hasNext(); ) {
       PendingCheck check = checks.next();
       if (!check.isAnswered && now.since(check.sentAt).compareTo(minAge) < 0) {
-        // Sent in the middle of the round, with too little time for an answer so far.
+        // Sent late in the round: the target has not had enough time to answer.
         continue;
       }
       checks.remove();
-      judged++;
-      Timestamp heardAt = check.target.lastReceivedAt();
-      if (check.isAnswered || heardAt != null && !heardAt.isBefore(check.sentAt)) {
+      evaluatedCount++;
+      Timestamp lastReceivedAt = check.target.lastReceivedAt();
+      if (check.isAnswered || lastReceivedAt != null && !lastReceivedAt.isBefore(check.sentAt)) {
         continue;
       }
-      failed++;
-      // Relays that do not even acknowledge suggest that this process is at fault.
-      isOwnFault |=
-          !check.isForOther
-              && (check.relaysAcknowledged < check.relaysAsked || check.relaysAsked == 0);
+      failedCount++;
+      // Relays that do not acknowledge the request, or no relays at all, suggest that the
+      // connection
+      // of this process is at fault.
+      isLocalFault |=
+          !check.isRelayed
+              && (check.relayAcknowledgementCount < check.relayRequestCount
+                  || check.relayRequestCount == 0);
       updates.suspect(check.target, now);
     }
-    if (isOwnFault) {
+    if (isLocalFault) {
       local.health().worsen();
-    } else if (failed == 0 && judged > 0) {
+    } else if (failedCount == 0 && evaluatedCount > 0) {
       local.health().improve();
     }
-    // The fewer peers answer, the more are checked a round: a partition is not found one by one.
+    // While most checks fail, their number doubles with each round, so that a partition is detected
+    // within few rounds and not one member at a time.
     checksPerRound =
-        2 * failed > judged ? Math.min(2 * checksPerRound, Math.max(1, peers.size())) : 1;
-    relayed.values().removeIf(r -> r.expiresAt.isBefore(now));
+        2 * failedCount > evaluatedCount
+            ? Math.min(2 * checksPerRound, Math.max(1, peers.size()))
+            : 1;
+    relayed.values().removeIf(check -> check.expiresAt.isBefore(now));
   }
 
-  /** Sends the checks of a round; rounds are counted from 1. */
+  /**
+   * Sends the checks of a round.
+   *
+   * @param round the number of the round, from 1
+   */
   void startRound(long round, Timestamp now) {
     for (int i = 0; i < checksPerRound; i++) {
-      // Every other round checks the successor in the ring of names, so that each member is
-      // checked by one that does so at least every two periods.
+      // Every other round checks the successor in cyclic name order, so that each member has one
+      // peer that checks it at least once in two rounds.
       Peer target =
           i == 0 && round % 2 == 0 ? peers.successorOf(local.name()) : peers.nextToCheck();
       if (target != null) {
         check(target, now);
       }
     }
-    peers.sample(SUSPECTS_PER_ROUND, Peer::isSuspect).forEach(p -> check(p, now));
+    peers.sample(SUSPECTS_PER_ROUND, Peer::isSuspect).forEach(suspect -> check(suspect, now));
   }
 
-  /** Checks a target on behalf of the sender, and acknowledges the request. */
+  /** Checks a target on behalf of the sender, and acknowledges the request to the sender. */
   void receiveRequest(HealthCheckRequest request, Peer from, Timestamp now) {
     Peer target = peers.get(request.target().name());
     if (target != null && relayed.size() < MAX_RELAYED_CHECKS) {
-      // Also a check of its own: a target that does not answer is suspected here too, which
-      // confirms the suspicion.
+      // The check also counts as one of this process: if the target does not answer, this process
+      // suspects it too, which confirms the requester's suspicion.
       long id = check(target, now, true);
       relayed.put(
           id,
@@ -205,11 +227,11 @@
               request.id(),
               now.plus(options.healthCheckInterval().times(RELAY_LIFETIME_PERIODS))));
     }
-    // The acknowledgement tells the requester that its own connection works.
+    // The acknowledgement shows the requester that its own connection works.
     output.send(from, new HealthCheckReply(local.header(), request.id(), false, List.of()));
   }
 
-  /** Takes the answer of a target or the acknowledgement of a relay. */
+  /** Processes the answer of a target or the acknowledgement of a relay. */
   void receiveReply(HealthCheckReply reply, Peer from, Timestamp now) {
     RelayedCheck relay = relayed.get(reply.id());
     if (relay != null && reply.reached()) {
@@ -224,7 +246,7 @@
       return;
     }
     if (!reply.reached()) {
-      check.relaysAcknowledged++;
+      check.relayAcknowledgementCount++;
       return;
     }
     check.isAnswered = true;
--- a/src/main/java/cobaltseam/membership/Incarnation.java
+++ b/src/main/java/cobaltseam/membership/Incarnation.java
@@ -1,9 +1,10 @@
 package cobaltseam.membership;
 
 /**
- * Tells processes of one name apart: a later process has a higher incarnation. It is taken from the
- * wall clock but does not depend on it: a process that learns of an incarnation of its name that is
- * not below its own takes the next one above.
+ * Distinguishes successive processes with the same name: a later process has a higher incarnation.
+ * The first value comes from the wall clock, but correctness does not depend on the clock: a
+ * process that receives an incarnation of its name that is not below its own continues with a
+ * higher one.
  *
  * @param value from 0 to 2^60
  */
@@ -12,13 +13,14 @@
 
   /** Throws {@link IllegalArgumentException} if the value is out of bounds. */
   public Incarnation {
-    // The bound leaves room for higher incarnations.
+    // The bound is far below the maximum of a long, so that arithmetic on incarnations cannot
+    // overflow.
     if (value < 0 || value > MAX_VALUE) {
-      throw new IllegalArgumentException("an incarnation is from 0 to 2^60");
+      throw new IllegalArgumentException("incarnation " + value + " is not between 0 and 2^60");
     }
   }
 
-  /** The lowest incarnation that is above the other and not below this one. */
+  /** Returns the lowest incarnation that is above {@code other} and not below this one. */
   Incarnation above(Incarnation other) {
     return new Incarnation(Math.max(value, other.value + 1));
   }
--- a/src/main/java/cobaltseam/membership/LocalMember.java
+++ b/src/main/java/cobaltseam/membership/LocalMember.java
@@ -6,13 +6,17 @@
 import cobaltseam.membership.MembershipMessage.MessageHeader;
 
 /**
- * This process as its peers see it: identity, status version, what it reports of its view, its
- * health score, and whether it is silent because another process holds its name.
+ * The status of this process that it reports to its peers: identity, status version and view. Also
+ * its health score, and whether it is silenced because another live process uses its name.
  */
 final class LocalMember {
-  private static final int QUIET_PERIODS = 10;
+  /** How long a process is silenced after a peer has reported that its name is in use. */
+  private static final int SILENCE_PERIODS = 10;
 
-  /** Bits of the status version for refutations within one start from a folder. */
+  /**
+   * The low bits of the status version count refutations within one start of the process; the bits
+   * above them contain the start number.
+   */
   private static final int REFUTATION_BITS = 20;
 
   private final MembershipOptions options;
@@ -23,7 +27,7 @@
   private ViewId viewId = ViewId.NONE;
   private boolean seesMajority;
   private ViewId endedView = ViewId.NONE;
-  private Timestamp quietUntil;
+  private Timestamp silencedUntil;
 
   LocalMember(MembershipOptions options, Member member, DetectorOutput output) {
     this.options = options;
@@ -60,61 +64,88 @@
     return new MessageHeader(member, statusVersion, viewId, seesMajority, endedView);
   }
 
-  /** This process as alive, under its current status version. */
+  /** An update that reports this process as alive, with its current status version. */
   MemberUpdate aliveUpdate() {
-    return update(MemberCondition.ALIVE);
+    return statusUpdate(MemberCondition.ALIVE);
   }
 
-  MemberUpdate update(MemberCondition condition) {
+  /** An update that reports this process in a condition, with its current status version. */
+  MemberUpdate statusUpdate(MemberCondition condition) {
     return new MemberUpdate(member, statusVersion, condition, member.name());
   }
 
-  /** What this process reports of its view from now on. */
-  void reportView(ViewId held, boolean hasMajority) {
-    viewId = held;
+  /**
+   * Sets the view status that the headers of subsequent messages report.
+   *
+   * @param installed the installed view, or {@link ViewId#NONE}
+   * @param hasMajority whether this process considers a majority of that view alive
+   */
+  void reportView(ViewId installed, boolean hasMajority) {
+    viewId = installed;
     seesMajority = hasMajority;
   }
 
-  /** What this process reports of lineages that have ended. */
-  void reportEndedView(ViewId last) {
-    endedView = last;
+  /**
+   * Sets the ended view that the headers of subsequent messages report.
+   *
+   * @param lastView the last view of a lineage that has ended
+   */
+  void reportEndedView(ViewId lastView) {
+    endedView = lastView;
   }
 
-  /** Counts the starts of this member from one folder, this one included. */
-  void resume(long starts) {
+  /**
+   * Sets how often this member has been started with the same state folder, which starts its status
+   * version above those of earlier starts.
+   *
+   * @param starts the number of starts, including the current one
+   */
+  void setStartNumber(long starts) {
     statusVersion = starts << REFUTATION_BITS;
   }
 
-  /** Which start of a member with a folder a status version belongs to; zero without a folder. */
+  /**
+   * The number of the start that a status version belongs to, counted from 1; zero for a process
+   * without a state folder.
+   */
   static long startNumber(long statusVersion) {
     return statusVersion >>> REFUTATION_BITS;
   }
 
-  /** Takes an incarnation above that one and above its own. */
-  void takeIncarnationAbove(Incarnation other) {
+  /** Changes to an incarnation above {@code other} and above the current one. */
+  void advanceIncarnationAbove(Incarnation other) {
     member = new Member(member.name(), member.incarnation().above(other), member.peerAddress());
     statusVersion = 0;
   }
 
-  /** Refutes what was said under that status version. */
+  /**
+   * Refutes an update about this process by a higher status version, and worsens the health score.
+   *
+   * @param refuted the status version of the update
+   */
   void refute(long refuted) {
     statusVersion = refuted + 1;
     health.worsen();
   }
 
+  /** Whether this process sends no messages because another live process uses its name. */
   boolean isSilenced(Timestamp now) {
-    return quietUntil != null && now.isBefore(quietUntil);
+    return silencedUntil != null && now.isBefore(silencedUntil);
   }
 
-  /** Stays silent for some periods, since another live process holds the name. */
-  void silence(Member nameHolder, Timestamp now) {
+  /**
+   * Silences this process for {@link #SILENCE_PERIODS}.
+   *
+   * @param nameOwner the live process that uses the same name
+   */
+  void silence(Member nameOwner, Timestamp now) {
     if (!isSilenced(now)) {
       output.recordEvent(
           MembershipEvent.NAME_TAKEN,
           member.name(),
-          "held by the process at " + nameHolder.peerAddress());
+          "the name is in use by the process at " + nameOwner.peerAddress());
     }
-    TimeSpan quiet = options.healthCheckInterval().times(QUIET_PERIODS);
-    quietUntil = now.plus(quiet);
+    TimeSpan duration = options.healthCheckInterval().times(SILENCE_PERIODS);
+    silencedUntil = now.plus(duration);
   }
 }
--- a/src/main/java/cobaltseam/membership/Member.java
+++ b/src/main/java/cobaltseam/membership/Member.java
@@ -4,12 +4,12 @@
 import java.util.Objects;
 
 /**
- * One process of a fleet. Its name and incarnation identify it.
+ * One process of a fleet, identified by its name and incarnation.
  *
- * @param peerAddress where it receives the messages of peers
+ * @param peerAddress the address at which the process receives messages of peers
  */
 public record Member(MemberName name, Incarnation incarnation, InetSocketAddress peerAddress) {
-  /** Checks that all parts are set. */
+  /** Throws {@link NullPointerException} if a component is null. */
   public Member {
     Objects.requireNonNull(name);
     Objects.requireNonNull(incarnation);
--- a/src/main/java/cobaltseam/membership/MemberCondition.java
+++ b/src/main/java/cobaltseam/membership/MemberCondition.java
@@ -1,16 +1,16 @@
 package cobaltseam.membership;
 
 /**
- * How a process seems from here. Of two updates with the same status version, the one with the
- * later constant overrules the other.
+ * The condition of a process as this process or a reporting peer sees it. Of two updates with the
+ * same status version, the one with the later constant takes precedence.
  */
 public enum MemberCondition {
-  /** It answers health checks, or is new. */
+  /** The process answers health checks, or is new. */
   ALIVE,
-  /** It failed a health check and may still refute the suspicion. */
+  /** The process failed a health check and may still refute the suspicion. */
   SUSPECT,
-  /** It did not refute a suspicion in time. */
+  /** The process did not refute a suspicion in time. */
   DEAD,
-  /** It announced that it leaves. */
+  /** The process announced that it is leaving. */
   LEFT
 }
--- a/src/main/java/cobaltseam/membership/MemberUpdate.java
+++ b/src/main/java/cobaltseam/membership/MemberUpdate.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * What a member says about a process.
+ * A report about the condition of a process, which members disseminate as gossip.
  *
- * @param statusVersion from 0 to 2^60; only the process itself raises it, to refute a suspicion
- * @param reportedBy the member that found the condition
+ * @param statusVersion from 0 to 2^60; only the reported process raises it, to refute a suspicion
+ * @param reportedBy the member that detected the condition
  */
 public record MemberUpdate(
     Member member, long statusVersion, MemberCondition condition, MemberName reportedBy) {
@@ -15,7 +15,8 @@
   /** Throws {@link IllegalArgumentException} if the status version is out of bounds. */
   public MemberUpdate {
     if (statusVersion < 0 || statusVersion > MAX_STATUS_VERSION) {
-      throw new IllegalArgumentException("a status version is from 0 to 2^60");
+      throw new IllegalArgumentException(
+          "status version " + statusVersion + " is not between 0 and 2^60");
     }
     Objects.requireNonNull(member);
     Objects.requireNonNull(condition);
--- a/src/main/java/cobaltseam/membership/Membership.java
+++ b/src/main/java/cobaltseam/membership/Membership.java
@@ -14,17 +14,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One process among those of its fleet: agreed views over the {@link FailureDetector}. It does no
- * I/O and starts no thread: time, randomness and messages come from the caller, which calls {@link
- * #onTimer} no later than {@link #nextWakeup} says and carries out the returned actions in their
- * order. It is not thread-safe.
+ * The membership of one process in its fleet: agreed views on top of the {@link FailureDetector}.
+ * It does no I/O and starts no thread: time, randomness and messages come from the caller, which
+ * calls {@link #onTimer} no later than at {@link #nextWakeup} and performs the returned actions in
+ * their order. It is not thread-safe.
  *
- * <p>A view follows only from its predecessor, by a majority of it ({@link ViewChange}). The first
- * member in order that seems alive proposes the next view once the wanted change is stable; if that
- * comes to nothing, the next one in order does. Each voter names the members that it would retain,
- * and nobody is removed without a majority that agrees.
+ * <p>A view follows only from its predecessor, by agreement of a majority of the predecessor's
+ * members ({@link ViewChange}). The first member in order that is considered alive proposes the
+ * next view once the required change is stable; if its proposal does not succeed, the next member
+ * in order proposes. Each voter names the members that it would retain, and no member is removed
+ * without a majority that agrees.
  */
 public final class Membership {
+  /** The time between timer calls while a view change or a view transfer is pending. */
   private static final double PENDING_WAKEUP_PERIODS = 0.125;
 
   private final MembershipOptions options;
@@ -43,26 +45,27 @@
   private boolean isLeaving;
 
   /**
-   * A process with a folder for its state.
+   * Creates the membership of a process with a state folder. The process continues as the persisted
+   * member if that has the same name and address. If only the name is the same, the process starts
+   * without the persisted state, in a higher incarnation. State of another name is ignored.
    *
-   * @param former what the folder holds; null if the folder is new. If it is of another member, or
-   *     of this one at another address, it is not continued
+   * @param persisted the state that the folder contains; null if the folder is new
    */
   public static Membership withFolder(
-      MembershipOptions options, Member self, PersistentState former, RandomGenerator random) {
-    if (former == null || !former.self().name().equals(self.name())) {
+      MembershipOptions options, Member self, PersistentState persisted, RandomGenerator random) {
+    if (persisted == null || !persisted.self().name().equals(self.name())) {
       return new Membership(options, self, random, null, 1);
     }
-    if (former.self().peerAddress().equals(self.peerAddress())) {
-      return new Membership(options, former.self(), random, former, former.starts() + 1);
+    if (persisted.self().peerAddress().equals(self.peerAddress())) {
+      return new Membership(options, persisted.self(), random, persisted, persisted.starts() + 1);
     }
     long incarnation =
-        Math.max(self.incarnation().value(), former.self().incarnation().value() + 1);
+        Math.max(self.incarnation().value(), persisted.self().incarnation().value() + 1);
     Member successor = new Member(self.name(), new Incarnation(incarnation), self.peerAddress());
     return new Membership(options, successor, random, null, 1);
   }
 
-  /** A process without a folder: its promises end with it. */
+  /** Creates the membership of a process without a state folder; its promises end with it. */
   public Membership(MembershipOptions options, Member self, RandomGenerator random) {
     this(options, self, random, null, 0);
   }
@@ -71,12 +74,12 @@
       MembershipOptions options,
       Member self,
       RandomGenerator random,
-      PersistentState former,
+      PersistentState persisted,
       long starts) {
     this.options = options;
     detector = new FailureDetector(options, self, random, actions);
     lineages = new LineageHistory(detector, actions);
-    ViewState initial = former == null ? ViewState.NONE : former.viewState();
+    ViewState initial = persisted == null ? ViewState.NONE : persisted.viewState();
     localView = new LocalView(initial, detector, lineages, actions);
     quorum = new QuorumTracker(options, detector, localView, initial.view() != null);
     removedMembers = new RemovedMembers(options);
@@ -93,52 +96,55 @@
     persistence = new StatePersistence(detector, localView, lineages, bootstrap, actions, starts);
     List.of(quorum, removedMembers, transfer, driver, bootstrap).forEach(localView::addListener);
     if (starts > 0) {
-      detector.resume(starts);
+      detector.setStartNumber(starts);
     }
-    if (former != null) {
-      lineages.restore(former);
-      bootstrap.restore(former);
+    if (persisted != null) {
+      lineages.restore(persisted);
+      bootstrap.restore(persisted);
     }
   }
 
-  /** This process; its incarnation may change over time. */
+  /** This process; its incarnation may increase over time. */
   public Member self() {
     return detector.self();
   }
 
-  /** The last agreed view known here, or null. */
+  /** The installed view, or null. */
   public View view() {
     return localView.view();
   }
 
-  /** What may be made of the view now; after a pause the caller calls {@link #onTimer} first. */
+  /**
+   * Whether this process may rely on its view now. If the process may have been suspended, the
+   * caller calls {@link #onTimer} first.
+   */
   public QuorumState quorumState() {
     return quorum.state();
   }
 
   /**
-   * The number of dispatchers among which the engines are divided: the members of the view, and the
-   * members removed from it whose attempts may still occupy engines. It rises at once and falls
-   * only after that. Zero without a view.
+   * The number of dispatchers among which the engines are divided: the members of the view and the
+   * removed members whose attempts may still occupy engines. It increases as soon as a view adds a
+   * member and decreases only once the attempts of removed members have ended. Zero without a view.
    */
   public int engineSharerCount(Timestamp now) {
-    int occupying = removedMembers.occupyingCount(now);
-    return localView.hasView() ? view().members().size() + occupying : 0;
+    int occupyingCount = removedMembers.occupyingMemberCount(now);
+    return localView.hasView() ? view().members().size() + occupyingCount : 0;
   }
 
-  /** When {@link #engineSharerCount} may next fall by itself; null if it will not. */
+  /** When {@link #engineSharerCount} next decreases without a new view; null if it will not. */
   public Timestamp nextEngineSharerExpiry() {
     return removedMembers.nextExpiry();
   }
 
   /**
-   * How a member seems from here, for operators.
+   * The status of a member as this process sees it, for operators.
    *
-   * @param statusVersion its status version
-   * @param conditionSince when its condition last changed
-   * @param lastReceivedAt when it was last heard; null if never
-   * @param roundTrip of its last answered health check; null before the first
-   * @param suspectedBy the members that suspect it, by name
+   * @param statusVersion the status version of the member
+   * @param conditionSince when the condition last changed
+   * @param lastReceivedAt when a message of the member was last received; null if never
+   * @param roundTrip the round-trip time of the last answered health check; null before the first
+   * @param suspectedBy the names of the members that suspect the member, sorted
    */
   public record MemberStatus(
       Member member,
@@ -170,27 +176,28 @@
     return detector.healthScore();
   }
 
-  /** When the view was installed, or confirmed after a restart; null before the first. */
+  /** When the view was installed, or confirmed after a restart; null before the first view. */
   public Timestamp viewInstalledAt() {
     return localView.installedAt();
   }
 
-  /** A process that pauses for less than this is not removed. */
+  /** A process that is suspended for less than this is not removed. */
   public TimeSpan toleratedSuspension() {
     return detector.minSuspicionTimeout();
   }
 
-  /** Whether promises outlive this process. */
+  /** Whether the state is persisted, so that promises remain valid after this process ends. */
   public boolean isPersistent() {
     return persistence.isEnabled();
   }
 
-  /** Begins; called once, before everything that takes a time. */
+  /** Starts membership; called once, before all other methods that take a time. */
   public List<MembershipAction> start(Timestamp now) {
     bootstrap.start(now);
     detector.start(now);
     if (localView.hasView()) {
-      // From the folder: it is a member as before once a majority was heard.
+      // The view comes from the state folder: this process is a member of it again once a majority
+      // has confirmed the view.
       localView.markRestored(now);
       detector.addMembers(view().members(), now);
       detector.reportView(view().id(), false);
@@ -200,7 +207,7 @@
     return finish();
   }
 
-  /** Tells others that this process leaves; from then on it takes part in nothing. */
+  /** Notifies peers that this process leaves; it ignores all further messages and timer calls. */
   public List<MembershipAction> leave(Timestamp now) {
     if (!isLeaving) {
       detector.leave();
@@ -209,50 +216,52 @@
     return finish();
   }
 
-  /** When {@link #onTimer} must be called next; null once this process has left. */
+  /** The time by which {@link #onTimer} must be called next; null once this process has left. */
   public Timestamp nextWakeup(Timestamp now) {
     if (isLeaving) {
       return null;
     }
     Timestamp next = detector.nextWakeup(now);
-    Timestamp soon = now.plus(options.healthCheckInterval().times(PENDING_WAKEUP_PERIODS));
+    Timestamp pendingWakeup = now.plus(options.healthCheckInterval().times(PENDING_WAKEUP_PERIODS));
     boolean isPending = driver.isPending() || transfer.isPending();
-    return isPending && soon.isBefore(next) ? soon : next;
+    return isPending && pendingWakeup.isBefore(next) ? pendingWakeup : next;
   }
 
+  /** Adds a write of the state if it has changed, and returns the actions to perform now. */
   private List<MembershipAction> finish() {
     persistence.update();
     return actions.drain();
   }
 
   /**
-   * The state with this number, or a later one, is written.
+   * Processes the report that the state with this number, and all earlier ones, have been written.
    *
-   * @return the actions that waited for it
+   * @return the actions that were withheld for them
    */
   public List<MembershipAction> onStateWritten(long number) {
     return persistence.onWritten(number);
   }
 
   /**
-   * The state can't be written. What waited for it was sent to nobody, so the folder covers all
-   * that this member ever sent; the process goes on as another member without a folder.
+   * Processes the report that the state cannot be written. Messages that were withheld for the
+   * write have not been sent, so the state folder covers all messages that this member has sent.
+   * The process continues without a state folder, in a higher incarnation.
    *
-   * @param why the cause, for the log
+   * @param cause the cause, for the log
    */
-  public List<MembershipAction> onStateWriteFailed(String why, Timestamp now) {
+  public List<MembershipAction> onStateWriteFailed(String cause, Timestamp now) {
     if (persistence.isEnabled()) {
       persistence.disable();
-      actions.recordEvent(MembershipEvent.FOLDER_LOST, self().name(), why);
+      actions.recordEvent(MembershipEvent.FOLDER_LOST, self().name(), cause);
       detector.startNewIncarnation();
       if (localView.hasView()) {
-        localView.leaveLineage(MembershipEvent.LINE_LEFT, "its folder is lost", now);
+        localView.leaveLineage(MembershipEvent.LINE_LEFT, "the state folder is lost", now);
       }
     }
     return finish();
   }
 
-  /** Does what is due at this time. */
+  /** Performs the work that is due at this time. */
   public List<MembershipAction> onTimer(Timestamp now) {
     runDueWork(now);
     return finish();
@@ -261,10 +270,11 @@
   private void runDueWork(Timestamp now) {
     if (!isLeaving) {
       MemberName name = self().name();
-      TimeSpan late = detector.onTimer(now);
-      if (late.isPositive() && localView.hasView()) {
-        // It may have been removed meanwhile: a majority has to confirm the view first.
-        actions.recordEvent(MembershipEvent.STOOD_STILL, name, late.us() / 1000 + " ms");
+      TimeSpan delay = detector.onTimer(now);
+      if (delay.isPositive() && localView.hasView()) {
+        // A majority may have removed this process meanwhile, so it has to confirm the view first.
+        actions.recordEvent(
+            MembershipEvent.STOOD_STILL, name, "timer late by " + delay.us() / 1000 + " ms");
         quorum.requireConfirmation(now);
       }
       advance(now);
@@ -285,13 +295,13 @@
   }
 
   /**
-   * Sets the access to the documents of configuration versions. A version is accepted only if its
-   * document is here, so that a majority has the document of a chosen one. Without this call any
-   * version is accepted.
+   * Sets the access to the documents of configuration versions. This process accepts a version only
+   * if it has the document, so that a majority has the document of each chosen version. Without
+   * this call, it accepts any version.
    *
-   * @param hasDocument whether the document of a version is here
-   * @param documentOf the document of a version, or null if it is not here; it is persisted with
-   *     the vote
+   * @param hasDocument whether this process has the document of a version
+   * @param documentOf the document of a version, or null if this process does not have it; it is
+   *     persisted with the vote
    */
   public void setDocumentAccess(
       Predicate<ConfigurationVersion> hasDocument,
@@ -300,17 +310,17 @@
     persistence.setDocumentSource(documentOf);
   }
 
-  /** The configuration version that this process accepted for the next view, or null. */
+  /** The configuration version that this process has accepted for the next view, or null. */
   public ConfigurationVersion acceptedConfiguration() {
     return localView.acceptedConfiguration();
   }
 
-  /** Stops proposing a configuration version; one under way may still be chosen. */
+  /** Stops proposing a configuration version; a ballot under way may still choose it. */
   public void withdrawConfiguration() {
     driver.withdrawConfiguration();
   }
 
-  /** Proposes a configuration version until it, or another with its number, is installed. */
+  /** Proposes a configuration version until it, or another one with its number, is installed. */
   public List<MembershipAction> proposeConfiguration(ConfigurationVersion version, Timestamp now) {
     driver.proposeConfiguration(version);
     if (!isLeaving && localView.hasView()) {
@@ -320,8 +330,9 @@
   }
 
   /**
-   * Whether this process has accepted no successor of its view. If a majority says so, the view had
-   * no successor at that time.
+   * Whether this process is a member of its view and has accepted no successor of it. If this holds
+   * for a majority, the view had no successor at that time. False without a view, and after a
+   * restart until the view is confirmed.
    */
   public boolean hasAcceptedNoSuccessor() {
     return localView.hasView()
@@ -330,7 +341,9 @@
         && localView.containsSelf(view());
   }
 
-  /** Whether all members of the view have reported it or a later one; a view is held. */
+  /**
+   * Whether all members of the view have reported it or a later one. Requires an installed view.
+   */
   public boolean isViewReportedByAll() {
     for (Member member : view().members()) {
       if (!member.name().equals(self().name()) && !hasReportedView(member)) {
@@ -348,9 +361,9 @@
   }
 
   /**
-   * Records the sender of a message of another module.
+   * Processes the header of a message of another module.
    *
-   * @return whether the message counts
+   * @return whether the module should process the message
    */
   public boolean acceptSender(PeerMessage message, Timestamp now) {
     if (isLeaving || detector.isSilenced(now) || !detector.acceptSender(message.from(), now)) {
@@ -366,29 +379,29 @@
   }
 
   /**
-   * An operator declares the majority of a view lost for good: this process begins another lineage
-   * alone, and the remaining members of the view join it. If the old majority lives after all, its
-   * lineage is the elder and wins.
+   * Re-bootstraps on request of an operator, who declares the majority of a view permanently lost.
+   * This process begins a new lineage alone, and the remaining members of the view join it. If the
+   * old majority is alive after all, its lineage takes precedence because it is older.
    *
-   * @param lost the view, which this process must hold
-   * @return what follows; a {@link MembershipEvent#NOT_FOUNDED_ANEW} with the cause if that
-   *     majority may live
+   * @param lost the view, which must be the installed view of this process
+   * @return the actions; {@link MembershipEvent#NOT_FOUNDED_ANEW} with the cause if the majority
+   *     may still be alive
    */
   public List<MembershipAction> rebootstrap(ViewId lost, Timestamp now) {
-    // After a suspension nothing is known until the timer has seen it.
+    // The timer call detects a suspension, after which the conditions of peers may be outdated.
     runDueWork(now);
     rebootstrap.run(lost, now);
     return finish();
   }
 
-  /** Processes a message that its transport has authenticated as one of this fleet. */
+  /** Processes a message that the transport has authenticated as one of this fleet. */
   public List<MembershipAction> receive(MembershipMessage message, Timestamp now) {
-    boolean isForQuiet =
+    boolean isProcessedWhileSilenced =
         message instanceof MembershipMessage.StatePart
             || message instanceof MembershipMessage.NameTaken;
     MessageHeader from = message.from();
     if (!isLeaving
-        && (isForQuiet || !detector.isSilenced(now))
+        && (isProcessedWhileSilenced || !detector.isSilenced(now))
         && detector.acceptSender(from, now)) {
       detector.receive(message, now);
       lineages.recordEnded(from.endedView());
--- a/src/main/java/cobaltseam/membership/MembershipMessage.java
+++ b/src/main/java/cobaltseam/membership/MembershipMessage.java
@@ -4,17 +4,18 @@
 import java.util.Objects;
 
 /**
- * The messages of membership. What a message says about its sender is authoritative; what it says
- * about others is an update that they can refute.
+ * The messages of membership. The status that a message contains of its sender is authoritative;
+ * that of other members is an update that they can refute.
  */
 public sealed interface MembershipMessage extends PeerMessage {
   /**
-   * What every message says about its sender.
+   * The status of the sender, part of every message.
    *
    * @param statusVersion the sender's status version, from 0
-   * @param view the view that it holds, or {@link ViewId#NONE}
-   * @param seesMajority whether a majority of that view seems alive to it
-   * @param endedView the last view of the youngest lineage that it knows to have ended
+   * @param view the installed view of the sender, or {@link ViewId#NONE}
+   * @param seesMajority whether the sender considers a majority of that view alive
+   * @param endedView the last view of the youngest lineage that the sender knows to have ended, or
+   *     {@link ViewId#NONE}
    */
   record MessageHeader(
       Member member, long statusVersion, ViewId view, boolean seesMajority, ViewId endedView) {
@@ -22,7 +23,7 @@
     public MessageHeader {
       Objects.requireNonNull(member);
       Objects.requireNonNull(view);
-      // Versions before this field do not send it.
+      // Absent in messages of members whose version does not have this field.
       endedView = endedView == null ? ViewId.NONE : endedView;
     }
 
@@ -33,8 +34,8 @@
   }
 
   /**
-   * Whether others may rely on it, so that a process with a folder persists the state behind it
-   * before it is sent.
+   * Whether other members may rely on this message, so that a process with a state folder must
+   * persist the state that the message reports before it is sent.
    */
   default boolean requiresPersistedState() {
     return !(this instanceof HealthCheck
@@ -46,7 +47,12 @@
         || this instanceof ViewRequest);
   }
 
-  /** A health check of the process with a name; carries updates, as its reply does. */
+  /**
+   * A health check of the process with the name {@code to}.
+   *
+   * @param id identifies the check in its reply
+   * @param updates gossip
+   */
   record HealthCheck(MessageHeader from, long id, MemberName to, List<MemberUpdate> updates)
       implements MembershipMessage {
     public HealthCheck {
@@ -56,7 +62,12 @@
     }
   }
 
-  /** Asks a relay to check a target on behalf of the sender. */
+  /**
+   * Asks a relay to check a target on behalf of the sender (indirect health check).
+   *
+   * @param id identifies the request in its replies
+   * @param updates gossip
+   */
   record HealthCheckRequest(MessageHeader from, long id, Member target, List<MemberUpdate> updates)
       implements MembershipMessage {
     public HealthCheckRequest {
@@ -66,7 +77,13 @@
     }
   }
 
-  /** The reply to a health check, or of a relay: whether the target was reached. */
+  /**
+   * The reply to a health check, or a reply of a relay.
+   *
+   * @param id the identifier of the health check or of the request
+   * @param reached true if the target answered; false if a relay acknowledges a request
+   * @param updates gossip
+   */
   record HealthCheckReply(MessageHeader from, long id, boolean reached, List<MemberUpdate> updates)
       implements MembershipMessage {
     public HealthCheckReply {
@@ -75,14 +92,18 @@
     }
   }
 
-  /** Asks for the full state after a name; from the first for null. */
+  /** Asks for the part of the full state after a name; for the first part if the name is null. */
   record StateRequest(MessageHeader from, MemberName after) implements MembershipMessage {
     public StateRequest {
       Objects.requireNonNull(from);
     }
   }
 
-  /** A part of the full state; {@code hasMore} if there is state after its last name. */
+  /**
+   * A part of the full state, ordered by name, or single updates.
+   *
+   * @param hasMore whether further state follows the last name of this part
+   */
   record StatePart(MessageHeader from, List<MemberUpdate> state, boolean hasMore)
       implements MembershipMessage {
     public StatePart {
@@ -91,7 +112,11 @@
     }
   }
 
-  /** The name of the recipient is held by a live process at another address. */
+  /**
+   * Notifies the recipient that a live process at another address uses its name.
+   *
+   * @param owner the process that uses the name
+   */
   record NameTaken(MessageHeader from, Member owner) implements MembershipMessage {
     public NameTaken {
       Objects.requireNonNull(from);
@@ -99,7 +124,10 @@
     }
   }
 
-  /** The first bootstrap member asks the others to begin a lineage with these processes. */
+  /**
+   * Asks the other bootstrap members to begin a lineage with these processes; sent by the first
+   * bootstrap member.
+   */
   record BootstrapRequest(MessageHeader from, long attempt, List<Member> members)
       implements MembershipMessage {
     public BootstrapRequest {
@@ -108,14 +136,18 @@
     }
   }
 
-  /** Consent to one bootstrap attempt of one process. */
+  /** Consents to one bootstrap attempt of the recipient. */
   record BootstrapConsent(MessageHeader from, long attempt) implements MembershipMessage {
     public BootstrapConsent {
       Objects.requireNonNull(from);
     }
   }
 
-  /** Phase one of a ballot: asks for a promise, and for votes on the removals. */
+  /**
+   * Phase one of a ballot: asks for a promise, and for votes on the removals.
+   *
+   * @param removed the members that the proposer wants to remove
+   */
   record Prepare(MessageHeader from, ViewId viewId, Ballot ballot, List<MemberName> removed)
       implements MembershipMessage {
     public Prepare {
@@ -126,7 +158,13 @@
     }
   }
 
-  /** The promise, what was accepted before, and the members that the voter retains. */
+  /**
+   * The reply to {@link Prepare}.
+   *
+   * @param accepted the highest ballot under which the voter accepted a change before, or null
+   * @param value the change accepted under that ballot, or null
+   * @param retained the members whose removal the voter rejects
+   */
   record Promise(
       MessageHeader from,
       ViewId viewId,
@@ -143,7 +181,12 @@
     }
   }
 
-  /** A higher ballot was promised, above which the next proposal has to be. */
+  /**
+   * Rejects a ballot because a higher one was promised.
+   *
+   * @param promised the highest promised ballot; the next ballot of the recipient has to be above
+   *     it
+   */
   record Reject(MessageHeader from, ViewId viewId, Ballot ballot, Ballot promised)
       implements MembershipMessage {
     public Reject {
@@ -154,7 +197,7 @@
     }
   }
 
-  /** Phase two: asks to accept a change under a ballot. */
+  /** Phase two of a ballot: asks to accept a change of the view. */
   record Accept(MessageHeader from, ViewId viewId, Ballot ballot, ViewDelta value)
       implements MembershipMessage {
     public Accept {
@@ -165,7 +208,7 @@
     }
   }
 
-  /** The voter accepted the change of this ballot. */
+  /** The reply to {@link Accept}: the voter accepted the change of this ballot. */
   record Accepted(MessageHeader from, ViewId viewId, Ballot ballot) implements MembershipMessage {
     public Accepted {
       Objects.requireNonNull(from);
@@ -174,7 +217,7 @@
     }
   }
 
-  /** A majority accepted this change of the view. */
+  /** Notifies the recipient that a majority accepted this change of the view. */
   record Decided(MessageHeader from, ViewId viewId, ViewDelta value) implements MembershipMessage {
     public Decided {
       Objects.requireNonNull(from);
@@ -183,7 +226,7 @@
     }
   }
 
-  /** Asks for the held view, from the member at this index on. */
+  /** Asks for a view, from the member at this index on. */
   record ViewRequest(MessageHeader from, ViewId viewId, int index) implements MembershipMessage {
     public ViewRequest {
       Objects.requireNonNull(from);
@@ -191,7 +234,12 @@
     }
   }
 
-  /** A part of a view with {@code size} members, from an index on. */
+  /**
+   * A part of a view.
+   *
+   * @param index the index of the first member of this part
+   * @param size the number of members of the whole view
+   */
   record ViewPart(
       MessageHeader from,
       ViewId viewId,
--- a/src/main/java/cobaltseam/membership/Peer.java
+++ b/src/main/java/cobaltseam/membership/Peer.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * What this process knows of another process. {@link PeerTable} and {@link UpdateProcessor} change
- * it; everything else reads it.
+ * The status of another process as this process knows it. Other classes of the failure detector
+ * change it; the classes above the failure detector only read it.
  */
 final class Peer {
   private Member member;
@@ -31,7 +31,7 @@
     return member;
   }
 
-  /** Whether this is the process with that incarnation, and not an earlier or later one. */
+  /** Whether the peer has the incarnation of {@code other}, not an earlier or later one. */
   boolean isSameProcess(Member other) {
     return member.incarnation().equals(other.incarnation());
   }
@@ -52,46 +52,51 @@
     return condition == MemberCondition.SUSPECT;
   }
 
-  /** Whether it is dead or has left. */
+  /** Whether the peer is considered dead or has left. */
   boolean isDeadOrLeft() {
     return condition.compareTo(MemberCondition.DEAD) >= 0;
   }
 
+  /** When the condition last changed, or the process was first known. */
   Timestamp conditionSince() {
     return conditionSince;
   }
 
-  /** When this process last received a message from it; null if never. */
+  /** When this process last received a message from the peer; null if never. */
   Timestamp lastReceivedAt() {
     return lastReceivedAt;
   }
 
-  /** When the current suspicion began; null if it was never suspected. */
+  /** When the last suspicion began; null if the peer was never suspected. */
   Timestamp suspectedAt() {
     return suspectedAt;
   }
 
-  /** Until when it can refute the current suspicion. */
+  /** The deadline for refuting the last suspicion; null if the peer was never suspected. */
   Timestamp suspicionExpiresAt() {
     return suspicionExpiresAt;
   }
 
-  /** The members that suspect it; empty unless it is suspected. */
+  /** The members that suspect the peer; empty unless it is suspected. */
   Set<MemberName> suspectedBy() {
     return suspectedBy;
   }
 
-  /** The round trip of its last answered health check; null before the first. */
+  /** The round-trip time of the last answered health check; null before the first. */
   TimeSpan roundTrip() {
     return roundTrip;
   }
 
-  /** The view that it last reported to hold. */
+  /** The installed view that the peer last reported; {@link ViewId#NONE} if none. */
   ViewId viewId() {
     return viewId;
   }
 
-  /** Its condition as an update to send; {@code self} is the reporter if nobody suspects it. */
+  /**
+   * Its status as an update to send.
+   *
+   * @param self the name of this process, which is the reporter if no member suspects the peer
+   */
   MemberUpdate toUpdate(MemberName self) {
     return new MemberUpdate(
         member,
@@ -104,6 +109,7 @@
     statusVersion = version;
   }
 
+  /** Sets the condition; a change to any but {@code SUSPECT} clears the suspecting members. */
   void setCondition(MemberCondition to, Timestamp now) {
     if (condition != to) {
       conditionSince = now;
@@ -114,6 +120,7 @@
     }
   }
 
+  /** Records that a suspicion begins, as reported by one member. */
   void beginSuspicion(MemberName by, Timestamp now) {
     suspectedBy.clear();
     suspectedBy.add(by);
@@ -128,18 +135,19 @@
     member = current;
   }
 
-  /** A later process of the same name takes its place; the caller sets its condition. */
-  void replaceProcess(Member later, long version, Timestamp now) {
-    member = later;
+  /** Replaces the process by a later one of the same name; the caller sets its condition. */
+  void replaceProcess(Member successor, long version, Timestamp now) {
+    member = successor;
     statusVersion = version;
     lastReceivedAt = null;
     viewId = ViewId.NONE;
     conditionSince = now;
   }
 
-  void recordMessage(ViewId heldView, Timestamp now) {
+  /** Records that a message of the peer was received, with the view that it reported. */
+  void recordMessage(ViewId reportedView, Timestamp now) {
     lastReceivedAt = now;
-    viewId = heldView;
+    viewId = reportedView;
   }
 
   void setRoundTrip(TimeSpan time) {
--- a/src/main/java/cobaltseam/membership/PeerMessage.java
+++ b/src/main/java/cobaltseam/membership/PeerMessage.java
@@ -2,6 +2,6 @@
 
 /** A message between members, of any module. */
 public interface PeerMessage {
-  /** The sender, as it saw itself when it sent the message. */
+  /** The status of the sender at the time when it sent the message. */
   MembershipMessage.MessageHeader from();
 }
--- a/src/main/java/cobaltseam/membership/PeerTable.java
+++ b/src/main/java/cobaltseam/membership/PeerTable.java
@@ -11,14 +11,20 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 
-/** The peers known to this process by name, and the choice of peers to check or to ask. */
+/**
+ * The known peers of this process by name, and the selection of peers for health checks and other
+ * messages.
+ */
 final class PeerTable {
-  /** Bounds what a peer that invents names can make this process hold. */
+  /** Bounds the memory that a peer can make this process use by reporting invented names. */
   private static final int MAX_PEERS = 4096;
 
   private final RandomGenerator random;
   private final TreeMap<MemberName, Peer> peers = new TreeMap<>();
+
+  /** The peers still to be checked in the current pass, in reverse order. */
   private final List<Peer> checkOrder = new ArrayList<>();
+
   private int suspectCount;
   private long version;
 
@@ -38,8 +44,8 @@
     return peers.values();
   }
 
-  /** The peers with a name after this one; all of them for null. */
-  Collection<Peer> after(MemberName name) {
+  /** The peers with a name after this one, by name; all peers if the name is null. */
+  Collection<Peer> peersAfter(MemberName name) {
     return (name == null ? peers : peers.tailMap(name, false)).values();
   }
 
@@ -51,7 +57,7 @@
     return suspectCount;
   }
 
-  /** A number that grows whenever the known peers, or the condition of one, change. */
+  /** A number that increases whenever the set of peers or the condition of a peer changes. */
   long version() {
     return version;
   }
@@ -60,7 +66,7 @@
     return peers.size() >= MAX_PEERS;
   }
 
-  /** Adds an alive peer, at a random place in the order of health checks. */
+  /** Adds an alive peer, at a random position in the order of health checks. */
   Peer add(Member member, long statusVersion, Timestamp now) {
     Peer peer = new Peer(member, statusVersion, now);
     peers.put(member.name(), peer);
@@ -69,6 +75,7 @@
     return peer;
   }
 
+  /** Sets the condition of a peer and updates the number of suspects. */
   void setCondition(Peer peer, MemberCondition to, Timestamp now) {
     suspectCount += (to == MemberCondition.SUSPECT ? 1 : 0) - (peer.isSuspect() ? 1 : 0);
     if (peer.condition() != to) {
@@ -77,29 +84,30 @@
     peer.setCondition(to, now);
   }
 
-  /** A later process of a known name takes the place of the former one, as alive. */
-  void replaceProcess(Peer peer, Member later, long statusVersion, Timestamp now) {
+  /** Replaces the process of a peer by a later one of the same name, which counts as alive. */
+  void replaceProcess(Peer peer, Member successor, long statusVersion, Timestamp now) {
     version++;
     setCondition(peer, MemberCondition.ALIVE, now);
-    peer.replaceProcess(later, statusVersion, now);
+    peer.replaceProcess(successor, statusVersion, now);
   }
 
+  /** Sets the current identity and address of a peer. */
   void setMember(Peer peer, Member current) {
     peer.setMember(current);
     version++;
   }
 
-  /** Removes the peers that match; counts as a change even if none does. */
+  /** Removes the peers that match; increases the version even if none matches. */
   void removeIf(Predicate<Peer> condition) {
     version++;
     peers.values().removeIf(condition);
   }
 
-  /** The first alive peer after a name, in the ring of names; null if none is alive. */
+  /** The first alive peer after a name in cyclic name order; null if no peer is alive. */
   Peer successorOf(MemberName name) {
-    for (Map<MemberName, Peer> part :
+    for (Map<MemberName, Peer> segment :
         List.of(peers.tailMap(name, false), peers.headMap(name, false))) {
-      for (Peer peer : part.values()) {
+      for (Peer peer : segment.values()) {
         if (peer.isAlive()) {
           return peer;
         }
@@ -109,8 +117,8 @@
   }
 
   /**
-   * The next alive peer in a random permutation that is drawn again after each pass, which bounds
-   * the time between two health checks of one peer; null if none is alive.
+   * The next alive peer in a random permutation, which is shuffled again after each pass. This
+   * bounds the time between two health checks of one peer (SWIM). Null if no peer is alive.
    */
   Peer nextToCheck() {
     for (int pass = 0; pass < 2; pass++) {
@@ -126,7 +134,7 @@
     return null;
   }
 
-  /** Up to {@code count} different peers that match, drawn at random. */
+  /** Up to {@code count} distinct peers that match, sampled uniformly at random. */
   List<Peer> sample(int count, Predicate<Peer> condition) {
     List<Peer> candidates = new ArrayList<>();
     for (Peer peer : peers.values()) {
--- a/src/main/java/cobaltseam/membership/RemovedMembers.java
+++ b/src/main/java/cobaltseam/membership/RemovedMembers.java
@@ -7,25 +7,31 @@
 import java.util.Map;
 
 /**
- * The members that views removed: how often, which delays their readmission, and until when
- * attempts that they sent may still occupy engines.
+ * Tracks the members that views removed. The number of removalCounts of a member delays its
+ * readmission; until the attempts that a removed member sent have certainly ended, they may occupy
+ * engines.
  */
 final class RemovedMembers implements ViewListener {
-  private static final int MAX_REMOVALS = 4096;
+  /** The maximum number of members whose removalCounts are counted. */
+  private static final int MAX_COUNTED_MEMBERS = 4096;
 
-  /** How long a new member must be alive before it is admitted. */
+  /** How long a process must be alive before it is admitted for the first time. */
   private static final double ADMISSION_PERIODS = 1;
 
-  /** The same for a member that was removed once; it doubles with each removal. */
+  /**
+   * How long a process that was removed once must be alive before it is admitted again. The time
+   * doubles with each further removal, at most {@link #MAX_DOUBLINGS} times.
+   */
   private static final double READMISSION_PERIODS = 10;
 
   private static final int MAX_DOUBLINGS = 6;
 
   private final MembershipOptions options;
 
-  /** How often each process was removed; the one removed last comes last. */
-  private final Map<Member, Integer> removals = new LinkedHashMap<>();
+  /** How often each process was removed, in the order of the latest removal of each. */
+  private final Map<Member, Integer> removalCounts = new LinkedHashMap<>();
 
+  /** Until when attempts of each removed member may occupy engines. */
   private final Map<Member, Timestamp> occupiedUntil = new HashMap<>();
 
   RemovedMembers(MembershipOptions options) {
@@ -43,8 +49,8 @@
           recordRemoval(member, now);
         }
       }
-      while (removals.size() > MAX_REMOVALS) {
-        removals.remove(removals.keySet().iterator().next());
+      while (removalCounts.size() > MAX_COUNTED_MEMBERS) {
+        removalCounts.remove(removalCounts.keySet().iterator().next());
       }
     }
     view.members().forEach(occupiedUntil::remove);
@@ -52,13 +58,13 @@
 
   private void recordRemoval(Member member, Timestamp now) {
     occupiedUntil.put(member, now.plus(options.maxAttemptDuration()));
-    Integer former = removals.remove(member);
-    removals.put(member, former == null ? 1 : former + 1);
+    Integer previousCount = removalCounts.remove(member);
+    removalCounts.put(member, previousCount == null ? 1 : previousCount + 1);
   }
 
-  /** How long a process must have been alive before it is added to the view. */
+  /** How long a process must have been alive before the view may admit it. */
   TimeSpan admissionDelay(Member member) {
-    Integer count = removals.get(member);
+    Integer count = removalCounts.get(member);
     double periods =
         count == null
             ? ADMISSION_PERIODS
@@ -67,12 +73,12 @@
   }
 
   /** The number of removed members whose attempts may still occupy engines. */
-  int occupyingCount(Timestamp now) {
+  int occupyingMemberCount(Timestamp now) {
     occupiedUntil.values().removeIf(until -> !now.isBefore(until));
     return occupiedUntil.size();
   }
 
-  /** When {@link #occupyingCount} next falls; null if it is zero. */
+  /** When {@link #occupyingMemberCount} next decreases; null if it is zero. */
   Timestamp nextExpiry() {
     return occupiedUntil.values().stream().min(Timestamp::compareTo).orElse(null);
   }
--- a/src/main/java/cobaltseam/membership/StatePersistence.java
+++ b/src/main/java/cobaltseam/membership/StatePersistence.java
@@ -9,14 +9,15 @@
 import java.util.stream.Stream;
 
 /**
- * Has the persistent state written before anything that others may build on is sent, and withholds
- * such messages until then. How members seem is not persisted.
+ * Requests that changed state is written to the state folder, and withholds the messages and view
+ * installations that depend on the state until it has been written. The conditions of members are
+ * not persisted.
  */
 final class StatePersistence {
-  /** Messages withheld at most; more are lost, as any datagram may be. */
+  /** The maximum number of withheld messages; further ones are dropped, as any datagram may be. */
   private static final int MAX_WITHHELD = 4096;
 
-  /** An action that waits for the state with this number. */
+  /** An action that is withheld until the state with this number has been written. */
   private record WithheldAction(long number, MembershipAction action) {}
 
   private final FailureDetector detector;
@@ -33,8 +34,8 @@
   private Function<ConfigurationVersion, byte[]> documentSource = version -> null;
 
   /**
-   * @param starts how many processes have been this member with one folder, this one included; zero
-   *     without a folder
+   * @param starts the number of starts of this member with the same state folder, including the
+   *     current one; zero without a state folder
    */
   StatePersistence(
       FailureDetector detector,
@@ -52,17 +53,24 @@
     isEnabled = starts > 0;
   }
 
-  /** Whether promises outlive this process. */
+  /** Whether the state is persisted, so that promises remain valid after this process ends. */
   boolean isEnabled() {
     return isEnabled;
   }
 
-  /** Sets where to get the document of a version from; null from it if the document is not here. */
+  /**
+   * Sets the source of configuration documents.
+   *
+   * @param source returns the document of a version, or null if this process does not have it
+   */
   void setDocumentSource(Function<ConfigurationVersion, byte[]> source) {
     documentSource = source;
   }
 
-  /** Adds a write if the state has changed, and withholds the actions that depend on a write. */
+  /**
+   * Adds a write as the first action if the state has changed, and withholds the actions that
+   * depend on state that is not written yet.
+   */
   void update() {
     if (!isEnabled) {
       return;
@@ -118,20 +126,28 @@
         documents);
   }
 
-  /** Withholds an action if it depends on the state; a message beyond the bound is dropped. */
+  /**
+   * Withholds an action if it depends on the state; drops a message beyond {@link #MAX_WITHHELD}.
+   *
+   * @return whether the action depends on the state
+   */
   private boolean withhold(MembershipAction action) {
-    boolean isInstall = action instanceof MembershipAction.ViewInstalled;
+    boolean isInstallation = action instanceof MembershipAction.ViewInstalled;
     boolean isDependent =
-        isInstall
+        isInstallation
             || action instanceof MembershipAction.Send send
                 && send.message().requiresPersistedState();
-    if (isDependent && (isInstall || withheld.size() < MAX_WITHHELD)) {
+    if (isDependent && (isInstallation || withheld.size() < MAX_WITHHELD)) {
       withheld.add(new WithheldAction(latestNumber, action));
     }
     return isDependent;
   }
 
-  /** The state with this number is written; returns the actions that waited for it. */
+  /**
+   * Records that the state with this number, and all earlier ones, have been written.
+   *
+   * @return the actions that were withheld for them
+   */
   List<MembershipAction> onWritten(long number) {
     writtenNumber = Math.max(writtenNumber, number);
     List<MembershipAction> released = new ArrayList<>();
@@ -144,14 +160,17 @@
     return released;
   }
 
-  /** Whether it installs a view for the process that this one was before. */
+  /** Whether the action installs a view without the current incarnation of this process. */
   private boolean isOfFormerIncarnation(MembershipAction action) {
     return action instanceof MembershipAction.ViewInstalled installed
         && installed.view() != null
         && !localView.containsSelf(installed.view());
   }
 
-  /** Goes on without a folder; the withheld actions are dropped, so nobody relies on them. */
+  /**
+   * Continues without a state folder. The withheld actions are dropped, so that no member relies on
+   * state that was not written.
+   */
   void disable() {
     isEnabled = false;
     withheld.clear();
--- a/src/main/java/cobaltseam/membership/StateSync.java
+++ b/src/main/java/cobaltseam/membership/StateSync.java
@@ -11,15 +11,24 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Full state transfer between members (anti-entropy), in parts that fit a datagram: now and then
- * with a live peer, and with dead peers and seeds so that a partition that heals is noticed.
+ * Full state transfer between members (anti-entropy), in parts that fit a datagram. A process
+ * periodically requests the state of an alive peer, and more often that of dead peers and seeds, so
+ * that it detects when a partition has healed.
  */
 final class StateSync {
   private static final int MAX_UPDATES_PER_PART = 24;
   private static final int MAX_SEEDS_PER_ROUND = 8;
+
+  /** The number of rounds between two requests for the state of an alive peer. */
   private static final int SYNC_INTERVAL_ROUNDS = 16;
+
+  /** The number of rounds between two requests for the state of dead peers and seeds. */
   private static final int HEAL_INTERVAL_ROUNDS = 4;
+
+  /** The number of dead peers asked in one round while this process sees no majority. */
   private static final int DEAD_PEERS_PER_ROUND = 3;
+
+  /** How long a peer must have been dead or have left before it is forgotten. */
   private static final int FORGET_AFTER_PERIODS = 120;
 
   private final MembershipOptions options;
@@ -41,21 +50,26 @@
     this.output = output;
   }
 
-  /** Asks for state as due in this round, and forgets peers that are long gone. */
+  /**
+   * Sends the state requests that are due in this round, and forgets peers that have been dead or
+   * have left for long.
+   *
+   * @param round the number of the health check round, from 1
+   */
   void startRound(long round, Timestamp now) {
-    boolean isAlone = peers.all().stream().noneMatch(Peer::isAlive);
+    boolean hasNoAlivePeer = peers.all().stream().noneMatch(Peer::isAlive);
     boolean isSyncRound = round % SYNC_INTERVAL_ROUNDS == 0;
-    if (isAlone || isSyncRound) {
+    if (hasNoAlivePeer || isSyncRound) {
       peers.sample(1, Peer::isAlive).forEach(this::requestState);
     }
-    if (isAlone || !local.seesMajority() || round % HEAL_INTERVAL_ROUNDS == 0) {
+    if (hasNoAlivePeer || !local.seesMajority() || round % HEAL_INTERVAL_ROUNDS == 0) {
       peers
           .sample(local.seesMajority() ? 1 : DEAD_PEERS_PER_ROUND, Peer::isDeadOrLeft)
           .forEach(this::requestState);
-      requestFromSeeds(isAlone ? MAX_SEEDS_PER_ROUND : 1);
+      requestFromSeeds(hasNoAlivePeer ? MAX_SEEDS_PER_ROUND : 1);
     }
     if (isSyncRound) {
-      forgetGonePeers(now);
+      forgetDepartedPeers(now);
     }
   }
 
@@ -75,9 +89,9 @@
     }
   }
 
-  private void forgetGonePeers(Timestamp now) {
+  private void forgetDepartedPeers(Timestamp now) {
     TimeSpan forgetAfter = options.healthCheckInterval().times(FORGET_AFTER_PERIODS);
-    // While this process has no view, a gone peer that reported one is the evidence that one
+    // While this process has no view, a dead peer that reported one is the evidence that a lineage
     // exists.
     peers.removeIf(
         p ->
@@ -86,20 +100,20 @@
                 && now.since(p.conditionSince()).compareTo(forgetAfter) > 0);
   }
 
-  /** Sends the part of the state after a name; the first part for null. */
+  /** Sends the part of the state after a name; the first part if the name is null. */
   void sendPart(Peer to, MemberName after) {
     List<MemberUpdate> state = new ArrayList<>();
     if (after == null) {
       state.add(local.aliveUpdate());
     }
-    Iterator<Peer> rest = peers.after(after).iterator();
+    Iterator<Peer> rest = peers.peersAfter(after).iterator();
     while (rest.hasNext() && state.size() < MAX_UPDATES_PER_PART) {
       state.add(rest.next().toUpdate(local.name()));
     }
     output.send(to, new StatePart(local.header(), state, rest.hasNext()));
   }
 
-  /** Asks for the part that follows the received one, if there is one. */
+  /** Requests the part of the state that follows the received one, if there is one. */
   void requestNextPart(Peer from, StatePart part) {
     if (part.hasMore() && !part.state().isEmpty()) {
       MemberName last = part.state().get(part.state().size() - 1).member().name();
--- a/src/main/java/cobaltseam/membership/UpdateProcessor.java
+++ b/src/main/java/cobaltseam/membership/UpdateProcessor.java
@@ -8,17 +8,19 @@
 import java.util.List;
 
 /**
- * Applies updates about members: suspicions with their deadlines, refutations, deaths, departures
- * and restarts; and refutes updates about this process. Updates that change something are spread
- * further as gossip.
+ * Applies updates about members: suspicions and their deadlines, refutations, deaths, departures
+ * and restarts. Refutes updates about this process. Updates that change the status of a member are
+ * disseminated as gossip.
  */
 final class UpdateProcessor {
+  /** The maximum number of gossip updates in one message. */
   private static final int MAX_UPDATES_PER_MESSAGE = 8;
 
-  /** A suspicion that nobody confirms lasts this many times as long. */
+  /** The timeout of an unconfirmed suspicion, as a multiple of that of a confirmed one. */
   static final double UNCONFIRMED_SUSPICION_FACTOR = 2;
 
-  private static final int CONFIRMATIONS = 2;
+  /** The number of confirmations after which a suspicion has the minimum timeout. */
+  private static final int MIN_TIMEOUT_CONFIRMATIONS = 2;
 
   private final MembershipOptions options;
   private final LocalMember local;
@@ -34,34 +36,35 @@
     this.output = output;
   }
 
-  /** The least time that a member suspected by several has to refute. */
+  /** The minimum time within which a member that several others suspect can refute. */
   TimeSpan minSuspicionTimeout() {
     return options
         .healthCheckInterval()
         .times(options.suspicionTimeoutPeriods() + Math.log10(2 + peers.size()));
   }
 
-  /** The gossip for the next message to a peer; what is said of the peer itself comes first. */
+  /** The gossip for the next message to a peer; an update about that peer itself comes first. */
   List<MemberUpdate> updatesFor(Peer recipient) {
     List<MemberUpdate> updates = gossip.next(MAX_UPDATES_PER_MESSAGE, peers.size() + 1);
     if (!recipient.isAlive()) {
-      // It can refute only what it receives.
+      // The recipient can refute only updates that it receives.
       updates.add(0, recipient.toUpdate(local.name()));
     }
     return updates;
   }
 
-  /** This process becomes another one: its former promises do not bind it. */
+  /** Changes to a higher incarnation, which is not bound by promises of the former one. */
   void startNewIncarnation() {
     startIncarnationAbove(local.member().incarnation());
   }
 
-  /** The same, with an incarnation above that one and above its own. */
+  /** Changes to an incarnation above {@code other} and above the current one. */
   void startIncarnationAbove(Incarnation other) {
-    local.takeIncarnationAbove(other);
+    local.advanceIncarnationAbove(other);
     gossip.add(local.aliveUpdate());
   }
 
+  /** Suspects a peer on behalf of this process. */
   void suspect(Peer peer, Timestamp now) {
     apply(
         new MemberUpdate(
@@ -69,7 +72,7 @@
         now);
   }
 
-  /** Declares dead whoever did not refute in time. */
+  /** Declares the suspects dead that did not refute in time. */
   void expireSuspicions(Timestamp now) {
     for (Peer peer : new ArrayList<>(peers.all())) {
       if (peer.isSuspect() && !now.isBefore(peer.suspicionExpiresAt())) {
@@ -81,26 +84,33 @@
     }
   }
 
-  /** Gives every suspect more time, after this process could not receive its refutation. */
+  /**
+   * Extends the deadline of every suspect by the time during which this process could not receive
+   * refutations.
+   */
   void extendSuspicions(TimeSpan by) {
     peers.all().stream()
         .filter(Peer::isSuspect)
-        .forEach(p -> p.setSuspicionExpiry(p.suspicionExpiresAt().plus(by)));
+        .forEach(peer -> peer.setSuspicionExpiry(peer.suspicionExpiresAt().plus(by)));
   }
 
-  /** More confirmations bring the deadline of a suspicion forward, a bad health score back. */
-  private void updateDeadline(Peer peer) {
+  /**
+   * Sets the deadline of a suspicion. The timeout decreases with the logarithm of the number of
+   * confirmations to the minimum, and increases with the health score of this process (Lifeguard).
+   */
+  private void updateSuspicionDeadline(Peer peer) {
     double minimumUs = minSuspicionTimeout().us() * (double) local.health().timeoutMultiplier();
-    int needed = Math.max(1, Math.min(CONFIRMATIONS, peers.size() - 1));
-    double confirmed = Math.log(peer.suspectedBy().size()) / Math.log(needed + 1);
+    int neededConfirmations = Math.max(1, Math.min(MIN_TIMEOUT_CONFIRMATIONS, peers.size() - 1));
+    double confirmedFraction =
+        Math.log(peer.suspectedBy().size()) / Math.log(neededConfirmations + 1);
     double timeoutUs =
         minimumUs
             * (UNCONFIRMED_SUSPICION_FACTOR
-                - (UNCONFIRMED_SUSPICION_FACTOR - 1) * Math.min(1, confirmed));
+                - (UNCONFIRMED_SUSPICION_FACTOR - 1) * Math.min(1, confirmedFraction));
     peer.setSuspicionExpiry(peer.suspectedAt().plus(new TimeSpan(Math.round(timeoutUs))));
   }
 
-  /** Applies an update about any member, this process included, from any member. */
+  /** Applies an update about any member, including this process. */
   void apply(MemberUpdate update, Timestamp now) {
     Member member = update.member();
     if (member.name().equals(local.name())) {
@@ -112,10 +122,10 @@
       applyToUnknown(update, now);
       return;
     }
-    int order = member.incarnation().compareTo(peer.member().incarnation());
-    if (order > 0 && update.condition().compareTo(MemberCondition.DEAD) < 0) {
+    int incarnationOrder = member.incarnation().compareTo(peer.member().incarnation());
+    if (incarnationOrder > 0 && update.condition().compareTo(MemberCondition.DEAD) < 0) {
       replaceProcess(peer, update, now);
-    } else if (order == 0) {
+    } else if (incarnationOrder == 0) {
       applyToKnown(peer, update, now);
     }
   }
@@ -129,7 +139,7 @@
     output.recordEvent(
         MembershipEvent.JOINED_SIGHT,
         member.name(),
-        member.peerAddress() + " incarnation " + member.incarnation());
+        "at " + member.peerAddress() + ", incarnation " + member.incarnation());
     gossip.add(
         new MemberUpdate(member, peer.statusVersion(), MemberCondition.ALIVE, update.reportedBy()));
     if (update.condition() == MemberCondition.SUSPECT) {
@@ -138,20 +148,21 @@
   }
 
   private void applyToKnown(Peer peer, MemberUpdate update, Timestamp now) {
-    int newer = Long.compare(update.statusVersion(), peer.statusVersion());
-    if (newer == 0 && update.condition() == MemberCondition.SUSPECT && peer.isSuspect()) {
-      if (peer.suspectedBy().size() <= CONFIRMATIONS
+    int versionOrder = Long.compare(update.statusVersion(), peer.statusVersion());
+    if (versionOrder == 0 && update.condition() == MemberCondition.SUSPECT && peer.isSuspect()) {
+      if (peer.suspectedBy().size() <= MIN_TIMEOUT_CONFIRMATIONS
           && peer.suspectedBy().add(update.reportedBy())) {
-        updateDeadline(peer);
+        updateSuspicionDeadline(peer);
         gossip.add(update);
       }
       return;
     }
-    boolean overrules =
+    boolean takesPrecedence =
         update.condition() == MemberCondition.ALIVE
-            ? newer > 0
-            : newer > 0 || newer == 0 && update.condition().compareTo(peer.condition()) > 0;
-    if (!overrules || peer.condition() == MemberCondition.LEFT && newer <= 0) {
+            ? versionOrder > 0
+            : versionOrder > 0
+                || versionOrder == 0 && update.condition().compareTo(peer.condition()) > 0;
+    if (!takesPrecedence || peer.condition() == MemberCondition.LEFT && versionOrder <= 0) {
       return;
     }
     boolean wasAlive = peer.isAlive();
@@ -159,17 +170,17 @@
     peers.setCondition(peer, update.condition(), now);
     if (update.condition() == MemberCondition.SUSPECT) {
       peer.beginSuspicion(update.reportedBy(), now);
-      updateDeadline(peer);
+      updateSuspicionDeadline(peer);
     }
-    recordChange(peer, update, wasAlive);
+    recordConditionChange(peer, update, wasAlive);
     gossip.add(update);
   }
 
-  private void recordChange(Peer peer, MemberUpdate update, boolean wasAlive) {
+  private void recordConditionChange(Peer peer, MemberUpdate update, boolean wasAlive) {
     MemberName name = update.member().name();
     switch (update.condition()) {
       case SUSPECT ->
-          output.recordEvent(MembershipEvent.SUSPECTED, name, "by " + update.reportedBy());
+          output.recordEvent(MembershipEvent.SUSPECTED, name, "reported by " + update.reportedBy());
       case DEAD ->
           output.recordEvent(
               MembershipEvent.SEEMS_DEAD, name, "reported by " + update.reportedBy());
@@ -185,42 +196,43 @@
   }
 
   private void replaceProcess(Peer peer, MemberUpdate update, Timestamp now) {
-    Member later = update.member();
+    Member successor = update.member();
     output.recordEvent(
         MembershipEvent.RESTARTED,
-        later.name(),
+        successor.name(),
         "incarnation "
-            + later.incarnation()
+            + successor.incarnation()
             + " replaces "
             + peer.member().incarnation()
             + " at "
-            + later.peerAddress());
-    peers.replaceProcess(peer, later, update.statusVersion(), now);
+            + successor.peerAddress());
+    peers.replaceProcess(peer, successor, update.statusVersion(), now);
     gossip.add(
-        new MemberUpdate(later, peer.statusVersion(), MemberCondition.ALIVE, update.reportedBy()));
+        new MemberUpdate(
+            successor, peer.statusVersion(), MemberCondition.ALIVE, update.reportedBy()));
   }
 
   private void applyToSelf(MemberUpdate update, Timestamp now) {
     Member member = update.member();
     Member self = local.member();
-    int order = member.incarnation().compareTo(self.incarnation());
-    if (order < 0) {
+    int incarnationOrder = member.incarnation().compareTo(self.incarnation());
+    if (incarnationOrder < 0) {
       return;
     }
     long ownStart = LocalMember.startNumber(local.statusVersion());
     long reportedStart = LocalMember.startNumber(update.statusVersion());
     if (!member.peerAddress().equals(self.peerAddress())) {
       local.silence(member, now);
-    } else if (order > 0) {
-      // A former process at this address had a later clock; this one still succeeds it.
-      local.takeIncarnationAbove(member.incarnation());
+    } else if (incarnationOrder > 0) {
+      // The clock of a former process at this address was ahead; this process still replaces it.
+      local.advanceIncarnationAbove(member.incarnation());
     } else if (reportedStart > ownStart && ownStart > 0) {
-      // A folder restored from an old copy: a later start of this member may have made promises
-      // that the copy does not contain.
+      // The state folder was restored from an old copy: a later start of this member may have made
+      // promises that the copy does not contain.
       output.recordEvent(
           MembershipEvent.FOLDER_OLD,
           self.name(),
-          "start " + ownStart + ", peers know " + reportedStart);
+          "the folder contains start " + ownStart + ", but a peer reports start " + reportedStart);
       startNewIncarnation();
     } else if (update.condition() != MemberCondition.ALIVE
             && update.statusVersion() >= local.statusVersion()
@@ -232,11 +244,13 @@
   private void refute(MemberUpdate update) {
     local.refute(update.statusVersion());
     gossip.add(local.aliveUpdate());
-    // Sent at once as well, since gossip that waits for the next round can come too late.
+    // Also sent immediately, since gossip in the messages of the next round can arrive after the
+    // suspicion has expired.
     peers
         .sample(options.relayCount(), Peer::isAlive)
         .forEach(
-            p ->
-                output.send(p, new StatePart(local.header(), List.of(local.aliveUpdate()), false)));
+            peer ->
+                output.send(
+                    peer, new StatePart(local.header(), List.of(local.aliveUpdate()), false)));
   }
 }
--- a/src/test/java/cobaltseam/membership/MembershipTest.java
+++ b/src/test/java/cobaltseam/membership/MembershipTest.java
@@ -15,7 +15,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Names, incarnations and bounds, with a few members and messages that arrive at once. */
+/**
+ * Membership of a few processes whose messages arrive immediately: duplicate names, incarnations
+ * across restarts, the bound on known peers, and leaving.
+ */
 class MembershipTest {
   private static final TimeSpan PERIOD = new TimeSpan(1_000_000);
 
@@ -27,7 +30,8 @@
     return new InetSocketAddress("127.0.0.1", port);
   }
 
-  private Membership member(String name, long incarnation, int port, int... seeds) {
+  /** Starts a member; an earlier one at the same port receives no more messages. */
+  private Membership startMember(String name, long incarnation, int port, int... seeds) {
     List<InetSocketAddress> seedAddresses =
         java.util.Arrays.stream(seeds).mapToObj(MembershipTest::address).toList();
     MembershipOptions options =
@@ -43,7 +47,7 @@
     return member;
   }
 
-  /** Delivers each message at once; one to an address without a member is lost. */
+  /** Delivers each message immediately; a message to an address without a member is lost. */
   private void deliver(List<MembershipAction> actions) {
     for (MembershipAction action : actions) {
       if (action instanceof MembershipAction.Send send && members.containsKey(send.to())) {
@@ -54,6 +58,7 @@
     }
   }
 
+  /** Advances the time and calls the timer of each member when it is due. */
   private void advance(double periods) {
     Timestamp until = now.plus(PERIOD.times(periods));
     while (now.isBefore(until)) {
@@ -72,32 +77,32 @@
   }
 
   @Test
-  void secondProcessOfOneNameIsRejectedAndRecordsIt() {
-    Membership first = member("a", 1, 1);
-    Membership second = member("b", 2, 2, 1);
+  void secondProcessWithSameNameIsRejectedAndRecordsNameTaken() {
+    Membership first = startMember("a", 1, 1);
+    Membership second = startMember("b", 2, 2, 1);
     advance(15);
     assertEquals(2, first.view().members().size());
-    Membership duplicate = member("b", 9, 3, 1);
+    Membership duplicate = startMember("b", 9, 3, 1);
     advance(20);
     assertTrue(isRecorded(MembershipAction.MembershipEvent.NAME_TAKEN));
-    assertNull(duplicate.view(), "it is not added");
+    assertNull(duplicate.view(), "a process with a name in use must not be added to a view");
     assertTrue(
         first.view().contains(second.self().name(), second.self().incarnation()),
-        "the live member stays: " + first.view());
+        "the live member must remain in the view: " + first.view());
     members.remove(address(2));
     advance(60);
     assertTrue(
         first.view().contains(duplicate.self().name(), duplicate.self().incarnation()),
-        "the name is free once the former process is dead: " + first.view());
+        "a process must be admitted once the former one of its name is dead: " + first.view());
   }
 
   @Test
   void restartWithEarlierClockTakesHigherIncarnation() {
-    Membership first = member("a", 1_000, 1);
-    member("b", 5_000, 2, 1);
+    Membership first = startMember("a", 1_000, 1);
+    startMember("b", 5_000, 2, 1);
     advance(15);
     members.remove(address(2));
-    Membership restarted = member("b", 10, 2, 1);
+    Membership restarted = startMember("b", 10, 2, 1);
     advance(40);
     assertTrue(
         restarted.self().incarnation().value() > 5_000,
@@ -109,11 +114,11 @@
 
   @Test
   void lateMessageOfFormerIncarnationIsIgnored() {
-    Membership first = member("a", 1, 1);
-    Membership former = member("b", 2, 2, 1);
+    Membership first = startMember("a", 1, 1);
+    Membership former = startMember("b", 2, 2, 1);
     advance(15);
     members.remove(address(2));
-    Membership later = member("b", 3, 2, 1);
+    Membership later = startMember("b", 3, 2, 1);
     advance(20);
     View view = first.view();
     assertTrue(view.contains(later.self().name(), later.self().incarnation()));
@@ -134,32 +139,33 @@
 
   @Test
   void knownPeersAreBounded() {
-    Membership first = member("a", 1, 1);
-    Member liar = new Member(new MemberName("liar"), new Incarnation(1), address(9));
+    Membership first = startMember("a", 1, 1);
+    Member reporter = new Member(new MemberName("reporter"), new Incarnation(1), address(9));
     for (int i = 0; i < 6000; i += 20) {
       List<MemberUpdate> updates = new ArrayList<>();
-      for (int event = i; event < i + 20; event++) {
+      for (int index = i; index < i + 20; index++) {
         updates.add(
             new MemberUpdate(
                 new Member(
-                    new MemberName("x" + event), new Incarnation(1), address(10_000 + event)),
+                    new MemberName("x" + index), new Incarnation(1), address(10_000 + index)),
                 0,
                 MemberCondition.ALIVE,
-                liar.name()));
+                reporter.name()));
       }
       first.receive(
           new MembershipMessage.StatePart(
-              new MembershipMessage.MessageHeader(liar, 0, ViewId.NONE, false), updates, true),
+              new MembershipMessage.MessageHeader(reporter, 0, ViewId.NONE, false), updates, true),
           now);
     }
-    assertTrue(first.memberStatuses().size() <= 4096, "holds " + first.memberStatuses().size());
+    assertTrue(
+        first.memberStatuses().size() <= 4096, "known peers: " + first.memberStatuses().size());
   }
 
   @Test
   void leavingMemberIsNotSuspected() {
-    Membership first = member("a", 1, 1);
-    Membership second = member("b", 2, 2, 1);
-    Membership third = member("c", 3, 3, 1);
+    Membership first = startMember("a", 1, 1);
+    Membership second = startMember("b", 2, 2, 1);
+    Membership third = startMember("c", 3, 3, 1);
     advance(20);
     assertEquals(3, first.view().members().size());
     events.clear();
