--- a/src/main/java/cobaltseam/dispatch/Attempt.java
+++ b/src/main/java/cobaltseam/dispatch/Attempt.java
@@ -4,7 +4,7 @@
 
 /** One attempt at a request, from the time it is sent until its outcome is known. */
 final class Attempt {
-  /** By the time of cancellation, then by the order of arrival of the requests. */
+  /** Orders attempts by cancellation time, then by the arrival of their requests. */
   static final Comparator<Attempt> BY_CANCEL_TIME =
       Comparator.comparingLong((Attempt a) -> a.cancelAt.us())
           .thenComparingLong(a -> a.arrivalNumber);
@@ -13,7 +13,7 @@
   private final long arrivalNumber;
   private final int number;
   private final Timestamp sentAt;
-  private final TimeSpan expectedLatency;
+  private final TimeSpan baselineLatency;
   private final double threads;
   private final double memoryGrantMb;
   private RequestClassStats requestClass;
@@ -35,7 +35,7 @@
     this.number = number;
     this.sentAt = sentAt;
     this.threads = threads;
-    expectedLatency = requestClass.usualLatency(request);
+    baselineLatency = requestClass.baselineLatency(request);
     memoryGrantMb = requestClass.memoryNeed().grantMb(request.memoryMb());
   }
 
@@ -47,12 +47,12 @@
     return requestClass;
   }
 
-  /** Continues under the class that other settings give its request. */
+  /** Sets the class that changed settings assign to the request of this attempt. */
   void setRequestClass(RequestClassStats other) {
     requestClass = other;
   }
 
-  /** Counts from 0 for each request. */
+  /** Returns the number of this attempt; the attempts of each request are numbered from 0. */
   int number() {
     return number;
   }
@@ -61,29 +61,33 @@
     return sentAt;
   }
 
-  TimeSpan expectedLatency() {
-    return expectedLatency;
+  TimeSpan baselineLatency() {
+    return baselineLatency;
   }
 
-  /** Threads of its engine that it counts for. */
+  /** Returns the threads of its engine that this attempt counts for. */
   double threads() {
     return threads;
   }
 
-  /** In megabytes; 0 if the engine chooses. */
+  /** Returns the granted memory in megabytes; 0 if the engine chooses. */
   double memoryGrantMb() {
     return memoryGrantMb;
   }
 
-  /** When it is to be cancelled unless reports of progress change that; null if it never is. */
+  /**
+   * Returns when this attempt is to be cancelled unless a progress report changes that; null if it
+   * is never cancelled before its timeout.
+   */
   Timestamp cancelAt() {
     return cancelAt;
   }
 
-  void setCancelAt(Timestamp when) {
-    cancelAt = when;
+  void setCancelAt(Timestamp newCancelAt) {
+    cancelAt = newCancelAt;
   }
 
+  /** Returns the reported memory shortfall in megabytes; 0 if none was reported. */
   double memoryShortfallMb() {
     return memoryShortfallMb;
   }
@@ -92,19 +96,22 @@
     memoryShortfallMb = missingMb;
   }
 
-  /** Learns what memory its class needs; {@code usedMb} is zero or less if unknown. */
-  void learnMemoryNeed(double usedMb) {
-    requestClass.memoryNeed().learn(request.memoryMb(), memoryGrantMb, memoryShortfallMb, usedMb);
+  /**
+   * Updates the estimate of the memory that its class needs; {@code usedMb} is zero or less if
+   * unknown.
+   */
+  void updateMemoryNeed(double usedMb) {
+    requestClass.memoryNeed().update(request.memoryMb(), memoryGrantMb, memoryShortfallMb, usedMb);
   }
 
-  /** Whether this is the first time that it is found slow. */
+  /** Marks this attempt as slow and returns whether it was not marked before. */
   boolean markSlow() {
-    boolean first = !slow;
+    boolean isFirstMark = !slow;
     slow = true;
-    return first;
+    return isFirstMark;
   }
 
-  /** Whether it was reported to wait for a load of the data set that it reads. */
+  /** Returns whether this attempt was reported to wait for a load of the data set that it reads. */
   boolean isBlocked() {
     return blocked;
   }
--- a/src/main/java/cobaltseam/dispatch/AttemptOutcome.java
+++ b/src/main/java/cobaltseam/dispatch/AttemptOutcome.java
@@ -3,13 +3,15 @@
 /**
  * How one attempt ended.
  *
- * @param attempt the number of the attempt, from 0 for each request
- * @param isLast whether the request needs nothing more
- * @param workDone the time on one engine thread that an answer took; below zero if unknown
- * @param memoryUsedMb the memory that an answer needed, in megabytes; below zero if unknown
- * @param queuedAtEngine requests queued at the engine, of all dispatchers; below zero if unknown
- * @param inFlightAtEngine requests in flight at the engine with those queued, of all dispatchers;
- *     below zero if unknown
+ * @param attempt the number of the attempt; the attempts of each request are numbered from 0
+ * @param latency how long the attempt took
+ * @param isLast whether the request needs no further attempt
+ * @param workDone the time that the answer took on one engine thread; negative if unknown
+ * @param memoryUsedMb the memory that the answer needed, in megabytes; negative if unknown
+ * @param queuedAtEngine requests of all dispatchers that are queued at the engine; negative if
+ *     unknown
+ * @param inFlightAtEngine requests of all dispatchers that are in flight at the engine, with the
+ *     queued ones; negative if unknown
  */
 public record AttemptOutcome(
     RequestId request,
@@ -22,7 +24,7 @@
     double memoryUsedMb,
     double queuedAtEngine,
     double inFlightAtEngine) {
-  /** What became of an attempt. */
+  /** The result of an attempt. */
   public enum AttemptResult {
     COMPLETED(false),
     ERROR(false),
@@ -39,7 +41,7 @@
       this.neverRan = neverRan;
     }
 
-    /** Whether the result proves that no engine ran the request. */
+    /** Returns whether the result proves that no engine ran the request. */
     public boolean hasNeverRun() {
       return neverRan;
     }
--- a/src/main/java/cobaltseam/dispatch/AttemptTimeouts.java
+++ b/src/main/java/cobaltseam/dispatch/AttemptTimeouts.java
@@ -3,14 +3,14 @@
 import java.util.TreeSet;
 
 /**
- * Decides how long requests wait and attempts run, and which attempts are cancelled for another to
- * follow.
+ * Determines how long requests wait and attempts run, and which attempts are cancelled so that
+ * another one can follow.
  */
 final class AttemptTimeouts {
   private final EngineHealth health;
   private PolicySettings settings;
 
-  /** Attempts that may be cancelled, by when. */
+  /** Attempts that may be cancelled, ordered by cancellation time. */
   private final TreeSet<Attempt> cancellations = new TreeSet<>(Attempt.BY_CANCEL_TIME);
 
   AttemptTimeouts(EngineHealth health, PolicySettings settings) {
@@ -22,106 +22,127 @@
     settings = newSettings;
   }
 
-  /** From when on a queued request is given up: it could not be answered in time to be of use. */
+  /**
+   * Returns the time from which a queued request is given up, as an answer would arrive too late to
+   * be of use.
+   */
   Timestamp giveUpAt(TrackedRequest request) {
-    Timestamp last = request.request().deadline().minus(settings.deadlineMargin());
+    Timestamp latest = request.request().deadline().minus(settings.deadlineMargin());
     TimeSpan expected = health.expectedLatency(request);
     if (request.isUsefulLate()) {
-      Timestamp late = last.minus(expected);
-      return late.isBefore(request.acceptedAt()) ? last : late;
+      Timestamp startLimit = latest.minus(expected);
+      return startLimit.isBefore(request.acceptedAt()) ? latest : startLimit;
     }
-    Timestamp inTime = request.targetAt().minus(expected);
-    return inTime.isBefore(last) ? inTime : last;
+    Timestamp startLimitForObjective = request.objectiveDueAt().minus(expected);
+    return startLimitForObjective.isBefore(latest) ? startLimitForObjective : latest;
   }
 
-  /** How long an attempt that starts now can be of use; at least the deadline margin. */
-  TimeSpan longestUseful(TrackedRequest request, Timestamp now) {
-    TimeSpan left = request.request().deadline().minus(settings.deadlineMargin()).since(now);
+  /** Returns how long an attempt that starts now can be of use; at least the deadline margin. */
+  TimeSpan maxUsefulDuration(TrackedRequest request, Timestamp now) {
+    TimeSpan remaining = request.request().deadline().minus(settings.deadlineMargin()).since(now);
     if (request.requestClass().definition().latePriorityWeight() == 0) {
-      left = left.min(request.targetAt().since(now).times(PolicyConstants.NEAR_RATIO));
+      remaining =
+          remaining.min(
+              request.objectiveDueAt().since(now).times(PolicyConstants.TOLERANCE_FACTOR));
     }
-    return left.max(settings.deadlineMargin());
+    return remaining.max(settings.deadlineMargin());
   }
 
-  /** The time-out of the attempt in flight, which starts now; plans its cancellation, if any. */
+  /**
+   * Returns the timeout of the attempt in flight, which starts now, and schedules its cancellation
+   * where the settings allow one.
+   */
   TimeSpan start(TrackedRequest request, Timestamp now) {
     TimeSpan timeout = timeout(request, now);
-    if (!settings.reportsProgress() || !request.canBeReplaced()) {
+    if (!settings.reportsProgress() || !request.allowsReplacementAttempt()) {
       return timeout;
     }
-    // Without a report due by then, slow work can't be told from a bad plan.
-    TimeSpan report = settings.progressInterval().times(PolicyConstants.NEAR_RATIO);
-    boolean reportInTime = report.compareTo(request.targetAt().since(now)) < 0;
+    // Without a progress report by then, slow work is indistinguishable from a bad query plan.
+    TimeSpan reportDelay = settings.progressInterval().times(PolicyConstants.TOLERANCE_FACTOR);
+    boolean isReportInTime = reportDelay.compareTo(request.objectiveDueAt().since(now)) < 0;
     Attempt attempt = request.attempt();
-    attempt.setCancelAt(now.plus(reportInTime ? timeout.max(report) : timeout));
+    attempt.setCancelAt(now.plus(isReportInTime ? timeout.max(reportDelay) : timeout));
     cancellations.add(attempt);
-    return longestUseful(request, now);
+    return maxUsefulDuration(request, now);
   }
 
   /**
-   * Guards against attempts that stay silent, hang or have a bad plan, where another may follow:
-   * those hold threads, and the sooner they go the sooner a better one starts. Harm: a slow but
-   * sound attempt is cut and its work lost; hence the pace of its class or engine.
+   * Returns how long an attempt may run before another one may replace it. The timeout ends
+   * attempts that never answer, hang or have a bad query plan: these hold threads, and the sooner
+   * they end, the sooner a better one starts. The disadvantage: a slow but sound attempt may be
+   * ended and its work lost. For this reason the timeout is proportional to the latency ratio of
+   * the class or the engine.
    */
   private TimeSpan timeout(TrackedRequest request, Timestamp now) {
-    TimeSpan longest = longestUseful(request, now);
-    // Where a time-out stops no work, another attempt only adds its work to the first one's.
-    if (!request.canBeReplaced() || !settings.canCancel()) {
+    TimeSpan longest = maxUsefulDuration(request, now);
+    // Where a timeout does not end the work on the engine, another attempt would only add to it.
+    if (!request.allowsReplacementAttempt() || !settings.canCancel()) {
       return longest;
     }
-    double pace = health.paceOn(request.attemptEngine(), request.requestClass());
-    TimeSpan least = request.requestClass().minPatience();
-    return request.usualLatency().times(PolicyConstants.PATIENCE * pace).max(least).min(longest);
+    double latencyRatio = health.latencyRatioOn(request.attemptEngine(), request.requestClass());
+    TimeSpan shortest = request.requestClass().minTimeout();
+    return request
+        .baselineLatency()
+        .times(PolicyConstants.ATTEMPT_TIMEOUT_FACTOR * latencyRatio)
+        .max(shortest)
+        .min(longest);
   }
 
   /**
-   * Plans the cancellation anew by how far an attempt is. Guards against bad plans, and against
-   * cutting what is merely slow: it is cancelled at once if all of it would take a multiple of its
-   * usual latency at the engine's pace, and else given the time that it still needs. Harm: a rough
-   * report that is far too low costs the work done.
+   * Reschedules the cancellation according to a progress report, in order to end attempts with a
+   * bad query plan and keep those that are merely slow. An attempt is cancelled at once if its
+   * projected total duration exceeds a multiple of its baseline latency at the current latency
+   * ratio of the class or engine. Otherwise it is given the time that it still needs. The
+   * disadvantage: an inaccurate report that is far too low costs the work done.
    *
-   * @param done the part of the work that is done, above 0 and up to 1
+   * @param done the fraction of the work that is done, above 0 and up to 1
    */
   void updateProgress(TrackedRequest request, double done, Timestamp now) {
-    TimeSpan spent = now.since(request.attempt().sentAt());
-    TimeSpan rest = spent.times((1 - Math.min(1, done)) / done);
-    double pace = health.paceOn(request.attemptEngine(), request.requestClass());
-    TimeSpan longest = request.usualLatency().times(PolicyConstants.MAX_RATIO * pace);
-    boolean bad = spent.plus(rest).compareTo(longest) > 0;
-    // Near its end a rough report promises too little rest, and would cut what is almost done.
-    TimeSpan patience =
-        rest.times(PolicyConstants.PATIENCE).max(spent.times(PolicyConstants.NEAR_RATIO - 1));
-    reschedule(request.attempt(), bad ? now : now.plus(patience));
+    TimeSpan elapsed = now.since(request.attempt().sentAt());
+    TimeSpan remaining = elapsed.times((1 - Math.min(1, done)) / done);
+    double latencyRatio = health.latencyRatioOn(request.attemptEngine(), request.requestClass());
+    TimeSpan longest =
+        request.baselineLatency().times(PolicyConstants.MAX_OBSERVATION_RATIO * latencyRatio);
+    boolean hasBadPlan = elapsed.plus(remaining).compareTo(longest) > 0;
+    // Near the end, an inaccurate report leaves too little time and would end an almost complete
+    // attempt.
+    TimeSpan extension =
+        remaining
+            .times(PolicyConstants.ATTEMPT_TIMEOUT_FACTOR)
+            .max(elapsed.times(PolicyConstants.TOLERANCE_FACTOR - 1));
+    reschedule(request.attempt(), hasBadPlan ? now : now.plus(extension));
   }
 
-  void cancelNow(Attempt attempt, Timestamp now) {
+  void cancelImmediately(Attempt attempt, Timestamp now) {
     reschedule(attempt, now);
   }
 
-  private void reschedule(Attempt attempt, Timestamp when) {
+  private void reschedule(Attempt attempt, Timestamp newCancelAt) {
     if (attempt.cancelAt() != null && cancellations.remove(attempt)) {
-      attempt.setCancelAt(when);
+      attempt.setCancelAt(newCancelAt);
       cancellations.add(attempt);
     }
   }
 
-  /** Lets an attempt run to its time-out, or forgets one that has ended. */
-  void remove(Attempt attempt) {
+  /** Unschedules the cancellation of an attempt that has ended or may run until its timeout. */
+  void unschedule(Attempt attempt) {
     if (attempt.cancelAt() != null) {
       cancellations.remove(attempt);
     }
   }
 
-  /** Where the new settings allow no cancellation, lets an attempt run to its time-out. */
-  void keepToSettings(Attempt attempt) {
+  /**
+   * Unschedules the cancellation of an attempt if the changed settings do not allow cancellation.
+   */
+  void applyCancellationSetting(Attempt attempt) {
     boolean isScheduled = attempt.cancelAt() != null;
     if (!settings.canCancel() && isScheduled && cancellations.remove(attempt)) {
       attempt.setCancelAt(null);
     }
   }
 
-  /** The next attempt to cancel, or null. */
-  Attempt next() {
+  /** Returns the next attempt to cancel, or null. */
+  Attempt nextCancellation() {
     return cancellations.isEmpty() ? null : cancellations.first();
   }
 }
--- a/src/main/java/cobaltseam/dispatch/DataSetId.java
+++ b/src/main/java/cobaltseam/dispatch/DataSetId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names the data set that a request reads. */
+/** Identifies a data set that requests read. */
 public record DataSetId(long value) {}
--- a/src/main/java/cobaltseam/dispatch/DecayingAverage.java
+++ b/src/main/java/cobaltseam/dispatch/DecayingAverage.java
@@ -1,21 +1,26 @@
 package cobaltseam.dispatch;
 
 /**
- * The mean of a series of samples, in which old samples lose weight with time and with new ones.
+ * The mean of a series of samples. The weight of a sample decays with time and with each newer
+ * sample.
  */
 final class DecayingAverage {
-  /** A prior belief counts as this many samples. */
+  /** The weight of a prior value, in samples. */
   static final double PRIOR_WEIGHT = 1.0;
 
   private double sum;
   private double weight;
 
-  void add(double sample, double sampleWeight) {
-    sum += sample - sum * sampleWeight;
-    weight += 1 - weight * sampleWeight;
+  /**
+   * Adds a sample with a weight of 1; the weight of all older samples falls by {@code
+   * decayFraction}, from 0 to 1.
+   */
+  void add(double sample, double decayFraction) {
+    sum += sample - sum * decayFraction;
+    weight += 1 - weight * decayFraction;
   }
 
-  /** Keeps this part of the weight of all earlier samples, from 0 to 1. */
+  /** Multiplies the weight of all earlier samples by {@code keep}, a fraction from 0 to 1. */
   void decay(double keep) {
     sum *= keep;
     weight *= keep;
@@ -29,12 +34,15 @@
     return weight;
   }
 
-  /** The mean of the samples alone; not a number without samples. */
+  /** Returns the mean of the samples alone; not a number without samples. */
   double mean() {
     return sum / weight;
   }
 
-  /** The mean of the samples, drawn towards a prior value where their weight is small. */
+  /**
+   * Returns the mean of the samples and of a prior value, which dominates while the weight of the
+   * samples is small.
+   */
   double mean(double prior) {
     return (sum + prior * PRIOR_WEIGHT) / (weight + PRIOR_WEIGHT);
   }
--- a/src/main/java/cobaltseam/dispatch/Deployment.java
+++ b/src/main/java/cobaltseam/dispatch/Deployment.java
@@ -3,12 +3,13 @@
 import java.util.List;
 
 /**
- * What a dispatcher has to know of its deployment. Figures that the deployment does not set are
- * null.
+ * The properties of a deployment that a dispatcher depends on. Values that the deployment does not
+ * set are null.
  *
- * @param dispatcherIndex this dispatcher's number among all, from 0
+ * @param dispatcherIndex the number of this dispatcher among all, from 0
  * @param dispatcherCount how many dispatchers share the engines
- * @param overQuotaWeight the factor to the priority weight of a request over its tenant's quota
+ * @param overQuotaWeight the factor applied to the priority weight of a request over its tenant's
+ *     quota
  * @param site where this dispatcher runs
  */
 public record Deployment(
@@ -21,7 +22,7 @@
     Rules rules,
     Capabilities capabilities,
     DispatcherSite site) {
-  /** A deployment in which the dispatcher's own location is unknown. */
+  /** Creates a deployment in which this dispatcher's own location is unknown. */
   public Deployment(
       int dispatcherIndex,
       int dispatcherCount,
@@ -53,14 +54,17 @@
     public static final DispatcherSite UNKNOWN = new DispatcherSite(null, false);
   }
 
-  /** Whether a request may run more than once, the least strict first. */
+  /**
+   * Whether a request may run more than once; the constants are declared from the least to the most
+   * strict.
+   */
   public enum RetrySafety {
     IDEMPOTENT,
     IDEMPOTENT_WITH_KEY,
     NOT_IDEMPOTENT
   }
 
-  /** The engines that deduplicate a request with an idempotency key. */
+  /** The engines among which requests with the same idempotency key are deduplicated. */
   public enum DeduplicationScope {
     ALL,
     LOCATION,
@@ -68,21 +72,24 @@
   }
 
   /**
-   * A class of requests.
+   * A request class.
    *
-   * @param threads engine threads that a request uses
+   * @param threads the engine threads that a request uses
    * @param priorityWeight the weight of an answer within the latency objective
-   * @param latePriorityWeight the factor to that of a later answer; zero if it is of no use
-   * @param objectivePerWork the latency objective grows by this times the work per thread
-   * @param deadline how long a client waits, from when its request is accepted
+   * @param latePriorityWeight the factor applied to the priority weight of a later answer; zero if
+   *     a late answer is of no use
+   * @param latencyObjective the latency objective, to which {@code objectivePerWork} adds
+   * @param objectivePerWork the latency objective grows by this factor times the work per thread
+   * @param deadline how long a client waits, counted from when its request is accepted
    * @param deduplicationScope null if engines do not deduplicate
    * @param deduplicationWindow how long engines remember an idempotency key
    * @param isOrdered whether requests with the same key run in the order in which they are accepted
-   * @param locations where requests may run; null if anywhere
-   * @param machineTypes what requests may run on; null if on any
-   * @param loadsDataSet whether a request loads its data set, and holds it on its engine until it
-   *     ends
-   * @param waitsForLoads whether a request that reads the data set there waits meanwhile
+   * @param locations the locations in which requests may run; null if in any
+   * @param machineTypes the machine types on which requests may run; null if on any
+   * @param loadsDataSet whether a request loads its data set, and blocks it on its engine until the
+   *     request ends
+   * @param waitsForLoads whether a request that reads a data set waits while another request loads
+   *     it on the same engine
    */
   public record RequestClass(
       RequestClassId id,
@@ -100,7 +107,7 @@
       List<MachineTypeId> machineTypes,
       boolean loadsDataSet,
       boolean waitsForLoads) {
-    /** A class of requests that neither load data sets nor wait for loads. */
+    /** Creates a request class whose requests neither load data sets nor wait for loads. */
     public RequestClass(
         RequestClassId id,
         int threads,
@@ -112,7 +119,7 @@
         RetrySafety retrySafety,
         DeduplicationScope deduplicationScope,
         TimeSpan deduplicationWindow,
-        boolean inOrder,
+        boolean isOrdered,
         List<LocationId> locations,
         List<MachineTypeId> machineTypes) {
       this(
@@ -126,7 +133,7 @@
           retrySafety,
           deduplicationScope,
           deduplicationWindow,
-          inOrder,
+          isOrdered,
           locations,
           machineTypes,
           false,
@@ -134,22 +141,27 @@
     }
   }
 
-  /** A type of machine; a memory of zero megabytes is unknown. */
+  /** A machine type; a memory of zero megabytes means that it is unknown. */
   public record MachineType(MachineTypeId id, double cores, double memoryMb) {}
 
   /** The requests per second that a tenant may send to all dispatchers together. */
   public record Quota(TenantId tenant, double perSecond) {}
 
   /**
-   * The figures of the rules.
+   * The numeric limits of the dispatch rules.
    *
-   * @param slowStartFraction the part of its work that an engine can do at its start, from 0 to 1
-   * @param slowStartDuration the time until it can do all of it
-   * @param slowStartLimitFactor how many times what it can do it may be sent within a window
+   * @param slowStartFraction the fraction of its full capacity that an engine has when it starts,
+   *     from 0 to 1
+   * @param slowStartDuration the time after which it has its full capacity
+   * @param slowStartLimitFactor the work that a warming engine may be sent within a window, as a
+   *     multiple of the work that it can do
    * @param slowStartWindow the length of that window
-   * @param sequenceKeyRest how long a key rests after an attempt that may still run
-   * @param freeRetries retries in a window beyond the ratio; null without a retry budget
-   * @param retryRatio retries for each accepted request of a window; null without a retry budget
+   * @param sequenceKeyRest how long no request of a key starts after an attempt that may still be
+   *     running
+   * @param freeRetries the retries allowed in a window in addition to the ratio; null without a
+   *     retry budget
+   * @param retryRatio the retries allowed for each request accepted in a window; null without a
+   *     retry budget
    * @param retryWindow the length of that window; null without a retry budget
    */
   public record Rules(
@@ -163,16 +175,19 @@
       TimeSpan retryWindow) {}
 
   /**
-   * What a dispatcher may do in this deployment.
+   * What a dispatcher can rely on and may do in this deployment.
    *
-   * @param clockTick how fine its clock is
-   * @param maxAttempts attempts of one request, with the first
-   * @param canCancel whether an attempt can be cancelled, and a time-out ends its work
-   * @param hasEnginePriorities whether engines heed a priority
-   * @param allowsRetryAfter whether a shed request may name a delay for a retry
+   * @param clockTick the resolution of the dispatcher's clock
+   * @param maxAttempts the maximum number of attempts of one request, including the first
+   * @param canCancel whether an attempt can be cancelled, and whether a timeout ends its work on
+   *     the engine
+   * @param hasEnginePriorities whether engines support priorities
+   * @param allowsRetryAfter whether the answer to a shed request may name a delay after which to
+   *     retry
    * @param maxRetryAfter the longest such delay
-   * @param progressInterval how often engines report progress, spills and waits; zero for never
-   * @param hasMemoryGrants whether engines heed a grant of memory
+   * @param progressInterval how often engines report progress, memory shortfalls and waits; zero if
+   *     never
+   * @param hasMemoryGrants whether engines apply a memory grant
    */
   public record Capabilities(
       TimeSpan clockTick,
@@ -183,7 +198,7 @@
       TimeSpan maxRetryAfter,
       TimeSpan progressInterval,
       boolean hasMemoryGrants) {
-    /** Capabilities of a deployment whose engines heed grants of memory. */
+    /** Creates the capabilities of a deployment whose engines apply memory grants. */
     public Capabilities(
         TimeSpan clockTick,
         int maxAttempts,
--- a/src/main/java/cobaltseam/dispatch/Dispatcher.java
+++ b/src/main/java/cobaltseam/dispatch/Dispatcher.java
@@ -8,27 +8,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All decisions of one dispatcher; the entry point of this package.
+ * Makes all decisions of one dispatcher; the entry point of this package.
  *
- * <p>Callers ask three questions: {@link #place} says where a request goes, {@link
- * #completeAttempt} what follows an outcome, and {@link #next} what to do next. They call {@code
- * next} after every other call, and do what it says until it names a time to wait. Everything else
- * that a dispatcher learns comes through the update methods, such as {@link #updateEndpoints},
- * {@link #updateProgress} and {@link #clientDisconnected}.
+ * <p>Callers ask three questions: {@link #place} decides on a request, {@link #completeAttempt} on
+ * the outcome of an attempt, and {@link #next} on what the caller has to do next. Callers call
+ * {@code next} after every other call, and carry out the steps that it returns until it returns a
+ * time to wait. All other information reaches a dispatcher through the update methods, such as
+ * {@link #updateEndpoints}, {@link #updateProgress} and {@link #clientDisconnected}.
  *
- * <p>The ordinary path: each engine has a thread budget of two threads a core, split evenly over
- * the dispatchers. A request goes where most budget is left per core; where none has its threads
- * left it is queued, first come first served. While answers of a request class come from an engine
- * at usual speed, the budget there may grow up to all of the engine's threads.
+ * <p>In normal operation, each engine has a thread budget of two threads per core, which is split
+ * evenly over the dispatchers. A request is sent to the engine with the most budget left per core;
+ * where no engine has enough threads left, the request is queued in order of arrival. While an
+ * engine answers the requests of a class at their baseline latency, this dispatcher's budget there
+ * may grow up to all of the engine's threads.
  *
- * <p>Where to read on: {@link ThreadBudgets} chooses engines, {@link EngineHealth} assesses them,
- * {@link EngineWarmup} starts them slowly, {@link RequestAdmission} accepts requests, {@link
- * OutcomeRecorder} learns from outcomes, {@link AttemptTimeouts} ends attempts, {@link
- * RetryAllowance} bounds retries, {@link LoadShedder} and {@link TenantQuotas} shed load, {@link
- * KeySequences} keeps order, {@link MemoryNeed} grants memory and {@link RequestQueue} keeps what
- * waits.
+ * <p>The policy is divided as follows: {@link ThreadBudgets} chooses engines, {@link EngineHealth}
+ * assesses them, {@link EngineWarmup} limits their load after a start, {@link RequestAdmission}
+ * accepts requests, {@link OutcomeRecorder} updates the estimates from outcomes, {@link
+ * AttemptTimeouts} bounds and cancels attempts, {@link RetryAllowance} bounds retries, {@link
+ * LoadShedder} and {@link TenantQuotas} shed load, {@link KeySequences} keeps requests with the
+ * same key in order, {@link MemoryNeed} sizes memory grants and {@link RequestQueue} holds open and
+ * queued requests.
  *
- * <p>An instance knows its own traffic and shares nothing. It is not thread safe.
+ * <p>An instance sees only its own traffic and shares no state with other dispatchers. It is not
+ * thread-safe.
  */
 public final class Dispatcher {
   private final RequestClassTable requestClasses = new RequestClassTable();
@@ -46,9 +49,10 @@
   private PolicySettings settings;
 
   /**
-   * Starts with no engines; nothing is sent before {@link #updateEndpoints}.
+   * Creates a dispatcher without engines; it sends nothing before {@link #updateEndpoints}.
    *
-   * @param seed of all random draws; the same calls with the same seed give the same decisions
+   * @param seed the seed of all random samples; the same calls with the same seed give the same
+   *     decisions
    */
   public Dispatcher(Deployment deployment, long seed) {
     RandomGenerator random = new SplittableRandom(seed);
@@ -63,13 +67,14 @@
     retries.addBudget(deployment.rules());
     requestClasses.applySettings(deployment, settings.shortestObjective(), Set.of());
     quotas.applyQuotas(deployment.quotas(), settings.dispatcherCount());
-    engines.setSettings(deployment.machineTypes(), settings.slowStart());
+    engines.configureNewEngines(deployment.machineTypes(), settings.slowStart());
   }
 
-  // ---- the three questions
+  // ---- decisions
 
   /**
-   * Where to send a request, new or queued. A new one that has to wait is queued from here on.
+   * Decides where to send a request, which is either new or queued. A new request that has to wait
+   * is queued by this call.
    *
    * @throws IllegalArgumentException if the settings do not define the class of a new request
    */
@@ -82,7 +87,7 @@
     if (tracked.attempt() != null || tracked.isFinished()) {
       return Placement.queue();
     }
-    if (isHopeless(tracked, now)) {
+    if (mustGiveUp(tracked, now)) {
       return giveUp(tracked);
     }
     EngineState best = chooseEngine(tracked, now);
@@ -90,8 +95,8 @@
   }
 
   /**
-   * What follows an outcome: nothing for now, or a final answer. An outcome of an attempt that is
-   * not in flight is ignored.
+   * Decides what follows an outcome: nothing for now, or a final answer. The outcome of an attempt
+   * that is not in flight is ignored.
    */
   public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
     TrackedRequest request = inFlight(outcome.request(), outcome.attempt());
@@ -102,11 +107,11 @@
     EngineState engine = request.attemptEngine();
     AttemptResult result = outcome.result();
     request.endAttempt();
-    timeouts.remove(attempt);
+    timeouts.unschedule(attempt);
     outcomes.record(attempt, engine, outcome, now);
     health.invalidate();
     if (mayStillRun(result)) {
-      sequences.rest(request, now);
+      sequences.startRest(request, now);
     }
     if (outcome.isLast() || request.isFinished() || result == AttemptResult.COMPLETED) {
       close(request);
@@ -116,10 +121,10 @@
       request.recordMayHaveRun(attempt, engine);
     }
     request.setGiveUpAt(timeouts.giveUpAt(request));
-    request.checkLate(health.expectedLatency(request), now);
+    request.updateExpectedLate(health.expectedLatency(request), now);
     if (!request.hasAttemptLeft()
         || result == AttemptResult.NEVER_SENT
-        || isHopeless(request, now)) {
+        || mustGiveUp(request, now)) {
       return giveUp(request);
     }
     enqueue(request);
@@ -132,51 +137,53 @@
         || result == AttemptResult.CANCELLED;
   }
 
-  /** The queued request to place next, the attempt to cancel, or how long to wait. */
+  /**
+   * Returns the next step: a queued request to place, an attempt to cancel, or how long to wait.
+   */
   public NextStep next(Timestamp now) {
     health.refresh(now);
     TimeSpan wait = settings.refreshInterval();
-    Attempt cancellation = timeouts.next();
+    Attempt cancellation = timeouts.nextCancellation();
     if (cancellation != null) {
-      if (!now.isBefore(cancellation.cancelAt()) && !health.isCallLate()) {
-        timeouts.remove(cancellation);
+      if (!now.isBefore(cancellation.cancelAt()) && !health.isCallOverdue()) {
+        timeouts.unschedule(cancellation);
         return NextStep.cancelAttempt(cancellation.request(), cancellation.number());
       }
       wait = cancellation.cancelAt().since(now).max(settings.deadlineMargin());
     }
     health.expectCallBy(now.plus(settings.refreshInterval()));
     if (queue.queued().isEmpty()) {
-      boolean idle = queue.open().isEmpty();
-      return NextStep.waitFor(idle ? null : wait.min(settings.refreshInterval()));
+      boolean isIdle = queue.open().isEmpty();
+      return NextStep.waitFor(isIdle ? null : wait.min(settings.refreshInterval()));
     }
     for (TrackedRequest request : queue.queued()) {
-      if (isHopeless(request, now)) {
+      if (mustGiveUp(request, now)) {
         return NextStep.placeAgain(request.request());
       }
       wait = wait.min(request.giveUpAt().since(now));
     }
-    TrackedRequest shed = shedder.requestToShed(queue.queued(), now);
+    TrackedRequest shed = shedder.selectRequestToShed(queue.queued(), now);
     if (shed != null) {
       shed.drop();
       return NextStep.placeAgain(shed.request());
     }
-    TrackedRequest ready = firstThatFits(now);
+    TrackedRequest ready = firstPlaceable(now);
     return ready == null
         ? NextStep.waitFor(wait.min(settings.refreshInterval()))
         : NextStep.placeAgain(ready.request());
   }
 
-  /** The oldest queued request that fits an engine now, or null. */
-  private TrackedRequest firstThatFits(Timestamp now) {
+  /** Returns the oldest queued request that an engine can take now, or null. */
+  private TrackedRequest firstPlaceable(Timestamp now) {
     boolean[] fitsNowhere = new boolean[requestClasses.size()];
     for (TrackedRequest request : queue.queued()) {
       int index = request.requestClass().index();
-      boolean ordinary = request.isOrdinary();
-      boolean skipped = ordinary && fitsNowhere[index];
-      if (!skipped && chooseEngine(request, now) != null) {
+      boolean isRestrictedByClassOnly = request.isRestrictedByClassOnly();
+      boolean canSkip = isRestrictedByClassOnly && fitsNowhere[index];
+      if (!canSkip && chooseEngine(request, now) != null) {
         return request;
       }
-      fitsNowhere[index] |= ordinary;
+      fitsNowhere[index] |= isRestrictedByClassOnly;
     }
     return null;
   }
@@ -184,15 +191,16 @@
   // ---- updates
 
   /**
-   * Applies other settings at once, whatever is in flight. What was learnt of engines stays, and of
-   * request classes of the same width; borrowing starts afresh. A request accepted before keeps its
-   * latency objective and deadline, and keeps to the rules of both: the stricter retry safety, the
-   * fewest attempts, the longest rest of a key, engines that both allow (with none it is given up),
-   * both retry budgets for the earlier one's window. An engine that is warming up by either keeps
-   * to both until it is warm by both.
+   * Applies changed settings immediately, whatever is in flight. The estimates of engines are kept,
+   * and so are those of request classes with an unchanged thread count; borrowing starts from zero.
+   * A request accepted under earlier settings keeps its latency objective and deadline, and
+   * complies with both sets of rules: the stricter retry safety, the fewer attempts, the longer
+   * rest of a key, the engines that both allow (the request is given up if there are none), and
+   * both retry budgets, the earlier one until its window ends. An engine that is warming up under
+   * either settings complies with both until it is warm under both.
    */
   public void applySettings(Deployment deployment, Timestamp now) {
-    double sharing =
+    double sharingBefore =
         budgets.sharingDispatchers() < settings.dispatcherCount()
             ? budgets.sharingDispatchers()
             : 0;
@@ -204,11 +212,11 @@
     shedder.applySettings(settings);
     retries.applyRules(deployment.rules(), now);
     quotas.applyQuotas(deployment.quotas(), settings.dispatcherCount());
-    setSharingDispatchers(sharing > 0 ? sharing : settings.dispatcherCount());
+    setSharingDispatchers(sharingBefore > 0 ? sharingBefore : settings.dispatcherCount());
     Set<RequestClassStats> open = new HashSet<>();
     queue.open().forEach(r -> open.add(r.requestClass()));
     requestClasses.applySettings(deployment, settings.shortestObjective(), open);
-    engines.setSettings(deployment.machineTypes(), settings.slowStart());
+    engines.configureNewEngines(deployment.machineTypes(), settings.slowStart());
     engines.applySettings(requestClasses.size(), now);
     applySettingsToRequests();
     health.invalidate();
@@ -223,16 +231,16 @@
       if (request.attempt() == null) {
         enqueue(request);
       } else {
-        timeouts.keepToSettings(request.attempt());
+        timeouts.applyCancellationSetting(request.attempt());
       }
     }
   }
 
   /**
-   * Takes over the endpoint list. Where one list names an engine more than once, a state other than
-   * up overrules up.
+   * Applies an endpoint list. If one list names an engine more than once, a state other than up
+   * takes precedence over up.
    *
-   * @param complete whether engines that the list does not name are gone
+   * @param complete whether engines that the list does not name have been removed
    */
   public void updateEndpoints(List<EndpointStatus> list, boolean complete, Timestamp now) {
     health.invalidate();
@@ -240,10 +248,11 @@
   }
 
   /**
-   * Takes over what an engine reported to another dispatcher; ignored if older than what is known.
+   * Records the load that an engine reported to another dispatcher; ignored if older than the
+   * latest known report.
    *
-   * @param inFlight requests in flight there, of all dispatchers
-   * @param at when it was reported, by this dispatcher's clock
+   * @param inFlight requests of all dispatchers that are in flight at the engine
+   * @param at when the engine reported it, by this dispatcher's clock
    */
   public void updateEngineLoad(EngineId id, double inFlight, Timestamp at) {
     EngineState engine = engines.get(id);
@@ -252,25 +261,27 @@
     }
   }
 
-  /** Sets how many retries this dispatcher may still make; below 1, what fails is given up. */
+  /**
+   * Sets how many retries this dispatcher may still make; below 1, failed requests are given up.
+   */
   public void setRemainingRetries(long remaining) {
     retries.setRemainingRetries(remaining);
   }
 
-  /** The work of all requests accepted so far, in microseconds of one thread. */
+  /** Returns the work of all requests accepted so far, in microseconds of one thread. */
   public double offeredWorkUs() {
     return admission.offeredWorkUs();
   }
 
-  /** Whether nothing is queued, in flight or counted anywhere. */
+  /** Returns whether no request is open and no engine has threads in use. */
   boolean isIdle() {
-    return queue.isIdle() && engines.sorted().stream().allMatch(e -> e.threadsInUse() == 0);
+    return queue.isIdle() && engines.sortedById().stream().allMatch(e -> e.threadsInUse() == 0);
   }
 
   /**
-   * Takes over a report of progress; ignored if the attempt is not in flight.
+   * Records a progress report; ignored if the attempt is not in flight.
    *
-   * @param done the part of the work that is done, above 0 and up to 1
+   * @param done the fraction of the work that is done, above 0 and up to 1
    */
   public void updateProgress(RequestId id, int attempt, double done, Timestamp now) {
     TrackedRequest request = inFlight(id, attempt);
@@ -280,9 +291,10 @@
   }
 
   /**
-   * Takes over a report that an attempt spills for want of memory; the first of an attempt counts.
+   * Records a report that an attempt spills because it lacks memory; only the first report of an
+   * attempt counts.
    *
-   * @param missingMb the memory that it lacks, in megabytes
+   * @param missingMb the memory that the attempt lacks, in megabytes
    */
   public void updateMemoryShortfall(RequestId id, int attempt, double missingMb) {
     TrackedRequest request = inFlight(id, attempt);
@@ -291,15 +303,15 @@
         && missingMb > 0
         && settings.reportsMemoryShortfall()) {
       request.attempt().reportMemoryShortfall(missingMb);
-      request.attempt().learnMemoryNeed(-1);
+      request.attempt().updateMemoryNeed(-1);
     }
   }
 
   /**
-   * Takes over a report that an attempt waits for a load of the data set that it reads. Where
-   * another may follow on another engine, it is cancelled at once, with no work lost. Guards
-   * against waits that last longer than a quick request's objective. Harm: the load was almost
-   * done, or no other engine gets capacity in time.
+   * Records a report that an attempt waits for a load of the data set that it reads. If the request
+   * may run on another engine, the attempt is cancelled at once, which loses no work. This avoids
+   * waits that exceed the latency objective of a short request. The cancellation is a disadvantage
+   * if the load was almost done, or if no other engine gets capacity in time.
    */
   public void markBlocked(RequestId id, int attempt, Timestamp now) {
     TrackedRequest request = inFlight(id, attempt);
@@ -307,31 +319,32 @@
       return;
     }
     request.markBlocked(now);
-    boolean otherEngine =
-        engines.sorted().stream()
+    boolean hasOtherEngine =
+        engines.sortedById().stream()
             .anyMatch(e -> !request.isBlockedOn(e, now) && request.mayRunOn(e, now));
-    if (otherEngine) {
-      timeouts.cancelNow(request.attempt(), now);
+    if (hasOtherEngine) {
+      timeouts.cancelImmediately(request.attempt(), now);
     }
   }
 
   /**
-   * Sets over how many dispatchers the engines are shared from now on, where some stand by; at
-   * least 1. What all together may send an engine that is warming up stays split over all
-   * dispatchers of the deployment, so that no split and no take-over can overload one.
+   * Sets how many dispatchers share the engines from now on, as some may be backups without
+   * traffic; at least 1. The work that all dispatchers may send to a warming engine stays split
+   * over all dispatchers of the deployment, so that neither a network partition nor a takeover can
+   * overload that engine.
    */
-  public void setSharingDispatchers(double carrying) {
+  public void setSharingDispatchers(double dispatchers) {
     double before = budgets.sharingDispatchers();
-    budgets.setSharingDispatchers(carrying);
+    budgets.setSharingDispatchers(dispatchers);
     quotas.scaleRates(before / budgets.sharingDispatchers());
     health.invalidate();
   }
 
   /**
-   * Sends no further attempt of a request; queued, it is given up when placed next.
+   * Sends no further attempt of a request; if it is queued, it is given up when it is next placed.
    *
-   * @return how long the attempt in flight may take from now, as no other follows that needs time;
-   *     null if none is in flight
+   * @return how long the attempt in flight may take from now, given that no further attempt needs
+   *     time; null if none is in flight
    */
   public TimeSpan withdraw(RequestId id, Timestamp now) {
     TrackedRequest request = queue.get(id);
@@ -342,11 +355,11 @@
     if (request.attempt() == null) {
       return null;
     }
-    timeouts.remove(request.attempt());
-    return timeouts.longestUseful(request, now);
+    timeouts.unschedule(request.attempt());
+    return timeouts.maxUsefulDuration(request, now);
   }
 
-  /** The client has left: its request needs no answer any more. */
+  /** Records that the client has disconnected: its request needs no answer any more. */
   public void clientDisconnected(RequestId id, Timestamp now) {
     TrackedRequest request = queue.get(id);
     if (request != null) {
@@ -357,12 +370,12 @@
     }
   }
 
-  // ---- the life of a request
+  // ---- lifecycle of a request
 
   private TrackedRequest accept(Request request, Timestamp now) {
     TrackedRequest tracked = admission.accept(request, now);
     retries.recordAccepted(now);
-    sequences.forgetRested(now);
+    sequences.removeRestedKeys(now);
     queue.addOpen(tracked);
     enqueue(tracked);
     sequences.add(tracked);
@@ -371,13 +384,13 @@
 
   private void enqueue(TrackedRequest request) {
     TimeSpan expected = health.expectedLatency(request);
-    request.updateQueueFigures(timeouts.giveUpAt(request), expected, settings.overQuotaWeight());
+    request.updateQueueValues(timeouts.giveUpAt(request), expected, settings.overQuotaWeight());
     queue.enqueue(request);
   }
 
   private EngineState chooseEngine(TrackedRequest request, Timestamp now) {
     boolean allowed =
-        sequences.isTurnOf(request, now) && (request.attempts() == 0 || retries.allowsRetry(now));
+        sequences.mayStart(request, now) && (request.attempts() == 0 || retries.allowsRetry(now));
     return allowed ? budgets.choose(request, now) : null;
   }
 
@@ -398,27 +411,30 @@
         request.maxStartDelay(now));
   }
 
-  /** The request of an attempt, if that attempt is in flight, or null. */
+  /** Returns the request of an attempt if that attempt is in flight, or null. */
   private TrackedRequest inFlight(RequestId id, int attempt) {
     TrackedRequest request = queue.get(id);
-    boolean found =
+    boolean isInFlight =
         request != null && request.attempt() != null && request.attempt().number() == attempt;
-    return found ? request : null;
+    return isInFlight ? request : null;
   }
 
-  /** Whether no further attempt of a request is allowed, or could be of use. */
-  private boolean isHopeless(TrackedRequest request, Timestamp now) {
+  /** Returns whether no further attempt of a request is allowed or could be of use. */
+  private boolean mustGiveUp(TrackedRequest request, Timestamp now) {
     return request.isDropped()
         || request.attempts() > 0 && retries.isExhausted()
         || !request.isSafeToSend(now)
         || !now.isBefore(request.giveUpAt());
   }
 
-  /** The final answer of a request that is given up: shed where its client may safely retry. */
+  /**
+   * Closes a request and returns its final answer: shed where its client may safely retry, or else
+   * failed.
+   */
   private Placement giveUp(TrackedRequest request) {
-    boolean safe = request.isSafeForClientRetry();
+    boolean isSafe = request.isSafeForClientRetry();
     close(request);
-    return safe ? Placement.shed(settings.maxRetryAfter()) : Placement.fail();
+    return isSafe ? Placement.shed(settings.maxRetryAfter()) : Placement.fail();
   }
 
   private void close(TrackedRequest request) {
--- a/src/main/java/cobaltseam/dispatch/EndpointStatus.java
+++ b/src/main/java/cobaltseam/dispatch/EndpointStatus.java
@@ -1,9 +1,9 @@
 package cobaltseam.dispatch;
 
 /**
- * One engine's line of the endpoint list.
+ * The entry of one engine in the endpoint list.
  *
- * @param startedAt when the engine started; zero if long ago
+ * @param startedAt when the engine started; zero if it started so long ago that it has warmed up
  */
 public record EndpointStatus(
     EngineId engine,
@@ -12,7 +12,10 @@
     GroupId group,
     EndpointState state,
     Timestamp startedAt) {
-  /** The state of an engine by the endpoint list; a later constant overrules an earlier one. */
+  /**
+   * The state of an engine according to the endpoint list. If one list names an engine more than
+   * once, the constant that is declared last takes precedence.
+   */
   public enum EndpointState {
     UP,
     DRAINING,
--- a/src/main/java/cobaltseam/dispatch/EngineHealth.java
+++ b/src/main/java/cobaltseam/dispatch/EngineHealth.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * Estimates over all engines: latency, failures and load. Assesses each engine against them, which
- * ejects outliers by shrinking their share.
+ * Estimates latency, failures and load over all engines, and assesses each engine against these
+ * estimates: an outlier gets a smaller share, down to almost no traffic.
  */
 final class EngineHealth {
-  /** Shortest latency objectives after which an estimate has lost half of its weight. */
+  /** The half-life of all estimates, in multiples of the shortest latency objective. */
   private static final double HALF_LIFE_OBJECTIVES = 4;
 
   private final EngineTable engines;
@@ -17,65 +17,74 @@
   private Timestamp refreshedAt;
   private Timestamp decayedAt;
 
-  /** When the caller was asked to call again. */
+  /** The time by which the caller was asked to call again. */
   private Timestamp nextCallDue;
 
-  private boolean callLate;
+  private boolean isCallOverdue;
 
-  private final DecayingAverage slownessSamples = new DecayingAverage();
+  private final DecayingAverage latencySamples = new DecayingAverage();
   private final DecayingAverage failureSamples = new DecayingAverage();
 
-  /** Requests in flight per core, as engines report them. */
+  /** Samples of the requests in flight per core, as engines report them. */
   private final DecayingAverage loadSamples = new DecayingAverage();
 
-  private double pace = 1;
-  private double utilization = PolicyConstants.MAX_RATIO;
+  private double medianLatencyRatio = 1;
+  private double utilization = PolicyConstants.MAX_OBSERVATION_RATIO;
 
-  /** Threads of a request and its stay on its engine, both weighted by time spent there. */
+  /**
+   * Mean thread count and residence time of an attempt on its engine, both weighted by residence
+   * time.
+   */
   private double meanThreads = 1;
 
-  private TimeSpan meanStay;
+  private TimeSpan meanResidenceTime;
 
   EngineHealth(EngineTable engines, RequestClassTable requestClasses, PolicySettings settings) {
     this.engines = engines;
     this.requestClasses = requestClasses;
     this.settings = settings;
-    meanStay = settings.shortestObjective();
+    meanResidenceTime = settings.shortestObjective();
   }
 
   void applySettings(PolicySettings newSettings) {
     settings = newSettings;
   }
 
-  /** How many times their usual latency the answers of the middle engine take; at least 1. */
-  double pace() {
-    return pace;
+  /** Returns the ratio of current to baseline latency on the median engine; at least 1. */
+  double medianLatencyRatio() {
+    return medianLatencyRatio;
   }
 
-  /** The pace of one class: wide requests may wait long while narrow ones are quick. */
-  double pace(RequestClassStats requestClass) {
-    return Math.exp(Math.max(0, requestClass.meanSlowness(Math.log(pace))));
+  /**
+   * Returns the latency ratio of one class; at least 1. Classes differ, since requests that need
+   * many threads may wait long while those that need few are answered quickly.
+   */
+  double latencyRatio(RequestClassStats requestClass) {
+    return Math.exp(Math.max(0, requestClass.meanLogLatencyRatio(Math.log(medianLatencyRatio))));
   }
 
-  /** The latency to expect of a request at the present pace. */
+  /** Returns the expected latency of a request at the current latency ratio of its class. */
   TimeSpan expectedLatency(TrackedRequest request) {
-    return request.usualLatency().times(pace(request.requestClass()));
+    return request.baselineLatency().times(latencyRatio(request.requestClass()));
   }
 
-  /** The pace of one class on one engine: that of the slower of the two. */
-  double paceOn(EngineState engine, RequestClassStats requestClass) {
-    return Math.max(pace(requestClass), Math.exp(engine.slowness()));
+  /** Returns the latency ratio of a class or of an engine, whichever is higher. */
+  double latencyRatioOn(EngineState engine, RequestClassStats requestClass) {
+    return Math.max(latencyRatio(requestClass), Math.exp(engine.logLatencyRatio()));
   }
 
-  /** Threads in use on all engines over their limit, as reported; above 1 if nothing is. */
+  /**
+   * Returns the ratio of threads in use to the thread limit over all engines, as reported; above 1
+   * if no engine reports load.
+   */
   double utilization() {
     return utilization;
   }
 
-  /** Whether engines report capacity to spare, and few attempts fail. */
+  /** Returns whether engines report spare capacity and few attempts fail. */
   boolean hasSpareCapacity() {
-    return utilization <= 1 / PolicyConstants.NEAR_RATIO
-        && failureSamples.mean(0) <= PolicyConstants.SAMPLE_WEIGHT;
+    return utilization <= 1 / PolicyConstants.TOLERANCE_FACTOR
+        && failureSamples.mean(0) <= PolicyConstants.SMOOTHING_FACTOR;
   }
 
   boolean hasLoadReports() {
@@ -83,23 +92,26 @@
   }
 
   /**
-   * Whether an engine has this many threads to spare, by the requests that it last reported in
-   * flight. Guards against all dispatchers borrowing the same capacity; true if nothing is
-   * reported.
+   * Returns whether an engine has this many spare threads, according to the requests that it last
+   * reported in flight. This keeps all dispatchers from borrowing the same capacity. Returns true
+   * if no engine reports load.
    */
-  boolean hasThreadsToSpare(EngineState engine, double threads, Timestamp now) {
+  boolean hasSpareThreads(EngineState engine, double threads, Timestamp now) {
     if (loadSamples.isEmpty()) {
       return true;
     }
     double inFlight =
         engine.estimatedInFlight(loadSamples.mean(), settings.shortestObjective(), now);
-    double others = Math.max(0, inFlight - engine.attempts().size()) * meanThreads;
-    return engine.threadsInUse() + others + threads <= engine.usableThreads(now);
+    double otherThreads = Math.max(0, inFlight - engine.attempts().size()) * meanThreads;
+    return engine.threadsInUse() + otherThreads + threads <= engine.usableThreads(now);
   }
 
-  /** Whether this call came so late that what it brings may have happened at any time before. */
-  boolean isCallLate() {
-    return callLate;
+  /**
+   * Returns whether the current call is so late that the events which it reports may have happened
+   * long before.
+   */
+  boolean isCallOverdue() {
+    return isCallOverdue;
   }
 
   void expectCallBy(Timestamp due) {
@@ -110,111 +122,123 @@
 
   void addLoad(EngineState engine, double inFlight, Timestamp at) {
     engine.recordLoad(inFlight, at);
-    loadSamples.add(inFlight / engine.cores(), PolicyConstants.SAMPLE_WEIGHT);
+    loadSamples.add(inFlight / engine.cores(), PolicyConstants.SMOOTHING_FACTOR);
   }
 
-  void addSlowness(EngineState engine, RequestClassStats requestClass, double logRatio) {
-    engine.addSlowness(logRatio);
-    requestClass.addSlowness(logRatio);
-    slownessSamples.add(
-        Math.min(logRatio, Math.log(PolicyConstants.SLOW_RATIO)), PolicyConstants.SAMPLE_WEIGHT);
+  void addLatencySample(EngineState engine, RequestClassStats requestClass, double logRatio) {
+    engine.addLatencySample(logRatio);
+    requestClass.addLatencySample(logRatio);
+    latencySamples.add(
+        Math.min(logRatio, Math.log(PolicyConstants.SLOW_LATENCY_RATIO)),
+        PolicyConstants.SMOOTHING_FACTOR);
   }
 
-  /** A sample is 1 for a failed attempt and 0 for an answer. */
+  /** Adds a failure sample: 1 for a failed attempt and 0 for an answer. */
   void addFailure(EngineState engine, double sample) {
     engine.addFailure(sample);
-    failureSamples.add(sample, PolicyConstants.SAMPLE_WEIGHT);
+    failureSamples.add(sample, PolicyConstants.SMOOTHING_FACTOR);
   }
 
-  void addStay(double threads, TimeSpan stay) {
+  void addResidenceTime(double threads, TimeSpan residenceTime) {
     double weight =
-        Math.min(1, stay.dividedBy(settings.shortestObjective())) * PolicyConstants.SAMPLE_WEIGHT;
+        Math.min(1, residenceTime.dividedBy(settings.shortestObjective()))
+            * PolicyConstants.SMOOTHING_FACTOR;
     meanThreads += (threads - meanThreads) * weight;
-    meanStay = meanStay.plus(stay.minus(meanStay).times(weight));
+    meanResidenceTime =
+        meanResidenceTime.plus(residenceTime.minus(meanResidenceTime).times(weight));
   }
 
-  // ---- what changes with time
+  // ---- changes with time
 
-  /** Lets the next refresh assess the engines anew, even at the same time. */
+  /** Makes the next refresh assess the engines again, even at the same time. */
   void invalidate() {
     refreshedAt = null;
   }
 
-  /** Lets all estimates lose weight by the time since the last call. */
+  /** Decays the weight of all estimates by the time since the last call. */
   void decay(Timestamp now) {
     if (now.equals(decayedAt)) {
       return;
     }
-    // Guards against a dispatcher that was paused.
-    callLate =
+    // A suspended process reads answers late: latencies measured then say nothing about the
+    // engines.
+    isCallOverdue =
         nextCallDue != null && now.since(nextCallDue).compareTo(settings.refreshInterval()) > 0;
-    double objectives =
+    double elapsedObjectives =
         decayedAt == null ? 0 : now.since(decayedAt).dividedBy(settings.shortestObjective());
-    double keep = Math.pow(0.5, objectives / HALF_LIFE_OBJECTIVES);
+    double keep = Math.pow(0.5, elapsedObjectives / HALF_LIFE_OBJECTIVES);
     decayedAt = now;
-    slownessSamples.decay(keep);
+    latencySamples.decay(keep);
     failureSamples.decay(keep);
     loadSamples.decay(keep);
-    for (RequestClassStats each : requestClasses.all()) {
-      TimeSpan objective = each.definition().latencyObjective();
-      each.decaySlowness(Math.pow(keep, settings.shortestObjective().dividedBy(objective)));
+    for (RequestClassStats requestClass : requestClasses.all()) {
+      TimeSpan objective = requestClass.definition().latencyObjective();
+      requestClass.decayLatencySamples(
+          Math.pow(keep, settings.shortestObjective().dividedBy(objective)));
     }
-    engines.sorted().forEach(e -> e.decayHealthSamples(keep));
+    engines.sortedById().forEach(e -> e.decayHealthSamples(keep));
   }
 
-  /** Brings the assessment of each engine, the pace and the random draws up to date. */
+  /** Updates the assessment of each engine, the median latency ratio and the random samples. */
   void refresh(Timestamp now) {
     if (now.equals(refreshedAt)) {
       return;
     }
     refreshedAt = now;
     decay(now);
-    double allSlowness = slownessSamples.mean(0);
-    double allFailures = failureSamples.mean(0);
-    updateUtilization(allFailures);
-    TimeSpan renewal = drawInterval();
-    double[] slowness = new double[engines.sorted().size()];
-    for (int i = 0; i < slowness.length; i++) {
-      EngineState engine = engines.sorted().get(i);
-      returnBorrowedOfOverdue(engine, now);
-      engine.assess(allSlowness, allFailures, pace);
-      slowness[i] = engine.slowness();
-      if (engine.warmup().sinceDraw(now).compareTo(renewal) >= 0) {
-        engines.redraw(engine, now);
+    double meanLogRatio = latencySamples.mean(0);
+    double meanFailureRate = failureSamples.mean(0);
+    updateUtilization(meanFailureRate);
+    TimeSpan resampleInterval = resampleInterval();
+    double[] logLatencyRatios = new double[engines.sortedById().size()];
+    for (int i = 0; i < logLatencyRatios.length; i++) {
+      EngineState engine = engines.sortedById().get(i);
+      reduceBorrowingForOverdueAttempts(engine, now);
+      engine.assess(meanLogRatio, meanFailureRate, medianLatencyRatio);
+      logLatencyRatios[i] = engine.logLatencyRatio();
+      if (engine.warmup().sinceSample(now).compareTo(resampleInterval) >= 0) {
+        engines.resample(engine, now);
       }
     }
-    Arrays.sort(slowness);
-    pace = slowness.length == 0 ? 1 : Math.exp(Math.max(0, slowness[(slowness.length - 1) / 2]));
+    Arrays.sort(logLatencyRatios);
+    medianLatencyRatio =
+        logLatencyRatios.length == 0
+            ? 1
+            : Math.exp(Math.max(0, logLatencyRatios[(logLatencyRatios.length - 1) / 2]));
   }
 
-  private void updateUtilization(double allFailures) {
+  private void updateUtilization(double meanFailureRate) {
     utilization =
         loadSamples.isEmpty()
-            ? PolicyConstants.MAX_RATIO
+            ? PolicyConstants.MAX_OBSERVATION_RATIO
             : loadSamples.mean() * meanThreads / PolicyConstants.THREADS_PER_CORE;
-    // Reports come with answers alone: engines that fail or stay silent report no spare capacity.
-    utilization += Math.max(0, 1 - utilization) * allFailures;
+    // Engines report load only with answers: those that fail or do not respond must not appear
+    // idle.
+    utilization += Math.max(0, 1 - utilization) * meanFailureRate;
   }
 
   /**
-   * Draws are renewed soon, or, away from usual load, once in the stay of an attempt: the threads
-   * in use then match the share in the mean. Guards against hundreds of dispatchers that fill the
-   * engines by chance.
+   * Returns the interval after which random samples are renewed: a short one, or, when latency or
+   * utilization is high, the mean residence time of an attempt, so that the mean of the threads in
+   * use matches the share. This prevents hundreds of dispatchers from filling the engines by
+   * chance.
    */
-  private TimeSpan drawInterval() {
-    boolean slow = pace > PolicyConstants.NEAR_RATIO && utilization > PolicyConstants.MIN_SHARE;
-    boolean full = hasLoadReports() && utilization > 1 / PolicyConstants.NEAR_RATIO;
-    return slow || full ? meanStay : meanStay.min(settings.refreshInterval());
+  private TimeSpan resampleInterval() {
+    boolean isSlow =
+        medianLatencyRatio > PolicyConstants.TOLERANCE_FACTOR
+            && utilization > PolicyConstants.ONE_THREAD_PER_CORE_SHARE;
+    boolean isFull = hasLoadReports() && utilization > 1 / PolicyConstants.TOLERANCE_FACTOR;
+    return isSlow || isFull ? meanResidenceTime : meanResidenceTime.min(settings.refreshInterval());
   }
 
-  private void returnBorrowedOfOverdue(EngineState engine, Timestamp now) {
-    if (callLate) {
+  private void reduceBorrowingForOverdueAttempts(EngineState engine, Timestamp now) {
+    if (isCallOverdue) {
       return;
     }
     for (Attempt attempt : engine.attempts()) {
-      double ratio = now.since(attempt.sentAt()).dividedBy(attempt.expectedLatency());
-      if (ratio > PolicyConstants.SLOW_RATIO) {
-        engine.returnBorrowed(attempt);
+      double latencyRatio = now.since(attempt.sentAt()).dividedBy(attempt.baselineLatency());
+      if (latencyRatio > PolicyConstants.SLOW_LATENCY_RATIO) {
+        engine.reduceBorrowing(attempt);
       }
     }
   }
--- a/src/main/java/cobaltseam/dispatch/EngineId.java
+++ b/src/main/java/cobaltseam/dispatch/EngineId.java
@@ -1,6 +1,6 @@
 package cobaltseam.dispatch;
 
-/** Names one engine, the same at every dispatcher. */
+/** Identifies an engine; all dispatchers use the same id for it. */
 public record EngineId(long value) implements Comparable<EngineId> {
   @Override
   public int compareTo(EngineId other) {
--- a/src/main/java/cobaltseam/dispatch/EngineState.java
+++ b/src/main/java/cobaltseam/dispatch/EngineState.java
@@ -7,7 +7,10 @@
 import java.util.Collections;
 import java.util.List;
 
-/** One engine, for as long as it is listed or has attempts in flight. */
+/**
+ * The state of one engine, kept while the engine is listed, has attempts in flight or is warming
+ * up.
+ */
 final class EngineState {
   private final EngineId id;
   private final EngineWarmup warmup;
@@ -21,30 +24,36 @@
 
   private final List<Attempt> attempts = new ArrayList<>();
 
-  /** Threads of this dispatcher's attempts. */
+  /** Engine threads that the attempts of this dispatcher use. */
   private double threadsInUse;
 
-  /** Requests in flight there, of all dispatchers, as last reported; below zero if never. */
+  /**
+   * Requests of all dispatchers in flight at this engine, as last reported; negative if never
+   * reported.
+   */
   private double reportedInFlight = -1;
 
   private Timestamp reportedAt;
-  private Timestamp completedAt;
+  private Timestamp lastCompletedAt;
 
-  /** For each request class the part of the other dispatchers' budget to borrow, from 0 to 1. */
+  /**
+   * For each request class, the fraction of the other dispatchers' budget that may be borrowed,
+   * from 0 to 1.
+   */
   private double[] borrowing;
 
-  /** Logarithm of latency over expected latency, over all request classes. */
-  private final DecayingAverage slownessSamples = new DecayingAverage();
+  /** Samples of the logarithm of the latency ratio, over all request classes. */
+  private final DecayingAverage latencySamples = new DecayingAverage();
 
-  /** 1 for a failed attempt, 0 for an answer. */
+  /** Samples of 1 for each failed attempt and 0 for each answer. */
   private final DecayingAverage failureSamples = new DecayingAverage();
 
-  private double slowness;
-  private double health = 1;
+  private double logLatencyRatio;
+  private double healthFactor = 1;
 
-  EngineState(EngineId id, int requestClasses, double draw, Timestamp now) {
+  EngineState(EngineId id, int requestClasses, double randomSample, Timestamp now) {
     this.id = id;
-    warmup = new EngineWarmup(draw, now);
+    warmup = new EngineWarmup(randomSample, now);
     borrowing = new double[requestClasses];
   }
 
@@ -76,7 +85,7 @@
     return cores;
   }
 
-  /** Threads that all dispatchers together may use. */
+  /** Returns the threads that all dispatchers together may use. */
   double threadLimit() {
     return threadLimit;
   }
@@ -89,54 +98,58 @@
     return Collections.unmodifiableList(attempts);
   }
 
-  /** Takes over its line of the endpoint list; a restart forgets what was learnt. */
+  /** Applies the entry of this engine in an endpoint list; a restart resets the estimates. */
   void update(EndpointStatus status, MachineType type, SlowStart slowStart, Timestamp now) {
-    boolean restarted = warmup.isRestart(status.startedAt());
+    boolean isRestarted = warmup.isRestart(status.startedAt());
     location = status.location();
     machineType = status.machineType();
     group = status.group();
     state = status.state();
-    resize(type);
+    applyMachineType(type);
     warmup.start(status.startedAt(), slowStart, now);
-    if (restarted) {
-      slownessSamples.decay(0);
+    if (isRestarted) {
+      latencySamples.decay(0);
       failureSamples.decay(0);
       Arrays.fill(borrowing, 0);
       reportedInFlight = -1;
     }
   }
 
-  void markGone() {
+  void markRemoved() {
     state = EndpointState.REMOVED;
   }
 
-  /** One that started lately may be listed again, and what it was sent still counts. */
-  boolean canBeForgotten(Timestamp now) {
+  /**
+   * Returns whether this state can be deleted. It is kept while the engine warms up, since the
+   * engine may be listed again, and the work sent to it still counts against its allowance.
+   */
+  boolean canBeDeleted(Timestamp now) {
     return state == EndpointState.REMOVED && threadsInUse == 0 && !warmup.isWarmingUp(now);
   }
 
-  /** Goes on under other settings; borrowing starts afresh. */
+  /** Continues under changed settings; borrowing starts from zero. */
   void applySettings(MachineType type, SlowStart slowStart, int requestClasses, Timestamp now) {
     warmup.applySettings(slowStart, now);
     borrowing = new double[requestClasses];
-    resize(type);
+    applyMachineType(type);
   }
 
-  /** A null type counts as one core of unknown memory. */
-  private void resize(MachineType type) {
+  /** Derives the limits from the machine type; null counts as one core with unknown memory. */
+  private void applyMachineType(MachineType type) {
     cores = type == null ? 1 : type.cores();
     threadLimit = cores * PolicyConstants.THREADS_PER_CORE;
     memoryPerThreadMb = type == null ? 0 : type.memoryMb() / threadLimit;
   }
 
   /**
-   * The threads that a request counts here: its class's, or as many as its part of the engine's
-   * memory goes with. Guards against mixes that spill while threads are left. Harm: estimates that
-   * are too high.
+   * Returns the threads that a request counts for on this engine: those of its class, or the
+   * threads that correspond to its fraction of the engine's memory, if those are more. This avoids
+   * combinations of requests that spill while threads are left. The disadvantage: estimates that
+   * are too high leave threads idle.
    */
   double threadsFor(Request request, RequestClassStats requestClass) {
-    double byMemory = memoryPerThreadMb > 0 ? request.memoryMb() / memoryPerThreadMb : 0;
-    return Math.max(requestClass.threads(), Math.min(byMemory, threadLimit));
+    double threadsByMemory = memoryPerThreadMb > 0 ? request.memoryMb() / memoryPerThreadMb : 0;
+    return Math.max(requestClass.threads(), Math.min(threadsByMemory, threadLimit));
   }
 
   void addAttempt(Attempt attempt) {
@@ -150,16 +163,18 @@
   }
 
   void recordCompletion(Timestamp now) {
-    completedAt = now;
+    lastCompletedAt = now;
   }
 
   boolean hasCompletedSince(Timestamp when) {
-    return completedAt != null && !completedAt.isBefore(when);
+    return lastCompletedAt != null && !lastCompletedAt.isBefore(when);
   }
 
-  // ---- load, as the engine reports it
+  // ---- reported load
 
-  /** Whether a report of this time is newer than the last one, and of the engine's present run. */
+  /**
+   * Returns whether a report is newer than the last one, and later than the start of the engine.
+   */
   boolean isNewReport(Timestamp at) {
     return (reportedAt == null || reportedAt.isBefore(at)) && warmup.isStartedBefore(at);
   }
@@ -170,8 +185,8 @@
   }
 
   /**
-   * Requests in flight here, of all dispatchers: the last report, which loses weight with time to
-   * the mean of all engines.
+   * Returns an estimate of the requests of all dispatchers in flight at this engine: the last
+   * report, whose weight decays with time in favour of the mean of all engines.
    */
   double estimatedInFlight(double meanPerCore, TimeSpan halfLife, Timestamp now) {
     double weight =
@@ -181,9 +196,12 @@
 
   // ---- borrowing
 
-  /** The part to borrow, as the answers here suggest, or, with few of them, all answers. */
+  /**
+   * Returns the fraction that may be borrowed, according to the answers of this engine, or, while
+   * there are few of them, to those of all engines.
+   */
   double borrowing(RequestClassStats requestClass) {
-    double weight = slownessSamples.weight();
+    double weight = latencySamples.weight();
     return (borrowing[requestClass.index()] * weight
             + requestClass.borrowing() * DecayingAverage.PRIOR_WEIGHT)
         / (weight + DecayingAverage.PRIOR_WEIGHT);
@@ -194,8 +212,11 @@
     borrowing[index] = Math.min(1, borrowing[index] + by);
   }
 
-  /** Gives back half of what is borrowed, once an attempt: it was slow, or is overdue. */
-  void returnBorrowed(Attempt attempt) {
+  /**
+   * Halves the fraction that may be borrowed, once per attempt, when the attempt was slow or is
+   * overdue.
+   */
+  void reduceBorrowing(Attempt attempt) {
     if (attempt.markSlow()) {
       borrowing[attempt.requestClass().index()] /= 2;
       attempt.requestClass().halveBorrowing();
@@ -204,52 +225,66 @@
 
   // ---- health
 
-  void addSlowness(double logRatio) {
-    slownessSamples.add(logRatio, PolicyConstants.SAMPLE_WEIGHT);
+  void addLatencySample(double logRatio) {
+    latencySamples.add(logRatio, PolicyConstants.SMOOTHING_FACTOR);
   }
 
   void addFailure(double sample) {
-    failureSamples.add(sample, PolicyConstants.SAMPLE_WEIGHT);
+    failureSamples.add(sample, PolicyConstants.SMOOTHING_FACTOR);
   }
 
   void decayHealthSamples(double keep) {
-    slownessSamples.decay(keep);
+    latencySamples.decay(keep);
     failureSamples.decay(keep);
   }
 
-  /** Logarithm of how many times their usual latency its answers take, as last assessed. */
-  double slowness() {
-    return slowness;
+  /** Returns the logarithm of the ratio of current to baseline latency, as last assessed. */
+  double logLatencyRatio() {
+    return logLatencyRatio;
   }
 
   /**
-   * Assesses the part of its budget that the engine can bear. Slowness guards against mixes that
-   * pass its peak while all dispatchers keep to their budgets, and against slow-downs of any cause.
-   * Failures guard against an engine that fails quickly and would draw all requests by being always
-   * free. Lag behind the middle engine guards against engines that slow down alone. Harm: an engine
-   * slowed from outside could do more, and a sound one that was unlucky gets less until that
-   * decays.
+   * Assesses the fraction of its budget that the engine can handle, as the product of a speed
+   * factor, the square of a success factor, and a relative speed factor. The speed factor follows
+   * the latency ratio. It protects against request mixes that exceed the peak throughput of an
+   * engine while all dispatchers keep to their budgets, and against a slowdown from any cause. The
+   * success factor follows the failure rate. It protects against an engine that fails quickly, and
+   * would attract all requests because its threads are always free. The relative speed factor
+   * compares with the median engine, and protects against an engine that slows down alone. The
+   * disadvantages: an engine that is slowed by an external cause could do more, and a healthy
+   * engine with a few bad samples gets less traffic until those decay.
    *
-   * @param allSlowness the mean slowness of all engines, a logarithm
-   * @param allFailures the part of attempts that fail on all engines
-   * @param pace how many times their usual latency the answers of the middle engine take
+   * @param meanLogRatio the mean logarithm of the latency ratio over all engines
+   * @param meanFailureRate the fraction of attempts that fail on all engines
+   * @param medianLatencyRatio the ratio of current to baseline latency on the median engine
    */
-  void assess(double allSlowness, double allFailures, double pace) {
-    slowness = slownessSamples.mean(allSlowness);
-    double near = PolicyConstants.NEAR_RATIO;
-    double speed = Math.min(1, Math.max(PolicyConstants.MIN_SHARE, near / Math.exp(slowness)));
-    double success = Math.min(1, (1 - failureSamples.mean(allFailures)) / (1 - allFailures));
-    double lag = Math.min(1, near * pace / Math.exp(slowness));
-    health = speed * success * success * lag;
+  void assess(double meanLogRatio, double meanFailureRate, double medianLatencyRatio) {
+    logLatencyRatio = latencySamples.mean(meanLogRatio);
+    double tolerance = PolicyConstants.TOLERANCE_FACTOR;
+    double speedFactor =
+        Math.min(
+            1,
+            Math.max(
+                PolicyConstants.ONE_THREAD_PER_CORE_SHARE, tolerance / Math.exp(logLatencyRatio)));
+    double successFactor =
+        Math.min(1, (1 - failureSamples.mean(meanFailureRate)) / (1 - meanFailureRate));
+    double relativeSpeedFactor =
+        Math.min(1, tolerance * medianLatencyRatio / Math.exp(logLatencyRatio));
+    healthFactor = speedFactor * successFactor * successFactor * relativeSpeedFactor;
   }
 
-  /** This dispatcher's even share of the engine's threads, as far as it is healthy and warm. */
+  /**
+   * Returns this dispatcher's even share of the engine's threads, scaled by the engine's health and
+   * warm-up.
+   */
   double threadShare(double dispatchers, Timestamp now) {
-    return threadLimit / dispatchers * health * warmup.capacityFraction(now);
+    return threadLimit / dispatchers * healthFactor * warmup.capacityFraction(now);
   }
 
-  /** Threads that all dispatchers may use, as far as the engine is healthy and warm. */
+  /**
+   * Returns the threads that all dispatchers may use, scaled by the engine's health and warm-up.
+   */
   double usableThreads(Timestamp now) {
-    return threadLimit * health * warmup.capacityFraction(now);
+    return threadLimit * healthFactor * warmup.capacityFraction(now);
   }
 }
--- a/src/main/java/cobaltseam/dispatch/EngineTable.java
+++ b/src/main/java/cobaltseam/dispatch/EngineTable.java
@@ -9,26 +9,26 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 
-/** The engines of the endpoint list and those that still have attempts, by id. */
+/** All engines that are listed, have attempts in flight or are warming up, by id. */
 final class EngineTable {
   private final RandomGenerator random;
   private final Map<MachineTypeId, MachineType> machineTypes = new HashMap<>();
   private final TreeMap<EngineId, EngineState> engines = new TreeMap<>();
-  private List<EngineState> sorted = List.of();
+  private List<EngineState> sortedById = List.of();
   private SlowStart slowStart;
 
   EngineTable(RandomGenerator random) {
     this.random = random;
   }
 
-  /** Sets what engines of later updates of the list go by. */
-  void setSettings(List<MachineType> types, SlowStart newSlowStart) {
+  /** Sets the machine types and the slow start for the engines of later endpoint lists. */
+  void configureNewEngines(List<MachineType> types, SlowStart newSlowStart) {
     machineTypes.clear();
     types.forEach(t -> machineTypes.put(t.id(), t));
     slowStart = newSlowStart;
   }
 
-  /** Lets the present engines go on under the settings. */
+  /** Applies changed settings to the present engines. */
   void applySettings(int requestClasses, Timestamp now) {
     for (EngineState engine : engines.values()) {
       MachineType type = machineTypes.get(engine.machineType());
@@ -36,10 +36,13 @@
     }
   }
 
-  /** Within one list, not being up overrules being up. */
+  /**
+   * Applies an endpoint list; if it names an engine more than once, a state other than up takes
+   * precedence over up.
+   */
   void update(List<EndpointStatus> list, boolean complete, int requestClasses, Timestamp now) {
     if (complete) {
-      engines.values().forEach(EngineState::markGone);
+      engines.values().forEach(EngineState::markRemoved);
     }
     for (EndpointStatus status :
         list.stream().sorted(Comparator.comparing(EndpointStatus::state)).toList()) {
@@ -48,21 +51,21 @@
               status.engine(), id -> new EngineState(id, requestClasses, random.nextDouble(), now));
       engine.update(status, machineTypes.get(status.machineType()), slowStart, now);
     }
-    engines.values().removeIf(e -> e.canBeForgotten(now));
-    sorted = new ArrayList<>(engines.values());
+    engines.values().removeIf(e -> e.canBeDeleted(now));
+    sortedById = new ArrayList<>(engines.values());
   }
 
-  /** Null for an unknown engine. */
+  /** Returns the engine with this id, or null if it is unknown. */
   EngineState get(EngineId id) {
     return engines.get(id);
   }
 
-  /** By id, as of the last update of the list. */
-  List<EngineState> sorted() {
-    return sorted;
+  /** Returns the engines sorted by id, as of the last endpoint list. */
+  List<EngineState> sortedById() {
+    return sortedById;
   }
 
-  void redraw(EngineState engine, Timestamp now) {
-    engine.warmup().redraw(random.nextDouble(), engine.cores(), now);
+  void resample(EngineState engine, Timestamp now) {
+    engine.warmup().resample(random.nextDouble(), engine.cores(), now);
   }
 }
--- a/src/main/java/cobaltseam/dispatch/EngineWarmup.java
+++ b/src/main/java/cobaltseam/dispatch/EngineWarmup.java
@@ -1,26 +1,32 @@
 package cobaltseam.dispatch;
 
 /**
- * The slow start of one engine: how far it has warmed up, and how much work it may be sent until it
- * has.
+ * The slow start of one engine: its capacity while it warms up, and a limit on the work that it may
+ * be sent meanwhile.
  */
 final class EngineWarmup {
   private Timestamp startedAt;
   private SlowStart slowStart;
-  private Timestamp drawnAt;
+  private Timestamp sampledAt;
 
-  /** The present random draw, from 0 to 1: decides on what fits only by chance. */
-  private double draw;
+  /**
+   * The current random sample, from 0 to 1; it decides whether a request is sent that fits only
+   * with some probability.
+   */
+  private double sample;
 
-  /** Work that it may be sent until the next draw, in microseconds; below zero if sent ahead. */
+  /**
+   * Work that the engine may be sent until the next sample, in microseconds; negative after work
+   * was sent in advance.
+   */
   private double allowanceUs;
 
-  EngineWarmup(double draw, Timestamp now) {
-    this.draw = draw;
-    drawnAt = now;
+  EngineWarmup(double sample, Timestamp now) {
+    this.sample = sample;
+    sampledAt = now;
   }
 
-  /** Whether this start is later than the last one known. */
+  /** Returns whether this start is later than the last known one. */
   boolean isRestart(Timestamp start) {
     return startedAt != null && startedAt.isBefore(start);
   }
@@ -29,22 +35,25 @@
     return startedAt.isBefore(when);
   }
 
-  /** Begins a slow start at the first start known and at each later one. */
-  void start(Timestamp start, SlowStart by, Timestamp now) {
+  /** Begins a slow start at the first known start of the engine and at each later one. */
+  void start(Timestamp start, SlowStart newSlowStart, Timestamp now) {
     if (startedAt == null || isRestart(start)) {
       startedAt = start;
-      slowStart = by;
+      slowStart = newSlowStart;
       allowanceUs = 0;
-      drawnAt = now;
+      sampledAt = now;
     }
   }
 
-  /** An engine that is warming up by either settings keeps to both until it is warm by both. */
-  void applySettings(SlowStart by, Timestamp now) {
-    boolean wasWarming = isWarmingUp(now);
-    SlowStart both = slowStart.stricterOf(by);
-    slowStart = by;
-    if (wasWarming || isWarmingUp(now)) {
+  /**
+   * Applies changed settings. An engine that is warming up under either settings complies with both
+   * until it is warm under both.
+   */
+  void applySettings(SlowStart newSlowStart, Timestamp now) {
+    boolean wasWarmingUp = isWarmingUp(now);
+    SlowStart both = slowStart.stricterOf(newSlowStart);
+    slowStart = newSlowStart;
+    if (wasWarmingUp || isWarmingUp(now)) {
       slowStart = both;
     }
     allowanceUs = Math.min(0, allowanceUs);
@@ -54,7 +63,7 @@
     return startedAt.us() > 0 && now.since(startedAt).compareTo(slowStart.duration()) < 0;
   }
 
-  /** The part of its work that the engine can do now, from 0 to 1. */
+  /** Returns the current fraction of its full capacity that the engine has, from 0 to 1. */
   double capacityFraction(Timestamp now) {
     if (!isWarmingUp(now)) {
       return 1;
@@ -64,32 +73,37 @@
   }
 
   /**
-   * Renews the draw and the allowance. Guards against overloading an engine that has just started,
-   * by one dispatcher or by hundreds: it may be sent what became allowed since the last draw, or a
-   * request beyond that by its chance. None is saved up, and what was sent ahead is owed. Growth is
-   * taken to be as late as it may be.
+   * Renews the random sample and the allowance. The limit prevents a single dispatcher, and
+   * hundreds of them together, from overloading an engine that has just started: the engine may be
+   * sent the work that was allowed since the last sample, and with some probability one request
+   * beyond that. Unused allowance is not saved up, and work sent in advance is deducted. The
+   * allowance of an interval is credited at its end, the latest possible time.
    */
-  void redraw(double newDraw, double cores, Timestamp now) {
+  void resample(double newSample, double cores, Timestamp now) {
     if (isWarmingUp(now)) {
-      double grown =
-          cores * slowStart.workFactor() * capacityFraction(now) * now.since(drawnAt).us();
-      allowanceUs = Math.min(0, allowanceUs) + grown;
+      double newAllowanceUs =
+          cores * slowStart.allowanceFactor() * capacityFraction(now) * now.since(sampledAt).us();
+      allowanceUs = Math.min(0, allowanceUs) + newAllowanceUs;
     }
-    draw = newDraw;
-    drawnAt = now;
+    sample = newSample;
+    sampledAt = now;
   }
 
-  TimeSpan sinceDraw(Timestamp now) {
-    return now.since(drawnAt);
+  TimeSpan sinceSample(Timestamp now) {
+    return now.since(sampledAt);
   }
 
-  /** Whether the present draw lets an event of this probability happen. */
-  boolean isDrawnBelow(double probability) {
-    return draw < probability;
+  /** Returns whether an event of this probability happens under the current random sample. */
+  boolean isSampleBelow(double probability) {
+    return sample < probability;
   }
 
+  /**
+   * Returns whether the allowance, under the current random sample, admits a request with this
+   * work.
+   */
   boolean allows(double workUs, Timestamp now) {
-    return !isWarmingUp(now) || allowanceUs > 0 && draw * workUs <= allowanceUs;
+    return !isWarmingUp(now) || allowanceUs > 0 && sample * workUs <= allowanceUs;
   }
 
   void spend(double workUs, Timestamp now) {
--- a/src/main/java/cobaltseam/dispatch/GroupId.java
+++ b/src/main/java/cobaltseam/dispatch/GroupId.java
@@ -1,6 +1,8 @@
 package cobaltseam.dispatch;
 
-/** Names a small set of engines that deduplicate each other's requests by idempotency key. */
+/**
+ * Identifies a small group of engines that deduplicate each other's requests by idempotency key.
+ */
 public record GroupId(long value) implements Comparable<GroupId> {
   @Override
   public int compareTo(GroupId other) {
--- a/src/main/java/cobaltseam/dispatch/KeySequences.java
+++ b/src/main/java/cobaltseam/dispatch/KeySequences.java
@@ -5,7 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Keeps requests with the same sequence key in the order in which they were accepted. */
+/**
+ * Keeps requests with the same sequence key in the order in which they were accepted, one at a
+ * time.
+ */
 final class KeySequences {
   private static final class KeySequence {
     private final Deque<TrackedRequest> queue = new ArrayDeque<>();
@@ -18,8 +21,8 @@
 
   private final Map<SequenceKey, KeySequence> sequences = new HashMap<>();
 
-  /** Keys whose last request has ended, to be forgotten once they have rested. */
-  private final Deque<SequenceKey> emptied = new ArrayDeque<>();
+  /** Keys whose last request has ended; they are removed once they have rested. */
+  private final Deque<SequenceKey> emptiedKeys = new ArrayDeque<>();
 
   void add(TrackedRequest request) {
     if (request.isSequenced()) {
@@ -36,26 +39,32 @@
       KeySequence sequence = sequences.get(key);
       sequence.queue.remove(request);
       if (sequence.queue.isEmpty()) {
-        emptied.addLast(key);
+        emptiedKeys.addLast(key);
       }
     }
   }
 
-  /** Empties all queues, for the requests to be added again; keys go on resting. */
+  /** Empties all queues, so that the requests can be added again; keys keep resting. */
   void clearQueues() {
     sequences.values().forEach(s -> s.queue.clear());
   }
 
-  /** Lets a key rest after an attempt that may still run. */
-  void rest(TrackedRequest request, Timestamp now) {
+  /**
+   * Starts the rest of a key: no new request of the key starts meanwhile, as an earlier attempt may
+   * still be running.
+   */
+  void startRest(TrackedRequest request, Timestamp now) {
     if (request.isSequenced()) {
       sequences.get(request.request().sequenceKey()).restUntil =
           now.plus(request.rules().sequenceKeyRest());
     }
   }
 
-  /** Whether a request is the first of its key, and the key has rested before its first attempt. */
-  boolean isTurnOf(TrackedRequest request, Timestamp now) {
+  /**
+   * Returns whether a request may be sent: it is the first of its key, and, before its first
+   * attempt, the key has rested.
+   */
+  boolean mayStart(TrackedRequest request, Timestamp now) {
     if (!request.isSequenced()) {
       return true;
     }
@@ -64,13 +73,14 @@
         && (request.attempts() > 0 || sequence.isRested(now));
   }
 
-  void forgetRested(Timestamp now) {
-    while (!emptied.isEmpty() && canForget(emptied.peekFirst(), now)) {
-      sequences.computeIfPresent(emptied.removeFirst(), (key, s) -> s.queue.isEmpty() ? null : s);
+  void removeRestedKeys(Timestamp now) {
+    while (!emptiedKeys.isEmpty() && canRemove(emptiedKeys.peekFirst(), now)) {
+      sequences.computeIfPresent(
+          emptiedKeys.removeFirst(), (key, s) -> s.queue.isEmpty() ? null : s);
     }
   }
 
-  private boolean canForget(SequenceKey key, Timestamp now) {
+  private boolean canRemove(SequenceKey key, Timestamp now) {
     KeySequence sequence = sequences.get(key);
     return sequence == null || sequence.isRested(now);
   }
--- a/src/main/java/cobaltseam/dispatch/LoadShedder.java
+++ b/src/main/java/cobaltseam/dispatch/LoadShedder.java
@@ -3,13 +3,16 @@
 import java.util.SortedSet;
 import java.util.random.RandomGenerator;
 
-/** Decides in overload which requests are shed: new ones as they come, and queued ones. */
+/** Selects the requests to shed in overload, both on arrival and from the queue. */
 final class LoadShedder {
-  /** A new request is compared with this many before it. */
+  /** The number of preceding requests that a new request is compared with. */
   private static final int RECENT_REQUESTS = 64;
 
-  /** The queue ahead of a request may take this part of the time that the request can wait. */
-  private static final double MAX_QUEUE_PER_SLACK = 0.3;
+  /**
+   * The time to process the queue ahead of a request may be at most this fraction of the time that
+   * the request can wait.
+   */
+  private static final double MAX_QUEUED_SLACK_FRACTION = 0.3;
 
   private final ThreadBudgets budgets;
   private final EngineHealth health;
@@ -17,7 +20,10 @@
   private final RandomGenerator random;
   private PolicySettings settings;
 
-  /** Work of the last requests accepted, in microseconds, and their priority weight for it. */
+  /**
+   * Work of the most recent requests, in microseconds, and their priority weight per microsecond of
+   * work.
+   */
   private final double[] recentWorkUs = new double[RECENT_REQUESTS];
 
   private final double[] recentWeightPerWork = new double[RECENT_REQUESTS];
@@ -40,72 +46,77 @@
   }
 
   /**
-   * Whether to shed a new request, as its weight is too low for its work: as the pool slows, with
-   * the square of its pace, a part goes from the low end of what came here lately. Guards against
-   * overload that no single dispatcher's queue shows, and against the excess of one tenant: over
-   * its quota it has little weight, and goes first. Harm: a shared slow-down that leaves capacity.
-   * Not before it is known what is usual.
+   * Returns whether to shed a new request because its priority weight is too low for its work. The
+   * fraction of work that is shed grows with the square of the latency ratio, and starts with the
+   * lowest weights among recent requests. This protects against overload that no single
+   * dispatcher's queue shows, and against excess traffic of one tenant: a request over quota has a
+   * low weight, and is shed first. The disadvantage: a slowdown of all engines that leaves capacity
+   * sheds requests too. No request is shed before enough requests have arrived to know the
+   * baseline.
    *
-   * @param arrivals requests accepted so far, with this one
+   * @param arrivals requests accepted so far, including this one
    */
-  boolean shouldShedNew(TrackedRequest request, long arrivals) {
+  boolean shouldShedOnArrival(TrackedRequest request, long arrivals) {
     double workUs = request.workUs();
     double weight =
         request.requestClass().definition().priorityWeight()
             * (request.isOverQuota() ? settings.overQuotaWeight() : 1)
             / workUs;
-    double all = 0;
-    double below = 0;
-    double partOfEqual = random.nextDouble();
+    double totalWorkUs = 0;
+    double lighterWorkUs = 0;
+    double equalWeightFraction = random.nextDouble();
     for (int i = 0; i < RECENT_REQUESTS; i++) {
-      all += recentWorkUs[i];
+      totalWorkUs += recentWorkUs[i];
       int comparison = Double.compare(recentWeightPerWork[i], weight);
-      below += recentWorkUs[i] * (comparison < 0 ? 1 : comparison > 0 ? 0 : partOfEqual);
+      lighterWorkUs +=
+          recentWorkUs[i] * (comparison < 0 ? 1 : comparison > 0 ? 0 : equalWeightFraction);
     }
-    int at = (int) (arrivals % RECENT_REQUESTS);
-    recentWorkUs[at] = workUs;
-    recentWeightPerWork[at] = weight;
-    double pace = health.pace(request.requestClass());
-    return below < all * (1 - PolicyConstants.NEAR_RATIO / (pace * pace))
-        && arrivals * PolicyConstants.SAMPLE_WEIGHT >= 2
-        && health.utilization() > PolicyConstants.MIN_SHARE;
+    int slot = (int) (arrivals % RECENT_REQUESTS);
+    recentWorkUs[slot] = workUs;
+    recentWeightPerWork[slot] = weight;
+    double latencyRatio = health.latencyRatio(request.requestClass());
+    return lighterWorkUs
+            < totalWorkUs * (1 - PolicyConstants.TOLERANCE_FACTOR / (latencyRatio * latencyRatio))
+        && arrivals * PolicyConstants.SMOOTHING_FACTOR >= 2
+        && health.utilization() > PolicyConstants.ONE_THREAD_PER_CORE_SHARE;
   }
 
   /**
-   * The queued request to shed, or null: if the queue is too long for one in it to be answered in
-   * time, of that one and those ahead of it the one of least weight for its threads and time. Only
-   * requests as narrow count as ahead, since narrow ones pass wide ones that fit nowhere. Guards
-   * against overload, whatever its cause; harm: a burst of free threads would have cleared the
-   * queue.
+   * Returns the queued request to shed, or null. If the queue ahead of some request is too long for
+   * that request to be answered in time, the request with the least weight per thread and time is
+   * shed, out of that request and those ahead of it. Only requests with at most as many threads
+   * count as ahead, since they pass wider requests that fit no engine. This protects against
+   * overload from any cause. The disadvantage: if many threads become free at once, the queue would
+   * have cleared without shedding.
    */
-  TrackedRequest requestToShed(SortedSet<TrackedRequest> queued, Timestamp now) {
+  TrackedRequest selectRequestToShed(SortedSet<TrackedRequest> queued, Timestamp now) {
     double[] threads = new double[requestClasses.size()];
-    for (RequestClassStats each : requestClasses.all()) {
-      threads[each.index()] = budgets.totalThreads(each, now);
+    for (RequestClassStats requestClass : requestClasses.all()) {
+      threads[requestClass.index()] = budgets.totalThreads(requestClass, now);
     }
-    double[] aheadUs = new double[requestClasses.size()];
+    double[] queuedAheadUs = new double[requestClasses.size()];
     for (TrackedRequest request : queued) {
       int index = request.requestClass().index();
       double slackUs =
-          request.targetAt().since(now).us()
+          request.objectiveDueAt().since(now).us()
               - request.threadTimeUs() / request.requestClass().threads();
       if (threads[index] > 0
-          && !request.isLate()
-          && aheadUs[index] > threads[index] * slackUs * MAX_QUEUE_PER_SLACK) {
-        return leastWeight(request, queued.headSet(request));
+          && !request.isExpectedLate()
+          && queuedAheadUs[index] > threads[index] * slackUs * MAX_QUEUED_SLACK_FRACTION) {
+        return leastWeightUpTo(request, queued.headSet(request));
       }
-      for (RequestClassStats each : requestClasses.all()) {
-        boolean asNarrow = each.threads() >= request.requestClass().threads();
-        aheadUs[each.index()] += asNarrow ? request.threadTimeUs() : 0;
+      for (RequestClassStats requestClass : requestClasses.all()) {
+        boolean countsAhead = requestClass.threads() >= request.requestClass().threads();
+        queuedAheadUs[requestClass.index()] += countsAhead ? request.threadTimeUs() : 0;
       }
     }
     return null;
   }
 
-  private static TrackedRequest leastWeight(
-      TrackedRequest request, SortedSet<TrackedRequest> ahead) {
+  private static TrackedRequest leastWeightUpTo(
+      TrackedRequest request, SortedSet<TrackedRequest> requestsAhead) {
     TrackedRequest least = request;
-    for (TrackedRequest other : ahead) {
+    for (TrackedRequest other : requestsAhead) {
       if (other.requestClass().threads() <= request.requestClass().threads()
           && other.weightPerThreadTime() < least.weightPerThreadTime()) {
         least = other;
--- a/src/main/java/cobaltseam/dispatch/LocationId.java
+++ b/src/main/java/cobaltseam/dispatch/LocationId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names one location of engines. */
+/** Identifies a location of engines. */
 public record LocationId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/MachineTypeId.java
+++ b/src/main/java/cobaltseam/dispatch/MachineTypeId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names one type of machine. */
+/** Identifies a machine type. */
 public record MachineTypeId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/MemoryNeed.java
+++ b/src/main/java/cobaltseam/dispatch/MemoryNeed.java
@@ -1,42 +1,48 @@
 package cobaltseam.dispatch;
 
-/** How much memory a class of requests needs in proportion to its estimates, at a high quantile. */
+/** Estimates the ratio of needed to estimated memory of a request class, at a high quantile. */
 final class MemoryNeed {
   private static final double QUANTILE = 0.9;
 
-  private double ratio = PolicyConstants.NEAR_RATIO;
-  private long samples;
+  private double needRatio = PolicyConstants.TOLERANCE_FACTOR;
+  private long sampleCount;
 
-  /** The grant for an estimate, in megabytes; 0 leaves it to the engine. */
+  /** Returns the memory grant for an estimate, in megabytes; 0 leaves it to the engine. */
   double grantMb(double estimateMb) {
-    return samples == 0 ? 0 : ratio * estimateMb;
+    return sampleCount == 0 ? 0 : needRatio * estimateMb;
   }
 
   /**
-   * Learns from an attempt.
+   * Updates the ratio from an attempt.
    *
-   * @param grantedMb what the attempt was granted; 0 if the engine chose
-   * @param missingMb what it was reported to lack; 0 if nothing
-   * @param usedMb what it used; zero or less if unknown
+   * @param grantedMb the memory that the attempt was granted; 0 if the engine chose
+   * @param missingMb the memory that it was reported to lack; 0 if none
+   * @param usedMb the memory that it used; zero or less if unknown
    */
-  void learn(double estimateMb, double grantedMb, double missingMb, double usedMb) {
+  void update(double estimateMb, double grantedMb, double missingMb, double usedMb) {
     if (estimateMb <= 0) {
       return;
     }
-    // A lower bound on the ratio guards against an estimate near zero, as the upper bound does.
+    // Both bounds on the sample guard against estimates near zero.
     double neededMb = neededMb(estimateMb, grantedMb, missingMb, usedMb);
     double sample =
         Math.max(
-            1 / PolicyConstants.MAX_RATIO,
-            Math.min(PolicyConstants.MAX_RATIO, neededMb / estimateMb));
+            1 / PolicyConstants.MAX_OBSERVATION_RATIO,
+            Math.min(PolicyConstants.MAX_OBSERVATION_RATIO, neededMb / estimateMb));
     double step =
-        Math.max(PolicyConstants.SAMPLE_WEIGHT / 4, 1.0 / (PolicyConstants.NEAR_RATIO + ++samples))
-            * Math.max(ratio, sample);
-    double moved = ratio + step * (sample > ratio ? QUANTILE : QUANTILE - 1);
-    ratio = Math.max(0, Math.min(PolicyConstants.MAX_RATIO, moved));
+        Math.max(
+                PolicyConstants.SMOOTHING_FACTOR / 4,
+                1.0 / (PolicyConstants.TOLERANCE_FACTOR + ++sampleCount))
+            * Math.max(needRatio, sample);
+    double newRatio = needRatio + step * (sample > needRatio ? QUANTILE : QUANTILE - 1);
+    needRatio = Math.max(0, Math.min(PolicyConstants.MAX_OBSERVATION_RATIO, newRatio));
   }
 
-  /** Without a report, a spill needed its shortfall as well, and any other less than its grant. */
+  /**
+   * Returns the memory that an attempt needed. Without a report of its use, an attempt that spilled
+   * needed its grant plus the shortfall, and any other attempt is assumed to have needed less than
+   * its grant.
+   */
   private double neededMb(double estimateMb, double grantedMb, double missingMb, double usedMb) {
     if (usedMb > 0) {
       return usedMb;
@@ -46,7 +52,7 @@
       return granted + missingMb;
     }
     return grantedMb > 0
-        ? Math.min(granted, ratio * estimateMb) * (1 - PolicyConstants.SAMPLE_WEIGHT)
+        ? Math.min(granted, needRatio * estimateMb) * (1 - PolicyConstants.SMOOTHING_FACTOR)
         : granted;
   }
 }
--- a/src/main/java/cobaltseam/dispatch/OutcomeRecorder.java
+++ b/src/main/java/cobaltseam/dispatch/OutcomeRecorder.java
@@ -2,7 +2,7 @@
 
 import cobaltseam.dispatch.AttemptOutcome.AttemptResult;
 
-/** Learns from the outcome of an attempt how its engine and its request class do. */
+/** Updates the estimates of an engine and a request class from the outcome of an attempt. */
 final class OutcomeRecorder {
   private final EngineTable engines;
   private final EngineHealth health;
@@ -18,63 +18,74 @@
     settings = newSettings;
   }
 
-  /** Records an outcome and frees the attempt's threads. */
+  /** Records an outcome and releases the attempt's threads. */
   void record(Attempt attempt, EngineState engine, AttemptOutcome outcome, Timestamp now) {
     engine.removeAttempt(attempt);
-    engines.redraw(engine, now);
+    engines.resample(engine, now);
     health.decay(now);
     if (outcome.inFlightAtEngine() >= 0) {
       double queued = Math.max(0, outcome.queuedAtEngine());
       health.addLoad(engine, Math.max(0, outcome.inFlightAtEngine() - queued), now);
     }
     TimeSpan latency = now.since(attempt.sentAt());
-    health.addStay(attempt.threads(), latency);
-    double ratio =
+    health.addResidenceTime(attempt.threads(), latency);
+    double latencyRatio =
         Math.max(
-            1 / PolicyConstants.MAX_RATIO,
-            Math.min(PolicyConstants.MAX_RATIO, latency.dividedBy(attempt.expectedLatency())));
-    if (ratio > PolicyConstants.NEAR_RATIO && isExcused(attempt, outcome.result())) {
+            1 / PolicyConstants.MAX_OBSERVATION_RATIO,
+            Math.min(
+                PolicyConstants.MAX_OBSERVATION_RATIO,
+                latency.dividedBy(attempt.baselineLatency())));
+    if (latencyRatio > PolicyConstants.TOLERANCE_FACTOR
+        && isLatencyUnrepresentative(attempt, outcome.result())) {
       if (outcome.result() == AttemptResult.COMPLETED) {
         engine.recordCompletion(now);
       }
       return;
     }
     switch (outcome.result()) {
-      case COMPLETED -> recordAnswer(attempt, engine, outcome, ratio, now);
-      case TIMED_OUT, CANCELLED -> recordCut(attempt, engine, ratio);
+      case COMPLETED -> recordAnswer(attempt, engine, outcome, latencyRatio, now);
+      case TIMED_OUT, CANCELLED -> recordEndedEarly(attempt, engine, latencyRatio);
       case ERROR, CONNECTION_LOST, UNREACHABLE, CAPACITY_EXCEEDED -> health.addFailure(engine, 1);
       default -> {}
     }
   }
 
-  /** Whether the latency says nothing: the attempt waited for a load, or is only now read. */
-  private boolean isExcused(Attempt attempt, AttemptResult result) {
-    boolean answered = result == AttemptResult.COMPLETED;
-    return answered && health.isCallLate()
-        || attempt.isBlocked() && (answered || result == AttemptResult.CANCELLED);
+  /**
+   * Returns whether the latency says nothing about the engine: the attempt waited for a load, or
+   * its answer was read late.
+   */
+  private boolean isLatencyUnrepresentative(Attempt attempt, AttemptResult result) {
+    boolean isAnswered = result == AttemptResult.COMPLETED;
+    return isAnswered && health.isCallOverdue()
+        || attempt.isBlocked() && (isAnswered || result == AttemptResult.CANCELLED);
   }
 
   private void recordAnswer(
-      Attempt attempt, EngineState engine, AttemptOutcome outcome, double ratio, Timestamp now) {
+      Attempt attempt,
+      EngineState engine,
+      AttemptOutcome outcome,
+      double latencyRatio,
+      Timestamp now) {
     RequestClassStats requestClass = attempt.requestClass();
     engine.recordCompletion(now);
     health.addFailure(engine, 0);
     if (!attempt.request().work().isPositive()) {
-      requestClass.learnWork(workUs(attempt, outcome, now));
+      requestClass.updateWork(workUs(attempt, outcome, now));
     }
     if (outcome.memoryUsedMb() > 0
         || settings.reportsMemoryShortfall() && attempt.memoryShortfallMb() == 0) {
-      attempt.learnMemoryNeed(outcome.memoryUsedMb());
+      attempt.updateMemoryNeed(outcome.memoryUsedMb());
     }
-    health.addSlowness(engine, requestClass, Math.log(ratio));
-    if (ratio <= PolicyConstants.NEAR_RATIO) {
-      double more = requestClass.threads() / engine.threadLimit();
-      engine.increaseBorrowing(requestClass, more);
-      requestClass.increaseBorrowing(more / Math.max(1, engines.sorted().size()));
-    } else if (ratio > PolicyConstants.SLOW_RATIO) {
-      engine.returnBorrowed(attempt);
+    health.addLatencySample(engine, requestClass, Math.log(latencyRatio));
+    if (latencyRatio <= PolicyConstants.TOLERANCE_FACTOR) {
+      double borrowingIncrease = requestClass.threads() / engine.threadLimit();
+      engine.increaseBorrowing(requestClass, borrowingIncrease);
+      requestClass.increaseBorrowing(borrowingIncrease / Math.max(1, engines.sortedById().size()));
+    } else if (latencyRatio > PolicyConstants.SLOW_LATENCY_RATIO) {
+      engine.reduceBorrowing(attempt);
     }
-    requestClass.learnLatency(ratio, health.hasSpareCapacity(), health.pace());
+    requestClass.updateLatency(
+        latencyRatio, health.hasSpareCapacity(), health.medianLatencyRatio());
   }
 
   private static double workUs(Attempt attempt, AttemptOutcome outcome, Timestamp now) {
@@ -83,13 +94,15 @@
         : (double) attempt.requestClass().threads() * now.since(attempt.sentAt()).us();
   }
 
-  private void recordCut(Attempt attempt, EngineState engine, double ratio) {
-    double slowness = Math.max(engine.slowness(), Math.log(ratio));
-    health.addSlowness(engine, attempt.requestClass(), slowness);
-    engine.returnBorrowed(attempt);
-    // Guards against an engine that hangs: cut attempts free its budget, and it would draw more. A
-    // bad plan does not count, where others were answered meanwhile.
-    if (ratio > PolicyConstants.SLOW_RATIO && !engine.hasCompletedSince(attempt.sentAt())) {
+  private void recordEndedEarly(Attempt attempt, EngineState engine, double latencyRatio) {
+    double logLatencyRatio = Math.max(engine.logLatencyRatio(), Math.log(latencyRatio));
+    health.addLatencySample(engine, attempt.requestClass(), logLatencyRatio);
+    engine.reduceBorrowing(attempt);
+    // Detects an engine that hangs: its ended attempts free its budget, which would attract further
+    // requests. A bad query plan does not count as a failure if other attempts were answered
+    // meanwhile.
+    if (latencyRatio > PolicyConstants.SLOW_LATENCY_RATIO
+        && !engine.hasCompletedSince(attempt.sentAt())) {
       health.addFailure(engine, 1);
     }
   }
--- a/src/main/java/cobaltseam/dispatch/PolicySettings.java
+++ b/src/main/java/cobaltseam/dispatch/PolicySettings.java
@@ -5,11 +5,14 @@
 import cobaltseam.dispatch.Deployment.Rules;
 
 /**
- * What the policy derives from a {@link Deployment} once, when its settings are applied.
+ * The values that the policy derives from a {@link Deployment} once, when its settings are applied.
  *
- * @param deadlineMargin what an answer must be ahead of its deadline, and the shortest wait
- * @param maxRetryAfter the delay that a shed request is given; zero where none may be given
- * @param homeLocation the location whose engines win ties; null if unknown or if crossing is free
+ * @param deadlineMargin how long before its deadline a request has to be answered; also the
+ *     shortest wait
+ * @param maxRetryAfter the delay named in the answer to a shed request; zero where none may be
+ *     named
+ * @param homeLocation the location whose engines win ties; null if unknown or if traffic to other
+ *     locations has no price
  */
 record PolicySettings(
     int dispatcherIndex,
@@ -25,8 +28,11 @@
     double overQuotaWeight,
     LocationId homeLocation,
     SlowStart slowStart) {
-  /** The part used of what a warming engine may be sent at most, at one thread's work a core. */
-  private static final double SLOW_START_CAUTION = 0.7;
+  /**
+   * The fraction of the slow start limit that dispatchers use. The full capacity of an engine is
+   * counted as one thread per core.
+   */
+  private static final double SLOW_START_SAFETY_FACTOR = 0.7;
 
   private static final double REFRESHES_PER_OBJECTIVE = 8;
 
@@ -34,33 +40,36 @@
     Capabilities capabilities = deployment.capabilities();
     Rules rules = deployment.rules();
     int dispatchers = Math.max(1, deployment.dispatcherCount());
-    boolean reports = capabilities.progressInterval().isPositive();
+    boolean hasReports = capabilities.progressInterval().isPositive();
     TimeSpan margin = capabilities.clockTick().times(2);
-    double workFactor = rules.slowStartLimitFactor() * SLOW_START_CAUTION / dispatchers;
+    double allowanceFactor = rules.slowStartLimitFactor() * SLOW_START_SAFETY_FACTOR / dispatchers;
     return new PolicySettings(
         Math.max(0, deployment.dispatcherIndex()),
         dispatchers,
         capabilities.canCancel(),
         capabilities.hasEnginePriorities(),
         capabilities.progressInterval(),
-        reports && capabilities.canCancel(),
-        reports && capabilities.hasMemoryGrants(),
+        hasReports && capabilities.canCancel(),
+        hasReports && capabilities.hasMemoryGrants(),
         margin,
         capabilities.allowsRetryAfter() ? capabilities.maxRetryAfter() : TimeSpan.ZERO,
         shortestObjective(deployment, margin),
         deployment.overQuotaWeight(),
         deployment.site().hasCrossLocationCosts() ? deployment.site().location() : null,
-        new SlowStart(rules.slowStartFraction(), rules.slowStartDuration(), workFactor));
+        new SlowStart(rules.slowStartFraction(), rules.slowStartDuration(), allowanceFactor));
   }
 
-  private static TimeSpan shortestObjective(Deployment deployment, TimeSpan otherwise) {
+  private static TimeSpan shortestObjective(Deployment deployment, TimeSpan defaultObjective) {
     return deployment.requestClasses().stream()
         .map(RequestClass::latencyObjective)
         .min(TimeSpan::compareTo)
-        .orElse(otherwise);
+        .orElse(defaultObjective);
   }
 
-  /** How often estimates and random draws are renewed, and how soon the caller asks again. */
+  /**
+   * Returns how often estimates and random samples are renewed, and the longest time until the
+   * caller calls again.
+   */
   TimeSpan refreshInterval() {
     return shortestObjective.times(1 / REFRESHES_PER_OBJECTIVE);
   }
--- a/src/main/java/cobaltseam/dispatch/RequestAdmission.java
+++ b/src/main/java/cobaltseam/dispatch/RequestAdmission.java
@@ -1,6 +1,9 @@
 package cobaltseam.dispatch;
 
-/** Accepts new requests: finds their class, and whether they exceed a quota or are shed at once. */
+/**
+ * Accepts new requests: looks up their class, and determines whether they exceed a quota or are
+ * shed on arrival.
+ */
 final class RequestAdmission {
   private final RequestClassTable requestClasses;
   private final TenantQuotas quotas;
@@ -20,38 +23,44 @@
     this.shedder = shedder;
   }
 
-  /** The work of all requests accepted so far, in microseconds of one thread. */
+  /** Returns the work of all requests accepted so far, in microseconds of one thread. */
   double offeredWorkUs() {
     return offeredWorkUs;
   }
 
   /**
-   * Accepts a request; one that is shed at once is dropped.
+   * Accepts a request; a request that is shed on arrival is returned as dropped.
    *
    * @throws IllegalArgumentException if the settings do not define the class of the request
    */
   TrackedRequest accept(Request request, Timestamp now) {
     RequestClassStats requestClass = requestClasses.get(request.requestClass());
     if (requestClass == null || requestClass.isRetired()) {
-      throw new IllegalArgumentException("unknown profile " + request.requestClass().value());
+      throw new IllegalArgumentException(
+          "unknown request class \"" + request.requestClass().value() + "\"");
     }
-    long number = arrivals++;
-    learnWork(request, requestClass);
-    boolean overQuota = quotas.exceedsQuota(request.tenant(), arrivals, now);
-    TrackedRequest tracked = new TrackedRequest(request, requestClass, number, overQuota, now);
-    tracked.checkLate(health.expectedLatency(tracked), now);
-    if (shedder.shouldShedNew(tracked, arrivals)) {
+    long arrivalNumber = arrivals++;
+    updateWork(request, requestClass);
+    boolean isOverQuota = quotas.exceedsQuota(request.tenant(), arrivals, now);
+    TrackedRequest tracked =
+        new TrackedRequest(request, requestClass, arrivalNumber, isOverQuota, now);
+    tracked.updateExpectedLate(health.expectedLatency(tracked), now);
+    if (shedder.shouldShedOnArrival(tracked, arrivals)) {
       tracked.drop();
     }
     offeredWorkUs += tracked.workUs();
     return tracked;
   }
 
-  /** An estimate beyond all that its client waits for does not show what is usual. */
-  private static void learnWork(Request request, RequestClassStats requestClass) {
+  /**
+   * Updates the mean work of a class. The estimate is limited to the work that fits the deadline,
+   * since a higher one is not typical.
+   */
+  private static void updateWork(Request request, RequestClassStats requestClass) {
     if (request.work().isPositive()) {
-      double most = (double) requestClass.threads() * requestClass.definition().deadline().us();
-      requestClass.learnWork(Math.min(request.work().us(), most));
+      double maxWorkUs =
+          (double) requestClass.threads() * requestClass.definition().deadline().us();
+      requestClass.updateWork(Math.min(request.work().us(), maxWorkUs));
     }
   }
 }
--- a/src/main/java/cobaltseam/dispatch/RequestClassId.java
+++ b/src/main/java/cobaltseam/dispatch/RequestClassId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names one class of requests. */
+/** Identifies a request class. */
 public record RequestClassId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/RequestClassStats.java
+++ b/src/main/java/cobaltseam/dispatch/RequestClassStats.java
@@ -2,14 +2,17 @@
 
 import cobaltseam.dispatch.Deployment.RequestClass;
 
-/** One class of requests: its definition, and what its attempts have shown of it so far. */
+/** One request class: its definition, and the estimates derived from its attempts so far. */
 final class RequestClassStats {
-  /** The usual latency is this quantile of those seen: followed in steps no smaller than these. */
-  private static final double USUAL_QUANTILE = 0.3;
+  /**
+   * The quantile of latency over work that the baseline is derived from. It is tracked in steps of
+   * at least {@link #MIN_QUANTILE_STEP}.
+   */
+  private static final double LATENCY_QUANTILE = 0.3;
 
-  private static final double MIN_USUAL_STEP = 1.0 / 512;
+  private static final double MIN_QUANTILE_STEP = 1.0 / 512;
 
-  private static final double MIN_PATIENCE_PER_OBJECTIVE = 0.25;
+  private static final double MIN_TIMEOUT_PER_OBJECTIVE = 0.25;
 
   private final RequestClass definition;
   private final RequestRules rules;
@@ -17,28 +20,36 @@
   private final int enginePriority;
   private int index;
 
-  /** Belongs to earlier settings: accepted requests go on, and no new ones are accepted. */
-  private boolean retired;
+  /**
+   * Whether only earlier settings define this class: its accepted requests continue, and no new
+   * ones are accepted.
+   */
+  private boolean isRetired;
 
-  /** Usual latency over estimated work per thread. */
-  private double usualRatio = 1;
+  /** The tracked quantile of latency over estimated work per thread. */
+  private double quantileLatencyPerWork = 1;
 
-  private long answers;
-  private double usualWorkUs;
-  private long workSamples;
+  private long answerCount;
+  private double meanWorkUs;
+  private long workSampleCount;
 
-  /** Logarithm of mean latency over usual latency, while engines have capacity to spare. */
-  private double meanExcess;
+  /**
+   * Logarithm of mean latency over the quantile latency, learned while engines have spare capacity.
+   */
+  private double meanLogExcess;
 
-  private long excessSamples;
+  private long excessSampleCount;
 
-  /** Part of the other dispatchers' budget to borrow at engines without recent answers, 0 to 1. */
+  /**
+   * Fraction of the other dispatchers' budget to borrow on engines without recent answers, from 0
+   * to 1.
+   */
   private double borrowing;
 
   private MemoryNeed memoryNeed = new MemoryNeed();
 
-  /** Logarithm of latency over expected latency, over all engines. */
-  private DecayingAverage slowness = new DecayingAverage();
+  /** Samples of the logarithm of the latency ratio, over all engines. */
+  private DecayingAverage latencySamples = new DecayingAverage();
 
   RequestClassStats(RequestClass definition, RequestRules rules, int enginePriority, int index) {
     this.definition = definition;
@@ -46,23 +57,24 @@
     this.enginePriority = enginePriority;
     this.index = index;
     threads = Math.max(1, definition.threads());
-    usualWorkUs = threads * definition.latencyObjective().us() / PolicyConstants.PATIENCE;
+    meanWorkUs =
+        threads * definition.latencyObjective().us() / PolicyConstants.ATTEMPT_TIMEOUT_FACTOR;
   }
 
-  /** Continues what the same class has shown under earlier settings. */
+  /** Takes over the estimates of the same class under earlier settings. */
   void continueFrom(RequestClassStats earlier) {
-    usualRatio = earlier.usualRatio;
-    usualWorkUs = earlier.usualWorkUs;
-    workSamples = earlier.workSamples;
-    answers = earlier.answers;
-    meanExcess = earlier.meanExcess;
-    excessSamples = earlier.excessSamples;
+    quantileLatencyPerWork = earlier.quantileLatencyPerWork;
+    meanWorkUs = earlier.meanWorkUs;
+    workSampleCount = earlier.workSampleCount;
+    answerCount = earlier.answerCount;
+    meanLogExcess = earlier.meanLogExcess;
+    excessSampleCount = earlier.excessSampleCount;
     memoryNeed = earlier.memoryNeed;
-    slowness = earlier.slowness;
+    latencySamples = earlier.latencySamples;
   }
 
   void retire(int newIndex) {
-    retired = true;
+    isRetired = true;
     index = newIndex;
   }
 
@@ -82,13 +94,13 @@
     return enginePriority;
   }
 
-  /** Its position in arrays with one element per class. */
+  /** Returns the index of this class in arrays with one element per class. */
   int index() {
     return index;
   }
 
   boolean isRetired() {
-    return retired;
+    return isRetired;
   }
 
   MemoryNeed memoryNeed() {
@@ -96,78 +108,84 @@
   }
 
   /**
-   * The time that any attempt may take before another engine is tried: small requests meet pauses
-   * and connection set-up too.
+   * Returns the shortest timeout of an attempt. Even short requests are delayed by pauses of an
+   * engine and by connection setup.
    */
-  TimeSpan minPatience() {
-    return definition.latencyObjective().times(MIN_PATIENCE_PER_OBJECTIVE);
+  TimeSpan minTimeout() {
+    return definition.latencyObjective().times(MIN_TIMEOUT_PER_OBJECTIVE);
   }
 
-  double usualWorkUs() {
-    return usualWorkUs;
+  double meanWorkUs() {
+    return meanWorkUs;
   }
 
-  /** The work of a request, in microseconds: its estimate, or else the usual work of its class. */
+  /** Returns the work of a request in microseconds: its estimate, or the mean work of its class. */
   double workUs(Request request) {
-    return request.work().isPositive() ? request.work().us() : usualWorkUs;
+    return request.work().isPositive() ? request.work().us() : meanWorkUs;
   }
 
-  void learnWork(double workUs) {
-    usualWorkUs +=
-        (workUs - usualWorkUs) * Math.max(PolicyConstants.SAMPLE_WEIGHT / 4, 1.0 / ++workSamples);
+  void updateWork(double workUs) {
+    meanWorkUs +=
+        (workUs - meanWorkUs)
+            * Math.max(PolicyConstants.SMOOTHING_FACTOR / 4, 1.0 / ++workSampleCount);
   }
 
-  /** The latency to expect at usual speed. */
-  TimeSpan usualLatency(Request request) {
-    double ratio = usualRatio * Math.exp(meanExcess);
-    return new TimeSpan(1 + Math.round(workUs(request) / threads * ratio));
+  /**
+   * Returns the baseline latency of a request: the latency to expect while engines are not
+   * congested.
+   */
+  TimeSpan baselineLatency(Request request) {
+    double latencyPerWork = quantileLatencyPerWork * Math.exp(meanLogExcess);
+    return new TimeSpan(1 + Math.round(workUs(request) / threads * latencyPerWork));
   }
 
   /**
-   * Learns from an answer's latency. A congested pool must not become the usual: unless engines
-   * have capacity to spare, only the first answers raise the usual latency fast. Nor may estimates
-   * be so low that everything looks congested.
+   * Updates the baseline with the latency of an answer. The latencies of a congested pool must not
+   * become the baseline: unless engines have spare capacity, only the first answers raise the
+   * baseline quickly. Conversely, the baseline must not be so low that all answers appear to come
+   * from a congested pool.
    *
-   * @param ratio latency over expected latency
-   * @param pace how many times their usual latency all answers take
+   * @param ratio the latency of the answer over its baseline latency
+   * @param medianLatencyRatio the ratio of current to baseline latency on the median engine
    */
-  void learnLatency(double ratio, boolean engineCapacitySpare, double pace) {
-    double usualMultiple = ratio * Math.exp(meanExcess);
-    if (engineCapacitySpare) {
-      learnExcess(Math.log(usualMultiple));
+  void updateLatency(double ratio, boolean hasSpareCapacity, double medianLatencyRatio) {
+    double ratioToQuantile = ratio * Math.exp(meanLogExcess);
+    if (hasSpareCapacity) {
+      updateExcess(Math.log(ratioToQuantile));
     }
-    double direction = usualMultiple > 1 ? USUAL_QUANTILE - 1 : USUAL_QUANTILE;
-    boolean fast =
-        ++answers * PolicyConstants.SAMPLE_WEIGHT <= 1
+    double quantileGradient = ratioToQuantile > 1 ? LATENCY_QUANTILE - 1 : LATENCY_QUANTILE;
+    boolean isFastStep =
+        ++answerCount * PolicyConstants.SMOOTHING_FACTOR <= 1
             || ratio <= 1
-            || pace <= PolicyConstants.NEAR_RATIO
-            || engineCapacitySpare;
-    double fastStep = fast ? 1 / (1 / PolicyConstants.SAMPLE_WEIGHT + answers) : 0;
-    usualRatio *= Math.exp(-direction * Math.max(MIN_USUAL_STEP, fastStep));
+            || medianLatencyRatio <= PolicyConstants.TOLERANCE_FACTOR
+            || hasSpareCapacity;
+    double fastStep = isFastStep ? 1 / (1 / PolicyConstants.SMOOTHING_FACTOR + answerCount) : 0;
+    quantileLatencyPerWork *= Math.exp(-quantileGradient * Math.max(MIN_QUANTILE_STEP, fastStep));
   }
 
   /**
-   * Guards against rough estimates and data not yet in memory that look like overload. Harm:
-   * engines that are slow for another cause while few requests are in flight.
+   * Updates the excess of mean latency over the quantile latency. This keeps inaccurate estimates,
+   * and data that is not yet in memory, from appearing as overload. The disadvantage: a slowdown of
+   * engines from another cause, while few requests are in flight, raises the baseline too.
    */
-  private void learnExcess(double excess) {
+  private void updateExcess(double excess) {
     double step =
         Math.max(
-            PolicyConstants.SAMPLE_WEIGHT / 4,
-            1.0 / (1 / PolicyConstants.SAMPLE_WEIGHT + ++excessSamples));
-    meanExcess = Math.max(0, meanExcess + (excess - meanExcess) * step);
+            PolicyConstants.SMOOTHING_FACTOR / 4,
+            1.0 / (1 / PolicyConstants.SMOOTHING_FACTOR + ++excessSampleCount));
+    meanLogExcess = Math.max(0, meanLogExcess + (excess - meanLogExcess) * step);
   }
 
-  void addSlowness(double logRatio) {
-    slowness.add(logRatio, PolicyConstants.SAMPLE_WEIGHT / 4);
+  void addLatencySample(double logRatio) {
+    latencySamples.add(logRatio, PolicyConstants.SMOOTHING_FACTOR / 4);
   }
 
-  void decaySlowness(double keep) {
-    slowness.decay(keep);
+  void decayLatencySamples(double keep) {
+    latencySamples.decay(keep);
   }
 
-  double meanSlowness(double prior) {
-    return slowness.mean(prior);
+  double meanLogLatencyRatio(double prior) {
+    return latencySamples.mean(prior);
   }
 
   double borrowing() {
--- a/src/main/java/cobaltseam/dispatch/RequestClassTable.java
+++ b/src/main/java/cobaltseam/dispatch/RequestClassTable.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** All classes of requests, with those of earlier settings that still have open requests. */
+/** Holds all request classes, including those of earlier settings that still have open requests. */
 final class RequestClassTable {
   private static final int HIGH_ENGINE_PRIORITY = 3;
   private static final int LOW_ENGINE_PRIORITY = 1;
 
   private final Map<RequestClassId, RequestClassStats> classes = new HashMap<>();
 
-  /** Replaces all classes; those of the same width continue from what was learnt before. */
+  /** Replaces all classes; a class with an unchanged thread count keeps its estimates. */
   void applySettings(
       Deployment deployment, TimeSpan shortestObjective, Set<RequestClassStats> open) {
     Map<RequestClassId, RequestClassStats> before = new HashMap<>(classes);
@@ -23,31 +23,33 @@
     }
     before.forEach(
         (id, earlier) -> {
-          RequestClassStats present = classes.get(id);
-          if (present == null && open.contains(earlier)) {
+          RequestClassStats current = classes.get(id);
+          if (current == null && open.contains(earlier)) {
             earlier.retire(classes.size());
             classes.put(id, earlier);
-          } else if (present != null && present.threads() == earlier.threads()) {
-            present.continueFrom(earlier);
+          } else if (current != null && current.threads() == earlier.threads()) {
+            current.continueFrom(earlier);
           }
         });
   }
 
   private RequestClassStats newClass(
       RequestClass definition, Deployment deployment, TimeSpan shortestObjective) {
-    // A load of a data set that others wait for goes first: the sooner it ends, the fewer wait.
+    // A load of a data set that other requests wait for has priority: the sooner it ends, the fewer
+    // requests wait.
     boolean blocksOthers =
         definition.loadsDataSet()
             && deployment.requestClasses().stream().anyMatch(RequestClass::waitsForLoads);
-    boolean first = blocksOthers || definition.latencyObjective().compareTo(shortestObjective) <= 0;
+    boolean hasHighPriority =
+        blocksOthers || definition.latencyObjective().compareTo(shortestObjective) <= 0;
     return new RequestClassStats(
         definition,
         RequestRules.of(definition, deployment),
-        first ? HIGH_ENGINE_PRIORITY : LOW_ENGINE_PRIORITY,
+        hasHighPriority ? HIGH_ENGINE_PRIORITY : LOW_ENGINE_PRIORITY,
         classes.size());
   }
 
-  /** Null for an unknown class. */
+  /** Returns the class with this id, or null if it is unknown. */
   RequestClassStats get(RequestClassId id) {
     return classes.get(id);
   }
--- a/src/main/java/cobaltseam/dispatch/RequestId.java
+++ b/src/main/java/cobaltseam/dispatch/RequestId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** The caller's name for one request; not used for another while that one is open. */
+/** Identifies a request; the caller reuses no id while a request with that id is open. */
 public record RequestId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/RequestQueue.java
+++ b/src/main/java/cobaltseam/dispatch/RequestQueue.java
@@ -8,13 +8,13 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 
-/** All open requests by id, and those among them that are queued, in the order of arrival. */
+/** Holds all open requests by id, and those among them that are queued, in order of arrival. */
 final class RequestQueue {
   private final Map<RequestId, TrackedRequest> open = new HashMap<>();
   private final TreeSet<TrackedRequest> queued =
       new TreeSet<>(Comparator.comparingLong(TrackedRequest::arrivalNumber));
 
-  /** Null if it is not open. */
+  /** Returns the open request with this id, or null. */
   TrackedRequest get(RequestId id) {
     return open.get(id);
   }
--- a/src/main/java/cobaltseam/dispatch/RequestRules.java
+++ b/src/main/java/cobaltseam/dispatch/RequestRules.java
@@ -9,14 +9,14 @@
 import java.util.stream.Stream;
 
 /**
- * What the rules demand of a request, fixed when it is accepted. Null locations or machine types
- * allow any.
+ * The rules that a request complies with, fixed when it is accepted. Null locations or machine
+ * types allow any.
  */
 record RequestRules(
     RetrySafety retrySafety,
     Set<DeduplicationScope> deduplicationScopes,
     TimeSpan deduplicationWindow,
-    boolean inOrder,
+    boolean isOrdered,
     int maxAttempts,
     TimeSpan sequenceKeyRest,
     Set<LocationId> locations,
@@ -35,27 +35,30 @@
         requestClass.machineTypes() == null ? null : Set.copyOf(requestClass.machineTypes()));
   }
 
-  /** The rules that keep to both. */
+  /** Returns the rules that comply with both sets of rules. */
   RequestRules stricterOf(RequestRules other) {
     Set<DeduplicationScope> scopes =
         Stream.of(deduplicationScopes, other.deduplicationScopes)
             .flatMap(Set::stream)
             .collect(Collectors.toSet());
-    // The constants are in order of strictness.
-    RetrySafety safety =
+    // The constants are declared from the least to the most strict.
+    RetrySafety stricterSafety =
         retrySafety.compareTo(other.retrySafety) < 0 ? other.retrySafety : retrySafety;
     return new RequestRules(
-        safety,
+        stricterSafety,
         scopes,
         shorterWindow(other),
-        inOrder || other.inOrder,
+        isOrdered || other.isOrdered,
         Math.min(maxAttempts, other.maxAttempts),
         sequenceKeyRest.max(other.sequenceKeyRest),
         intersection(locations, other.locations),
         intersection(machineTypes, other.machineTypes));
   }
 
-  /** A window counts only where the request is not plainly idempotent. */
+  /**
+   * Returns the shorter deduplication window. The window of idempotent requests is ignored, since
+   * they do not need one.
+   */
   private TimeSpan shorterWindow(RequestRules other) {
     if (retrySafety == RetrySafety.IDEMPOTENT) {
       return other.deduplicationWindow;
@@ -86,20 +89,22 @@
         && (machineTypes == null || machineTypes.contains(machineType));
   }
 
-  /** Whether a request that may have run in one place may run again in another. */
+  /**
+   * Returns whether a request that may have run in one location and group may run again in another.
+   */
   boolean allowsRetryElsewhere(
       LocationId ranLocation, GroupId ranGroup, LocationId location, GroupId group) {
     if (retrySafety != RetrySafety.IDEMPOTENT_WITH_KEY) {
       return true;
     }
-    boolean otherLocation =
+    boolean leavesLocationScope =
         deduplicationScopes.contains(DeduplicationScope.LOCATION) && !location.equals(ranLocation);
-    boolean otherGroup =
+    boolean leavesGroupScope =
         deduplicationScopes.contains(DeduplicationScope.GROUP) && !group.equals(ranGroup);
-    return !otherLocation && !otherGroup;
+    return !leavesLocationScope && !leavesGroupScope;
   }
 
-  /** Whether a client that sends a request again that may have run does no harm. */
+  /** Returns whether a client may safely send a request again that may have run. */
   boolean allowsClientRetry() {
     return retrySafety == RetrySafety.IDEMPOTENT
         || retrySafety == RetrySafety.IDEMPOTENT_WITH_KEY
--- a/src/main/java/cobaltseam/dispatch/RetryAllowance.java
+++ b/src/main/java/cobaltseam/dispatch/RetryAllowance.java
@@ -6,32 +6,35 @@
 import java.util.List;
 
 /**
- * How many retries this dispatcher may still make: by the settings' budget, a number of retries and
- * a ratio to the accepted requests within a window, and by what the dispatchers may still do
- * together.
+ * Limits how many retries this dispatcher may still make. Two limits apply: the retry budget of the
+ * settings, which is a number of retries plus a ratio to the accepted requests within a window, and
+ * the retries that the dispatchers may still make together.
  */
 final class RetryAllowance {
-  /** One budget; {@code endsAt} is null for the present settings' own. */
+  /** A retry budget; {@code endsAt} is null for the budget of the current settings. */
   private record Budget(double freeRetries, double ratio, TimeSpan window, Timestamp endsAt) {
     Budget endAt(Timestamp end) {
       return new Budget(freeRetries, ratio, window, end);
     }
 
-    boolean isOf(Deployment.Rules rules) {
+    boolean matches(Deployment.Rules rules) {
       return freeRetries == rules.freeRetries()
           && ratio == rules.retryRatio()
           && window.equals(rules.retryWindow());
     }
   }
 
-  /** The last one is of the present settings, each other one of earlier settings. */
+  /** The last budget belongs to the current settings; the others belong to earlier settings. */
   private final List<Budget> budgets = new ArrayList<>();
 
   private final Deque<Timestamp> acceptedAt = new ArrayDeque<>();
   private final Deque<Timestamp> retriedAt = new ArrayDeque<>();
   private long remainingRetries = Long.MAX_VALUE;
 
-  /** Adds the budget of new settings; those of earlier settings hold until their window ends. */
+  /**
+   * Adds the budget of changed settings; the budgets of earlier settings apply until their window
+   * ends.
+   */
   void applyRules(Deployment.Rules rules, Timestamp now) {
     budgets.replaceAll(b -> b.endsAt() != null ? b : b.endAt(now.plus(b.window())));
     addBudget(rules);
@@ -39,7 +42,7 @@
 
   void addBudget(Deployment.Rules rules) {
     if (rules.retryWindow() != null) {
-      budgets.removeIf(b -> b.isOf(rules));
+      budgets.removeIf(b -> b.matches(rules));
       budgets.add(new Budget(rules.freeRetries(), rules.retryRatio(), rules.retryWindow(), null));
     }
   }
@@ -48,13 +51,13 @@
     remainingRetries = retries;
   }
 
-  /** Whether all dispatchers together may retry no more. */
+  /** Returns whether all dispatchers together have no retries left. */
   boolean isExhausted() {
     return remainingRetries < 1;
   }
 
   void recordAccepted(Timestamp now) {
-    forget(now);
+    removeExpired(now);
     acceptedAt.addLast(now);
   }
 
@@ -63,7 +66,7 @@
   }
 
   boolean allowsRetry(Timestamp now) {
-    forget(now);
+    removeExpired(now);
     return budgets.stream().allMatch(b -> allowsRetry(b, now));
   }
 
@@ -74,8 +77,11 @@
     return retries + 1 <= budget.freeRetries() + budget.ratio() * accepted;
   }
 
-  /** Drops what lies outside every window; on a window's edge, the stricter reading counts. */
-  private void forget(Timestamp now) {
+  /**
+   * Removes what lies outside every window. At the edge of a window, the stricter interpretation
+   * applies: a retry still counts there and an accepted request does not.
+   */
+  private void removeExpired(Timestamp now) {
     budgets.removeIf(b -> b.endsAt() != null && !now.isBefore(b.endsAt()));
     TimeSpan longest =
         budgets.stream().map(Budget::window).max(TimeSpan::compareTo).orElse(TimeSpan.ZERO);
--- a/src/main/java/cobaltseam/dispatch/SequenceKey.java
+++ b/src/main/java/cobaltseam/dispatch/SequenceKey.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names what requests that have to run one after another have in common. */
+/** Identifies requests that have to run one after another. */
 public record SequenceKey(String value) {}
--- a/src/main/java/cobaltseam/dispatch/TenantId.java
+++ b/src/main/java/cobaltseam/dispatch/TenantId.java
@@ -1,4 +1,4 @@
 package cobaltseam.dispatch;
 
-/** Names one tenant, which may have a quota. */
+/** Identifies a tenant, which may have a quota. */
 public record TenantId(String value) {}
--- a/src/main/java/cobaltseam/dispatch/TenantQuotas.java
+++ b/src/main/java/cobaltseam/dispatch/TenantQuotas.java
@@ -4,20 +4,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** A token bucket for each tenant with a quota; tells which requests exceed it. */
+/**
+ * Keeps a token bucket for each tenant with a quota, and determines which requests exceed a quota.
+ */
 final class TenantQuotas {
-  /** Tokens that even a tenant with a lower rate may save up: a few requests are no flood. */
+  /**
+   * The minimum size of a bucket in tokens, so that a few requests at once do not exceed a low
+   * quota.
+   */
   private static final double MIN_BURST = 4;
 
   private static final class Bucket {
-    private final double part;
+    private final double quotaFraction;
     private double perSecond;
     private double tokens;
     private Timestamp filledAt;
 
-    private Bucket(double perSecond, double part) {
+    private Bucket(double perSecond, double quotaFraction) {
       this.perSecond = perSecond;
-      this.part = part;
+      this.quotaFraction = quotaFraction;
     }
 
     private void continueFrom(Bucket earlier) {
@@ -26,30 +31,34 @@
     }
 
     private boolean takeToken(double requestsPerSecond, Timestamp now) {
-      // A dispatcher that carries more than most goes by the tenant's part of what it receives.
-      double rate = Math.max(perSecond, part * requestsPerSecond * PolicyConstants.NEAR_RATIO);
+      // A dispatcher that receives more than an even share of the traffic applies the tenant's
+      // fraction of all quotas to the rate that it receives.
+      double rate =
+          Math.max(perSecond, quotaFraction * requestsPerSecond * PolicyConstants.TOLERANCE_FACTOR);
       double burst = Math.max(rate, MIN_BURST);
-      double more =
-          filledAt == null ? burst : rate * now.since(filledAt).us() / PolicyConstants.SECOND_US;
-      tokens = Math.min(burst, tokens + more);
+      double newTokens =
+          filledAt == null
+              ? burst
+              : rate * now.since(filledAt).us() / PolicyConstants.MICROS_PER_SECOND;
+      tokens = Math.min(burst, tokens + newTokens);
       filledAt = now;
-      boolean available = tokens >= 1;
-      tokens -= available ? 1 : 0;
-      return available;
+      boolean isAvailable = tokens >= 1;
+      tokens -= isAvailable ? 1 : 0;
+      return isAvailable;
     }
   }
 
   private final Map<TenantId, Bucket> buckets = new HashMap<>();
   private Timestamp firstRequestAt;
 
-  /** Replaces the quotas; a tenant keeps the tokens that it had. */
+  /** Replaces the quotas; a tenant keeps its tokens. */
   void applyQuotas(List<Deployment.Quota> quotas, int dispatcherCount) {
     Map<TenantId, Bucket> before = new HashMap<>(buckets);
     buckets.clear();
-    double all = quotas.stream().mapToDouble(Deployment.Quota::perSecond).sum();
+    double totalPerSecond = quotas.stream().mapToDouble(Deployment.Quota::perSecond).sum();
     for (Deployment.Quota quota : quotas) {
-      double part = all > 0 ? quota.perSecond() / all : 1;
-      Bucket bucket = new Bucket(quota.perSecond() / dispatcherCount, part);
+      double quotaFraction = totalPerSecond > 0 ? quota.perSecond() / totalPerSecond : 1;
+      Bucket bucket = new Bucket(quota.perSecond() / dispatcherCount, quotaFraction);
       Bucket earlier = before.get(quota.tenant());
       if (earlier != null) {
         bucket.continueFrom(earlier);
@@ -62,14 +71,15 @@
     buckets.values().forEach(b -> b.perSecond *= factor);
   }
 
-  /** Whether a new request exceeds its tenant's quota; counts it against the quota if not. */
+  /** Returns whether a new request exceeds its tenant's quota; if not, takes a token for it. */
   boolean exceedsQuota(TenantId tenant, long acceptedRequests, Timestamp now) {
     Bucket bucket = buckets.get(tenant);
     if (bucket == null) {
       return false;
     }
     firstRequestAt = firstRequestAt == null ? now : firstRequestAt;
-    double seconds = Math.max(1, now.since(firstRequestAt).us() / PolicyConstants.SECOND_US);
+    double seconds =
+        Math.max(1, now.since(firstRequestAt).us() / PolicyConstants.MICROS_PER_SECOND);
     return !bucket.takeToken(acceptedRequests / seconds, now);
   }
 }
--- a/src/main/java/cobaltseam/dispatch/ThreadBudgets.java
+++ b/src/main/java/cobaltseam/dispatch/ThreadBudgets.java
@@ -3,16 +3,18 @@
 import java.util.List;
 
 /**
- * Chooses engines. This dispatcher has a thread budget at each engine, its even share of the
- * engine's threads, and may borrow from the other dispatchers' shares while answers come at usual
- * speed.
+ * Chooses engines. This dispatcher has a thread budget on each engine, which is its even share of
+ * the engine's threads. It may borrow from the shares of the other dispatchers while the engine's
+ * answers arrive at their baseline latency.
  */
 final class ThreadBudgets {
   private final EngineTable engines;
   private final EngineHealth health;
   private PolicySettings settings;
 
-  /** Dispatchers that share the engines: all, or those that carry traffic now; at least 1. */
+  /**
+   * Number of dispatchers that share the engines: all, or those that carry traffic now; at least 1.
+   */
   private double sharingDispatchers;
 
   ThreadBudgets(EngineTable engines, EngineHealth health, PolicySettings settings) {
@@ -22,7 +24,10 @@
     sharingDispatchers = settings.dispatcherCount();
   }
 
-  /** Under other settings all dispatchers share the engines until that is set anew. */
+  /**
+   * Applies changed settings; all dispatchers share the engines until {@link
+   * #setSharingDispatchers} is called again.
+   */
   void applySettings(PolicySettings newSettings) {
     settings = newSettings;
     sharingDispatchers = newSettings.dispatcherCount();
@@ -36,88 +41,101 @@
     sharingDispatchers = Math.max(1, dispatchers);
   }
 
-  /** The engine with most budget left per core that a request may go to now, or null. */
+  /**
+   * Returns the engine with the most budget left per core that a request may be sent to now, or
+   * null.
+   */
   EngineState choose(TrackedRequest request, Timestamp now) {
-    List<EngineState> sorted = engines.sorted();
+    List<EngineState> sorted = engines.sortedById();
     EngineState best = null;
-    double most = 0;
-    int start = firstIndex(request);
+    double bestBudget = 0;
+    int startIndex = tieBreakIndex(request);
     for (int i = 0; i < sorted.size(); i++) {
-      EngineState engine = sorted.get((start + i) % sorted.size());
+      EngineState engine = sorted.get((startIndex + i) % sorted.size());
       if (!request.mayRunOn(engine, now) || request.isBlockedOn(engine, now)) {
         continue;
       }
-      double left = budgetLeftPerCore(engine, request, now);
+      double remainingBudget = remainingBudgetPerCore(engine, request, now);
       if (fits(engine, request, now)
-          && (best == null || left > most || left == most && isOnlyFirstAtHome(engine, best))) {
+          && (best == null
+              || remainingBudget > bestBudget
+              || remainingBudget == bestBudget && isOnlyFirstInHomeLocation(engine, best))) {
         best = engine;
-        most = left;
+        bestBudget = remainingBudget;
       }
     }
     return best;
   }
 
   /**
-   * Where ties begin: at the dispatcher's index, or, so that engines find their data in memory, at
-   * that of the data set, the same at every dispatcher. Not where shares are below one request's
-   * threads, as many dispatchers would choose the same engine.
+   * Returns the index of the engine that wins ties: this dispatcher's index, or that of the data
+   * set, which is the same at every dispatcher, so that engines find their data in memory. The data
+   * set is not used where a share is below the threads of one request, as many dispatchers would
+   * then choose the same engine.
    */
-  private int firstIndex(TrackedRequest request) {
-    List<EngineState> sorted = engines.sorted();
+  private int tieBreakIndex(TrackedRequest request) {
+    List<EngineState> sorted = engines.sortedById();
     DataSetId dataSet = request.request().dataSet();
-    boolean thin =
+    boolean isShareTooSmall =
         !sorted.isEmpty()
             && sorted.get(0).threadLimit() / sharingDispatchers < request.requestClass().threads();
-    return dataSet == null || thin
+    return dataSet == null || isShareTooSmall
         ? settings.dispatcherIndex()
         : (int) Math.floorMod(dataSet.value(), Math.max(1L, sorted.size()));
   }
 
   /**
-   * What is left of this dispatcher's own share, in whole requests per core. Ranked by what it may
-   * borrow, an engine that looks a little faster would draw everything until it is slow.
+   * Returns how many whole requests per core still fit this dispatcher's own share. Borrowing does
+   * not count: an engine that appears slightly faster would attract all requests until it is slow.
    */
-  private double budgetLeftPerCore(EngineState engine, TrackedRequest request, Timestamp now) {
-    double free = share(engine, now) - engine.threadsInUse();
+  private double remainingBudgetPerCore(EngineState engine, TrackedRequest request, Timestamp now) {
+    double freeThreads = share(engine, now) - engine.threadsInUse();
     double threads = engine.threadsFor(request.request(), request.requestClass());
-    return Math.floor(free / threads) / engine.cores();
+    return Math.floor(freeThreads / threads) / engine.cores();
   }
 
-  private boolean isOnlyFirstAtHome(EngineState first, EngineState second) {
+  private boolean isOnlyFirstInHomeLocation(EngineState first, EngineState second) {
     return first.location().equals(settings.homeLocation())
         && !second.location().equals(settings.homeLocation());
   }
 
-  /** Whether the budget has the request's threads left, or, if it is below them, by chance. */
+  /**
+   * Returns whether the budget has the request's threads left. If the whole budget is below them,
+   * one request at a time is admitted with a probability that keeps the mean within the budget.
+   */
   private boolean fits(EngineState engine, TrackedRequest request, Timestamp now) {
     double threads = engine.threadsFor(request.request(), request.requestClass());
     double budget = share(engine, now);
     if (engine.threadsInUse() + threads > budget && mayBorrow(engine, request, threads, now)) {
       budget = withBorrowing(engine, request.requestClass(), budget);
     }
-    // One that waited for a load takes its threads along, to where reports show capacity for them.
+    // A request that waited for a load may exceed the budget where reports show enough spare
+    // threads.
     if (request.hasBeenBlocked()
         && health.hasLoadReports()
-        && health.hasThreadsToSpare(engine, threads, now)) {
+        && health.hasSpareThreads(engine, threads, now)) {
       return true;
     }
     if (budget < threads) {
-      return engine.threadsInUse() == 0 && engine.warmup().isDrawnBelow(budget / threads);
+      return engine.threadsInUse() == 0 && engine.warmup().isSampleBelow(budget / threads);
     }
     return budget - engine.threadsInUse() >= threads;
   }
 
   /**
-   * A request over its quota may borrow only where reports show capacity beyond it. The excess of a
-   * tenant finds none; the traffic of a dispatcher that stopped does, and would else be shed beside
-   * idle engines.
+   * Returns whether a request may use borrowed threads. A request over its tenant's quota may do so
+   * only where load reports show additional spare capacity. The excess traffic of one tenant finds
+   * no such capacity. The traffic of a dispatcher that stopped does, and would otherwise be shed
+   * while engines are idle.
    */
   private boolean mayBorrow(
       EngineState engine, TrackedRequest request, double threads, Timestamp now) {
-    double reserve =
-        request.isOverQuota() ? engine.threadLimit() * (1 - 1 / PolicyConstants.NEAR_RATIO) : 0;
-    return (reserve == 0 || health.hasLoadReports())
-        && health.hasThreadsToSpare(engine, threads + reserve, now);
+    double reservedThreads =
+        request.isOverQuota()
+            ? engine.threadLimit() * (1 - 1 / PolicyConstants.TOLERANCE_FACTOR)
+            : 0;
+    return (reservedThreads == 0 || health.hasLoadReports())
+        && health.hasSpareThreads(engine, threads + reservedThreads, now);
   }
 
   private double withBorrowing(EngineState engine, RequestClassStats requestClass, double share) {
@@ -128,10 +146,10 @@
     return engine.threadShare(sharingDispatchers, now);
   }
 
-  /** The threads that a class may use on all engines, with what it may borrow. */
+  /** Returns the threads that a class may use on all engines, including those it may borrow. */
   double totalThreads(RequestClassStats requestClass, Timestamp now) {
     double threads = 0;
-    for (EngineState engine : engines.sorted()) {
+    for (EngineState engine : engines.sortedById()) {
       if (engine.isUp()) {
         threads += withBorrowing(engine, requestClass, share(engine, now));
       }
--- a/src/main/java/cobaltseam/dispatch/TimeSpan.java
+++ b/src/main/java/cobaltseam/dispatch/TimeSpan.java
@@ -1,40 +1,42 @@
 package cobaltseam.dispatch;
 
-/** A length of time, in microseconds; may be below zero. */
+/** A length of time in microseconds; may be negative. */
 public record TimeSpan(long us) implements Comparable<TimeSpan> {
   public static final TimeSpan ZERO = new TimeSpan(0);
 
-  /** The sum of both; overflows silently. */
+  /** Returns the sum of both spans; overflows silently. */
   public TimeSpan plus(TimeSpan other) {
     return new TimeSpan(us + other.us);
   }
 
-  /** The difference of both; overflows silently. */
+  /** Returns this span minus another; overflows silently. */
   public TimeSpan minus(TimeSpan other) {
     return new TimeSpan(us - other.us);
   }
 
-  /** This span times a factor, rounded to the nearest microsecond. */
+  /** Returns this span times a factor, rounded to the nearest microsecond. */
   public TimeSpan times(double factor) {
     return new TimeSpan(Math.round(us * factor));
   }
 
-  /** This span as a multiple of another. */
+  /**
+   * Returns this span as a multiple of another; infinite or not a number if the other one is zero.
+   */
   public double dividedBy(TimeSpan other) {
     return (double) us / other.us;
   }
 
-  /** The shorter one. */
+  /** Returns the shorter of both spans. */
   public TimeSpan min(TimeSpan other) {
     return us <= other.us ? this : other;
   }
 
-  /** The longer one. */
+  /** Returns the longer of both spans. */
   public TimeSpan max(TimeSpan other) {
     return us >= other.us ? this : other;
   }
 
-  /** Whether it is above zero. */
+  /** Returns whether this span is longer than zero. */
   public boolean isPositive() {
     return us > 0;
   }
--- a/src/main/java/cobaltseam/dispatch/TrackedRequest.java
+++ b/src/main/java/cobaltseam/dispatch/TrackedRequest.java
@@ -4,21 +4,24 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One request, until its final answer and the outcome of its last attempt. */
+/** The state of one request, until its final answer and the outcome of its last attempt. */
 final class TrackedRequest {
   private final Request request;
   private final long arrivalNumber;
   private final Timestamp acceptedAt;
-  private final Timestamp targetAt;
+  private final Timestamp objectiveDueAt;
   private final boolean overQuota;
   private RequestClassStats requestClass;
   private RequestRules rules;
   private Timestamp giveUpAt;
-  private boolean late;
+  private boolean expectedLate;
   private boolean dropped;
   private boolean finished;
 
-  /** While queued: threads times expected latency, and its priority weight for that. */
+  /**
+   * Valid while queued: threads times expected latency, and the priority weight per unit of that
+   * product.
+   */
   private double threadTimeUs;
 
   private double weightPerThreadTime;
@@ -27,10 +30,13 @@
   private Attempt attempt;
   private EngineState attemptEngine;
 
-  /** Engines where attempts waited for a load of the data set, and since when. */
+  /**
+   * Engines on which attempts were reported to wait for a load of the data set, and the time of the
+   * report.
+   */
   private Map<EngineState, Timestamp> blockedAt = Map.of();
 
-  /** The first attempt that may have run: when it was sent, and where to; null if none. */
+  /** The first attempt that may have run: when and where it was sent; null if none may have run. */
   private Timestamp mayHaveRunSince;
 
   private GroupId mayHaveRunGroup;
@@ -48,11 +54,11 @@
     this.overQuota = overQuota;
     rules = requestClass.rules();
     acceptedAt = now;
-    double extraUs =
+    double objectiveExtensionUs =
         requestClass.definition().objectivePerWork() * workUs() / requestClass.threads();
-    targetAt =
+    objectiveDueAt =
         now.plus(requestClass.definition().latencyObjective())
-            .plus(new TimeSpan(Math.round(extraUs)));
+            .plus(new TimeSpan(Math.round(objectiveExtensionUs)));
   }
 
   Request request() {
@@ -67,7 +73,7 @@
     return rules;
   }
 
-  /** The order in which requests were accepted. */
+  /** Returns the position of this request in the order in which requests were accepted. */
   long arrivalNumber() {
     return arrivalNumber;
   }
@@ -76,34 +82,35 @@
     return acceptedAt;
   }
 
-  /** When an answer is due by its latency objective. */
-  Timestamp targetAt() {
-    return targetAt;
+  /** Returns when an answer is due according to the latency objective. */
+  Timestamp objectiveDueAt() {
+    return objectiveDueAt;
   }
 
   boolean isOverQuota() {
     return overQuota;
   }
 
+  /** Returns the work of this request in microseconds: its estimate, or the mean of its class. */
   double workUs() {
     return requestClass.workUs(request);
   }
 
-  TimeSpan usualLatency() {
-    return requestClass.usualLatency(request);
+  TimeSpan baselineLatency() {
+    return requestClass.baselineLatency(request);
   }
 
-  /** Whether its class gives an answer after the latency objective any weight. */
+  /** Returns whether its class gives an answer after the latency objective any weight. */
   boolean isUsefulLate() {
     return requestClass.definition().latePriorityWeight() > 0;
   }
 
-  /** Whether it must be answered in the order of its key. */
+  /** Returns whether this request must run in the order of its key. */
   boolean isSequenced() {
-    return rules.inOrder() && request.sequenceKey() != null;
+    return rules.isOrdered() && request.sequenceKey() != null;
   }
 
-  /** Goes on under other settings: keeps to the rules of both. */
+  /** Continues under changed settings, in compliance with both sets of rules. */
   void applySettings(RequestClassStats newClass) {
     requestClass = newClass;
     RequestRules both = rules.stricterOf(newClass.rules());
@@ -114,12 +121,15 @@
     }
   }
 
-  /** Whether all requests like it of its class fit the same engines. */
-  boolean isOrdinary() {
-    return attempts == 0 && rules == requestClass.rules() && !rules.inOrder();
+  /**
+   * Returns whether only its class restricts the engines of this request, and not an earlier
+   * attempt, an order or earlier settings.
+   */
+  boolean isRestrictedByClassOnly() {
+    return attempts == 0 && rules == requestClass.rules() && !rules.isOrdered();
   }
 
-  /** Is not to be sent any more, and is given up when next placed. */
+  /** Excludes this request from further attempts; it is given up when it is next placed. */
   void drop() {
     dropped = true;
   }
@@ -128,7 +138,7 @@
     return dropped;
   }
 
-  /** Has its final answer, or its client has left. */
+  /** Marks this request as having its final answer, or as having no client any more. */
   void finish() {
     finished = true;
   }
@@ -137,23 +147,26 @@
     return finished;
   }
 
-  /** Whether it was expected to miss its latency objective when last checked. */
-  boolean isLate() {
-    return late;
+  /**
+   * Returns whether this request was expected to miss its latency objective when that was last
+   * evaluated.
+   */
+  boolean isExpectedLate() {
+    return expectedLate;
   }
 
-  void checkLate(TimeSpan expectedLatency, Timestamp now) {
-    late = targetAt.isBefore(now.plus(expectedLatency));
+  void updateExpectedLate(TimeSpan expectedLatency, Timestamp now) {
+    expectedLate = objectiveDueAt.isBefore(now.plus(expectedLatency));
   }
 
-  /** Fixes the figures by which it is compared while it is queued. */
-  void updateQueueFigures(Timestamp giveUp, TimeSpan expectedLatency, double overQuotaWeight) {
+  /** Updates the values by which requests are compared while they are queued. */
+  void updateQueueValues(Timestamp giveUp, TimeSpan expectedLatency, double overQuotaWeight) {
     giveUpAt = giveUp;
     threadTimeUs = requestClass.threads() * (double) expectedLatency.us();
     weightPerThreadTime =
         requestClass.definition().priorityWeight()
             * (overQuota ? overQuotaWeight : 1)
-            * (late ? requestClass.definition().latePriorityWeight() : 1)
+            * (expectedLate ? requestClass.definition().latePriorityWeight() : 1)
             / threadTimeUs;
   }
 
@@ -183,8 +196,8 @@
     return attempts < rules.maxAttempts();
   }
 
-  /** Whether another attempt may follow one that was cut short. */
-  boolean canBeReplaced() {
+  /** Returns whether another attempt may follow one that was ended early. */
+  boolean allowsReplacementAttempt() {
     return hasAttemptLeft() && rules.retrySafety() == RetrySafety.IDEMPOTENT;
   }
 
@@ -195,12 +208,12 @@
     return attempt;
   }
 
-  /** The attempt in flight, or null. */
+  /** Returns the attempt in flight, or null. */
   Attempt attempt() {
     return attempt;
   }
 
-  /** The engine of the attempt in flight, or null. */
+  /** Returns the engine of the attempt in flight, or null. */
   EngineState attemptEngine() {
     return attemptEngine;
   }
@@ -210,7 +223,7 @@
     attemptEngine = null;
   }
 
-  /** Notes that an attempt may have run; the first one counts. */
+  /** Records that an attempt may have run; only the first such attempt is kept. */
   void recordMayHaveRun(Attempt ran, EngineState engine) {
     if (mayHaveRunSince == null) {
       mayHaveRunSince = ran.sentAt();
@@ -219,7 +232,10 @@
     }
   }
 
-  /** Whether one more attempt can do no harm, by what is known of those before. */
+  /**
+   * Returns whether one more attempt can do no harm, considering the earlier attempts that may have
+   * run.
+   */
   boolean isSafeToSend(Timestamp now) {
     return mayHaveRunSince == null
         || rules.retrySafety() == RetrySafety.IDEMPOTENT
@@ -227,19 +243,19 @@
             && now.since(mayHaveRunSince).compareTo(rules.deduplicationWindow()) < 0;
   }
 
-  /** Whether its client may send it again without harm. */
+  /** Returns whether its client may safely send the request again. */
   boolean isSafeForClientRetry() {
     return mayHaveRunSince == null || rules.allowsClientRetry();
   }
 
-  /** How long from now an attempt may start at the latest; null without bound. */
+  /** Returns the longest delay until an attempt may start; null if there is no bound. */
   TimeSpan maxStartDelay(Timestamp now) {
     return mayHaveRunSince == null || rules.retrySafety() != RetrySafety.IDEMPOTENT_WITH_KEY
         ? null
         : rules.deduplicationWindow().minus(now.since(mayHaveRunSince));
   }
 
-  /** Whether the rules let it go to this engine now. */
+  /** Returns whether the rules and the slow start allow an attempt on this engine now. */
   boolean mayRunOn(EngineState engine, Timestamp now) {
     if (!engine.isUp() || !rules.allowsPlacement(engine.location(), engine.machineType())) {
       return false;
@@ -252,12 +268,14 @@
     return engine.warmup().allows(warmupWorkUs(), now);
   }
 
-  /** The work that counts against an engine's allowance while it warms up, in microseconds. */
+  /**
+   * Returns the work in microseconds that counts against an engine's allowance while it warms up.
+   */
   double warmupWorkUs() {
-    return Math.max(requestClass.usualWorkUs(), workUs());
+    return Math.max(requestClass.meanWorkUs(), workUs());
   }
 
-  /** Notes that the attempt in flight waits for a load of the data set. */
+  /** Records that the attempt in flight waits for a load of the data set. */
   void markBlocked(Timestamp now) {
     attempt.markBlocked();
     if (blockedAt.isEmpty()) {
@@ -270,9 +288,12 @@
     return !blockedAt.isEmpty();
   }
 
-  /** Whether it would have to wait for a load on that engine, as far as known. */
+  /**
+   * Returns whether the request would have to wait for a load on that engine, according to a recent
+   * report.
+   */
   boolean isBlockedOn(EngineState engine, Timestamp now) {
     Timestamp since = blockedAt.get(engine);
-    return since != null && now.since(since).compareTo(requestClass.minPatience()) < 0;
+    return since != null && now.since(since).compareTo(requestClass.minTimeout()) < 0;
   }
 }
--- a/src/test/java/cobaltseam/dispatch/AttemptTimeoutTest.java
+++ b/src/test/java/cobaltseam/dispatch/AttemptTimeoutTest.java
@@ -15,23 +15,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How long attempts may take, when they are cancelled, and what ends all attempts. */
+/** Timeouts, cancellation and withdrawal of attempts. */
 class AttemptTimeoutTest {
   @Test
-  void withoutCancellationAnAttemptMayTakeAllTheUsefulTime() {
-    // Without cancellation a timed out attempt runs on: another would only add its work.
+  void withoutCancellationAttemptMayRunWhileItsAnswerIsUseful() {
+    // Without cancellation, an attempt that timed out keeps running: another would only add load.
     DispatcherDriver driver = newDriver(NO_CANCEL, 2, 1, 2);
     driver.submit("p", WORK_US);
     SentAttempt first = driver.attempts.get(0);
-    // The objective is 1 s plus twice the work, 1.2 s, and a late answer has no weight: an attempt
-    // is of use until 1.25 times that.
+    // The latency objective is 1 s plus twice the work, that is 1.2 s, and a late answer has no
+    // weight: an attempt is of use until 1.25 times the objective.
     assertEquals(1_500_000, first.timeout().us(), 10_000, "timeout " + first.timeout());
     driver.advance(new TimeSpan(1_400_000));
     assertEquals(1, driver.attempts.size(), "no retry while the first attempt may still answer");
   }
 
   @Test
-  void withCancellationASlowAttemptTimesOutForAnother() {
+  void withCancellationSlowAttemptTimesOutEarlyForReplacement() {
     DispatcherDriver driver =
         newDriver(
             new Capabilities(TICK, 5, true, false, false, TimeSpan.ZERO, TimeSpan.ZERO), 2, 1, 2);
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void attemptWithABadPlanIsCancelledAndASlowOneIsNot() {
+  void attemptWithBadQueryPlanIsCancelledAndSlowAttemptIsNot() {
     DispatcherDriver driver = newDriver(0, 2, 1, 4, 5);
     answerRequests(driver, 30, WORK_US);
     Request bad = driver.submit("p", WORK_US);
@@ -53,12 +53,15 @@
     driver.followNextSteps();
     assertEquals(List.of(bad.id()), driver.cancellations);
     driver.complete(driver.inFlight.get(bad.id()), AttemptResult.CANCELLED, false);
-    assertTrue(driver.inFlight.containsKey(bad.id()), "and retried");
+    assertTrue(driver.inFlight.containsKey(bad.id()), "the request is retried");
   }
 
-  /** Reports are rough: at 0.99 an attempt may still need a good part of its time so far. */
+  /**
+   * Guards against cancellation after an inaccurate report: at 0.99 an attempt may still need a
+   * considerable fraction of its time so far.
+   */
   @Test
-  void almostFinishedAttemptIsNotCancelledForARoughReport() {
+  void almostFinishedAttemptIsNotCancelledAfterInaccurateReport() {
     DispatcherDriver driver = newDriver(0, 1, 1, 4);
     Request request = driver.submit("p", WORK_US);
     driver.advance(new TimeSpan(WORK_US));
@@ -69,15 +72,16 @@
     for (int i = 0; i < 10; i++) {
       driver.advance(new TimeSpan(WORK_US / 50));
     }
-    assertEquals(List.of(request.id()), driver.cancellations, "but its time is bounded");
+    assertEquals(List.of(request.id()), driver.cancellations, "the additional time is bounded");
   }
 
   @Test
   void withdrawnRequestIsGivenUpAndNeverRetried() {
     DispatcherDriver driver = newDriver(0, 4, 1, 4);
     submitBurst(driver);
-    List<Request> out = driver.inFlight.values().stream().map(SentAttempt::request).toList();
-    assertEquals(4, out.size());
+    List<Request> inFlightRequests =
+        driver.inFlight.values().stream().map(SentAttempt::request).toList();
+    assertEquals(4, inFlightRequests.size());
     for (int i = 0; i < 18; i++) {
       driver.dispatcher.withdraw(new RequestId("c" + i), driver.now);
     }
@@ -86,25 +90,27 @@
     assertTrue(
         driver.finalAnswers.values().stream()
             .allMatch(p -> p.decision() == Placement.Decision.SHED));
-    driver.complete(driver.inFlight.get(out.get(0).id()), AttemptResult.ERROR, false);
-    assertEquals(Placement.Decision.SHED, driver.finalAnswers.get(out.get(0).id()).decision());
-    driver.complete(driver.inFlight.get(out.get(1).id()), AttemptResult.COMPLETED, true);
+    driver.complete(driver.inFlight.get(inFlightRequests.get(0).id()), AttemptResult.ERROR, false);
     assertEquals(
-        18, driver.attempts.size() + driver.finalAnswers.size() - 1, "nothing was retried");
+        Placement.Decision.SHED, driver.finalAnswers.get(inFlightRequests.get(0).id()).decision());
+    driver.complete(
+        driver.inFlight.get(inFlightRequests.get(1).id()), AttemptResult.COMPLETED, true);
+    assertEquals(
+        18, driver.attempts.size() + driver.finalAnswers.size() - 1, "no request was retried");
   }
 
   @Test
-  void failedRequestIsGivenUpAtOnceWithoutRemainingRetries() {
+  void failedRequestIsShedAtOnceWithoutRemainingRetries() {
     DispatcherDriver driver = newDriver(0, 4, 1, 4);
     driver.dispatcher.setRemainingRetries(1);
     Request first = driver.submit("p", WORK_US);
     driver.complete(driver.inFlight.get(first.id()), AttemptResult.ERROR, false);
-    assertEquals(2, driver.attempts.size(), "one retry was left");
+    assertEquals(2, driver.attempts.size(), "one retry remained");
     driver.dispatcher.setRemainingRetries(0);
     driver.complete(driver.inFlight.get(first.id()), AttemptResult.ERROR, false);
     assertEquals(Placement.Decision.SHED, driver.finalAnswers.get(first.id()).decision());
     driver.submit("p", WORK_US);
     driver.advance(new TimeSpan(1_000_000));
-    assertEquals(3, driver.attempts.size(), "first attempts go on");
+    assertEquals(3, driver.attempts.size(), "first attempts are still allowed");
   }
 }
--- a/src/test/java/cobaltseam/dispatch/BlockedAttemptTest.java
+++ b/src/test/java/cobaltseam/dispatch/BlockedAttemptTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What happens to attempts that wait for a load of the data set that they read. */
+/** Attempts that wait for a load of the data set that they read. */
 class BlockedAttemptTest {
   @Test
   void blockedAttemptIsCancelledForAnotherEngine() {
@@ -32,30 +32,32 @@
     driver.complete(attempt, AttemptResult.CANCELLED, false);
     SentAttempt next = driver.attempts.get(driver.attempts.size() - 1);
     assertEquals(attempt.request().id(), next.request().id());
-    assertNotEquals(attempt.engine(), next.engine(), "not behind the same load again");
+    assertNotEquals(
+        attempt.engine(), next.engine(), "the next attempt avoids the engine with the load");
   }
 
   @Test
   void requestBlockedOnAllEnginesKeepsItsAttempts() {
-    // Loads on both engines block it: going back and forth would use up all attempts within
-    // milliseconds.
+    // Loads on both engines block the request: alternating between them would use up all attempts
+    // within milliseconds.
     DispatcherDriver driver = newDriver(WITH_REPORTS, 1, 1, 2);
     SentAttempt attempt = submitOne(driver);
     for (int i = 0; i < 4; i++) {
-      SentAttempt out = driver.inFlight.get(attempt.request().id());
-      driver.dispatcher.markBlocked(out.request().id(), out.number(), driver.now);
+      SentAttempt current = driver.inFlight.get(attempt.request().id());
+      driver.dispatcher.markBlocked(current.request().id(), current.number(), driver.now);
       driver.followNextSteps();
-      if (driver.cancellations.remove(out.request().id())) {
-        driver.complete(out, AttemptResult.CANCELLED, false);
+      if (driver.cancellations.remove(current.request().id())) {
+        driver.complete(current, AttemptResult.CANCELLED, false);
       }
       driver.advance(TICK);
     }
-    assertEquals(2, driver.attempts.size(), "one attempt on each, and the second stays");
+    assertEquals(
+        2, driver.attempts.size(), "one attempt on each engine, and the second is not cancelled");
   }
 
   @Test
   void blockedAttemptThatMustNotRunTwiceStays() {
-    // No cancellation is planned for it that could be brought forward.
+    // No cancellation is scheduled for the attempt that could be moved to an earlier time.
     RequestClass notIdempotent =
         requestClass("p", 1, RetrySafety.NOT_IDEMPOTENT, DeduplicationScope.ALL, false, null, null);
     DispatcherDriver driver =
@@ -75,6 +77,6 @@
     SentAttempt attempt = submitOne(driver);
     driver.dispatcher.markBlocked(attempt.request().id(), attempt.number(), driver.now);
     driver.followNextSteps();
-    assertTrue(driver.cancellations.isEmpty(), "the only engine: the load ends sooner or later");
+    assertTrue(driver.cancellations.isEmpty(), "there is no other engine, and the load will end");
   }
 }
--- a/src/test/java/cobaltseam/dispatch/BorrowingTest.java
+++ b/src/test/java/cobaltseam/dispatch/BorrowingTest.java
@@ -15,7 +15,7 @@
 /** When a dispatcher uses more than its even share of an engine. */
 class BorrowingTest {
   @Test
-  void answersAtUsualSpeedAllowBorrowingAndSlowOnesEndIt() {
+  void answersAtBaselineLatencyAllowBorrowingAndSlowAnswersEndIt() {
     DispatcherDriver driver = newDriver(0, 4, 1, 4);
     answerRequests(driver, 30, WORK_US);
     submitBurst(driver);
@@ -27,7 +27,9 @@
     List.copyOf(driver.inFlight.values())
         .forEach(attempt -> driver.complete(attempt, AttemptResult.COMPLETED, true));
     submitBurst(driver);
-    assertTrue(driver.inFlight.size() <= 4, "back to the share, not " + driver.inFlight.size());
+    assertTrue(
+        driver.inFlight.size() <= 4,
+        "the dispatcher is limited to its share again, not " + driver.inFlight.size());
   }
 
   @Test
@@ -37,14 +39,15 @@
     answerRequests(driver, 30, WORK_US);
     submitBurst(driver);
     int borrowed = driver.inFlight.size();
-    assertTrue(borrowed > 4, "it borrows: " + borrowed);
+    assertTrue(borrowed > 4, "the dispatcher borrows threads: " + borrowed);
     driver = newDriver(0, 4, 1, 4);
     driver.reportedInFlight = 1;
     answerRequests(driver, 30, WORK_US);
     driver.dispatcher.updateEngineLoad(new EngineId(4), 16, driver.now.plus(new TimeSpan(1)));
     submitBurst(driver);
     assertTrue(
-        driver.inFlight.size() < borrowed, "others use its capacity: " + driver.inFlight.size());
+        driver.inFlight.size() < borrowed,
+        "other dispatchers use the capacity: " + driver.inFlight.size());
     driver = newDriver(0, 4, 1, 4);
     driver.reportedInFlight = 1;
     answerRequests(driver, 30, WORK_US);
@@ -55,20 +58,22 @@
   }
 
   /**
-   * The traffic of a dispatcher that stopped is over quota here, but the load that engines report
-   * leaves capacity for it.
+   * After another dispatcher stopped, its traffic is over quota here, but the reported load leaves
+   * capacity for it.
    */
   @Test
   void requestsOverQuotaBorrowOnlyWhereLoadReportsLeaveCapacity() {
-    assertTrue(inFlightOverQuota(-1) <= 4, "nothing is reported");
-    assertTrue(inFlightOverQuota(20) <= 4, "others use it");
-    int idle = inFlightOverQuota(0);
-    assertTrue(idle > 8 && idle < 16, "most threads of the engine, never all: " + idle);
+    assertTrue(inFlightOverQuota(-1) <= 4, "no load is reported");
+    assertTrue(inFlightOverQuota(20) <= 4, "other dispatchers use the capacity");
+    int inFlightOnIdleEngine = inFlightOverQuota(0);
+    assertTrue(
+        inFlightOnIdleEngine > 8 && inFlightOnIdleEngine < 16,
+        "most threads of the engine, but not all: " + inFlightOnIdleEngine);
   }
 
-  private static int inFlightOverQuota(double inHand) {
+  private static int inFlightOverQuota(double reportedInFlight) {
     DispatcherDriver driver = newDriver(0, 4, 1, 4);
-    driver.reportedInFlight = inHand;
+    driver.reportedInFlight = reportedInFlight;
     answerRequests(driver, 60, WORK_US);
     for (int i = 0; i < 100; i++) {
       driver.submit("p", WORK_US);
@@ -92,6 +97,6 @@
       driver.complete(attempt, AttemptResult.COMPLETED, true);
     }
     submitBurst(driver);
-    assertEquals(16, driver.inFlight.size(), "it was paused: nothing is given back");
+    assertEquals(16, driver.inFlight.size(), "the dispatcher was suspended: it may still borrow");
   }
 }
--- a/src/test/java/cobaltseam/dispatch/DispatchRulesModelTest.java
+++ b/src/test/java/cobaltseam/dispatch/DispatchRulesModelTest.java
@@ -20,9 +20,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Checks every decision against a slow, plain model of the seven rules, on generated days. */
+/**
+ * Checks every decision against a simple reference model of the dispatch rules, on generated event
+ * sequences.
+ */
 class DispatchRulesModelTest {
-  private static final double USUAL_WORK_US = 170_000;
+  private static final double MEAN_WORK_US = 170_000;
   private static final Rules RULES =
       new Rules(
           0.3,
@@ -34,11 +37,14 @@
           0.2,
           new TimeSpan(2_000_000));
 
-  /** What became of one request. The model forgets nothing, and searches it all each time. */
+  /**
+   * The history of one request. The model keeps all requests, and searches all of them for each
+   * check.
+   */
   private static final class ObservedRequest {
     Request request;
     Timestamp acceptedAt;
-    boolean clientLeft;
+    boolean clientDisconnected;
     final List<AttemptResult> results = new ArrayList<>();
     final List<Timestamp> endedAt = new ArrayList<>();
   }
@@ -52,7 +58,7 @@
   private int engines;
 
   private static boolean isFinished(DispatcherDriver driver, ObservedRequest request) {
-    return request.clientLeft
+    return request.clientDisconnected
         || driver.finalAnswers.containsKey(request.request.id())
         || request.results.contains(AttemptResult.COMPLETED);
   }
@@ -63,25 +69,27 @@
     EndpointStatus engine = listed.get(attempt.engine());
     List<SentAttempt> earlier =
         attemptsOf.computeIfAbsent(attempt.request().id(), k -> new ArrayList<>());
-    assertEquals(EndpointState.UP, engine.state(), "sent to engines that are up only");
+    assertEquals(EndpointState.UP, engine.state(), "requests are sent only to engines that are up");
     assertTrue(
         requestClass.locations() == null || requestClass.locations().contains(engine.location()),
-        "placement by location");
+        "the class allows the location");
     assertTrue(
         requestClass.machineTypes() == null
             || requestClass.machineTypes().contains(engine.machineType()),
-        "placement by machine type");
-    assertEquals(earlier.size(), observedRequest.results.size(), "one attempt at a time");
-    assertTrue(earlier.size() < 4, "no more attempts than allowed");
+        "the class allows the machine type");
+    assertEquals(
+        earlier.size(), observedRequest.results.size(), "a request has one attempt at a time");
+    assertTrue(earlier.size() < 4, "a request has at most four attempts");
     assertTrue(
-        !observedRequest.clientLeft && !observedRequest.results.contains(AttemptResult.COMPLETED),
-        "nothing after the end");
+        !observedRequest.clientDisconnected
+            && !observedRequest.results.contains(AttemptResult.COMPLETED),
+        "no attempt after the request has ended");
     assertTrue(
         driver.finalAnswers.get(observedRequest.request.id()) == null,
-        "nothing after the final answer");
+        "no attempt after the final answer");
     assertTrue(
         attempt.sentAt().plus(attempt.timeout()).isBefore(observedRequest.request.deadline()),
-        "times out before the deadline");
+        "an attempt times out before the deadline");
     for (int i = 0; i < earlier.size(); i++) {
       if (!observedRequest.results.get(i).hasNeverRun()) {
         checkRetrySafety(earlier.get(i), attempt);
@@ -96,24 +104,28 @@
     earlier.add(attempt);
   }
 
-  /** That a request which may have run before is sent again only where that does no harm. */
+  /**
+   * Checks that a request which may have run is sent again only where its retry safety allows it.
+   */
   private void checkRetrySafety(SentAttempt first, SentAttempt attempt) {
     RequestClass requestClass = requestClasses.get(attempt.request().requestClass());
     EndpointStatus engine = listed.get(attempt.engine());
-    assertTrue(requestClass.retrySafety() != RetrySafety.NOT_IDEMPOTENT, "no effect twice");
+    assertTrue(
+        requestClass.retrySafety() != RetrySafety.NOT_IDEMPOTENT,
+        "a request that is not idempotent runs at most once");
     EndpointStatus ran = listed.get(first.engine());
     if (requestClass.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY) {
       assertTrue(
           attempt.sentAt().since(first.sentAt()).compareTo(requestClass.deduplicationWindow()) <= 0,
-          "within the deduplication window");
+          "a retry is sent within the deduplication window");
       assertTrue(
           requestClass.deduplicationScope() != DeduplicationScope.LOCATION
               || ran.location().equals(engine.location()),
-          "same location");
+          "a retry stays in the location");
       assertTrue(
           requestClass.deduplicationScope() != DeduplicationScope.GROUP
               || ran.group().equals(engine.group()),
-          "same group");
+          "a retry stays in the group");
     }
   }
 
@@ -124,7 +136,7 @@
     long accepted = observed.values().stream().filter(s -> from.isBefore(s.acceptedAt)).count();
     assertTrue(
         retries <= RULES.freeRetries() + RULES.retryRatio() * accepted,
-        "retries within the budget");
+        "retries stay within the budget");
   }
 
   private void checkKeyOrder(
@@ -151,15 +163,15 @@
             || result == AttemptResult.CANCELLED) {
           assertTrue(
               !attempt.sentAt().isBefore(other.endedAt.get(i).plus(RULES.sequenceKeyRest())),
-              "the key rests");
+              "the key has rested");
         }
       }
     }
   }
 
   /**
-   * That in any window a warming engine is sent no more than this dispatcher's part of what it may
-   * be sent, which grows evenly, and one request ahead of it.
+   * Checks that within any window, a warming engine is sent at most this dispatcher's part of the
+   * allowed work, which grows linearly, and one request in advance.
    */
   private void checkSlowStart(
       EndpointStatus engine, RequestClass requestClass, SentAttempt attempt) {
@@ -175,18 +187,27 @@
                     s.engine().equals(attempt.engine())
                         && !s.sentAt().isBefore(from)
                         && engine.startedAt().isBefore(s.sentAt()))
-            .mapToDouble(s -> USUAL_WORK_US)
+            .mapToDouble(s -> MEAN_WORK_US)
             .sum();
     double cores = engine.machineType().value().equals("k8") ? 8 : 4;
-    double warmth =
+    double capacityFraction =
         RULES.slowStartFraction()
             + (1 - RULES.slowStartFraction())
                 * attempt.sentAt().since(engine.startedAt()).dividedBy(RULES.slowStartDuration());
     double maxWorkUs =
-        RULES.slowStartLimitFactor() * warmth * cores * RULES.slowStartWindow().us() / dispatchers
-            + USUAL_WORK_US;
+        RULES.slowStartLimitFactor()
+                * capacityFraction
+                * cores
+                * RULES.slowStartWindow().us()
+                / dispatchers
+            + MEAN_WORK_US;
     assertTrue(
-        sentWorkUs <= maxWorkUs, "a warming engine is sent " + sentWorkUs + " of " + maxWorkUs);
+        sentWorkUs <= maxWorkUs,
+        "a warming engine is sent "
+            + sentWorkUs
+            + " us of work, at most "
+            + maxWorkUs
+            + " are allowed");
   }
 
   private void checkFinalAnswer(RequestId id) {
@@ -194,10 +215,12 @@
     RequestClass requestClass = requestClasses.get(observedRequest.request.requestClass());
     Placement placement = driver.finalAnswers.get(id);
     assertTrue(
-        driver.now.isBefore(observedRequest.request.deadline()), "the final answer is in time");
+        driver.now.isBefore(observedRequest.request.deadline()),
+        "the final answer precedes the deadline");
     assertTrue(
-        !observedRequest.clientLeft && !observedRequest.results.contains(AttemptResult.COMPLETED),
-        "one final answer");
+        !observedRequest.clientDisconnected
+            && !observedRequest.results.contains(AttemptResult.COMPLETED),
+        "no final answer after the request has ended");
     if (placement.decision() == Placement.Decision.SHED) {
       boolean mayHaveRun =
           observedRequest.results.stream().anyMatch(result -> !result.hasNeverRun());
@@ -218,7 +241,8 @@
     for (RequestClass requestClass : allClasses) {
       requestClasses.put(requestClass.id(), requestClass);
     }
-    // Some days have hundreds of dispatchers, tens of engines, a dispatcher that is paused or lost
+    // Some seeds have hundreds of dispatchers, tens of engines, a dispatcher that is suspended, or
+    // lost
     // answers.
     dispatchers = seed % 4 == 0 ? 300 : 3;
     engines = seed % 4 < 2 ? 40 : 6;
@@ -236,7 +260,7 @@
       }
       driver.advance(new TimeSpan(DispatcherDriver.TICK.us() * random.nextInt(3)));
       timeOutAttempts();
-      act(random, step == 0, seed % 4 == 1, allClasses);
+      performRandomAction(random, step == 0, seed % 4 == 1, allClasses);
     }
     for (int i = 0; i < 1200; i++) {
       driver.advance(DispatcherDriver.TICK);
@@ -245,23 +269,23 @@
     for (ObservedRequest observedRequest : observed.values()) {
       assertTrue(
           isFinished(driver, observedRequest),
-          "a request without a final answer: " + observedRequest.request);
+          "a request has no final answer: " + observedRequest.request);
     }
-    assertTrue(driver.dispatcher.isIdle(), "no thread budget leaks");
-    assertTrue(driver.attempts.size() > 100, "a day with some attempts");
+    assertTrue(driver.dispatcher.isIdle(), "no thread remains in use");
+    assertTrue(driver.attempts.size() > 100, "the event sequence leads to attempts");
   }
 
-  private void act(
-      SplittableRandom random, boolean first, boolean losesAnswers, RequestClass[] allClasses) {
+  private void performRandomAction(
+      SplittableRandom random, boolean isFirst, boolean losesAnswers, RequestClass[] allClasses) {
     int action = random.nextInt(100);
-    if (first || action < 2) {
-      updateEndpoints(random, first || action < 1);
+    if (isFirst || action < 2) {
+      updateEndpoints(random, isFirst || action < 1);
     } else if (action < 56) {
       submit(allClasses[random.nextInt(allClasses.length)], random);
     } else if (action < 97 && !driver.inFlight.isEmpty()) {
-      complete(anyInFlight(random), anyResult(random, losesAnswers));
+      complete(randomInFlight(random), randomResult(random, losesAnswers));
     } else if (action < 98 && !driver.inFlight.isEmpty()) {
-      SentAttempt attempt = anyInFlight(random);
+      SentAttempt attempt = randomInFlight(random);
       driver.dispatcher.updateProgress(
           attempt.request().id(),
           attempt.number() - random.nextInt(2),
@@ -269,10 +293,10 @@
           driver.now);
       driver.followNextSteps();
     } else if (action < 99 && !observed.isEmpty()) {
-      leave(List.copyOf(observed.values()).get(random.nextInt(observed.size())));
+      disconnect(List.copyOf(observed.values()).get(random.nextInt(observed.size())));
     } else if (action == 99 && !observed.isEmpty()) {
-      // Other dispatchers take over traffic or leave it, and so does this one: it sends no more
-      // attempts of the requests that it had.
+      // The number of dispatchers that carry traffic changes. This one sends no further attempts of
+      // a request, as when it hands over its traffic.
       driver.dispatcher.setSharingDispatchers(random.nextDouble() * dispatchers);
       driver.dispatcher.withdraw(
           List.copyOf(observed.keySet()).get(random.nextInt(observed.size())), driver.now);
@@ -280,11 +304,11 @@
     }
   }
 
-  private SentAttempt anyInFlight(SplittableRandom random) {
+  private SentAttempt randomInFlight(SplittableRandom random) {
     return List.copyOf(driver.inFlight.values()).get(random.nextInt(driver.inFlight.size()));
   }
 
-  private static AttemptResult anyResult(SplittableRandom random, boolean losesAnswers) {
+  private static AttemptResult randomResult(SplittableRandom random, boolean losesAnswers) {
     if (losesAnswers && random.nextInt(9) == 0) {
       return AttemptResult.TIMED_OUT;
     }
@@ -389,7 +413,7 @@
   }
 
   private void submit(RequestClass requestClass, SplittableRandom random) {
-    long work =
+    long workUs =
         random.nextInt(10) == 0
             ? 0
             : random.nextInt(50) == 0 ? 1L << 50 : 20_000 + random.nextInt(300_000);
@@ -397,7 +421,7 @@
         driver.newRequest(
             requestClass.id().value(),
             requestClass.isOrdered() ? "k" + random.nextInt(3) : null,
-            work);
+            workUs);
     ObservedRequest observedRequest = new ObservedRequest();
     observedRequest.request = newRequest;
     observedRequest.acceptedAt = driver.now;
@@ -405,9 +429,9 @@
     driver.submit(newRequest);
   }
 
-  private void leave(ObservedRequest observedRequest) {
+  private void disconnect(ObservedRequest observedRequest) {
     if (!isFinished(driver, observedRequest)) {
-      observedRequest.clientLeft = true;
+      observedRequest.clientDisconnected = true;
     }
     driver.dispatcher.clientDisconnected(observedRequest.request.id(), driver.now);
     driver.followNextSteps();
@@ -432,7 +456,7 @@
     if (complete) {
       listed.clear();
     }
-    endpoints.forEach(line -> listed.put(line.engine(), line));
+    endpoints.forEach(status -> listed.put(status.engine(), status));
     driver.updateEndpoints(complete, endpoints.toArray(new EndpointStatus[0]));
   }
 }
--- a/src/test/java/cobaltseam/dispatch/DispatcherDriver.java
+++ b/src/test/java/cobaltseam/dispatch/DispatcherDriver.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Drives one dispatcher as a caller would and records its decisions. */
+/** Drives one dispatcher as its caller would, and records its decisions. */
 final class DispatcherDriver {
-  /** One attempt, as the dispatcher asked for it. */
+  /** An attempt that the dispatcher requested. */
   record SentAttempt(
       Request request,
       int number,
@@ -48,11 +48,11 @@
   final List<RequestId> cancellations = new ArrayList<>();
   TimeSpan delay;
 
-  /** Called with each attempt and each final answer as it is decided. */
+  /** Called with each attempt and the id of each final answer when it is decided. */
   Consumer<SentAttempt> onAttempt = attempt -> {};
 
   Consumer<RequestId> onFinalAnswer = id -> {};
-  private int requestNumbers;
+  private int requestCount;
   double memoryMb = 100;
   double reportedInFlight = -1;
 
@@ -79,7 +79,7 @@
         capabilities);
   }
 
-  /** An idempotent class on some threads with a latency objective of a second. */
+  /** Creates an idempotent class that uses some threads, with a latency objective of one second. */
   static RequestClass requestClass(String name, int threads) {
     return requestClass(
         name, threads, RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, false, null, null);
@@ -90,7 +90,7 @@
       int threads,
       RetrySafety retrySafety,
       DeduplicationScope deduplicationScope,
-      boolean inOrder,
+      boolean isOrdered,
       List<LocationId> locations,
       List<MachineTypeId> machineTypes) {
     return new RequestClass(
@@ -104,7 +104,7 @@
         retrySafety,
         deduplicationScope,
         new TimeSpan(200_000),
-        inOrder,
+        isOrdered,
         locations,
         machineTypes);
   }
@@ -130,9 +130,9 @@
 
   Request newRequest(String requestClass, String sequenceKey, long workUs) {
     return new Request(
-        new RequestId("c" + requestNumbers++),
+        new RequestId("c" + requestCount++),
         new RequestClassId(requestClass),
-        new TenantId(requestNumbers % 4 == 0 ? "b" : "a"),
+        new TenantId(requestCount % 4 == 0 ? "b" : "a"),
         sequenceKey == null ? null : new SequenceKey(sequenceKey),
         now.plus(new TimeSpan(4_500_000)),
         new TimeSpan(workUs),
@@ -173,7 +173,7 @@
     return placement;
   }
 
-  /** Lets time pass in ticks, and asks the dispatcher whenever its delay is over. */
+  /** Advances the clock in ticks and calls the dispatcher whenever its delay is over. */
   void advance(TimeSpan span) {
     Timestamp until = now.plus(span);
     while (now.isBefore(until)) {
@@ -186,7 +186,7 @@
   void followNextSteps() {
     for (int steps = 0; ; steps++) {
       if (steps > 100_000) {
-        throw new AssertionError("the dispatcher asks for the same step without end");
+        throw new AssertionError("the dispatcher returns steps without end");
       }
       NextStep step = dispatcher.next(now);
       delay = step.delay();
--- a/src/test/java/cobaltseam/dispatch/DispatcherScenarios.java
+++ b/src/test/java/cobaltseam/dispatch/DispatcherScenarios.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.stream.LongStream;
 
-/** Drivers, deployments and exchanges that several tests share. */
+/** Drivers, deployments and request sequences that several tests share. */
 final class DispatcherScenarios {
   static final long WORK_US = 100_000;
 
@@ -27,7 +27,10 @@
 
   private DispatcherScenarios() {}
 
-  /** A driver with the classes "p" on one thread and "wide" on a number of them. */
+  /**
+   * Creates a driver with the classes "p", which uses one thread, and "wide", which uses {@code
+   * threads} of them.
+   */
   static DispatcherDriver newDriver(
       int dispatcherIndex, int dispatchers, int threads, long... engines) {
     RequestClass narrow = requestClass("p", 1);
@@ -36,7 +39,7 @@
         deployment(dispatcherIndex, dispatchers, RULES, CAPABILITIES, narrow, wide), engines);
   }
 
-  /** A driver with the class "p" on one thread. */
+  /** Creates a driver with the class "p", which uses one thread. */
   static DispatcherDriver newDriver(Capabilities capabilities, int dispatchers, long... engines) {
     return newDriver(
         deployment(0, dispatchers, RULES, capabilities, requestClass("p", 1)), engines);
@@ -49,14 +52,14 @@
     return driver;
   }
 
-  /** The engines of all attempts so far, in order. */
+  /** Returns the engines of all attempts so far, in order. */
   static List<Long> attemptedEngines(DispatcherDriver driver) {
     return driver.attempts.stream().map(s -> s.engine().value()).toList();
   }
 
-  /** Submits requests one after another, each answered after a latency. */
-  static void answerRequests(DispatcherDriver driver, int times, long latency) {
-    for (int i = 0; i < times; i++) {
+  /** Submits requests one after another and answers each after a latency in microseconds. */
+  static void answerRequests(DispatcherDriver driver, int count, long latency) {
+    for (int i = 0; i < count; i++) {
       driver.submit("p", WORK_US);
       driver.advance(new TimeSpan(latency));
       List.copyOf(driver.inFlight.values())
@@ -71,25 +74,25 @@
     }
   }
 
-  /** Submits a request and returns the last attempt made. */
+  /** Submits a request and returns the latest attempt. */
   static SentAttempt submitOne(DispatcherDriver driver) {
     driver.submit("p", WORK_US);
     return driver.attempts.get(driver.attempts.size() - 1);
   }
 
-  /** A deployment with one dispatcher. */
-  static Deployment soleDispatcher(
+  /** Creates a deployment with a single dispatcher. */
+  static Deployment singleDispatcher(
       Rules rules, Capabilities capabilities, RequestClass... requestClasses) {
     return deployment(0, 1, rules, capabilities, requestClasses);
   }
 
-  /** Capabilities with cancellation and retry delays, but without reports. */
+  /** Creates capabilities with cancellation and retry delays, but without progress reports. */
   static Capabilities withMaxAttempts(int maxAttempts) {
     return new Capabilities(
         TICK, maxAttempts, true, false, true, new TimeSpan(500_000), TimeSpan.ZERO);
   }
 
-  /** Rules with a retry budget over ten seconds, and keys that need no rest. */
+  /** Creates rules with a retry budget over ten seconds, and no rest of sequence keys. */
   static Rules withRetryBudget(double freeRetries, double retryRatio) {
     return new Rules(
         0.3,
@@ -102,7 +105,7 @@
         new TimeSpan(10_000_000));
   }
 
-  /** A driver that has submitted a number of requests of the class "p". */
+  /** Creates a driver and submits a number of requests of the class "p". */
   static DispatcherDriver newBusyDriver(
       Deployment deployment, int requests, EndpointStatus... engines) {
     DispatcherDriver driver = new DispatcherDriver(deployment, 7);
@@ -113,7 +116,7 @@
     return driver;
   }
 
-  /** Applies other settings and does what follows from them. */
+  /** Applies changed settings and follows the next steps. */
   static void applySettings(DispatcherDriver driver, Deployment deployment) {
     driver.dispatcher.applySettings(deployment, driver.now);
     driver.followNextSteps();
