--- a/src/test/java/cobaltseam/dispatch/EngineChoiceTest.java
+++ b/src/test/java/cobaltseam/dispatch/EngineChoiceTest.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which engine runs a request, and which requests wait. */
+/** The choice of an engine, and the requests that are queued. */
 class EngineChoiceTest {
   @Test
   void tiesAreBrokenByEngineIdFromTheDispatcherIndex() {
@@ -34,7 +34,9 @@
 
   @Test
   void engineWithMostBudgetLeftPerCoreIsChosen() {
-    // Engine 3 has half the cores: after one thread each it has less left per core.
+    // Engine 3 has half the cores: with one thread in use on each engine, it has less budget left
+    // per
+    // core.
     DispatcherDriver driver = newDriver(0, 1, 1, 3, 4);
     for (int i = 0; i < 6; i++) {
       driver.submit("p", WORK_US);
@@ -52,7 +54,7 @@
   }
 
   @Test
-  void enginesAreSharedOverDispatchersThatCarryTraffic() {
+  void enginesAreSharedByDispatchersThatCarryTraffic() {
     DispatcherDriver driver = newDriver(0, 4, 1, 4);
     driver.dispatcher.setSharingDispatchers(2);
     submitBurst(driver);
@@ -62,7 +64,7 @@
     assertEquals(16, driver.inFlight.size(), "all threads for the only dispatcher");
     driver.dispatcher.setSharingDispatchers(0);
     driver.followNextSteps();
-    assertEquals(16, driver.inFlight.size(), "never more than an engine's threads");
+    assertEquals(16, driver.inFlight.size(), "never more attempts than the engine's threads");
   }
 
   @Test
@@ -76,42 +78,43 @@
     driver.complete(driver.inFlight.values().iterator().next(), AttemptResult.CANCELLED, true);
     assertTrue(
         driver.inFlight.containsKey(oldest.id()),
-        "the wide one fits nowhere and blocks none behind it");
+        "the wide request fits no engine and does not block those behind it");
     assertTrue(!driver.inFlight.containsKey(wide.id()));
     assertEquals(2, driver.inFlight.size());
   }
 
   @Test
-  void shareBelowOneRequestsThreadsIsKeptInTheMeanAndOneAtATime() {
+  void shareBelowThreadsOfOneRequestIsKeptOnAverageWithOneAttemptAtATime() {
     DispatcherDriver driver = newDriver(0, 64, 1, 4);
     driver.reportedInFlight = 16;
-    int busy = 0;
+    int totalInFlight = 0;
     for (int i = 0; i < 2000; i++) {
       driver.submit("p", 10 * WORK_US);
       assertTrue(driver.inFlight.size() <= 1);
-      busy += driver.inFlight.size();
+      totalInFlight += driver.inFlight.size();
       driver.advance(new TimeSpan(WORK_US));
       List.copyOf(driver.inFlight.values()).stream()
           .filter(attempt -> driver.now.since(attempt.sentAt()).us() >= 10 * WORK_US)
           .forEach(attempt -> driver.complete(attempt, AttemptResult.CANCELLED, true));
     }
     assertTrue(
-        busy > 250 && busy < 800,
-        "full engines get a quarter of a thread in the mean, not " + busy / 2000.0);
+        totalInFlight > 250 && totalInFlight < 800,
+        "busy engines receive a quarter of a thread on average, not " + totalInFlight / 2000.0);
   }
 
   @Test
-  void memoryBeyondARequestsThreadsCountsAsThreads() {
+  void memoryBeyondShareOfRequestThreadsCountsAsThreads() {
     DispatcherDriver driver = newDriver(0, 2, 1, 4);
     driver.memoryMb = 4096;
     for (int i = 0; i < 8; i++) {
       driver.submit("p", WORK_US);
     }
-    assertEquals(2, driver.inFlight.size(), "half of four at 4 GB in 16");
+    assertEquals(
+        2, driver.inFlight.size(), "half of the four requests of 4 GB that fit into 16 GB");
   }
 
   @Test
-  void restartedEngineIsNotFlooded() {
+  void restartedEngineReceivesTrafficOnlyAsItWarmsUp() {
     DispatcherDriver driver = newDriver(0, 2, 1, 5);
     answerRequests(driver, 30, WORK_US);
     driver.updateEndpoints(false, status(4, EndpointState.UP, driver.now.us()));
@@ -121,12 +124,12 @@
     }
     assertTrue(
         attemptedEngines(driver).stream().skip(attemptsBefore).noneMatch(engine -> engine == 4),
-        "no allowance is saved up at the start");
+        "no allowance is available right after the start");
     driver.advance(new TimeSpan(1_000_000));
     answerRequests(driver, 30, WORK_US);
     assertTrue(
         attemptedEngines(driver).stream().skip(attemptsBefore).anyMatch(engine -> engine == 4),
-        "and it is used as it warms");
+        "the engine is used as it warms up");
   }
 
   @Test
@@ -148,7 +151,9 @@
     for (int i = 0; i < 2; i++) {
       SentAttempt attempt = submitOne(driver);
       assertEquals(
-          1, attempt.engine().value() % 3, "engines 1 and 4 stand at l1: " + attempt.engine());
+          1,
+          attempt.engine().value() % 3,
+          "engines 1 and 4 are in location l1: " + attempt.engine());
     }
   }
 }
--- a/src/test/java/cobaltseam/dispatch/LoadSheddingTest.java
+++ b/src/test/java/cobaltseam/dispatch/LoadSheddingTest.java
@@ -15,15 +15,15 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Which requests are shed in overload, over quota or without engines, and which are not. */
+/** Load shedding in overload, over quota and without engines. */
 class LoadSheddingTest {
   @Test
-  void requestWithAShorterDeadlineIsServed() {
+  void requestWithShorterDeadlineIsSent() {
     DispatcherDriver driver = newDriver(0, 2, 1, 4);
     answerRequests(driver, 20, WORK_US);
-    Request hasty =
+    Request urgent =
         new Request(
-            new RequestId("hasty"),
+            new RequestId("urgent"),
             new RequestClassId("p"),
             null,
             null,
@@ -31,9 +31,9 @@
             new TimeSpan(WORK_US),
             null,
             0);
-    driver.submit(hasty);
+    driver.submit(urgent);
     assertTrue(
-        driver.inFlight.containsKey(hasty.id()), "a short deadline does not make it a retry");
+        driver.inFlight.containsKey(urgent.id()), "a request is sent despite a short deadline");
   }
 
   @Test
@@ -52,14 +52,14 @@
       driver.submit("p", WORK_US);
     }
     Request heavy = driver.submit("wide", 20 * WORK_US);
-    assertTrue(driver.finalAnswers.isEmpty(), "a single request is no queue");
+    assertTrue(driver.finalAnswers.isEmpty(), "a single queued request is not shed");
     for (int i = 0; i < 60; i++) {
       driver.submit("wide", WORK_US);
     }
     assertEquals(
         heavy.id(),
         driver.finalAnswers.keySet().iterator().next(),
-        "least weight for its threads goes first");
+        "the request with the least weight per thread is shed first");
     assertTrue(driver.finalAnswers.get(heavy.id()).retryAfter().isPositive());
     assertTrue(driver.finalAnswers.size() < 60);
   }
@@ -76,16 +76,17 @@
     driver.advance(new TimeSpan(8 * WORK_US));
     List.copyOf(driver.inFlight.values())
         .forEach(attempt -> driver.complete(attempt, AttemptResult.COMPLETED, true));
-    int finals = driver.finalAnswers.size();
+    int finalAnswersBefore = driver.finalAnswers.size();
     for (int i = 0; i < 400; i++) {
       driver.submit("p", WORK_US);
     }
     assertTrue(
-        driver.finalAnswers.size() - finals > 300, "over quota and in overload it is shed at once");
+        driver.finalAnswers.size() - finalAnswersBefore > 300,
+        "requests over quota are shed at once in overload");
   }
 
   @Test
-  void tenantWithAFewRequestsPerSecondStaysWithinQuota() {
+  void tenantWithFewRequestsPerSecondStaysWithinQuota() {
     DispatcherDriver driver = newDriver(0, 100, 1, 4, 5, 6, 8, 9, 10);
     for (int i = 0; i < 60; i++) {
       driver.submit("p", WORK_US);
@@ -96,11 +97,11 @@
     }
     assertTrue(
         driver.finalAnswers.size() < 6,
-        "a few a second of two tenants are served: " + driver.finalAnswers.size());
+        "a few requests per second are answered: " + driver.finalAnswers.size());
   }
 
   @Test
-  void inOverloadAPartOfEqualRequestsIsServed() {
+  void overloadShedsOnlySomeOfEqualRequests() {
     DispatcherDriver driver = newDriver(0, 2, 1, 4, 5, 6, 8);
     answerRequests(driver, 30, WORK_US);
     answerRequests(driver, 40, 2 * WORK_US);
@@ -110,18 +111,24 @@
     assertTrue(
         driver.finalAnswers.size() - finalAnswersBefore > 20
             && driver.attempts.size() - attemptsBefore > 20,
-        "neither all nor none");
+        "some requests are shed and some are sent");
   }
 
   @Test
-  void lowEstimatesAreNoOverloadWhileEnginesReportCapacity() {
+  void lowWorkEstimatesCauseNoSheddingWhileEnginesReportCapacity() {
     assertEquals(
-        0, shedWithLatencyFourTimesTheEstimate(0.2), "capacity on every engine: nothing is shed");
+        0,
+        shedWithLatencyFourTimesTheEstimate(0.2),
+        "every engine has spare capacity: no request is shed");
     int shed = shedWithLatencyFourTimesTheEstimate(30);
-    assertTrue(shed > 20, shed + " sheds: the same answers from full engines are overload");
+    assertTrue(
+        shed > 20, shed + " requests shed: the same latencies on full engines indicate overload");
   }
 
-  /** Shed requests among the later ones, while engines report this many in flight. */
+  /**
+   * Counts the requests shed among the last hundred, while engines report this many requests in
+   * flight.
+   */
   private static int shedWithLatencyFourTimesTheEstimate(double inFlight) {
     DispatcherDriver driver = newDriver(WITH_REPORTS, 1, 1, 2, 4);
     driver.reportedInFlight = inFlight;
@@ -140,8 +147,11 @@
     return driver.finalAnswers.size() - before;
   }
 
-  /** How many of a hundred requests are shed at once while answers take three times the usual. */
-  private static long shedAtOnce(boolean failing) {
+  /**
+   * Counts how many of a hundred requests are shed on arrival, while answers take three times the
+   * baseline latency.
+   */
+  private static long shedOnArrival(boolean isFailing) {
     DispatcherDriver driver = newDriver(WITH_REPORTS, 1, 1, 2, 5, 6);
     driver.reportedInFlight = 1;
     for (int i = 0; i < 60; i++) {
@@ -149,35 +159,36 @@
       driver.advance(new TimeSpan(WORK_US));
       driver.complete(attempt, AttemptResult.COMPLETED, true);
     }
-    long shedAtOnce = 0;
+    long shedOnArrival = 0;
     for (int i = 0; i < 100; i++) {
       int attemptsBefore = driver.attempts.size();
       long finalAnswersBefore = driver.finalAnswers.size();
       Request request = driver.submit("p", WORK_US);
-      shedAtOnce += driver.finalAnswers.size() - finalAnswersBefore;
+      shedOnArrival += driver.finalAnswers.size() - finalAnswersBefore;
       if (driver.attempts.size() == attemptsBefore) {
         continue;
       }
-      boolean fails = failing && i % 4 != 0;
-      driver.advance(new TimeSpan(fails ? WORK_US / 10 : 3 * WORK_US));
+      boolean attemptFails = isFailing && i % 4 != 0;
+      driver.advance(new TimeSpan(attemptFails ? WORK_US / 10 : 3 * WORK_US));
       if (driver.inFlight.containsKey(request.id())) {
         driver.complete(
             driver.inFlight.get(request.id()),
-            fails ? AttemptResult.ERROR : AttemptResult.COMPLETED,
+            attemptFails ? AttemptResult.ERROR : AttemptResult.COMPLETED,
             true);
       }
     }
-    return shedAtOnce;
+    return shedOnArrival;
   }
 
   @Test
-  void failingEnginesReportNoCapacity() {
-    // Reports come with answers alone: a pool of which most does not answer must not look empty by
-    // the rest.
-    long shedWhileSlow = shedAtOnce(false);
-    long shedWhileFailing = shedAtOnce(true);
-    assertEquals(0, shedWhileSlow, "slow, but all engines report capacity");
-    assertTrue(shedWhileFailing > 0, "slow, and most attempts fail");
+  void failingEnginesDoNotCountAsSpareCapacity() {
+    // Engines report load only with answers: a pool in which most attempts fail must not appear
+    // idle
+    // because of the others.
+    long shedWhileSlow = shedOnArrival(false);
+    long shedWhileFailing = shedOnArrival(true);
+    assertEquals(0, shedWhileSlow, "answers are slow, but all engines report capacity");
+    assertTrue(shedWhileFailing > 0, "answers are slow, and most attempts fail");
   }
 
   @Test
@@ -190,7 +201,7 @@
           driver.inFlight.values().iterator().next(), AttemptResult.CAPACITY_EXCEEDED, false);
       driver.advance(new TimeSpan(20_000));
     }
-    // It never ran: the one final answer is a shed, without a retry delay.
+    // The request never ran: its final answer is a shed without a retry delay.
     assertEquals(1, driver.finalAnswers.size(), "one final answer");
     Placement placement = driver.finalAnswers.values().iterator().next();
     assertEquals(Placement.Decision.SHED, placement.decision());
--- a/src/test/java/cobaltseam/dispatch/MemoryGrantTest.java
+++ b/src/test/java/cobaltseam/dispatch/MemoryGrantTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How memory grants follow what requests need. */
+/** Memory grants follow the memory that requests need. */
 class MemoryGrantTest {
   @Test
   void memoryGrantIsBoundedForEstimatesNearZero() {
@@ -27,7 +27,7 @@
     assertTrue(grant > 0 && grant <= 5 * driver.memoryMb, "grant " + grant);
   }
 
-  /** Forty requests, each answered with this use of memory. */
+  /** Submits forty requests and reports the same memory use for each. */
   private static void answerWithMemoryUse(DispatcherDriver driver, double usedMb) {
     for (int i = 0; i < 40; i++) {
       driver.submit("p", WORK_US);
@@ -51,13 +51,13 @@
 
   @Test
   void memoryGrantFollowsReportedUseOverTheEstimate() {
-    // Estimates are half of the need of this class: the engine's own grant, a quarter over them,
-    // spills.
+    // Requests of this class need twice their estimate. The initial grant of 1.25 times the
+    // estimate would spill.
     DispatcherDriver driver = newDriver(CAPABILITIES, 2, 1, 2);
     assertEquals(
         0,
         driver.dispatcher.place(driver.newRequest("p", null, WORK_US), driver.now).memoryGrantMb(),
-        "none before answers");
+        "no grant before answers");
     answerWithMemoryUse(driver, 2 * driver.memoryMb);
     double grant =
         driver.dispatcher.place(driver.newRequest("p", null, WORK_US), driver.now).memoryGrantMb();
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Submits requests that need twice their estimate: with a smaller grant they spill, and no answer
-   * reports the use.
+   * Submits requests that need twice their estimate and returns the last grant: with a smaller
+   * grant they report a shortfall, and no answer reports the memory used.
    */
   private static double grantAfter(DispatcherDriver driver, int requests) {
     double needMb = 2 * driver.memoryMb;
@@ -101,6 +101,6 @@
             1,
             1,
             2);
-    assertEquals(0, grantAfter(driver, 60), "the engine alone sets grants");
+    assertEquals(0, grantAfter(driver, 60), "the engine alone determines grants");
   }
 }
--- a/src/test/java/cobaltseam/dispatch/OutlierDetectionTest.java
+++ b/src/test/java/cobaltseam/dispatch/OutlierDetectionTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How engines that fail, hang or say nothing lose traffic. */
+/** Engines that fail, hang or do not respond lose traffic. */
 class OutlierDetectionTest {
   @Test
   void engineThatFailsFastDoesNotAttractRequests() {
@@ -27,11 +27,11 @@
     }
     assertTrue(
         attemptedEngines(driver).stream().filter(engine -> engine == 4).count() < 60,
-        "a fifth of an even split and less");
+        "less than a fifth of all requests");
   }
 
   @Test
-  void silentEngineGetsNoFurtherRequests() {
+  void unresponsiveEngineReceivesNoFurtherRequests() {
     DispatcherDriver driver = newDriver(0, 2, 1, 4, 5, 6);
     answerRequests(driver, 30, WORK_US);
     for (int i = 0; i < 100; i++) {
@@ -65,12 +65,14 @@
                 }
               });
     }
-    long attemptsThere =
+    long attemptsOnEngine =
         attemptedEngines(driver).stream()
             .skip(attemptsBefore)
             .filter(engine -> engine == 4)
             .count();
-    assertTrue(attemptsThere < 50, "half an even split and less, not " + attemptsThere);
+    assertTrue(
+        attemptsOnEngine < 50,
+        "a hanging engine receives less than a sixth of all requests: " + attemptsOnEngine);
   }
 
   @Test
@@ -83,12 +85,13 @@
     for (int i = 0; i < 100; i++) {
       driver.submit("p", WORK_US);
     }
-    long attemptsThere =
+    long attemptsOnEngine =
         attemptedEngines(driver).stream()
             .skip(attemptsBefore)
             .filter(engine -> engine == 9)
             .count();
     assertTrue(
-        attemptsThere >= 1 && attemptsThere < 8, "less than its share of eight: " + attemptsThere);
+        attemptsOnEngine >= 1 && attemptsOnEngine < 8,
+        "engine 9 is used, but less than its even share of eight threads: " + attemptsOnEngine);
   }
 }
--- a/src/test/java/cobaltseam/dispatch/SettingsChangeTest.java
+++ b/src/test/java/cobaltseam/dispatch/SettingsChangeTest.java
@@ -12,7 +12,7 @@
 import static cobaltseam.dispatch.DispatcherScenarios.applySettings;
 import static cobaltseam.dispatch.DispatcherScenarios.newBusyDriver;
 import static cobaltseam.dispatch.DispatcherScenarios.newDriver;
-import static cobaltseam.dispatch.DispatcherScenarios.soleDispatcher;
+import static cobaltseam.dispatch.DispatcherScenarios.singleDispatcher;
 import static cobaltseam.dispatch.DispatcherScenarios.withMaxAttempts;
 import static cobaltseam.dispatch.DispatcherScenarios.withRetryBudget;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -28,22 +28,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What applying other settings keeps of engines, estimates and requests in flight. */
+/** A settings change keeps engines, estimates and requests in flight. */
 class SettingsChangeTest {
   @Test
   void settingsThatForbidCancellationApplyWhileSomeAttemptsHaveNoneScheduled() {
     Deployment.RequestClass idempotent = requestClass("p", 1);
-    Deployment.RequestClass once =
+    Deployment.RequestClass notIdempotent =
         requestClass(
             "once", 1, RetrySafety.NOT_IDEMPOTENT, DeduplicationScope.ALL, false, null, null);
     DispatcherDriver driver =
-        newBusyDriver(soleDispatcher(RULES, CAPABILITIES, idempotent, once), 0, up(1), up(2));
+        newBusyDriver(
+            singleDispatcher(RULES, CAPABILITIES, idempotent, notIdempotent), 0, up(1), up(2));
     driver.submit("once", WORK_US);
     driver.submit("p", WORK_US);
     driver.submit("p", WORK_US);
     assertEquals(3, driver.inFlight.size());
-    applySettings(driver, soleDispatcher(RULES, NO_CANCEL, idempotent, once));
-    assertEquals(3, driver.inFlight.size(), "no attempt is cancelled by the change");
+    applySettings(driver, singleDispatcher(RULES, NO_CANCEL, idempotent, notIdempotent));
+    assertEquals(3, driver.inFlight.size(), "the settings change cancels no attempt");
     for (SentAttempt attempt : List.copyOf(driver.inFlight.values())) {
       driver.complete(attempt, AttemptResult.COMPLETED, true);
     }
@@ -68,31 +69,31 @@
     freshDriver.now = earlier.now;
     freshDriver.updateEndpoints(true, up(1), up(2), warmingEngine);
     earlier.dispatcher.applySettings(fiftyDispatchers(), earlier.now);
-    int[] attemptsAfterChange = attemptsPerEngine(earlier);
-    int[] attemptsAfresh = attemptsPerEngine(freshDriver);
+    int[] attemptsWithEstimates = attemptsPerEngine(earlier);
+    int[] attemptsWithoutEstimates = attemptsPerEngine(freshDriver);
     assertTrue(
-        attemptsAfterChange[1] + attemptsAfterChange[2] > 0,
-        "the endpoint list is kept: attempts need no new one");
+        attemptsWithEstimates[1] + attemptsWithEstimates[2] > 0,
+        "the dispatcher keeps the endpoint list: attempts need no new one");
     assertTrue(
-        attemptsAfterChange[1] < attemptsAfresh[1],
-        "engine 1 still known as failing: "
-            + attemptsAfterChange[1]
+        attemptsWithEstimates[1] < attemptsWithoutEstimates[1],
+        "engine 1 is still assessed as failing: "
+            + attemptsWithEstimates[1]
             + " against "
-            + attemptsAfresh[1]);
+            + attemptsWithoutEstimates[1]);
   }
 
-  /** Other settings for the same engines: fifty dispatchers, and a retry budget. */
+  /** Returns changed settings for the same engines: fifty dispatchers, and a retry budget. */
   private static Deployment fiftyDispatchers() {
     return deployment(0, 50, withRetryBudget(2.0, 0.2), NO_CANCEL, requestClass("p", 1));
   }
 
-  /** Attempts on each engine in the first second, while engine 1 still fails. */
+  /** Counts the attempts on each engine in the first second, while engine 1 still fails. */
   private static int[] attemptsPerEngine(DispatcherDriver driver) {
-    int[] sentTo = new int[6];
+    int[] attemptsOn = new int[6];
     for (int i = 0; i < 20; i++) {
       driver.submit("p", WORK_US);
       for (SentAttempt attempt : List.copyOf(driver.inFlight.values())) {
-        sentTo[(int) attempt.engine().value()]++;
+        attemptsOn[(int) attempt.engine().value()]++;
         driver.complete(
             attempt,
             attempt.engine().value() == 1 ? AttemptResult.ERROR : AttemptResult.COMPLETED,
@@ -100,46 +101,49 @@
       }
       driver.advance(new TimeSpan(50_000));
     }
-    return sentTo;
+    return attemptsOn;
   }
 
   @Test
   void attemptsInFlightEndOnceAndFreeTheirThreads() {
     DispatcherDriver driver =
-        newBusyDriver(soleDispatcher(RULES, CAPABILITIES, requestClass("p", 1)), 12, up(1));
+        newBusyDriver(singleDispatcher(RULES, CAPABILITIES, requestClass("p", 1)), 12, up(1));
     assertEquals(12, driver.inFlight.size());
-    applySettings(driver, soleDispatcher(RULES, CAPABILITIES, requestClass("p", 1)));
-    applySettings(driver, soleDispatcher(RULES, withMaxAttempts(2), requestClass("p", 2)));
+    applySettings(driver, singleDispatcher(RULES, CAPABILITIES, requestClass("p", 1)));
+    applySettings(driver, singleDispatcher(RULES, withMaxAttempts(2), requestClass("p", 2)));
     driver.advance(new TimeSpan(10_000));
-    applySettings(driver, soleDispatcher(RULES, CAPABILITIES, requestClass("p", 1)));
+    applySettings(driver, singleDispatcher(RULES, CAPABILITIES, requestClass("p", 1)));
     List.copyOf(driver.inFlight.values())
         .forEach(attempt -> driver.complete(attempt, AttemptResult.COMPLETED, true));
     driver.advance(new TimeSpan(10_000_000));
-    assertTrue(driver.dispatcher.isIdle(), "nothing is queued, in flight or counted");
-    assertTrue(driver.finalAnswers.isEmpty(), "every one was answered: " + driver.finalAnswers);
+    assertTrue(driver.dispatcher.isIdle(), "no request is open and no thread is in use");
+    assertTrue(
+        driver.finalAnswers.isEmpty(), "no request was shed or failed: " + driver.finalAnswers);
   }
 
   @Test
   void queuedRequestsKeepTheirOrder() {
     DispatcherDriver driver =
-        newBusyDriver(soleDispatcher(RULES, CAPABILITIES, requestClass("p", 8)), 5, up(1));
-    assertEquals(2, driver.attempts.size(), "sixteen threads");
-    applySettings(driver, soleDispatcher(RULES, CAPABILITIES, requestClass("p", 16)));
+        newBusyDriver(singleDispatcher(RULES, CAPABILITIES, requestClass("p", 8)), 5, up(1));
+    assertEquals(2, driver.attempts.size(), "two requests use all sixteen threads");
+    applySettings(driver, singleDispatcher(RULES, CAPABILITIES, requestClass("p", 16)));
     driver.complete(driver.attempts.get(0), AttemptResult.COMPLETED, true);
-    assertEquals(2, driver.attempts.size(), "the other one still uses eight of them");
+    assertEquals(2, driver.attempts.size(), "the other request still uses eight threads");
     driver.complete(driver.attempts.get(1), AttemptResult.COMPLETED, true);
-    assertEquals(3, driver.attempts.size(), "sixteen threads now, and alone there");
-    assertEquals("c2", driver.attempts.get(2).request().id().value(), "the oldest that was queued");
+    assertEquals(3, driver.attempts.size(), "a request now uses all sixteen threads");
+    assertEquals("c2", driver.attempts.get(2).request().id().value(), "the oldest queued request");
   }
 
   @Test
   void warmingEngineIsSentNoMoreThanBothSettingsAllow() {
-    double both = workSentDuringWarmup(slowWarmup(), fastWarmup());
-    double least =
+    double underBoth = workSentDuringWarmup(slowWarmup(), fastWarmup());
+    double stricterAlone =
         Math.min(
             workSentDuringWarmup(slowWarmup(), slowWarmup()),
             workSentDuringWarmup(fastWarmup(), fastWarmup()));
-    assertTrue(both > 0 && both <= least * 1.05, both + " s of work against " + least);
+    assertTrue(
+        underBoth > 0 && underBoth <= stricterAlone * 1.05,
+        underBoth + " s of work, but at most " + stricterAlone);
   }
 
   private static Rules slowWarmup() {
@@ -152,13 +156,16 @@
         0.5, new TimeSpan(2_000_000), 1, new TimeSpan(3_000_000), TimeSpan.ZERO, null, null, null);
   }
 
-  /** Seconds of work sent to an engine that has just started, in two seconds after the change. */
-  private static double workSentDuringWarmup(Rules earlier, Rules after) {
+  /**
+   * Returns the seconds of work sent to an engine that has just started, in the two seconds after
+   * the settings change.
+   */
+  private static double workSentDuringWarmup(Rules before, Rules after) {
     DispatcherDriver driver =
-        new DispatcherDriver(soleDispatcher(earlier, CAPABILITIES, requestClass("p", 1)), 3);
+        new DispatcherDriver(singleDispatcher(before, CAPABILITIES, requestClass("p", 1)), 3);
     driver.updateEndpoints(true, status(1, EndpointState.UP, driver.now.us()));
     driver.advance(new TimeSpan(500_000));
-    applySettings(driver, soleDispatcher(after, CAPABILITIES, requestClass("p", 1)));
+    applySettings(driver, singleDispatcher(after, CAPABILITIES, requestClass("p", 1)));
     for (int i = 0; i < 200; i++) {
       driver.submit("p", WORK_US);
       List.copyOf(driver.inFlight.values())
@@ -173,14 +180,17 @@
     Capabilities withReports =
         new Capabilities(TICK, 4, true, false, true, new TimeSpan(500_000), new TimeSpan(200_000));
     DispatcherDriver driver =
-        newBusyDriver(soleDispatcher(RULES, withReports, requestClass("p", 1)), 1, up(1));
-    applySettings(driver, soleDispatcher(RULES, NO_CANCEL, requestClass("p", 1)));
+        newBusyDriver(singleDispatcher(RULES, withReports, requestClass("p", 1)), 1, up(1));
+    applySettings(driver, singleDispatcher(RULES, NO_CANCEL, requestClass("p", 1)));
     driver.advance(new TimeSpan(3_000_000));
     assertTrue(driver.cancellations.isEmpty(), "cancelled: " + driver.cancellations);
     DispatcherDriver unchangedDriver =
-        newBusyDriver(soleDispatcher(RULES, withReports, requestClass("p", 1)), 1, up(1));
+        newBusyDriver(singleDispatcher(RULES, withReports, requestClass("p", 1)), 1, up(1));
     unchangedDriver.advance(new TimeSpan(3_000_000));
-    assertEquals(1, unchangedDriver.cancellations.size(), "without the change it is cancelled");
+    assertEquals(
+        1,
+        unchangedDriver.cancellations.size(),
+        "without the settings change, the attempt is cancelled");
   }
 
   @Test
@@ -191,6 +201,9 @@
     applySettings(driver, deployment(0, 8, RULES, CAPABILITIES, requestClass("p", 8)));
     driver.submit("p", WORK_US);
     driver.submit("p", WORK_US);
-    assertEquals(2, driver.attempts.size(), "alone before and after the change: all threads");
+    assertEquals(
+        2,
+        driver.attempts.size(),
+        "the only sharing dispatcher uses all threads, also after the settings change");
   }
 }
--- a/src/test/java/cobaltseam/dispatch/SlowStartAfterPauseTest.java
+++ b/src/test/java/cobaltseam/dispatch/SlowStartAfterPauseTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** An engine in its slow start, under dispatchers that sent it nothing for a while. */
+/** Slow start of an engine, when the dispatchers sent no request for a while. */
 class SlowStartAfterPauseTest {
   private static final int CORES = 8;
   private static final long ENGINE = 1;
   private static final TimeSpan WORK = new TimeSpan(100_000);
-  private static final TimeSpan FLOOD = new TimeSpan(4_000_000);
+  private static final TimeSpan FLOOD_DURATION = new TimeSpan(4_000_000);
   private static final TimeSpan REQUEST_INTERVAL = new TimeSpan(10_000);
 
   /**
-   * Guards against allowance that is saved up while nothing is sent: all dispatchers would spend it
-   * at once, and the engine would fall.
+   * Guards against allowance that accumulates while no request is sent: all dispatchers would spend
+   * it at once and overload the engine.
    */
   @ParameterizedTest
   @CsvSource({
@@ -29,15 +29,15 @@
     "3, 2, true", "3, 10, true", "3, 10, false",
     "24, 2, true", "24, 10, true", "24, 10, false"
   })
-  void theSumOfAllKeepsToTheSlowStartAfterAPause(
-      int dispatchers, double pauseS, boolean standsStill) {
-    TimeSpan pause = new TimeSpan((long) (pauseS * PolicyConstants.SECOND_US));
+  void allDispatchersTogetherKeepToSlowStartAfterPause(
+      int dispatchers, double pauseS, boolean isSuspended) {
+    TimeSpan pause = new TimeSpan((long) (pauseS * PolicyConstants.MICROS_PER_SECOND));
     List<SentAttempt> attempts = new ArrayList<>();
     Timestamp startedAt = null;
     for (int index = 0; index < dispatchers; index++) {
       DispatcherDriver driver = newDriver(index, dispatchers);
       startedAt = driver.now;
-      if (standsStill) {
+      if (isSuspended) {
         driver.now = driver.now.plus(pause);
       } else {
         driver.advance(pause);
@@ -45,7 +45,7 @@
       flood(driver);
       attempts.addAll(driver.attempts);
     }
-    assertTrue(attempts.size() > dispatchers, "the engine is used: " + attempts.size());
+    assertTrue(attempts.size() > dispatchers, "the engine receives attempts: " + attempts.size());
     assertKeepsToSlowStart(attempts, startedAt);
   }
 
@@ -66,7 +66,7 @@
 
   /** Submits more requests than the engine may be sent; an attempt takes as long as its work. */
   private static void flood(DispatcherDriver driver) {
-    Timestamp until = driver.now.plus(FLOOD);
+    Timestamp until = driver.now.plus(FLOOD_DURATION);
     while (driver.now.isBefore(until)) {
       driver.submit("p", WORK.us());
       for (SentAttempt attempt : List.copyOf(driver.inFlight.values())) {
@@ -86,17 +86,25 @@
           attempts.stream()
               .filter(a -> !a.sentAt().isBefore(first.sentAt()) && a.sentAt().isBefore(until))
               .count();
-      double most = mostWithChance(first.sentAt().since(startedAt));
+      double maxAttempts = maxAttemptsInWindow(first.sentAt().since(startedAt));
       assertTrue(
-          sent <= most,
-          sent + " attempts in a window of " + window + ", at most " + most + " are allowed");
+          sent <= maxAttempts,
+          sent
+              + " attempts in a window of "
+              + window
+              + ", at most "
+              + maxAttempts
+              + " are allowed");
     }
   }
 
-  /** What the engine may be sent in a window that begins so long after its start, and chance. */
-  private static double mostWithChance(TimeSpan from) {
+  /**
+   * Returns the attempts that the engine may be sent in a window which begins this long after its
+   * start, plus a tolerance for random variation.
+   */
+  private static double maxAttemptsInWindow(TimeSpan sinceStart) {
     Rules rules = DispatcherDriver.RULES;
-    TimeSpan middle = from.plus(rules.slowStartWindow().times(0.5));
+    TimeSpan middle = sinceStart.plus(rules.slowStartWindow().times(0.5));
     double progress = Math.min(1, middle.dividedBy(rules.slowStartDuration()));
     double capacity = rules.slowStartFraction() + (1 - rules.slowStartFraction()) * progress;
     double windowsOfWork = rules.slowStartWindow().dividedBy(WORK);
