--- a/src/main/java/cobaltseam/mastership/Mastership.java
+++ b/src/main/java/cobaltseam/mastership/Mastership.java
@@ -126,11 +126,11 @@
     routerEntries
         .values()
         .forEach(
-            s ->
+            entry ->
                 apply(
-                    s,
+                    entry,
                     VirtualRouter.start(
-                        s.options, effectivePriority(s.options), minListenPeriod, now),
+                        entry.options, effectivePriority(entry.options), minListenPeriod, now),
                     actions));
     return actions;
   }
@@ -138,9 +138,9 @@
   /** Stops every virtual router; active ones resign. */
   public List<MastershipAction> stop(TransitionReason reason, Timestamp now) {
     List<MastershipAction> actions = new ArrayList<>();
-    for (RouterEntry s : routerEntries.values()) {
-      if (s.state != null && s.state.role() != Role.INITIALIZE) {
-        apply(s, VirtualRouter.stop(s.options, s.state, reason, now), actions);
+    for (RouterEntry entry : routerEntries.values()) {
+      if (entry.state != null && entry.state.role() != Role.INITIALIZE) {
+        apply(entry, VirtualRouter.stop(entry.options, entry.state, reason, now), actions);
       }
     }
     return actions;
@@ -223,13 +223,13 @@
     if (reduction != priorityReduction) {
       priorityReduction = reduction;
       routerEntries.values().stream()
-          .filter(s -> s.state != null)
+          .filter(entry -> entry.state != null)
           .forEach(
-              s ->
+              entry ->
                   apply(
-                      s,
+                      entry,
                       VirtualRouter.changePriority(
-                          s.options, s.state, effectivePriority(s.options), now),
+                          entry.options, entry.state, effectivePriority(entry.options), now),
                       actions));
     }
     return actions;
--- a/src/test/java/cobaltseam/mastership/Exploration.java
+++ b/src/test/java/cobaltseam/mastership/Exploration.java
@@ -15,57 +15,61 @@
 import java.util.Set;
 
 /**
- * Explores all states that a few routers can reach with the real state machine while advertisements
- * are lost, duplicated or late and routers pause or restart, each fault a bounded number of times
- * at every possible place. From every state on, without further faults, exactly one router must
- * become active and stay so.
+ * Explores all states that a few routers running {@link VirtualRouter} can reach while
+ * advertisements are lost, duplicated or delayed and routers are suspended or restarted. Each fault
+ * occurs a bounded number of times, at every possible point. From every reachable state, without
+ * further faults, exactly one router must become active and remain active.
  */
 final class Exploration {
   static final TimeSpan INTERVAL = new TimeSpan(100_000);
   private static final TimeSpan LATENCY = new TimeSpan(1_000);
-  private static final TimeSpan LATENESS = INTERVAL.times(1.5);
-  private static final List<TimeSpan> PAUSES =
+  private static final TimeSpan EXTRA_DELAY = INTERVAL.times(1.5);
+  private static final List<TimeSpan> SUSPENSIONS =
       List.of(INTERVAL.times(0.5), INTERVAL.times(3.2), INTERVAL.times(10));
   private static final Timestamp ZERO = new Timestamp(0);
 
-  /** How often each fault may still occur. */
-  record Faults(int lost, int doubled, int late, int pauses, int restarts) {
+  /** The remaining number of occurrences of each fault. */
+  record Faults(int lost, int duplicated, int delayed, int suspensions, int restarts) {
     static final Faults NONE = new Faults(0, 0, 0, 0, 0);
 
     Faults afterLoss() {
-      return new Faults(lost - 1, doubled, late, pauses, restarts);
+      return new Faults(lost - 1, duplicated, delayed, suspensions, restarts);
     }
 
     Faults afterDuplication() {
-      return new Faults(lost, doubled - 1, late, pauses, restarts);
+      return new Faults(lost, duplicated - 1, delayed, suspensions, restarts);
     }
 
     Faults afterDelay() {
-      return new Faults(lost, doubled, late - 1, pauses, restarts);
+      return new Faults(lost, duplicated, delayed - 1, suspensions, restarts);
     }
 
-    Faults afterPause() {
-      return new Faults(lost, doubled, late, pauses - 1, restarts);
+    Faults afterSuspension() {
+      return new Faults(lost, duplicated, delayed, suspensions - 1, restarts);
     }
 
     Faults afterRestart() {
-      return new Faults(lost, doubled, late, pauses, restarts - 1);
+      return new Faults(lost, duplicated, delayed, suspensions, restarts - 1);
     }
   }
 
   private record InFlightAdvertisement(int from, int to, int priority, Timestamp arrivesAt) {}
 
-  /** The state of all routers and of the network; all times are relative to now. */
+  /**
+   * The state of all routers and of the network; all times are relative to the current time.
+   *
+   * @param overlapSince since when two routers may both serve, or null
+   */
   private record SystemState(
       List<RouterState> routers,
-      List<Timestamp> pausedUntil,
+      List<Timestamp> suspendedUntil,
       List<InFlightAdvertisement> inFlight,
       Faults faultsLeft,
       Timestamp overlapSince) {}
 
   private final List<RouterOptions> options;
   private final List<InetAddress> addresses = new ArrayList<>();
-  private final Set<SystemState> seen = new HashSet<>();
+  private final Set<SystemState> visited = new HashSet<>();
   private final TimeSpan settleTime;
   private final boolean requiresNoOverlap;
   private long steps;
@@ -76,18 +80,18 @@
     for (int i = 0; i < options.size(); i++) {
       addresses.add(Addresses.parse("10.0.0." + (i + 1)).orElseThrow());
     }
-    // Two active down intervals after the longest pause and lateness: one until a router becomes
-    // active, one until another that did not receive its advertisements yields.
+    // Two active down intervals after the longest suspension and delay: one until a router becomes
+    // active, one until another router that did not receive its advertisements yields.
     settleTime =
         INTERVAL
             .times(2 * VirtualRouter.MAX_MISSED_ADVERTISEMENTS + 4)
-            .plus(PAUSES.get(2))
-            .plus(LATENESS);
-    requiresNoOverlap = bounds.lost == 0 && bounds.late == 0 && bounds.restarts == 0;
+            .plus(SUSPENSIONS.get(2))
+            .plus(EXTRA_DELAY);
+    requiresNoOverlap = bounds.lost == 0 && bounds.delayed == 0 && bounds.restarts == 0;
   }
 
   int states() {
-    return seen.size();
+    return visited.size();
   }
 
   long steps() {
@@ -98,7 +102,11 @@
     return longestOverlap;
   }
 
-  /** Explores all states; throws an AssertionError that describes the first violation. */
+  /**
+   * Explores all states.
+   *
+   * @throws AssertionError that describes the first violation
+   */
   void run(Faults faults) {
     List<RouterState> start =
         options.stream()
@@ -118,29 +126,29 @@
   }
 
   private void add(Deque<SystemState> open, SystemState state) {
-    if (seen.add(state)) {
+    if (visited.add(state)) {
       open.addLast(state);
     }
   }
 
-  /** Checks that without further faults exactly one router becomes active and stays so. */
+  /** Checks that, without further faults, exactly one router becomes and remains active. */
   private void checkConvergence(SystemState from) {
     SystemState state =
         new SystemState(
-            from.routers, from.pausedUntil, from.inFlight, Faults.NONE, from.overlapSince);
-    TimeSpan spent = TimeSpan.ZERO;
+            from.routers, from.suspendedUntil, from.inFlight, Faults.NONE, from.overlapSince);
+    TimeSpan elapsed = TimeSpan.ZERO;
     int active = -1;
-    while (spent.compareTo(settleTime.plus(INTERVAL.times(5))) < 0) {
+    while (elapsed.compareTo(settleTime.plus(INTERVAL.times(5))) < 0) {
       TimeSpan wait = nextEventTime(state).since(ZERO);
-      spent = spent.plus(wait);
+      elapsed = elapsed.plus(wait);
       state = successors(state, false).get(0);
-      if (spent.compareTo(settleTime) >= 0) {
-        List<Integer> now = activeRouters(state);
-        if (now.size() != 1 || active >= 0 && now.get(0) != active) {
+      if (elapsed.compareTo(settleTime) >= 0) {
+        List<Integer> activeNow = activeRouters(state);
+        if (activeNow.size() != 1 || active >= 0 && activeNow.get(0) != active) {
           throw new AssertionError(
-              "active: " + now + " after " + spent + " of " + from + ", now " + state);
+              "active routers " + activeNow + " after " + elapsed + " from " + from + ": " + state);
         }
-        active = now.get(0);
+        active = activeNow.get(0);
       }
     }
   }
@@ -155,9 +163,10 @@
     return active;
   }
 
-  private Timestamp wakeOf(SystemState state, int index) {
-    Timestamp wake = state.routers.get(index).timerExpiresAt();
-    return wake == null ? null : later(wake, state.pausedUntil.get(index));
+  /** When a router handles its timer, or null if no timer runs. */
+  private Timestamp timerExpiryOf(SystemState state, int index) {
+    Timestamp expiry = state.routers.get(index).timerExpiresAt();
+    return expiry == null ? null : later(expiry, state.suspendedUntil.get(index));
   }
 
   private static Timestamp later(Timestamp one, Timestamp other) {
@@ -167,44 +176,45 @@
   private Timestamp nextEventTime(SystemState state) {
     Timestamp next = null;
     for (int i = 0; i < state.routers.size(); i++) {
-      Timestamp at = wakeOf(state, i);
+      Timestamp at = timerExpiryOf(state, i);
       next = at != null && (next == null || at.isBefore(next)) ? at : next;
     }
     for (InFlightAdvertisement advertisement : state.inFlight) {
-      Timestamp at = later(advertisement.arrivesAt, state.pausedUntil.get(advertisement.to));
+      Timestamp at = later(advertisement.arrivesAt, state.suspendedUntil.get(advertisement.to));
       next = next == null || at.isBefore(next) ? at : next;
     }
     return later(next, ZERO);
   }
 
   /**
-   * All states that the next event can lead to; an advertisement that has arrived is handled before
-   * a timer.
+   * All states that the next event can lead to. An advertisement that has arrived is handled before
+   * a timer that expires at the same time.
    */
-  private List<SystemState> successors(SystemState state, boolean faulty) {
+  private List<SystemState> successors(SystemState state, boolean withFaults) {
     steps++;
     Timestamp now = nextEventTime(state);
     for (InFlightAdvertisement advertisement : state.inFlight) {
-      if (!now.isBefore(later(advertisement.arrivesAt, state.pausedUntil.get(advertisement.to)))) {
-        return afterArrival(state, advertisement, now, faulty);
+      if (!now.isBefore(
+          later(advertisement.arrivesAt, state.suspendedUntil.get(advertisement.to)))) {
+        return afterArrival(state, advertisement, now, withFaults);
       }
     }
     for (int i = 0; i < state.routers.size(); i++) {
-      Timestamp wake = wakeOf(state, i);
-      if (wake != null && !now.isBefore(wake)) {
-        return afterTimer(state, i, now, faulty);
+      Timestamp expiry = timerExpiryOf(state, i);
+      if (expiry != null && !now.isBefore(expiry)) {
+        return afterTimer(state, i, now, withFaults);
       }
     }
-    throw new AssertionError("nothing is due at " + now + " in " + state);
+    throw new AssertionError("no event is due at " + now + " in " + state);
   }
 
   private List<SystemState> afterArrival(
-      SystemState state, InFlightAdvertisement arrived, Timestamp now, boolean faulty) {
-    List<InFlightAdvertisement> rest = new ArrayList<>(state.inFlight);
-    rest.remove(arrived);
+      SystemState state, InFlightAdvertisement arrived, Timestamp now, boolean withFaults) {
+    List<InFlightAdvertisement> remaining = new ArrayList<>(state.inFlight);
+    remaining.remove(arrived);
     SystemState received =
         new SystemState(
-            state.routers, state.pausedUntil, rest, state.faultsLeft, state.overlapSince);
+            state.routers, state.suspendedUntil, remaining, state.faultsLeft, state.overlapSince);
     Advertisement advertisement =
         new Advertisement(1, arrived.priority, 10, List.of(addresses.get(0)));
     InetAddress receiver = addresses.get(arrived.to);
@@ -214,7 +224,7 @@
         received,
         arrived.to,
         now,
-        faulty,
+        withFaults,
         successors,
         (router, before) ->
             VirtualRouter.onAdvertisement(router, before, receiver, sender, advertisement, now));
@@ -222,19 +232,19 @@
   }
 
   private List<SystemState> afterTimer(
-      SystemState state, int index, Timestamp now, boolean faulty) {
+      SystemState state, int index, Timestamp now, boolean withFaults) {
     List<SystemState> successors = new ArrayList<>();
-    if (faulty && state.faultsLeft.pauses > 0) {
-      PAUSES.forEach(pause -> successors.add(paused(state, index, pause, now)));
+    if (withFaults && state.faultsLeft.suspensions > 0) {
+      SUSPENSIONS.forEach(duration -> successors.add(suspended(state, index, duration, now)));
     }
-    if (faulty && state.faultsLeft.restarts > 0) {
+    if (withFaults && state.faultsLeft.restarts > 0) {
       successors.add(restarted(state, index, now));
     }
     addSuccessors(
         state,
         index,
         now,
-        faulty,
+        withFaults,
         successors,
         (router, before) ->
             before.timerExpiresAt() != null && !now.isBefore(before.timerExpiresAt())
@@ -243,15 +253,15 @@
     return successors;
   }
 
-  private SystemState paused(SystemState state, int index, TimeSpan pause, Timestamp now) {
-    List<Timestamp> pausedUntil = new ArrayList<>(state.pausedUntil);
-    pausedUntil.set(index, now.plus(pause));
+  private SystemState suspended(SystemState state, int index, TimeSpan duration, Timestamp now) {
+    List<Timestamp> suspendedUntil = new ArrayList<>(state.suspendedUntil);
+    suspendedUntil.set(index, now.plus(duration));
     return relativeTo(
         new SystemState(
             state.routers,
-            pausedUntil,
+            suspendedUntil,
             state.inFlight,
-            state.faultsLeft.afterPause(),
+            state.faultsLeft.afterSuspension(),
             state.overlapSince),
         now);
   }
@@ -263,7 +273,7 @@
     return relativeTo(
         new SystemState(
             routers,
-            state.pausedUntil,
+            state.suspendedUntil,
             state.inFlight,
             state.faultsLeft.afterRestart(),
             state.overlapSince),
@@ -275,14 +285,14 @@
   }
 
   /**
-   * Checks the fence first, as the service does, then applies the event, then follows each way that
-   * its advertisements can be delivered.
+   * Adds the states after an event at a router: fences the router first if this is overdue, as the
+   * service does, then applies the event, then branches on each way to deliver its advertisements.
    */
   private void addSuccessors(
       SystemState state,
       int index,
       Timestamp now,
-      boolean faulty,
+      boolean withFaults,
       List<SystemState> successors,
       Event event) {
     RouterState before = state.routers.get(index);
@@ -290,13 +300,17 @@
     Transition change = event.apply(options.get(index), fenced.state());
     List<MastershipAction> actions = new ArrayList<>(fenced.actions());
     actions.addAll(change.actions());
-    checkTraffic(before.role() == Role.ACTIVE, change.state().role() == Role.ACTIVE, actions);
+    checkServing(before.role() == Role.ACTIVE, change.state().role() == Role.ACTIVE, actions);
     List<RouterState> routers = new ArrayList<>(state.routers);
     routers.set(index, change.state());
     List<SystemState> states =
         List.of(
             new SystemState(
-                routers, state.pausedUntil, state.inFlight, state.faultsLeft, state.overlapSince));
+                routers,
+                state.suspendedUntil,
+                state.inFlight,
+                state.faultsLeft,
+                state.overlapSince));
     for (MastershipAction action : actions) {
       if (action instanceof MastershipAction.Advertise advertise) {
         for (int to = 0; to < routers.size(); to++) {
@@ -305,7 +319,7 @@
                 deliveries(
                     states,
                     new InFlightAdvertisement(index, to, advertise.priority(), now.plus(LATENCY)),
-                    faulty);
+                    withFaults);
           }
         }
       }
@@ -313,47 +327,49 @@
     states.forEach(next -> successors.add(relativeTo(withOverlap(next, now), now)));
   }
 
-  /** Checks that a router serves exactly while it is active, by its actions and its role. */
-  private static void checkTraffic(boolean before, boolean after, List<MastershipAction> actions) {
-    boolean serving = before;
+  /** Checks that the actions of a router start and stop serving in accordance with its role. */
+  private static void checkServing(
+      boolean isActiveBefore, boolean isActiveAfter, List<MastershipAction> actions) {
+    boolean isServing = isActiveBefore;
     for (MastershipAction action : actions) {
-      if (action instanceof MastershipAction.Acquire == serving
+      if (action instanceof MastershipAction.Acquire == isServing
           && !(action instanceof MastershipAction.Advertise)) {
-        throw new AssertionError(actions + " while taking: " + serving);
+        throw new AssertionError("actions " + actions + " while serving is " + isServing);
       }
-      serving =
+      isServing =
           action instanceof MastershipAction.Acquire
-              || serving && !(action instanceof MastershipAction.Release);
+              || isServing && !(action instanceof MastershipAction.Release);
     }
-    if (serving != after) {
-      throw new AssertionError(actions + " lead to taking: " + serving + ", active: " + after);
+    if (isServing != isActiveAfter) {
+      throw new AssertionError(
+          "after actions " + actions + " serving is " + isServing + ", active is " + isActiveAfter);
     }
   }
 
-  /** Each way that an advertisement can be delivered, from each of these states. */
+  /** The states after each way to deliver, delay, duplicate or lose an advertisement. */
   private static List<SystemState> deliveries(
-      List<SystemState> states, InFlightAdvertisement advertisement, boolean faulty) {
-    List<SystemState> more = new ArrayList<>();
+      List<SystemState> states, InFlightAdvertisement advertisement, boolean withFaults) {
+    List<SystemState> successors = new ArrayList<>();
     for (SystemState state : states) {
       Faults faults = state.faultsLeft;
-      more.add(withInFlight(state, faults, advertisement));
-      if (faulty && faults.lost > 0) {
-        more.add(withInFlight(state, faults.afterLoss()));
+      successors.add(withInFlight(state, faults, advertisement));
+      if (withFaults && faults.lost > 0) {
+        successors.add(withInFlight(state, faults.afterLoss()));
       }
-      InFlightAdvertisement late =
+      InFlightAdvertisement delayed =
           new InFlightAdvertisement(
               advertisement.from,
               advertisement.to,
               advertisement.priority,
-              advertisement.arrivesAt.plus(LATENESS));
-      if (faulty && faults.doubled > 0) {
-        more.add(withInFlight(state, faults.afterDuplication(), advertisement, late));
+              advertisement.arrivesAt.plus(EXTRA_DELAY));
+      if (withFaults && faults.duplicated > 0) {
+        successors.add(withInFlight(state, faults.afterDuplication(), advertisement, delayed));
       }
-      if (faulty && faults.late > 0) {
-        more.add(withInFlight(state, faults.afterDelay(), late));
+      if (withFaults && faults.delayed > 0) {
+        successors.add(withInFlight(state, faults.afterDelay(), delayed));
       }
     }
-    return more;
+    return successors;
   }
 
   private static SystemState withInFlight(
@@ -361,33 +377,34 @@
     List<InFlightAdvertisement> inFlight = new ArrayList<>(state.inFlight);
     inFlight.addAll(List.of(advertisements));
     return new SystemState(
-        state.routers, state.pausedUntil, inFlight, faultsLeft, state.overlapSince);
+        state.routers, state.suspendedUntil, inFlight, faultsLeft, state.overlapSince);
   }
 
-  /** Sets since when two routers may both serve, and checks for how long they may. */
+  /** Updates since when two routers may both serve, and checks the duration of this overlap. */
   private SystemState withOverlap(SystemState state, Timestamp now) {
-    int admitted = 0;
+    int servingCount = 0;
     for (int i = 0; i < state.routers.size(); i++) {
       Timestamp fence = VirtualRouter.fenceDeadline(options.get(i), state.routers.get(i));
-      // A paused router serves nothing; afterwards its fence time or the waiting advertisements
-      // decide.
-      boolean isPaused = now.isBefore(state.pausedUntil.get(i));
-      admitted += fence != null && !fence.isBefore(now) && !isPaused ? 1 : 0;
+      // A suspended router serves nothing. When it resumes, its fence deadline or the unread
+      // advertisements determine whether it serves.
+      boolean isSuspended = now.isBefore(state.suspendedUntil.get(i));
+      servingCount += fence != null && !fence.isBefore(now) && !isSuspended ? 1 : 0;
     }
-    Timestamp since = admitted < 2 ? null : state.overlapSince == null ? now : state.overlapSince;
+    Timestamp since =
+        servingCount < 2 ? null : state.overlapSince == null ? now : state.overlapSince;
     if (since != null) {
       longestOverlap = longestOverlap.max(now.since(since));
       if (requiresNoOverlap && now.since(since).compareTo(LATENCY) > 0) {
-        throw new AssertionError("two take traffic for " + now.since(since) + " in " + state);
+        throw new AssertionError("two routers serve for " + now.since(since) + " in " + state);
       }
     }
     return new SystemState(
-        state.routers, state.pausedUntil, state.inFlight, state.faultsLeft, since);
+        state.routers, state.suspendedUntil, state.inFlight, state.faultsLeft, since);
   }
 
-  /** The same state with all times relative to now; times that no longer matter become zero. */
+  /** The same state with all times relative to now; times whose age has no effect become zero. */
   private SystemState relativeTo(SystemState state, Timestamp now) {
-    TimeSpan past = now.since(ZERO);
+    TimeSpan elapsed = now.since(ZERO);
     List<RouterState> routers = new ArrayList<>();
     for (RouterState router : state.routers) {
       routers.add(
@@ -397,23 +414,25 @@
               router.reason(),
               router.priority(),
               router.activeInterval(),
-              shift(router.timerExpiresAt(), past, false),
-              shift(router.lastAdvertisedAt(), past, false),
-              shift(router.preemptionAllowedFrom(), past, true)));
+              shift(router.timerExpiresAt(), elapsed, false),
+              shift(router.lastAdvertisedAt(), elapsed, false),
+              shift(router.preemptionAllowedFrom(), elapsed, true)));
     }
     return new SystemState(
         routers,
-        state.pausedUntil.stream().map(m -> shift(m, past, true)).toList(),
+        state.suspendedUntil.stream().map(time -> shift(time, elapsed, true)).toList(),
         state.inFlight.stream()
-            .map(f -> new InFlightAdvertisement(f.from, f.to, f.priority, f.arrivesAt.minus(past)))
+            .map(
+                a ->
+                    new InFlightAdvertisement(a.from, a.to, a.priority, a.arrivesAt.minus(elapsed)))
             .toList(),
         state.faultsLeft,
-        shift(state.overlapSince, past, false));
+        shift(state.overlapSince, elapsed, false));
   }
 
-  private static Timestamp shift(Timestamp moment, TimeSpan by, boolean onlyAhead) {
-    Timestamp to = moment == null ? null : moment.minus(by);
-    return to != null && onlyAhead && to.isBefore(ZERO) ? ZERO : to;
+  private static Timestamp shift(Timestamp time, TimeSpan by, boolean clampsToZero) {
+    Timestamp shifted = time == null ? null : time.minus(by);
+    return shifted != null && clampsToZero && shifted.isBefore(ZERO) ? ZERO : shifted;
   }
 
   static RouterOptions routerOptions(int priority, boolean preempts) {
@@ -427,8 +446,10 @@
   }
 
   /**
-   * Prints a row of the table in docs/design-mastership.md for each argument: preemption,
-   * priorities, then faults.
+   * Prints a table with a row for each argument, as in docs/design-mastership.md. An argument such
+   * as {@code preempt:200,100:3,1,1,1,1} consists of the preempt mode, where any other word turns
+   * preemption off, the priorities, and the numbers of lost, duplicated and delayed advertisements,
+   * suspensions and restarts.
    */
   public static void main(String[] args) {
     System.out.println(
@@ -445,12 +466,12 @@
       for (int i = 0; i < 5; i++) {
         faults[i] = Integer.parseInt(parts[parts.length - 5 + i]);
       }
-      Faults of = new Faults(faults[0], faults[1], faults[2], faults[3], faults[4]);
-      Exploration exploration = new Exploration(options, of);
-      exploration.run(of);
+      Faults bounds = new Faults(faults[0], faults[1], faults[2], faults[3], faults[4]);
+      Exploration exploration = new Exploration(options, bounds);
+      exploration.run(bounds);
       System.out.println(
           "| "
-              + options.stream().map(t -> Integer.toString(t.priority())).toList()
+              + options.stream().map(router -> Integer.toString(router.priority())).toList()
               + " | "
               + preempts
               + " | "
--- a/src/test/java/cobaltseam/mastership/ExplorationTest.java
+++ b/src/test/java/cobaltseam/mastership/ExplorationTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * All states of two and three routers under bounded faults; longer explorations stand in
- * docs/design-mastership.md.
+ * Explores all states of two and three routers under a bounded number of faults. The results of
+ * larger explorations are in docs/design-mastership.md.
  */
 class ExplorationTest {
   @ParameterizedTest
@@ -25,21 +25,21 @@
     "200 100, true, 0, 2, 0, 2, 0",
     "200 150 100, true, 0, 1, 0, 2, 0",
   })
-  void exactlyOneRouterIsActiveOnceMessagesArrive(
+  void exactlyOneRouterBecomesActiveWhenFaultsEnd(
       String priorities,
       boolean preempts,
       int lost,
-      int doubled,
-      int late,
-      int freezes,
+      int duplicated,
+      int delayed,
+      int suspensions,
       int restarts) {
     List<RouterOptions> options =
         Arrays.stream(priorities.split(" "))
             .map(p -> Exploration.routerOptions(Integer.parseInt(p), preempts))
             .toList();
-    Faults faults = new Faults(lost, doubled, late, freezes, restarts);
+    Faults faults = new Faults(lost, duplicated, delayed, suspensions, restarts);
     Exploration exploration = new Exploration(options, faults);
     exploration.run(faults);
-    assertTrue(exploration.states() > 100, "only " + exploration.states() + " states");
+    assertTrue(exploration.states() > 100, "only " + exploration.states() + " states explored");
   }
 }
--- a/src/test/java/cobaltseam/mastership/HealthScoreTest.java
+++ b/src/test/java/cobaltseam/mastership/HealthScoreTest.java
@@ -15,28 +15,28 @@
 /** How health signals lower the priority, and how flapping is damped. */
 class HealthScoreTest {
   @Test
-  void aFlappingSignalDoesNotFlapThePriority() {
+  void dampsPriorityChangesOfFlappingSignal() {
     Map<HealthSignal, HealthScore.SignalBounds> bounds = new EnumMap<>(HealthSignal.class);
     bounds.put(HealthSignal.LATE, new HealthScore.SignalBounds(0.5, 0.2, 30));
     HealthScore healthScore =
         new HealthScore(new HealthScore.HealthScoreOptions(bounds, SECOND, SECOND.times(5), 5));
     int changes = 0;
-    int last = 0;
-    int counted = 0;
-    // Two seconds bad, eight seconds well, for an hour: undamped that would be 720 changes.
-    for (int tenth = 0; tenth < 36_000; tenth++) {
-      int steps =
+    int previousReduction = 0;
+    int reducedUpdates = 0;
+    // Two seconds unhealthy, eight seconds healthy, for an hour: 720 changes without damping.
+    for (int tenths = 0; tenths < 36_000; tenths++) {
+      int reduction =
           healthScore.update(
-              Map.of(HealthSignal.LATE, tenth % 100 < 20 ? 1.0 : 0.0),
-              START.plus(SECOND.times(tenth / 10.0)));
-      changes += steps != last ? 1 : 0;
-      counted += steps > 0 ? 1 : 0;
-      last = steps;
+              Map.of(HealthSignal.LATE, tenths % 100 < 20 ? 1.0 : 0.0),
+              START.plus(SECOND.times(tenths / 10.0)));
+      changes += reduction != previousReduction ? 1 : 0;
+      reducedUpdates += reduction > 0 ? 1 : 0;
+      previousReduction = reduction;
     }
     assertTrue(changes <= 5, changes + " changes");
-    assertTrue(counted > 30_000, "counted in " + counted + " of 36000 looks");
+    assertTrue(reducedUpdates > 30_000, "reduced in " + reducedUpdates + " of 36000 updates");
     assertEquals(List.of(HealthSignal.LATE), healthScore.degradedSignals());
-    // Between the bounds it stays as it is; well for long enough it ends.
+    // A value between the thresholds changes nothing; a healthy value for the hold-down recovers.
     Timestamp later = START.plus(SECOND.times(4000));
     healthScore.update(Map.of(HealthSignal.LATE, 0.0), later);
     assertEquals(
--- a/src/test/java/cobaltseam/mastership/MastershipFixture.java
+++ b/src/test/java/cobaltseam/mastership/MastershipFixture.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The times, addresses and routers that the tests of this package share. */
+/** Times, addresses and virtual routers shared by the tests of this package. */
 final class MastershipFixture {
   static final TimeSpan SECOND = new TimeSpan(1_000_000);
   static final TimeSpan MAX_ATTEMPT_DURATION = SECOND.times(10);
@@ -29,7 +29,7 @@
         new VirtualRouterId(router, false), priority, SECOND, preempts, delay, ADDRESSES);
   }
 
-  /** A dispatcher with two peers and three dispatchers outside the group. */
+  /** Creates a dispatcher with two peers in its group and three dispatchers outside of it. */
   static Mastership newMastership(RouterOptions... options) {
     return new Mastership(
         SELF,
@@ -41,11 +41,11 @@
         true);
   }
 
-  static Advertisement advert(int priority) {
-    return advert(priority, 100);
+  static Advertisement advertisement(int priority) {
+    return advertisement(priority, 100);
   }
 
-  static Advertisement advert(int priority, int centiseconds) {
+  static Advertisement advertisement(int priority, int centiseconds) {
     return new Advertisement(1, priority, centiseconds, ADDRESSES);
   }
 }
--- a/src/test/java/cobaltseam/mastership/MastershipTest.java
+++ b/src/test/java/cobaltseam/mastership/MastershipTest.java
@@ -7,7 +7,7 @@
 import static cobaltseam.mastership.MastershipFixture.SECOND;
 import static cobaltseam.mastership.MastershipFixture.SELF;
 import static cobaltseam.mastership.MastershipFixture.START;
-import static cobaltseam.mastership.MastershipFixture.advert;
+import static cobaltseam.mastership.MastershipFixture.advertisement;
 import static cobaltseam.mastership.MastershipFixture.newMastership;
 import static cobaltseam.mastership.MastershipFixture.options;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -23,13 +23,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** {@link Mastership} of one dispatcher, in time that the tests control. */
+/** Tests {@link Mastership} of one dispatcher with simulated time. */
 class MastershipTest {
   private static final VirtualRouterId ROUTER = new VirtualRouterId(1, false);
 
   private Timestamp now = START;
 
-  /** Lets time pass, and runs the timers as they expire. */
+  /** Advances the simulated time, and runs the timers as they expire. */
   private List<MastershipAction> advanceTime(Mastership mastership, double seconds) {
     Timestamp until = now.plus(SECOND.times(seconds));
     List<MastershipAction> actions = new ArrayList<>();
@@ -62,7 +62,7 @@
   void becomesActiveAfterTheActiveDownInterval() {
     Mastership mastership = newMastership(options(1, 100, true, TimeSpan.ZERO));
     assertEquals(List.of(), mastership.start(now));
-    // Three intervals and a skew of 156/256 of one.
+    // Three advertisement intervals and a skew time of 156/256 of an interval.
     assertEquals(START.plus(new TimeSpan(3_609_375)), mastership.nextTimerExpiry());
     assertFalse(mastership.canAdmit(ROUTER, now));
     assertEquals(becomesActive(TransitionReason.NONE_HEARD), advanceTime(mastership, 3.7));
@@ -70,14 +70,14 @@
   }
 
   @Test
-  void anAddressOwnerBecomesActiveAtOnceButNotBeforeTheListenPeriod() {
+  void addressOwnerBecomesActiveAtOnceUnlessListenPeriodIsSet() {
     Mastership mastership = newMastership(options(1, 255, true, TimeSpan.ZERO));
     assertEquals(
         List.of(
             new MastershipAction.Advertise(ROUTER, 255),
             new MastershipAction.Acquire(ROUTER, TransitionReason.OWNER)),
         mastership.start(now));
-    Mastership listens =
+    Mastership withListenPeriod =
         new Mastership(
             SELF,
             List.of(options(1, 255, true, TimeSpan.ZERO)),
@@ -86,142 +86,142 @@
             SECOND,
             SECOND,
             true);
-    assertEquals(List.of(), listens.start(now));
+    assertEquals(List.of(), withListenPeriod.start(now));
   }
 
   @Test
-  void aBackupUsesTheIntervalOfTheActiveRouterAndItsSkewTimeAfterAResignation() {
+  void backupUsesActiveRoutersIntervalAndSkewTimeAfterResignation() {
     Mastership mastership = newMastership(options(1, 100, true, TimeSpan.ZERO));
     mastership.start(now);
-    mastership.onAdvertisement(HIGHER, advert(200, 200), now);
+    mastership.onAdvertisement(HIGHER, advertisement(200, 200), now);
     assertEquals(now.plus(new TimeSpan(2 * 3_609_375)), mastership.nextTimerExpiry());
-    mastership.onAdvertisement(HIGHER, advert(0, 200), now);
+    mastership.onAdvertisement(HIGHER, advertisement(0, 200), now);
     assertEquals(now.plus(new TimeSpan(2 * 609_375)), mastership.nextTimerExpiry());
     assertEquals(becomesActive(TransitionReason.NONE_HEARD), advanceTime(mastership, 1.3));
   }
 
   @Test
-  void aResignationNeverDelaysBecomingActive() {
+  void resignationNeverExtendsActiveDownTimer() {
     Mastership mastership = newMastership(options(1, 1, true, TimeSpan.ZERO));
     mastership.start(now);
     advanceTime(mastership, 3.9);
-    Timestamp before = mastership.nextTimerExpiry();
-    mastership.onAdvertisement(HIGHER, advert(0), now);
-    assertEquals(before, mastership.nextTimerExpiry());
+    Timestamp expiry = mastership.nextTimerExpiry();
+    mastership.onAdvertisement(HIGHER, advertisement(0), now);
+    assertEquals(expiry, mastership.nextTimerExpiry());
   }
 
   @Test
-  void preemptionIsOnOffOrDelayed() {
+  void backupPreemptsIfEnabledAndAfterPreemptDelay() {
     for (boolean preempts : new boolean[] {true, false}) {
       Mastership mastership = newMastership(options(1, 100, preempts, TimeSpan.ZERO));
       mastership.start(now);
       for (int i = 0; i < 6; i++) {
-        mastership.onAdvertisement(LOWER, advert(50), now);
+        mastership.onAdvertisement(LOWER, advertisement(50), now);
         advanceTime(mastership, 1);
       }
       assertEquals(preempts ? Role.ACTIVE : Role.BACKUP, role(mastership));
     }
     Mastership delayed = newMastership(options(1, 100, true, SECOND.times(10)));
     delayed.start(now);
-    Timestamp from = now;
-    while (role(delayed) == Role.BACKUP && now.since(from).compareTo(SECOND.times(20)) < 0) {
-      delayed.onAdvertisement(LOWER, advert(50), now);
+    Timestamp startedAt = now;
+    while (role(delayed) == Role.BACKUP && now.since(startedAt).compareTo(SECOND.times(20)) < 0) {
+      delayed.onAdvertisement(LOWER, advertisement(50), now);
       advanceTime(delayed, 1);
     }
     assertTrue(
-        now.since(from).compareTo(SECOND.times(10)) > 0
-            && now.since(from).compareTo(SECOND.times(15)) < 0,
-        now.since(from).toString());
+        now.since(startedAt).compareTo(SECOND.times(10)) > 0
+            && now.since(startedAt).compareTo(SECOND.times(15)) < 0,
+        now.since(startedAt).toString());
   }
 
   @Test
-  void anActiveRouterYieldsOnlyToAHigherPriorityOrAddress() {
+  void activeRouterYieldsOnlyToHigherPriorityOrAddress() {
     Mastership mastership = activeMastership();
     assertEquals(
         List.of(new MastershipAction.Advertise(ROUTER, 100)),
-        mastership.onAdvertisement(LOWER, advert(100), now));
+        mastership.onAdvertisement(LOWER, advertisement(100), now));
     assertEquals(Role.ACTIVE, role(mastership));
     assertEquals(
         List.of(new MastershipAction.Release(ROUTER, TransitionReason.ADDRESS_HIGHER)),
-        mastership.onAdvertisement(HIGHER, advert(100), now));
+        mastership.onAdvertisement(HIGHER, advertisement(100), now));
     assertEquals(
         List.of(new MastershipAction.Release(ROUTER, TransitionReason.HIGHER_HEARD)),
-        activeMastership().onAdvertisement(LOWER, advert(101), now));
+        activeMastership().onAdvertisement(LOWER, advertisement(101), now));
   }
 
   @Test
-  void aLowerPriorityIsAnsweredButAFloodIsNot() {
+  void activeRouterLimitsRepliesToLowerPriority() {
     Mastership mastership = activeMastership();
     advanceTime(mastership, 0.5);
-    int answers = 0;
+    int replies = 0;
     for (int i = 0; i < 100; i++) {
-      answers += mastership.onAdvertisement(LOWER, advert(50), now).size();
+      replies += mastership.onAdvertisement(LOWER, advertisement(50), now).size();
     }
-    assertEquals(1, answers);
+    assertEquals(1, replies);
   }
 
   @Test
-  void afterAPauseAnActiveRouterStepsBackFirst() {
+  void suspendedActiveRouterReturnsToBackupFirst() {
     Mastership mastership = activeMastership();
-    Timestamp advertised = mastership.state(ROUTER).lastAdvertisedAt();
-    Timestamp last = advertised.plus(SECOND.times(3));
-    assertTrue(mastership.canAdmit(ROUTER, last));
-    assertFalse(mastership.isFenceOverdue(last));
-    Timestamp after = last.plus(new TimeSpan(1));
-    assertFalse(mastership.canAdmit(ROUTER, after));
-    assertTrue(mastership.isFenceOverdue(after));
-    // What comes first after the gap, its own alarm included, finds it stepping back.
+    Timestamp advertisedAt = mastership.state(ROUTER).lastAdvertisedAt();
+    Timestamp deadline = advertisedAt.plus(SECOND.times(3));
+    assertTrue(mastership.canAdmit(ROUTER, deadline));
+    assertFalse(mastership.isFenceOverdue(deadline));
+    Timestamp afterDeadline = deadline.plus(new TimeSpan(1));
+    assertFalse(mastership.canAdmit(ROUTER, afterDeadline));
+    assertTrue(mastership.isFenceOverdue(afterDeadline));
+    // Every event after the suspension, including the router's own timer, fences it first.
     assertEquals(
         List.of(new MastershipAction.Release(ROUTER, TransitionReason.FENCED)),
-        mastership.onTimer(after));
-    assertEquals(after.plus(new TimeSpan(3_609_375)), mastership.nextTimerExpiry());
+        mastership.onTimer(afterDeadline));
+    assertEquals(afterDeadline.plus(new TimeSpan(3_609_375)), mastership.nextTimerExpiry());
   }
 
   @Test
-  void afterAPauseABackupListensAgainBeforeItBecomesActive() {
+  void suspendedBackupRestartsActiveDownTimer() {
     Mastership mastership = newMastership(options(1, 100, true, TimeSpan.ZERO));
     mastership.start(now);
     now = now.plus(SECOND.times(60));
     assertEquals(List.of(), mastership.onTimer(now));
-    mastership.onAdvertisement(HIGHER, advert(200), now);
+    mastership.onAdvertisement(HIGHER, advertisement(200), now);
     assertEquals(List.of(), advanceTime(mastership, 3.5));
     assertEquals(Role.BACKUP, role(mastership));
   }
 
   @Test
-  void aStoppedRouterResigns() {
+  void stoppedActiveRouterResigns() {
     Mastership mastership = activeMastership();
     assertEquals(
         List.of(
             new MastershipAction.Advertise(ROUTER, 0),
             new MastershipAction.Release(ROUTER, TransitionReason.ENDED)),
         mastership.stop(TransitionReason.ENDED, now));
-    assertEquals(List.of(), mastership.onAdvertisement(LOWER, advert(1), now));
+    assertEquals(List.of(), mastership.onAdvertisement(LOWER, advertisement(1), now));
     assertEquals(List.of(), advanceTime(mastership, 60));
     assertFalse(mastership.isActive());
   }
 
   @Test
-  void aRouterThatCantServeDoublesItsBackoff() {
+  void backoffDoublesWhileRouterIsUnableToServe() {
     Mastership mastership = activeMastership();
-    List<Long> waits = new ArrayList<>();
+    List<Long> delays = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       assertEquals(
           new MastershipAction.Release(ROUTER, TransitionReason.UNABLE),
           mastership.onUnableToServe(ROUTER, now).get(1));
-      waits.add(mastership.nextTimerExpiry().since(now).us());
+      delays.add(mastership.nextTimerExpiry().since(now).us());
       advanceTime(mastership, 100);
       assertEquals(Role.ACTIVE, role(mastership));
     }
-    long down = 3_609_375;
-    assertEquals(List.of(3 * down, 5 * down, 9 * down), waits);
+    long activeDownUs = 3_609_375;
+    assertEquals(List.of(3 * activeDownUs, 5 * activeDownUs, 9 * activeDownUs), delays);
     mastership.onServing(ROUTER);
     mastership.onUnableToServe(ROUTER, now);
-    assertEquals(3 * down, mastership.nextTimerExpiry().since(now).us());
+    assertEquals(3 * activeDownUs, mastership.nextTimerExpiry().since(now).us());
   }
 
   @Test
-  void aReducedPriorityIsAdvertisedAndNeverBelowOne() {
+  void reducedPriorityIsAdvertisedAndAtLeastOne() {
     Mastership mastership = activeMastership();
     mastership.setPriorityReduction(30, now);
     assertEquals(
@@ -231,18 +231,18 @@
     assertEquals(new MastershipAction.Advertise(ROUTER, 1), advanceTime(mastership, 1).get(0));
     assertEquals(
         List.of(new MastershipAction.Release(ROUTER, TransitionReason.HIGHER_HEARD)),
-        mastership.onAdvertisement(LOWER, advert(50), now));
-    // Well again: it takes over once more, in a down interval.
+        mastership.onAdvertisement(LOWER, advertisement(50), now));
+    // With its priority restored the router preempts the peer within an active down interval.
     mastership.setPriorityReduction(0, now);
     for (int i = 0; i < 5; i++) {
       advanceTime(mastership, 0.95);
-      mastership.onAdvertisement(LOWER, advert(50), now);
+      mastership.onAdvertisement(LOWER, advertisement(50), now);
     }
     assertEquals(Role.ACTIVE, role(mastership));
   }
 
   @Test
-  void newSettingsApplyAtOnceAndRoutersAreAddedAndRemoved() {
+  void reconfigurationChangesAddsAndRemovesRouters() {
     Mastership mastership = activeMastership();
     List<MastershipAction> actions =
         mastership.reconfigure(
@@ -253,7 +253,7 @@
     assertEquals(List.of(new MastershipAction.Advertise(ROUTER, 180)), actions);
     assertEquals(List.of(ROUTER, new VirtualRouterId(2, false)), mastership.routers());
     assertEquals(
-        List.of(), mastership.onAdvertisement(HIGHER, advert(255), now), "no peer any more");
+        List.of(), mastership.onAdvertisement(HIGHER, advertisement(255), now), "no longer a peer");
     actions =
         mastership.reconfigure(List.of(options(2, 90, true, TimeSpan.ZERO)), Set.of(LOWER), 3, now);
     assertEquals(
@@ -265,12 +265,12 @@
   }
 
   @Test
-  void timersOfManyRoutersRunInTime() {
-    RouterOptions[] all = new RouterOptions[255];
-    for (int i = 0; i < all.length; i++) {
-      all[i] = options(i + 1, 1 + i % 254, true, TimeSpan.ZERO);
+  void runsTimersOfManyRouters() {
+    RouterOptions[] routers = new RouterOptions[255];
+    for (int i = 0; i < routers.length; i++) {
+      routers[i] = options(i + 1, 1 + i % 254, true, TimeSpan.ZERO);
     }
-    Mastership mastership = newMastership(all);
+    Mastership mastership = newMastership(routers);
     mastership.start(now);
     assertEquals(
         255,
@@ -278,7 +278,7 @@
             .filter(a -> a instanceof MastershipAction.Acquire)
             .count());
     assertEquals(255 * 10, advanceTime(mastership, 10).size());
-    // All are fenced by one gap.
+    // One suspension fences all routers.
     now = now.plus(SECOND.times(5));
     assertEquals(
         255,
@@ -288,31 +288,33 @@
   }
 
   @Test
-  void enginesAreSharedWithActivePeersAndAttemptsOfFormerOnes() {
+  void enginesAreSharedWithActivePeersAndAttemptsOfFormerlyActivePeers() {
     Mastership mastership = newMastership(options(1, 100, true, TimeSpan.ZERO));
     mastership.start(now);
-    // One that was there before the start may have left sends, and fades.
+    // The attempts of a dispatcher that was active before the start may still use engines; its
+    // share falls to 0.
     assertEquals(5, mastership.effectiveDispatcherCount(now), 0.001);
     assertEquals(
         4.5, mastership.effectiveDispatcherCount(now.plus(MAX_ATTEMPT_DURATION.times(0.5))), 0.001);
     assertEquals(4, mastership.effectiveDispatcherCount(now.plus(MAX_ATTEMPT_DURATION)), 0.001);
-    // An active peer counts fully while its claim is valid, then fades from its last advertisement.
-    mastership.onAdvertisement(LOWER, advert(50), now);
+    // An active peer counts fully until its advertisement expires; then its share falls with the
+    // age of this advertisement.
+    mastership.onAdvertisement(LOWER, advertisement(50), now);
     assertEquals(5, mastership.effectiveDispatcherCount(now.plus(SECOND)), 0.001);
     assertEquals(
         4.5, mastership.effectiveDispatcherCount(now.plus(MAX_ATTEMPT_DURATION.times(0.5))), 0.001);
-    // In a split, both claimants that are received count for as long as it lasts.
+    // In a split, all active peers whose advertisements are received count.
     now = now.plus(SECOND.times(100));
-    mastership.onAdvertisement(LOWER, advert(50), now);
-    mastership.onAdvertisement(HIGHER, advert(60), now);
+    mastership.onAdvertisement(LOWER, advertisement(50), now);
+    mastership.onAdvertisement(HIGHER, advertisement(60), now);
     assertEquals(6, mastership.effectiveDispatcherCount(now), 0.001);
-    // A resignation fades at once.
-    mastership.onAdvertisement(HIGHER, advert(0), now);
+    // The share of a peer falls from its resignation on.
+    mastership.onAdvertisement(HIGHER, advertisement(0), now);
     assertEquals(5.9, mastership.effectiveDispatcherCount(now.plus(SECOND)), 0.001);
   }
 
   @Test
-  void advertisementsThatDifferFromTheSettingsAreRejected() {
+  void rejectsAdvertisementsThatDifferFromConfiguration() {
     Mastership mastership = newMastership(options(1, 100, true, TimeSpan.ZERO));
     mastership.start(now);
     assertEquals(
@@ -321,7 +323,7 @@
     assertEquals(
         RejectionReason.ADDRESSES_DIFFER,
         mastership.rejectionReason(new Advertisement(1, 1, 100, List.of(SELF))).orElseThrow());
-    assertTrue(mastership.rejectionReason(advert(1, 200)).isEmpty());
+    assertTrue(mastership.rejectionReason(advertisement(1, 200)).isEmpty());
     Mastership strict =
         new Mastership(
             SELF,
@@ -332,6 +334,7 @@
             TimeSpan.ZERO,
             false);
     assertEquals(
-        RejectionReason.INTERVAL_DIFFERS, strict.rejectionReason(advert(1, 200)).orElseThrow());
+        RejectionReason.INTERVAL_DIFFERS,
+        strict.rejectionReason(advertisement(1, 200)).orElseThrow());
   }
 }
