--- a/src/main/java/cobaltseam/membership/LineageGuard.java
+++ b/src/main/java/cobaltseam/membership/LineageGuard.java
@@ -29,8 +29,9 @@
   }
 
   /**
-   * Leaves the lineage if a majority of the view has restarted without its state: these members
-   * have lost their promises and no longer vote, so the view can have no successor.
+   * Leaves the lineage if so many members of the view have restarted without their state that no
+   * majority remains. Restarted members have lost their promises and have no vote in the view, so
+   * it can have no successor.
    */
   void leaveUnrecoverableLineage(Timestamp now) {
     View view = localView.view();
--- a/src/main/java/cobaltseam/membership/Rebootstrap.java
+++ b/src/main/java/cobaltseam/membership/Rebootstrap.java
@@ -60,9 +60,9 @@
   /**
    * The number of the new lineage. A lineage is numbered by the incarnation of the process that
    * began it, and of two lineages the one with the lower number is the older. The new number is
-   * higher than all incarnations and lineages known to this process. No other member of the lost
-   * view chooses the same number: modulo the size of that view, the number equals the index of the
-   * choosing member.
+   * higher than that of the lost lineage and than all incarnations known to this process. No other
+   * member of the lost view chooses the same number: modulo the size of that view, the number
+   * equals the index of the choosing member.
    */
   private long nextLineage(View lostView) {
     List<Member> members = lostView.members();
--- a/src/main/java/cobaltseam/membership/ViewChange.java
+++ b/src/main/java/cobaltseam/membership/ViewChange.java
@@ -23,8 +23,7 @@
  * next state and the messages to send.
  *
  * <p>Voters are identified by name and incarnation. A process that restarts without its folder has
- * another incarnation, which no view contains, so it neither receives requests nor votes until a
- * successor adds it.
+ * another incarnation, which no view contains, so it has no vote until a successor adds it.
  */
 final class ViewChange {
   private ViewChange() {}
@@ -36,7 +35,10 @@
     }
   }
 
-  /** A message to a member of the view, possibly this process itself. */
+  /**
+   * A message to a member of the view, possibly this process itself; a decision also goes to the
+   * added members.
+   */
   record OutgoingMessage(Member to, MembershipMessage message) {}
 
   /**
