--- a/src/main/java/cobaltseam/membership/FailureDetector.java
+++ b/src/main/java/cobaltseam/membership/FailureDetector.java
@@ -30,7 +30,7 @@
   /** The time between timer calls while a suspicion or a health check is pending. */
   private static final double PENDING_WAKEUP_PERIODS = 0.125;
 
-  /** The number of peers that a leaving process notifies. */
+  /** The maximum number of peers that a leaving process notifies. */
   private static final int MAX_LEAVE_MESSAGES = 8;
 
   private final MembershipOptions options;
@@ -112,7 +112,7 @@
     return peer != null && peer.isAlive() && peer.isSameProcess(member);
   }
 
-  /** Whether this process sends no messages because another live process uses its name. */
+  /** Whether this process takes no part in the protocol because a live process uses its name. */
   boolean isSilenced(Timestamp now) {
     return local.isSilenced(now);
   }
@@ -146,12 +146,12 @@
     updates.startNewIncarnation();
   }
 
-  /** Changes to an incarnation above {@code other} and above the current one. */
+  /** Changes to an incarnation above {@code other} and not below the current one. */
   void startIncarnationAbove(Incarnation other) {
     updates.startIncarnationAbove(other);
   }
 
-  /** When {@link #onTimer} must be called next. */
+  /** The time by which {@link #onTimer} must be called next. */
   Timestamp nextWakeup(Timestamp now) {
     boolean isPending = hasSuspects() || healthChecks.hasUnanswered();
     Timestamp pendingWakeup = now.plus(options.healthCheckInterval().times(PENDING_WAKEUP_PERIODS));
@@ -161,7 +161,7 @@
   }
 
   /**
-   * Retries health checks, ends and starts roundCount and expires suspicions that are due. After a
+   * Retries health checks, ends and starts rounds and expires suspicions that are due. After a
    * suspension of this process, pending checks are dropped and suspicions extended, since the
    * process could not receive answers meanwhile.
    *
@@ -205,7 +205,7 @@
   }
 
   /**
-   * Whether no message of any member was received for two roundCount and one health check interval.
+   * Whether no message of any member was received for two rounds and one health check interval.
    * False before the first message.
    */
   boolean isIsolated(Timestamp now) {
@@ -279,7 +279,7 @@
     return order < 0 || order == 0 && isFormerStart;
   }
 
-  /** Whether an alive peer at another address, from which messages arrive, uses the name. */
+  /** Whether an alive peer at another address has used the sender's name recently. */
   private boolean isNameInUse(Member sender, Peer peer, Timestamp now) {
     TimeSpan silenceLimit =
         minSuspicionTimeout().times(UpdateProcessor.UNCONFIRMED_SUSPICION_FACTOR);
--- a/src/main/java/cobaltseam/membership/HealthChecks.java
+++ b/src/main/java/cobaltseam/membership/HealthChecks.java
@@ -172,9 +172,8 @@
         continue;
       }
       failedCount++;
-      // Relays that do not acknowledge the request, or no relays at all, suggest that the
-      // connection
-      // of this process is at fault.
+      // If a relay does not acknowledge the request, or there are no relays, the connection of this
+      // process may be at fault.
       isLocalFault |=
           !check.isRelayed
               && (check.relayAcknowledgementCount < check.relayRequestCount
--- a/src/main/java/cobaltseam/membership/LocalMember.java
+++ b/src/main/java/cobaltseam/membership/LocalMember.java
@@ -112,7 +112,7 @@
     return statusVersion >>> REFUTATION_BITS;
   }
 
-  /** Changes to an incarnation above {@code other} and above the current one. */
+  /** Changes to an incarnation above {@code other} and not below the current one. */
   void advanceIncarnationAbove(Incarnation other) {
     member = new Member(member.name(), member.incarnation().above(other), member.peerAddress());
     statusVersion = 0;
@@ -128,7 +128,7 @@
     health.worsen();
   }
 
-  /** Whether this process sends no messages because another live process uses its name. */
+  /** Whether this process takes no part in the protocol because a live process uses its name. */
   boolean isSilenced(Timestamp now) {
     return silencedUntil != null && now.isBefore(silencedUntil);
   }
--- a/src/main/java/cobaltseam/membership/Membership.java
+++ b/src/main/java/cobaltseam/membership/Membership.java
@@ -181,7 +181,7 @@
     return localView.installedAt();
   }
 
-  /** A process that is suspended for less than this is not removed. */
+  /** The duration below which a suspension of a process does not lead to its removal. */
   public TimeSpan toleratedSuspension() {
     return detector.minSuspicionTimeout();
   }
@@ -267,6 +267,7 @@
     return finish();
   }
 
+  /** Runs the failure detector's timer, then the work on the view. */
   private void runDueWork(Timestamp now) {
     if (!isLeaving) {
       MemberName name = self().name();
@@ -341,9 +342,7 @@
         && localView.containsSelf(view());
   }
 
-  /**
-   * Whether all members of the view have reported it or a later one. Requires an installed view.
-   */
+  /** Whether all members of the installed view, which is required, reported it or a later one. */
   public boolean isViewReportedByAll() {
     for (Member member : view().members()) {
       if (!member.name().equals(self().name()) && !hasReportedView(member)) {
--- a/src/main/java/cobaltseam/membership/UpdateProcessor.java
+++ b/src/main/java/cobaltseam/membership/UpdateProcessor.java
@@ -58,7 +58,7 @@
     startIncarnationAbove(local.member().incarnation());
   }
 
-  /** Changes to an incarnation above {@code other} and above the current one. */
+  /** Changes to an incarnation above {@code other} and not below the current one. */
   void startIncarnationAbove(Incarnation other) {
     local.advanceIncarnationAbove(other);
     gossip.add(local.aliveUpdate());
@@ -88,15 +88,16 @@
    * Extends the deadline of every suspect by the time during which this process could not receive
    * refutations.
    */
-  void extendSuspicions(TimeSpan by) {
+  void extendSuspicions(TimeSpan extension) {
     peers.all().stream()
         .filter(Peer::isSuspect)
-        .forEach(peer -> peer.setSuspicionExpiry(peer.suspicionExpiresAt().plus(by)));
+        .forEach(peer -> peer.setSuspicionExpiry(peer.suspicionExpiresAt().plus(extension)));
   }
 
   /**
    * Sets the deadline of a suspicion. The timeout decreases with the logarithm of the number of
-   * confirmations to the minimum, and increases with the health score of this process (Lifeguard).
+   * confirmations, down to the minimum, and increases with the health score of this process
+   * (Lifeguard).
    */
   private void updateSuspicionDeadline(Peer peer) {
     double minimumUs = minSuspicionTimeout().us() * (double) local.health().timeoutMultiplier();
