--- a/src/main/java/cobaltseam/capacity/DemandEstimate.java
+++ b/src/main/java/cobaltseam/capacity/DemandEstimate.java
@@ -4,14 +4,14 @@
 import cobaltseam.dispatch.Timestamp;
 
 /**
- * The demand of a process: a decaying average of the rate at which a running sum rises. The
- * half-life must cover several requests, as sparse traffic comes in bursts and the average would
- * otherwise follow chance.
+ * Estimates the demand of a process: a decaying average of the rate at which a running sum rises.
+ * The half-life must cover several requests; otherwise the average follows the random bursts of
+ * sparse traffic.
  */
 public final class DemandEstimate {
   private final TimeSpan halfLife;
   private Timestamp updatedAt;
-  private double total;
+  private double previousSum;
   private double rate;
 
   /**
@@ -21,22 +21,26 @@
   private double confidence;
 
   /**
-   * @param halfLife after which a sample counts by half
+   * @param halfLife the time after which the weight of a sample has halved
    */
   public DemandEstimate(TimeSpan halfLife) {
     this.halfLife = halfLife;
   }
 
-  /** Adds a sample of the running sum, and returns the average rate per second. */
+  /**
+   * Adds a sample of the running sum.
+   *
+   * @return the average rate per second; 0 after the first sample
+   */
   public double update(double sum, Timestamp now) {
     if (updatedAt != null && updatedAt.isBefore(now)) {
-      TimeSpan since = now.since(updatedAt);
-      double decay = Math.pow(0.5, since.dividedBy(halfLife));
-      rate = rate * decay + (sum - total) / since.us() * 1e6 * (1 - decay);
+      TimeSpan elapsed = now.since(updatedAt);
+      double decay = Math.pow(0.5, elapsed.dividedBy(halfLife));
+      rate = rate * decay + (sum - previousSum) / elapsed.us() * 1e6 * (1 - decay);
       confidence = confidence * decay + 1 - decay;
     }
     updatedAt = now;
-    total = sum;
+    previousSum = sum;
     return confidence > 0 ? rate / confidence : 0;
   }
 }
--- a/src/main/java/cobaltseam/capacity/LoadReportMessage.java
+++ b/src/main/java/cobaltseam/capacity/LoadReportMessage.java
@@ -14,8 +14,8 @@
   }
 
   /**
-   * The reply: how many requests each engine reported to have in flight, and how many milliseconds
-   * ago at the most.
+   * The reply to a request: how many requests each engine reported to have in flight, and the
+   * largest age that this report can have, in milliseconds.
    */
   record ReportsReply(MessageHeader from, long id, long[] engines, int[] inFlight, int[] agesMs)
       implements LoadReportMessage {
@@ -25,7 +25,9 @@
           || engines.length != inFlight.length
           || engines.length != agesMs.length) {
         throw new IllegalArgumentException(
-            "at most " + LoadReports.MAX_ENGINES + " engines, each with its figure and age");
+            "a reply holds at most "
+                + LoadReports.MAX_ENGINES
+                + " engines, each with its requests in flight and an age");
       }
     }
   }
--- a/src/main/java/cobaltseam/capacity/LoadReports.java
+++ b/src/main/java/cobaltseam/capacity/LoadReports.java
@@ -18,23 +18,24 @@
 
 /**
  * The latest load report of each engine to any dispatcher of the fleet. A dispatcher with little
- * traffic gets a report of an engine every few seconds; all together get many a second. It does no
- * I/O: time, randomness and messages come from the caller, who asks {@link #runRound} no later than
- * {@link #nextRoundAt}.
+ * traffic receives a report of an engine every few seconds; all dispatchers together receive many
+ * per second. It does no I/O: time, randomness and messages come from the caller, who calls {@link
+ * #runRound} no later than {@link #nextRoundAt}.
  *
- * <p>The latest report of each engine is kept. In each round a few others are asked for theirs;
- * reports are pulled and not pushed, since then the own clock bounds their age, however long a
- * message was delayed. Reports beyond the maximum age are dropped.
+ * <p>The latest report of each engine is kept. In each round a few other members are asked for
+ * their reports. Reports are pulled and not pushed, since then the clock of this process bounds
+ * their age, however long a message was delayed. Reports that have reached the maximum age are
+ * dropped.
  *
- * <p>Guards: replies without a pending request, replies of members outside the view, negative
- * figures and more engines than one reply may hold are ignored.
+ * <p>Replies without a pending request, replies of members outside the view, invalid figures, and
+ * engines beyond the largest number that is kept are ignored.
  */
 public final class LoadReports {
   /**
-   * The options of the exchange.
+   * The options of the exchange of load reports.
    *
    * @param round the time between two rounds of requests
-   * @param requestsPerRound how many requests one round makes
+   * @param requestsPerRound the largest number of requests in one round
    * @param maxAge the age at which a report is dropped
    * @param maxClockRateRatio the largest difference between the rates of two clocks, as a ratio
    */
@@ -43,13 +44,17 @@
     public LoadReportOptions {
       if (!round.isPositive() || requestsPerRound < 1 || maxAge.compareTo(round) <= 0) {
         throw new IllegalArgumentException(
-            "a round above 0, one or more asked, an end above the round");
+            "the round must be above 0, the requests per round at least 1, and the maximum age"
+                + " above the round");
       }
     }
   }
 
   /**
-   * How many requests an engine had in flight that do not wait for memory, at this time or later.
+   * The load of an engine.
+   *
+   * @param inFlight the requests in flight that do not wait for memory
+   * @param measuredAt the earliest time at which the engine can have measured this
    */
   public record LoadReport(EngineId engine, double inFlight, Timestamp measuredAt) {}
 
@@ -57,8 +62,8 @@
   public record OutgoingMessage(InetSocketAddress to, LoadReportMessage message) {}
 
   /**
-   * Engines in one reply: bounds the memory that peers can make this process use, and fits a
-   * datagram.
+   * The largest number of engines, here and in one reply. It bounds the memory that peers can make
+   * this process use, and a reply fits into a datagram.
    */
   public static final int MAX_ENGINES = 512;
 
@@ -76,7 +81,7 @@
   private Timestamp nextRoundAt;
 
   /**
-   * @param now the first round begins within one round from then
+   * @param now the current time; the first round begins within one round from it
    */
   public LoadReports(LoadReportOptions options, RandomGenerator random, Timestamp now) {
     this.options = options;
@@ -84,28 +89,28 @@
     nextRoundAt = now.plus(options.round().times(random.nextDouble()));
   }
 
-  /** Adds a report that an engine made to this dispatcher itself. */
+  /** Adds a report that an engine made to this dispatcher. */
   public void addLocalReport(LoadReport report) {
-    if (isYounger(report)) {
+    if (isNewer(report)) {
       latest.put(report.engine(), report);
     }
   }
 
-  private boolean isYounger(LoadReport report) {
+  private boolean isNewer(LoadReport report) {
     LoadReport known = latest.get(report.engine());
     return known == null
         ? latest.size() < MAX_ENGINES
         : known.measuredAt().isBefore(report.measuredAt());
   }
 
-  /** Reports of other dispatchers that are later than those known here; each is returned once. */
+  /** Reports of other dispatchers that are newer than those known here; each is returned once. */
   public List<LoadReport> takeReceivedReports() {
-    List<LoadReport> all = received;
+    List<LoadReport> taken = received;
     received = new ArrayList<>();
-    return all;
+    return taken;
   }
 
-  /** When to ask {@link #runRound} next. */
+  /** When {@link #runRound} is to be called next. */
   public Timestamp nextRoundAt() {
     return nextRoundAt;
   }
@@ -115,80 +120,85 @@
     if (now.isBefore(nextRoundAt)) {
       return List.of();
     }
-    // After a pause there is one round, not all those that were missed.
+    // After a suspension of this process one round is run, and not each that was missed.
     nextRoundAt = now.plus(options.round());
-    latest.values().removeIf(r -> now.since(r.measuredAt()).compareTo(options.maxAge()) >= 0);
-    pending.values().removeIf(o -> now.since(o.requestedAt).compareTo(options.maxAge()) >= 0);
-    List<OutgoingMessage> tells = new ArrayList<>();
-    int others = view == null ? 0 : view.members().size() - 1;
+    latest
+        .values()
+        .removeIf(report -> now.since(report.measuredAt()).compareTo(options.maxAge()) >= 0);
+    pending
+        .values()
+        .removeIf(request -> now.since(request.requestedAt).compareTo(options.maxAge()) >= 0);
+    List<OutgoingMessage> requests = new ArrayList<>();
+    int otherMembers = view == null ? 0 : view.members().size() - 1;
     for (int i = 0;
-        i < Math.min(options.requestsPerRound(), others) && pending.size() < MAX_PENDING_REQUESTS;
+        i < Math.min(options.requestsPerRound(), otherMembers)
+            && pending.size() < MAX_PENDING_REQUESTS;
         i++) {
-      Member of = view.members().get(random.nextInt(view.members().size()));
-      if (!of.name().equals(self.member().name())) {
+      Member member = view.members().get(random.nextInt(view.members().size()));
+      if (!member.name().equals(self.member().name())) {
         long id = random.nextLong();
-        pending.put(id, new PendingRequest(of, now));
-        tells.add(new OutgoingMessage(of.peerAddress(), new ReportsRequest(self, id)));
+        pending.put(id, new PendingRequest(member, now));
+        requests.add(new OutgoingMessage(member.peerAddress(), new ReportsRequest(self, id)));
       }
     }
-    return tells;
+    return requests;
   }
 
   /** Handles an authenticated message of a member, and returns the replies to send. */
   public List<OutgoingMessage> receive(
-      LoadReportMessage word, View view, MessageHeader self, Timestamp now) {
-    Member from = word.from().member();
+      LoadReportMessage message, View view, MessageHeader self, Timestamp now) {
+    Member from = message.from().member();
     if (view == null || !view.contains(from.name(), from.incarnation())) {
       return List.of();
     }
-    if (word instanceof ReportsRequest ask) {
-      return List.of(new OutgoingMessage(from.peerAddress(), reply(self, ask.id(), now)));
+    if (message instanceof ReportsRequest request) {
+      return List.of(new OutgoingMessage(from.peerAddress(), createReply(self, request.id(), now)));
     }
-    ReportsReply table = (ReportsReply) word;
-    PendingRequest asked = pending.get(table.id());
-    if (asked != null && asked.member.equals(from)) {
-      pending.remove(table.id());
-      for (int i = 0; i < table.engines().length; i++) {
-        learn(table, i, asked);
+    ReportsReply reply = (ReportsReply) message;
+    PendingRequest request = pending.get(reply.id());
+    if (request != null && request.member.equals(from)) {
+      pending.remove(reply.id());
+      for (int i = 0; i < reply.engines().length; i++) {
+        addReceivedReport(reply, i, request);
       }
     }
     return List.of();
   }
 
-  private ReportsReply reply(MessageHeader self, long id, Timestamp now) {
+  private ReportsReply createReply(MessageHeader self, long id, Timestamp now) {
     List<LoadReport> fresh =
         latest.values().stream()
-            .filter(r -> now.since(r.measuredAt()).compareTo(options.maxAge()) < 0)
+            .filter(report -> now.since(report.measuredAt()).compareTo(options.maxAge()) < 0)
             .toList();
     long[] engines = new long[fresh.size()];
-    int[] inHand = new int[engines.length];
-    int[] ages = new int[engines.length];
+    int[] inFlight = new int[engines.length];
+    int[] agesMs = new int[engines.length];
     for (int i = 0; i < engines.length; i++) {
       engines[i] = fresh.get(i).engine().value();
-      inHand[i] = (int) Math.min(MAX_IN_FLIGHT, Math.round(fresh.get(i).inFlight()));
+      inFlight[i] = (int) Math.min(MAX_IN_FLIGHT, Math.round(fresh.get(i).inFlight()));
       // Rounded up, so that an age is never understated.
-      ages[i] = (int) (now.since(fresh.get(i).measuredAt()).us() / US_PER_MS + 1);
+      agesMs[i] = (int) (now.since(fresh.get(i).measuredAt()).us() / US_PER_MS + 1);
     }
-    return new ReportsReply(self, id, engines, inHand, ages);
+    return new ReportsReply(self, id, engines, inFlight, agesMs);
   }
 
-  private void learn(ReportsReply table, int index, PendingRequest asked) {
-    int age = table.agesMs()[index];
-    int inHand = table.inFlight()[index];
-    if (age < 0 || inHand < 0 || inHand > MAX_IN_FLIGHT) {
+  private void addReceivedReport(ReportsReply reply, int index, PendingRequest request) {
+    int ageMs = reply.agesMs()[index];
+    int inFlight = reply.inFlight()[index];
+    if (ageMs < 0 || inFlight < 0 || inFlight > MAX_IN_FLIGHT) {
       return;
     }
-    Timestamp at =
-        asked.requestedAt.minus(
-            new TimeSpan(Math.round(age * US_PER_MS * (1 + 2 * options.maxClockRateRatio()))));
-    LoadReport report = new LoadReport(new EngineId(table.engines()[index]), inHand, at);
-    if (asked.requestedAt.since(at).compareTo(options.maxAge()) < 0 && isYounger(report)) {
+    Timestamp measuredAt =
+        request.requestedAt.minus(
+            new TimeSpan(Math.round(ageMs * US_PER_MS * (1 + 2 * options.maxClockRateRatio()))));
+    LoadReport report = new LoadReport(new EngineId(reply.engines()[index]), inFlight, measuredAt);
+    if (request.requestedAt.since(measuredAt).compareTo(options.maxAge()) < 0 && isNewer(report)) {
       latest.put(report.engine(), report);
       received.add(report);
     }
   }
 
-  /** The number of reports; bounded. */
+  /** The number of reports that are kept; at most {@link #MAX_ENGINES}. */
   public int reportCount() {
     return latest.size();
   }
--- a/src/main/java/cobaltseam/retrybudget/RetryBudget.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudget.java
@@ -17,30 +17,31 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How many retries this process may make, such that the retries for each first attempt stay under a
- * set ratio over the whole fleet, whichever members are partitioned, paused, killed or restarted.
- * It does no I/O: time, randomness and messages come from the caller, who calls {@link #update} no
- * later than {@link #nextUpdateAt}.
+ * Determines how many retries this process may make, such that the ratio of retries to first
+ * attempts stays below a set limit over the whole fleet, whichever members are partitioned,
+ * suspended, killed or restarted. It does no I/O: time, randomness and messages come from the
+ * caller, who calls {@link #update} no later than {@link #nextUpdateAt}.
  *
- * <p>Each first attempt earns a part of a retry, which may be spent for one window, here or at the
- * member that it was transferred to. A transfer is taken from the budget here before it is sent,
- * and is lost if its message is lost. So no view and no lease is needed: nothing is in two budgets
- * at once, and a process that loses its state holds nothing. In addition each process earns a small
- * amount as time passes.
+ * <p>Each first attempt earns a fraction of a retry, which may be spent within one window, here or
+ * at the member that it was transferred to. A transfer is taken from the budget here before it is
+ * sent, and is lost if its message is lost. So the limit needs neither a lease nor an agreed view:
+ * no amount is in two budgets at once, and a process that loses its state loses its budget. In
+ * addition each process earns a small amount as time passes.
  *
  * <p>Amounts are thousandths of a retry. The event loop takes retries from the remaining ones
- * directly, without a wait; this class sees that at its next step.
+ * directly, without waiting for this class, which accounts for them at its next update.
  */
 public final class RetryBudget {
-  /** The remaining retries, in thousandths; shared with the event loop, which takes from them. */
+  /** The remaining retries, in thousandths; shared with the event loop, which spends them. */
   public interface RemainingRetries {
     /** The remaining retries, in thousandths. */
     long get();
 
     /**
-     * Sets the remaining retries if they are as expected; false, without a change, if they are not.
+     * Sets the remaining retries if they are as expected; otherwise changes nothing and returns
+     * false.
      */
-    boolean compareAndSet(long expected, long to);
+    boolean compareAndSet(long expected, long updated);
   }
 
   /** A message to an address; it may be lost. */
@@ -49,7 +50,7 @@
   /** One retry, in the units of all amounts. */
   public static final long UNITS_PER_RETRY = 1000;
 
-  /** The largest number of grants that are kept apart by when they end. */
+  /** The largest number of grants that are kept separately by the time at which they end. */
   public static final int MAX_GRANTS = 32;
 
   private static final int MAX_PENDING_REQUESTS = 8;
@@ -57,9 +58,10 @@
   /** The half-life of the average need, in windows. */
   private static final double NEED_HALF_LIFE_WINDOWS = 0.25;
 
-  /** For so many windows the need is kept in reserve and not transferred. */
+  /** The need of so many windows is kept in reserve and not transferred. */
   private static final double RESERVE_WINDOWS = 0.25;
 
+  /** An amount that may be spent until a time. */
   private static final class BudgetGrant {
     long amount;
     final Timestamp until;
@@ -77,8 +79,8 @@
   private final RandomGenerator random;
 
   /**
-   * Sorted by their end, soonest first. Their sum is the remaining retries and those spent since
-   * the last step.
+   * Sorted by their end, soonest first. Their sum is that of the remaining retries and of those
+   * spent since the last update.
    */
   private final List<BudgetGrant> grants = new ArrayList<>();
 
@@ -86,14 +88,16 @@
   private Timestamp updatedAt;
   private Timestamp nextExchangeAt;
   private long firstAttempts;
-  private long wantedRetries;
+  private long neededRetries;
+
+  /** What was earned but is less than one unit. */
   private double earnedFraction;
 
-  /** The average number of retries per second that were wanted lately. */
+  /** The decaying average of the retries per second that this process needs. */
   private double neededPerSecond;
 
   /**
-   * @param remaining nothing else but this and the event loop changes it
+   * @param remaining the remaining retries; only this object and the event loop change them
    */
   public RetryBudget(
       RetryBudgetOptions options, RemainingRetries remaining, RandomGenerator random) {
@@ -102,9 +106,10 @@
     this.random = random;
   }
 
-  // ---- what is asked
-
-  /** The average number of retries per second that were wanted lately. */
+  /**
+   * The decaying average of the retries per second that this process needs: those that it makes and
+   * those that it would make if the budget allowed them.
+   */
   public double neededPerSecond() {
     return neededPerSecond;
   }
@@ -131,80 +136,86 @@
         : nextExchangeAt;
   }
 
-  // ---- what follows
-
   /**
-   * Brings the budget up to this time, and requests more of another member if the remaining retries
-   * do not cover the need.
+   * Accounts for what was earned and spent since the last update. If an exchange is due and the
+   * remaining retries do not cover the need, also requests more from another member.
    *
-   * @param firstAttemptsSoFar first attempts of this process so far
-   * @param wantedRetriesSoFar its retries so far, and those that it would have made
-   * @param spares the amount that others may request of each member
+   * @param firstAttemptsSoFar the first attempts of this process so far
+   * @param neededRetriesSoFar its retries so far, including those that the budget denied
+   * @param spareUnits the amount that may be requested from each member, as far as it is known
+   * @param view the installed view, or null
+   * @return the requests to send
    */
   public List<OutgoingMessage> update(
       long firstAttemptsSoFar,
-      long wantedRetriesSoFar,
-      Map<MemberName, Long> spares,
+      long neededRetriesSoFar,
+      Map<MemberName, Long> spareUnits,
       View view,
       MessageHeader self,
       Timestamp now) {
     if (updatedAt == null) {
       updatedAt = now;
       firstAttempts = firstAttemptsSoFar;
-      wantedRetries = wantedRetriesSoFar;
+      neededRetries = neededRetriesSoFar;
     }
-    TimeSpan since = now.since(updatedAt);
-    if (since.isPositive()) {
+    TimeSpan elapsed = now.since(updatedAt);
+    if (elapsed.isPositive()) {
       settle(now);
-      earn(firstAttemptsSoFar - firstAttempts, since, now);
-      double decay = Math.pow(0.5, since.dividedBy(options.window().times(NEED_HALF_LIFE_WINDOWS)));
+      earn(firstAttemptsSoFar - firstAttempts, elapsed, now);
+      double decay =
+          Math.pow(0.5, elapsed.dividedBy(options.window().times(NEED_HALF_LIFE_WINDOWS)));
       neededPerSecond =
           neededPerSecond * decay
-              + (wantedRetriesSoFar - wantedRetries) * 1e6 / since.us() * (1 - decay);
+              + (neededRetriesSoFar - neededRetries) * 1e6 / elapsed.us() * (1 - decay);
       firstAttempts = firstAttemptsSoFar;
-      wantedRetries = wantedRetriesSoFar;
+      neededRetries = neededRetriesSoFar;
       updatedAt = now;
     }
     if (nextExchangeAt != null && now.isBefore(nextExchangeAt)) {
       return List.of();
     }
     nextExchangeAt = now.plus(options.exchangeInterval());
-    pending.values().removeIf(o -> now.since(o.requestedAt).compareTo(options.window()) >= 0);
+    pending
+        .values()
+        .removeIf(request -> now.since(request.requestedAt).compareTo(options.window()) >= 0);
     long missing = reserveUnits() - remaining.get();
     return missing < UNITS_PER_RETRY || view == null
         ? List.of()
-        : requestUnits(missing, spares, view, self, now);
+        : requestUnits(missing, spareUnits, view, self, now);
   }
 
-  /** Takes from the grants what was spent, and from the remaining retries what has expired. */
+  /** Subtracts spent retries from the grants, and expired grants from the remaining retries. */
   private void settle(Timestamp now) {
     while (true) {
       long current = remaining.get();
-      long spent = grants.stream().mapToLong(c -> c.amount).sum() - current;
-      // The grant that ends soonest is taken to be spent first, so that none lasts longer for it.
+      long spent = grants.stream().mapToLong(grant -> grant.amount).sum() - current;
+      // The grant that ends soonest counts as spent first. So spending extends no grant.
       for (BudgetGrant grant : grants) {
-        long part = Math.min(spent, grant.amount);
-        grant.amount -= part;
-        spent -= part;
+        long subtracted = Math.min(spent, grant.amount);
+        grant.amount -= subtracted;
+        spent -= subtracted;
       }
       long expired =
-          grants.stream().filter(c -> !now.isBefore(c.until)).mapToLong(c -> c.amount).sum();
+          grants.stream()
+              .filter(grant -> !now.isBefore(grant.until))
+              .mapToLong(grant -> grant.amount)
+              .sum();
       if (remaining.compareAndSet(current, current - expired)) {
-        grants.removeIf(c -> c.amount == 0 || !now.isBefore(c.until));
+        grants.removeIf(grant -> grant.amount == 0 || !now.isBefore(grant.until));
         return;
       }
     }
   }
 
   /**
-   * First attempts since the last step are taken to have been made right after it, so that what
-   * they earn is spent within one window.
+   * Adds what was earned since the last update. First attempts since then count as made right after
+   * it, so that what they earn is spent within one window.
    */
-  private void earn(long newFirstAttempts, TimeSpan since, Timestamp now) {
+  private void earn(long newFirstAttempts, TimeSpan elapsed, Timestamp now) {
     earnedFraction +=
         (newFirstAttempts * options.retryRatio()
                 + options.standaloneRetriesPerWindow()
-                    * Math.min(1, since.dividedBy(options.window())))
+                    * Math.min(1, elapsed.dividedBy(options.window())))
             * UNITS_PER_RETRY;
     long earnedUnits = (long) earnedFraction;
     earnedFraction -= earnedUnits;
@@ -215,23 +226,23 @@
     if (amount <= 0 || !now.isBefore(until)) {
       return;
     }
-    // There are few grants: one that ends a little sooner takes what is added.
-    TimeSpan near = options.window().times(1.0 / (MAX_GRANTS / 2));
-    BudgetGrant into = null;
+    // Few grants are kept: the amount is added to one that ends a little sooner, if there is one.
+    TimeSpan maxDifference = options.window().times(1.0 / (MAX_GRANTS / 2));
+    BudgetGrant target = null;
     for (BudgetGrant grant : grants) {
-      if (!until.isBefore(grant.until) && until.since(grant.until).compareTo(near) < 0) {
-        into = grant;
+      if (!until.isBefore(grant.until) && until.since(grant.until).compareTo(maxDifference) < 0) {
+        target = grant;
       }
     }
-    if (into == null) {
+    if (target == null) {
       if (grants.size() >= MAX_GRANTS) {
         return;
       }
-      into = new BudgetGrant(0, until);
-      grants.add(into);
-      grants.sort(Comparator.comparing((BudgetGrant c) -> c.until));
+      target = new BudgetGrant(0, until);
+      grants.add(target);
+      grants.sort(Comparator.comparing((BudgetGrant grant) -> grant.until));
     }
-    into.amount += amount;
+    target.amount += amount;
     long current = remaining.get();
     while (!remaining.compareAndSet(current, current + amount)) {
       current = remaining.get();
@@ -239,33 +250,36 @@
   }
 
   private List<OutgoingMessage> requestUnits(
-      long missing, Map<MemberName, Long> spares, View view, MessageHeader self, Timestamp now) {
-    Member best = null;
-    double most = 0;
+      long missing,
+      Map<MemberName, Long> spareUnits,
+      View view,
+      MessageHeader self,
+      Timestamp now) {
+    Member lender = null;
+    double largestWeight = 0;
     for (Member member : view.members()) {
-      Long spare = spares.get(member.name());
-      boolean other =
+      Long spare = spareUnits.get(member.name());
+      boolean canBeAsked =
           !member.name().equals(self.member().name())
               && spare != null
               && spare >= UNITS_PER_RETRY
-              && pending.values().stream().noneMatch(o -> o.member.equals(member));
-      // Drawn with a chance by the spare amount, so that not all members ask the same one.
-      double draw = other ? spare * random.nextDouble() : 0;
-      if (draw > most) {
-        best = member;
-        most = draw;
+              && pending.values().stream().noneMatch(request -> request.member.equals(member));
+      // Sampled with a preference for large spare amounts, so that not all members ask the same
+      // one.
+      double weight = canBeAsked ? spare * random.nextDouble() : 0;
+      if (weight > largestWeight) {
+        lender = member;
+        largestWeight = weight;
       }
     }
-    if (best == null || pending.size() >= MAX_PENDING_REQUESTS) {
+    if (lender == null || pending.size() >= MAX_PENDING_REQUESTS) {
       return List.of();
     }
     long id = random.nextLong();
-    pending.put(id, new PendingRequest(best, now));
-    return List.of(new OutgoingMessage(best.peerAddress(), new BudgetRequest(self, id, missing)));
+    pending.put(id, new PendingRequest(lender, now));
+    return List.of(new OutgoingMessage(lender.peerAddress(), new BudgetRequest(self, id, missing)));
   }
 
-  // ---- what comes
-
   /** Handles an authenticated message of a member, and returns the replies to send. */
   public List<OutgoingMessage> receive(
       RetryBudgetMessage message, View view, MessageHeader self, Timestamp now) {
@@ -273,12 +287,13 @@
     if (view == null || !view.contains(from.name(), from.incarnation())) {
       return List.of();
     }
-    if (message instanceof BudgetRequest request) {
-      return List.of(new OutgoingMessage(from.peerAddress(), transferUnits(request, self, now)));
+    if (message instanceof BudgetRequest budgetRequest) {
+      return List.of(
+          new OutgoingMessage(from.peerAddress(), transferUnits(budgetRequest, self, now)));
     }
     BudgetTransfer transfer = (BudgetTransfer) message;
-    PendingRequest asked = pending.get(transfer.id());
-    if (asked != null && asked.member.equals(from)) {
+    PendingRequest request = pending.get(transfer.id());
+    if (request != null && request.member.equals(from)) {
       pending.remove(transfer.id());
       settle(now);
       for (int i = 0; i < transfer.amounts().length; i++) {
@@ -286,7 +301,7 @@
         if (transfer.amounts()[i] > 0
             && transfer.amounts()[i] < Integer.MAX_VALUE * UNITS_PER_RETRY
             && lifetimeUs > 0) {
-          add(transfer.amounts()[i], asked.requestedAt.plus(new TimeSpan(lifetimeUs)), now);
+          add(transfer.amounts()[i], request.requestedAt.plus(new TimeSpan(lifetimeUs)), now);
         }
       }
     }
@@ -294,8 +309,8 @@
   }
 
   /**
-   * Transfers at most half of the spare amount, so that two members in need both get some, and of
-   * it what lasts longest.
+   * Transfers at most half of the spare amount, so that two members in need both get some. Grants
+   * that end last are transferred first.
    */
   private BudgetTransfer transferUnits(BudgetRequest request, MessageHeader self, Timestamp now) {
     settle(now);
@@ -304,16 +319,18 @@
     long allowed = Math.min(Math.max(0, request.amount()), spareUnits() / 2);
     for (int i = grants.size() - 1; i >= 0 && allowed > 0; i--) {
       BudgetGrant grant = grants.get(i);
-      // Shortened so that it ends no later there, by a slower clock.
+      // Shortened, so that the grant ends no later at a receiver with a slower clock.
       long lifetimeUs =
           Math.round(grant.until.since(now).us() * (1 - 2 * options.maxClockRateRatio()));
-      long part = lifetimeUs <= 0 ? 0 : Math.min(allowed, grant.amount);
+      long transferred = lifetimeUs <= 0 ? 0 : Math.min(allowed, grant.amount);
       long current = remaining.get();
-      if (part > 0 && current >= part && remaining.compareAndSet(current, current - part)) {
-        // Taken from here before it is sent; what was spent meanwhile is seen at the next step.
-        grant.amount -= part;
-        allowed -= part;
-        amounts.add(part);
+      if (transferred > 0
+          && current >= transferred
+          && remaining.compareAndSet(current, current - transferred)) {
+        // Subtracted before it is sent. Retries spent meanwhile are settled at the next update.
+        grant.amount -= transferred;
+        allowed -= transferred;
+        amounts.add(transferred);
         lifetimesUs.add(lifetimeUs);
       }
     }
--- a/src/main/java/cobaltseam/retrybudget/RetryBudgetMessage.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudgetMessage.java
@@ -14,8 +14,8 @@
   }
 
   /**
-   * The reply: amounts that left the sender's budget, and how long after the request each may be
-   * spent.
+   * The reply to a request: amounts that were taken from the sender's budget, and how long after
+   * the request each may be spent.
    */
   record BudgetTransfer(MessageHeader from, long id, long[] amounts, long[] lifetimesUs)
       implements RetryBudgetMessage {
@@ -23,7 +23,9 @@
       Objects.requireNonNull(from);
       if (amounts.length > RetryBudget.MAX_GRANTS || amounts.length != lifetimesUs.length) {
         throw new IllegalArgumentException(
-            "at most " + RetryBudget.MAX_GRANTS + " amounts, each with its time");
+            "a transfer holds at most "
+                + RetryBudget.MAX_GRANTS
+                + " amounts, each with a lifetime");
       }
     }
   }
--- a/src/main/java/cobaltseam/retrybudget/RetryBudgetOptions.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudgetOptions.java
@@ -3,11 +3,11 @@
 import cobaltseam.dispatch.TimeSpan;
 
 /**
- * How retries are limited over a fleet.
+ * The options for limiting retries over a fleet.
  *
- * @param retryRatio retries for each first attempt
- * @param standaloneRetriesPerWindow retries in a window that each process earns in addition
- * @param window the time for which an earned retry may be spent
+ * @param retryRatio the retries that each first attempt earns
+ * @param standaloneRetriesPerWindow the retries that each process earns in addition in each window
+ * @param window the time within which an earned retry may be spent
  * @param exchangeInterval the time between two requests to other members
  * @param maxClockRateRatio the largest difference between the rates of two clocks, as a ratio
  */
@@ -24,7 +24,8 @@
         || !exchangeInterval.isPositive()
         || exchangeInterval.compareTo(window) >= 0) {
       throw new IllegalArgumentException(
-          "ratio and alone from 0, a round above 0 and below the window");
+          "the retry ratio and the standalone retries must be at least 0, the window above 0, and the"
+              + " exchange interval above 0 and below the window");
     }
   }
 }
--- a/src/main/java/cobaltseam/sharing/FiguresUpdate.java
+++ b/src/main/java/cobaltseam/sharing/FiguresUpdate.java
@@ -5,9 +5,10 @@
 import java.util.Objects;
 
 /**
- * The figures that a member stated of itself.
+ * The figures that a member published about itself, as another member passes them on.
  *
- * @param age the largest age that they could have when the sender sent this
+ * @param member the member that published the figures
+ * @param age the largest age that the figures could have when the sender sent this
  */
 public record FiguresUpdate(
     MemberName member, FiguresVersion version, MemberFigures figures, TimeSpan age) {
--- a/src/main/java/cobaltseam/sharing/FiguresVersion.java
+++ b/src/main/java/cobaltseam/sharing/FiguresVersion.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * The version of a member's statement: that of a later incarnation is newer, and within one
+ * The version of a member's figures. The version of a later incarnation is newer, and within one
  * incarnation that of the higher number.
  */
 public record FiguresVersion(Incarnation incarnation, long number)
@@ -15,7 +15,7 @@
 
   @Override
   public int compareTo(FiguresVersion other) {
-    int by = incarnation.compareTo(other.incarnation);
-    return by != 0 ? by : Long.compare(number, other.number);
+    int byIncarnation = incarnation.compareTo(other.incarnation);
+    return byIncarnation != 0 ? byIncarnation : Long.compare(number, other.number);
   }
 }
--- a/src/main/java/cobaltseam/sharing/KnownFigures.java
+++ b/src/main/java/cobaltseam/sharing/KnownFigures.java
@@ -3,9 +3,9 @@
 import cobaltseam.dispatch.TimeSpan;
 
 /**
- * What is known of a member now.
+ * The figures that are known of another member.
  *
- * @param version the version under which the member stated the figures
+ * @param version the version under which the member published the figures
  * @param age the largest age that they can have
  */
 public record KnownFigures(FiguresVersion version, MemberFigures figures, TimeSpan age) {}
--- a/src/main/java/cobaltseam/sharing/MemberFigures.java
+++ b/src/main/java/cobaltseam/sharing/MemberFigures.java
@@ -4,11 +4,11 @@
 import java.util.TreeMap;
 
 /**
- * The figures that one member states of itself, by name. A missing figure is unknown, not zero.
- * Figures of unknown names are passed on unchanged.
+ * The figures that one member publishes about itself, by name. A missing figure is unknown, not
+ * zero. Figures whose name this process doesn't know are passed on unchanged.
  */
 public record MemberFigures(Map<String, Long> byName) {
-  /** The largest number of figures: bounds the memory that a peer can make others use. */
+  /** The largest number of figures; it bounds the memory that a peer can make others use. */
   public static final int MAX_FIGURES = 256;
 
   /** The longest name of a figure, in characters. */
@@ -16,11 +16,12 @@
 
   public MemberFigures {
     if (byName.size() > MAX_FIGURES
-        || byName.keySet().stream().anyMatch(n -> n.isEmpty() || n.length() > MAX_NAME_LENGTH)) {
+        || byName.keySet().stream()
+            .anyMatch(name -> name.isEmpty() || name.length() > MAX_NAME_LENGTH)) {
       throw new IllegalArgumentException(
-          "at most "
+          "a member publishes at most "
               + MAX_FIGURES
-              + " figures, with names of 1 to "
+              + " figures, each with a name of 1 to "
               + MAX_NAME_LENGTH
               + " characters");
     }
--- a/src/main/java/cobaltseam/sharing/SharingMessage.java
+++ b/src/main/java/cobaltseam/sharing/SharingMessage.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** The messages of gossip. A reply counts only if it was requested. */
+/** The messages of {@link StateGossip}. A reply is ignored unless it was requested. */
 public sealed interface SharingMessage {
   /** The sender. */
   MemberName from();
 
-  /** The version that the requester knows of a member, and the largest age that it can have. */
+  /** The version of a member's figures that the requester knows, and the largest possible age. */
   record KnownVersion(FiguresVersion version, TimeSpan age) {
     public KnownVersion {
       Objects.requireNonNull(version);
@@ -20,8 +20,8 @@
   }
 
   /**
-   * Requests all statements that are newer than the known ones, or the same and younger. Of members
-   * that are not listed nothing is known.
+   * Requests all figures that are newer than the known ones, or that have the same version and were
+   * confirmed later. The requester knows nothing of members that are not listed.
    */
   record UpdateRequest(MemberName from, long id, Map<MemberName, KnownVersion> known)
       implements SharingMessage {
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Confirms a version that the requester knows: its member confirmed it no longer ago than the
-   * age.
+   * Confirms that a version that the requester knows is still current: the member itself last
+   * confirmed it no longer ago than the age.
    */
   record Reaffirmation(MemberName member, FiguresVersion version, TimeSpan age) {
     public Reaffirmation {
--- a/src/main/java/cobaltseam/sharing/SharingPeerMessage.java
+++ b/src/main/java/cobaltseam/sharing/SharingPeerMessage.java
@@ -4,16 +4,16 @@
 import cobaltseam.membership.PeerMessage;
 import java.util.Objects;
 
-/** A message of gossip with the header that every message between members has. */
+/** A {@link SharingMessage} with the header that every message between members has. */
 public sealed interface SharingPeerMessage extends PeerMessage {
-  /** The message of gossip. */
+  /** The message without its header. */
   SharingMessage body();
 
-  /** Adds a header to a message of gossip. */
-  static SharingPeerMessage of(MessageHeader from, SharingMessage told) {
-    return told instanceof SharingMessage.UpdateRequest ask
-        ? new SharingRequest(from, ask)
-        : new SharingReply(from, (SharingMessage.UpdateReply) told);
+  /** Adds a header to a message. */
+  static SharingPeerMessage of(MessageHeader from, SharingMessage message) {
+    return message instanceof SharingMessage.UpdateRequest request
+        ? new SharingRequest(from, request)
+        : new SharingReply(from, (SharingMessage.UpdateReply) message);
   }
 
   /** A request. */
--- a/src/main/java/cobaltseam/sharing/StateGossip.java
+++ b/src/main/java/cobaltseam/sharing/StateGossip.java
@@ -14,36 +14,37 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What the members of a view know of each other. It does no I/O: time, randomness and messages come
- * from the caller, who asks {@link #runRound} no later than {@link #nextRoundAt}.
+ * The figures that the members of a view know of each other. It does no I/O: time, randomness and
+ * messages come from the caller, who calls {@link #runRound} no later than {@link #nextRoundAt}.
  *
- * <p>Each member states figures of itself alone, under a rising version. In each round a few
- * others, drawn from the view, are asked for updates that are newer than what is known here.
- * Updates are pulled and not pushed, since then the delay of a message is bounded by this process's
- * own clock: the recorded age is the largest that it can be, however long messages were delayed. A
- * figure that has reached its maximum age is unknown. Figures of members outside the view are
- * dropped.
+ * <p>Each member publishes figures about itself only, under a rising version. In each round a few
+ * other members, sampled from the view, are asked for updates that are newer than what is known
+ * here. Updates are pulled and not pushed, since then the delay of a message is bounded by this
+ * process's own clock: the recorded age is the largest possible one, however long messages were
+ * delayed. A figure that has reached its maximum age is unknown. Figures of members outside the
+ * view are dropped.
  *
- * <p>Guards: a reply without a pending request (a replay, a late one) is ignored. Figures of this
- * process itself are ignored, but a higher version number under its own incarnation raises its next
- * one above it (a restart under the same incarnation).
+ * <p>A reply without a pending request is ignored, whether it is replayed or late. Figures of this
+ * process itself are ignored, but a higher version number under its own incarnation, which an
+ * earlier process used before a restart, raises the version number of this process above it.
  */
 public final class StateGossip {
-  /**
-   * Bytes of a statement without its figures; with those of a figure without its name it bounds the
-   * size of a message.
-   */
-  private static final int STATEMENT_BYTES = 64;
+  /** The estimated bytes of an update in a message, without its names and figures. */
+  private static final int UPDATE_BYTES = 64;
 
+  /** The estimated bytes of a figure in a message, without its name. */
   private static final int FIGURE_BYTES = 12;
+
+  /** The estimated bytes of a known version in a message, without the name of the member. */
   private static final int KNOWN_VERSION_BYTES = 24;
 
   /**
-   * Requests that wait for their reply: bounds the memory that silent peers can make this process
-   * use.
+   * The largest number of requests that wait for their reply; it bounds the memory that silent
+   * peers can make this process use.
    */
   private static final int MAX_PENDING_REQUESTS = 64;
 
+  /** The exclusive bound of the randomly generated first version number. */
   private static final long MAX_FIRST_NUMBER = 1L << 40;
 
   private static final class KnownState {
@@ -51,7 +52,8 @@
     MemberFigures figures;
 
     /**
-     * The earliest time, by this process's clock, at which its member can have confirmed it last.
+     * The earliest time, by this process's clock, at which the member itself can have confirmed
+     * this version last.
      */
     Timestamp confirmedAt;
   }
@@ -69,7 +71,7 @@
   private final Map<Long, PendingRequest> pending = new HashMap<>();
   private List<MemberName> others = List.of();
 
-  /** Members not asked yet in this turn: each is asked once before any is asked again. */
+  /** Members not asked yet in this cycle: each is asked once before any is asked again. */
   private final List<MemberName> notYetAsked = new ArrayList<>();
 
   private long versionNumber;
@@ -78,7 +80,7 @@
 
   /**
    * @param self the name of this member
-   * @param now the first round begins within one round from then
+   * @param now the current time; the first round begins within one round from it
    */
   public StateGossip(
       MemberName self,
@@ -90,18 +92,18 @@
     this.incarnation = incarnation;
     this.options = options;
     this.random = random;
-    // A process restarted under the same incarnation must not state other figures under a version
-    // that it used before.
+    // A process restarted under the same incarnation must not publish other figures under a version
+    // that an earlier process used.
     versionNumber = random.nextLong(MAX_FIRST_NUMBER);
     nextRoundAt = now.plus(options.round().times(random.nextDouble()));
   }
 
   /** Sets the members of the view; the figures of all others are dropped. */
   public void setView(Set<MemberName> members) {
-    others = members.stream().filter(m -> !m.equals(self)).sorted().toList();
+    others = members.stream().filter(member -> !member.equals(self)).sorted().toList();
     states.keySet().retainAll(new HashSet<>(others));
     notYetAsked.retainAll(new HashSet<>(others));
-    pending.values().removeIf(o -> !members.contains(o.member()));
+    pending.values().removeIf(request -> !members.contains(request.member()));
   }
 
   /** Sets the incarnation of this process. */
@@ -109,18 +111,18 @@
     incarnation = current;
   }
 
-  /** The figure of this name that this member states; 0 if it states none. */
-  public long ownFigure(String figure) {
-    return ownFigures == null ? 0 : ownFigures.byName().getOrDefault(figure, 0L);
+  /** The figure of this name that this member publishes; 0 if it publishes none. */
+  public long ownFigure(String name) {
+    return ownFigures == null ? 0 : ownFigures.byName().getOrDefault(name, 0L);
   }
 
-  /** Sets the figures that this member states. */
+  /** Sets the figures that this member publishes, under a new version. */
   public void setOwnFigures(MemberFigures figures) {
     ownFigures = figures;
     versionNumber++;
   }
 
-  /** When to ask {@link #runRound} next. */
+  /** When {@link #runRound} is to be called next. */
   public Timestamp nextRoundAt() {
     return nextRoundAt;
   }
@@ -130,11 +132,13 @@
     if (now.isBefore(nextRoundAt)) {
       return List.of();
     }
-    // After a pause there is one round, not all those that were missed.
+    // After a suspension of this process one round is run, and not each that was missed.
     nextRoundAt = now.plus(options.round());
-    pending.values().removeIf(o -> now.since(o.requestedAt()).compareTo(options.maxAge()) >= 0);
+    pending
+        .values()
+        .removeIf(request -> now.since(request.requestedAt()).compareTo(options.maxAge()) >= 0);
     states.values().removeIf(state -> age(state, now).compareTo(options.maxAge()) >= 0);
-    List<OutgoingMessage> sends = new ArrayList<>();
+    List<OutgoingMessage> requests = new ArrayList<>();
     for (int i = 0;
         i < Math.min(options.requestsPerRound(), others.size())
             && pending.size() < MAX_PENDING_REQUESTS;
@@ -145,16 +149,16 @@
       MemberName member = notYetAsked.remove(random.nextInt(notYetAsked.size()));
       long id = random.nextLong();
       pending.put(id, new PendingRequest(member, now));
-      sends.add(
+      requests.add(
           new OutgoingMessage(
               member, new SharingMessage.UpdateRequest(self, id, knownVersions(now))));
     }
-    return sends;
+    return requests;
   }
 
   /**
-   * The known versions, as many as fit a message; which are left out is drawn, so that none is left
-   * out for good.
+   * The known versions, as many as fit into a message. The omitted ones are sampled, so that none
+   * is omitted permanently.
    */
   private Map<MemberName, SharingMessage.KnownVersion> knownVersions(Timestamp now) {
     List<MemberName> names = new ArrayList<>(states.keySet());
@@ -182,13 +186,13 @@
       return List.of();
     }
     if (message instanceof SharingMessage.UpdateRequest request) {
-      return answer(request, now);
+      return createReplies(request, now);
     }
-    learn((SharingMessage.UpdateReply) message, now);
+    applyReply((SharingMessage.UpdateReply) message, now);
     return List.of();
   }
 
-  private List<OutgoingMessage> answer(SharingMessage.UpdateRequest request, Timestamp now) {
+  private List<OutgoingMessage> createReplies(SharingMessage.UpdateRequest request, Timestamp now) {
     List<FiguresUpdate> updates = new ArrayList<>();
     if (ownFigures != null) {
       updates.add(
@@ -198,28 +202,29 @@
     states.forEach(
         (name, state) ->
             updates.add(new FiguresUpdate(name, state.version, state.figures, age(state, now))));
-    List<OutgoingMessage> sends = new ArrayList<>();
+    List<OutgoingMessage> replies = new ArrayList<>();
     List<FiguresUpdate> newer = new ArrayList<>();
     List<SharingMessage.Reaffirmation> reaffirmations = new ArrayList<>();
     int bytes = 0;
-    for (FiguresUpdate statement : updates) {
-      SharingMessage.KnownVersion knownVersion = request.known().get(statement.member());
+    for (FiguresUpdate update : updates) {
+      SharingMessage.KnownVersion knownVersion = request.known().get(update.member());
       int comparison =
-          knownVersion == null ? -1 : knownVersion.version().compareTo(statement.version());
-      // An unchanged figure is reaffirmed only if that extends its life at the requester by a
-      // round.
-      boolean isYounger =
-          comparison == 0
-              && statement.age().plus(options.round()).compareTo(knownVersion.age()) < 0;
+          knownVersion == null ? -1 : knownVersion.version().compareTo(update.version());
+      // An unchanged version is reaffirmed only if that lets the requester keep it for at least a
+      // round longer.
+      boolean isReaffirmation =
+          comparison == 0 && update.age().plus(options.round()).compareTo(knownVersion.age()) < 0;
       if (comparison > 0
-          || comparison == 0 && !isYounger
-          || statement.age().compareTo(options.maxAge()) >= 0) {
+          || comparison == 0 && !isReaffirmation
+          || update.age().compareTo(options.maxAge()) >= 0) {
         continue;
       }
       int addedBytes =
-          isYounger ? KNOWN_VERSION_BYTES + statement.member().value().length() : bytes(statement);
+          isReaffirmation
+              ? KNOWN_VERSION_BYTES + update.member().value().length()
+              : estimateBytes(update);
       if (bytes > 0 && bytes + addedBytes > options.maxMessageBytes()) {
-        sends.add(
+        replies.add(
             new OutgoingMessage(
                 request.from(),
                 new SharingMessage.UpdateReply(self, request.id(), newer, reaffirmations)));
@@ -227,76 +232,75 @@
         reaffirmations.clear();
         bytes = 0;
       }
-      if (isYounger) {
+      if (isReaffirmation) {
         reaffirmations.add(
-            new SharingMessage.Reaffirmation(
-                statement.member(), statement.version(), statement.age()));
+            new SharingMessage.Reaffirmation(update.member(), update.version(), update.age()));
       } else {
-        newer.add(statement);
+        newer.add(update);
       }
       bytes += addedBytes;
     }
     if (bytes > 0) {
-      sends.add(
+      replies.add(
           new OutgoingMessage(
               request.from(),
               new SharingMessage.UpdateReply(self, request.id(), newer, reaffirmations)));
     }
-    return sends;
+    return replies;
   }
 
-  private static int bytes(FiguresUpdate statement) {
-    return STATEMENT_BYTES
-        + statement.member().value().length()
-        + statement.figures().byName().keySet().stream()
-            .mapToInt(n -> n.length() + FIGURE_BYTES)
+  private static int estimateBytes(FiguresUpdate update) {
+    return UPDATE_BYTES
+        + update.member().value().length()
+        + update.figures().byName().keySet().stream()
+            .mapToInt(name -> name.length() + FIGURE_BYTES)
             .sum();
   }
 
-  private void learn(SharingMessage.UpdateReply reply, Timestamp now) {
+  private void applyReply(SharingMessage.UpdateReply reply, Timestamp now) {
     PendingRequest request = pending.get(reply.id());
     if (request == null || !request.member().equals(reply.from())) {
       return;
     }
-    for (FiguresUpdate statement : reply.updates()) {
-      if (statement.member().equals(self)) {
-        // An earlier process of this incarnation used higher numbers: members that know them would
-        // ignore this one.
-        if (statement.version().incarnation().equals(incarnation)
-            && statement.version().number() > versionNumber) {
-          versionNumber = statement.version().number() + 1;
+    for (FiguresUpdate update : reply.updates()) {
+      if (update.member().equals(self)) {
+        // An earlier process of this incarnation used higher numbers. Members that know these would
+        // ignore the figures of this process.
+        if (update.version().incarnation().equals(incarnation)
+            && update.version().number() > versionNumber) {
+          versionNumber = update.version().number() + 1;
         }
         continue;
       }
-      KnownState state = states.get(statement.member());
-      if (!others.contains(statement.member())
-          || statement.age().us() < 0
-          || state != null && state.version.compareTo(statement.version()) >= 0) {
+      KnownState state = states.get(update.member());
+      if (!others.contains(update.member())
+          || update.age().us() < 0
+          || state != null && state.version.compareTo(update.version()) >= 0) {
         continue;
       }
-      Timestamp from = confirmedAt(request, statement.age());
-      if (now.since(from).compareTo(options.maxAge()) < 0) {
+      Timestamp confirmedAt = confirmedAt(request, update.age());
+      if (now.since(confirmedAt).compareTo(options.maxAge()) < 0) {
         KnownState fresh = new KnownState();
-        fresh.version = statement.version();
-        fresh.figures = statement.figures();
-        fresh.confirmedAt = from;
-        states.put(statement.member(), fresh);
+        fresh.version = update.version();
+        fresh.figures = update.figures();
+        fresh.confirmedAt = confirmedAt;
+        states.put(update.member(), fresh);
       }
     }
-    for (SharingMessage.Reaffirmation statement : reply.reaffirmations()) {
-      KnownState state = states.get(statement.member());
+    for (SharingMessage.Reaffirmation reaffirmation : reply.reaffirmations()) {
+      KnownState state = states.get(reaffirmation.member());
       if (state != null
-          && statement.age().us() >= 0
-          && state.version.equals(statement.version())
-          && state.confirmedAt.isBefore(confirmedAt(request, statement.age()))) {
-        state.confirmedAt = confirmedAt(request, statement.age());
+          && reaffirmation.age().us() >= 0
+          && state.version.equals(reaffirmation.version())
+          && state.confirmedAt.isBefore(confirmedAt(request, reaffirmation.age()))) {
+        state.confirmedAt = confirmedAt(request, reaffirmation.age());
       }
     }
   }
 
   /**
-   * When a figure of the stated age was confirmed at the earliest: the reply was sent after the
-   * request, and the sender's clock may run at another rate.
+   * The earliest time at which a figure of the reported age was confirmed. It counts from the
+   * request, as the reply was sent later, and allows for another rate of the sender's clock.
    */
   private Timestamp confirmedAt(PendingRequest request, TimeSpan age) {
     return request.requestedAt().minus(age.times(1 + 2 * options.maxClockRateRatio()));
@@ -306,7 +310,7 @@
     return now.since(state.confirmedAt);
   }
 
-  /** What is known of a member now; null if nothing is, or it has reached its maximum age. */
+  /** The figures that are known of another member; null if none are, or if they are too old. */
   public KnownFigures figuresOf(MemberName member, Timestamp now) {
     KnownState state = states.get(member);
     return state == null || age(state, now).compareTo(options.maxAge()) >= 0
@@ -315,15 +319,15 @@
   }
 
   /**
-   * The sum of one figure over the members of which it is known, with the number of members of
-   * which it is not: a caller must not take these for zero.
+   * The sum of one figure over the members of which it is known. The result also holds the number
+   * of members of which it is unknown, as a caller must not take these for zero.
    */
-  public FigureSum sum(String figure, Timestamp now) {
-    long sum = ownFigures == null ? 0 : ownFigures.byName().getOrDefault(figure, 0L);
-    int counted = ownFigures != null && ownFigures.byName().containsKey(figure) ? 1 : 0;
+  public FigureSum sum(String name, Timestamp now) {
+    long sum = ownFigures == null ? 0 : ownFigures.byName().getOrDefault(name, 0L);
+    int counted = ownFigures != null && ownFigures.byName().containsKey(name) ? 1 : 0;
     for (MemberName member : others) {
-      KnownFigures state = figuresOf(member, now);
-      Long value = state == null ? null : state.figures().byName().get(figure);
+      KnownFigures known = figuresOf(member, now);
+      Long value = known == null ? null : known.figures().byName().get(name);
       if (value != null) {
         sum += value;
         counted++;
@@ -332,7 +336,12 @@
     return new FigureSum(sum, counted, others.size() + 1 - counted);
   }
 
-  /** A sum over members, how many it counts and how many are unknown. */
+  /**
+   * A sum over members.
+   *
+   * @param counted the number of members that the sum includes
+   * @param unknown the number of members of which the figure is unknown
+   */
   public record FigureSum(long sum, int counted, int unknown) {}
 
   /** The number of other members with known figures; bounded by the view. */
