--- a/src/main/java/cobaltseam/dispatch/EngineHealth.java
+++ b/src/main/java/cobaltseam/dispatch/EngineHealth.java
@@ -160,8 +160,8 @@
     if (now.equals(decayedAt)) {
       return;
     }
-    // A suspended process reads answers late: latencies measured then say nothing about the
-    // engines.
+    // A process that was suspended reads answers late, and the latencies that it measures then say
+    // nothing about the engines.
     isCallOverdue =
         nextCallDue != null && now.since(nextCallDue).compareTo(settings.refreshInterval()) > 0;
     double elapsedObjectives =
@@ -212,8 +212,8 @@
         loadSamples.isEmpty()
             ? PolicyConstants.MAX_OBSERVATION_RATIO
             : loadSamples.mean() * meanThreads / PolicyConstants.THREADS_PER_CORE;
-    // Engines report load only with answers: those that fail or do not respond must not appear
-    // idle.
+    // Engines report load only with answers: those that fail or do not respond must not appear to
+    // be idle.
     utilization += Math.max(0, 1 - utilization) * meanFailureRate;
   }
 
--- a/src/test/java/cobaltseam/dispatch/BlockedAttemptTest.java
+++ b/src/test/java/cobaltseam/dispatch/BlockedAttemptTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void requestBlockedOnAllEnginesKeepsItsAttempts() {
+  void requestBlockedOnAllEnginesDoesNotUseUpItsAttempts() {
     // Loads on both engines block the request: alternating between them would use up all attempts
     // within milliseconds.
     DispatcherDriver driver = newDriver(WITH_REPORTS, 1, 1, 2);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void blockedAttemptThatMustNotRunTwiceStays() {
+  void blockedAttemptThatIsNotIdempotentIsNotCancelled() {
     // No cancellation is scheduled for the attempt that could be moved to an earlier time.
     RequestClass notIdempotent =
         requestClass("p", 1, RetrySafety.NOT_IDEMPOTENT, DeduplicationScope.ALL, false, null, null);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void blockedAttemptStaysWithoutAnotherEngine() {
+  void blockedAttemptIsNotCancelledWithoutAnotherEngine() {
     DispatcherDriver driver = newDriver(WITH_REPORTS, 1, 1);
     SentAttempt attempt = submitOne(driver);
     driver.dispatcher.markBlocked(attempt.request().id(), attempt.number(), driver.now);
--- a/src/test/java/cobaltseam/dispatch/DispatchRulesModelTest.java
+++ b/src/test/java/cobaltseam/dispatch/DispatchRulesModelTest.java
@@ -241,9 +241,8 @@
     for (RequestClass requestClass : allClasses) {
       requestClasses.put(requestClass.id(), requestClass);
     }
-    // Some seeds have hundreds of dispatchers, tens of engines, a dispatcher that is suspended, or
-    // lost
-    // answers.
+    // Some seeds have hundreds of dispatchers, tens of engines, lost answers, or a dispatcher that
+    // is suspended.
     dispatchers = seed % 4 == 0 ? 300 : 3;
     engines = seed % 4 < 2 ? 40 : 6;
     driver =
--- a/src/test/java/cobaltseam/dispatch/EngineChoiceTest.java
+++ b/src/test/java/cobaltseam/dispatch/EngineChoiceTest.java
@@ -34,9 +34,8 @@
 
   @Test
   void engineWithMostBudgetLeftPerCoreIsChosen() {
-    // Engine 3 has half the cores: with one thread in use on each engine, it has less budget left
-    // per
-    // core.
+    // Engine 3 has half the cores: with one thread in use on each engine, less budget per core is
+    // left there.
     DispatcherDriver driver = newDriver(0, 1, 1, 3, 4);
     for (int i = 0; i < 6; i++) {
       driver.submit("p", WORK_US);
--- a/src/test/java/cobaltseam/dispatch/LoadSheddingTest.java
+++ b/src/test/java/cobaltseam/dispatch/LoadSheddingTest.java
@@ -192,7 +192,7 @@
   }
 
   @Test
-  void shedHasNoRetryAfterWhereTheDeploymentAllowsNone() {
+  void shedRequestHasNoRetryDelayWhereTheDeploymentAllowsNone() {
     DispatcherDriver driver = newDriver(NO_CANCEL, 2, 1);
     driver.submit("p", WORK_US);
     // Every attempt is rejected before it runs until none is left; then the request is given up.
--- a/src/test/java/cobaltseam/dispatch/OutlierDetectionTest.java
+++ b/src/test/java/cobaltseam/dispatch/OutlierDetectionTest.java
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void hangingEngineIsNotRefilledAsItsAttemptsTimeOut() {
+  void hangingEngineReceivesFewRequestsWhileItsAttemptsTimeOut() {
     DispatcherDriver driver = newDriver(0, 2, 1, 4, 5, 6);
     answerRequests(driver, 30, WORK_US);
     int attemptsBefore = driver.attempts.size();
