--- a/src/test/java/cobaltseam/dispatch/LoadSheddingTest.java
+++ b/src/test/java/cobaltseam/dispatch/LoadSheddingTest.java
@@ -183,8 +183,7 @@
   @Test
   void failingEnginesDoNotCountAsSpareCapacity() {
     // Engines report load only with answers: a pool in which most attempts fail must not appear
-    // idle
-    // because of the others.
+    // idle because of the others.
     long shedWhileSlow = shedOnArrival(false);
     long shedWhileFailing = shedOnArrival(true);
     assertEquals(0, shedWhileSlow, "answers are slow, but all engines report capacity");
