--- a/src/main/java/cobaltseam/service/ClientConnections.java
+++ b/src/main/java/cobaltseam/service/ClientConnections.java
@@ -230,7 +230,7 @@
       timers.cancel(client.pauseTimer);
       client.pendingMessages.forEach(message -> input.release(message.sizeBytes()));
       client.pendingMessages.clear();
-      requests.clientLeft(client.requestKey);
+      requests.clientDisconnected(client.requestKey);
       client.requestKey = SlotTable.NONE;
       releaseStatement(client);
     }
@@ -257,7 +257,7 @@
    * Admits no more requests at these local addresses: queued ones are shed, those sent are awaited
    * and answered. Where sessions end with it, each is closed as soon as no answer is owed on it.
    */
-  void standDown(Predicate<SocketAddress> at, boolean endsSessions) {
+  void withdrawRequests(Predicate<SocketAddress> at, boolean endsSessions) {
     slots.forEach(
         client -> {
           if (at.test(client.session.getLocalAddress())) {
--- a/src/main/java/cobaltseam/service/ClientSession.java
+++ b/src/main/java/cobaltseam/service/ClientSession.java
@@ -129,7 +129,7 @@
   }
 
   @Override
-  public boolean hasClientLeft() {
+  public boolean isClientDisconnected() {
     return session.isClosing() || listener.isCancelPending(this);
   }
 
--- a/src/main/java/cobaltseam/service/ClientSessions.java
+++ b/src/main/java/cobaltseam/service/ClientSessions.java
@@ -115,8 +115,8 @@
    * Admits no more requests at these local addresses: queued ones are shed, those sent are awaited
    * and answered. Where sessions end with it, each is closed as soon as no answer is owed on it.
    */
-  void standDown(Predicate<SocketAddress> at, boolean endsSessions) {
-    connections.standDown(at, endsSessions);
+  void withdrawRequests(Predicate<SocketAddress> at, boolean endsSessions) {
+    connections.withdrawRequests(at, endsSessions);
   }
 
   /**
@@ -253,7 +253,7 @@
             client.requestKey = SlotTable.NONE;
             connections.setBusy(client, false);
             connections.releaseStatement(client);
-            requests.clientLeft(requestKey);
+            requests.clientDisconnected(requestKey);
             processPending(client);
             connections.closeIfIdle(client);
           }
--- a/src/main/java/cobaltseam/service/InFlightRequest.java
+++ b/src/main/java/cobaltseam/service/InFlightRequest.java
@@ -27,7 +27,7 @@
   }
 
   /** Whether the client has left, though the event loop has not processed that yet. */
-  boolean hasClientLeft() {
-    return responseHandle != null && responseHandle.hasClientLeft();
+  boolean isClientDisconnected() {
+    return responseHandle != null && responseHandle.isClientDisconnected();
   }
 }
--- a/src/main/java/cobaltseam/service/RequestTable.java
+++ b/src/main/java/cobaltseam/service/RequestTable.java
@@ -172,15 +172,15 @@
 
   /** Has the decision module place a request, unless its client has left: then nothing is sent. */
   private void place(InFlightRequest inFlight, Request request) {
-    if (inFlight.hasClientLeft()) {
-      clientLeft(inFlight.key);
+    if (inFlight.isClientDisconnected()) {
+      clientDisconnected(inFlight.key);
     } else {
       decide(inFlight, () -> dispatcher.place(request, clock.now()));
     }
   }
 
   /** The client of this request has left or cancelled it: it gets no answer. */
-  void clientLeft(long key) {
+  void clientDisconnected(long key) {
     InFlightRequest request = slots.get(key);
     if (request == null || request.responseHandle == null) {
       return;
@@ -233,7 +233,7 @@
     return request != null
         && request.attempt == attempt
         && request.responseHandle != null
-        && !request.hasClientLeft();
+        && !request.isClientDisconnected();
   }
 
   @Override
--- a/src/main/java/cobaltseam/service/ResponseHandle.java
+++ b/src/main/java/cobaltseam/service/ResponseHandle.java
@@ -18,7 +18,7 @@
 
   /**
    * Whether nobody waits any more, as far as the I/O thread has read; this may be known before
-   * {@link RequestTable#clientLeft} is called.
+   * {@link RequestTable#clientDisconnected} is called.
    */
-  boolean hasClientLeft();
+  boolean isClientDisconnected();
 }
--- a/src/main/java/cobaltseam/service/VirtualAddressService.java
+++ b/src/main/java/cobaltseam/service/VirtualAddressService.java
@@ -412,9 +412,9 @@
   private void stopServing(VirtualRouterId router) {
     InetSocketAddress address = listeners.addressOf(router);
     listeners.close(router);
-    clients.standDown(address::equals, true);
+    clients.withdrawRequests(address::equals, true);
     if (!mastership.isActive()) {
-      clients.standDown(at -> !listeners.isVirtual(at), false);
+      clients.withdrawRequests(at -> !listeners.isVirtual(at), false);
     }
   }
 
@@ -434,8 +434,8 @@
     hasFailed = true;
     timers.cancel(wakeTimer);
     listeners.closeAll();
-    clients.standDown(listeners::isVirtual, true);
-    clients.standDown(at -> !listeners.isVirtual(at), false);
+    clients.withdrawRequests(listeners::isVirtual, true);
+    clients.withdrawRequests(at -> !listeners.isVirtual(at), false);
   }
 
   // ---- callbacks of the listeners
--- a/src/test/java/cobaltseam/service/AnswerRaceTest.java
+++ b/src/test/java/cobaltseam/service/AnswerRaceTest.java
@@ -25,7 +25,7 @@
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    TestClient client = new TestClient(look(1, 10_000));
+    TestClient client = new TestClient(idempotentStatement(1, 10_000));
     Message pull = poll(one, two);
     CountDownLatch held = holdUpSockets();
     answerWell(pull);
@@ -41,7 +41,7 @@
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    TestClient client = new TestClient(look(1, 20_000));
+    TestClient client = new TestClient(idempotentStatement(1, 20_000));
     Message first = poll(one, two);
     first.answer(first.id(), "200", "pages=2", ROWS);
     assertEquals("SCROLL", poll(one, two).items().get(0));
@@ -57,7 +57,7 @@
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    TestClient client = new TestClient(command("once", 1, 20_000));
+    TestClient client = new TestClient(statement("once", 1, 20_000));
     Message first = poll(one, two);
     first.write("*4\r\n$16\r\n" + first.id().substring(0, 7));
     first.reset();
@@ -75,7 +75,7 @@
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    TestClient client = new TestClient(look(1, 20_000));
+    TestClient client = new TestClient(idempotentStatement(1, 20_000));
     Message first = poll(one, two);
     first.write("*4\r\n$16\r\n" + first.id() + "\r\n$3\r\n200\r\n$7\r\npages=1\r\n$48000\r\nhalf");
     Message again = poll(one, two);
@@ -102,7 +102,7 @@
             "",
             first.formatted("ID", 1, 48_000, "half"),
             first.formatted("ID", 2, ROWS.length(), ROWS + "\r\n"))) {
-      client.query(client.out, command("once", ++call, 1500));
+      client.query(client.out, statement("once", ++call, 1500));
       Message pull = poll(one, two);
       pull.write(part.replace("ID", pull.id()));
       assertEquals(List.of("error 58"), client.readReplies(), part);
@@ -125,14 +125,14 @@
   void aConnectionResetWhileIdleIsNotReused() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(command("once", 1, 20_000));
+    TestClient client = new TestClient(statement("once", 1, 20_000));
     Message first = engine.next("PULL");
     answerWell(first);
     assertEquals("SELECT 2", client.readReplies().get(2));
     first.reset();
     engine.next("closed");
     await(client, "engine_connections_closed|1");
-    client.query(client.out, command("once", 2, 20_000));
+    client.query(client.out, statement("once", 2, 20_000));
     Message second = engine.next("PULL");
     assertNotEquals(first.from(), second.from());
     answerWell(second);
@@ -144,11 +144,11 @@
   void aLateSecondAnswerIsNotTakenForThatOfTheNextRequest() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(command("once", 1, 20_000));
+    TestClient client = new TestClient(statement("once", 1, 20_000));
     Message first = engine.next("PULL");
     answerWell(first);
     assertEquals("SELECT 2", client.readReplies().get(2));
-    client.query(client.out, command("once", 2, 20_000));
+    client.query(client.out, statement("once", 2, 20_000));
     Message second = engine.next("PULL");
     assertEquals(first.from(), second.from());
     first.answer(first.id(), "200", "pages=1", "wrong\t0\tx\n");
--- a/src/test/java/cobaltseam/service/AttemptRaceTest.java
+++ b/src/test/java/cobaltseam/service/AttemptRaceTest.java
@@ -15,11 +15,16 @@
     EmulatedPeer sound = new EmulatedPeer(true);
     UnreachableEngine crowded = new UnreachableEngine();
     EmulatedPeer bus =
-        start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
+        start(
+            ServiceRig::withLongConnectTimeout,
+            SOCKETS,
+            IDLE_MS,
+            sound.address(),
+            crowded.address());
     Message watch = bus.next("from 7");
-    TestClient client = new TestClient(command("once", 1, 20_000));
+    TestClient client = new TestClient(statement("once", 1, 20_000));
     await(new TestClient(), "sends|1");
-    watch.write(event(8, false, target(2, crowded.address(), "terminating")) + "\n");
+    watch.write(endpointEvent(8, false, endpointJson(2, crowded.address(), "terminating")) + "\n");
     await(new TestClient(), "bus_events|1");
     EmulatedPeer drained = crowded.relieve();
     Message pull = sound.next("PULL");
@@ -34,14 +39,19 @@
     EmulatedPeer sound = new EmulatedPeer(true);
     UnreachableEngine crowded = new UnreachableEngine();
     EmulatedPeer bus =
-        start(ServiceRig::patient, SOCKETS, IDLE_MS, sound.address(), crowded.address());
+        start(
+            ServiceRig::withLongConnectTimeout,
+            SOCKETS,
+            IDLE_MS,
+            sound.address(),
+            crowded.address());
     Message watch = bus.next("from 7");
-    TestClient client = new TestClient(command("once", 1, 20_000));
+    TestClient client = new TestClient(statement("once", 1, 20_000));
     await(new TestClient(), "sends|1");
     String anew =
-        target(2, crowded.address(), "in_service")
+        endpointJson(2, crowded.address(), "in_service")
             .replace("\"boot_ms\":0", "\"boot_ms\":" + System.currentTimeMillis());
-    watch.write(event(8, false, anew) + "\n");
+    watch.write(endpointEvent(8, false, anew) + "\n");
     await(new TestClient(), "sends_unreachable|1");
     Message pull = poll(sound, crowded.relieve());
     pull.answer(pull.id(), "200", "pages=1", ROWS);
@@ -57,7 +67,7 @@
     EmulatedPeer first = new EmulatedPeer(true);
     start(
         configuration ->
-            patient(configuration)
+            withLongConnectTimeout(configuration)
                 .replace(
                     "\"repeat\":\"non_idempotent\"",
                     "\"repeat\":\"idempotency_key\",\"key_scope\":\"all\",\"window_us\":800000"),
@@ -65,7 +75,7 @@
         IDLE_MS,
         crowded.address(),
         first.address());
-    TestClient client = new TestClient(command("once", 1, 20_000));
+    TestClient client = new TestClient(statement("once", 1, 20_000));
     first.next("PULL").reset();
     first.next("closed");
     await(new TestClient(), "sends|2");
@@ -91,7 +101,7 @@
         one.address(),
         two.address());
     TestClient client =
-        new TestClient(command("once", 1, 20_000).replace("op=", "dedupe=k-7f:01,op="));
+        new TestClient(statement("once", 1, 20_000).replace("op=", "dedupe=k-7f:01,op="));
     Message first = poll(one, two);
     assertTrue(first.items().get(2).endsWith(",dedupe=k-7f:01"), first.items().get(2));
     first.reset();
@@ -107,10 +117,13 @@
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient();
-    assertEquals(List.of("error 42"), client.ask(look(1, 3000).replace("op=", "dedupe=a b,op=")));
     assertEquals(
         List.of("error 42"),
-        client.ask(look(1, 3000).replace("op=", "dedupe=" + "k".repeat(129) + ",op=")));
+        client.ask(idempotentStatement(1, 3000).replace("op=", "dedupe=a b,op=")));
+    assertEquals(
+        List.of("error 42"),
+        client.ask(
+            idempotentStatement(1, 3000).replace("op=", "dedupe=" + "k".repeat(129) + ",op=")));
     assertTrue(engine.received.isEmpty());
   }
 
@@ -119,7 +132,7 @@
   void anEngineThatFloodsWithUnsolicitedAnswersLosesItsConnection() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(look(1, 3000));
+    TestClient client = new TestClient(idempotentStatement(1, 3000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
@@ -131,7 +144,7 @@
       assertTrue(service.completedRequests() > 0, "closed while it was still answering");
     }
     engine.next("closed");
-    client.query(client.out, look(2, 3000));
+    client.query(client.out, idempotentStatement(2, 3000));
     Message next = engine.next("PULL");
     next.answer(next.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
--- a/src/test/java/cobaltseam/service/ClientDepartureRaceTest.java
+++ b/src/test/java/cobaltseam/service/ClientDepartureRaceTest.java
@@ -28,7 +28,7 @@
    * capacity.
    */
   private static String heavy(int call) {
-    return command("once", call, 20_000).replace("work=100", "work=5000");
+    return statement("once", call, 20_000).replace("work=100", "work=5000");
   }
 
   /**
@@ -41,7 +41,7 @@
     TestClient watch = new TestClient();
     TestClient leaver = new TestClient();
     CountDownLatch held = holdUpSockets();
-    leaver.query(leaver.out, look(1, 10_000));
+    leaver.query(leaver.out, idempotentStatement(1, 10_000));
     leaver.close();
     held.countDown();
     await(watch, "clients_closed|1");
@@ -55,7 +55,7 @@
     TestClient watch = new TestClient();
     TestClient leaver = new TestClient();
     CountDownLatch held = holdUp();
-    leaver.query(leaver.out, look(1, 10_000));
+    leaver.query(leaver.out, idempotentStatement(1, 10_000));
     awaitRead();
     leaver.close();
     awaitRead();
@@ -143,7 +143,7 @@
   @Test
   void anAttemptThatWaitsForAConnectionWhenItsClientLeavesIsNeverWritten() throws Exception {
     UnreachableEngine crowded = new UnreachableEngine();
-    start(ServiceRig::patient, SOCKETS, IDLE_MS, crowded.address());
+    start(ServiceRig::withLongConnectTimeout, SOCKETS, IDLE_MS, crowded.address());
     TestClient watch = new TestClient();
     TestClient leaver = new TestClient(heavy(1));
     await(watch, "sends|1");
@@ -159,7 +159,7 @@
   @Test
   void anAttemptIsNotWrittenIfItsClientsEndIsReadAndNotProcessed() throws Exception {
     UnreachableEngine crowded = new UnreachableEngine();
-    start(ServiceRig::patient, SOCKETS, IDLE_MS, crowded.address());
+    start(ServiceRig::withLongConnectTimeout, SOCKETS, IDLE_MS, crowded.address());
     TestClient watch = new TestClient();
     TestClient leaver = new TestClient(heavy(1));
     await(watch, "sends|1");
@@ -183,7 +183,7 @@
     EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
     TestClient watch = new TestClient();
-    TestClient leaver = new TestClient(look(1, 20_000));
+    TestClient leaver = new TestClient(idempotentStatement(1, 20_000));
     Message pull = poll(one, two);
     CountDownLatch held = holdUp();
     pull.reset();
@@ -205,7 +205,7 @@
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    TestClient client = new TestClient(look(1, 20_000));
+    TestClient client = new TestClient(idempotentStatement(1, 20_000));
     Message pull = poll(one, two);
     try (Socket cancel = new Socket(service.address().getAddress(), service.address().getPort())) {
       await(new TestClient(), "clients_opened|3");
@@ -221,7 +221,7 @@
       await(watch, "commands_departed|1");
       assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|1"), "it was sent again");
     }
-    client.query(client.out, look(2, 20_000));
+    client.query(client.out, idempotentStatement(2, 20_000));
     Message next = poll(one, two);
     assertEquals("%016x".formatted(2), next.id());
     next.answer(next.id(), "200", "pages=1", ROWS);
@@ -242,7 +242,7 @@
     List<TestClient> leavers = new ArrayList<>();
     List<Message> out = new ArrayList<>();
     for (int i = 0; i < PAIRS; i++) {
-      leavers.add(new TestClient(look(i, 20_000)));
+      leavers.add(new TestClient(idempotentStatement(i, 20_000)));
       out.add(poll(one, two));
     }
     CountDownLatch held = holdUpSockets();
@@ -358,7 +358,7 @@
     CountDownLatch held = holdUpSockets();
     for (int i = 0; i < PAIRS; i++) {
       TestClient client = clients.get(i);
-      client.query(client.out, command("once", i, 20_000));
+      client.query(client.out, statement("once", i, 20_000));
       cancels.get(i).getOutputStream().write(client.cancelRequest());
     }
     held.countDown();
@@ -376,7 +376,7 @@
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient slow = new TestClient();
-    byte[] statement = message(look(1, 10_000));
+    byte[] statement = queryMessage(idempotentStatement(1, 10_000));
     int pieces = 8;
     for (int i = 0; i < pieces; i++) {
       // The duration itself is tested: the statement takes longer than a silent client may stay
--- a/src/test/java/cobaltseam/service/ClientSessionsTest.java
+++ b/src/test/java/cobaltseam/service/ClientSessionsTest.java
@@ -27,7 +27,7 @@
     boolean closed = false;
     while (!closed && asked < 2000) {
       try {
-        lazy.query(lazy.out, look(++asked, 3000));
+        lazy.query(lazy.out, idempotentStatement(++asked, 3000));
       } catch (SocketException e) {
         closed = true;
       }
@@ -40,7 +40,7 @@
       }
     }
     assertTrue(closed, "it was never closed");
-    TestClient other = new TestClient(look(9999, 3000));
+    TestClient other = new TestClient(idempotentStatement(9999, 3000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", other.readReplies().get(2));
@@ -52,9 +52,10 @@
     start(engine);
     TestClient client = new TestClient();
     assertEquals(List.of("error 42"), client.ask("SELECT 1"));
-    assertEquals(List.of("error 42"), client.ask(command("unknown", 1, 100)));
+    assertEquals(List.of("error 42"), client.ask(statement("unknown", 1, 100)));
     assertEquals(
-        List.of("error 42"), client.ask(command("look", 1, 100).replace("op=", "org=nobody,op=")));
+        List.of("error 42"),
+        client.ask(statement("look", 1, 100).replace("op=", "org=nobody,op=")));
     client.out.write(new byte[] {'P', 0, 0, 0, 8, 'x', 0, 0, 0, 'S', 0, 0, 0, 4});
     assertEquals(List.of("error 0A"), client.readReplies());
     TestClient other = new TestClient();
@@ -78,7 +79,7 @@
     List<TestClient> long0 = new ArrayList<>();
     TestClient usual = new TestClient();
     for (int i = 0; i < 300; i++) {
-      usual.query(to, look(5000 + i, 3000));
+      usual.query(to, idempotentStatement(5000 + i, 3000));
     }
     for (int i = 0; i < 3; i++) {
       TestClient client = new TestClient();
@@ -128,11 +129,11 @@
   void idleConnectionsAreEvictedForNewOnes() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(48, IDLE_MS, engine);
-    TestClient open = new TestClient(look(1, 10_000));
+    TestClient open = new TestClient(idempotentStatement(1, 10_000));
     Message first = engine.next("PULL");
     List<TestClient> stayed = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      TestClient client = new TestClient(look(100 + i, 3000));
+      TestClient client = new TestClient(idempotentStatement(100 + i, 3000));
       Message pull = engine.next("PULL");
       pull.answer(pull.id(), "200", "pages=1", ROWS);
       assertEquals("SELECT 2", client.readReplies().get(2));
@@ -163,7 +164,7 @@
     CountDownLatch held = holdUp();
     Socket another = new Socket(service.address().getAddress(), service.address().getPort());
     Thread.sleep(200);
-    idle.get(0).query(idle.get(0).out, look(1, 10_000));
+    idle.get(0).query(idle.get(0).out, idempotentStatement(1, 10_000));
     Thread.sleep(200);
     held.countDown();
     Message pull = engine.next("PULL");
@@ -184,7 +185,7 @@
         silent.get(i).getOutputStream().write(new byte[] {0, 0, 0, 9, 0, 3, 0, 0});
       }
     }
-    TestClient client = new TestClient(look(1, 3000));
+    TestClient client = new TestClient(idempotentStatement(1, 3000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
@@ -210,7 +211,7 @@
     assertTrue(
         System.nanoTime() - from >= TimeUnit.MILLISECONDS.toNanos(150),
         "it would be refused without end");
-    client.query(client.out, look(1, 5000));
+    client.query(client.out, idempotentStatement(1, 5000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
@@ -220,7 +221,7 @@
   void aCancelledOrAbandonedRequestGetsNoAnswer() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(look(1, 3000));
+    TestClient client = new TestClient(idempotentStatement(1, 3000));
     Message pull = engine.next("PULL");
     try (Socket cancel = new Socket(service.address().getAddress(), service.address().getPort())) {
       cancel.getOutputStream().write(client.cancelRequest());
@@ -228,11 +229,11 @@
     }
     assertEquals("closed", engine.next().items().get(0));
     assertTrue(pull.from().getInputStream().read() < 0);
-    client.query(client.out, look(2, 3000));
+    client.query(client.out, idempotentStatement(2, 3000));
     Message second = engine.next("PULL");
     second.answer(second.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2), "the only answer is that of the second");
-    client.query(client.out, look(3, 3000));
+    client.query(client.out, idempotentStatement(3, 3000));
     engine.next("PULL");
     client.close();
     assertEquals("closed", engine.next().items().get(0));
--- a/src/test/java/cobaltseam/service/ConfigurationReloadTest.java
+++ b/src/test/java/cobaltseam/service/ConfigurationReloadTest.java
@@ -26,11 +26,11 @@
     Message from = bus.next();
     assertEquals("from 7", from.items().get(0));
     String change =
-        event(
+        endpointEvent(
             8,
             false,
-            target(1, old.address(), "terminated"),
-            target(2, fresh.address(), "in_service"));
+            endpointJson(1, old.address(), "terminated"),
+            endpointJson(2, fresh.address(), "in_service"));
     from.write(change.substring(0, 30));
     from.write(change.substring(30) + "\nno json\n8\n");
     from.write("10\n");
@@ -41,7 +41,7 @@
     anew.reset();
     bus.next("closed");
     assertEquals("from 8", bus.next().items().get(0));
-    TestClient client = new TestClient(look(1, 3000));
+    TestClient client = new TestClient(idempotentStatement(1, 3000));
     Message pull = fresh.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
@@ -58,7 +58,8 @@
     try {
       service.reloadOnHangUp(Map.of("GW_CONFIG", file.toString()));
       String bad =
-          configuration("127.0.0.1:80", SOCKETS, IDLE_MS).replace("\"limits\"", "\"limitless\"");
+          configurationJson("127.0.0.1:80", SOCKETS, IDLE_MS)
+              .replace("\"limits\"", "\"limitless\"");
       TestClient client = new TestClient();
       int raised = 0;
       for (String unusable : List.of("", "{", bad)) {
@@ -67,18 +68,19 @@
         await(client, "configurations_unusable|" + ++raised);
       }
       EmulatedPeer bus = new EmulatedPeer(false);
-      Files.writeString(file, configuration(bus.address(), SOCKETS, IDLE_MS));
+      Files.writeString(file, configurationJson(bus.address(), SOCKETS, IDLE_MS));
       Signal.raise(new Signal("HUP"));
       Message from = bus.next("from 7");
       old.next("closed");
-      from.write(event(8, false, target(1, engine.address(), "in_service")) + "\n");
-      client.query(client.out, look(1, 3000));
+      from.write(endpointEvent(8, false, endpointJson(1, engine.address(), "in_service")) + "\n");
+      client.query(client.out, idempotentStatement(1, 3000));
       Message pull = engine.next("PULL");
       pull.answer(pull.id(), "200", "pages=1", ROWS);
       assertEquals("SELECT 2", client.readReplies().get(2));
       Files.writeString(
           file,
-          configuration(bus.address(), SOCKETS, IDLE_MS).replace("\"offset\":7", "\"offset\":9"));
+          configurationJson(bus.address(), SOCKETS, IDLE_MS)
+              .replace("\"offset\":7", "\"offset\":9"));
       Signal.raise(new Signal("HUP"));
       await(client, "configurations_read|2");
       from.reset();
@@ -100,7 +102,8 @@
       service.reloadOnHangUp(Map.of("GW_CONFIG", file.toString()));
       // First latency objectives so long that a slow machine sheds nothing.
       String as =
-          configuration(bus.address(), SOCKETS, IDLE_MS, target(1, engine.address(), "in_service"))
+          configurationJson(
+                  bus.address(), SOCKETS, IDLE_MS, endpointJson(1, engine.address(), "in_service"))
               .replace("500000,\"hard_limit_us\":3000000", "30000000,\"hard_limit_us\":60000000");
       TestClient watch = new TestClient();
       Files.writeString(file, as);
@@ -111,7 +114,7 @@
       // Eight threads: eight requests are in flight and two queued.
       for (int i = 1; i <= 10; i++) {
         TestClient client = new TestClient();
-        client.query(client.out, command("once", i, 60_000).replace("work=100", "work=5000"));
+        client.query(client.out, statement("once", i, 60_000).replace("work=100", "work=5000"));
         busy.add(client);
         if (i <= 8) {
           pulls.add(engine.next("PULL"));
@@ -123,7 +126,7 @@
       await(watch, "configurations_moved|2");
       assertEquals(
           List.of("error 42"),
-          watch.ask(command("once", 20, 3000)),
+          watch.ask(statement("once", 20, 3000)),
           "the new settings know it no more");
       for (Message pull : pulls) {
         pull.answer(pull.id(), "200", "pages=1", "");
@@ -139,7 +142,7 @@
       Files.writeString(file, as);
       Signal.raise(new Signal("HUP"));
       await(watch, "configurations_moved|3");
-      watch.query(watch.out, command("once", 21, 3000));
+      watch.query(watch.out, statement("once", 21, 3000));
       Message pull = engine.next("PULL");
       pull.answer(pull.id(), "200", "pages=1", "");
       assertEquals(List.of("SELECT 0"), watch.readReplies());
@@ -151,7 +154,8 @@
   @Test
   void anUnusableConfigurationIsRejected() {
     for (String bad : List.of("nowhere:80", "127.0.0.1", "127.0.0.1:70000", "127.0.0.1:x", "")) {
-      assertThrows(InvalidInputException.class, () -> told(bad, SOCKETS, IDLE_MS), bad);
+      assertThrows(
+          InvalidInputException.class, () -> serviceConfiguration(bad, SOCKETS, IDLE_MS), bad);
     }
     assertThrows(InvalidInputException.class, () -> ServiceConfiguration.read(Map.of()));
     assertThrows(
--- a/src/test/java/cobaltseam/service/DispatcherServiceTest.java
+++ b/src/test/java/cobaltseam/service/DispatcherServiceTest.java
@@ -13,12 +13,12 @@
   void aStoppedServiceServesOnUntilNoRequestIsOpen() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(look(1, 4000));
+    TestClient client = new TestClient(idempotentStatement(1, 4000));
     Message pull = engine.next("PULL");
     long asked = System.nanoTime();
     Thread stop = new Thread(service::stop);
     stop.start();
-    TestClient late = new TestClient(look(2, 4000));
+    TestClient late = new TestClient(idempotentStatement(2, 4000));
     Message second = engine.next("PULL");
     second.answer(second.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", late.readReplies().get(2), "new connections are still served");
@@ -32,7 +32,9 @@
   @Test
   void theWarmUpCompletesRequests() throws Exception {
     assertTrue(
-        Warmup.run(told("127.0.0.1:9", SOCKETS, IDLE_MS, target(1, "127.0.0.1:9", "in_service")))
+        Warmup.run(
+                serviceConfiguration(
+                    "127.0.0.1:9", SOCKETS, IDLE_MS, endpointJson(1, "127.0.0.1:9", "in_service")))
             > 0);
   }
 }
--- a/src/test/java/cobaltseam/service/EndpointWatchRaceTest.java
+++ b/src/test/java/cobaltseam/service/EndpointWatchRaceTest.java
@@ -22,7 +22,7 @@
   @TempDir Path folder;
 
   private void assertGoesTo(EmulatedPeer expected, EmulatedPeer other) throws Exception {
-    TestClient client = new TestClient(command("once", 1, 5000));
+    TestClient client = new TestClient(statement("once", 1, 5000));
     Message pull = expected.next("PULL");
     assertTrue(other.received.isEmpty(), "the drained engine was sent to");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
@@ -39,7 +39,11 @@
     bus.next("closed");
     Message anew = bus.next("from 7");
     anew.write(
-        "9\n" + event(8, false, target(2, two.address(), drained)) + "\n" + event(9, false) + "\n");
+        "9\n"
+            + endpointEvent(8, false, endpointJson(2, two.address(), drained))
+            + "\n"
+            + endpointEvent(9, false)
+            + "\n");
     await(new TestClient(), "bus_events|2");
     assertGoesTo(one, two);
   }
@@ -51,12 +55,12 @@
   }
 
   private String moved(EmulatedPeer bus, EmulatedPeer one, EmulatedPeer two) {
-    return configuration(
+    return configurationJson(
         bus.address(),
         SOCKETS,
         IDLE_MS,
-        target(1, one.address(), "in_service"),
-        target(2, two.address(), "in_service"));
+        endpointJson(1, one.address(), "in_service"),
+        endpointJson(2, two.address(), "in_service"));
   }
 
   /**
@@ -74,10 +78,11 @@
     CountDownLatch held = holdUp();
     reload(moved(bus, one, two));
     awaitHandedOver();
-    watch.write(event(8, false, target(2, two.address(), drained)) + "\n");
+    watch.write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
     awaitRead();
     held.countDown();
-    bus.next("from 7").write(event(8, false, target(2, two.address(), drained)) + "\n");
+    bus.next("from 7")
+        .write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
     await(client, "bus_events|1");
     assertGoesTo(one, two);
   }
@@ -92,7 +97,7 @@
     EmulatedPeer bus = new EmulatedPeer(false);
     TestClient client = new TestClient();
     CountDownLatch held = holdUp();
-    watch.write(event(8, false, target(2, two.address(), drained)) + "\n");
+    watch.write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
     awaitRead();
     reload(moved(bus, one, two));
     held.countDown();
@@ -109,12 +114,12 @@
     start(one, two).next("from 7");
     EmulatedPeer bus = new EmulatedPeer(false);
     reload(
-        configuration(
+        configurationJson(
                 bus.address(),
                 SOCKETS,
                 IDLE_MS,
-                target(1, one.address(), "in_service"),
-                target(2, two.address(), drained))
+                endpointJson(1, one.address(), "in_service"),
+                endpointJson(2, two.address(), drained))
             .replace("\"offset\":7", "\"offset\":8"));
     bus.next("from 8");
     assertGoesTo(one, two);
@@ -128,7 +133,8 @@
     EmulatedPeer bus = start(one, two);
     bus.next("from 7").write("8\n");
     bus.next("closed");
-    bus.next("from 7").write("8\n8\n" + event(9, false, target(2, two.address(), drained)) + "\n");
+    bus.next("from 7")
+        .write("8\n8\n" + endpointEvent(9, false, endpointJson(2, two.address(), drained)) + "\n");
     await(new TestClient(), "bus_events|1");
     assertGoesTo(one, two);
   }
@@ -140,7 +146,8 @@
     EmulatedPeer bus = start(one, two);
     bus.next("from 7");
     bus.next("closed");
-    bus.next("from 7").write(event(8, false, target(2, two.address(), drained)) + "\n");
+    bus.next("from 7")
+        .write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
     await(new TestClient(), "bus_events|1");
     assertGoesTo(one, two);
   }
@@ -151,9 +158,10 @@
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
     EmulatedPeer bus = start(one, two);
-    bus.next("from 7").write("7\n" + event(8, false) + "\n8\n");
+    bus.next("from 7").write("7\n" + endpointEvent(8, false) + "\n8\n");
     bus.next("closed");
-    bus.next("from 8").write(event(9, false, target(2, two.address(), drained)) + "\n");
+    bus.next("from 8")
+        .write(endpointEvent(9, false, endpointJson(2, two.address(), drained)) + "\n");
     await(new TestClient(), "bus_events|2");
     assertGoesTo(one, two);
   }
@@ -165,7 +173,7 @@
     EmulatedPeer two = new EmulatedPeer(true);
     EmulatedPeer bus = start(one, two);
     Message from = bus.next("from 7");
-    from.write(event(12, true, target(1, one.address(), "in_service")) + "\n");
+    from.write(endpointEvent(12, true, endpointJson(1, one.address(), "in_service")) + "\n");
     TestClient watch = new TestClient();
     await(watch, "bus_events|1");
     assertTrue(watch.ask("SHOW cobaltseam.counters").contains("bus_gaps|0"));
@@ -183,7 +191,9 @@
     EmulatedPeer bus = start(one);
     bus.next("from 7")
         .write(
-            event(8, false, target(1, namesake.address(), drained).replace("\"s-", "\"t-")) + "\n");
+            endpointEvent(
+                    8, false, endpointJson(1, namesake.address(), drained).replace("\"s-", "\"t-"))
+                + "\n");
     await(new TestClient(), "bus_events|1");
     assertGoesTo(one, namesake);
   }
@@ -213,7 +223,8 @@
       assertEquals(List.of("empty"), watch.ask(""));
     }
     EmulatedPeer bus = new EmulatedPeer(false, port);
-    bus.next("from 7").write(event(8, false, target(2, two.address(), drained)) + "\n");
+    bus.next("from 7")
+        .write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
     await(watch, "bus_events|1");
     assertGoesTo(one, two);
   }
@@ -229,18 +240,19 @@
     EmulatedPeer bus = new EmulatedPeer(false);
     service =
         new DispatcherService(
-            told(
+            serviceConfiguration(
                 bus.address(),
                 SOCKETS,
                 IDLE_MS,
-                target(1, one.address(), "in_service"),
-                target(2, two.address(), "in_service")));
+                endpointJson(1, one.address(), "in_service"),
+                endpointJson(2, two.address(), "in_service")));
     Thread tells =
         new Thread(
             () -> {
               try {
                 bus.next("from 7")
-                    .write(event(8, false, target(2, two.address(), drained)) + "\n8\n");
+                    .write(
+                        endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n8\n");
               } catch (Exception e) {
                 throw new IllegalStateException(e);
               }
@@ -258,7 +270,8 @@
     EmulatedPeer one = new EmulatedPeer(true);
     service =
         new DispatcherService(
-            told("127.0.0.1:9", SOCKETS, IDLE_MS, target(1, one.address(), "in_service")));
+            serviceConfiguration(
+                "127.0.0.1:9", SOCKETS, IDLE_MS, endpointJson(1, one.address(), "in_service")));
     service.awaitEndpointUpdates();
     serve();
     assertGoesTo(one, new EmulatedPeer(true));
@@ -272,11 +285,11 @@
     EmulatedPeer bus = start(one, two);
     bus.next("from 7")
         .write(
-            event(8, false, target(2, two.address(), drained))
+            endpointEvent(8, false, endpointJson(2, two.address(), drained))
                 + "\n"
-                + event(6, false, target(2, two.address(), "in_service"))
+                + endpointEvent(6, false, endpointJson(2, two.address(), "in_service"))
                 + "\n"
-                + event(9, false)
+                + endpointEvent(9, false)
                 + "\n");
     await(new TestClient(), "bus_events|2");
     assertGoesTo(one, two);
--- a/src/test/java/cobaltseam/service/EngineAnswersTest.java
+++ b/src/test/java/cobaltseam/service/EngineAnswersTest.java
@@ -15,7 +15,7 @@
   void allPagesOfAResultReachTheClient() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(look(1, 3000));
+    TestClient client = new TestClient(idempotentStatement(1, 3000));
     Message pull = engine.next("PULL");
     assertEquals("SELECT n FROM a_1.t", pull.items().get(3));
     assertTrue(pull.items().get(2).matches("lane=look,ttl=[0-9]+"), pull.items().get(2));
@@ -28,7 +28,7 @@
     assertEquals(List.of("a|1|x", "b|2|y", "c|3|z", "d||", "SELECT 4"), client.readReplies());
     assertEquals(List.of("empty"), client.ask(" ; "));
     assertTrue(client.ask("SHOW cobaltseam.counters;").contains("commands_answered|1"));
-    client.query(client.out, look(2, 3000));
+    client.query(client.out, idempotentStatement(2, 3000));
     Message again = engine.next("PULL");
     assertEquals(pull.from(), again.from(), "an unused connection is used again");
     again.answer(again.id(), "200", "pages=1", "");
@@ -40,7 +40,7 @@
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
-    TestClient client = new TestClient(look(1, 3000));
+    TestClient client = new TestClient(idempotentStatement(1, 3000));
     Message first = poll(one, two);
     first.answer(first.id(), "503", "-", "");
     Message second = poll(one, two);
@@ -50,7 +50,7 @@
         "PULL", third.items().get(0), "a reset may have run, which this profile may do twice");
     third.answer(third.id(), "200", "pages=1", ROWS);
     assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.readReplies());
-    client.query(client.out, command("once", 2, 3000));
+    client.query(client.out, statement("once", 2, 3000));
     Message once = poll(one, two);
     once.reset();
     assertEquals(
@@ -61,17 +61,17 @@
   void aBrokenAnswerFailsItsAttemptAndNoOther() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(command("once", 1, 3000));
+    TestClient client = new TestClient(statement("once", 1, 3000));
     Message pull = engine.next("PULL");
     pull.answer("0000000000000009", "200", "pages=1", ROWS);
     pull.answer(pull.id(), "200", "pages=1", "half a row");
     engine.next("closed");
     assertEquals(List.of("error 58"), client.readReplies());
-    client.query(client.out, command("once", 2, 3000));
+    client.query(client.out, statement("once", 2, 3000));
     engine.next("PULL").write("*nonsense\r\n");
     assertEquals("closed", engine.next().items().get(0));
     assertEquals(List.of("error 58"), client.readReplies());
-    client.query(client.out, look(3, 3000));
+    client.query(client.out, idempotentStatement(3, 3000));
     Message good = engine.next("PULL");
     good.answer(good.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
@@ -81,7 +81,7 @@
   void repeatedAnswersAreIgnored() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(look(1, 3000));
+    TestClient client = new TestClient(idempotentStatement(1, 3000));
     Message pull = engine.next("PULL");
     for (int i = 0; i < 2; i++) {
       pull.answer("00000000000000ff", "200", "pages=1", ROWS);
@@ -92,7 +92,7 @@
       pull.answer(pull.id(), "chunk", "page=1", "c\t3\tz\n");
     }
     assertEquals(List.of("a|1|x", "b|2|y", "c|3|z", "SELECT 3"), client.readReplies());
-    client.query(client.out, look(2, 3000));
+    client.query(client.out, idempotentStatement(2, 3000));
     Message again = engine.next("PULL");
     assertEquals(pull.from(), again.from(), "the connection is as good as before");
     again.answer(again.id(), "200", "pages=1", "");
@@ -104,7 +104,7 @@
   void postedAnswersAreProcessedBeforeATimeoutActs() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(command("look", 1, 3000));
+    TestClient client = new TestClient(statement("look", 1, 3000));
     Message pull = engine.next("PULL");
     CountDownLatch held = holdUp();
     pull.answer(pull.id(), "200", "pages=1", ROWS);
@@ -122,7 +122,7 @@
   void unreadAnswersAreReadBeforeAnOverdueTimeoutActs() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(command("look", 1, 3000));
+    TestClient client = new TestClient(statement("look", 1, 3000));
     Message pull = engine.next("PULL");
     CountDownLatch held = holdUp();
     CountDownLatch heldSockets = holdUpSockets();
--- a/src/test/java/cobaltseam/service/EngineConnectionsTest.java
+++ b/src/test/java/cobaltseam/service/EngineConnectionsTest.java
@@ -24,7 +24,7 @@
   void anAttemptIsCancelledByClosingItsConnectionBeforeTheRetry() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(command("look", 1, 1500));
+    TestClient client = new TestClient(statement("look", 1, 1500));
     Message silent = engine.next("PULL");
     List<Message> next = List.of(engine.next(), engine.next());
     assertEquals(
@@ -41,7 +41,7 @@
       closedPort = listener.getLocalPort();
     }
     start(SOCKETS, IDLE_MS, "127.0.0.1:" + closedPort);
-    TestClient client = new TestClient(command("once", 1, 1000));
+    TestClient client = new TestClient(statement("once", 1, 1000));
     assertEquals(List.of("error 53 pushback"), client.readReplies());
   }
 
@@ -49,9 +49,9 @@
   void attemptsOnASharedConnectionAreCancelledByMessage() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(5, IDLE_MS, engine);
-    TestClient one = new TestClient(command("once", 1, 700));
+    TestClient one = new TestClient(statement("once", 1, 700));
     Message first = engine.next("PULL");
-    TestClient two = new TestClient(command("once", 2, 3000));
+    TestClient two = new TestClient(statement("once", 2, 3000));
     Message second = engine.next("PULL");
     assertEquals(first.from(), second.from());
     assertEquals(List.of("KILL", first.id()), engine.next().items());
@@ -66,20 +66,20 @@
   void connectionsIdleTooLongOrToAnEarlierIncarnationAreNotUsed() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     EmulatedPeer bus = start(SOCKETS, 200, engine);
-    TestClient client = new TestClient(look(1, 3000));
+    TestClient client = new TestClient(idempotentStatement(1, 3000));
     Message first = engine.next("PULL");
     first.answer(first.id(), "200", "pages=1", ROWS);
     client.readReplies();
     Thread.sleep(250);
-    client.query(client.out, command("once", 2, 3000));
+    client.query(client.out, statement("once", 2, 3000));
     List<Message> next = List.of(engine.next(), engine.next());
     assertEquals(
         Set.of("closed", "PULL"), Set.of(next.get(0).items().get(0), next.get(1).items().get(0)));
     assertFalse(next.get(0).from().equals(next.get(1).from()));
     String restarted =
-        target(1, engine.address(), "in_service")
+        endpointJson(1, engine.address(), "in_service")
             .replace("\"boot_ms\":0", "\"boot_ms\":" + (System.currentTimeMillis() + 60_000));
-    bus.next().write(event(8, false, restarted) + "\n");
+    bus.next().write(endpointEvent(8, false, restarted) + "\n");
     assertEquals(
         "closed",
         engine.next().items().get(0),
@@ -107,7 +107,7 @@
           SOCKETS,
           IDLE_MS,
           "127.0.0.1:" + full.getLocalPort());
-      TestClient client = new TestClient(command("once", 1, 2000));
+      TestClient client = new TestClient(statement("once", 1, 2000));
       long asked = System.nanoTime();
       assertEquals(List.of("error 53 pushback"), client.readReplies());
       assertTrue(System.nanoTime() - asked < TimeUnit.SECONDS.toNanos(2));
--- a/src/test/java/cobaltseam/service/FleetServiceOrderTest.java
+++ b/src/test/java/cobaltseam/service/FleetServiceOrderTest.java
@@ -102,10 +102,10 @@
                 """
                 .formatted(address, address, address));
     String bus = new EmulatedPeer(false).address();
-    service = new DispatcherService(told(bus, SOCKETS, IDLE_MS));
+    service = new DispatcherService(serviceConfiguration(bus, SOCKETS, IDLE_MS));
     service.enableFleet(
         SettingsReader.read(own),
-        configuration(bus, SOCKETS, IDLE_MS).getBytes(StandardCharsets.UTF_8));
+        configurationJson(bus, SOCKETS, IDLE_MS).getBytes(StandardCharsets.UTF_8));
   }
 
   /**
--- a/src/test/java/cobaltseam/service/ServiceRig.java
+++ b/src/test/java/cobaltseam/service/ServiceRig.java
@@ -36,7 +36,7 @@
  * loopback. Each peer waits for the message that it expects before it goes on, so that a test
  * forces the order of events.
  */
-abstract class ServiceRig extends ServiceTexts {
+abstract class ServiceRig extends ServiceFixtures {
   static final int SOON_S = 10;
   private static final int CONNECT_MS = 50;
 
@@ -193,7 +193,7 @@
     }
 
     void query(DataOutputStream to, String text) throws IOException {
-      to.write(message(text));
+      to.write(queryMessage(text));
     }
 
     /** The cancel request for this session's statement, to be written on another connection. */
@@ -272,7 +272,7 @@
       throws IOException {
     EmulatedPeer bus = new EmulatedPeer(false);
     String[] targets = new String[engines.length];
-    Arrays.setAll(targets, i -> target(i + 1, engines[i], "in_service"));
+    Arrays.setAll(targets, i -> endpointJson(i + 1, engines[i], "in_service"));
     service =
         new DispatcherService(
             ServiceConfiguration.of(
@@ -280,7 +280,7 @@
                     new JsonFactory()
                         .createParser(
                             changed.apply(
-                                configuration(bus.address(), sockets, idleMs, targets))))));
+                                configurationJson(bus.address(), sockets, idleMs, targets))))));
     serve();
     return bus;
   }
--- a/src/test/java/cobaltseam/service/SettingsIsolationTest.java
+++ b/src/test/java/cobaltseam/service/SettingsIsolationTest.java
@@ -42,14 +42,15 @@
     EmulatedPeer theirs = new EmulatedPeer(true);
     start(SettingsIsolationTest::settingsOfOtherCustomer, SOCKETS, IDLE_MS, theirs.address());
     TestClient other = new TestClient();
-    assertEquals(List.of("error 42"), ours.ask(command("browse", 1, 5000)));
-    assertEquals(List.of("error 42"), ours.ask(withTenant("zeta", look(2, 5000))));
-    assertEquals(List.of("error 42"), other.ask(look(3, 5000)));
-    assertEquals(List.of("error 42"), other.ask(withTenant("acme", command("browse", 4, 5000))));
+    assertEquals(List.of("error 42"), ours.ask(statement("browse", 1, 5000)));
+    assertEquals(List.of("error 42"), ours.ask(withTenant("zeta", idempotentStatement(2, 5000))));
+    assertEquals(List.of("error 42"), other.ask(idempotentStatement(3, 5000)));
+    assertEquals(List.of("error 42"), other.ask(withTenant("acme", statement("browse", 4, 5000))));
     // The same call at both, at once: neither takes it for the other's.
-    ours.query(ours.out, withTenant("acme", look(5, 5000)));
+    ours.query(ours.out, withTenant("acme", idempotentStatement(5, 5000)));
     other.query(
-        other.out, withTenant("zeta", command("browse", 5, 5000).replace("work=100", "work=1000")));
+        other.out,
+        withTenant("zeta", statement("browse", 5, 5000).replace("work=100", "work=1000")));
     Message here = mine.next("PULL");
     Message there = theirs.next("PULL");
     assertTrue(here.items().get(2).startsWith("lane=look"));
@@ -71,26 +72,26 @@
     List<TestClient> busy = new ArrayList<>();
     List<Message> out = new ArrayList<>();
     for (int i = 0; i < BUSY; i++) {
-      busy.add(new TestClient(withTenant("acme", command("once", i, 20_000))));
+      busy.add(new TestClient(withTenant("acme", statement("once", i, 20_000))));
       out.add(engine.next("PULL"));
     }
     TestClient watch = new TestClient();
     Files.writeString(
         file,
         settingsOfOtherCustomer(
-            configuration(
-                bus.address(), SOCKETS, IDLE_MS, target(1, engine.address(), "in_service"))));
+            configurationJson(
+                bus.address(), SOCKETS, IDLE_MS, endpointJson(1, engine.address(), "in_service"))));
     Signal.raise(new Signal("HUP"));
     await(watch, "configurations_moved|1");
-    assertEquals(List.of("error 42"), watch.ask(look(20, 5000)));
-    assertEquals(List.of("error 42"), watch.ask(withTenant("acme", command("browse", 21, 5000))));
+    assertEquals(List.of("error 42"), watch.ask(idempotentStatement(20, 5000)));
+    assertEquals(List.of("error 42"), watch.ask(withTenant("acme", statement("browse", 21, 5000))));
     for (int i = 0; i < BUSY; i++) {
       out.get(i).answer(out.get(i).id(), "200", "pages=1", "");
       assertEquals(List.of("SELECT 0"), busy.get(i).readReplies());
     }
     watch.query(
         watch.out,
-        withTenant("zeta", command("browse", 22, 20_000).replace("work=100", "work=1000")));
+        withTenant("zeta", statement("browse", 22, 20_000).replace("work=100", "work=1000")));
     engine.next("PULL").reset();
     engine.next("closed");
     assertEquals(
--- a/src/test/java/cobaltseam/service/ShutdownRaceTest.java
+++ b/src/test/java/cobaltseam/service/ShutdownRaceTest.java
@@ -55,7 +55,7 @@
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     service.acceptor.getSessionConfig().setSendBufferSize(SMALL_BUFFER);
-    TestClient slow = new TestClient(look(1, 20_000));
+    TestClient slow = new TestClient(idempotentStatement(1, 20_000));
     Message out = engine.next("PULL");
     out.answer(out.id(), "200", "pages=1", "a\n".repeat(MANY_ROWS));
     await(new TestClient(), "commands_answered|1");
@@ -74,10 +74,10 @@
   void aStatementReadAfterTheShutdownIsRejectedAtOnceAndNotForwarded() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient hanging = new TestClient(look(1, 20_000));
+    TestClient hanging = new TestClient(idempotentStatement(1, 20_000));
     Message out = engine.next("PULL");
     TestClient halfWritten = new TestClient();
-    byte[] late = message(look(2, 20_000));
+    byte[] late = queryMessage(idempotentStatement(2, 20_000));
     halfWritten.out.write(late, 0, 30);
     awaitRead();
     Thread stop = shutDown();
@@ -103,9 +103,10 @@
         SOCKETS,
         IDLE_MS,
         engine.address());
-    TestClient once = new TestClient(command("once", 1, 60_000));
+    TestClient once = new TestClient(statement("once", 1, 60_000));
     engine.next("PULL");
-    TestClient again = new TestClient(look(2, 60_000).replace("work=1000", "work=20000"));
+    TestClient again =
+        new TestClient(idempotentStatement(2, 60_000).replace("work=1000", "work=20000"));
     engine.next("PULL");
     long asked = System.nanoTime();
     Thread stop = shutDown();
@@ -121,7 +122,7 @@
   void aCancelRequestIsProcessedWhileItsRequestIsOpen() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(command("once", 1, 20_000));
+    TestClient client = new TestClient(statement("once", 1, 20_000));
     engine.next("PULL");
     Thread stop = shutDown();
     try (Socket cancel = new Socket(service.address().getAddress(), service.address().getPort())) {
@@ -140,7 +141,7 @@
   void aConnectionThatComesWhileRequestsAreOpenIsRejected() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(look(1, 20_000));
+    TestClient client = new TestClient(idempotentStatement(1, 20_000));
     Message out = engine.next("PULL");
     Thread stop = shutDown();
     byte[] startup = {0, 0, 0, 9, 0, 3, 0, 0, 0};
@@ -151,7 +152,7 @@
     }
     try (Socket late = new Socket(service.address().getAddress(), service.address().getPort())) {
       late.getOutputStream().write(startup);
-      late.getOutputStream().write(message(look(2, 20_000)));
+      late.getOutputStream().write(queryMessage(idempotentStatement(2, 20_000)));
       String told = new String(late.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
       assertTrue(told.contains("57P03"), told);
     }
@@ -166,7 +167,8 @@
   void aPendingStatementIsRejectedOnceTheOneBeforeItIsAnswered() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient client = new TestClient(look(1, 20_000), look(2, 20_000));
+    TestClient client =
+        new TestClient(idempotentStatement(1, 20_000), idempotentStatement(2, 20_000));
     Message out = engine.next("PULL");
     Thread stop = shutDown();
     out.answer(out.id(), "200", "pages=1", ROWS);
@@ -181,7 +183,7 @@
   void aClientInTheMiddleOfAMessageDoesNotDelayTheEnd() throws Exception {
     start(new EmulatedPeer(true));
     TestClient client = new TestClient();
-    client.out.write(message(look(1, 20_000)), 0, 30);
+    client.out.write(queryMessage(idempotentStatement(1, 20_000)), 0, 30);
     awaitRead();
     assertEnds(shutDown());
     assertEquals(END, client.in.read());
@@ -212,7 +214,7 @@
       assertEquals(List.of("empty"), new TestClient().ask(""));
     }
     assertEquals(END, idle.in.read(), "the longest idle gives way");
-    idle.query(idle.out, look(1, 3000));
+    idle.query(idle.out, idempotentStatement(1, 3000));
     awaitRead();
     assertEquals(END, idle.in.read());
   }
--- a/src/test/java/cobaltseam/service/SlowStartRaceTest.java
+++ b/src/test/java/cobaltseam/service/SlowStartRaceTest.java
@@ -80,7 +80,8 @@
     for (int i = 0; i < DISPATCHERS; i++) {
       startOne(
           plain ->
-              patient(plain).replace("\"hard_limit_us\":3000000", "\"hard_limit_us\":20000000"),
+              withLongConnectTimeout(plain)
+                  .replace("\"hard_limit_us\":3000000", "\"hard_limit_us\":20000000"),
           i,
           boot,
           engine.address());
@@ -119,10 +120,10 @@
       before.addAll(answerAll(engine, 1));
     }
     String told =
-        event(
+        endpointEvent(
             8,
             false,
-            target(1, engine.address(), "in_service")
+            endpointJson(1, engine.address(), "in_service")
                 .replace("\"boot_ms\":0", "\"boot_ms\":" + boot));
     for (Message watch : late) {
       watch.write(told + "\n");
@@ -155,7 +156,7 @@
     thread(
         () -> {
           for (int call = first; !session.socket.isClosed(); call++) {
-            session.ask(command("look", call, ttlMs));
+            session.ask(statement("look", call, ttlMs));
           }
         });
   }
