--- a/src/main/java/cobaltseam/agreement/ActiveConfiguration.java
+++ b/src/main/java/cobaltseam/agreement/ActiveConfiguration.java
@@ -4,24 +4,33 @@
 import java.util.List;
 
 /**
- * What a process acts on from a time on.
+ * The configuration that a process acts on.
  *
- * @param versions oldest first: one, or all that any process may still act on; in mode {@code BACK}
- *     the one that this process holds, or none
+ * @param versions oldest first: the one version in mode {@code PLAIN}; all versions that any
+ *     process may still act on in mode {@code MERGED}; in mode {@code FALLBACK} the version of this
+ *     process's view, or none if its document is missing
  */
 public record ActiveConfiguration(Mode mode, List<ConfigurationVersion> versions) {
-  /** How the versions are acted on. */
+  /** How the process acts on the versions. */
   public enum Mode {
-    /** The one version is acted on as it is. */
-    PLAIN,
-    /** A conservative merge of all versions is acted on, which contradicts none of them. */
-    BETWEEN,
-    /** A version may have been missed: a conservative reading of the held one is acted on. */
-    BACK;
+    /** The process acts on the one version as it is. */
+    PLAIN("plain"),
+    /** The process acts on a conservative merge of all versions, which contradicts none of them. */
+    MERGED("between"),
+    /**
+     * The process may have missed a version, so it acts on a conservative form of the one it has.
+     */
+    FALLBACK("back");
 
-    /** The word for it in logs and in SHOW. */
+    private final String label;
+
+    Mode(String label) {
+      this.label = label;
+    }
+
+    /** The label of the mode in logs and in SHOW. */
     public String label() {
-      return name().toLowerCase(java.util.Locale.ROOT);
+      return label;
     }
   }
 
--- a/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
+++ b/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
@@ -73,7 +73,7 @@
   private final VersionHistory history;
   private byte[] ownDocument;
   private String ownHash;
-  private ActiveConfiguration active = new ActiveConfiguration(Mode.BACK, List.of());
+  private ActiveConfiguration active = new ActiveConfiguration(Mode.FALLBACK, List.of());
   private Timestamp activeSince;
 
   /** The version of the last offer, which is fetched or was answered, or null. */
@@ -137,7 +137,7 @@
   }
 
   /** Whether all members of the view have said that they hold it. */
-  public boolean isHeldByAll() {
+  public boolean isInstalledByAll() {
     return membership.view() != null && membership.isViewReportedByAll();
   }
 
@@ -146,10 +146,10 @@
     // What could not be done by now is retried then; what comes sooner, such as the end of a lease,
     // is not delayed by it.
     boolean isPending =
-        proposals.version() != null || documents.isFetching() || active.mode() == Mode.BACK;
+        proposals.version() != null || documents.isFetching() || active.mode() == Mode.FALLBACK;
     double periods = isPending ? RETRY_PERIODS : 2 * RETRY_PERIODS;
     Deadline wake = new Deadline(now, now.plus(options.maxContradiction.times(periods)));
-    if (active.mode() != Mode.BACK) {
+    if (active.mode() != Mode.FALLBACK) {
       wake.include(lease.expiresAt());
     }
     history.forEachDeadline(wake::include);
@@ -317,12 +317,12 @@
     if (reason != null) {
       next =
           new ActiveConfiguration(
-              Mode.BACK, content(version) == null ? List.of() : List.of(version));
+              Mode.FALLBACK, content(version) == null ? List.of() : List.of(version));
     } else {
-      next = new ActiveConfiguration(versions.size() > 1 ? Mode.BETWEEN : Mode.PLAIN, versions);
+      next = new ActiveConfiguration(versions.size() > 1 ? Mode.MERGED : Mode.PLAIN, versions);
     }
     if (!next.equals(active)) {
-      if (next.mode() == Mode.BACK && active.mode() != Mode.BACK) {
+      if (next.mode() == Mode.FALLBACK && active.mode() != Mode.FALLBACK) {
         effects.record(AgreementEvent.STEPPED_BACK, reason);
       }
       active = next;
--- a/src/main/java/cobaltseam/fleet/VirtualFleet.java
+++ b/src/main/java/cobaltseam/fleet/VirtualFleet.java
@@ -752,7 +752,7 @@
         processes[index].membership.view() == null
             ? 0
             : processes[index].membership.view().id().lineage();
-    boolean back = on == null || on.mode() == ActiveConfiguration.Mode.BACK;
+    boolean back = on == null || on.mode() == ActiveConfiguration.Mode.FALLBACK;
     activations.add(
         new ActivationRecord(
             now,
--- a/src/main/java/cobaltseam/service/AgreedConfiguration.java
+++ b/src/main/java/cobaltseam/service/AgreedConfiguration.java
@@ -180,7 +180,7 @@
    */
   Timestamp activeUntil(Timestamp now) {
     boolean mayAct =
-        agreement.activeConfiguration().mode() != ActiveConfiguration.Mode.BACK
+        agreement.activeConfiguration().mode() != ActiveConfiguration.Mode.FALLBACK
             && agreement.leaseLeft(now).isPositive();
     return mayAct ? now.plus(agreement.leaseLeft(now)) : null;
   }
@@ -202,7 +202,7 @@
     ConfigurationVersion newest = configuration.newest();
     Deployment newestSettings = newest == null ? own : deployment(agreement.content(newest));
     conservative = ConservativeMerge.withoutRetries(newestSettings);
-    boolean isConservative = configuration.mode() == ActiveConfiguration.Mode.BACK;
+    boolean isConservative = configuration.mode() == ActiveConfiguration.Mode.FALLBACK;
     Deployment merged = isConservative ? conservative : newestSettings;
     List<ConfigurationVersion> versions = configuration.versions();
     for (int i = versions.size() - 2; i >= 0; i--) {
@@ -245,7 +245,7 @@
                 ? "never"
                 : Long.toString(now.since(agreement.activeSince()).us() / US_PER_MS)));
     rows.add(row("lease_left_ms", Long.toString(agreement.leaseLeft(now).us() / US_PER_MS)));
-    rows.add(row("held_by_all", Boolean.toString(agreement.isHeldByAll())));
+    rows.add(row("held_by_all", Boolean.toString(agreement.isInstalledByAll())));
     rows.add(row("last_proposal", lastProposal));
     rows.add(
         row(
--- a/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
@@ -87,7 +87,7 @@
     fleet.run(FORMED + 0.01);
     fleet.propose(0, text("rule a"), -1);
     fleet.run(FORMED + T + 0.01);
-    assertEquals(Mode.BACK, fleet.acting(3).mode());
+    assertEquals(Mode.FALLBACK, fleet.acting(3).mode());
     assertEquals(
         1, fleet.acting(3).newest().number(), "it holds the old one, and reads it cautiously");
     fleet.run(FORMED + 25);
