--- a/src/main/java/cobaltseam/service/ClientSessions.java
+++ b/src/main/java/cobaltseam/service/ClientSessions.java
@@ -74,7 +74,7 @@
         "counters",
         () ->
             Arrays.stream(Count.values())
-                .map(count -> new String[] {count.label(), Long.toString(counters.of(count))})
+                .map(count -> new String[] {count.label(), Long.toString(counters.get(count))})
                 .toList());
     input = new ClientInput(this, configuration.memoryBytes(), sockets, inbox, clock);
     connections =
--- a/src/main/java/cobaltseam/service/Counters.java
+++ b/src/main/java/cobaltseam/service/Counters.java
@@ -86,7 +86,7 @@
     counts.getAndAdd(count.ordinal(), times);
   }
 
-  long of(Count count) {
+  long get(Count count) {
     return counts.get(count.ordinal());
   }
 
@@ -94,7 +94,7 @@
   public String toString() {
     StringBuilder text = new StringBuilder("counters");
     for (Count count : Count.values()) {
-      text.append(' ').append(count.label()).append('=').append(of(count));
+      text.append(' ').append(count.label()).append('=').append(get(count));
     }
     return text.toString();
   }
--- a/src/main/java/cobaltseam/service/DispatcherService.java
+++ b/src/main/java/cobaltseam/service/DispatcherService.java
@@ -360,7 +360,7 @@
 
   /** How many requests were completed; to be called after the loop has ended. */
   long completedRequests() {
-    return counters.of(Count.COMMANDS_ANSWERED);
+    return counters.get(Count.COMMANDS_ANSWERED);
   }
 
   // ---- the shutdown
--- a/src/main/java/cobaltseam/service/FleetRetryLimit.java
+++ b/src/main/java/cobaltseam/service/FleetRetryLimit.java
@@ -54,7 +54,7 @@
    *
    * @param attempts how many attempts of the request there were
    */
-  void recordIfDenied(int attempts) {
+  void recordIfRetryDenied(int attempts) {
     if (fleet != null && attempts > 0 && fleet.remainingRetries() < 1) {
       counters.add(Count.REPEATS_DENIED);
       fleet.countDeniedRetry();
--- a/src/main/java/cobaltseam/service/FleetStatusRows.java
+++ b/src/main/java/cobaltseam/service/FleetStatusRows.java
@@ -149,7 +149,7 @@
     rows.add(row("first_sends", Long.toString(bridge.attemptCounts().firstAttempts())));
     rows.add(
         row("further_sends_and_denied", Long.toString(bridge.attemptCounts().wantedRetries())));
-    rows.add(row("denied", Long.toString(counters.of(Count.REPEATS_DENIED))));
+    rows.add(row("denied", Long.toString(counters.get(Count.REPEATS_DENIED))));
     StateGossip.FigureSum spare =
         modules.gossip.sum(FleetCoordinator.SPARE_RETRIES_FIGURE, clock.now());
     rows.add(
--- a/src/main/java/cobaltseam/service/RequestTable.java
+++ b/src/main/java/cobaltseam/service/RequestTable.java
@@ -312,7 +312,7 @@
     isNextStepDue = false;
     TimeSpan delay;
     try {
-      delay = runStepsUntilDelay(counters.of(Count.FAULTS));
+      delay = runStepsUntilDelay(counters.get(Count.FAULTS));
     } catch (RuntimeException e) {
       recordFault(e);
       delay = FAULT_BACKOFF_US;
@@ -327,7 +327,7 @@
     retryLimit.updateDispatcher();
     NextStep step = dispatcher.next(now);
     while (step.delay() != null && !step.delay().isPositive()) {
-      if (counters.of(Count.FAULTS) > faultsBefore) {
+      if (counters.get(Count.FAULTS) > faultsBefore) {
         return FAULT_BACKOFF_US;
       }
       run(step, now);
@@ -375,14 +375,14 @@
     switch (placement.decision()) {
       case SEND -> startAttempt(request, placement);
       case SHED -> {
-        retryLimit.recordIfDenied(request.attemptCount);
+        retryLimit.recordIfRetryDenied(request.attemptCount);
         counters.add(Count.COMMANDS_SHED);
         ResponseHandle responseHandle = request.responseHandle;
         remove(request);
         responseHandle.shed(placement.retryAfter());
       }
       case FAIL -> {
-        retryLimit.recordIfDenied(request.attemptCount);
+        retryLimit.recordIfRetryDenied(request.attemptCount);
         counters.add(Count.COMMANDS_FAILED);
         ResponseHandle responseHandle = request.responseHandle;
         remove(request);
