--- a/src/test/java/cobaltseam/capacity/CapacityLeasesTest.java
+++ b/src/test/java/cobaltseam/capacity/CapacityLeasesTest.java
@@ -21,17 +21,17 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Parts of a whole, one process at a time, against a ground that the test makes. */
+/** Tests the capacity leases of one process; the test sets its view, lease and known demand. */
 class CapacityLeasesTest {
-  private static final CapacityOptions TERMS =
+  private static final CapacityOptions OPTIONS =
       new CapacityOptions(1000, 0.1, 10, 0.25, new TimeSpan(500_000), 16);
-  private static final TimeSpan T = new TimeSpan(2_000_000);
-  private static final int ALONE = 10;
-  private static final int SETTLED = 900;
+  private static final TimeSpan LEASE_DURATION = new TimeSpan(2_000_000);
+  private static final int STANDALONE = 10;
+  private static final int SHARED = 900;
 
-  private final TestLeaseContext ground = new TestLeaseContext();
-  private final CapacityLeases holdings =
-      new CapacityLeases(TERMS, ground, new SplittableRandom(1));
+  private final TestLeaseContext context = new TestLeaseContext();
+  private final CapacityLeases leases =
+      new CapacityLeases(OPTIONS, context, new SplittableRandom(1));
 
   private static Member member(int index) {
     return new Member(
@@ -41,14 +41,14 @@
   }
 
   private static View view(long number, int... members) {
-    List<Member> of = new ArrayList<>();
-    for (int m : members) {
-      of.add(member(m));
+    List<Member> viewMembers = new ArrayList<>();
+    for (int index : members) {
+      viewMembers.add(member(index));
     }
-    return new View(new ViewId(7, number), of, null);
+    return new View(new ViewId(7, number), viewMembers, null);
   }
 
-  private static MessageHeader teller(int index) {
+  private static MessageHeader header(int index) {
     return new MessageHeader(member(index), 0, ViewId.NONE, true);
   }
 
@@ -56,10 +56,10 @@
     return new Timestamp(Math.round(seconds * 1e6));
   }
 
-  /** What the process is told; it is member 0. */
+  /** The view, the lease and the known demand of the process under test, which is member 0. */
   private static final class TestLeaseContext implements CapacityLeases.LeaseContext {
     View view;
-    Timestamp lease;
+    Timestamp leaseUntil;
     final Map<MemberName, Double> demand = new HashMap<>();
 
     @Override
@@ -74,17 +74,17 @@
 
     @Override
     public MessageHeader messageHeader() {
-      return CapacityLeasesTest.teller(0);
+      return CapacityLeasesTest.header(0);
     }
 
     @Override
     public Timestamp leaseUntil() {
-      return lease;
+      return leaseUntil;
     }
 
     @Override
     public TimeSpan maxLeaseDuration() {
-      return T.times(1.002);
+      return LEASE_DURATION.times(1.002);
     }
 
     @Override
@@ -93,121 +93,130 @@
     }
 
     @Override
-    public Double demand(MemberName of) {
-      return demand.get(of);
+    public Double demand(MemberName member) {
+      return demand.get(member);
     }
   }
 
-  /** The process holds a view of so many for long enough, and the lease up to a moment. */
-  private void settled(View view, double leaseUntil) {
-    ground.view = view;
-    holdings.update(at(0));
-    ground.lease = at(leaseUntil);
+  /**
+   * Installs a view at time 0, so that all earlier leases have ended by about second 2, and sets
+   * the end of the lease on it.
+   */
+  private void installSettledView(View view, double leaseEndSeconds) {
+    context.view = view;
+    leases.update(at(0));
+    context.leaseUntil = at(leaseEndSeconds);
   }
 
   @Test
-  void withoutViewOrLeaseOnlyTheStandalonePartIsUsable() {
-    assertEquals(ALONE, holdings.usableAmount(at(0)));
-    ground.view = view(1, 0, 1, 2);
-    holdings.update(at(0));
-    assertEquals(ALONE, holdings.usableAmount(at(60)), "no majority said that it is the newest");
-    ground.lease = at(61);
-    assertEquals(ALONE + SETTLED / 3, holdings.usableAmount(at(60)));
+  void withoutViewOrLeaseOnlyTheStandaloneAmountIsUsable() {
+    assertEquals(STANDALONE, leases.usableAmount(at(0)));
+    context.view = view(1, 0, 1, 2);
+    leases.update(at(0));
     assertEquals(
-        ALONE,
-        holdings.usableAmount(at(61)),
-        "it ends with the lease, whatever is asked in between");
+        STANDALONE,
+        leases.usableAmount(at(60)),
+        "no majority has confirmed that the view is the newest");
+    context.leaseUntil = at(61);
+    assertEquals(STANDALONE + SHARED / 3, leases.usableAmount(at(60)));
+    assertEquals(
+        STANDALONE,
+        leases.usableAmount(at(61)),
+        "the equal share is usable no longer than the lease lasts");
   }
 
   @Test
-  void newMemberHasNoPartUntilAllEarlierLeasesHaveEnded() {
-    ground.view = view(4, 0, 1, 2);
-    ground.lease = at(9);
-    holdings.update(at(1));
-    assertEquals(ALONE, holdings.usableAmount(at(3.003)));
-    assertEquals(ALONE + SETTLED / 3, holdings.usableAmount(at(3.005)));
+  void newMemberHasNoShareUntilAllEarlierLeasesHaveEnded() {
+    context.view = view(4, 0, 1, 2);
+    context.leaseUntil = at(9);
+    leases.update(at(1));
+    assertEquals(STANDALONE, leases.usableAmount(at(3.003)));
+    assertEquals(STANDALONE + SHARED / 3, leases.usableAmount(at(3.005)));
   }
 
   @Test
-  void partShrinksAtOnceAndGrowsAfterAllEarlierLeasesHaveEnded() {
-    settled(view(1, 0, 1, 2), 60);
-    ground.view = view(2, 0, 1, 2, 3, 4);
-    holdings.update(at(10));
+  void shareShrinksAtOnceAndGrowsAfterAllEarlierLeasesHaveEnded() {
+    installSettledView(view(1, 0, 1, 2), 60);
+    context.view = view(2, 0, 1, 2, 3, 4);
+    leases.update(at(10));
     assertEquals(
-        ALONE + SETTLED / 5,
-        holdings.usableAmount(at(10)),
-        "others may hold their part of the larger view");
-    ground.view = view(3, 0, 1);
-    holdings.update(at(20));
+        STANDALONE + SHARED / 5,
+        leases.usableAmount(at(10)),
+        "others may use their share of the larger view");
+    context.view = view(3, 0, 1);
+    leases.update(at(20));
     assertEquals(
-        ALONE + SETTLED / 5, holdings.usableAmount(at(22)), "those taken out may hold theirs yet");
-    assertEquals(ALONE + SETTLED / 2, holdings.usableAmount(at(22.01)));
+        STANDALONE + SHARED / 5,
+        leases.usableAmount(at(22)),
+        "removed members may still use their share");
+    assertEquals(STANDALONE + SHARED / 2, leases.usableAmount(at(22.01)));
   }
 
   @Test
-  void memberThatMissedAViewHasNoPartUntilLeasesHaveEnded() {
-    settled(view(1, 0, 1, 2), 60);
-    ground.view = view(3, 0, 1, 2);
-    holdings.update(at(10));
-    assertEquals(ALONE, holdings.usableAmount(at(11)));
-    ground.view = null;
-    holdings.update(at(20));
-    assertEquals(ALONE, holdings.usableAmount(at(20)));
-    ground.view = view(4, 0, 1, 2);
-    holdings.update(at(21));
-    assertEquals(ALONE, holdings.usableAmount(at(22)));
+  void memberThatMissedAViewHasNoShareUntilLeasesHaveEnded() {
+    installSettledView(view(1, 0, 1, 2), 60);
+    context.view = view(3, 0, 1, 2);
+    leases.update(at(10));
+    assertEquals(STANDALONE, leases.usableAmount(at(11)));
+    context.view = null;
+    leases.update(at(20));
+    assertEquals(STANDALONE, leases.usableAmount(at(20)));
+    context.view = view(4, 0, 1, 2);
+    leases.update(at(21));
+    assertEquals(STANDALONE, leases.usableAmount(at(22)));
   }
 
-  private LeaseGrant asked(int by, long amount, double seconds) {
-    List<CapacityLeases.OutgoingMessage> tells =
-        holdings.receive(new LeaseRequest(teller(by), 99, amount), at(seconds));
-    assertEquals(1, tells.size());
-    return (LeaseGrant) tells.get(0).message();
+  private LeaseGrant requestLease(int borrower, long amount, double seconds) {
+    List<CapacityLeases.OutgoingMessage> replies =
+        leases.receive(new LeaseRequest(header(borrower), 99, amount), at(seconds));
+    assertEquals(1, replies.size());
+    return (LeaseGrant) replies.get(0).message();
   }
 
   @Test
   void lentCapacityIsUnusableUntilItEndsBeforeTheLease() {
-    settled(view(1, 0, 1, 2), 11);
-    ground.demand.put(new MemberName("n1"), 9.0);
-    holdings.setDemand(0);
-    // Its target is a quarter of its even part, as it needs nothing.
-    LeaseGrant lent = asked(1, 1000, 10);
-    assertEquals(225, lent.amount());
+    installSettledView(view(1, 0, 1, 2), 11);
+    context.demand.put(new MemberName("n1"), 9.0);
+    leases.setDemand(0);
+    // The process has no demand, so it retains a quarter of its equal share.
+    LeaseGrant grant = requestLease(1, 1000, 10);
+    assertEquals(225, grant.amount());
     assertTrue(
-        10_000_000 + lent.durationUs() * 1.001 < 11_000_000,
-        "by a clock that runs slower it ends before the lease");
-    assertEquals(ALONE + 75, holdings.usableAmount(at(10)));
-    ground.lease = at(20);
-    assertEquals(ALONE + 75, holdings.usableAmount(at(10.99)));
-    assertEquals(ALONE + 300, holdings.usableAmount(at(11)), "it comes back by itself");
+        10_000_000 + grant.durationUs() * 1.001 < 11_000_000,
+        "it ends before the lease on the view, even by a slower clock");
+    assertEquals(STANDALONE + 75, leases.usableAmount(at(10)));
+    context.leaseUntil = at(20);
+    assertEquals(STANDALONE + 75, leases.usableAmount(at(10.99)));
+    assertEquals(
+        STANDALONE + 300, leases.usableAmount(at(11)), "it is usable again without a message");
   }
 
   @Test
   void twoBorrowersGetNoMoreThanTheLenderHas() {
-    settled(view(1, 0, 1, 2), 60);
-    ground.demand.put(new MemberName("n1"), 9.0);
-    ground.demand.put(new MemberName("n2"), 9.0);
-    assertEquals(150, asked(1, 150, 10).amount());
-    assertEquals(75, asked(2, 150, 10).amount());
+    installSettledView(view(1, 0, 1, 2), 60);
+    context.demand.put(new MemberName("n1"), 9.0);
+    context.demand.put(new MemberName("n2"), 9.0);
+    assertEquals(150, requestLease(1, 150, 10).amount());
+    assertEquals(75, requestLease(2, 150, 10).amount());
     assertEquals(
         0,
-        asked(2, 150, 10).amount() - 75,
-        "asked again, the same is said, and not lent once more");
-    assertEquals(0, asked(1, 0, 10).amount());
-    assertEquals(ALONE + 75, holdings.usableAmount(at(10)));
+        requestLease(2, 150, 10).amount() - 75,
+        "a repeated request gets the same grant, and no second one");
+    assertEquals(0, requestLease(1, 0, 10).amount());
+    assertEquals(STANDALONE + 75, leases.usableAmount(at(10)));
   }
 
   @Test
   void nothingIsLentWithoutALease() {
-    settled(view(1, 0, 1, 2), 60);
-    ground.demand.put(new MemberName("n1"), 9.0);
-    ground.lease = at(9);
-    assertEquals(0, asked(1, 100, 10).amount());
+    installSettledView(view(1, 0, 1, 2), 60);
+    context.demand.put(new MemberName("n1"), 9.0);
+    context.leaseUntil = at(9);
+    assertEquals(0, requestLease(1, 100, 10).amount());
     assertEquals(
         List.of(),
-        holdings.receive(new LeaseRequest(teller(5), 1, 100), at(10)),
-        "nor anything to one outside the view");
-    MessageHeader former =
+        leases.receive(new LeaseRequest(header(5), 1, 100), at(10)),
+        "nothing is lent to a process outside the view");
+    MessageHeader otherIncarnation =
         new MessageHeader(
             new Member(new MemberName("n1"), new Incarnation(999), member(1).peerAddress()),
             0,
@@ -215,34 +224,34 @@
             true);
     assertEquals(
         List.of(),
-        holdings.receive(new LeaseRequest(former, 1, 100), at(10)),
-        "nor to another process of its name");
+        leases.receive(new LeaseRequest(otherIncarnation, 1, 100), at(10)),
+        "nothing is lent to another incarnation of a member");
   }
 
-  private LeaseRequest borrows(double seconds) {
-    List<CapacityLeases.OutgoingMessage> tells = holdings.update(at(seconds));
-    assertEquals(1, tells.size(), tells.toString());
-    return (LeaseRequest) tells.get(0).message();
+  private LeaseRequest nextRequest(double seconds) {
+    List<CapacityLeases.OutgoingMessage> requests = leases.update(at(seconds));
+    assertEquals(1, requests.size(), requests.toString());
+    return (LeaseRequest) requests.get(0).message();
   }
 
   @Test
   void borrowedCapacityCountsOnceAndFromTheRequest() {
-    settled(view(1, 0, 1), 60);
-    holdings.setDemand(9);
-    ground.demand.put(new MemberName("n1"), 0.0);
-    LeaseRequest borrow = borrows(10);
-    assertTrue(borrow.amount() > 300, borrow.toString());
-    LeaseGrant lent = new LeaseGrant(teller(1), borrow.id(), 300, 1_500_000);
-    holdings.receive(lent, at(10.4));
-    assertEquals(ALONE + 450 + 300, holdings.usableAmount(at(10.4)));
-    holdings.receive(lent, at(10.5));
+    installSettledView(view(1, 0, 1), 60);
+    leases.setDemand(9);
+    context.demand.put(new MemberName("n1"), 0.0);
+    LeaseRequest request = nextRequest(10);
+    assertTrue(request.amount() > 300, request.toString());
+    LeaseGrant grant = new LeaseGrant(header(1), request.id(), 300, 1_500_000);
+    leases.receive(grant, at(10.4));
+    assertEquals(STANDALONE + 450 + 300, leases.usableAmount(at(10.4)));
+    leases.receive(grant, at(10.5));
     assertEquals(
-        ALONE + 450 + 300,
-        holdings.usableAmount(at(10.5)),
-        "a message that comes twice counts once");
+        STANDALONE + 450 + 300, leases.usableAmount(at(10.5)), "a duplicated grant counts once");
     assertEquals(
-        ALONE + 450, holdings.usableAmount(at(11.5)), "1.5 s from the ask, not from the answer");
-    List<CapacityLeases.CapacityStep> steps = holdings.usableSteps(at(10.5));
+        STANDALONE + 450,
+        leases.usableAmount(at(11.5)),
+        "1.5 s from the request, not from the reply");
+    List<CapacityLeases.CapacityStep> steps = leases.usableSteps(at(10.5));
     assertEquals(
         List.of(
             new CapacityLeases.CapacityStep(at(11.5), 760),
@@ -253,42 +262,49 @@
 
   @Test
   void unrequestedOrInvalidGrantsAreIgnored() {
-    settled(view(1, 0, 1), 60);
-    holdings.setDemand(9);
-    ground.demand.put(new MemberName("n1"), 0.0);
-    LeaseRequest borrow = borrows(10);
-    holdings.receive(new LeaseGrant(teller(1), borrow.id() + 1, 300, 1_500_000), at(10.1));
-    holdings.receive(new LeaseGrant(teller(1), borrow.id(), 1_000_000, 1_500_000), at(10.1));
-    holdings.receive(new LeaseGrant(teller(1), borrow.id(), 300, 60_000_000), at(10.1));
-    holdings.receive(new LeaseGrant(teller(1), borrow.id(), -300, 1_500_000), at(10.1));
-    assertEquals(ALONE + 450, holdings.usableAmount(at(10.1)));
+    installSettledView(view(1, 0, 1), 60);
+    leases.setDemand(9);
+    context.demand.put(new MemberName("n1"), 0.0);
+    LeaseRequest request = nextRequest(10);
+    leases.receive(new LeaseGrant(header(1), request.id() + 1, 300, 1_500_000), at(10.1));
+    leases.receive(new LeaseGrant(header(1), request.id(), 1_000_000, 1_500_000), at(10.1));
+    leases.receive(new LeaseGrant(header(1), request.id(), 300, 60_000_000), at(10.1));
+    leases.receive(new LeaseGrant(header(1), request.id(), -300, 1_500_000), at(10.1));
+    assertEquals(STANDALONE + 450, leases.usableAmount(at(10.1)));
   }
 
   @Test
   void laterGrantOfALenderReplacesTheEarlierOne() {
-    settled(view(1, 0, 1), 60);
-    holdings.setDemand(9);
-    ground.demand.put(new MemberName("n1"), 0.0);
-    holdings.receive(new LeaseGrant(teller(1), borrows(10).id(), 300, 1_500_000), at(10.1));
-    LeaseRequest again = borrows(11);
-    holdings.receive(new LeaseGrant(teller(1), again.id(), 100, 1_500_000), at(11.1));
-    assertEquals(ALONE + 450 + 100, holdings.usableAmount(at(11.1)), "never both");
+    installSettledView(view(1, 0, 1), 60);
+    leases.setDemand(9);
+    context.demand.put(new MemberName("n1"), 0.0);
+    leases.receive(new LeaseGrant(header(1), nextRequest(10).id(), 300, 1_500_000), at(10.1));
+    LeaseRequest renewal = nextRequest(11);
+    leases.receive(new LeaseGrant(header(1), renewal.id(), 100, 1_500_000), at(11.1));
+    assertEquals(
+        STANDALONE + 450 + 100,
+        leases.usableAmount(at(11.1)),
+        "the later grant replaces the earlier one");
   }
 
   @Test
   void membersOfUnknownDemandAreNotAsked() {
-    settled(view(1, 0, 1, 2), 60);
-    holdings.setDemand(9);
-    assertEquals(List.of(), holdings.update(at(10)));
-    ground.demand.put(new MemberName("n2"), 1.0);
-    assertEquals(member(2).peerAddress(), holdings.update(at(11)).get(0).to());
+    installSettledView(view(1, 0, 1, 2), 60);
+    leases.setDemand(9);
+    assertEquals(List.of(), leases.update(at(10)));
+    context.demand.put(new MemberName("n2"), 1.0);
+    assertEquals(member(2).peerAddress(), leases.update(at(11)).get(0).to());
   }
 
   @Test
   void demandIsADecayingAverageWithTheStatedHalfLife() {
     DemandEstimate demand = new DemandEstimate(new TimeSpan(1_000_000));
     assertEquals(0, demand.update(0, at(0)));
-    assertEquals(50, demand.update(50, at(1)), 1e-9, "it knows its rate by the first second alone");
+    assertEquals(
+        50,
+        demand.update(50, at(1)),
+        1e-9,
+        "the first interval alone determines the rate, without a bias towards zero");
     for (int seconds = 2; seconds < 30; seconds++) {
       demand.update(50 * seconds, at(seconds));
     }
--- a/src/test/java/cobaltseam/capacity/LoadReportsTest.java
+++ b/src/test/java/cobaltseam/capacity/LoadReportsTest.java
@@ -25,11 +25,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What engines told, among members that a test joins. */
+/** Tests the exchange of load reports, between members that the test connects. */
 class LoadReportsTest {
-  private static final LoadReports.LoadReportOptions TERMS =
+  private static final LoadReports.LoadReportOptions OPTIONS =
       new LoadReports.LoadReportOptions(new TimeSpan(100_000), 1, new TimeSpan(3_000_000), 0.001);
-  private static final EngineId E = new EngineId(7);
+  private static final EngineId ENGINE = new EngineId(7);
 
   private static Member member(int index) {
     return new Member(
@@ -38,75 +38,82 @@
         new InetSocketAddress("127.0.0.1", 1000 + index));
   }
 
-  private static MessageHeader teller(int index) {
+  private static MessageHeader header(int index) {
     return new MessageHeader(member(index), 0, ViewId.NONE, true);
   }
 
   private static View view(int members) {
-    List<Member> of = new ArrayList<>();
+    List<Member> viewMembers = new ArrayList<>();
     for (int i = 0; i < members; i++) {
-      of.add(member(i));
+      viewMembers.add(member(i));
     }
-    return new View(new ViewId(1, 1), of, null);
+    return new View(new ViewId(1, 1), viewMembers, null);
   }
 
   private static Timestamp at(double seconds) {
     return new Timestamp(Math.round(seconds * 1e6));
   }
 
-  /** The id of an ask that member 0 has out. */
-  private static long asked(LoadReports reports, double seconds) {
-    for (double t = seconds; t < seconds + 5; t += 0.1) {
-      List<LoadReports.OutgoingMessage> tells = reports.runRound(view(2), teller(0), at(t));
-      if (!tells.isEmpty()) {
-        return ((ReportsRequest) tells.get(0).message()).id();
+  /** Runs rounds of member 0 until one makes a request, and returns the id of that request. */
+  private static long nextRequestId(LoadReports reports, double seconds) {
+    for (double time = seconds; time < seconds + 5; time += 0.1) {
+      List<LoadReports.OutgoingMessage> requests = reports.runRound(view(2), header(0), at(time));
+      if (!requests.isEmpty()) {
+        return ((ReportsRequest) requests.get(0).message()).id();
       }
     }
-    throw new AssertionError("nothing is asked");
+    throw new AssertionError("no request was made");
   }
 
-  private static ReportsReply table(int from, long id, int inHand, int ageMs) {
+  private static ReportsReply reply(int from, long id, int inFlight, int ageMs) {
     return new ReportsReply(
-        teller(from), id, new long[] {E.value()}, new int[] {inHand}, new int[] {ageMs});
+        header(from), id, new long[] {ENGINE.value()}, new int[] {inFlight}, new int[] {ageMs});
   }
 
   @Test
   void latestReportCountsAndIsPassedOnOnce() {
-    LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
-    reports.addLocalReport(new LoadReport(E, 4, at(9.9)));
-    assertEquals(List.of(), reports.takeReceivedReports(), "what was told here is no news");
-    long id = asked(reports, 10);
-    reports.receive(table(1, id, 9, 500), view(2), teller(0), at(10.6));
-    assertEquals(List.of(), reports.takeReceivedReports(), "older than what is known");
-    id = asked(reports, 11);
-    reports.receive(table(1, id, 9, 1), view(2), teller(0), at(12));
-    List<LoadReport> news = reports.takeReceivedReports();
-    assertEquals(9, news.get(0).inFlight());
+    LoadReports reports = new LoadReports(OPTIONS, new SplittableRandom(1), at(0));
+    reports.addLocalReport(new LoadReport(ENGINE, 4, at(9.9)));
+    assertEquals(
+        List.of(),
+        reports.takeReceivedReports(),
+        "a report made to this dispatcher is not a received one");
+    long id = nextRequestId(reports, 10);
+    reports.receive(reply(1, id, 9, 500), view(2), header(0), at(10.6));
+    assertEquals(
+        List.of(), reports.takeReceivedReports(), "the report is older than the known one");
+    id = nextRequestId(reports, 11);
+    reports.receive(reply(1, id, 9, 1), view(2), header(0), at(12));
+    List<LoadReport> received = reports.takeReceivedReports();
+    assertEquals(9, received.get(0).inFlight());
     assertTrue(
-        news.get(0).measuredAt().isBefore(at(12)),
-        "its age counts from the ask, not from the answer");
+        received.get(0).measuredAt().isBefore(at(12)),
+        "its age counts from the request, not from the reply");
     assertEquals(List.of(), reports.takeReceivedReports());
   }
 
   @Test
   void unrequestedOrInvalidRepliesAreIgnored() {
-    LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
-    long id = asked(reports, 10);
-    reports.receive(table(1, id + 1, 9, 1), view(2), teller(0), at(10.1));
-    reports.receive(table(5, id, 9, 1), view(2), teller(0), at(10.1));
-    reports.receive(table(0, id, 9, 1), view(2), teller(0), at(10.1));
-    reports.receive(table(1, id, -1, 1), view(2), teller(0), at(10.1));
+    LoadReports reports = new LoadReports(OPTIONS, new SplittableRandom(1), at(0));
+    long id = nextRequestId(reports, 10);
+    reports.receive(reply(1, id + 1, 9, 1), view(2), header(0), at(10.1));
+    reports.receive(reply(5, id, 9, 1), view(2), header(0), at(10.1));
+    reports.receive(reply(0, id, 9, 1), view(2), header(0), at(10.1));
+    reports.receive(reply(1, id, -1, 1), view(2), header(0), at(10.1));
     assertEquals(0, reports.reportCount());
-    reports.receive(table(1, id, 9, 1), view(2), teller(0), at(10.1));
-    assertEquals(0, reports.reportCount(), "an answer counts once, though it was nonsense");
+    reports.receive(reply(1, id, 9, 1), view(2), header(0), at(10.1));
+    assertEquals(
+        0,
+        reports.reportCount(),
+        "only one reply to a request is accepted, even if the first one was invalid");
     assertThrows(
         IllegalArgumentException.class,
-        () -> new ReportsReply(teller(1), 1, new long[2], new int[1], new int[2]));
+        () -> new ReportsReply(header(1), 1, new long[2], new int[1], new int[2]));
     assertThrows(
         IllegalArgumentException.class,
         () ->
             new ReportsReply(
-                teller(1),
+                header(1),
                 1,
                 new long[LoadReports.MAX_ENGINES + 1],
                 new int[LoadReports.MAX_ENGINES + 1],
@@ -115,80 +122,86 @@
 
   @Test
   void expiredReportsAreIgnored() {
-    LoadReports reports = new LoadReports(TERMS, new SplittableRandom(1), at(0));
-    long id = asked(reports, 10);
-    reports.receive(table(1, id, 9, 3100), view(2), teller(0), at(10.1));
-    reports.receive(table(1, asked(reports, 11), 9, -4), view(2), teller(0), at(11.1));
+    LoadReports reports = new LoadReports(OPTIONS, new SplittableRandom(1), at(0));
+    long id = nextRequestId(reports, 10);
+    reports.receive(reply(1, id, 9, 3100), view(2), header(0), at(10.1));
+    reports.receive(reply(1, nextRequestId(reports, 11), 9, -4), view(2), header(0), at(11.1));
     assertEquals(0, reports.reportCount());
-    reports.addLocalReport(new LoadReport(E, 4, at(12)));
-    reports.runRound(view(2), teller(0), at(15.1));
+    reports.addLocalReport(new LoadReport(ENGINE, 4, at(12)));
+    reports.runRound(view(2), header(0), at(15.1));
     assertEquals(0, reports.reportCount());
   }
 
-  private record Delivery(double at, int to, LoadReportMessage word) {}
+  private record Delivery(double atSeconds, int to, LoadReportMessage message) {}
 
   @Test
   void reportsReachAHundredMembersAndAgesAreNeverUnderstated() {
     View view = view(100);
-    SplittableRandom chance = new SplittableRandom(3);
+    SplittableRandom random = new SplittableRandom(3);
     List<LoadReports> all = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
-      all.add(new LoadReports(TERMS, chance.split(), at(0)));
+      all.add(new LoadReports(OPTIONS, random.split(), at(0)));
     }
-    Map<Integer, Double> toldAt = new HashMap<>();
-    PriorityQueue<Delivery> late = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
-    double ages = 0;
-    int looks = 0;
+    Map<Integer, Double> reportedAt = new HashMap<>();
+    PriorityQueue<Delivery> inTransit =
+        new PriorityQueue<>((a, b) -> Double.compare(a.atSeconds, b.atSeconds));
+    double totalAge = 0;
+    int receivedCount = 0;
     for (int ms = 0; ms < 6000; ms += 10) {
       double seconds = 1 + ms / 1000.0;
       if (ms % 50 == 0) {
-        // Each time another member is told another figure.
-        int figure = ms / 50;
-        toldAt.put(figure, seconds);
-        all.get(chance.nextInt(100)).addLocalReport(new LoadReport(E, figure, at(seconds)));
+        // Each time a random member gets a report with a new number of requests in flight.
+        int inFlight = ms / 50;
+        reportedAt.put(inFlight, seconds);
+        all.get(random.nextInt(100)).addLocalReport(new LoadReport(ENGINE, inFlight, at(seconds)));
       }
       for (int i = 0; i < 100; i++) {
-        for (LoadReports.OutgoingMessage tell : all.get(i).runRound(view, teller(i), at(seconds))) {
-          send(late, tell, seconds, chance);
+        for (LoadReports.OutgoingMessage request :
+            all.get(i).runRound(view, header(i), at(seconds))) {
+          send(inTransit, request, seconds, random);
         }
       }
-      while (!late.isEmpty() && late.peek().at <= seconds) {
-        Delivery delivery = late.poll();
-        for (LoadReports.OutgoingMessage tell :
-            all.get(delivery.to).receive(delivery.word, view, teller(delivery.to), at(seconds))) {
-          send(late, tell, seconds, chance);
+      while (!inTransit.isEmpty() && inTransit.peek().atSeconds <= seconds) {
+        Delivery delivery = inTransit.poll();
+        for (LoadReports.OutgoingMessage reply :
+            all.get(delivery.to)
+                .receive(delivery.message, view, header(delivery.to), at(seconds))) {
+          send(inTransit, reply, seconds, random);
         }
       }
       for (int i = 0; i < 100; i++) {
-        for (LoadReport news : all.get(i).takeReceivedReports()) {
+        for (LoadReport received : all.get(i).takeReceivedReports()) {
           assertTrue(
-              news.measuredAt().us() <= toldAt.get((int) news.inFlight()) * 1e6,
-              "told as younger than it is");
+              received.measuredAt().us() <= reportedAt.get((int) received.inFlight()) * 1e6,
+              "the report seems newer than it is");
           if (ms > 2000) {
-            ages += seconds - news.measuredAt().us() / 1e6;
-            looks++;
+            totalAge += seconds - received.measuredAt().us() / 1e6;
+            receivedCount++;
           }
         }
       }
     }
-    assertTrue(looks > 100 * 10, "each hears some a second: " + looks);
+    assertTrue(receivedCount > 100 * 10, "each member receives some per second: " + receivedCount);
     assertTrue(
-        ages / looks < 1,
-        "in rounds of 0.1 s news is younger than a second at the mean: " + ages / looks);
+        totalAge / receivedCount < 1,
+        "in rounds of 0.1 s the mean age of received reports is below a second: "
+            + totalAge / receivedCount);
   }
 
-  /** A datagram may be lost, late or doubled. */
+  /** Sends a datagram, which may be lost, delayed or duplicated. */
   private static void send(
-      PriorityQueue<Delivery> late,
-      LoadReports.OutgoingMessage tell,
+      PriorityQueue<Delivery> inTransit,
+      LoadReports.OutgoingMessage message,
       double seconds,
-      SplittableRandom chance) {
-    for (int n = chance.nextInt(10) == 0 ? 0 : chance.nextInt(10) == 0 ? 2 : 1; n > 0; n--) {
-      late.add(
+      SplittableRandom random) {
+    for (int copies = random.nextInt(10) == 0 ? 0 : random.nextInt(10) == 0 ? 2 : 1;
+        copies > 0;
+        copies--) {
+      inTransit.add(
           new Delivery(
-              seconds + chance.nextDouble() * chance.nextDouble() * 0.2,
-              tell.to().getPort() - 1000,
-              tell.message()));
+              seconds + random.nextDouble() * random.nextDouble() * 0.2,
+              message.to().getPort() - 1000,
+              message.message()));
     }
   }
 }
--- a/src/test/java/cobaltseam/sharing/StateGossipTest.java
+++ b/src/test/java/cobaltseam/sharing/StateGossipTest.java
@@ -27,159 +27,177 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What members know of each other, in virtual time over a network that loses, delays, doubles and
- * reorders.
+ * Tests the gossip of figures between members, in virtual time over a network that loses, delays,
+ * duplicates and reorders messages.
  */
 class StateGossipTest {
   private static final TimeSpan SECOND = new TimeSpan(1_000_000);
-  private static final GossipOptions TERMS =
+  private static final GossipOptions OPTIONS =
       new GossipOptions(SECOND, 3, SECOND.times(15), 1200, 0.001);
-  private static final String OUT = "out";
+  private static final String FIGURE = "out";
 
-  private record Flight(long at, int order, MemberName to, SharingMessage message) {}
+  private record Delivery(long atUs, int order, MemberName to, SharingMessage message) {}
 
-  /**
-   * One process: its module, and its clock, which runs at a rate of its own from a moment of its
-   * own.
-   */
+  /** A process with its gossip and its own clock, whose rate and origin differ from true time. */
   private static final class Process {
     final MemberName name;
-    final Incarnation birth;
-    final long begun;
-    final double rate;
-    final StateGossip module;
-    long said;
-    final Map<MemberName, FiguresVersion> newest = new HashMap<>();
+    final Incarnation incarnation;
+    final long startedAtUs;
+    final double clockRate;
+    final StateGossip gossip;
+    long lastValue;
+    final Map<MemberName, FiguresVersion> newestVersions = new HashMap<>();
 
-    Process(MemberName name, Incarnation birth, long at, double rate, SplittableRandom seeds) {
+    Process(
+        MemberName name,
+        Incarnation incarnation,
+        long startedAtUs,
+        double clockRate,
+        SplittableRandom random) {
       this.name = name;
-      this.birth = birth;
-      begun = at;
-      this.rate = rate;
-      module =
-          new StateGossip(name, birth, TERMS, new SplittableRandom(seeds.nextLong()), clock(at));
+      this.incarnation = incarnation;
+      this.startedAtUs = startedAtUs;
+      this.clockRate = clockRate;
+      gossip =
+          new StateGossip(
+              name,
+              incarnation,
+              OPTIONS,
+              new SplittableRandom(random.nextLong()),
+              clock(startedAtUs));
     }
 
-    Timestamp clock(long at) {
-      return new Timestamp(Math.round(7_000_000 + (at - begun) * rate));
+    /** The time of this process's clock at a true time in microseconds. */
+    Timestamp clock(long trueUs) {
+      return new Timestamp(Math.round(7_000_000 + (trueUs - startedAtUs) * clockRate));
     }
   }
 
   private final Map<MemberName, Process> running = new TreeMap<>();
   private final Set<MemberName> view = new TreeSet<>();
-  private final Map<MemberName, Long> silentUntil = new HashMap<>();
-  private final PriorityQueue<Flight> air =
-      new PriorityQueue<>(Comparator.comparingLong(Flight::at).thenComparingInt(Flight::order));
+  private final Map<MemberName, Long> suspendedUntil = new HashMap<>();
+  private final PriorityQueue<Delivery> inTransit =
+      new PriorityQueue<>(
+          Comparator.comparingLong(Delivery::atUs).thenComparingInt(Delivery::order));
 
   /**
-   * Until when, in true time, each member last stood by each figure: at every true moment it runs,
-   * by its newest.
+   * The last true time at which each value was current, by member. While a member runs, its newest
+   * value is current.
    */
-  private final Map<MemberName, TreeMap<Long, Long>> stoodBy = new HashMap<>();
+  private final Map<MemberName, TreeMap<Long, Long>> currentUntil = new HashMap<>();
 
   private SplittableRandom random = new SplittableRandom(1);
   private long now = 1_000_000;
   private int order;
-  private double loss;
-  private double doubled;
-  private long longest = 2_000;
+  private double lossRatio;
+  private double duplicationRatio;
+  private long maxDelayUs = 2_000;
 
   private static MemberName name(int index) {
     return new MemberName("d" + index);
   }
 
-  private Process start(int index, long birth, double rate) {
-    Process process = new Process(name(index), new Incarnation(birth), now, rate, random);
+  private Process start(int index, long incarnation, double clockRate) {
+    Process process =
+        new Process(name(index), new Incarnation(incarnation), now, clockRate, random);
     running.put(process.name, process);
     view.add(process.name);
-    running.values().forEach(other -> other.module.setView(view));
+    running.values().forEach(other -> other.gossip.setView(view));
     return process;
   }
 
-  /** What is said is told apart by its value: no two statements of all say the same. */
-  private void say(Process process) {
-    long value = now * 1000 + running.size() + process.said++ % 7;
-    process.module.setOwnFigures(new MemberFigures(Map.of(OUT, value)));
-    stoodBy.computeIfAbsent(process.name, figures -> new TreeMap<>()).put(value, now);
-    process.said = value;
+  /** Publishes a new figure. Its value is unique, so that the test can tell which one is known. */
+  private void publish(Process process) {
+    long value = now * 1000 + running.size() + process.lastValue++ % 7;
+    process.gossip.setOwnFigures(new MemberFigures(Map.of(FIGURE, value)));
+    currentUntil.computeIfAbsent(process.name, member -> new TreeMap<>()).put(value, now);
+    process.lastValue = value;
   }
 
-  private void carry(List<OutgoingMessage> sends) {
-    for (OutgoingMessage s : sends) {
-      for (int copies = random.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
-        if (random.nextDouble() >= loss) {
-          air.add(new Flight(now + 1 + random.nextLong(longest), order++, s.to(), s.message()));
+  private void send(List<OutgoingMessage> messages) {
+    for (OutgoingMessage message : messages) {
+      for (int copies = random.nextDouble() < duplicationRatio ? 2 : 1; copies > 0; copies--) {
+        if (random.nextDouble() >= lossRatio) {
+          inTransit.add(
+              new Delivery(
+                  now + 1 + random.nextLong(maxDelayUs), order++, message.to(), message.message()));
         }
       }
     }
   }
 
-  private void pass(long us) {
+  private void advance(long us) {
     for (long end = now + us; now < end; now += 20_000) {
       for (Process process : running.values()) {
-        if (process.said > 0) {
-          stoodBy.get(process.name).put(process.said, now);
+        if (process.lastValue > 0) {
+          currentUntil.get(process.name).put(process.lastValue, now);
         }
-        if (silentUntil.getOrDefault(process.name, 0L) <= now) {
-          carry(process.module.runRound(process.clock(now)));
+        if (suspendedUntil.getOrDefault(process.name, 0L) <= now) {
+          send(process.gossip.runRound(process.clock(now)));
         }
       }
-      while (!air.isEmpty() && air.peek().at() <= now) {
-        Flight flight = air.remove();
-        Process process = running.get(flight.to());
-        if (process != null && silentUntil.getOrDefault(process.name, 0L) <= now) {
-          carry(process.module.receive(flight.message(), process.clock(now)));
+      while (!inTransit.isEmpty() && inTransit.peek().atUs() <= now) {
+        Delivery delivery = inTransit.remove();
+        Process process = running.get(delivery.to());
+        if (process != null && suspendedUntil.getOrDefault(process.name, 0L) <= now) {
+          send(process.gossip.receive(delivery.message(), process.clock(now)));
         }
       }
     }
   }
 
   /**
-   * Every figure known anywhere was said by its member, who stood by it no longer ago than its age
-   * says.
+   * Checks every known figure: its member published it, and its value was current no longer ago
+   * than the recorded age.
+   *
+   * @return the number of known figures
    */
-  private int check() {
-    int known = 0;
+  private int checkKnownFigures() {
+    int knownCount = 0;
     for (Process process : running.values()) {
-      for (MemberName of : view) {
+      for (MemberName member : view) {
         KnownFigures figures =
-            of.equals(process.name) ? null : process.module.figuresOf(of, process.clock(now));
+            member.equals(process.name)
+                ? null
+                : process.gossip.figuresOf(member, process.clock(now));
         if (figures == null) {
-          // Once forgotten, a process started anew under its birth may begin below its former
-          // number.
-          process.newest.remove(of);
+          // Once the figures are dropped, a process restarted under the same incarnation may begin
+          // below the version number of the earlier process.
+          process.newestVersions.remove(member);
         } else {
-          known++;
-          FiguresVersion before = process.newest.put(of, figures.version());
+          knownCount++;
+          FiguresVersion previous = process.newestVersions.put(member, figures.version());
           assertTrue(
-              before == null || before.compareTo(figures.version()) <= 0,
-              "back to what was said before");
-          Long stood = stoodBy.get(of).get(figures.figures().byName().get(OUT));
-          assertNotNull(stood, "nobody said that");
-          double most = figures.age().us() * 1.003 + 40_000;
+              previous == null || previous.compareTo(figures.version()) <= 0,
+              "an older version replaced a newer one");
+          Long lastCurrent = currentUntil.get(member).get(figures.figures().byName().get(FIGURE));
+          assertNotNull(lastCurrent, "no member published this value");
+          double maxAgeUs = figures.age().us() * 1.003 + 40_000;
           assertTrue(
-              now - stood <= most,
-              of
+              now - lastCurrent <= maxAgeUs,
+              member
                   + " at "
                   + process.name
                   + " is "
-                  + (now - stood)
-                  + " us old and is held for "
+                  + (now - lastCurrent)
+                  + " us old, but its recorded age is "
                   + figures.age().us());
-          assertTrue(figures.age().compareTo(TERMS.maxAge()) < 0, "past its end and still known");
+          assertTrue(
+              figures.age().compareTo(OPTIONS.maxAge()) < 0,
+              "a figure is known beyond its maximum age");
         }
       }
     }
-    return known;
+    return knownCount;
   }
 
   @Test
   void hundredMembersKnowEachOtherWithinTenRounds() {
     for (int index = 0; index < 100; index++) {
-      say(start(index, 5, 1));
+      publish(start(index, 5, 1));
     }
-    pass(10_000_000);
-    assertEquals(100 * 99, check());
+    advance(10_000_000);
+    assertEquals(100 * 99, checkKnownFigures());
   }
 
   @ParameterizedTest
@@ -189,60 +207,60 @@
       })
   void agesAreNeverUnderstatedUnderNetworkFaults(long seed) {
     random = new SplittableRandom(seed);
-    loss = 0.3 * random.nextDouble();
-    doubled = 0.2;
-    longest = seed % 3 == 0 ? 12_000_000 : 400_000;
+    lossRatio = 0.3 * random.nextDouble();
+    duplicationRatio = 0.2;
+    maxDelayUs = seed % 3 == 0 ? 12_000_000 : 400_000;
     int members = 3 + random.nextInt(8);
     for (int index = 0; index < members; index++) {
-      say(start(index, 5, 1 + TERMS.maxClockRateRatio() * (2 * random.nextDouble() - 1)));
+      publish(start(index, 5, 1 + OPTIONS.maxClockRateRatio() * (2 * random.nextDouble() - 1)));
     }
-    int known = 0;
+    int knownCount = 0;
     for (int step = 0; step < 150; step++) {
-      pass(20_000L * (1 + random.nextInt(25)));
+      advance(20_000L * (1 + random.nextInt(25)));
       int index = random.nextInt(members);
       Process process = running.get(name(index));
       switch (random.nextInt(8)) {
         case 0 -> running.remove(name(index));
         case 1 -> {
           if (process == null) {
-            // Started anew, with or without what made it the same member.
-            say(start(index, random.nextBoolean() ? 5 : 6 + step, 1));
+            // The process restarts, either under the same incarnation or under a new one.
+            publish(start(index, random.nextBoolean() ? 5 : 6 + step, 1));
           }
         }
-        case 2 -> silentUntil.put(name(index), now + random.nextLong(6_000_000));
+        case 2 -> suspendedUntil.put(name(index), now + random.nextLong(6_000_000));
         default -> {
           if (process != null) {
-            say(process);
+            publish(process);
           }
         }
       }
-      known += check();
+      knownCount += checkKnownFigures();
     }
-    assertTrue(known > (seed % 3 == 0 ? 0 : 100), "a day on which something was known: " + known);
+    assertTrue(knownCount > (seed % 3 == 0 ? 0 : 100), "too few figures were known: " + knownCount);
   }
 
   @Test
   void reaffirmedFiguresStayKnown() {
     for (int index = 0; index < 40; index++) {
-      say(start(index, 5, 1));
+      publish(start(index, 5, 1));
     }
-    pass(60_000_000);
-    assertEquals(40 * 39, check());
+    advance(60_000_000);
+    assertEquals(40 * 39, checkKnownFigures());
   }
 
   @Test
   void figuresOfADeadMemberExpireDespiteDelayedMessages() {
-    longest = 9_000_000;
+    maxDelayUs = 9_000_000;
     for (int index = 0; index < 12; index++) {
-      say(start(index, 5, 1));
+      publish(start(index, 5, 1));
     }
-    pass(12_000_000);
+    advance(12_000_000);
     running.remove(name(0));
-    pass(TERMS.maxAge().us() + 100_000);
+    advance(OPTIONS.maxAge().us() + 100_000);
     for (Process process : running.values()) {
       assertNull(
-          process.module.figuresOf(name(0), process.clock(now)),
-          "told on from one to the next it must not stay young");
+          process.gossip.figuresOf(name(0), process.clock(now)),
+          "passing figures on from member to member must not reduce their age");
     }
   }
 
@@ -251,97 +269,106 @@
     Process process = start(0, 5, 1);
     start(1, 5, 1);
     Process third = start(2, 5, 1);
-    process.module.setOwnFigures(new MemberFigures(Map.of(OUT, 4L)));
-    third.module.setOwnFigures(new MemberFigures(Map.of("other", 1L)));
-    pass(5_000_000);
+    process.gossip.setOwnFigures(new MemberFigures(Map.of(FIGURE, 4L)));
+    third.gossip.setOwnFigures(new MemberFigures(Map.of("other", 1L)));
+    advance(5_000_000);
     assertEquals(
         new StateGossip.FigureSum(4, 1, 2),
-        process.module.sum(OUT, process.clock(now)),
-        "one silent, one that does not say it");
+        process.gossip.sum(FIGURE, process.clock(now)),
+        "one member published nothing, and one not this figure");
   }
 
   @Test
   void unrequestedReplyIsIgnored() {
     Process process = start(0, 5, 1);
     start(1, 5, 1);
-    FiguresUpdate statement =
+    FiguresUpdate update =
         new FiguresUpdate(
             name(1),
             new FiguresVersion(new Incarnation(5), 9),
-            new MemberFigures(Map.of(OUT, 1L)),
+            new MemberFigures(Map.of(FIGURE, 1L)),
             TimeSpan.ZERO);
-    process.module.receive(
-        new SharingMessage.UpdateReply(name(1), 77, List.of(statement), List.of()),
+    process.gossip.receive(
+        new SharingMessage.UpdateReply(name(1), 77, List.of(update), List.of()),
         process.clock(now));
-    assertNull(process.module.figuresOf(name(1), process.clock(now)));
+    assertNull(process.gossip.figuresOf(name(1), process.clock(now)));
   }
 
   @Test
   void figuresOfMembersOutsideTheViewAreDropped() {
     Process process = start(0, 5, 1);
-    say(start(1, 5, 1));
-    say(start(2, 5, 1));
-    pass(5_000_000);
-    assertEquals(2, process.module.knownMemberCount());
-    process.module.setView(Set.of(name(0), name(1)));
-    assertEquals(1, process.module.knownMemberCount());
+    publish(start(1, 5, 1));
+    publish(start(2, 5, 1));
+    advance(5_000_000);
+    assertEquals(2, process.gossip.knownMemberCount());
+    process.gossip.setView(Set.of(name(0), name(1)));
+    assertEquals(1, process.gossip.knownMemberCount());
     running.remove(name(2));
-    pass(3_000_000);
+    advance(3_000_000);
     assertNull(
-        process.module.figuresOf(name(2), process.clock(now)),
-        "told again by one whose view is older, and not kept");
+        process.gossip.figuresOf(name(2), process.clock(now)),
+        "a member with an older view passed the figures on, but they are not kept");
   }
 
   @Test
-  void restartUnderTheSameIncarnationIsBelievedAgain() {
+  void figuresAreAcceptedAfterARestartUnderTheSameIncarnation() {
     Process process = start(0, 5, 1);
     Process other = start(1, 5, 1);
     for (int index = 0; index < 20; index++) {
-      say(other);
+      publish(other);
     }
-    pass(4_000_000);
+    advance(4_000_000);
     running.remove(name(1));
-    Process again = start(1, 5, 1);
-    again.module.setOwnFigures(new MemberFigures(Map.of(OUT, -1L)));
-    stoodBy.get(name(1)).put(-1L, now);
-    pass(6_000_000);
-    again.module.setOwnFigures(new MemberFigures(Map.of(OUT, -2L)));
-    pass(3_000_000);
+    Process restarted = start(1, 5, 1);
+    restarted.gossip.setOwnFigures(new MemberFigures(Map.of(FIGURE, -1L)));
+    currentUntil.get(name(1)).put(-1L, now);
+    advance(6_000_000);
+    restarted.gossip.setOwnFigures(new MemberFigures(Map.of(FIGURE, -2L)));
+    advance(3_000_000);
     assertEquals(
-        -2L, process.module.figuresOf(name(1), process.clock(now)).figures().byName().get(OUT));
+        -2L, process.gossip.figuresOf(name(1), process.clock(now)).figures().byName().get(FIGURE));
   }
 
   @Test
   void replyIsSplitToFitAndMembersAreAskedInTurn() {
     for (int index = 0; index < 60; index++) {
-      say(start(index, 5, 1));
+      publish(start(index, 5, 1));
     }
-    pass(10_000_000);
+    advance(10_000_000);
     Process process = running.get(name(0));
     List<OutgoingMessage> parts =
-        process.module.receive(
+        process.gossip.receive(
             new SharingMessage.UpdateRequest(name(1), 1, Map.of()), process.clock(now));
     assertTrue(parts.size() > 2, parts.size() + " parts");
-    Set<MemberName> told = new HashSet<>();
-    for (OutgoingMessage s : parts) {
+    Set<MemberName> receivedMembers = new HashSet<>();
+    for (OutgoingMessage part : parts) {
       assertTrue(
-          ((SharingMessage.UpdateReply) s.message()).updates().size() <= 16,
-          "a part within its bound");
-      ((SharingMessage.UpdateReply) s.message())
+          ((SharingMessage.UpdateReply) part.message()).updates().size() <= 16,
+          "the part exceeds the message size");
+      ((SharingMessage.UpdateReply) part.message())
           .updates()
-          .forEach(st -> assertTrue(told.add(st.member()), "told twice"));
+          .forEach(
+              update ->
+                  assertTrue(
+                      receivedMembers.add(update.member()),
+                      "the figures of a member were sent twice"));
     }
-    assertEquals(60, told.size());
-    StateGossip fresh =
+    assertEquals(60, receivedMembers.size());
+    StateGossip newGossip =
         new StateGossip(
-            name(0), new Incarnation(6), TERMS, new SplittableRandom(4), process.clock(now));
-    fresh.setView(view);
-    List<MemberName> asked = new ArrayList<>();
+            name(0), new Incarnation(6), OPTIONS, new SplittableRandom(4), process.clock(now));
+    newGossip.setView(view);
+    List<MemberName> askedMembers = new ArrayList<>();
     for (int round = 0; round < 20; round++) {
-      fresh.runRound(process.clock(now += SECOND.us())).forEach(s -> asked.add(s.to()));
+      newGossip
+          .runRound(process.clock(now += SECOND.us()))
+          .forEach(request -> askedMembers.add(request.to()));
     }
-    assertEquals(60, asked.size());
-    assertEquals(59, new HashSet<>(asked).size(), "each once before any is asked again");
+    assertEquals(60, askedMembers.size());
+    assertEquals(
+        59,
+        new HashSet<>(askedMembers).size(),
+        "each member is asked once before any is asked again");
   }
 
   @Test
