--- a/src/main/java/cobaltseam/agreement/AgreementEffect.java
+++ b/src/main/java/cobaltseam/agreement/AgreementEffect.java
@@ -3,30 +3,39 @@
 import cobaltseam.membership.MembershipAction;
 import java.net.InetSocketAddress;
 
-/** What the agreement asks its caller to do. */
+/** An effect of the agreement, which its caller carries out. */
 public sealed interface AgreementEffect {
-  /** Send a message to an address; it may be lost. */
+  /** Sends a message to an address; it may be lost. */
   record Send(InetSocketAddress to, AgreementMessage message) implements AgreementEffect {}
 
-  /** Carry out an action of membership that follows from the agreement. */
+  /** Carries out an action of membership that follows from a step of the agreement. */
   record MembershipEffect(MembershipAction action) implements AgreementEffect {}
 
-  /** Act on this from now on, for all keys at once. */
+  /** Makes a configuration take effect, for all keys at once. */
   record Activate(ActiveConfiguration configuration) implements AgreementEffect {}
 
-  /** Log an event. */
+  /** Logs an event. */
   record EventRecorded(AgreementEvent event, String detail) implements AgreementEffect {}
 
-  /** What happened to a proposal or to the active configuration. */
+  /** An event in the course of a proposal, or of the active configuration. */
   enum AgreementEvent {
+    /** This process began to propose a version. */
     PROPOSED,
+    /** A member rejected the proposed version. */
     REFUSED,
+    /** The view now has the proposed version. */
     CHOSEN,
+    /** The view now has another version in place of the proposed one. */
     CAME_SECOND,
+    /**
+     * The proposal was abandoned after a timeout; a version that was already submitted to
+     * membership may still be chosen.
+     */
     NOT_CHOSEN,
+    /** The active configuration fell back to {@link ActiveConfiguration.Mode#FALLBACK}. */
     STEPPED_BACK;
 
-    /** The word for it in logs and in SHOW. */
+    /** The label of the event in logs and in SHOW. */
     public String label() {
       return name().toLowerCase(java.util.Locale.ROOT);
     }
--- a/src/main/java/cobaltseam/agreement/AgreementMessage.java
+++ b/src/main/java/cobaltseam/agreement/AgreementMessage.java
@@ -6,11 +6,16 @@
 import java.util.Objects;
 
 /**
- * The messages of members about the agreed document. The header's view says which version the
- * sender holds.
+ * The messages between members about the agreed document. The view in the header identifies the
+ * version that the sender has.
  */
 public sealed interface AgreementMessage extends PeerMessage {
-  /** A version that the sender proposes for the next view; to be fetched, checked and answered. */
+  /**
+   * Offers a version that the sender proposes for the next view. The receiver fetches its document
+   * if needed, validates it and replies with a {@link VersionCheck}.
+   *
+   * @param contentLength the length of the document, in bytes
+   */
   record VersionOffer(MessageHeader from, ConfigurationVersion version, int contentLength)
       implements AgreementMessage {
     public VersionOffer {
@@ -19,7 +24,11 @@
     }
   }
 
-  /** The answer to an offer: why the version can't be acted on, or null if it can. */
+  /**
+   * The reply to a {@link VersionOffer}.
+   *
+   * @param rejection why the sender can't act on the version, or null if it can
+   */
   record VersionCheck(MessageHeader from, ConfigurationVersion version, String rejection)
       implements AgreementMessage {
     public VersionCheck {
@@ -28,7 +37,12 @@
     }
   }
 
-  /** Requests the bytes of a document from an index on. */
+  /**
+   * Requests the next part of a document.
+   *
+   * @param hash the hash of the document
+   * @param index the offset of the first requested byte
+   */
   record ContentRequest(MessageHeader from, String hash, int index) implements AgreementMessage {
     public ContentRequest {
       Objects.requireNonNull(from);
@@ -36,7 +50,13 @@
     }
   }
 
-  /** Bytes of a document from an index on. */
+  /**
+   * A part of a document.
+   *
+   * @param hash the hash of the document
+   * @param index the offset of the first byte of the part
+   * @param contentLength the length of the whole document, in bytes
+   */
   record ContentPart(MessageHeader from, String hash, int index, int contentLength, byte[] bytes)
       implements AgreementMessage {
     public ContentPart {
--- a/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
+++ b/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
@@ -23,44 +23,50 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which version of an agreed document this process acts on, such that no two processes act on
- * versions that contradict each other for longer than stated. It does no I/O; after each call to
- * {@link Membership} the caller calls {@link #follow}.
+ * Decides which version of an agreed document this process acts on, such that no two processes act
+ * on contradicting versions for longer than {@link AgreementOptions#maxContradiction}. This class
+ * does no I/O; the caller must call {@link #follow} after each call to {@link Membership}.
  *
- * <p>Views carry the version, so versions are chosen in the order of views. A process acts on one
- * only under a lease: a majority of its view said, within the stated time by its own clock, that
- * the view had no successor yet. So a process that missed a version stops acting on an older one by
- * that time after the new one was chosen. A process that learns of a version acts on a conservative
- * merge of it and those before, until all members hold it, or every lease on one before must have
- * ended.
+ * <p>Each view carries a version, so versions are chosen in the order of views. A process acts on a
+ * version only under a lease: within {@code maxContradiction} by the process's own clock, a
+ * majority of its view confirmed that the view had no successor yet. A process that missed a
+ * version therefore stops acting on an older one at most that time after the new one was chosen. A
+ * process that learns of a new version acts on a conservative merge of it and the earlier ones,
+ * until all members have installed it or every lease on an earlier version must have ended.
  */
 public final class ConfigurationAgreement {
   /**
-   * Its options.
+   * The options of the agreement.
    *
-   * @param maxContradiction for no longer than this two processes act on contradicting versions
+   * @param maxContradiction the longest time for which two processes may act on contradicting
+   *     versions
    * @param maxClockRateRatio the largest difference between the rates of two clocks, as a ratio
    * @param maxDocumentBytes the largest document, in bytes
    */
   public record AgreementOptions(
       TimeSpan maxContradiction, double maxClockRateRatio, int maxDocumentBytes) {}
 
-  /** What documents mean. It has no state and answers the same every time. */
+  /**
+   * Interprets documents. Implementations are stateless and return the same result for the same
+   * documents every time.
+   */
   public interface ConfigurationValidator {
     /** Why this process can't act on a document, or null if it can. */
     String rejectionReason(byte[] content);
 
     /**
-     * Whether to act on the one while another process acts on the other would break what the two
-     * promise together.
+     * Whether one process that acts on one document while another process acts on the other would
+     * break a guarantee that both give together.
      */
     boolean contradict(byte[] one, byte[] other);
   }
 
-  /** The part of the contradiction time after which an unanswered message is repeated. */
-  private static final double RETRY_PERIODS = 0.125;
+  /**
+   * The fraction of the maximum contradiction time after which an unanswered message is repeated.
+   */
+  private static final double RETRY_FRACTION = 0.125;
 
-  /** With more versions that some process may still act on, this one does not merge them. */
+  /** The most earlier versions that are merged; with more of them this process falls back. */
   private static final int MAX_MERGED_VERSIONS = 8;
 
   private final AgreementOptions options;
@@ -76,14 +82,14 @@
   private ActiveConfiguration active = new ActiveConfiguration(Mode.FALLBACK, List.of());
   private Timestamp activeSince;
 
-  /** The version of the last offer, which is fetched or was answered, or null. */
+  /** The version of the last offer, whose document is being fetched or was checked, or null. */
   private ConfigurationVersion offeredVersion;
 
-  /** The member to answer about {@link #offeredVersion}. */
+  /** The member that offered {@link #offeredVersion}, or null. */
   private Member offeredBy;
 
   /**
-   * @param lease on the view, for as long as {@code contradiction}
+   * @param lease the lease on the view; its duration must be {@code options.maxContradiction}
    */
   public ConfigurationAgreement(
       AgreementOptions options,
@@ -95,7 +101,7 @@
     this.membership = membership;
     this.lease = lease;
     this.validator = validator;
-    TimeSpan retryInterval = options.maxContradiction.times(RETRY_PERIODS);
+    TimeSpan retryInterval = options.maxContradiction.times(RETRY_FRACTION);
     documents =
         new DocumentStore(options.maxDocumentBytes, retryInterval, membership, effects, random);
     proposals =
@@ -110,53 +116,53 @@
     try {
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(content));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java has SHA-256", e);
+      throw new IllegalStateException("every Java platform must support SHA-256", e);
     }
   }
 
   // ---- state
 
-  /** What this process acts on now. */
+  /** The configuration that this process acts on now. */
   public ActiveConfiguration activeConfiguration() {
     return active;
   }
 
-  /** Since when; null before it first acted on anything. */
+  /** When the active configuration took effect; null before the first one. */
   public Timestamp activeSince() {
     return activeSince;
   }
 
-  /** How long this process may act without a message from a majority. */
+  /** How long this process may still act without a message from a majority. */
   public TimeSpan leaseLeft(Timestamp now) {
     return lease.remaining(now);
   }
 
-  /** The document of a version, or null if it is not here. */
+  /** The document of a version, or null if this process does not have it. */
   public byte[] content(ConfigurationVersion version) {
     return version == null ? null : documents.get(version.hash());
   }
 
-  /** Whether all members of the view have said that they hold it. */
+  /** Whether all members of the view have reported that they installed it or a later one. */
   public boolean isInstalledByAll() {
     return membership.view() != null && membership.isViewReportedByAll();
   }
 
-  /** When {@link #follow} is to be called next at the latest. */
+  /** The latest time at which {@link #follow} must be called next. */
   public Timestamp nextFollowAt(Timestamp now) {
-    // What could not be done by now is retried then; what comes sooner, such as the end of a lease,
-    // is not delayed by it.
+    // Pending work is retried at this time. Earlier deadlines, such as the end of a lease, are
+    // included below.
     boolean isPending =
         proposals.version() != null || documents.isFetching() || active.mode() == Mode.FALLBACK;
-    double periods = isPending ? RETRY_PERIODS : 2 * RETRY_PERIODS;
-    Deadline wake = new Deadline(now, now.plus(options.maxContradiction.times(periods)));
+    double fraction = isPending ? RETRY_FRACTION : 2 * RETRY_FRACTION;
+    Deadline deadline = new Deadline(now, now.plus(options.maxContradiction.times(fraction)));
     if (active.mode() != Mode.FALLBACK) {
-      wake.include(lease.expiresAt());
+      deadline.include(lease.expiresAt());
     }
-    history.forEachDeadline(wake::include);
-    return wake.at;
+    history.forEachDeadline(deadline::include);
+    return deadline.at;
   }
 
-  /** The soonest of several times that are not past. */
+  /** The earliest of several times that are not in the past. */
   private static final class Deadline {
     private final Timestamp now;
     private Timestamp at;
@@ -176,8 +182,9 @@
   // ---- view and time
 
   /**
-   * What follows from the view and from time; to be called before anything is received or sent
-   * after a pause.
+   * Applies the installed view and the current time: fetches documents, advances proposals and
+   * updates the active configuration. After the process was suspended, this must be called before
+   * any message is received or sent.
    */
   public List<AgreementEffect> follow(Timestamp now) {
     View view = membership.view();
@@ -193,14 +200,14 @@
 
   // ---- documents and proposals
 
-  /** Adds a document that was persisted beside a vote. */
+  /** Adds a document that was persisted together with a vote. */
   public void addPersistedDocument(byte[] content) {
     documents.put(hash(content), content);
   }
 
   /**
-   * Sets the document that a first version is made of where the view has none, and that is acted on
-   * where nothing is agreed yet.
+   * Sets the document of this process. It is proposed as the first version if the view has no
+   * version; until a version is agreed, the caller derives its fallback settings from it.
    */
   public void setOwnDocument(byte[] content) {
     ownDocument = content;
@@ -220,32 +227,37 @@
   }
 
   /**
-   * Proposes a document as the version after the one that this process holds.
+   * Proposes a document as the version that follows the one of the installed view.
    *
-   * @param expect the number of the held version, or below zero for whichever
-   * @return why it is not proposed, or null if it is: then a recorded event says what became of it
+   * @param expectedNumber the number that the version of the installed view must have, or a
+   *     negative number to accept any
+   * @return why the document is not proposed, or null if it is; in that case a recorded event
+   *     reports the outcome
    */
-  public String propose(byte[] content, long expect, Timestamp now) {
+  public String propose(byte[] content, long expectedNumber, Timestamp now) {
     View view = membership.view();
     long number = view == null ? 0 : ConfigurationVersion.numberOf(view.configuration());
     if (view == null || !leaseLeft(now).isPositive()) {
-      return "no majority is heard";
+      return "no majority of the view has confirmed it in time";
     }
-    if (expect >= 0 && expect != number) {
-      return "edition " + number + " is held, not " + expect;
+    if (expectedNumber >= 0 && expectedNumber != number) {
+      return "the agreed version is " + number + ", expected was " + expectedNumber;
     }
     if (proposals.version() != null) {
-      return "another proposal of this process is on its way: " + proposals.version();
+      return "another proposal of this process is pending: " + proposals.version();
     }
     if (content.length > options.maxDocumentBytes) {
-      return content.length + " bytes are more than " + options.maxDocumentBytes;
+      return "the document has "
+          + content.length
+          + " bytes, the limit is "
+          + options.maxDocumentBytes;
     }
     String rejection = validator.rejectionReason(content);
     if (rejection != null) {
       return rejection;
     }
     if (number > 0 && view.configuration().hash().equals(hash(content))) {
-      return "it is what edition " + number + " holds";
+      return "the document equals that of the agreed version " + number;
     }
     proposals.begin(content, now);
     return null;
@@ -289,7 +301,7 @@
     }
   }
 
-  /** Answers the last offer if its document is here. */
+  /** Answers the last offer if this process has its document. */
   private void answerOffer() {
     byte[] content = content(offeredVersion);
     if (content != null && offeredBy != null) {
@@ -302,11 +314,12 @@
 
   // ---- the active configuration
 
+  /** Updates the active configuration, and adds an effect if it changes. */
   private void activate(View view, Timestamp now) {
     history.expire(now);
     ConfigurationVersion version = view == null ? null : view.configuration();
     List<ConfigurationVersion> versions = new ArrayList<>();
-    String reason = stepBackReason(version, now);
+    String reason = fallbackReason(version, now);
     if (reason == null) {
       reason = addContradicting(version, versions);
     }
@@ -334,26 +347,26 @@
     }
   }
 
-  /** Why the version of the view can't be acted on as it is, or null if it can. */
-  private String stepBackReason(ConfigurationVersion version, Timestamp now) {
+  /** Why this process can't act on the version of the view as it is, or null if it can. */
+  private String fallbackReason(ConfigurationVersion version, Timestamp now) {
     if (version == null) {
-      return "no edition is agreed";
+      return "no version is agreed";
     }
     if (!documents.contains(version.hash())) {
-      return "the document is not here yet";
+      return "the document of the agreed version is not yet received";
     }
     if (!leaseLeft(now).isPositive()) {
-      return "no majority said in time that the view is the newest";
+      return "no majority confirmed in time that the view is the newest";
     }
     return history.hasUnknownVersions(now)
-        ? "others may act on editions that are not known here"
+        ? "other processes may act on versions unknown to this one"
         : null;
   }
 
   /**
-   * Adds the earlier versions that contradict this one and that some process may still act on.
+   * Adds the earlier versions that contradict the given one and that some process may still act on.
    *
-   * @return why these can't be merged, or null if they can
+   * @return why these versions can't be merged, or null if they can
    */
   private String addContradicting(
       ConfigurationVersion version, List<ConfigurationVersion> contradicting) {
@@ -362,7 +375,7 @@
     for (ConfigurationVersion other : earlier) {
       byte[] content = documents.get(other.hash());
       if (content == null || earlier.size() > MAX_MERGED_VERSIONS) {
-        reason = "an edition before it is not known here";
+        reason = "an earlier version has no document here, or too many versions need a merge";
       } else if (validator.contradict(content, documents.get(version.hash()))) {
         contradicting.add(other);
       }
@@ -370,6 +383,7 @@
     return reason;
   }
 
+  /** The hashes of all documents that this process still needs. */
   private Set<String> usedHashes(View view) {
     Set<String> used = new HashSet<>();
     history.versions().forEach(version -> used.add(version.hash()));
--- a/src/main/java/cobaltseam/agreement/ConservativeMerge.java
+++ b/src/main/java/cobaltseam/agreement/ConservativeMerge.java
@@ -16,14 +16,15 @@
 import java.util.function.Function;
 
 /**
- * The conservative merge of two deployments: a dispatcher that acts on it breaks neither. Values
- * contradict where dispatchers promise something together or an engine's capacity is concerned; a
- * value that a dispatcher uses for itself alone does not, and is taken from the later deployment.
+ * Merges two deployments conservatively: a dispatcher that acts on the result violates neither of
+ * them. Values can contradict each other where dispatchers give a guarantee together, or where the
+ * capacity of an engine is concerned. Any other value concerns only the dispatcher that uses it; it
+ * is taken from the later deployment.
  */
 public final class ConservativeMerge {
   /**
-   * For each record component of a deployment, how two values are merged; "never" means that they
-   * do not contradict. A test compares the names with the records.
+   * For each record component of a deployment, how two values are merged; "never" means that two
+   * values never contradict each other. A test compares the keys with the record components.
    */
   static final Map<String, String> TABLE = table();
 
@@ -31,31 +32,34 @@
 
   private static Map<String, String> table() {
     Map<String, String> table = new LinkedHashMap<>();
-    table.put("Deployment.dispatcherIndex", "never: each has its own");
-    table.put("Deployment.dispatcherCount", "the larger: each takes a smaller part of an engine");
-    table.put("Deployment.requestClasses", "those of both");
-    table.put("Deployment.machineTypes", "those of both");
-    table.put("Deployment.quotas", "those of both");
+    table.put("Deployment.dispatcherIndex", "never: each dispatcher has its own");
+    table.put(
+        "Deployment.dispatcherCount",
+        "the larger: each dispatcher uses a smaller share of an engine");
+    table.put("Deployment.requestClasses", "the union, merged by id");
+    table.put("Deployment.machineTypes", "the union, merged by id");
+    table.put("Deployment.quotas", "the union, merged by tenant");
     table.put("Deployment.overQuotaWeight", "the smaller");
-    table.put("Deployment.rules", "part by part");
-    table.put("Deployment.capabilities", "part by part");
-    table.put("Deployment.site", "never: each stands somewhere");
+    table.put("Deployment.rules", "each component by itself");
+    table.put("Deployment.capabilities", "each component by itself");
+    table.put("Deployment.site", "never: each dispatcher has its own");
     table.put("RequestClass.id", "never");
-    table.put("RequestClass.threads", "the larger: an engine is filled less");
+    table.put("RequestClass.threads", "the larger: fewer requests run on an engine at once");
     table.put("RequestClass.priorityWeight", "never");
     table.put("RequestClass.latePriorityWeight", "never");
     table.put("RequestClass.latencyObjective", "never");
     table.put("RequestClass.objectivePerWork", "never");
     table.put(
-        "RequestClass.deadline", "the smaller: nothing runs on where the other takes it for ended");
+        "RequestClass.deadline",
+        "the smaller: no request runs on after another dispatcher considers it ended");
     table.put("RequestClass.retrySafety", "the stricter");
     table.put("RequestClass.deduplicationScope", "the narrower");
     table.put("RequestClass.deduplicationWindow", "the shorter");
-    table.put("RequestClass.isOrdered", "in order if either says so");
-    table.put("RequestClass.locations", "those that both allow");
-    table.put("RequestClass.machineTypes", "those that both allow");
-    table.put("RequestClass.loadsDataSet", "never: it guides the choice of an engine alone");
-    table.put("RequestClass.waitsForLoads", "never: it guides the choice of an engine alone");
+    table.put("RequestClass.isOrdered", "true if either is true");
+    table.put("RequestClass.locations", "the intersection");
+    table.put("RequestClass.machineTypes", "the intersection");
+    table.put("RequestClass.loadsDataSet", "never: only affects the choice of an engine");
+    table.put("RequestClass.waitsForLoads", "never: only affects the choice of an engine");
     table.put("MachineType.id", "never");
     table.put("MachineType.cores", "the smaller");
     table.put("MachineType.memoryMb", "the smaller");
@@ -66,8 +70,8 @@
     table.put("Rules.slowStartLimitFactor", "the smaller");
     table.put("Rules.slowStartWindow", "the longer");
     table.put("Rules.sequenceKeyRest", "the longer");
-    table.put("Rules.freeRetries", "the smaller; none is without bound");
-    table.put("Rules.retryRatio", "the smaller; none is without bound");
+    table.put("Rules.freeRetries", "the smaller; null means unlimited");
+    table.put("Rules.retryRatio", "the smaller; null means unlimited");
     table.put("Rules.retryWindow", "the longer");
     table.put("Capabilities.clockTick", "never");
     table.put("Capabilities.maxAttempts", "the smaller");
@@ -80,12 +84,18 @@
     return Map.copyOf(table);
   }
 
-  /** Whether a dispatcher that acts on one breaks what another that acts on the other relies on. */
+  /**
+   * Whether a dispatcher that acts on one deployment can break a guarantee that a dispatcher that
+   * acts on the other relies on.
+   */
   public static boolean contradict(Deployment one, Deployment other) {
     return !merge(one, other).equals(other) || !merge(other, one).equals(one);
   }
 
-  /** Settings that break neither; what does not contradict is as in the later ones. */
+  /**
+   * The conservative merge of two deployments. Values that do not contradict each other are taken
+   * from the later one.
+   */
   public static Deployment merge(Deployment earlier, Deployment later) {
     return new Deployment(
         later.dispatcherIndex(),
@@ -120,9 +130,9 @@
   }
 
   /**
-   * The settings of a dispatcher that may have missed a later version: one attempt a request, no
-   * retry and no cancellation. Quotas, placement and the number of dispatchers stay as they are,
-   * since no value of them is safe beside every other one.
+   * The settings of a dispatcher that may have missed a later version: one attempt per request, no
+   * retries and no cancellation. Quotas, placement and the number of dispatchers stay unchanged,
+   * since none of their values is compatible with every value that a later version may have.
    */
   public static Deployment withoutRetries(Deployment deployment) {
     List<RequestClass> requestClasses =
@@ -168,8 +178,8 @@
   }
 
   /**
-   * The later items in their order, each merged with the earlier one of its id if there is one,
-   * then the items that only the earlier list has.
+   * The later items in their order, each merged with the earlier item of the same id if there is
+   * one, followed by the items that only the earlier list has.
    */
   private static <T, K> List<T> mergeLists(
       List<T> earlier, List<T> later, Function<T, K> id, BinaryOperator<T> merge) {
@@ -196,13 +206,13 @@
         later.latePriorityWeight(),
         later.latencyObjective(),
         later.objectivePerWork(),
-        smaller(earlier.deadline(), later.deadline()),
+        shorter(earlier.deadline(), later.deadline()),
         stricter(earlier.retrySafety(), later.retrySafety()),
         stricter(earlier.deduplicationScope(), later.deduplicationScope()),
-        smaller(earlier.deduplicationWindow(), later.deduplicationWindow()),
+        shorter(earlier.deduplicationWindow(), later.deduplicationWindow()),
         earlier.isOrdered() || later.isOrdered(),
-        allowed(earlier.locations(), later.locations()),
-        allowed(earlier.machineTypes(), later.machineTypes()),
+        intersection(earlier.locations(), later.locations()),
+        intersection(earlier.machineTypes(), later.machineTypes()),
         later.loadsDataSet(),
         later.waitsForLoads());
   }
@@ -210,17 +220,17 @@
   private static Rules mergeRules(Rules earlier, Rules later) {
     return new Rules(
         Math.min(earlier.slowStartFraction(), later.slowStartFraction()),
-        larger(earlier.slowStartDuration(), later.slowStartDuration()),
+        longer(earlier.slowStartDuration(), later.slowStartDuration()),
         Math.min(earlier.slowStartLimitFactor(), later.slowStartLimitFactor()),
-        larger(earlier.slowStartWindow(), later.slowStartWindow()),
-        larger(earlier.sequenceKeyRest(), later.sequenceKeyRest()),
-        smallerBound(earlier.freeRetries(), later.freeRetries()),
-        smallerBound(earlier.retryRatio(), later.retryRatio()),
+        longer(earlier.slowStartWindow(), later.slowStartWindow()),
+        longer(earlier.sequenceKeyRest(), later.sequenceKeyRest()),
+        smallerLimit(earlier.freeRetries(), later.freeRetries()),
+        smallerLimit(earlier.retryRatio(), later.retryRatio()),
         earlier.retryWindow() == null
             ? later.retryWindow()
             : later.retryWindow() == null
                 ? earlier.retryWindow()
-                : larger(earlier.retryWindow(), later.retryWindow()));
+                : longer(earlier.retryWindow(), later.retryWindow()));
   }
 
   private static Capabilities mergeCapabilities(Capabilities earlier, Capabilities later) {
@@ -230,32 +240,33 @@
         earlier.canCancel() && later.canCancel(),
         earlier.hasEnginePriorities() && later.hasEnginePriorities(),
         earlier.allowsRetryAfter() && later.allowsRetryAfter(),
-        smaller(earlier.maxRetryAfter(), later.maxRetryAfter()),
+        shorter(earlier.maxRetryAfter(), later.maxRetryAfter()),
         later.progressInterval(),
         earlier.hasMemoryGrants() && later.hasMemoryGrants());
   }
 
-  private static Double smallerBound(Double earlier, Double later) {
+  /** The smaller of two limits; null means unlimited. */
+  private static Double smallerLimit(Double earlier, Double later) {
     return earlier == null
         ? later
         : later == null ? earlier : Double.valueOf(Math.min(earlier, later));
   }
 
-  /** The constants of these enums are listed from the loosest on. */
+  /** The stricter of two constants; these enums list their constants from the loosest on. */
   private static <E extends Enum<E>> E stricter(E earlier, E later) {
     return earlier.compareTo(later) > 0 ? earlier : later;
   }
 
-  private static TimeSpan smaller(TimeSpan earlier, TimeSpan later) {
+  private static TimeSpan shorter(TimeSpan earlier, TimeSpan later) {
     return earlier.compareTo(later) < 0 ? earlier : later;
   }
 
-  private static TimeSpan larger(TimeSpan earlier, TimeSpan later) {
+  private static TimeSpan longer(TimeSpan earlier, TimeSpan later) {
     return earlier.compareTo(later) > 0 ? earlier : later;
   }
 
-  /** Null allows all. */
-  private static <T> List<T> allowed(List<T> earlier, List<T> later) {
+  /** The elements that both lists contain; null means that all are allowed. */
+  private static <T> List<T> intersection(List<T> earlier, List<T> later) {
     return earlier == null
         ? later
         : later == null ? earlier : later.stream().filter(earlier::contains).toList();
--- a/src/main/java/cobaltseam/agreement/DocumentStore.java
+++ b/src/main/java/cobaltseam/agreement/DocumentStore.java
@@ -17,27 +17,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The documents of configuration versions, by hash, and the transfer of a missing one from another
- * member. One document is fetched at a time, in parts that are asked for one after the other.
+ * Stores the documents of configuration versions by hash, and fetches a missing one from another
+ * member. One document is fetched at a time, in parts that are requested one after the other.
  */
 final class DocumentStore {
-  /** The largest part of a document in one message. */
+  /** The largest part of a document in one message, in bytes. */
   private static final int MAX_PART_BYTES = 8192;
 
-  /** Documents that are kept though no version here needs them: others may ask for them. */
+  /**
+   * The number of documents kept although this process does not use them, since other members may
+   * request them.
+   */
   private static final int MAX_UNUSED_DOCUMENTS = 4;
 
-  /** At each repeated request another member is asked with a chance of one in so many. */
+  /** A repeated request goes to another member with a probability of one in this number. */
   private static final int SOURCE_CHANGE_ODDS = 4;
 
-  /** A document that arrives in parts. */
+  /** A document that is being fetched in parts. */
   private static final class IncomingDocument {
     final String hash;
 
-    /** The member that is asked for it, or null if none is known. */
+    /** The member that the parts are requested from, or null if none is known. */
     Member source;
 
-    /** What has arrived so far; null before the first part. */
+    /** The bytes received so far; null before the first part. */
     ByteBuffer bytes;
 
     Timestamp requestedAt;
@@ -56,11 +59,11 @@
   private final Map<String, byte[]> documents = new HashMap<>();
   private IncomingDocument incoming;
 
-  /** The hash of a document that a vote needs and that is not here, or null. */
+  /** The hash of a document that a vote needs and this process lacks, or null. */
   private String neededForVote;
 
   /**
-   * @param retryInterval after which an unanswered request for a part is repeated
+   * @param retryInterval the time after which an unanswered request for a part is repeated
    */
   DocumentStore(
       int maxDocumentBytes,
@@ -94,18 +97,21 @@
   }
 
   /**
-   * Whether the document of a version is here that is to be voted for. If not, the next {@link
-   * #fetchMissing} fetches it, and the vote is asked for again.
+   * Whether this process has the document of a version that it is asked to vote for. If not, the
+   * next call of {@link #fetchMissing} fetches it; the vote is requested again later.
    */
   boolean containsForVote(ConfigurationVersion version) {
-    boolean isHere = documents.containsKey(version.hash());
-    if (!isHere) {
+    boolean isPresent = documents.containsKey(version.hash());
+    if (!isPresent) {
       neededForVote = version.hash();
     }
-    return isHere;
+    return isPresent;
   }
 
-  /** Fetches the document of the view's version or of a vote, and repeats an overdue request. */
+  /**
+   * Starts to fetch a missing document of the view's version or of a vote, and repeats an overdue
+   * request.
+   */
   void fetchMissing(View view, Timestamp now) {
     ConfigurationVersion version = view.configuration();
     String missing =
@@ -116,7 +122,7 @@
     neededForVote = null;
     if (incoming != null && now.since(incoming.requestedAt).compareTo(retryInterval) >= 0) {
       if (incoming.source == null || random.nextInt(SOURCE_CHANGE_ODDS) == 0) {
-        // The member that was asked may be gone, or lack the document as well.
+        // The previous source may have failed, or may lack the document as well.
         incoming.source = randomPeer(view);
       }
       requestNextPart(now);
@@ -134,7 +140,7 @@
   /**
    * Starts to fetch a document in place of any other, unless it is being fetched already.
    *
-   * @param source the member to ask, or null to draw one at the next retry
+   * @param source the member to request it from, or null to choose one at random at the next retry
    */
   void fetch(String hash, Member source, Timestamp now) {
     if (incoming == null || !incoming.hash.equals(hash)) {
@@ -151,7 +157,12 @@
     }
   }
 
-  /** Adds a part to the document that is being fetched; true if a document is complete by it. */
+  /**
+   * Adds a received part to the document that is being fetched; a part of another document or out
+   * of order is ignored.
+   *
+   * @return whether the part completed the document and its hash is correct
+   */
   boolean receive(ContentPart part, Timestamp now) {
     if (incoming == null
         || !incoming.hash.equals(part.hash())
@@ -175,6 +186,7 @@
     return complete();
   }
 
+  /** Ends the fetch; stores the document and returns true if its hash is correct. */
   private boolean complete() {
     byte[] document = incoming.bytes.array();
     String hash = incoming.hash;
@@ -186,7 +198,7 @@
     return isIntact;
   }
 
-  /** Sends a part of a document to a member that asks for it, if the document is here. */
+  /** Sends the requested part of a document to a member, if this process has the document. */
   void answer(ContentRequest request, Member to) {
     byte[] document = documents.get(request.hash());
     if (document == null) {
@@ -204,10 +216,10 @@
             Arrays.copyOfRange(document, index, end)));
   }
 
-  /** Drops all documents but these once there are too many others. */
-  void retain(Set<String> used) {
-    if (documents.size() > used.size() + MAX_UNUSED_DOCUMENTS) {
-      documents.keySet().retainAll(used);
+  /** Removes all documents that are not in use once there are too many of them. */
+  void retain(Set<String> usedHashes) {
+    if (documents.size() > usedHashes.size() + MAX_UNUSED_DOCUMENTS) {
+      documents.keySet().retainAll(usedHashes);
     }
   }
 }
--- a/src/main/java/cobaltseam/agreement/EffectQueue.java
+++ b/src/main/java/cobaltseam/agreement/EffectQueue.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The effects that the agreement asks its caller for, in order, until they are handed out. */
+/** Collects the effects of the agreement, in order, until the caller takes them. */
 final class EffectQueue {
   private final List<AgreementEffect> effects = new ArrayList<>();
 
@@ -13,17 +13,17 @@
     effects.add(effect);
   }
 
-  /** Asks for a message to be sent to a member. */
+  /** Adds the effect of sending a message to a member. */
   void send(Member to, AgreementMessage message) {
     effects.add(new AgreementEffect.Send(to.peerAddress(), message));
   }
 
-  /** Asks for an event to be logged. */
+  /** Adds the effect of logging an event. */
   void record(AgreementEvent event, String detail) {
     effects.add(new AgreementEffect.EventRecorded(event, detail));
   }
 
-  /** All effects since the last call. */
+  /** Removes and returns all effects since the last call. */
   List<AgreementEffect> drain() {
     List<AgreementEffect> drained = List.copyOf(effects);
     effects.clear();
--- a/src/main/java/cobaltseam/agreement/ProposalTracker.java
+++ b/src/main/java/cobaltseam/agreement/ProposalTracker.java
@@ -14,28 +14,32 @@
 import java.util.Map;
 
 /**
- * The one proposal of this process: offers a version to all members, collects their answers, has
- * membership put it into the next view, and records what became of it.
+ * Tracks the proposal of this process, of which there is at most one: offers the version to all
+ * members, collects their answers, submits the version to membership for the next view, and records
+ * the outcome.
  */
 final class ProposalTracker {
-  /** For so many contradiction times a proposal waits for members that do not answer. */
-  private static final double ANSWER_TIMEOUT_PERIODS = 0.5;
+  /**
+   * How long a proposal waits for members that do not answer, as a multiple of the maximum
+   * contradiction time.
+   */
+  private static final double ANSWER_TIMEOUT_FACTOR = 0.5;
 
-  /** After so many contradiction times a proposal is given up. */
-  private static final double ABANDON_AFTER_PERIODS = 10;
+  /** The age at which a proposal is abandoned, as a multiple of the maximum contradiction time. */
+  private static final double ABANDON_AFTER_FACTOR = 10;
 
   private static final class Proposal {
     final ConfigurationVersion version;
     final Timestamp startedAt;
 
-    /** When members were last asked; null before the first time. */
+    /** When the version was last offered; null before the first offer. */
     Timestamp offeredAt;
 
-    /** Whether membership was asked to put it into the next view. */
+    /** Whether the version was submitted to membership for the next view. */
     boolean isSubmitted;
 
-    /** Why each member that answered rejects it; empty if it accepts. */
-    final Map<MemberName, String> answers = new HashMap<>();
+    /** The rejection of each member that answered; empty if the member accepts the version. */
+    final Map<MemberName, String> rejections = new HashMap<>();
 
     Proposal(ConfigurationVersion version, Timestamp startedAt) {
       this.version = version;
@@ -43,7 +47,7 @@
     }
   }
 
-  private final TimeSpan contradiction;
+  private final TimeSpan maxContradiction;
   private final TimeSpan retryInterval;
   private final Membership membership;
   private final DocumentStore documents;
@@ -51,16 +55,17 @@
   private Proposal proposal;
 
   /**
-   * @param contradiction the stated time for which two processes may contradict each other
-   * @param retryInterval after which an unanswered offer is repeated
+   * @param maxContradiction the longest time for which two processes may act on contradicting
+   *     versions
+   * @param retryInterval the time after which an unanswered offer is repeated
    */
   ProposalTracker(
-      TimeSpan contradiction,
+      TimeSpan maxContradiction,
       TimeSpan retryInterval,
       Membership membership,
       DocumentStore documents,
       EffectQueue effects) {
-    this.contradiction = contradiction;
+    this.maxContradiction = maxContradiction;
     this.retryInterval = retryInterval;
     this.membership = membership;
     this.documents = documents;
@@ -72,7 +77,7 @@
     return proposal == null ? null : proposal.version;
   }
 
-  /** Begins to propose a document as the version after that of the view. */
+  /** Begins to propose a document as the version that follows the one of the view. */
   void begin(byte[] document, Timestamp now) {
     ConfigurationVersion version =
         new ConfigurationVersion(
@@ -81,42 +86,42 @@
             membership.self().name());
     proposal = new Proposal(version, now);
     documents.put(version.hash(), document);
-    proposal.answers.put(membership.self().name(), "");
+    proposal.rejections.put(membership.self().name(), "");
     effects.record(AgreementEvent.PROPOSED, version.toString());
   }
 
   /**
-   * A member answered an offer.
+   * Records the answer of a member to an offer.
    *
-   * @param rejection why it rejects the version; null if it accepts
+   * @param rejection why the member rejects the version, or null if the member accepts it
    */
   void recordAnswer(MemberName member, ConfigurationVersion version, String rejection) {
     if (proposal != null && version.equals(proposal.version)) {
-      proposal.answers.put(member, rejection == null ? "" : rejection);
+      proposal.rejections.put(member, rejection == null ? "" : rejection);
     }
   }
 
-  /** Takes the proposal as far as the view, the answers and the time allow. */
+  /** Advances the proposal as far as the view, the answers and the time allow. */
   void advance(View view, Timestamp now) {
     if (proposal == null || endIfSuperseded(view) || endIfRejected()) {
       return;
     }
-    List<Member> missing =
+    List<Member> unanswered =
         view.members().stream()
-            .filter(member -> !proposal.answers.containsKey(member.name()))
+            .filter(member -> !proposal.rejections.containsKey(member.name()))
             .toList();
     TimeSpan age = now.since(proposal.startedAt);
-    if (age.compareTo(contradiction.times(ABANDON_AFTER_PERIODS)) >= 0) {
-      abandon(missing);
+    if (age.compareTo(maxContradiction.times(ABANDON_AFTER_FACTOR)) >= 0) {
+      abandon(unanswered);
       return;
     }
-    boolean hasMajority = view.members().size() - missing.size() >= view.majority();
-    boolean hasWaited = age.compareTo(contradiction.times(ANSWER_TIMEOUT_PERIODS)) >= 0;
-    if (!proposal.isSubmitted && hasMajority && (missing.isEmpty() || hasWaited)) {
+    boolean hasMajority = view.members().size() - unanswered.size() >= view.majority();
+    boolean hasWaited = age.compareTo(maxContradiction.times(ANSWER_TIMEOUT_FACTOR)) >= 0;
+    if (!proposal.isSubmitted && hasMajority && (unanswered.isEmpty() || hasWaited)) {
       submit(now);
     }
     if (!proposal.isSubmitted && isOfferDue(now)) {
-      offer(missing, now);
+      offer(unanswered, now);
     }
   }
 
@@ -128,7 +133,7 @@
       effects.record(AgreementEvent.CHOSEN, proposal.version.toString());
     } else {
       effects.record(
-          AgreementEvent.CAME_SECOND, proposal.version + ", held is " + view.configuration());
+          AgreementEvent.CAME_SECOND, proposal.version + ", superseded by " + view.configuration());
     }
     end();
     return true;
@@ -138,11 +143,11 @@
     if (proposal.isSubmitted) {
       return false;
     }
-    for (Map.Entry<MemberName, String> answer : proposal.answers.entrySet()) {
-      if (!answer.getValue().isEmpty()) {
+    for (Map.Entry<MemberName, String> entry : proposal.rejections.entrySet()) {
+      if (!entry.getValue().isEmpty()) {
         effects.record(
             AgreementEvent.REFUSED,
-            proposal.version + " by " + answer.getKey() + ": " + answer.getValue());
+            proposal.version + " by " + entry.getKey() + ": " + entry.getValue());
         end();
         return true;
       }
@@ -150,13 +155,13 @@
     return false;
   }
 
-  private void abandon(List<Member> missing) {
+  private void abandon(List<Member> unanswered) {
     effects.record(
         AgreementEvent.NOT_CHOSEN,
         proposal.version
             + (proposal.isSubmitted
-                ? ", it may be yet"
-                : ", no answer of " + missing.stream().map(Member::name).toList()));
+                ? ", may still be chosen"
+                : ", no answer from " + unanswered.stream().map(Member::name).toList()));
     end();
   }
 
@@ -172,10 +177,10 @@
         || now.since(proposal.offeredAt).compareTo(retryInterval) >= 0;
   }
 
-  private void offer(List<Member> missing, Timestamp now) {
+  private void offer(List<Member> unanswered, Timestamp now) {
     proposal.offeredAt = now;
     int contentLength = documents.get(proposal.version.hash()).length;
-    missing.forEach(
+    unanswered.forEach(
         member ->
             effects.send(
                 member, new VersionOffer(membership.header(), proposal.version, contentLength)));
--- a/src/main/java/cobaltseam/agreement/VersionHistory.java
+++ b/src/main/java/cobaltseam/agreement/VersionHistory.java
@@ -10,20 +10,32 @@
 import java.util.function.Consumer;
 
 /**
- * Which configuration versions before that of the view some process may still act on. A version may
- * be acted on until all leases under it have ended, or until all members hold a later one.
+ * Tracks the earlier configuration versions that some process may still act on. A process may act
+ * on a version until all leases under it have ended, or until all members have installed a view
+ * with a later version.
  */
 final class VersionHistory {
-  private record SupersededVersion(ConfigurationVersion version, Timestamp until) {}
+  /**
+   * An earlier version.
+   *
+   * @param leasesEndAt when all leases under the version have ended
+   */
+  private record SupersededVersion(ConfigurationVersion version, Timestamp leasesEndAt) {}
 
   private final Membership membership;
   private final List<SupersededVersion> superseded = new ArrayList<>();
   private View view;
 
-  /** Until then others may act on versions that are not known here. */
+  /**
+   * Until this time other processes may act on versions that this process does not know; null if
+   * this has never been possible.
+   */
   private Timestamp unknownUntil;
 
-  /** Until then members that were removed from the view may act under their leases. */
+  /**
+   * Until this time members that were removed from the view may act under their leases; null if no
+   * member has been removed.
+   */
   private Timestamp removedUntil;
 
   VersionHistory(Membership membership) {
@@ -31,16 +43,17 @@
   }
 
   /**
-   * Follows a change of the view.
+   * Updates the history after a change of the view; does nothing if the view is the same.
    *
-   * @param next the view that is held now, or null
-   * @param maxLeaseDuration after which all leases given until now have ended, by any clock
+   * @param next the installed view, or null
+   * @param maxLeaseDuration the time after which all leases granted until now have ended, by any
+   *     member's clock
    */
   void follow(View next, TimeSpan maxLeaseDuration, Timestamp now) {
     if (next == view) {
       return;
     }
-    Timestamp leasesEnd = now.plus(maxLeaseDuration);
+    Timestamp leasesEndAt = now.plus(maxLeaseDuration);
     boolean isSameLineage =
         next != null && view != null && next.id().lineage() == view.id().lineage();
     ConfigurationVersion previous = view == null ? null : view.configuration();
@@ -50,13 +63,13 @@
             : ConfigurationVersion.numberOf(next.configuration())
                 - ConfigurationVersion.numberOf(previous);
     if (next != null && (!isSameLineage || newVersions > 1)) {
-      unknownUntil = leasesEnd;
+      unknownUntil = leasesEndAt;
     }
     if (isSameLineage && newVersions > 0 && previous != null) {
-      superseded.add(new SupersededVersion(previous, leasesEnd));
+      superseded.add(new SupersededVersion(previous, leasesEndAt));
     }
     if (isSameLineage && mayHaveRemovedMembers(next)) {
-      removedUntil = leasesEnd;
+      removedUntil = leasesEndAt;
     }
     if (!isSameLineage) {
       superseded.clear();
@@ -71,16 +84,16 @@
             .anyMatch(member -> !next.contains(member.name(), member.incarnation()));
   }
 
-  /** Forgets the versions that no process acts on any more. */
+  /** Removes the versions that no process can act on any more. */
   void expire(Timestamp now) {
-    superseded.removeIf(version -> !now.isBefore(version.until));
+    superseded.removeIf(version -> !now.isBefore(version.leasesEndAt));
     boolean isRemovalOver = removedUntil == null || !now.isBefore(removedUntil);
     if (!superseded.isEmpty() && isRemovalOver && membership.isViewReportedByAll()) {
       superseded.clear();
     }
   }
 
-  /** Whether others may act on versions that are not known here. */
+  /** Whether other processes may act on versions that this process does not know. */
   boolean hasUnknownVersions(Timestamp now) {
     return unknownUntil != null && now.isBefore(unknownUntil);
   }
@@ -90,11 +103,11 @@
     return superseded.stream().map(SupersededVersion::version).toList();
   }
 
-  /** Passes on each time at which something of this changes by itself. */
+  /** Passes each time at which this history changes without a change of the view. */
   void forEachDeadline(Consumer<Timestamp> deadline) {
     if (unknownUntil != null) {
       deadline.accept(unknownUntil);
     }
-    superseded.forEach(version -> deadline.accept(version.until));
+    superseded.forEach(version -> deadline.accept(version.leasesEndAt));
   }
 }
--- a/src/main/java/cobaltseam/coordination/FleetCoordinator.java
+++ b/src/main/java/cobaltseam/coordination/FleetCoordinator.java
@@ -33,45 +33,45 @@
 import java.util.stream.Collectors;
 
 /**
- * Joins the modules that decide together with other members. It routes each message to its module,
- * and after each step lets the modules follow what they depend on: membership first, then the
- * lease, then the modules that act under it. It does no I/O and decides nothing itself, so the
- * service and the fleets in virtual time can't differ in how modules are joined. Modules that are
- * null are off.
+ * Connects the modules that decide together with other members. Routes each message to its module,
+ * and after each step updates the modules in the order of their dependencies: membership first,
+ * then the lease, then the modules that act under the lease. This class does no I/O and makes no
+ * decisions. The service and the fleets simulated in virtual time share it, so that both connect
+ * the modules in the same way. A module that is null is disabled.
  */
 public final class FleetCoordinator {
-  /** Carries out what the modules ask for. */
+  /** Carries out the effects of the modules. */
   public interface EffectSink {
     /** Sends a message to a member; it may be lost. */
     void send(InetSocketAddress to, PeerMessage message);
 
-    /** An action of membership other than a message. */
-    void handleMembership(MembershipAction act);
+    /** Handles an action of membership other than a message. */
+    void handleMembership(MembershipAction action);
 
-    /** An effect of the agreement: an activation or a recorded event. */
-    void handleAgreement(AgreementEffect doing);
+    /** Handles an effect of the agreement: an activation or a recorded event. */
+    void handleAgreement(AgreementEffect effect);
   }
 
-  /** How many attempts this process made so far. */
+  /** The numbers of attempts that this process has made since it started. */
   public interface AttemptCounts {
-    /** First attempts of requests. */
+    /** The number of first attempts of requests. */
     long firstAttempts();
 
-    /** Retries, and those that it would have made if the budget had allowed them. */
+    /** The number of retries made, plus those that the retry budget did not allow. */
     long wantedRetries();
   }
 
   /**
-   * The name of the figure that says how many retries others may request of a member, in
-   * thousandths.
+   * The name of the figure that holds the number of retries that other members may request from a
+   * member, in thousandths.
    */
   public static final String SPARE_RETRIES_FIGURE = "repeats.spare";
 
-  /** The name of the figure that says the demand of a member. */
+  /** The name of the figure that holds the demand of a member. */
   public static final String DEMAND_FIGURE = "spread.demand";
 
-  /** Figures are integers; a demand of one is this figure. */
-  private static final double DEMAND_UNITS = 1000;
+  /** The figure that represents a demand of 1; figures are integers. */
+  private static final double DEMAND_FIGURE_SCALE = 1000;
 
   private final Membership membership;
   private final Lease lease;
@@ -87,8 +87,9 @@
   private Timestamp lastFollowAt;
 
   /**
-   * @param lease null if nothing of this needs one
-   * @param gossip null if members share no figures
+   * @param lease the lease on the view, or null if no module needs one
+   * @param agreement the agreement on the configuration, or null if it is disabled
+   * @param gossip the exchange of figures, or null if members share none
    */
   public FleetCoordinator(
       Membership membership,
@@ -103,23 +104,23 @@
     this.effects = effects;
   }
 
-  /** Turns on capacity leases; they need a lease and gossip. */
+  /** Enables capacity leases, which require the lease on the view and gossip. */
   public void setCapacityLeases(CapacityLeases leases) {
     capacityLeases = leases;
   }
 
-  /** Turns on the exchange of load reports. */
+  /** Enables the exchange of load reports. */
   public void setLoadReports(LoadReports reports) {
     loadReports = reports;
   }
 
-  /** Turns on the retry budget; it needs gossip. */
+  /** Enables the retry budget, which requires gossip. */
   public void setRetryBudget(RetryBudget budget, AttemptCounts counts) {
     retryBudget = budget;
     attemptCounts = counts;
   }
 
-  /** What capacity leases depend on: the view, the lease and the demand of members. */
+  /** The inputs of capacity leases: the view, the lease on it and the demand of members. */
   public CapacityLeases.LeaseContext leaseContext() {
     return new CapacityLeases.LeaseContext() {
       @Override
@@ -155,95 +156,106 @@
       @Override
       public Double demand(MemberName of) {
         KnownFigures known = gossip.figuresOf(of, lastFollowAt);
-        Long said = known == null ? null : known.figures().byName().get(DEMAND_FIGURE);
-        return said == null || said < 0 ? null : FleetCoordinator.figureToDemand(said.longValue());
+        Long figure = known == null ? null : known.figures().byName().get(DEMAND_FIGURE);
+        return figure == null || figure < 0
+            ? null
+            : FleetCoordinator.figureToDemand(figure.longValue());
       }
     };
   }
 
-  /** The figure that says a demand. */
+  /** Converts a demand to a figure. */
   public static long demandToFigure(double demand) {
-    return Math.round(Math.min(demand, Integer.MAX_VALUE) * DEMAND_UNITS);
+    return Math.round(Math.min(demand, Integer.MAX_VALUE) * DEMAND_FIGURE_SCALE);
   }
 
-  /** The demand that a figure says. */
+  /** Converts a figure to a demand. */
   public static double figureToDemand(long figure) {
-    return figure / DEMAND_UNITS;
+    return figure / DEMAND_FIGURE_SCALE;
   }
 
   // ---- input
 
-  /** Starts membership; to be called once, before anything else. */
+  /** Starts membership. Must be called once, before any other input. */
   public void start(Timestamp now) {
     handleActions(membership.start(now), now);
   }
 
-  /** Leaves the fleet and tells the other members. */
+  /** Leaves the fleet and notifies the other members. */
   public void leave(Timestamp now) {
     handleActions(membership.leave(now), now);
   }
 
-  /** The persistent state with this number, and all before it, is on disk. */
+  /** Handles that the persistent state with this number, and all before it, is on disk. */
   public void persisted(long number, Timestamp now) {
     handleActions(membership.onStateWritten(number), now);
   }
 
-  /** State could not be persisted, with the reason. */
-  public void persistFailed(String why, Timestamp now) {
-    handleActions(membership.onStateWriteFailed(why, now), now);
+  /** Handles that state could not be persisted, for this reason. */
+  public void persistFailed(String reason, Timestamp now) {
+    handleActions(membership.onStateWriteFailed(reason, now), now);
   }
 
-  /** An operator asks for a new lineage in place of this view, whose majority is gone. */
-  public void rebootstrap(ViewId said, Timestamp now) {
-    handleActions(membership.rebootstrap(said, now), now);
+  /**
+   * Handles an operator's request to bootstrap a new lineage.
+   *
+   * @param lostView the view whose majority is permanently lost
+   */
+  public void rebootstrap(ViewId lostView, Timestamp now) {
+    handleActions(membership.rebootstrap(lostView, now), now);
   }
 
-  /** Time has passed. */
+  /** Handles all timers that are due. */
   public void advance(Timestamp now) {
     handleActions(membership.onTimer(now), now);
   }
 
-  /** Handles an authenticated message of a member of this fleet. */
+  /** Handles an authenticated message from a member of this fleet. */
   public void receive(PeerMessage message, Timestamp now) {
     if (message instanceof MembershipMessage membershipMessage) {
       handleActions(membership.receive(membershipMessage, now), now);
-    } else if (message instanceof AgreementMessage word) {
+    } else if (message instanceof AgreementMessage agreementMessage) {
       if (agreement != null) {
-        handleEffects(agreement.receive(word, now), now);
+        handleEffects(agreement.receive(agreementMessage, now), now);
       }
     } else if (membership.acceptSender(message, now)) {
       lastFollowAt = now;
-      if (message instanceof LeaseMessage word && lease != null) {
-        lease.receive(word, now).forEach(t -> effects.send(t.to(), t.message()));
-      } else if (message instanceof SharingPeerMessage said && gossip != null) {
-        sendGossip(gossip.receive(said.body(), now));
-      } else if (message instanceof CapacityLeaseMessage word && capacityLeases != null) {
-        capacityLeases.receive(word, now).forEach(t -> effects.send(t.to(), t.message()));
-      } else if (message instanceof RetryBudgetMessage word && retryBudget != null) {
+      if (message instanceof LeaseMessage leaseMessage && lease != null) {
+        lease
+            .receive(leaseMessage, now)
+            .forEach(outgoing -> effects.send(outgoing.to(), outgoing.message()));
+      } else if (message instanceof SharingPeerMessage sharingMessage && gossip != null) {
+        sendGossip(gossip.receive(sharingMessage.body(), now));
+      } else if (message instanceof CapacityLeaseMessage capacityMessage
+          && capacityLeases != null) {
+        capacityLeases
+            .receive(capacityMessage, now)
+            .forEach(outgoing -> effects.send(outgoing.to(), outgoing.message()));
+      } else if (message instanceof RetryBudgetMessage budgetMessage && retryBudget != null) {
         retryBudget
-            .receive(word, membership.view(), membership.header(), now)
-            .forEach(t -> effects.send(t.to(), t.message()));
-      } else if (message instanceof LoadReportMessage word && loadReports != null) {
+            .receive(budgetMessage, membership.view(), membership.header(), now)
+            .forEach(outgoing -> effects.send(outgoing.to(), outgoing.message()));
+      } else if (message instanceof LoadReportMessage reportMessage && loadReports != null) {
         loadReports
-            .receive(word, membership.view(), membership.header(), now)
-            .forEach(t -> effects.send(t.to(), t.message()));
+            .receive(reportMessage, membership.view(), membership.header(), now)
+            .forEach(outgoing -> effects.send(outgoing.to(), outgoing.message()));
       }
     }
     follow(now);
   }
 
-  /** When {@link #advance} is to be asked next; null once this process has left. */
+  /** When {@link #advance} must be called next; null once this process has left. */
   public Timestamp nextAdvanceAt(Timestamp now) {
-    Timestamp wake = membership.nextWakeup(now);
-    if (wake == null) {
+    Timestamp next = membership.nextWakeup(now);
+    if (next == null) {
       return null;
     }
-    wake = lease == null ? wake : earlier(wake, lease.nextWakeup(now));
-    wake = agreement == null ? wake : earlier(wake, agreement.nextFollowAt(now));
-    wake = gossip == null ? wake : earlier(wake, gossip.nextRoundAt());
-    wake = retryBudget == null ? wake : earlier(wake, retryBudget.nextUpdateAt(now));
-    wake = loadReports == null ? wake : earlier(wake, loadReports.nextRoundAt());
-    return capacityLeases == null ? wake : earlier(wake, capacityLeases.nextUpdateAt(now));
+    next = lease == null ? next : earlier(next, lease.nextWakeup(now));
+    next = agreement == null ? next : earlier(next, agreement.nextFollowAt(now));
+    next = gossip == null ? next : earlier(next, gossip.nextRoundAt());
+    next = retryBudget == null ? next : earlier(next, retryBudget.nextUpdateAt(now));
+    next = loadReports == null ? next : earlier(next, loadReports.nextRoundAt());
+    return capacityLeases == null ? next : earlier(next, capacityLeases.nextUpdateAt(now));
   }
 
   private static Timestamp earlier(Timestamp one, Timestamp other) {
@@ -252,58 +264,61 @@
 
   // ---- results
 
-  private void handleActions(List<MembershipAction> acts, Timestamp now) {
-    for (MembershipAction act : acts) {
-      if (act instanceof MembershipAction.Send tell) {
-        effects.send(tell.to(), tell.message());
+  private void handleActions(List<MembershipAction> actions, Timestamp now) {
+    for (MembershipAction action : actions) {
+      if (action instanceof MembershipAction.Send outgoing) {
+        effects.send(outgoing.to(), outgoing.message());
       } else {
-        effects.handleMembership(act);
+        effects.handleMembership(action);
       }
     }
     follow(now);
   }
 
-  private void handleEffects(List<AgreementEffect> doings, Timestamp now) {
-    List<MembershipAction> acts = new ArrayList<>();
-    for (AgreementEffect doing : doings) {
-      if (doing instanceof AgreementEffect.Send tell) {
-        effects.send(tell.to(), tell.message());
-      } else if (doing instanceof AgreementEffect.MembershipEffect of) {
-        acts.add(of.action());
+  private void handleEffects(List<AgreementEffect> agreementEffects, Timestamp now) {
+    List<MembershipAction> actions = new ArrayList<>();
+    for (AgreementEffect effect : agreementEffects) {
+      if (effect instanceof AgreementEffect.Send outgoing) {
+        effects.send(outgoing.to(), outgoing.message());
+      } else if (effect instanceof AgreementEffect.MembershipEffect membershipEffect) {
+        actions.add(membershipEffect.action());
       } else {
-        effects.handleAgreement(doing);
+        effects.handleAgreement(effect);
       }
     }
-    if (!acts.isEmpty()) {
-      handleActions(acts, now);
+    if (!actions.isEmpty()) {
+      handleActions(actions, now);
     }
   }
 
+  /** The spare retries of each member that has reported them, in thousandths. */
   private Map<MemberName, Long> spareRetries(Timestamp now) {
-    Map<MemberName, Long> spares = new HashMap<>();
-    for (Member m : membership.view() == null ? List.<Member>of() : membership.view().members()) {
-      KnownFigures known = gossip.figuresOf(m.name(), now);
-      Long said = known == null ? null : known.figures().byName().get(SPARE_RETRIES_FIGURE);
-      if (said != null) {
-        spares.put(m.name(), said);
+    Map<MemberName, Long> spareRetries = new HashMap<>();
+    for (Member member :
+        membership.view() == null ? List.<Member>of() : membership.view().members()) {
+      KnownFigures known = gossip.figuresOf(member.name(), now);
+      Long figure = known == null ? null : known.figures().byName().get(SPARE_RETRIES_FIGURE);
+      if (figure != null) {
+        spareRetries.put(member.name(), figure);
       }
     }
-    return spares;
+    return spareRetries;
   }
 
-  private void sendGossip(List<StateGossip.OutgoingMessage> sends) {
+  private void sendGossip(List<StateGossip.OutgoingMessage> messages) {
     View view = membership.view();
-    for (StateGossip.OutgoingMessage send : sends) {
-      Member to = view == null ? null : view.memberNamed(send.to());
+    for (StateGossip.OutgoingMessage outgoing : messages) {
+      Member to = view == null ? null : view.memberNamed(outgoing.to());
       if (to != null) {
-        effects.send(to.peerAddress(), SharingPeerMessage.of(membership.header(), send.message()));
+        effects.send(
+            to.peerAddress(), SharingPeerMessage.of(membership.header(), outgoing.message()));
       }
     }
   }
 
   /**
-   * Lets each module follow what it depends on, in a fixed order; to be called after any module was
-   * called directly.
+   * Updates each module from the modules that it depends on, in a fixed order. Must be called after
+   * any direct call to a module.
    */
   public void follow(Timestamp now) {
     if (isFollowing) {
@@ -312,7 +327,7 @@
     isFollowing = true;
     lastFollowAt = now;
     if (lease != null) {
-      lease.onTimer(now).forEach(t -> effects.send(t.to(), t.message()));
+      lease.onTimer(now).forEach(outgoing -> effects.send(outgoing.to(), outgoing.message()));
     }
     if (agreement != null) {
       handleEffects(agreement.follow(now), now);
@@ -330,7 +345,9 @@
       sendGossip(gossip.runRound(now));
     }
     if (capacityLeases != null) {
-      capacityLeases.update(now).forEach(t -> effects.send(t.to(), t.message()));
+      capacityLeases
+          .update(now)
+          .forEach(outgoing -> effects.send(outgoing.to(), outgoing.message()));
     }
     if (retryBudget != null && retryBudget.isDue(now)) {
       retryBudget
@@ -341,12 +358,12 @@
               membership.view(),
               membership.header(),
               now)
-          .forEach(t -> effects.send(t.to(), t.message()));
+          .forEach(outgoing -> effects.send(outgoing.to(), outgoing.message()));
     }
     if (loadReports != null) {
       loadReports
           .runRound(membership.view(), membership.header(), now)
-          .forEach(t -> effects.send(t.to(), t.message()));
+          .forEach(outgoing -> effects.send(outgoing.to(), outgoing.message()));
     }
     isFollowing = false;
   }
--- a/src/test/java/cobaltseam/agreement/ConservativeMergeTest.java
+++ b/src/test/java/cobaltseam/agreement/ConservativeMergeTest.java
@@ -14,10 +14,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/**
- * Every part of what a dispatcher is told has a reading between two values, and that is the
- * cautious one.
- */
+/** Each component of two deployments is merged into a value that contradicts neither of them. */
 class ConservativeMergeTest {
   private static final String TEXT =
       """
@@ -40,8 +37,8 @@
   private static final Deployment BASE = read("{", "{");
 
   @Test
-  void everyPartHasAnEntry() {
-    Set<String> parts = new TreeSet<>();
+  void everyRecordComponentHasATableEntry() {
+    Set<String> components = new TreeSet<>();
     for (Class<?> type :
         new Class<?>[] {
           Deployment.class,
@@ -52,13 +49,13 @@
           Deployment.Capabilities.class
         }) {
       Arrays.stream(type.getRecordComponents())
-          .forEach(c -> parts.add(type.getSimpleName() + "." + c.getName()));
+          .forEach(component -> components.add(type.getSimpleName() + "." + component.getName()));
     }
-    assertEquals(parts, new TreeSet<>(ConservativeMerge.TABLE.keySet()));
+    assertEquals(components, new TreeSet<>(ConservativeMerge.TABLE.keySet()));
   }
 
   @Test
-  void whatOneDecidesForItselfDoesNotContradict() {
+  void valuesThatConcernOneDispatcherDoNotContradict() {
     for (Deployment other :
         new Deployment[] {
           read("\"aim_us\":500000", "\"aim_us\":400000"),
@@ -73,8 +70,8 @@
   }
 
   @Test
-  void theCautiousReadingIsTheStricterOneWhicheverCameFirst() {
-    String[][] strict = {
+  void mergeTakesTheStricterValueInEitherOrder() {
+    String[][] stricterValues = {
       {"\"most_tries\":3", "\"most_tries\":2"},
       {"\"cancel\":true", "\"cancel\":false"},
       {"\"takes_grants\":true", "\"takes_grants\":false"},
@@ -93,7 +90,7 @@
       {"\"max_retry_after_us\":500000", "\"max_retry_after_us\":5"},
       {"\"over_share_worth\":0.5", "\"over_share_worth\":0.1"}
     };
-    for (String[] change : strict) {
+    for (String[] change : stricterValues) {
       Deployment stricter = read(change[0], change[1]);
       assertTrue(ConservativeMerge.contradict(BASE, stricter), change[1]);
       assertEquals(stricter, ConservativeMerge.merge(BASE, stricter), change[1]);
@@ -102,33 +99,37 @@
   }
 
   @Test
-  void whatOnlyOneHasStays() {
+  void itemsOfOnlyOneDeploymentAreKept() {
     Deployment other = read("\"name\":\"look\"", "\"name\":\"load\"");
     assertEquals(2, ConservativeMerge.merge(BASE, other).requestClasses().size());
     assertTrue(ConservativeMerge.contradict(BASE, other));
   }
 
   @Test
-  void aloneNothingIsSentTwice() {
-    Deployment alone = ConservativeMerge.withoutRetries(BASE);
-    assertEquals(1, alone.capabilities().maxAttempts());
+  void withoutRetriesAllowsOneAttemptAndNoCancellation() {
+    Deployment conservative = ConservativeMerge.withoutRetries(BASE);
+    assertEquals(1, conservative.capabilities().maxAttempts());
     assertEquals(
-        Deployment.RetrySafety.NOT_IDEMPOTENT, alone.requestClasses().get(0).retrySafety());
-    assertFalse(alone.capabilities().canCancel());
+        Deployment.RetrySafety.NOT_IDEMPOTENT, conservative.requestClasses().get(0).retrySafety());
+    assertFalse(conservative.capabilities().canCancel());
   }
 
   @Test
-  void whatGuidesTheChoiceOfAnEngineIsReadAsInTheLaterOne() {
-    Deployment loads =
+  void valuesThatAffectEngineChoiceAreTakenFromTheLaterDeployment() {
+    Deployment loadingDeployment =
         read(
             "\"width_by_class\":[2]",
             "\"width_by_class\":[2],\"writes_tables\":[true],\"waits_for_loads\":[true]");
-    assertFalse(loads.equals(BASE));
-    assertFalse(ConservativeMerge.contradict(BASE, loads));
-    assertEquals(loads, ConservativeMerge.merge(BASE, loads));
+    assertFalse(loadingDeployment.equals(BASE));
+    assertFalse(ConservativeMerge.contradict(BASE, loadingDeployment));
+    assertEquals(loadingDeployment, ConservativeMerge.merge(BASE, loadingDeployment));
     assertTrue(
-        ConservativeMerge.withoutRetries(loads).requestClasses().get(0).loadsDataSet()
-            && ConservativeMerge.withoutRetries(loads).requestClasses().get(0).waitsForLoads());
-    assertEquals(loads.site(), ConservativeMerge.withoutRetries(loads).site());
+        ConservativeMerge.withoutRetries(loadingDeployment).requestClasses().get(0).loadsDataSet()
+            && ConservativeMerge.withoutRetries(loadingDeployment)
+                .requestClasses()
+                .get(0)
+                .waitsForLoads());
+    assertEquals(
+        loadingDeployment.site(), ConservativeMerge.withoutRetries(loadingDeployment).site());
   }
 }
