--- a/src/main/java/cobaltseam/fleet/ActivationRecord.java
+++ b/src/main/java/cobaltseam/fleet/ActivationRecord.java
@@ -24,7 +24,7 @@
     static final Contradiction NONE = new Contradiction(0, 0, -1, -1, "");
   }
 
-  private boolean contradicts(ActivationRecord other, Set<String> harmless) {
+  private boolean contradicts(ActivationRecord other, Set<String> compatibleHashes) {
     return !versions.isEmpty()
         && !other.versions.isEmpty()
         && versions.stream()
@@ -34,71 +34,79 @@
                         .anyMatch(
                             o ->
                                 o.equals(e)
-                                    || harmless.contains(hash(e)) && harmless.contains(hash(o))));
+                                    || compatibleHashes.contains(hash(e))
+                                        && compatibleHashes.contains(hash(o))));
   }
 
-  private static String hash(String edition) {
-    return edition.substring(edition.lastIndexOf(':') + 1);
+  private static String hash(String version) {
+    return version.substring(version.lastIndexOf(':') + 1);
   }
 
   /**
    * The longest time without a break during which any two contradicted each other, up to the end of
    * the record.
    *
-   * @param harmless hashes of contents of which no two contradict each other
+   * @param compatibleHashes hashes of contents of which no two contradict each other
    */
-  public static Contradiction longest(
-      List<ActivationRecord> record, Set<String> harmless, double endS) {
-    Map<Integer, ActivationRecord> acting = new HashMap<>();
-    Map<List<Integer>, Double> since = new HashMap<>();
+  public static Contradiction longestContradiction(
+      List<ActivationRecord> record, Set<String> compatibleHashes, double endS) {
+    Map<Integer, ActivationRecord> activeByProcess = new HashMap<>();
+    Map<List<Integer>, Double> contradictingSinceS = new HashMap<>();
     Contradiction longest = Contradiction.NONE;
-    List<ActivationRecord> all = new ArrayList<>(record);
-    all.sort(java.util.Comparator.comparingDouble(ActivationRecord::atS));
-    for (ActivationRecord a : all) {
-      ActivationRecord before = acting.put(a.process, a);
-      for (ActivationRecord b : acting.values()) {
+    List<ActivationRecord> sorted = new ArrayList<>(record);
+    sorted.sort(java.util.Comparator.comparingDouble(ActivationRecord::atS));
+    for (ActivationRecord current : sorted) {
+      ActivationRecord previous = activeByProcess.put(current.process, current);
+      for (ActivationRecord concurrent : activeByProcess.values()) {
         List<Integer> pair =
-            List.of(Math.min(a.process, b.process), Math.max(a.process, b.process));
-        Double from = since.get(pair);
-        if (b.process == a.process || from == null && !a.contradicts(b, harmless)) {
+            List.of(
+                Math.min(current.process, concurrent.process),
+                Math.max(current.process, concurrent.process));
+        Double sinceS = contradictingSinceS.get(pair);
+        if (concurrent.process == current.process
+            || sinceS == null && !current.contradicts(concurrent, compatibleHashes)) {
           continue;
-        } else if (from == null) {
-          since.put(pair, a.atS);
-        } else if (!a.contradicts(b, harmless)) {
-          since.remove(pair);
-          if (a.atS - from > longest.seconds) {
+        } else if (sinceS == null) {
+          contradictingSinceS.put(pair, current.atS);
+        } else if (!current.contradicts(concurrent, compatibleHashes)) {
+          contradictingSinceS.remove(pair);
+          if (current.atS - sinceS > longest.seconds) {
             longest =
                 new Contradiction(
-                    a.atS - from,
-                    a.atS,
-                    a.process,
-                    b.process,
-                    (before == null ? List.of() : before.versions) + " against " + b.versions);
+                    current.atS - sinceS,
+                    current.atS,
+                    current.process,
+                    concurrent.process,
+                    (previous == null ? List.of() : previous.versions)
+                        + " against "
+                        + concurrent.versions);
           }
         }
       }
     }
-    for (Map.Entry<List<Integer>, Double> open : since.entrySet()) {
-      if (endS - open.getValue() > longest.seconds) {
-        int one = open.getKey().get(0);
-        int other = open.getKey().get(1);
+    for (Map.Entry<List<Integer>, Double> entry : contradictingSinceS.entrySet()) {
+      if (endS - entry.getValue() > longest.seconds) {
+        int one = entry.getKey().get(0);
+        int other = entry.getKey().get(1);
         longest =
             new Contradiction(
-                endS - open.getValue(),
+                endS - entry.getValue(),
                 endS,
                 one,
                 other,
-                acting.get(one).versions + " against " + acting.get(other).versions);
+                activeByProcess.get(one).versions
+                    + " against "
+                    + activeByProcess.get(other).versions);
       }
     }
     return longest;
   }
 
   /** Numbers that were held with more than one content. */
-  public static List<String> twoUnderOneNumber(List<ActivationRecord> record) {
+  public static List<String> versionConflicts(List<ActivationRecord> record) {
     Map<String, Set<String>> byNumber = new HashMap<>();
-    for (ActivationRecord a : record) {
-      a.versions.forEach(
+    for (ActivationRecord current : record) {
+      current.versions.forEach(
           e ->
               byNumber
                   .computeIfAbsent(e.substring(0, e.lastIndexOf(':')), n -> new TreeSet<>())
--- a/src/main/java/cobaltseam/fleet/CapacityUsage.java
+++ b/src/main/java/cobaltseam/fleet/CapacityUsage.java
@@ -17,7 +17,7 @@
    * order.
    */
   record UsageRecord(int process, long fromUs, long[] untilUs, double[] amounts) {
-    double at(long us) {
+    double amountAt(long us) {
       for (int i = 0; i < amounts.length; i++) {
         if (us < untilUs[i]) {
           return amounts[i];
@@ -27,14 +27,14 @@
     }
 
     static UsageRecord read(int process, long fromUs, String steps) {
-      String[] all = steps.split(" ");
-      long[] until = new long[all.length];
-      double[] parts = new double[all.length];
-      for (int i = 0; i < all.length; i++) {
-        parts[i] = Double.parseDouble(all[i].substring(0, all[i].indexOf('@')));
-        until[i] = Long.parseLong(all[i].substring(all[i].indexOf('@') + 1));
+      String[] fields = steps.split(" ");
+      long[] until = new long[fields.length];
+      double[] amounts = new double[fields.length];
+      for (int i = 0; i < fields.length; i++) {
+        amounts[i] = Double.parseDouble(fields[i].substring(0, fields[i].indexOf('@')));
+        until[i] = Long.parseLong(fields[i].substring(fields[i].indexOf('@') + 1));
       }
-      return new UsageRecord(process, fromUs, until, parts);
+      return new UsageRecord(process, fromUs, until, amounts);
     }
   }
 
@@ -43,71 +43,72 @@
   /** The most that was used at one time, and when. */
   record PeakUsage(double amount, long atUs) {}
 
-  private final List<UsageInterval> used = new ArrayList<>();
+  private final List<UsageInterval> intervals = new ArrayList<>();
 
   /** The last line of each process, until another one takes its place. */
-  private final Map<Integer, UsageRecord> last = new HashMap<>();
+  private final Map<Integer, UsageRecord> latest = new HashMap<>();
 
   /** A process says what it may use from a moment on. */
-  synchronized void record(UsageRecord line) {
-    recordEnd(line.process, line.fromUs);
-    last.put(line.process, line);
+  synchronized void record(UsageRecord usage) {
+    recordEnd(usage.process, usage.fromUs);
+    latest.put(usage.process, usage);
   }
 
   /** A process uses nothing from a moment on: it was killed, or stands still. */
   synchronized void recordEnd(int process, long atUs) {
-    UsageRecord before = last.remove(process);
-    if (before != null) {
-      add(before, atUs);
+    UsageRecord previous = latest.remove(process);
+    if (previous != null) {
+      add(previous, atUs);
     }
   }
 
-  private void add(UsageRecord line, long endsUs) {
-    long from = line.fromUs;
-    for (int i = 0; i < line.amounts.length; i++) {
-      long until = Math.min(line.untilUs[i], endsUs);
+  private void add(UsageRecord usage, long endUs) {
+    long from = usage.fromUs;
+    for (int i = 0; i < usage.amounts.length; i++) {
+      long until = Math.min(usage.untilUs[i], endUs);
       if (from < until) {
-        used.add(new UsageInterval(from, until, line.amounts[i]));
+        intervals.add(new UsageInterval(from, until, usage.amounts[i]));
         from = until;
       }
     }
   }
 
   /** A process that stood still goes on with what it may use by then, until it says otherwise. */
-  synchronized void recordUntil(UsageRecord with, long atUs) {
-    if (with != null) {
-      last.put(
-          with.process,
-          new UsageRecord(with.process, Math.max(with.fromUs, atUs), with.untilUs, with.amounts));
+  synchronized void recordUntil(UsageRecord usage, long atUs) {
+    if (usage != null) {
+      latest.put(
+          usage.process,
+          new UsageRecord(
+              usage.process, Math.max(usage.fromUs, atUs), usage.untilUs, usage.amounts));
     }
   }
 
-  synchronized UsageRecord currentAmount(int process) {
-    return last.get(process);
+  synchronized UsageRecord current(int process) {
+    return latest.get(process);
   }
 
   /** The most of all times, up to now. */
   synchronized PeakUsage peak(long nowUs) {
-    record Edge(long atUs, boolean begins, double part) {}
+    record Edge(long atUs, boolean isStart, double amount) {}
     List<Edge> edges = new ArrayList<>();
-    List<UsageInterval> before = List.copyOf(used);
-    last.values().forEach(l -> add(l, nowUs));
-    List<UsageInterval> all = List.copyOf(used);
-    used.clear();
-    used.addAll(before);
-    for (UsageInterval u : all) {
-      if (u.fromUs < u.untilUs) {
-        edges.add(new Edge(u.fromUs, true, u.amount));
-        edges.add(new Edge(u.untilUs, false, u.amount));
+    List<UsageInterval> previous = List.copyOf(intervals);
+    latest.values().forEach(usage -> add(usage, nowUs));
+    List<UsageInterval> intervalsToNow = List.copyOf(intervals);
+    intervals.clear();
+    intervals.addAll(previous);
+    for (UsageInterval interval : intervalsToNow) {
+      if (interval.fromUs < interval.untilUs) {
+        edges.add(new Edge(interval.fromUs, true, interval.amount));
+        edges.add(new Edge(interval.untilUs, false, interval.amount));
       }
     }
-    edges.sort(Comparator.comparingLong(Edge::atUs).thenComparing(Edge::begins));
+    edges.sort(Comparator.comparingLong(Edge::atUs).thenComparing(Edge::isStart));
     double sum = 0;
-    PeakUsage most = new PeakUsage(0, 0);
-    for (Edge e : edges) {
-      sum += e.begins ? e.part : -e.part;
-      most = sum > most.amount ? new PeakUsage(sum, e.atUs) : most;
+    PeakUsage peak = new PeakUsage(0, 0);
+    for (Edge edge : edges) {
+      sum += edge.isStart ? edge.amount : -edge.amount;
+      peak = sum > peak.amount ? new PeakUsage(sum, edge.atUs) : peak;
     }
-    return most;
+    return peak;
   }
 }
--- a/src/main/java/cobaltseam/fleet/DiscoverySource.java
+++ b/src/main/java/cobaltseam/fleet/DiscoverySource.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /** Where discovery listens, and its first events as JSON. */
-public record DiscoverySource(InetSocketAddress bus, List<String> known) {
-  static final DiscoverySource DEAD =
+public record DiscoverySource(InetSocketAddress address, List<String> initialEvents) {
+  static final DiscoverySource UNREACHABLE =
       new DiscoverySource(
           new InetSocketAddress("127.0.0.1", 1),
           List.of(
--- a/src/main/java/cobaltseam/fleet/Fault.java
+++ b/src/main/java/cobaltseam/fleet/Fault.java
@@ -18,13 +18,13 @@
     @JsonProperty("who") List<Integer> processes,
     @JsonProperty("others") List<Integer> otherSide,
     @JsonProperty("size") double size) {
-  private static final double SHORTEST_S = 0.1;
+  private static final double MIN_LENGTH_S = 0.1;
 
   /**
    * What is drawn; kinds that came later are put in their place by {@link #withFolders}, so that
    * seeds keep their scripts.
    */
-  private static final List<Kind> DRAWN =
+  private static final List<Kind> GENERATED_KINDS =
       List.of(
           Kind.LOSS,
           Kind.LOSS_IN,
@@ -113,26 +113,26 @@
   }
 
   /** What becomes of one datagram: how often it comes, and how much later each time, in seconds. */
-  record DatagramFate(int copies, double delayS) {}
+  record Delivery(int copies, double delayS) {}
 
   /** The fate of a datagram from one to another at this moment, under all that goes wrong then. */
-  static DatagramFate fate(
-      List<Fault> faults, int from, int to, double second, SplittableRandom chance) {
-    int times = 1;
+  static Delivery delivery(
+      List<Fault> faults, int from, int to, double second, SplittableRandom random) {
+    int copies = 1;
     double delay = 0;
-    for (Fault t : faults) {
-      if (!t.affects(from, to, second)) {
+    for (Fault fault : faults) {
+      if (!fault.affects(from, to, second)) {
         continue;
       }
-      switch (t.kind) {
-        case LOSS, LOSS_IN -> times = chance.nextDouble() < t.size ? 0 : times;
-        case CUT, ONE_WAY, RING -> times = 0;
-        case DELAY -> delay += t.size * chance.nextDouble();
-        case DOUBLE -> times = times > 0 && chance.nextDouble() < t.size ? 2 : times;
+      switch (fault.kind) {
+        case LOSS, LOSS_IN -> copies = random.nextDouble() < fault.size ? 0 : copies;
+        case CUT, ONE_WAY, RING -> copies = 0;
+        case DELAY -> delay += fault.size * random.nextDouble();
+        case DOUBLE -> copies = copies > 0 && random.nextDouble() < fault.size ? 2 : copies;
         default -> {}
       }
     }
-    return new DatagramFate(times, delay);
+    return new Delivery(copies, delay);
   }
 
   private boolean isOnOtherSide(int process) {
@@ -147,7 +147,7 @@
       fewer.remove(p);
       forms.add(new Fault(kind, atS, lengthS, fewer, otherSide, size));
     }
-    if (lengthS / 2 >= SHORTEST_S) {
+    if (lengthS / 2 >= MIN_LENGTH_S) {
       forms.add(new Fault(kind, atS, lengthS / 2, processes, otherSide, size));
     }
     return forms;
@@ -159,64 +159,74 @@
    * it is seen where a peer can know.
    */
   public static List<Fault> withFolders(List<Fault> faults, boolean copiedBack, long seed) {
-    SplittableRandom chance = new SplittableRandom(~seed);
-    List<Fault> with = new ArrayList<>();
-    boolean old = false;
-    for (Fault t : faults) {
-      boolean loses = chance.nextInt(4) == 0 && !copiedBack;
-      boolean stale = copiedBack && !old && t.processes.size() == 1 && t.kind == Kind.KILL;
-      old |= stale;
-      Kind kind = t.kind == Kind.KILL && (loses || stale) ? stale ? Kind.STALE : Kind.LOSE : t.kind;
-      with.add(new Fault(kind, t.atS, t.lengthS, t.processes, t.otherSide, t.size));
+    SplittableRandom random = new SplittableRandom(~seed);
+    List<Fault> persistentFaults = new ArrayList<>();
+    boolean hasStale = false;
+    for (Fault fault : faults) {
+      boolean loses = random.nextInt(4) == 0 && !copiedBack;
+      boolean stale =
+          copiedBack && !hasStale && fault.processes.size() == 1 && fault.kind == Kind.KILL;
+      hasStale |= stale;
+      Kind kind =
+          fault.kind == Kind.KILL && (loses || stale) ? stale ? Kind.STALE : Kind.LOSE : fault.kind;
+      persistentFaults.add(
+          new Fault(kind, fault.atS, fault.lengthS, fault.processes, fault.otherSide, fault.size));
     }
-    return with;
+    return persistentFaults;
   }
 
   /**
    * Troubles by chance, overlapping, some of them of a whole rack; the same ones from the same
    * seed.
    */
-  public static List<Fault> drawn(int processes, double seconds, int number, long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  public static List<Fault> generate(int processes, double seconds, int faultCount, long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     List<Fault> faults = new ArrayList<>();
-    for (int i = 0; i < number; i++) {
-      Kind kind = DRAWN.get(chance.nextInt(DRAWN.size()));
-      double at = chance.nextDouble(0.2, 0.7) * seconds;
-      double length = chance.nextDouble(0.02, 0.3) * seconds;
-      int most =
-          switch (chance.nextInt(4)) {
+    for (int i = 0; i < faultCount; i++) {
+      Kind kind = GENERATED_KINDS.get(random.nextInt(GENERATED_KINDS.size()));
+      double startS = random.nextDouble(0.2, 0.7) * seconds;
+      double durationS = random.nextDouble(0.02, 0.3) * seconds;
+      int maxProcesses =
+          switch (random.nextInt(4)) {
             case 0 -> processes - 1;
             case 1 -> Math.max(1, processes / 3);
             default -> 1;
           };
-      List<Integer> who = new ArrayList<>();
-      int rack = 1 + chance.nextInt(most);
-      int first = chance.nextInt(processes);
-      for (int p = 0; p < rack; p++) {
-        who.add((first + p) % processes);
+      List<Integer> affected = new ArrayList<>();
+      int count = 1 + random.nextInt(maxProcesses);
+      int first = random.nextInt(processes);
+      for (int p = 0; p < count; p++) {
+        affected.add((first + p) % processes);
       }
       if (kind == Kind.RING) {
-        who.clear();
+        affected.clear();
         for (int p = 0; p < processes; p++) {
-          who.add((first + p) % processes);
+          affected.add((first + p) % processes);
         }
       }
-      List<Integer> others = new ArrayList<>();
-      if ((kind == Kind.ONE_WAY || kind == Kind.CUT) && chance.nextInt(3) == 0) {
-        others.add((first + rack + chance.nextInt(processes)) % processes);
+      List<Integer> otherProcesses = new ArrayList<>();
+      if ((kind == Kind.ONE_WAY || kind == Kind.CUT) && random.nextInt(3) == 0) {
+        otherProcesses.add((first + count + random.nextInt(processes)) % processes);
       }
       double size =
           switch (kind) {
-            case LOSS -> chance.nextDouble(0.1, 0.6);
-            case LOSS_IN -> chance.nextDouble(0.3, 0.9);
-            case DELAY -> chance.nextDouble(0.05, 2);
-            case DOUBLE -> chance.nextDouble(0.1, 0.5);
-            case SLOW -> chance.nextDouble(0.1, 0.5);
+            case LOSS -> random.nextDouble(0.1, 0.6);
+            case LOSS_IN -> random.nextDouble(0.3, 0.9);
+            case DELAY -> random.nextDouble(0.05, 2);
+            case DOUBLE -> random.nextDouble(0.1, 0.5);
+            case SLOW -> random.nextDouble(0.1, 0.5);
             default -> 1;
           };
       // A majority that is gone for good has no successor without an operator.
-      boolean forGood = kind == Kind.GONE && who.size() > (processes - 1) / 2;
-      faults.add(new Fault(forGood ? Kind.PAUSE : kind, at, length, who, others, size));
+      boolean losesMajority = kind == Kind.GONE && affected.size() > (processes - 1) / 2;
+      faults.add(
+          new Fault(
+              losesMajority ? Kind.PAUSE : kind,
+              startS,
+              durationS,
+              affected,
+              otherProcesses,
+              size));
     }
     return faults;
   }
--- a/src/main/java/cobaltseam/fleet/FaultPlayer.java
+++ b/src/main/java/cobaltseam/fleet/FaultPlayer.java
@@ -14,7 +14,7 @@
  * Plays what a script of faults does to real processes; datagrams follow the script by themselves.
  */
 final class FaultPlayer {
-  private static final int SLICE_MS = 100;
+  private static final int SLOW_PERIOD_MS = 100;
   private final RealFleet fleet;
   private final List<Fault> faults;
 
@@ -28,13 +28,13 @@
    * it is over.
    */
   void play() throws IOException, InterruptedException {
-    double end = faults.stream().mapToDouble(Fault::endS).max().orElse(0);
+    double endS = faults.stream().mapToDouble(Fault::endS).max().orElse(0);
     Set<String> done = new LinkedHashSet<>();
-    while (fleet.now() < end + 0.01) {
+    while (fleet.scriptTimeS() < endS + 0.01) {
       for (int i = 0; i < faults.size(); i++) {
         Fault fault = faults.get(i);
         for (int process : fault.processes()) {
-          follow(fault, process, i + "/" + process, done);
+          applyToProcess(fault, process, i + "/" + process, done);
         }
       }
       TimeUnit.MILLISECONDS.sleep(5);
@@ -43,27 +43,28 @@
     fleet.writeScriptLog();
   }
 
-  private void follow(Fault fault, int index, String key, Set<String> done)
+  private void applyToProcess(Fault fault, int index, String key, Set<String> done)
       throws IOException, InterruptedException {
-    boolean during = fleet.now() >= fault.atS() && fleet.now() < fault.endS();
-    boolean over = fleet.now() >= fault.endS();
+    boolean isActive = fleet.scriptTimeS() >= fault.atS() && fleet.scriptTimeS() < fault.endS();
+    boolean isOver = fleet.scriptTimeS() >= fault.endS();
     switch (fault.kind()) {
       case PAUSE -> {
-        if (during && done.add(key + "stop")) {
+        if (isActive && done.add(key + "stop")) {
           fleet.suspend(index);
-        } else if (over && done.add(key + "go") && fleet.isSuspended(index)) {
+        } else if (isOver && done.add(key + "go") && fleet.isSuspended(index)) {
           fleet.resume(index);
         }
       }
       case SLOW -> {
-        boolean rests = during && fleet.now() * 1000 % SLICE_MS > SLICE_MS * fault.size();
-        if (during && rests != fleet.isSuspended(index)) {
-          if (rests) {
+        boolean pausesNow =
+            isActive && fleet.scriptTimeS() * 1000 % SLOW_PERIOD_MS > SLOW_PERIOD_MS * fault.size();
+        if (isActive && pausesNow != fleet.isSuspended(index)) {
+          if (pausesNow) {
             fleet.suspend(index);
           } else {
             fleet.resume(index);
           }
-        } else if (over && done.add(key + "go") && fleet.isSuspended(index)) {
+        } else if (isOver && done.add(key + "go") && fleet.isSuspended(index)) {
           fleet.resume(index);
         }
       }
@@ -74,24 +75,24 @@
 
   private void endAndRestart(Fault fault, int index, String key, Set<String> done)
       throws IOException, InterruptedException {
-    boolean during = fleet.now() >= fault.atS() && fleet.now() < fault.endS();
-    boolean over = fleet.now() >= fault.endS();
+    boolean isActive = fleet.scriptTimeS() >= fault.atS() && fleet.scriptTimeS() < fault.endS();
+    boolean isOver = fleet.scriptTimeS() >= fault.endS();
     if (fault.kind() == Fault.Kind.STALE
-        && fleet.now() >= fault.atS() / 2
+        && fleet.scriptTimeS() >= fault.atS() / 2
         && done.add(key + "copy")) {
-      copy(stateFile(index), fleet.earlierState(index));
+      copyIfExists(stateFile(index), fleet.earlierState(index));
     }
-    if (during && done.add(key + "end") && fleet.isAlive(index)) {
+    if (isActive && done.add(key + "end") && fleet.isAlive(index)) {
       if (fault.kind() == Fault.Kind.TERM) {
         fleet.terminate(index);
       } else {
         fleet.kill(index);
       }
-    } else if (over
+    } else if (isOver
         && fault.kind() != Fault.Kind.GONE
         && done.contains(key + "end")
         && done.add(key + "start")
-        && !isGone(index)) {
+        && !isPermanentlyKilled(index)) {
       if (fleet.isAlive(index) && fault.kind() == Fault.Kind.TERM) {
         fleet.destroy(index);
       }
@@ -99,27 +100,27 @@
         if (fault.kind() == Fault.Kind.LOSE) {
           Files.deleteIfExists(stateFile(index));
         } else if (fault.kind() == Fault.Kind.STALE) {
-          copy(fleet.earlierState(index), stateFile(index));
+          copyIfExists(fleet.earlierState(index), stateFile(index));
         }
         fleet.start(index);
       }
     }
   }
 
-  private static void copy(Path from, Path to) throws IOException {
+  private static void copyIfExists(Path from, Path to) throws IOException {
     if (Files.exists(from)) {
       Files.createDirectories(to.getParent());
       Files.copy(from, to, StandardCopyOption.REPLACE_EXISTING);
     }
   }
 
-  private boolean isGone(int index) {
+  private boolean isPermanentlyKilled(int index) {
     return faults.stream()
         .anyMatch(
-            t ->
-                t.kind() == Fault.Kind.GONE
-                    && t.processes().contains(index)
-                    && t.atS() <= fleet.now());
+            fault ->
+                fault.kind() == Fault.Kind.GONE
+                    && fault.processes().contains(index)
+                    && fault.atS() <= fleet.scriptTimeS());
   }
 
   private Path stateFile(int index) {
--- a/src/main/java/cobaltseam/fleet/FaultRelays.java
+++ b/src/main/java/cobaltseam/fleet/FaultRelays.java
@@ -22,54 +22,54 @@
  * script for that link and direction.
  */
 final class FaultRelays implements AutoCloseable {
-  private record DelayedDatagram(long atNs, long turn, int to, byte[] bytes)
+  private record DelayedDatagram(long atNs, long sequence, int to, byte[] bytes)
       implements Comparable<DelayedDatagram> {
     @Override
     public int compareTo(DelayedDatagram other) {
       int order = Long.compare(atNs, other.atNs);
-      return order != 0 ? order : Long.compare(turn, other.turn);
+      return order != 0 ? order : Long.compare(sequence, other.sequence);
     }
   }
 
-  private static final int LARGEST = 1 << 16;
-  private static final int MOST_LATE = 1 << 16;
-  private static final int BUFFER = 1 << 21;
+  private static final int MAX_DATAGRAM_BYTES = 1 << 16;
+  private static final int MAX_DELAYED_DATAGRAMS = 1 << 16;
+  private static final int RECEIVE_BUFFER_BYTES = 1 << 21;
   private final Selector selector = Selector.open();
   private final List<DatagramChannel> channels = new ArrayList<>();
-  private final List<InetSocketAddress> seen = new ArrayList<>();
-  private final List<InetSocketAddress> heard = new ArrayList<>();
+  private final List<InetSocketAddress> advertisedAddresses = new ArrayList<>();
+  private final List<InetSocketAddress> listenAddresses = new ArrayList<>();
   private final Map<SocketAddress, Integer> senders = new HashMap<>();
-  private final PriorityQueue<DelayedDatagram> late = new PriorityQueue<>();
-  private final SplittableRandom chance;
-  private volatile long since;
+  private final PriorityQueue<DelayedDatagram> delayedDatagrams = new PriorityQueue<>();
+  private final SplittableRandom random;
+  private volatile long startNs;
   private volatile List<Fault> faults;
-  private long turns;
-  private volatile long passed;
-  private volatile long kept;
+  private long nextSequence;
+  private volatile long forwarded;
+  private volatile long dropped;
 
-  FaultRelays(int processes, List<Fault> faults, long seed, long since) throws IOException {
+  FaultRelays(int processes, List<Fault> faults, long seed, long startNs) throws IOException {
     this.faults = faults;
-    this.since = since;
-    chance = new SplittableRandom(seed);
+    this.startNs = startNs;
+    random = new SplittableRandom(seed);
     InetAddress loopback = InetAddress.getByName("127.0.0.1");
     // Closed only once all are chosen, or one that is free again could be given to the next.
-    List<DatagramChannel> free = new ArrayList<>();
+    List<DatagramChannel> reservedPorts = new ArrayList<>();
     for (int i = 0; i < processes; i++) {
       DatagramChannel channel = DatagramChannel.open();
-      channel.setOption(java.net.StandardSocketOptions.SO_RCVBUF, BUFFER);
+      channel.setOption(java.net.StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
       channel.configureBlocking(false);
       channel.bind(new InetSocketAddress(loopback, 0));
       channel.register(selector, SelectionKey.OP_READ, i);
       channels.add(channel);
-      seen.add((InetSocketAddress) channel.getLocalAddress());
-      DatagramChannel listens = DatagramChannel.open();
-      free.add(listens);
-      listens.bind(new InetSocketAddress(loopback, 0));
-      heard.add((InetSocketAddress) listens.getLocalAddress());
-      senders.put(heard.get(i), i);
+      advertisedAddresses.add((InetSocketAddress) channel.getLocalAddress());
+      DatagramChannel reserved = DatagramChannel.open();
+      reservedPorts.add(reserved);
+      reserved.bind(new InetSocketAddress(loopback, 0));
+      listenAddresses.add((InetSocketAddress) reserved.getLocalAddress());
+      senders.put(listenAddresses.get(i), i);
     }
-    for (DatagramChannel each : free) {
-      each.close();
+    for (DatagramChannel channel : reservedPorts) {
+      channel.close();
     }
     Thread thread = new Thread(this::run, "relays");
     thread.setDaemon(true);
@@ -77,43 +77,45 @@
   }
 
   /** Where others reach a process. */
-  InetSocketAddress seenAt(int process) {
-    return seen.get(process);
+  InetSocketAddress advertisedAddress(int process) {
+    return advertisedAddresses.get(process);
   }
 
   /** Where the process itself listens. */
-  InetSocketAddress listensAt(int process) {
-    return heard.get(process);
+  InetSocketAddress listenAddress(int process) {
+    return listenAddresses.get(process);
   }
 
   /** From when the script's time counts. */
-  void since(long ns) {
-    since = ns;
+  void setStart(long ns) {
+    startNs = ns;
   }
 
-  long passed() {
-    return passed;
+  long forwardedCount() {
+    return forwarded;
   }
 
-  long kept() {
-    return kept;
+  long droppedCount() {
+    return dropped;
   }
 
   /** Says something to a process in nobody's name. */
-  void say(int to, byte[] bytes) throws IOException {
-    channels.get(to).send(ByteBuffer.wrap(bytes), heard.get(to));
+  void deliver(int to, byte[] bytes) throws IOException {
+    channels.get(to).send(ByteBuffer.wrap(bytes), listenAddresses.get(to));
   }
 
-  private double seconds() {
-    return (System.nanoTime() - since) / 1e9;
+  private double scriptTimeS() {
+    return (System.nanoTime() - startNs) / 1e9;
   }
 
   private void run() {
-    ByteBuffer buffer = ByteBuffer.allocate(LARGEST);
+    ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
     while (selector.isOpen()) {
       try {
         long wait =
-            late.isEmpty() ? 100 : Math.max(1, (late.peek().atNs - System.nanoTime()) / 1_000_000);
+            delayedDatagrams.isEmpty()
+                ? 100
+                : Math.max(1, (delayedDatagrams.peek().atNs - System.nanoTime()) / 1_000_000);
         selector.select(wait);
         for (SelectionKey key : selector.selectedKeys()) {
           int to = (int) key.attachment();
@@ -125,41 +127,46 @@
             byte[] bytes = new byte[buffer.remaining()];
             buffer.get(bytes);
             buffer.clear();
-            rule(senders.getOrDefault(from, -1), to, bytes);
+            applyFaults(senders.getOrDefault(from, -1), to, bytes);
           }
         }
         selector.selectedKeys().clear();
-        while (!late.isEmpty() && late.peek().atNs <= System.nanoTime()) {
-          DelayedDatagram delayed = late.poll();
-          pass(delayed.to, delayed.bytes);
+        while (!delayedDatagrams.isEmpty() && delayedDatagrams.peek().atNs <= System.nanoTime()) {
+          DelayedDatagram delayed = delayedDatagrams.poll();
+          forward(delayed.to, delayed.bytes);
         }
       } catch (ClosedSelectorException e) {
         return;
       } catch (IOException e) {
         // The process that it was for is not there just now.
-        kept++;
+        dropped++;
       }
     }
   }
 
-  private void rule(int from, int to, byte[] bytes) throws IOException {
-    Fault.DatagramFate fate =
-        from < 0 ? new Fault.DatagramFate(1, 0) : Fault.fate(faults, from, to, seconds(), chance);
-    kept += fate.copies() == 0 ? 1 : 0;
-    for (int n = 0; n < fate.copies(); n++) {
-      if (fate.delayS() == 0) {
-        pass(to, bytes);
-      } else if (late.size() < MOST_LATE) {
-        late.add(
+  private void applyFaults(int from, int to, byte[] bytes) throws IOException {
+    Fault.Delivery delivery =
+        from < 0
+            ? new Fault.Delivery(1, 0)
+            : Fault.delivery(faults, from, to, scriptTimeS(), random);
+    dropped += delivery.copies() == 0 ? 1 : 0;
+    for (int n = 0; n < delivery.copies(); n++) {
+      if (delivery.delayS() == 0) {
+        forward(to, bytes);
+      } else if (delayedDatagrams.size() < MAX_DELAYED_DATAGRAMS) {
+        delayedDatagrams.add(
             new DelayedDatagram(
-                System.nanoTime() + (long) (fate.delayS() * 1e9 * (1 + n)), turns++, to, bytes));
+                System.nanoTime() + (long) (delivery.delayS() * 1e9 * (1 + n)),
+                nextSequence++,
+                to,
+                bytes));
       }
     }
   }
 
-  private void pass(int to, byte[] bytes) throws IOException {
-    channels.get(to).send(ByteBuffer.wrap(bytes), heard.get(to));
-    passed++;
+  private void forward(int to, byte[] bytes) throws IOException {
+    channels.get(to).send(ByteBuffer.wrap(bytes), listenAddresses.get(to));
+    forwarded++;
   }
 
   @Override
--- a/src/main/java/cobaltseam/fleet/FaultScript.java
+++ b/src/main/java/cobaltseam/fleet/FaultScript.java
@@ -38,15 +38,16 @@
       throw new InvalidInputException(file + " can't be read: " + e.getMessage());
     }
     List<Fault> faults = script.faults == null ? List.of() : script.faults;
-    for (Fault t : faults) {
-      boolean known =
-          t.processes().stream().allMatch(p -> p >= 0 && p < processes)
-              && t.otherSide().stream().allMatch(p -> p >= 0 && p < processes);
-      if (!known || !(t.atS() >= 0) || !(t.lengthS() > 0) || !(t.size() > 0)) {
+    for (Fault fault : faults) {
+      boolean processesExist =
+          fault.processes().stream().allMatch(process -> process >= 0 && process < processes)
+              && fault.otherSide().stream()
+                  .allMatch(process -> process >= 0 && process < processes);
+      if (!processesExist || !(fault.atS() >= 0) || !(fault.lengthS() > 0) || !(fault.size() > 0)) {
         throw new InvalidInputException(
             file
                 + ": "
-                + t
+                + fault
                 + ": processes from 0 to "
                 + (processes - 1)
                 + ", atS from 0, lengthS and size above 0 are allowed");
@@ -59,16 +60,16 @@
   static String write(List<Fault> faults) {
     return faults.stream()
         .map(
-            t ->
+            fault ->
                 String.format(
                     Locale.ROOT,
                     "[[troubles]]%nkind = \"%s\"%natS = %s%nlengthS = %s%nwho = %s%nothers = %s%nsize = %s%n",
-                    t.kind().label(),
-                    t.atS(),
-                    t.lengthS(),
-                    t.processes(),
-                    t.otherSide(),
-                    t.size()))
+                    fault.kind().label(),
+                    fault.atS(),
+                    fault.lengthS(),
+                    fault.processes(),
+                    fault.otherSide(),
+                    fault.size()))
         .collect(Collectors.joining("\n"));
   }
 }
--- a/src/main/java/cobaltseam/fleet/AgreementHunt.java
+++ b/src/main/java/cobaltseam/fleet/FleetAgreementCommand.java
@@ -28,14 +28,15 @@
     description =
         "Runs drawn scripts in virtual time while documents are proposed; tells the longest contradiction.",
     mixinStandardHelpOptions = true)
-final class AgreementHunt implements Callable<Integer> {
+final class FleetAgreementCommand implements Callable<Integer> {
   /** Of the members' clocks, as a part. */
-  static final double CLOCKS = 0.001;
+  static final double CLOCK_RATE_DIFFERENCE = 0.001;
 
-  static final ConfigurationAgreement.AgreementOptions TERMS =
-      new ConfigurationAgreement.AgreementOptions(new TimeSpan(2_000_000), CLOCKS, 1 << 20);
-  private static final double SETTLES_WITHIN = 340;
-  private static final double LAST_WITHIN = 60;
+  static final ConfigurationAgreement.AgreementOptions OPTIONS =
+      new ConfigurationAgreement.AgreementOptions(
+          new TimeSpan(2_000_000), CLOCK_RATE_DIFFERENCE, 1 << 20);
+  private static final double SETTLE_LIMIT_S = 340;
+  private static final double FINAL_PROPOSAL_LIMIT_S = 60;
   @CommandLine.Mixin FleetOptions common;
 
   @Option(
@@ -50,108 +51,110 @@
       paramLabel = "S",
       defaultValue = "3",
       description = "seconds between two proposals; default: ${DEFAULT-VALUE}")
-  double everyS;
+  double intervalS;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
   /** What one run came to. */
-  record RunVerdict(
-      List<String> broken,
+  record RunResult(
+      List<String> violations,
       boolean lostMajority,
       ActivationRecord.Contradiction longest,
       long versions,
-      double lastS) {}
+      double finalActivationS) {}
 
-  static RunVerdict play(
-      VirtualFleet.Plan plan, List<Fault> faults, double seconds, double everyS, long seed) {
+  static RunResult play(
+      VirtualFleet.Plan plan, List<Fault> faults, double seconds, double intervalS, long seed) {
     VirtualFleet fleet = new VirtualFleet(plan, faults, seed);
-    fleet.enableAgreement(TERMS, CLOCKS);
-    SplittableRandom chance = new SplittableRandom(seed);
+    fleet.enableAgreement(OPTIONS, CLOCK_RATE_DIFFERENCE);
+    SplittableRandom random = new SplittableRandom(seed);
     int proposals = 0;
-    Set<String> harmless = new HashSet<>();
-    for (double second = everyS * chance.nextDouble();
+    Set<String> compatibleHashes = new HashSet<>();
+    for (double second = intervalS * random.nextDouble();
         second < seconds;
-        second += everyS * chance.nextDouble(0.1, 2)) {
+        second += intervalS * random.nextDouble(0.1, 2)) {
       fleet.run(second);
-      for (int sides = chance.nextInt(3); sides >= 0; sides--) {
-        boolean harms = chance.nextInt(4) > 0;
-        byte[] content = text((harms ? "rule" : "log") + proposals++);
-        if (!harms) {
-          harmless.add(ConfigurationAgreement.hash(content));
+      for (int remaining = random.nextInt(3); remaining >= 0; remaining--) {
+        boolean contradictsOthers = random.nextInt(4) > 0;
+        byte[] content = bytes((contradictsOthers ? "rule" : "log") + proposals++);
+        if (!contradictsOthers) {
+          compatibleHashes.add(ConfigurationAgreement.hash(content));
         }
-        fleet.propose(chance.nextInt(plan.processes()), content, -1);
+        fleet.propose(random.nextInt(plan.processes()), content, -1);
       }
     }
     double second = seconds;
-    for (int calm = 0; second < seconds + SETTLES_WITHIN && calm < 4; second += 0.5) {
+    for (int checks = 0; second < seconds + SETTLE_LIMIT_S && checks < 4; second += 0.5) {
       fleet.run(second);
-      calm = fleet.isSettled() ? calm + 1 : 0;
+      checks = fleet.isSettled() ? checks + 1 : 0;
     }
-    List<String> broken = new ArrayList<>(ActivationRecord.twoUnderOneNumber(fleet.activations()));
-    double last = 0;
+    List<String> violations =
+        new ArrayList<>(ActivationRecord.versionConflicts(fleet.activations()));
+    double waitedS = 0;
     if (!fleet.lostMajority()) {
       // Messages flow again: a proposal gets through, and all act on it.
-      byte[] content = text("the last");
+      byte[] content = bytes("the last");
       String why = null;
-      while (last < LAST_WITHIN
-          && !actOn(fleet, plan.processes(), ConfigurationAgreement.hash(content))) {
+      while (waitedS < FINAL_PROPOSAL_LIMIT_S
+          && !allHaveActivated(fleet, plan.processes(), ConfigurationAgreement.hash(content))) {
         for (int i = 0; i < plan.processes(); i++) {
           if (fleet.isAlive(i)) {
             why = fleet.propose(i, content, -1);
             break;
           }
         }
-        last += 0.1;
-        fleet.run(second + last);
+        waitedS += 0.1;
+        fleet.run(second + waitedS);
       }
-      if (last >= LAST_WITHIN) {
-        StringBuilder each = new StringBuilder();
+      if (waitedS >= FINAL_PROPOSAL_LIMIT_S) {
+        StringBuilder states = new StringBuilder();
         for (int i = 0; i < plan.processes(); i++) {
-          each.append(
-              fleet.isAlive(i) ? " " + i + " " + fleet.view(i) + " " + fleet.acting(i) : "");
+          states.append(
+              fleet.isAlive(i) ? " " + i + " " + fleet.view(i) + " " + fleet.configuration(i) : "");
         }
-        broken.add("a proposal does not get through: " + why + each);
+        violations.add("a proposal does not get through: " + why + states);
       }
     }
     ActivationRecord.Contradiction longest =
-        ActivationRecord.longest(fleet.activations(), harmless, fleet.now());
-    if (longest.seconds() > TERMS.maxContradiction().us() / 1e6) {
-      broken.add("contradiction for " + longest);
+        ActivationRecord.longestContradiction(fleet.activations(), compatibleHashes, fleet.now());
+    if (longest.seconds() > OPTIONS.maxContradiction().us() / 1e6) {
+      violations.add("contradiction for " + longest);
     }
-    long editions =
+    long versions =
         fleet.activations().stream().flatMap(a -> a.versions().stream()).distinct().count();
-    return new RunVerdict(broken, fleet.lostMajority(), longest, editions, last);
+    return new RunResult(violations, fleet.lostMajority(), longest, versions, waitedS);
   }
 
   /** The run of a seed. */
-  static RunVerdict one(FleetOptions common, double everyS, long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  static RunResult playSeed(FleetOptions common, double intervalS, long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     int processes =
         common.processes > 0
             ? common.processes
-            : chance.nextInt(10) == 0 ? 3 + chance.nextInt(48) : 3 + chance.nextInt(7);
+            : random.nextInt(10) == 0 ? 3 + random.nextInt(48) : 3 + random.nextInt(7);
     List<Fault> script =
         common.script != null
-            ? common.drawn(seed, processes)
-            : common.drawn(seed, processes, 1 + chance.nextInt(6));
+            ? common.faults(seed, processes)
+            : common.generateFaults(seed, processes, 1 + random.nextInt(6));
     VirtualFleet.Plan plan = VirtualFleet.Plan.of(processes);
-    return play(common.folders ? plan.withFolders() : plan, script, common.seconds, everyS, seed);
+    return play(
+        common.folders ? plan.withFolders() : plan, script, common.seconds, intervalS, seed);
   }
 
-  private static boolean actOn(VirtualFleet fleet, int processes, String hash) {
+  private static boolean allHaveActivated(VirtualFleet fleet, int processes, String hash) {
     for (int i = 0; i < processes; i++) {
-      ConfigurationVersion newest = fleet.isAlive(i) ? fleet.acting(i).newest() : null;
+      ConfigurationVersion newest = fleet.isAlive(i) ? fleet.configuration(i).newest() : null;
       if (fleet.isAlive(i)
           && (newest == null
               || !newest.hash().equals(hash)
-              || fleet.acting(i).mode() != ActiveConfiguration.Mode.PLAIN)) {
+              || fleet.configuration(i).mode() != ActiveConfiguration.Mode.PLAIN)) {
         return false;
       }
     }
     return true;
   }
 
-  private static byte[] text(String text) {
+  private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
@@ -159,23 +162,23 @@
   public Integer call() {
     long from = System.nanoTime();
     PrintWriter out = spec.commandLine().getOut();
-    List<RunVerdict> all = Collections.synchronizedList(new ArrayList<>());
+    List<RunResult> all = Collections.synchronizedList(new ArrayList<>());
     Map<ActivationRecord.Contradiction, Long> seeds = Collections.synchronizedMap(new HashMap<>());
     LongStream.range(common.seed, common.seed + runs)
         .parallel()
         .forEach(
             seed -> {
-              RunVerdict verdict = one(common, everyS, seed);
-              all.add(verdict);
-              seeds.put(verdict.longest, seed);
-              if (!verdict.broken.isEmpty()) {
+              RunResult result = playSeed(common, intervalS, seed);
+              all.add(result);
+              seeds.put(result.longest, seed);
+              if (!result.violations.isEmpty()) {
                 synchronized (out) {
                   out.println(
                       "seed "
                           + seed
                           + ": BROKEN"
-                          + (verdict.lostMajority ? " (a majority was lost)" : ""));
-                  verdict.broken.forEach(b -> out.println("  " + b));
+                          + (result.lostMajority ? " (a majority was lost)" : ""));
+                  result.violations.forEach(violation -> out.println("  " + violation));
                   out.flush();
                 }
               }
@@ -187,11 +190,11 @@
     if (longest.seconds() > 0) {
       out.println("seed " + seeds.get(longest) + " has the longest: " + longest);
     }
-    long broken = all.stream().filter(verdict -> !verdict.broken.isEmpty()).count();
-    List<Double> last =
+    long failedRuns = all.stream().filter(result -> !result.violations.isEmpty()).count();
+    List<Double> activationTimesS =
         all.stream()
-            .filter(verdict -> !verdict.lostMajority)
-            .map(RunVerdict::lastS)
+            .filter(result -> !result.lostMajority)
+            .map(RunResult::finalActivationS)
             .sorted()
             .toList();
     out.printf(
@@ -200,14 +203,14 @@
             + "last proposal acted on by all after %.1f s in the median, %.1f s at most; %.0f s%n",
         all.size(),
         common.seed,
-        broken,
-        all.stream().filter(RunVerdict::lostMajority).count(),
-        all.stream().mapToLong(RunVerdict::versions).sum(),
+        failedRuns,
+        all.stream().filter(RunResult::lostMajority).count(),
+        all.stream().mapToLong(RunResult::versions).sum(),
         longest.seconds(),
-        last.isEmpty() ? 0 : last.get(last.size() / 2),
-        last.isEmpty() ? 0 : last.get(last.size() - 1),
+        activationTimesS.isEmpty() ? 0 : activationTimesS.get(activationTimesS.size() / 2),
+        activationTimesS.isEmpty() ? 0 : activationTimesS.get(activationTimesS.size() - 1),
         (System.nanoTime() - from) / 1e9);
     out.flush();
-    return broken == 0 ? 0 : 1;
+    return failedRuns == 0 ? 0 : 1;
   }
 }
--- a/src/main/java/cobaltseam/fleet/FleetCommand.java
+++ b/src/main/java/cobaltseam/fleet/FleetCommand.java
@@ -18,8 +18,8 @@
       FleetShrinkCommand.class,
       FleetDetectCommand.class,
       FleetSteadyCommand.class,
-      AgreementHunt.class,
-      CapacityHunt.class
+      FleetAgreementCommand.class,
+      FleetCapacityCommand.class
     },
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND")
--- a/src/main/java/cobaltseam/fleet/FleetConfigurationWriter.java
+++ b/src/main/java/cobaltseam/fleet/FleetConfigurationWriter.java
@@ -20,10 +20,11 @@
   }
 
   void write(int index, int port) throws IOException {
-    Path own = Files.createDirectories(folder.resolve(RealFleet.name(index)));
-    DiscoverySource engines = plan.discovery() == null ? DiscoverySource.DEAD : plan.discovery();
+    Path processFolder = Files.createDirectories(folder.resolve(RealFleet.name(index)));
+    DiscoverySource discovery =
+        plan.discovery() == null ? DiscoverySource.UNREACHABLE : plan.discovery();
     Files.writeString(
-        own.resolve("config.json"),
+        processFolder.resolve("config.json"),
         """
                 {"name":"%s","listen":"127.0.0.1:%d","seed":"%016x","limits":{"sockets":128,"memory_mb":64},
                 "bus":"%s","known":{"offset":%d,"batch":[%s]},
@@ -37,21 +38,21 @@
                 RealFleet.name(index),
                 port,
                 0x8c1f30d27a5be964L + index,
-                text(engines.bus()),
-                engines.known().size(),
-                String.join(",", engines.known()),
+                hostAndPort(discovery.address()),
+                discovery.initialEvents().size(),
+                String.join(",", discovery.initialEvents()),
                 plan.processes(),
                 index));
     String seeds =
         IntStream.range(0, Math.min(8, plan.processes()))
-            .mapToObj(s -> "\"" + text(relays.seenAt(s)) + "\"")
+            .mapToObj(seed -> "\"" + hostAndPort(relays.advertisedAddress(seed)) + "\"")
             .collect(Collectors.joining(", "));
-    String founders =
+    String bootstrapMembers =
         IntStream.range(0, plan.bootstrapMembers())
-            .mapToObj(f -> "\"" + RealFleet.name(f) + "\"")
+            .mapToObj(member -> "\"" + RealFleet.name(member) + "\"")
             .collect(Collectors.joining(", "));
     Files.writeString(
-        own.resolve("cobaltseam.toml"),
+        processFolder.resolve("cobaltseam.toml"),
         """
                 [logging]
                 form = "json"
@@ -68,16 +69,16 @@
                 """
             .formatted(
                 plan.extraSettings(),
-                text(relays.listensAt(index)),
-                text(relays.seenAt(index)),
+                hostAndPort(relays.listenAddress(index)),
+                hostAndPort(relays.advertisedAddress(index)),
                 seeds,
-                founders,
+                bootstrapMembers,
                 plan.healthCheckIntervalMs(),
                 plan.healthCheckTimeoutMs(),
                 plan.withPersistence() ? "folder = \"kept\"" : ""));
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String hostAndPort(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 }
--- a/src/main/java/cobaltseam/fleet/FleetDetectCommand.java
+++ b/src/main/java/cobaltseam/fleet/FleetDetectCommand.java
@@ -48,11 +48,12 @@
 
   @Override
   public Integer call() throws Exception {
-    List<Double> periods = common.real ? real() : Collections.synchronizedList(new ArrayList<>());
+    List<Double> periods =
+        common.real ? detectInProcesses() : Collections.synchronizedList(new ArrayList<>());
     if (!common.real) {
       LongStream.range(common.seed, common.seed + kills)
           .parallel()
-          .forEach(second -> periods.add(virtual(second)));
+          .forEach(seed -> periods.add(detectInVirtualTime(seed)));
     }
     Collections.sort(periods);
     spec.commandLine()
@@ -71,51 +72,52 @@
     return 0;
   }
 
-  private List<Fault> lossy() {
+  private List<Fault> lossFaults() {
     return loss == 0
         ? List.of()
         : List.of(new Fault(Fault.Kind.LOSS, 0, 1e9, List.of(), List.of(), loss));
   }
 
-  private double virtual(long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    double formedBy = 40 + common.processes / 10.0;
-    double at = formedBy + chance.nextDouble();
-    List<Fault> script = new ArrayList<>(lossy());
+  private double detectInVirtualTime(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    double formedByS = 40 + common.processes / 10.0;
+    double killS = formedByS + random.nextDouble();
+    List<Fault> script = new ArrayList<>(lossFaults());
     script.add(
-        new Fault(Fault.Kind.GONE, at, 1, List.of(chance.nextInt(common.processes)), List.of(), 1));
+        new Fault(
+            Fault.Kind.GONE, killS, 1, List.of(random.nextInt(common.processes)), List.of(), 1));
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(common.processes), script, seed);
-    fleet.run(at + 0.001);
-    double second = at;
-    while (!fleet.isSettled() && second < at + FleetRunner.VIRTUAL_SETTLE_LIMIT_S) {
+    fleet.run(killS + 0.001);
+    double second = killS;
+    while (!fleet.isSettled() && second < killS + FleetRunner.VIRTUAL_SETTLE_LIMIT_S) {
       second += 0.02;
       fleet.run(second);
     }
-    return (second - at) / VirtualFleet.Plan.of(common.processes).healthCheckIntervalS();
+    return (second - killS) / VirtualFleet.Plan.of(common.processes).healthCheckIntervalS();
   }
 
-  private List<Double> real() throws IOException, InterruptedException {
+  private List<Double> detectInProcesses() throws IOException, InterruptedException {
     List<Double> periods = new ArrayList<>();
-    SplittableRandom chance = new SplittableRandom(common.seed);
+    SplittableRandom random = new SplittableRandom(common.seed);
     RealFleetPlan plan =
         new RealFleetPlan(
             common.processes, periodMs, 3, Math.min(3, common.processes), common.folders, "", null);
-    Path to = common.folder == null ? Files.createTempDirectory("fleet") : common.folder;
-    try (RealFleet fleet = new RealFleet(plan, lossy(), common.seed, to)) {
+    Path logFolder = common.folder == null ? Files.createTempDirectory("fleet") : common.folder;
+    try (RealFleet fleet = new RealFleet(plan, lossFaults(), common.seed, logFolder)) {
       fleet.startAll();
-      settles(fleet);
-      for (int k = 0; k < kills; k++) {
-        int victim = chance.nextInt(common.processes);
+      awaitSettled(fleet);
+      for (int kill = 0; kill < kills; kill++) {
+        int victim = random.nextInt(common.processes);
         fleet.kill(victim);
-        periods.add(settles(fleet) * 1000 / periodMs);
+        periods.add(awaitSettled(fleet) * 1000 / periodMs);
         fleet.start(victim);
-        settles(fleet);
+        awaitSettled(fleet);
       }
     }
     return periods;
   }
 
-  private static double settles(RealFleet fleet) throws InterruptedException {
+  private static double awaitSettled(RealFleet fleet) throws InterruptedException {
     double second = fleet.awaitSettled(FleetRunner.REAL_SETTLE_LIMIT_S);
     if (second < 0) {
       throw new InvalidInputException(
--- a/src/main/java/cobaltseam/fleet/FleetHuntCommand.java
+++ b/src/main/java/cobaltseam/fleet/FleetHuntCommand.java
@@ -35,26 +35,26 @@
       paramLabel = "N",
       defaultValue = "2",
       description = "real fleets at one time; default: ${DEFAULT-VALUE}")
-  int atOnce;
+  int parallelFleets;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
-  private final AtomicInteger broken = new AtomicInteger();
-  private final AtomicInteger lost = new AtomicInteger();
-  private final AtomicInteger done = new AtomicInteger();
-  private final List<Double> settled = Collections.synchronizedList(new ArrayList<>());
+  private final AtomicInteger failedRuns = new AtomicInteger();
+  private final AtomicInteger lostMajorityRuns = new AtomicInteger();
+  private final AtomicInteger finishedRuns = new AtomicInteger();
+  private final List<Double> settleTimesS = Collections.synchronizedList(new ArrayList<>());
 
   @Override
   public Integer call() throws Exception {
     long from = System.nanoTime();
     if (common.real) {
-      Thread[] threads = new Thread[atOnce];
+      Thread[] threads = new Thread[parallelFleets];
       AtomicInteger next = new AtomicInteger();
-      for (int i = 0; i < atOnce; i++) {
+      for (int i = 0; i < parallelFleets; i++) {
         threads[i] =
             new Thread(
                 () -> {
                   for (int run = next.getAndIncrement(); run < runs; run = next.getAndIncrement()) {
-                    one(common.seed + run);
+                    playSeed(common.seed + run);
                   }
                 });
         threads[i].start();
@@ -63,51 +63,51 @@
         thread.join();
       }
     } else {
-      LongStream.range(common.seed, common.seed + runs).parallel().forEach(this::one);
+      LongStream.range(common.seed, common.seed + runs).parallel().forEach(this::playSeed);
     }
-    Collections.sort(settled);
+    Collections.sort(settleTimesS);
     PrintWriter out = spec.commandLine().getOut();
     out.printf(
         Locale.ROOT,
         "%d runs, seeds from %d: %d broken, %d that lost a majority; settled after %.1f s in the median, %.1f s at most; "
             + "%.0f s%n",
-        done.get(),
+        finishedRuns.get(),
         common.seed,
-        broken.get(),
-        lost.get(),
-        settled.isEmpty() ? 0 : settled.get(settled.size() / 2),
-        settled.isEmpty() ? 0 : settled.get(settled.size() - 1),
+        failedRuns.get(),
+        lostMajorityRuns.get(),
+        settleTimesS.isEmpty() ? 0 : settleTimesS.get(settleTimesS.size() / 2),
+        settleTimesS.isEmpty() ? 0 : settleTimesS.get(settleTimesS.size() - 1),
         (System.nanoTime() - from) / 1e9);
     out.flush();
-    return broken.get() == 0 ? 0 : 1;
+    return failedRuns.get() == 0 ? 0 : 1;
   }
 
-  private void one(long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    int few = 3 + chance.nextInt(FleetRunner.MAX_HUNTED_PROCESSES - 2);
+  private void playSeed(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    int few = 3 + random.nextInt(FleetRunner.MAX_HUNTED_PROCESSES - 2);
     int processes =
         common.processes > 0
             ? common.processes
-            : chance.nextInt(10) == 0 && !common.real ? 3 + chance.nextInt(48) : few;
-    List<Fault> troubles =
+            : random.nextInt(10) == 0 && !common.real ? 3 + random.nextInt(48) : few;
+    List<Fault> faults =
         common.script != null
-            ? common.drawn(seed, processes)
-            : common.drawn(seed, processes, 1 + chance.nextInt(6));
+            ? common.faults(seed, processes)
+            : common.generateFaults(seed, processes, 1 + random.nextInt(6));
     try {
-      RunVerdict verdict = common.verdict(troubles, processes, seed);
-      done.incrementAndGet();
-      if (verdict.isBroken()) {
-        broken.incrementAndGet();
+      RunVerdict verdict = common.play(faults, processes, seed);
+      finishedRuns.incrementAndGet();
+      if (verdict.isFailed()) {
+        failedRuns.incrementAndGet();
         synchronized (this) {
-          FleetRunner.print(spec.commandLine().getOut(), seed, processes, verdict, troubles);
+          FleetRunner.print(spec.commandLine().getOut(), seed, processes, verdict, faults);
         }
       } else if (verdict.lostMajority()) {
-        lost.incrementAndGet();
+        lostMajorityRuns.incrementAndGet();
       } else {
-        settled.add(verdict.settledS());
+        settleTimesS.add(verdict.settledS());
       }
     } catch (IOException | RuntimeException e) {
-      broken.incrementAndGet();
+      failedRuns.incrementAndGet();
       synchronized (this) {
         spec.commandLine().getOut().println("seed " + seed + ": " + e);
       }
--- a/src/main/java/cobaltseam/fleet/FleetOptions.java
+++ b/src/main/java/cobaltseam/fleet/FleetOptions.java
@@ -61,24 +61,28 @@
       description = "where real processes leave their logs; default: a new one")
   Path folder;
 
-  List<Fault> drawn(long of, int among) {
-    return script != null ? FaultScript.read(script, among) : drawn(of, among, faultCount);
+  List<Fault> faults(long runSeed, int processCount) {
+    return script != null
+        ? FaultScript.read(script, processCount)
+        : generateFaults(runSeed, processCount, faultCount);
   }
 
-  List<Fault> drawn(long of, int among, int number) {
-    List<Fault> drawn = Fault.drawn(among, seconds, number, of);
-    return folders ? Fault.withFolders(drawn, copiedBack, of) : drawn;
+  List<Fault> generateFaults(long runSeed, int processCount, int count) {
+    List<Fault> generated = Fault.generate(processCount, seconds, count, runSeed);
+    return folders ? Fault.withFolders(generated, copiedBack, runSeed) : generated;
   }
 
-  RunVerdict verdict(List<Fault> script, int among, long of)
+  RunVerdict play(List<Fault> script, int processCount, long runSeed)
       throws IOException, InterruptedException {
     if (!real) {
-      VirtualFleet.Plan plan = VirtualFleet.Plan.of(among);
-      return FleetRunner.playVirtual(folders ? plan.withFolders() : plan, script, seconds, of);
+      VirtualFleet.Plan plan = VirtualFleet.Plan.of(processCount);
+      return FleetRunner.playVirtual(folders ? plan.withFolders() : plan, script, seconds, runSeed);
     }
-    Path to =
-        folder == null ? Files.createTempDirectory("fleet") : folder.resolve(Long.toString(of));
-    RealFleetPlan plan = RealFleetPlan.of(among);
-    return FleetRunner.playReal(folders ? plan.withFolders() : plan, script, of, to);
+    Path runFolder =
+        folder == null
+            ? Files.createTempDirectory("fleet")
+            : folder.resolve(Long.toString(runSeed));
+    RealFleetPlan plan = RealFleetPlan.of(processCount);
+    return FleetRunner.playReal(folders ? plan.withFolders() : plan, script, runSeed, runFolder);
   }
 }
--- a/src/main/java/cobaltseam/fleet/FleetRunCommand.java
+++ b/src/main/java/cobaltseam/fleet/FleetRunCommand.java
@@ -16,10 +16,9 @@
 
   @Override
   public Integer call() throws Exception {
-    List<Fault> troubles = common.drawn(common.seed, common.processes);
-    RunVerdict verdict = common.verdict(troubles, common.processes, common.seed);
-    FleetRunner.print(
-        spec.commandLine().getOut(), common.seed, common.processes, verdict, troubles);
-    return verdict.isBroken() ? 1 : 0;
+    List<Fault> faults = common.faults(common.seed, common.processes);
+    RunVerdict verdict = common.play(faults, common.processes, common.seed);
+    FleetRunner.print(spec.commandLine().getOut(), common.seed, common.processes, verdict, faults);
+    return verdict.isFailed() ? 1 : 0;
   }
 }
--- a/src/main/java/cobaltseam/fleet/FleetRunner.java
+++ b/src/main/java/cobaltseam/fleet/FleetRunner.java
@@ -20,11 +20,11 @@
       VirtualFleet.Plan plan, List<Fault> faults, double seconds, long seed) {
     VirtualFleet fleet = new VirtualFleet(plan, faults, seed);
     fleet.run(seconds);
-    int calm = 0;
+    int settledChecks = 0;
     double second = seconds;
-    for (; second < seconds + VIRTUAL_SETTLE_LIMIT_S && calm < 4; second += 0.5) {
+    for (; second < seconds + VIRTUAL_SETTLE_LIMIT_S && settledChecks < 4; second += 0.5) {
       fleet.run(second);
-      calm = fleet.isSettled() ? calm + 1 : 0;
+      settledChecks = fleet.isSettled() ? settledChecks + 1 : 0;
     }
     return new RunVerdict(
         InvariantChecker.check(fleet.recordedEvents(), fleet.live(), true),
@@ -62,17 +62,18 @@
    * Whether so many processes end, each counted once, that those who never ended are no majority.
    */
   static boolean mayLoseMajority(int processes, List<Fault> faults, boolean folders) {
-    long ended =
+    long endedProcesses =
         faults.stream()
             .filter(
-                t ->
-                    t.kind().endsProcess()
+                fault ->
+                    fault.kind().endsProcess()
                         && !(folders
-                            && (t.kind() == Fault.Kind.KILL || t.kind() == Fault.Kind.TERM)))
-            .flatMap(t -> t.processes().stream())
+                            && (fault.kind() == Fault.Kind.KILL
+                                || fault.kind() == Fault.Kind.TERM)))
+            .flatMap(fault -> fault.processes().stream())
             .distinct()
             .count();
-    return processes - ended < processes / 2 + 1;
+    return processes - endedProcesses < processes / 2 + 1;
   }
 
   static void print(
@@ -83,14 +84,14 @@
             + ", "
             + processes
             + " processes: "
-            + (verdict.isBroken()
+            + (verdict.isFailed()
                 ? "BROKEN"
-                : verdict.lostMajority() && !verdict.broken().isEmpty()
+                : verdict.lostMajority() && !verdict.violations().isEmpty()
                     ? "a majority was lost"
                     : "kept")
             + String.format(Locale.ROOT, ", settled after %.1f s", verdict.settledS()));
-    verdict.broken().forEach(b -> out.println("  " + b));
-    if (verdict.isBroken()) {
+    verdict.violations().forEach(violation -> out.println("  " + violation));
+    if (verdict.isFailed()) {
       out.println(FaultScript.write(faults).indent(2));
     }
     out.flush();
--- a/src/main/java/cobaltseam/fleet/FleetShrinkCommand.java
+++ b/src/main/java/cobaltseam/fleet/FleetShrinkCommand.java
@@ -20,22 +20,23 @@
 
   @Override
   public Integer call() {
-    List<Fault> troubles = common.drawn(common.seed, common.processes);
-    VirtualFleet.Plan all = VirtualFleet.Plan.of(common.processes);
-    VirtualFleet.Plan plan = common.folders ? all.withFolders() : all;
+    List<Fault> faults = common.faults(common.seed, common.processes);
+    VirtualFleet.Plan plainPlan = VirtualFleet.Plan.of(common.processes);
+    VirtualFleet.Plan plan = common.folders ? plainPlan.withFolders() : plainPlan;
     Shrink<Fault> shrink =
         new Shrink<>(
-            t -> FleetRunner.playVirtual(plan, t, common.seconds, common.seed).isBroken(),
+            candidate ->
+                FleetRunner.playVirtual(plan, candidate, common.seconds, common.seed).isFailed(),
             Fault::simpler);
-    if (!FleetRunner.playVirtual(plan, troubles, common.seconds, common.seed).isBroken()) {
+    if (!FleetRunner.playVirtual(plan, faults, common.seconds, common.seed).isFailed()) {
       throw new InvalidInputException("the whole script breaks nothing: nothing to shrink");
     }
-    List<Fault> least = shrink.of(troubles);
+    List<Fault> shrunkFaults = shrink.of(faults);
     PrintWriter out = spec.commandLine().getOut();
     out.printf(
         "# %d troubles of %d are left, after %d runs; seed %d%n",
-        least.size(), troubles.size(), shrink.runs(), common.seed);
-    out.print(FaultScript.write(least));
+        shrunkFaults.size(), faults.size(), shrink.runs(), common.seed);
+    out.print(FaultScript.write(shrunkFaults));
     out.flush();
     return 0;
   }
--- a/src/main/java/cobaltseam/fleet/FleetSteadyCommand.java
+++ b/src/main/java/cobaltseam/fleet/FleetSteadyCommand.java
@@ -17,8 +17,8 @@
         "A row of a table: views changed and members taken out in virtual hours in which nobody dies.",
     mixinStandardHelpOptions = true)
 final class FleetSteadyCommand implements Callable<Integer> {
-  private static final double FORMED = 60;
-  private static final double EACH_PAUSE_S = 20;
+  private static final double FORMED_AT_S = 60;
+  private static final double PAUSE_INTERVAL_S = 20;
   @CommandLine.Mixin FleetOptions common;
 
   @Option(
@@ -47,17 +47,21 @@
       paramLabel = "S",
       defaultValue = "0",
       description = "every 20 s one stands still for half to all of so long")
-  double pauses;
+  double maxPauseS;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
-  private record Row(long views, long out, double standing, double datagrams) {}
+  private record Row(
+      long viewChanges, long removals, double majorityRatio, double datagramsPerMemberSecond) {}
 
   @Override
   public Integer call() {
     long from = System.nanoTime();
     List<Row> rows =
-        LongStream.range(common.seed, common.seed + runs).parallel().mapToObj(this::one).toList();
+        LongStream.range(common.seed, common.seed + runs)
+            .parallel()
+            .mapToObj(this::playSeed)
+            .toList();
     double hours = common.seconds / 3600 * runs;
     spec.commandLine()
         .getOut()
@@ -67,60 +71,61 @@
             common.processes,
             kind,
             size,
-            pauses > 0 ? ", pauses to " + pauses + " s" : "",
+            maxPauseS > 0 ? ", pauses to " + maxPauseS + " s" : "",
             hours,
-            rows.stream().mapToLong(Row::views).sum(),
-            rows.stream().mapToLong(Row::out).sum(),
-            rows.stream().mapToDouble(Row::standing).average().orElse(0),
-            rows.stream().mapToDouble(Row::datagrams).average().orElse(0),
+            rows.stream().mapToLong(Row::viewChanges).sum(),
+            rows.stream().mapToLong(Row::removals).sum(),
+            rows.stream().mapToDouble(Row::majorityRatio).average().orElse(0),
+            rows.stream().mapToDouble(Row::datagramsPerMemberSecond).average().orElse(0),
             (System.nanoTime() - from) / 1e9);
     spec.commandLine().getOut().flush();
     return 0;
   }
 
-  private Row one(long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  private Row playSeed(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     List<Fault> script = new ArrayList<>();
     if (size > 0) {
-      Fault.Kind of = Fault.Kind.valueOf(kind.toUpperCase(Locale.ROOT));
-      List<Integer> who =
-          of == Fault.Kind.LOSS ? List.of() : List.of(chance.nextInt(common.processes));
-      script.add(new Fault(of, FORMED, common.seconds, who, List.of(), size));
+      Fault.Kind faultKind = Fault.Kind.valueOf(kind.toUpperCase(Locale.ROOT));
+      List<Integer> affected =
+          faultKind == Fault.Kind.LOSS ? List.of() : List.of(random.nextInt(common.processes));
+      script.add(new Fault(faultKind, FORMED_AT_S, common.seconds, affected, List.of(), size));
     }
-    for (double s = FORMED + 5;
-        pauses > 0 && s < FORMED + common.seconds - EACH_PAUSE_S;
-        s += EACH_PAUSE_S) {
+    for (double second = FORMED_AT_S + 5;
+        maxPauseS > 0 && second < FORMED_AT_S + common.seconds - PAUSE_INTERVAL_S;
+        second += PAUSE_INTERVAL_S) {
       script.add(
           new Fault(
               Fault.Kind.PAUSE,
-              s,
-              pauses * chance.nextDouble(0.5, 1),
-              List.of(chance.nextInt(common.processes)),
+              second,
+              maxPauseS * random.nextDouble(0.5, 1),
+              List.of(random.nextInt(common.processes)),
               List.of(),
               1));
     }
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(common.processes), script, seed);
-    fleet.run(FORMED);
-    long before = fleet.newestNumber();
-    long sent = fleet.sent();
-    int from = fleet.recordedEvents().size();
-    int majority = 0;
-    int looks = 0;
-    for (double s = FORMED; s < FORMED + common.seconds; s += 5) {
-      fleet.run(s);
+    fleet.run(FORMED_AT_S);
+    long firstNumber = fleet.newestNumber();
+    long sentBefore = fleet.sent();
+    int firstEvent = fleet.recordedEvents().size();
+    int majoritySamples = 0;
+    int samples = 0;
+    for (double second = FORMED_AT_S; second < FORMED_AT_S + common.seconds; second += 5) {
+      fleet.run(second);
       for (int i = 0; i < common.processes; i += Math.max(1, common.processes / 10)) {
-        majority += fleet.quorumState(i) == cobaltseam.membership.QuorumState.MAJORITY ? 1 : 0;
-        looks++;
+        majoritySamples +=
+            fleet.quorumState(i) == cobaltseam.membership.QuorumState.MAJORITY ? 1 : 0;
+        samples++;
       }
     }
-    long out =
-        fleet.recordedEvents().subList(from, fleet.recordedEvents().size()).stream()
-            .filter(h -> h.view() == null)
+    long removals =
+        fleet.recordedEvents().subList(firstEvent, fleet.recordedEvents().size()).stream()
+            .filter(event -> event.view() == null)
             .count();
     return new Row(
-        fleet.newestNumber() - before,
-        out,
-        (double) majority / looks,
-        (fleet.sent() - sent) / common.seconds / common.processes);
+        fleet.newestNumber() - firstNumber,
+        removals,
+        (double) majoritySamples / samples,
+        (fleet.sent() - sentBefore) / common.seconds / common.processes);
   }
 }
--- a/src/main/java/cobaltseam/fleet/InvariantChecker.java
+++ b/src/main/java/cobaltseam/fleet/InvariantChecker.java
@@ -20,27 +20,28 @@
     }
   }
 
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
 
   /** What broke, each with when and between whom; empty if nothing did. */
-  public static List<String> check(List<RecordedEvent> events, Set<Live> live, boolean settles) {
+  public static List<String> check(
+      List<RecordedEvent> events, Set<Live> live, boolean expectsSettled) {
     InvariantChecker checker = new InvariantChecker();
-    checker.oneSetANumber(events);
-    checker.numbersRise(events);
-    checker.successors(events);
-    if (settles) {
-      checker.settled(events, live);
+    checker.checkOneMemberSetPerView(events);
+    checker.checkViewNumbersIncrease(events);
+    checker.checkPredecessorsAndOwnMembership(events);
+    if (expectsSettled) {
+      checker.checkSettled(events, live);
     }
-    return checker.broken;
+    return checker.violations;
   }
 
   /** Two processes never hold differing sets under one number. */
-  private void oneSetANumber(List<RecordedEvent> events) {
+  private void checkOneMemberSetPerView(List<RecordedEvent> events) {
     Map<String, RecordedEvent> first = new HashMap<>();
     for (RecordedEvent event : events) {
       RecordedEvent other = event.view() == null ? null : first.putIfAbsent(event.view(), event);
       if (other != null && !other.members().equals(event.members())) {
-        broken.add(
+        violations.add(
             "one number, two sets: "
                 + event.view()
                 + " is "
@@ -64,31 +65,33 @@
     return Long.parseLong(view.substring(view.indexOf('/') + 1));
   }
 
-  static String line(String view) {
+  static String lineage(String view) {
     return view.substring(0, view.indexOf('/'));
   }
 
   /** In one process, numbers of one line only rise. */
-  private void numbersRise(List<RecordedEvent> events) {
+  private void checkViewNumbersIncrease(List<RecordedEvent> events) {
     Map<String, Long> highest = new HashMap<>();
-    Set<Integer> resumes = new HashSet<>();
+    Set<Integer> restarted = new HashSet<>();
     for (RecordedEvent event : events) {
       if (event.isStart()) {
-        resumes.add(event.process());
+        restarted.add(event.process());
       } else if (event.view() != null) {
-        Long before =
+        Long previous =
             highest.put(
-                event.process() + "#" + event.incarnation() + line(event.view()),
+                event.process() + "#" + event.incarnation() + lineage(event.view()),
                 number(event.view()));
         // One that goes on from its folder begins with the view that it had.
-        boolean again =
-            before != null && before == number(event.view()) && resumes.remove(event.process());
-        if (before != null && before >= number(event.view()) && !again) {
-          broken.add(
+        boolean isRestartedView =
+            previous != null
+                && previous == number(event.view())
+                && restarted.remove(event.process());
+        if (previous != null && previous >= number(event.view()) && !isRestartedView) {
+          violations.add(
               "numbers fall: process "
                   + event.process()
                   + " had "
-                  + before
+                  + previous
                   + " and holds "
                   + event.view()
                   + " at "
@@ -100,14 +103,16 @@
   }
 
   /** A view holds whom it holds it, and each number follows one that somebody held. */
-  private void successors(List<RecordedEvent> events) {
-    Set<String> held = new TreeSet<>();
-    events.stream().filter(event -> event.view() != null).forEach(event -> held.add(event.view()));
+  private void checkPredecessorsAndOwnMembership(List<RecordedEvent> events) {
+    Set<String> installedViews = new TreeSet<>();
+    events.stream()
+        .filter(event -> event.view() != null)
+        .forEach(event -> installedViews.add(event.view()));
     for (RecordedEvent event : events) {
       if (event.view() != null
           && number(event.view()) > 1
-          && !held.contains(line(event.view()) + "/" + (number(event.view()) - 1))) {
-        broken.add(
+          && !installedViews.contains(lineage(event.view()) + "/" + (number(event.view()) - 1))) {
+        violations.add(
             "no predecessor: "
                 + event.view()
                 + " at process "
@@ -118,7 +123,7 @@
       }
       if (event.view() != null
           && event.members().stream().noneMatch(m -> m.endsWith("#" + event.incarnation()))) {
-        broken.add(
+        violations.add(
             "a view of others: "
                 + event.view()
                 + " at process "
@@ -131,22 +136,22 @@
   }
 
   /** Once messages flow again: one view at all that live, and it holds just these. */
-  private void settled(List<RecordedEvent> events, Set<Live> live) {
+  private void checkSettled(List<RecordedEvent> events, Set<Live> live) {
     Map<String, RecordedEvent> last = new HashMap<>();
     events.forEach(event -> last.put(event.process() + "#" + event.incarnation(), event));
     Set<String> views = new TreeSet<>();
     Set<String> alive = new TreeSet<>();
-    live.forEach(l -> alive.add(l.identity()));
-    for (Live l : live) {
-      RecordedEvent event = last.get(l.process() + "#" + l.birth());
+    live.forEach(process -> alive.add(process.identity()));
+    for (Live process : live) {
+      RecordedEvent event = last.get(process.process() + "#" + process.birth());
       if (event == null || event.view() == null) {
-        broken.add("not taken in: " + l);
+        violations.add("not taken in: " + process);
       } else if (views.add(event.view()) && !new TreeSet<>(event.members()).equals(alive)) {
-        broken.add(
+        violations.add(
             "not just the living: "
                 + event.view()
                 + " of process "
-                + l.process()
+                + process.process()
                 + " is "
                 + event.members()
                 + ", alive "
@@ -154,7 +159,7 @@
       }
     }
     if (views.size() > 1) {
-      broken.add("several views at the end: " + views);
+      violations.add("several views at the end: " + views);
     }
   }
 }
--- a/src/main/java/cobaltseam/fleet/RealFleet.java
+++ b/src/main/java/cobaltseam/fleet/RealFleet.java
@@ -63,15 +63,15 @@
     processes = new ProcessRecord[plan.processes()];
     FleetConfigurationWriter configuration = new FleetConfigurationWriter(plan, folder, relays);
     ports = new int[plan.processes()];
-    List<ServerSocket> free = new ArrayList<>();
+    List<ServerSocket> reservedPorts = new ArrayList<>();
     for (int index = 0; index < processes.length; index++) {
       processes[index] = new ProcessRecord();
-      ServerSocket listens = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-      free.add(listens);
-      ports[index] = listens.getLocalPort();
+      ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+      reservedPorts.add(socket);
+      ports[index] = socket.getLocalPort();
     }
-    for (ServerSocket each : free) {
-      each.close();
+    for (ServerSocket socket : reservedPorts) {
+      socket.close();
     }
     for (int index = 0; index < processes.length; index++) {
       configuration.write(index, ports[index]);
@@ -91,12 +91,13 @@
   /**
    * Writes another number of sends a command into a process's configuration, and has it read that.
    */
-  public void settings(int index, int mostSends) throws IOException, InterruptedException {
+  public void setMaxAttempts(int index, int maxAttempts) throws IOException, InterruptedException {
     Path file = folder.resolve(name(index)).resolve("config.json");
     Files.writeString(
         file,
-        Files.readString(file).replaceAll("\"most_tries\":[0-9]+", "\"most_tries\":" + mostSends));
-    activations("hangup", index);
+        Files.readString(file)
+            .replaceAll("\"most_tries\":[0-9]+", "\"most_tries\":" + maxAttempts));
+    logAction("hangup", index);
     signal(index, "HUP");
   }
 
@@ -106,41 +107,41 @@
   }
 
   /** The editions that a process acts on now; none if it stepped back or is gone. */
-  public synchronized List<String> acts(int index) {
+  public synchronized List<String> activeVersions(int index) {
     return isAlive(index) ? processes[index].activeVersions : List.of();
   }
 
   /** The part of the engines that a process uses now; 0 if none. */
-  public double part(int index) {
-    CapacityUsage.UsageRecord now = usage.currentAmount(index);
-    return now == null ? 0 : now.at(us());
+  public double usedShare(int index) {
+    CapacityUsage.UsageRecord now = usage.current(index);
+    return now == null ? 0 : now.amountAt(nowUs());
   }
 
   /** The most of the engines that all used at one time, by their logs. */
   public double peakUsage() {
-    return usage.peak(us()).amount();
+    return usage.peak(nowUs()).amount();
   }
 
-  private static long us() {
+  private static long nowUs() {
     return ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
   }
 
   /** Seconds since this fleet was made, whenever its script began. */
-  public double clock() {
+  public double elapsedS() {
     return (System.nanoTime() - createdNs) / 1e9;
   }
 
-  private synchronized void acts(int index, List<String> editions) {
-    activations.add(new ActivationRecord(clock(), index, editions));
+  private synchronized void recordActivation(int index, List<String> versions) {
+    activations.add(new ActivationRecord(elapsedS(), index, versions));
   }
 
   /** Adds lines to the membership of a process's own file, and has it read that. */
-  public void appendSettings(int index, String more) throws IOException, InterruptedException {
+  public void appendSettings(int index, String lines) throws IOException, InterruptedException {
     Files.writeString(
         folder.resolve(name(index)).resolve("cobaltseam.toml"),
-        more + "\n",
+        lines + "\n",
         StandardOpenOption.APPEND);
-    activations("hangup", index);
+    logAction("hangup", index);
     signal(index, "HUP");
   }
 
@@ -150,23 +151,24 @@
    */
   public void startClock() {
     clockStartNs = System.nanoTime();
-    relays.since(clockStartNs);
+    relays.setStart(clockStartNs);
   }
 
   // ---- processes
 
   /** Seconds since the clock was started. */
-  public double now() {
+  public double scriptTimeS() {
     return (System.nanoTime() - clockStartNs) / 1e9;
   }
 
-  private synchronized void activations(String what, int index) {
-    scriptLog.add(String.format(java.util.Locale.ROOT, "%.3f %s %s", now(), what, name(index)));
+  private synchronized void logAction(String action, int index) {
+    scriptLog.add(
+        String.format(java.util.Locale.ROOT, "%.3f %s %s", scriptTimeS(), action, name(index)));
   }
 
   /** Starts a process, the first or a later one of this number. */
   public void start(int index) throws IOException {
-    ProcessRecord one = processes[index];
+    ProcessRecord state = processes[index];
     ProcessBuilder builder =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -188,18 +190,18 @@
         .put("GW_CONFIG", folder.resolve(name(index)).resolve("config.json").toString());
     builder.environment().keySet().removeAll(List.of("GW_NAME", "GW_LISTEN", "COBALTSEAM_CONFIG"));
     synchronized (this) {
-      one.incarnation = 0;
-      one.view = null;
-      one.members = List.of();
-      one.activeVersions = List.of();
-      one.quorumState = "none";
-      one.starts++;
-      one.isSuspended = false;
+      state.incarnation = 0;
+      state.view = null;
+      state.members = List.of();
+      state.activeVersions = List.of();
+      state.quorumState = "none";
+      state.starts++;
+      state.isSuspended = false;
     }
     Process process = builder.start();
-    one.process = process;
-    activations("start", index);
-    int start = one.starts;
+    state.process = process;
+    logAction("start", index);
+    int start = state.starts;
     Path file = folder.resolve(name(index)).resolve("log-" + start + ".jsonl");
     Thread reader = new Thread(() -> read(index, start, process, file), "log");
     reader.setDaemon(true);
@@ -210,61 +212,63 @@
     try (BufferedReader lines =
             new BufferedReader(
                 new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        BufferedWriter keep = Files.newBufferedWriter(file)) {
+        BufferedWriter copy = Files.newBufferedWriter(file)) {
       for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-        keep.write(line);
-        keep.newLine();
+        copy.write(line);
+        copy.newLine();
         if (line.startsWith("{")) {
           readLogLine(index, start, JSON.readTree(line));
         }
       }
     } catch (IOException e) {
       // Killed in the middle of a line: its log ends there.
-      activations("log ends", index);
+      logAction("log ends", index);
     }
   }
 
   private synchronized void readLogLine(int index, int start, JsonNode line) {
-    ProcessRecord one = processes[index];
+    ProcessRecord state = processes[index];
     String event = line.path("event").asText();
-    one.events.merge(event, 1, Integer::sum);
+    state.events.merge(event, 1, Integer::sum);
     if (line.path("level").asText().equals("ERROR")) {
       errors.add(name(index) + ": " + line);
     }
-    boolean former = start != one.starts;
-    if (event.equals("membership.opened") && !former) {
-      one.incarnation = line.path("birth").asLong();
-      recordedEvents.add(new RecordedEvent(now(), index, one.incarnation, null, List.of(), true));
+    boolean isEarlierStart = start != state.starts;
+    if (event.equals("membership.opened") && !isEarlierStart) {
+      state.incarnation = line.path("birth").asLong();
+      recordedEvents.add(
+          new RecordedEvent(scriptTimeS(), index, state.incarnation, null, List.of(), true));
     } else if (event.equals("membership.view")) {
       String view = line.path("view").asText();
-      long birth = line.path("birth").asLong();
+      long incarnation = line.path("birth").asLong();
       List<String> members =
           Arrays.stream(line.path("members").asText().split(" "))
               .filter(m -> !m.isEmpty())
               .toList();
       recordedEvents.add(
-          new RecordedEvent(now(), index, birth, view.equals("none") ? null : view, members));
-      if (!former) {
-        one.incarnation = birth;
-        one.view = view.equals("none") ? null : view;
-        one.members = members;
+          new RecordedEvent(
+              scriptTimeS(), index, incarnation, view.equals("none") ? null : view, members));
+      if (!isEarlierStart) {
+        state.incarnation = incarnation;
+        state.view = view.equals("none") ? null : view;
+        state.members = members;
       }
-    } else if (event.equals("agreement.acts") && !former) {
-      boolean back = line.path("mode").asText().equals("back");
-      String of = one.view == null ? "none" : InvariantChecker.line(one.view);
-      one.activeVersions =
-          back
+    } else if (event.equals("agreement.acts") && !isEarlierStart) {
+      boolean isSteppedBack = line.path("mode").asText().equals("back");
+      String lineage = state.view == null ? "none" : InvariantChecker.lineage(state.view);
+      state.activeVersions =
+          isSteppedBack
               ? List.of()
               : Arrays.stream(line.path("editions").asText().split(" "))
-                  .map(e -> of + "/" + e)
+                  .map(version -> lineage + "/" + version)
                   .toList();
-      acts(index, one.activeVersions);
-    } else if (event.equals("spread.parts") && !former && !one.isSuspended) {
+      recordActivation(index, state.activeVersions);
+    } else if (event.equals("spread.parts") && !isEarlierStart && !state.isSuspended) {
       usage.record(
           CapacityUsage.UsageRecord.read(
               index, line.path("us").asLong(), line.path("steps").asText()));
-    } else if (event.equals("membership.standing") && !former) {
-      one.quorumState = line.path("standing").asText();
+    } else if (event.equals("membership.standing") && !isEarlierStart) {
+      state.quorumState = line.path("standing").asText();
     }
     notifyAll();
   }
@@ -285,37 +289,37 @@
 
   /** SIGKILL, and waits for the end. */
   public void kill(int index) throws InterruptedException {
-    activations("kill", index);
+    logAction("kill", index);
     processes[index].process.destroyForcibly().waitFor();
-    usage.recordEnd(index, us());
-    acts(index, List.of());
+    usage.recordEnd(index, nowUs());
+    recordActivation(index, List.of());
   }
 
   /** SIGTERM. */
   public void terminate(int index) throws InterruptedException, IOException {
-    activations("term", index);
+    logAction("term", index);
     signal(index, "TERM");
   }
 
   /** SIGSTOP. */
   public void suspend(int index) throws IOException, InterruptedException {
-    activations("stop", index);
+    logAction("stop", index);
     signal(index, "STOP");
     // What it wrote before it stood still is read first.
     TimeUnit.MILLISECONDS.sleep(50);
     processes[index].isSuspended = true;
-    usageWhenSuspended.put(index, usage.currentAmount(index));
-    usage.recordEnd(index, us());
-    acts(index, List.of());
+    usageWhenSuspended.put(index, usage.current(index));
+    usage.recordEnd(index, nowUs());
+    recordActivation(index, List.of());
   }
 
   /** SIGCONT. */
   public void resume(int index) throws IOException, InterruptedException {
-    acts(index, processes[index].activeVersions);
-    usage.recordUntil(usageWhenSuspended.remove(index), us());
+    recordActivation(index, processes[index].activeVersions);
+    usage.recordUntil(usageWhenSuspended.remove(index), nowUs());
     processes[index].isSuspended = false;
     signal(index, "CONT");
-    activations("cont", index);
+    logAction("cont", index);
   }
 
   /** Whether a process of this number runs, suspended or not. */
@@ -348,10 +352,10 @@
 
   /** Writes what was done to which process, and when, into the fleet's folder. */
   void writeScriptLog() throws IOException {
-    try (BufferedWriter to = Files.newBufferedWriter(folder.resolve("acts.txt"))) {
+    try (BufferedWriter writer = Files.newBufferedWriter(folder.resolve("acts.txt"))) {
       synchronized (this) {
         for (String entry : scriptLog) {
-          to.write(entry + "\n");
+          writer.write(entry + "\n");
         }
       }
     }
@@ -413,11 +417,11 @@
    */
   public synchronized boolean lostMajority() {
     Map<String, RecordedEvent> newest = new HashMap<>();
-    for (RecordedEvent h : recordedEvents) {
-      if (h.view() != null) {
+    for (RecordedEvent event : recordedEvents) {
+      if (event.view() != null) {
         newest.merge(
-            InvariantChecker.line(h.view()),
-            h,
+            InvariantChecker.lineage(event.view()),
+            event,
             (a, b) ->
                 InvariantChecker.number(a.view()) < InvariantChecker.number(b.view()) ? b : a);
       }
@@ -426,7 +430,9 @@
         live().stream().map(InvariantChecker.Live::identity).collect(Collectors.toSet());
     return newest.values().stream()
         .allMatch(
-            h -> h.members().stream().filter(alive::contains).count() < h.members().size() / 2 + 1);
+            event ->
+                event.members().stream().filter(alive::contains).count()
+                    < event.members().size() / 2 + 1);
   }
 
   /** Whether all that run hold one view of exactly these. */
@@ -434,15 +440,15 @@
     Set<InvariantChecker.Live> live = live();
     Set<String> alive =
         live.stream()
-            .map(l -> l.name() + "#" + l.birth())
+            .map(process -> process.name() + "#" + process.birth())
             .collect(Collectors.toCollection(TreeSet::new));
     Set<String> views = new TreeSet<>();
-    for (InvariantChecker.Live l : live) {
-      if (processes[l.process()].view == null
-          || !new TreeSet<>(processes[l.process()].members).equals(alive)) {
+    for (InvariantChecker.Live process : live) {
+      if (processes[process.process()].view == null
+          || !new TreeSet<>(processes[process.process()].members).equals(alive)) {
         return false;
       }
-      views.add(processes[l.process()].view);
+      views.add(processes[process.process()].view);
     }
     return views.size() == 1;
   }
@@ -455,11 +461,11 @@
     long from = System.nanoTime();
     synchronized (this) {
       while (!isSettled()) {
-        long left = (long) (withinS * 1000) - (System.nanoTime() - from) / 1_000_000;
-        if (left <= 0) {
+        long remainingMs = (long) (withinS * 1000) - (System.nanoTime() - from) / 1_000_000;
+        if (remainingMs <= 0) {
           return -1;
         }
-        wait(Math.min(left, 50));
+        wait(Math.min(remainingMs, 50));
       }
     }
     return (System.nanoTime() - from) / 1e9;
@@ -473,19 +479,19 @@
 
   /** The number of datagrams that passed the relays. */
   public long datagramsPassed() {
-    return relays.passed();
+    return relays.forwardedCount();
   }
 
   /** Sends bytes to a process, as from no member. */
   public void sendDatagram(int to, byte[] bytes) throws IOException {
-    relays.say(to, bytes);
+    relays.deliver(to, bytes);
   }
 
   @Override
   public void close() throws IOException {
-    for (ProcessRecord one : processes) {
-      if (one.process != null) {
-        one.process.destroyForcibly();
+    for (ProcessRecord state : processes) {
+      if (state.process != null) {
+        state.process.destroyForcibly();
       }
     }
     relays.close();
--- a/src/main/java/cobaltseam/fleet/RealFleetPlan.java
+++ b/src/main/java/cobaltseam/fleet/RealFleetPlan.java
@@ -32,8 +32,8 @@
   }
 
   /** All agree on the settings. */
-  public RealFleetPlan withAgreement(int ms) {
-    return with("[agreement]\ncontradiction_ms = " + ms);
+  public RealFleetPlan withAgreement(int maxContradictionMs) {
+    return with("[agreement]\ncontradiction_ms = " + maxContradictionMs);
   }
 
   /** Parts of the engines follow demand, and what each uses is logged. */
@@ -57,7 +57,7 @@
   }
 
   /** The same with discovery and its engines. */
-  public RealFleetPlan with(DiscoverySource at) {
+  public RealFleetPlan with(DiscoverySource source) {
     return new RealFleetPlan(
         processes,
         healthCheckIntervalMs,
@@ -65,6 +65,6 @@
         bootstrapMembers,
         withPersistence,
         extraSettings,
-        at);
+        source);
   }
 }
--- a/src/main/java/cobaltseam/fleet/VirtualFleet.java
+++ b/src/main/java/cobaltseam/fleet/VirtualFleet.java
@@ -71,16 +71,16 @@
 
   private record Event(
       double at,
-      long turn,
+      long sequence,
       int process,
-      long life,
+      long startNumber,
       PeerMessage message,
-      MembershipAction.Persist keep)
+      MembershipAction.Persist persist)
       implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
       int order = Double.compare(at, other.at);
-      return order != 0 ? order : Long.compare(turn, other.turn);
+      return order != 0 ? order : Long.compare(sequence, other.sequence);
     }
   }
 
@@ -92,18 +92,18 @@
     FleetCoordinator coordinator;
 
     /** Rate of its clock over that of virtual time. */
-    double rate = 1;
+    double clockRate = 1;
 
     /** Number of the process under this index; events of a former process are void. */
-    long life;
+    long startNumber;
 
     boolean alive;
     boolean started;
 
     /** While it is dead: whether it will restart as the same member. */
-    boolean resumes;
+    boolean resumesAsSameMember;
 
-    double wake = Double.MAX_VALUE;
+    double wakeAtS = Double.MAX_VALUE;
 
     /** The state in its folder. */
     PersistentState persistentState;
@@ -112,7 +112,7 @@
     PersistentState earlierState;
 
     /** The write that is under way. */
-    MembershipAction.Persist writing;
+    MembershipAction.Persist pendingWrite;
 
     /** Messages that arrived while it was suspended. */
     final Deque<PeerMessage> unread = new ArrayDeque<>();
@@ -124,7 +124,7 @@
    * Documents in virtual time are texts: what begins with "no" is refused, and two contradict
    * unless both begin with "log".
    */
-  private static final ConfigurationAgreement.ConfigurationValidator TEXTS =
+  private static final ConfigurationAgreement.ConfigurationValidator TEXT_DOCUMENTS =
       new ConfigurationAgreement.ConfigurationValidator() {
         @Override
         public String rejectionReason(byte[] content) {
@@ -140,7 +140,7 @@
         }
       };
 
-  private static final cobaltseam.sharing.GossipOptions SHARING =
+  private static final cobaltseam.sharing.GossipOptions GOSSIP_OPTIONS =
       new cobaltseam.sharing.GossipOptions(
           new TimeSpan(500_000), 3, new TimeSpan(10_000_000), 8192, 0.001);
   private static final long FAULT_EVENT = -1;
@@ -149,20 +149,20 @@
   private static final int MAX_UNREAD_MESSAGES = 4096;
   private final Plan plan;
   private final List<Fault> faults;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private final Process[] processes;
   private final List<InetSocketAddress> addresses = new ArrayList<>();
   private final Map<InetSocketAddress, Integer> byAddress = new HashMap<>();
   private final List<RecordedEvent> recordedEvents = new ArrayList<>();
-  private final Map<String, Integer> notes = new HashMap<>();
+  private final Map<String, Integer> eventCounts = new HashMap<>();
   private double now;
-  private long turns;
+  private long nextSequence;
   private long incarnations;
   private long sent;
 
   /** The newest view of each line, by whoever came to hold it first. */
-  private final Map<Long, View> newest = new LinkedHashMap<>();
+  private final Map<Long, View> newestViews = new LinkedHashMap<>();
 
   private boolean lostMajority;
   private ConfigurationAgreement.AgreementOptions agreementOptions;
@@ -176,23 +176,23 @@
   public VirtualFleet(Plan plan, List<Fault> faults, long seed) {
     this.plan = plan;
     this.faults = faults;
-    chance = new SplittableRandom(seed);
+    random = new SplittableRandom(seed);
     processes = new Process[plan.processes];
     for (int index = 0; index < processes.length; index++) {
       processes[index] = new Process();
       addresses.add(address(index));
       byAddress.put(addresses.get(index), index);
-      at(chance.nextDouble() * plan.startWithinS, index, 0, null);
+      schedule(random.nextDouble() * plan.startWithinS, index, 0, null);
     }
     for (Fault fault : faults) {
       for (int process : fault.processes()) {
         switch (fault.kind()) {
           case KILL, TERM, GONE, PAUSE, SLOW, LOSE, STALE -> {
             if (fault.kind() == Fault.Kind.STALE) {
-              at(fault.atS() / 2, process, COPY_STATE_EVENT, null);
+              schedule(fault.atS() / 2, process, COPY_STATE_EVENT, null);
             }
-            at(fault.atS(), process, FAULT_EVENT, null);
-            at(fault.endS(), process, FAULT_EVENT, null);
+            schedule(fault.atS(), process, FAULT_EVENT, null);
+            schedule(fault.endS(), process, FAULT_EVENT, null);
           }
           default -> {}
         }
@@ -215,13 +215,13 @@
     return new MemberName(String.format("n%04d", index));
   }
 
-  private void at(double when, int process, long life, PeerMessage message) {
-    events.add(new Event(when, turns++, process, life, message, null));
+  private void schedule(double when, int process, long startNumber, PeerMessage message) {
+    events.add(new Event(when, nextSequence++, process, startNumber, message, null));
   }
 
   /** What a process's own clock says; each may run at a rate of its own. */
-  private Timestamp moment(int index) {
-    return new Timestamp(Math.round(now * 1e6 * processes[index].rate));
+  private Timestamp clockTime(int index) {
+    return new Timestamp(Math.round(now * 1e6 * processes[index].clockRate));
   }
 
   // ---- what is asked
@@ -242,8 +242,8 @@
   }
 
   /** How often each kind of thing was noted, by all. */
-  public Map<String, Integer> notes() {
-    return notes;
+  public Map<String, Integer> eventCounts() {
+    return eventCounts;
   }
 
   /** Whether a process runs, suspended or not. */
@@ -262,14 +262,14 @@
   }
 
   /** An operator has a process found another line in place of this view. */
-  public void bootstrapAgain(int index, ViewId said) {
-    processes[index].coordinator.rebootstrap(said, moment(index));
+  public void rebootstrap(int index, ViewId expectedView) {
+    processes[index].coordinator.rebootstrap(expectedView, clockTime(index));
     scheduleWake(index);
   }
 
   /** Over how many members a process shares the engines now. */
-  public int carriers(int index) {
-    return processes[index].membership.engineSharerCount(moment(index));
+  public int engineSharerCount(int index) {
+    return processes[index].membership.engineSharerCount(clockTime(index));
   }
 
   /** The processes that run now. */
@@ -320,23 +320,31 @@
 
   private void play(Event event) {
     Process process = processes[event.process];
-    if (event.life == FAULT_EVENT) {
+    if (event.startNumber == FAULT_EVENT) {
       injectFault(event.process);
-    } else if (event.life == COPY_STATE_EVENT) {
+    } else if (event.startNumber == COPY_STATE_EVENT) {
       process.earlierState = process.persistentState;
-    } else if (event.keep != null) {
+    } else if (event.persist != null) {
       if (process.alive && isSuspended(event.process)) {
         // A disk goes on writing while its process stands still; the process hears of it later.
         events.add(
-            new Event(now + MAX_WRITE_S, turns++, event.process, event.life, null, event.keep));
-      } else if (process.alive && event.life == process.life && process.writing == event.keep) {
-        process.persistentState = event.keep.state();
-        process.writing = null;
-        process.coordinator.persisted(event.keep.number(), moment(event.process));
+            new Event(
+                now + MAX_WRITE_S,
+                nextSequence++,
+                event.process,
+                event.startNumber,
+                null,
+                event.persist));
+      } else if (process.alive
+          && event.startNumber == process.startNumber
+          && process.pendingWrite == event.persist) {
+        process.persistentState = event.persist.state();
+        process.pendingWrite = null;
+        process.coordinator.persisted(event.persist.number(), clockTime(event.process));
         scheduleWake(event.process);
       }
     } else if (event.message != null) {
-      if (!process.alive || event.life != process.life) {
+      if (!process.alive || event.startNumber != process.startNumber) {
         // Late for a former process: the one that has its address now gets it.
         if (process.alive) {
           deliver(event.process, event.message);
@@ -344,13 +352,15 @@
         return;
       }
       deliver(event.process, event.message);
-    } else if (!process.started && event.life == 0) {
+    } else if (!process.started && event.startNumber == 0) {
       start(event.process);
-    } else if (process.alive && event.life == process.life && event.at >= process.wake) {
+    } else if (process.alive
+        && event.startNumber == process.startNumber
+        && event.at >= process.wakeAtS) {
       if (isSuspended(event.process)) {
         return;
       }
-      due(event.process);
+      advance(event.process);
     }
   }
 
@@ -362,7 +372,7 @@
           return true;
         }
         if (fault.kind() == Fault.Kind.SLOW && now * 10 % 1 > fault.size()) {
-          at(Math.floor(now * 10 + 1) / 10 + 1e-6, index, FAULT_EVENT, null);
+          schedule(Math.floor(now * 10 + 1) / 10 + 1e-6, index, FAULT_EVENT, null);
           return true;
         }
       }
@@ -378,15 +388,15 @@
       }
       return;
     }
-    if (process.wake < now - plan.healthCheckIntervalS / 2) {
-      due(index);
+    if (process.wakeAtS < now - plan.healthCheckIntervalS / 2) {
+      advance(index);
     }
-    process.coordinator.receive(message, moment(index));
+    process.coordinator.receive(message, clockTime(index));
     scheduleWake(index);
   }
 
-  private void due(int index) {
-    processes[index].coordinator.advance(moment(index));
+  private void advance(int index) {
+    processes[index].coordinator.advance(clockTime(index));
     scheduleWake(index);
   }
 
@@ -412,20 +422,20 @@
     Process process = processes[index];
     process.started = true;
     process.alive = true;
-    process.resumes = false;
-    process.life++;
+    process.resumesAsSameMember = false;
+    process.startNumber++;
     process.unread.clear();
     MembershipOptions options = membershipOptions();
     Member self = new Member(name(index), new Incarnation(++incarnations), addresses.get(index));
     process.membership =
         plan.withPersistence
-            ? Membership.withFolder(options, self, process.persistentState, chance.split())
-            : new Membership(options, self, chance.split());
+            ? Membership.withFolder(options, self, process.persistentState, random.split())
+            : new Membership(options, self, random.split());
     recordedEvents.add(
         new RecordedEvent(
             now, index, process.membership.self().incarnation().value(), null, List.of(), true));
     Lease lease =
-        leaseOptions == null ? null : new Lease(leaseOptions, process.membership, chance.split());
+        leaseOptions == null ? null : new Lease(leaseOptions, process.membership, random.split());
     if (agreementOptions != null) {
       startAgreement(index, lease);
     }
@@ -434,20 +444,24 @@
           new StateGossip(
               process.membership.self().name(),
               process.membership.self().incarnation(),
-              SHARING,
-              chance.split(),
-              moment(index));
+              GOSSIP_OPTIONS,
+              random.split(),
+              clockTime(index));
     }
     process.coordinator =
         new FleetCoordinator(
-            process.membership, lease, process.agreement, process.sharing, out(index, process));
+            process.membership,
+            lease,
+            process.agreement,
+            process.sharing,
+            effectSink(index, process));
     if (capacityOptions != null) {
       process.capacityLeases =
-          new CapacityLeases(capacityOptions, process.coordinator.leaseContext(), chance.split());
+          new CapacityLeases(capacityOptions, process.coordinator.leaseContext(), random.split());
       process.coordinator.setCapacityLeases(process.capacityLeases);
-      needs(index, demands[index]);
+      setDemand(index, demands[index]);
     }
-    process.coordinator.start(moment(index));
+    process.coordinator.start(clockTime(index));
     scheduleWake(index);
   }
 
@@ -455,7 +469,7 @@
     Process process = processes[index];
     process.agreement =
         new ConfigurationAgreement(
-            agreementOptions, process.membership, lease, TEXTS, chance.split());
+            agreementOptions, process.membership, lease, TEXT_DOCUMENTS, random.split());
     process.agreement.setOwnDocument("first".getBytes(StandardCharsets.UTF_8));
     if (process.persistentState != null) {
       process.persistentState.documents().forEach(process.agreement::addPersistedDocument);
@@ -473,15 +487,15 @@
           && Math.abs(fault.atS() - now) < 1e-9
           && process.alive) {
         if (fault.kind() == Fault.Kind.TERM && !isSuspended(index)) {
-          process.coordinator.leave(moment(index));
+          process.coordinator.leave(clockTime(index));
         }
         process.alive = false;
         recordActivation(index, null);
-        if (process.writing != null && chance.nextBoolean()) {
-          process.persistentState = process.writing.state();
+        if (process.pendingWrite != null && random.nextBoolean()) {
+          process.persistentState = process.pendingWrite.state();
         }
-        process.writing = null;
-        process.resumes =
+        process.pendingWrite = null;
+        process.resumesAsSameMember =
             plan.withPersistence
                 && process.persistentState != null
                 && (fault.kind() == Fault.Kind.KILL || fault.kind() == Fault.Kind.TERM);
@@ -489,18 +503,18 @@
             fault.kind() == Fault.Kind.LOSE
                 ? null
                 : fault.kind() == Fault.Kind.STALE ? process.earlierState : process.persistentState;
-        newest.values().forEach(this::lost);
+        newestViews.values().forEach(this::updateLostMajority);
       } else if (fault.kind() == Fault.Kind.GONE
           && fault.processes().contains(index)
           && Math.abs(fault.atS() - now) < 1e-9) {
-        process.resumes = false;
-        newest.values().forEach(this::lost);
+        process.resumesAsSameMember = false;
+        newestViews.values().forEach(this::updateLostMajority);
       } else if (dies
           && fault.kind() != Fault.Kind.GONE
           && fault.processes().contains(index)
           && Math.abs(fault.endS() - now) < 1e-9
           && !process.alive
-          && !staysDead(index)) {
+          && !remainsDown(index)) {
         start(index);
       }
     }
@@ -508,10 +522,10 @@
       recordActivation(index, null);
     } else if (process.alive) {
       if (process.agreement != null) {
-        process.coordinator.follow(moment(index));
+        process.coordinator.follow(clockTime(index));
         recordActivation(index, process.agreement.activeConfiguration());
       }
-      due(index);
+      advance(index);
       while (!process.unread.isEmpty() && process.alive) {
         deliver(index, process.unread.poll());
       }
@@ -520,7 +534,7 @@
 
   /** The number of the newest view of any line. */
   public long newestNumber() {
-    return newest.values().stream().mapToLong(v -> v.id().number()).max().orElse(0);
+    return newestViews.values().stream().mapToLong(v -> v.id().number()).max().orElse(0);
   }
 
   /**
@@ -528,23 +542,24 @@
    * operator decides.
    */
   public boolean lostMajority() {
-    newest.values().forEach(this::lost);
+    newestViews.values().forEach(this::updateLostMajority);
     return lostMajority;
   }
 
-  private void lost(View view) {
+  private void updateLostMajority(View view) {
     long live =
         view.members().stream()
             .filter(
                 m -> {
                   Process process = processes[byAddress.get(m.peerAddress())];
-                  return (process.alive || process.resumes) && process.membership.self().equals(m);
+                  return (process.alive || process.resumesAsSameMember)
+                      && process.membership.self().equals(m);
                 })
             .count();
     lostMajority |= live < view.majority();
   }
 
-  private boolean staysDead(int index) {
+  private boolean remainsDown(int index) {
     return faults.stream()
         .anyMatch(
             fault ->
@@ -554,7 +569,7 @@
                         || fault.kind().endsProcess() && now < fault.endS() - 1e-9));
   }
 
-  private void note(int index, View view) {
+  private void recordView(int index, View view) {
     Process process = processes[index];
     recordedEvents.add(
         new RecordedEvent(
@@ -567,8 +582,8 @@
                 : view.members().stream().map(m -> m.name() + "#" + m.incarnation()).toList()));
   }
 
-  private FleetCoordinator.EffectSink out(int index, Process process) {
-    long life = process.life;
+  private FleetCoordinator.EffectSink effectSink(int index, Process process) {
+    long startNumber = process.startNumber;
     return new FleetCoordinator.EffectSink() {
       @Override
       public void send(InetSocketAddress to, PeerMessage message) {
@@ -576,33 +591,39 @@
       }
 
       @Override
-      public void handleMembership(MembershipAction act) {
-        if (act instanceof MembershipAction.Persist keep) {
-          process.writing = keep;
+      public void handleMembership(MembershipAction action) {
+        if (action instanceof MembershipAction.Persist persist) {
+          process.pendingWrite = persist;
           events.add(
-              new Event(now + MAX_WRITE_S * chance.nextDouble(), turns++, index, life, null, keep));
-        } else if (act instanceof MembershipAction.ViewInstalled installed) {
-          note(index, installed.view());
+              new Event(
+                  now + MAX_WRITE_S * random.nextDouble(),
+                  nextSequence++,
+                  index,
+                  startNumber,
+                  null,
+                  persist));
+        } else if (action instanceof MembershipAction.ViewInstalled installed) {
+          recordView(index, installed.view());
           View view = installed.view();
           if (view != null
-              && newest.merge(
+              && newestViews.merge(
                       view.id().lineage(),
                       view,
                       (a, b) -> a.id().number() < b.id().number() ? b : a)
                   == view) {
-            lost(view);
+            updateLostMajority(view);
           }
-        } else if (act instanceof MembershipAction.EventRecorded noted) {
-          notes.merge(noted.event().label(), 1, Integer::sum);
+        } else if (action instanceof MembershipAction.EventRecorded recorded) {
+          eventCounts.merge(recorded.event().label(), 1, Integer::sum);
         }
       }
 
       @Override
-      public void handleAgreement(AgreementEffect doing) {
-        if (doing instanceof AgreementEffect.Activate on) {
+      public void handleAgreement(AgreementEffect effect) {
+        if (effect instanceof AgreementEffect.Activate on) {
           recordActivation(index, on.configuration());
-        } else if (doing instanceof AgreementEffect.EventRecorded noted) {
-          notes.merge(noted.event().label(), 1, Integer::sum);
+        } else if (effect instanceof AgreementEffect.EventRecorded recorded) {
+          eventCounts.merge(recorded.event().label(), 1, Integer::sum);
         }
       }
     };
@@ -613,14 +634,14 @@
     if (capacityOptions != null) {
       recordUsage();
     }
-    Timestamp wake = process.coordinator.nextAdvanceAt(moment(index));
-    if (wake == null) {
+    Timestamp next = process.coordinator.nextAdvanceAt(clockTime(index));
+    if (next == null) {
       return;
     }
-    double at = Math.max(now + 1e-6, wake.us() / 1e6 / process.rate);
-    if (at < process.wake || process.wake <= now) {
-      process.wake = at;
-      at(at, index, process.life, null);
+    double atS = Math.max(now + 1e-6, next.us() / 1e6 / process.clockRate);
+    if (atS < process.wakeAtS || process.wakeAtS <= now) {
+      process.wakeAtS = atS;
+      schedule(atS, index, process.startNumber, null);
     }
   }
 
@@ -631,17 +652,19 @@
    * apart.
    */
   public void enableCapacityLeases(
-      cobaltseam.capacity.CapacityOptions terms, Lease.LeaseOptions under, double clocksApart) {
-    capacityOptions = terms;
-    leaseOptions = under;
+      cobaltseam.capacity.CapacityOptions options,
+      Lease.LeaseOptions leaseTerms,
+      double clockRateDifference) {
+    capacityOptions = options;
+    leaseOptions = leaseTerms;
     demands = new double[processes.length];
     for (Process process : processes) {
-      process.rate = 1 + clocksApart * (chance.nextDouble() - 0.5);
+      process.clockRate = 1 + clockRateDifference * (random.nextDouble() - 0.5);
     }
   }
 
   /** What a process needs from now on. */
-  public void needs(int index, double demand) {
+  public void setDemand(int index, double demand) {
     demands[index] = demand;
     if (processes[index].capacityLeases != null) {
       processes[index].capacityLeases.setDemand(demand);
@@ -652,10 +675,10 @@
   }
 
   /** What a process may use at this moment; nothing while it stands still. */
-  public long usable(int index) {
+  public long usableAmount(int index) {
     Process process = processes[index];
     return process.alive && process.capacityLeases != null && !isSuspended(index)
-        ? process.capacityLeases.usableAmount(moment(index))
+        ? process.capacityLeases.usableAmount(clockTime(index))
         : 0;
   }
 
@@ -663,7 +686,7 @@
    * The most that all together might use at any moment, when, and whether there ever were two lines
    * of views at once.
    */
-  public record PeakUsage(long amount, double atS, boolean twoLines) {}
+  public record PeakUsage(long amount, double atS, boolean twoLineages) {}
 
   /** The largest use of capacity so far. */
   public PeakUsage peakUsage() {
@@ -674,36 +697,36 @@
    * How much of the whole is held by other than those who need it: half of all differences between
    * the part of each and what its need asks for among those alive.
    */
-  public double missed() {
+  public double misallocatedRatio() {
     double sum = 0;
     int alive = 0;
     for (int index = 0; index < processes.length; index++) {
       sum += processes[index].alive ? demands[index] : 0;
       alive += processes[index].alive ? 1 : 0;
     }
-    double missed = 0;
+    double difference = 0;
     long settled =
         capacityOptions.totalCapacity()
             - capacityOptions.standaloneAmount() * capacityOptions.maxProcesses();
     for (int index = 0; index < processes.length && sum > 0; index++) {
       if (processes[index].alive) {
         double even = (double) settled / alive;
-        double due =
+        double expected =
             capacityOptions.standaloneAmount()
                 + capacityOptions.minRetainedRatio() * even
                 + (1 - capacityOptions.minRetainedRatio()) * settled * demands[index] / sum;
-        missed += Math.abs(usable(index) - due);
+        difference += Math.abs(usableAmount(index) - expected);
       }
     }
-    return missed / 2 / capacityOptions.totalCapacity();
+    return difference / 2 / capacityOptions.totalCapacity();
   }
 
   private void recordUsage() {
     long all = 0;
     long line = 0;
-    boolean two = peakUsage.twoLines;
+    boolean two = peakUsage.twoLineages;
     for (int index = 0; index < processes.length; index++) {
-      all += usable(index);
+      all += usableAmount(index);
       View view = processes[index].alive ? processes[index].membership.view() : null;
       two |= view != null && line != 0 && line != view.id().lineage();
       line = view == null ? line : view.id().lineage();
@@ -718,11 +741,12 @@
    * From the next start of each process on, all agree on a document; clocks run up to this part
    * apart.
    */
-  public void enableAgreement(ConfigurationAgreement.AgreementOptions terms, double clocksApart) {
-    agreementOptions = terms;
-    leaseOptions = new Lease.LeaseOptions(terms.maxContradiction(), terms.maxClockRateRatio());
+  public void enableAgreement(
+      ConfigurationAgreement.AgreementOptions options, double clockRateDifference) {
+    agreementOptions = options;
+    leaseOptions = new Lease.LeaseOptions(options.maxContradiction(), options.maxClockRateRatio());
     for (Process process : processes) {
-      process.rate = 1 + clocksApart * (chance.nextDouble() - 0.5);
+      process.clockRate = 1 + clockRateDifference * (random.nextDouble() - 0.5);
     }
   }
 
@@ -731,14 +755,14 @@
     if (!processes[index].alive || isSuspended(index)) {
       return "it is not there";
     }
-    String why = processes[index].agreement.propose(content, expect, moment(index));
-    processes[index].coordinator.follow(moment(index));
+    String why = processes[index].agreement.propose(content, expect, clockTime(index));
+    processes[index].coordinator.follow(clockTime(index));
     scheduleWake(index);
     return why;
   }
 
   /** The configuration that is active at a process. */
-  public ActiveConfiguration acting(int index) {
+  public ActiveConfiguration configuration(int index) {
     return processes[index].agreement.activeConfiguration();
   }
 
@@ -770,10 +794,10 @@
     if (to == null) {
       return;
     }
-    Fault.DatagramFate fate = Fault.fate(faults, from, to, now, chance);
-    double delay = 0.0003 + 0.001 * chance.nextDouble() + fate.delayS();
-    for (int n = 0; n < fate.copies(); n++) {
-      at(now + delay * (1 + n * chance.nextDouble()), to, processes[to].life, message);
+    Fault.Delivery delivery = Fault.delivery(faults, from, to, now, random);
+    double delay = 0.0003 + 0.001 * random.nextDouble() + delivery.delayS();
+    for (int n = 0; n < delivery.copies(); n++) {
+      schedule(now + delay * (1 + n * random.nextDouble()), to, processes[to].startNumber, message);
     }
   }
 }
--- a/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/AgreementFleetTest.java
@@ -19,14 +19,15 @@
  */
 class AgreementFleetTest {
   private static final double FORMED = 30;
-  private static final double T = AgreementHunt.TERMS.maxContradiction().us() / 1e6;
+  private static final double T = FleetAgreementCommand.OPTIONS.maxContradiction().us() / 1e6;
 
   private static VirtualFleet fleet(int processes, long seed, Fault... troubles) {
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(processes), List.of(troubles), seed);
-    fleet.enableAgreement(AgreementHunt.TERMS, AgreementHunt.CLOCKS);
+    fleet.enableAgreement(
+        FleetAgreementCommand.OPTIONS, FleetAgreementCommand.CLOCK_RATE_DIFFERENCE);
     fleet.run(FORMED - 0.01);
     for (int i = 0; i < processes; i++) {
-      assertEquals(Mode.PLAIN, fleet.acting(i).mode(), "formed, all act on a first edition");
+      assertEquals(Mode.PLAIN, fleet.configuration(i).mode(), "formed, all act on a first edition");
     }
     return fleet;
   }
@@ -40,7 +41,7 @@
   }
 
   private static void acts(VirtualFleet fleet, int process, long number, String content) {
-    ActiveConfiguration acting = fleet.acting(process);
+    ActiveConfiguration acting = fleet.configuration(process);
     assertEquals(Mode.PLAIN, acting.mode(), "process " + process);
     assertEquals(number, acting.newest().number());
     assertEquals(ConfigurationAgreement.hash(text(content)), acting.newest().hash());
@@ -48,9 +49,9 @@
 
   private static void kept(VirtualFleet fleet) {
     ActivationRecord.Contradiction longest =
-        ActivationRecord.longest(fleet.activations(), Set.of(), fleet.now());
+        ActivationRecord.longestContradiction(fleet.activations(), Set.of(), fleet.now());
     assertTrue(longest.seconds() <= T, longest.toString());
-    assertEquals(List.of(), ActivationRecord.twoUnderOneNumber(fleet.activations()));
+    assertEquals(List.of(), ActivationRecord.versionConflicts(fleet.activations()));
   }
 
   @Test
@@ -74,9 +75,10 @@
       assertNull(fleet.propose(1, text("rule a"), 1));
       assertNull(fleet.propose(4, text("rule b"), 1));
       fleet.run(FORMED + 10);
-      long second = fleet.acting(0).newest().number();
+      long second = fleet.configuration(0).newest().number();
       assertEquals(2, second, "seed " + seed + ": the other is void, not a third");
-      assertTrue(fleet.notes().getOrDefault("came_second", 0) > 0, fleet.notes().toString());
+      assertTrue(
+          fleet.eventCounts().getOrDefault("came_second", 0) > 0, fleet.eventCounts().toString());
       kept(fleet);
     }
   }
@@ -87,9 +89,11 @@
     fleet.run(FORMED + 0.01);
     fleet.propose(0, text("rule a"), -1);
     fleet.run(FORMED + T + 0.01);
-    assertEquals(Mode.FALLBACK, fleet.acting(3).mode());
+    assertEquals(Mode.FALLBACK, fleet.configuration(3).mode());
     assertEquals(
-        1, fleet.acting(3).newest().number(), "it holds the old one, and reads it cautiously");
+        1,
+        fleet.configuration(3).newest().number(),
+        "it holds the old one, and reads it cautiously");
     fleet.run(FORMED + 25);
     acts(fleet, 0, 2, "rule a");
     assertNotNull(fleet.propose(4, text("rule b"), -1), "no majority is heard there");
@@ -120,7 +124,7 @@
       assertNull(fleet.propose(0, text("rule b"), -1), "killed after " + ms + " ms");
       fleet.run(FORMED + 40);
       for (int i = 0; i < 5; i++) {
-        acts(fleet, i, fleet.acting(0).newest().number(), "rule b");
+        acts(fleet, i, fleet.configuration(0).newest().number(), "rule b");
       }
       kept(fleet);
     }
@@ -132,7 +136,7 @@
     // held an edition of nothing.
     FleetOptions common = new FleetOptions();
     common.seconds = 60;
-    assertEquals(List.of(), AgreementHunt.one(common, 3, 1012).broken());
+    assertEquals(List.of(), FleetAgreementCommand.playSeed(common, 3, 1012).violations());
   }
 
   @Test
@@ -142,7 +146,7 @@
     FleetOptions common = new FleetOptions();
     common.seconds = 60;
     common.folders = true;
-    assertEquals(0, AgreementHunt.one(common, 3, 5944).longest().seconds());
+    assertEquals(0, FleetAgreementCommand.playSeed(common, 3, 5944).longest().seconds());
   }
 
   @Test
@@ -150,14 +154,14 @@
     for (long seed = 1; seed <= 60; seed++) {
       for (boolean folders : new boolean[] {false, true}) {
         VirtualFleet.Plan plan = VirtualFleet.Plan.of(folders ? 4 : 7);
-        AgreementHunt.RunVerdict verdict =
-            AgreementHunt.play(
+        FleetAgreementCommand.RunResult verdict =
+            FleetAgreementCommand.play(
                 folders ? plan.withFolders() : plan,
-                Fault.drawn(plan.processes(), 60, 4, seed),
+                Fault.generate(plan.processes(), 60, 4, seed),
                 60,
                 3,
                 seed);
-        assertEquals(List.of(), verdict.broken(), "seed " + seed);
+        assertEquals(List.of(), verdict.violations(), "seed " + seed);
       }
     }
   }
@@ -168,10 +172,11 @@
     // a wait of no length.
     ConfigurationAgreement.AgreementOptions noWait =
         new ConfigurationAgreement.AgreementOptions(
-            AgreementHunt.TERMS.maxContradiction(), -0.5, 1 << 20);
-    assertTrue(longest(AgreementHunt.TERMS, 1) > 0, "clocks");
+            FleetAgreementCommand.OPTIONS.maxContradiction(), -0.5, 1 << 20);
+    assertTrue(longest(FleetAgreementCommand.OPTIONS, 1) > 0, "clocks");
     assertTrue(longest(noWait, 0) > 0, "no wait");
-    assertEquals(0, longest(AgreementHunt.TERMS, AgreementHunt.CLOCKS));
+    assertEquals(
+        0, longest(FleetAgreementCommand.OPTIONS, FleetAgreementCommand.CLOCK_RATE_DIFFERENCE));
   }
 
   /** Members cut off at many moments around a proposal: the longest contradiction of all. */
@@ -187,7 +192,8 @@
       longest =
           Math.max(
               longest,
-              ActivationRecord.longest(fleet.activations(), Set.of(), fleet.now()).seconds());
+              ActivationRecord.longestContradiction(fleet.activations(), Set.of(), fleet.now())
+                  .seconds());
     }
     return longest;
   }
--- a/src/test/java/cobaltseam/fleet/CapacityFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/CapacityFleetTest.java
@@ -19,7 +19,7 @@
   private static VirtualFleet fleet(
       int processes, long seed, Lease.LeaseOptions lease, double clocks, Fault... troubles) {
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(processes), List.of(troubles), seed);
-    fleet.enableCapacityLeases(CapacityHunt.terms(processes), lease, clocks);
+    fleet.enableCapacityLeases(FleetCapacityCommand.capacityOptions(processes), lease, clocks);
     fleet.run(FORMED - 0.01);
     return fleet;
   }
@@ -29,12 +29,13 @@
   }
 
   private static double part(VirtualFleet fleet, int index) {
-    return (double) fleet.usable(index) / CapacityHunt.WHOLE;
+    return (double) fleet.usableAmount(index) / FleetCapacityCommand.TOTAL_CAPACITY;
   }
 
   private static void kept(VirtualFleet fleet) {
     assertTrue(
-        fleet.peakUsage().amount() <= CapacityHunt.WHOLE && !fleet.peakUsage().twoLines(),
+        fleet.peakUsage().amount() <= FleetCapacityCommand.TOTAL_CAPACITY
+            && !fleet.peakUsage().twoLineages(),
         fleet.peakUsage().toString());
   }
 
@@ -48,28 +49,35 @@
 
   @Test
   void partsFollowNeedsAndGoBackWithinALease() {
-    VirtualFleet fleet = fleet(10, 1, CapacityHunt.LEASE, CapacityHunt.CLOCKS);
+    VirtualFleet fleet =
+        fleet(
+            10, 1, FleetCapacityCommand.LEASE_OPTIONS, FleetCapacityCommand.CLOCK_RATE_DIFFERENCE);
     for (int index = 0; index < 10; index++) {
       assertEquals(0.1, part(fleet, index), 0.01, "nobody needs anything: all alike");
-      fleet.needs(index, index == 3 ? 30 : 1);
+      fleet.setDemand(index, index == 3 ? 30 : 1);
     }
     fleet.run(FORMED + 6);
     assertTrue(part(fleet, 3) > 0.5, "it carries three quarters of all: " + part(fleet, 3));
-    fleet.needs(3, 0);
-    fleet.needs(7, 30);
+    fleet.setDemand(3, 0);
+    fleet.setDemand(7, 30);
     fleet.run(FORMED + 12);
     assertTrue(part(fleet, 7) > 0.5, Double.toString(part(fleet, 7)));
     assertTrue(part(fleet, 3) < 0.06, Double.toString(part(fleet, 3)));
-    assertTrue(fleet.missed() < 0.02, Double.toString(fleet.missed()));
+    assertTrue(fleet.misallocatedRatio() < 0.02, Double.toString(fleet.misallocatedRatio()));
     kept(fleet);
   }
 
   @Test
   void halfCutOffWhileItHoldsMostKeepsNothingButItsLonePart() {
     VirtualFleet fleet =
-        fleet(9, 2, CapacityHunt.LEASE, CapacityHunt.CLOCKS, trouble(Kind.CUT, 60, upTo(0, 4)));
-    fleet.needs(2, 40);
-    fleet.needs(7, 10);
+        fleet(
+            9,
+            2,
+            FleetCapacityCommand.LEASE_OPTIONS,
+            FleetCapacityCommand.CLOCK_RATE_DIFFERENCE,
+            trouble(Kind.CUT, 60, upTo(0, 4)));
+    fleet.setDemand(2, 40);
+    fleet.setDemand(7, 10);
     fleet.run(FORMED + 2.1);
     assertEquals(0.1 / 9, part(fleet, 2), 1e-3, "no majority is heard there");
     fleet.run(FORMED + 40);
@@ -87,24 +95,29 @@
         fleet(
             12,
             3,
-            CapacityHunt.LEASE,
-            CapacityHunt.CLOCKS,
+            FleetCapacityCommand.LEASE_OPTIONS,
+            FleetCapacityCommand.CLOCK_RATE_DIFFERENCE,
             trouble(Kind.KILL, 15, upTo(0, 4)),
             new Fault(Kind.LOSS, FORMED, 30, List.of(), List.of(), 0.3));
     for (int index = 0; index < 12; index++) {
-      fleet.needs(index, index % 3 == 0 ? 20 : 1);
+      fleet.setDemand(index, index % 3 == 0 ? 20 : 1);
     }
     fleet.run(FORMED + 100);
     assertTrue(fleet.isSettled());
-    assertTrue(fleet.missed() < 0.05, Double.toString(fleet.missed()));
+    assertTrue(fleet.misallocatedRatio() < 0.05, Double.toString(fleet.misallocatedRatio()));
     kept(fleet);
   }
 
   @Test
   void oneThatStoodStillBeginsWithItsLonePart() {
     VirtualFleet fleet =
-        fleet(5, 4, CapacityHunt.LEASE, CapacityHunt.CLOCKS, trouble(Kind.PAUSE, 3, List.of(2)));
-    fleet.needs(2, 40);
+        fleet(
+            5,
+            4,
+            FleetCapacityCommand.LEASE_OPTIONS,
+            FleetCapacityCommand.CLOCK_RATE_DIFFERENCE,
+            trouble(Kind.PAUSE, 3, List.of(2)));
+    fleet.setDemand(2, 40);
     fleet.run(FORMED + 3.0005);
     assertTrue(part(fleet, 2) < 0.05, "its lease has ended meanwhile: " + part(fleet, 2));
     fleet.run(FORMED + 40);
@@ -117,13 +130,13 @@
     for (long seed = 1; seed <= 25; seed++) {
       for (boolean folders : new boolean[] {false, true}) {
         VirtualFleet.Plan plan = VirtualFleet.Plan.of(folders ? 4 : 7);
-        CapacityHunt.RunVerdict verdict =
-            CapacityHunt.play(
+        FleetCapacityCommand.RunResult verdict =
+            FleetCapacityCommand.play(
                 folders ? plan.withFolders() : plan,
-                Fault.drawn(plan.processes(), 60, 4, seed),
+                Fault.generate(plan.processes(), 60, 4, seed),
                 60,
                 seed);
-        assertEquals(List.of(), verdict.broken(), "seed " + seed);
+        assertEquals(List.of(), verdict.violations(), "seed " + seed);
       }
     }
   }
@@ -133,10 +146,11 @@
     double most = 0;
     for (int seed = 0; seed < 20; seed++) {
       VirtualFleet fleet = fleet(5, seed, lease, clocks, trouble(Kind.CUT, 20, List.of(3, 4)));
-      fleet.needs(3, 40);
-      fleet.needs(1, 10);
+      fleet.setDemand(3, 40);
+      fleet.setDemand(1, 10);
       fleet.run(FORMED + 30);
-      most = Math.max(most, (double) fleet.peakUsage().amount() / CapacityHunt.WHOLE);
+      most =
+          Math.max(most, (double) fleet.peakUsage().amount() / FleetCapacityCommand.TOTAL_CAPACITY);
     }
     return most;
   }
@@ -147,6 +161,7 @@
     // the rate under a bound of 0.1%.
     assertTrue(most(new Lease.LeaseOptions(new TimeSpan(20_000_000), -0.5), 0) > 1, "no wait");
     assertTrue(most(new Lease.LeaseOptions(new TimeSpan(10_000_000), 0.001), 1) > 1, "clocks");
-    assertTrue(most(CapacityHunt.LEASE, CapacityHunt.CLOCKS) <= 1);
+    assertTrue(
+        most(FleetCapacityCommand.LEASE_OPTIONS, FleetCapacityCommand.CLOCK_RATE_DIFFERENCE) <= 1);
   }
 }
--- a/src/test/java/cobaltseam/fleet/RealFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/RealFleetTest.java
@@ -239,7 +239,8 @@
       boolean all = true;
       for (int index : processes) {
         all &=
-            fleet.acts(index).size() == 1 && fleet.acts(index).get(0).contains("/" + number + ":");
+            fleet.activeVersions(index).size() == 1
+                && fleet.activeVersions(index).get(0).contains("/" + number + ":");
       }
       if (all) {
         return;
@@ -277,23 +278,23 @@
               });
       player.start();
       // Inside the cut: a majority of three takes the change, two are cut off and step back.
-      while (fleet.now() < 4) {
+      while (fleet.scriptTimeS() < 4) {
         Thread.sleep(20);
       }
-      fleet.settings(0, 2);
+      fleet.setMaxAttempts(0, 2);
       allAct(fleet, 2, 0, 1, 2);
       awaitLogged(fleet, 3, "agreement.stepped_back");
-      while (fleet.now() < 13) {
+      while (fleet.scriptTimeS() < 13) {
         Thread.sleep(20);
       }
       // While one stands still and a fifth is lost it may be refused, as no majority is heard for a
       // moment: it is said again.
-      fleet.settings(2, 1);
+      fleet.setMaxAttempts(2, 1);
       player.join();
       for (long from = System.nanoTime();
-          fleet.acts(2).isEmpty() || !fleet.acts(2).get(0).contains("/3:"); ) {
+          fleet.activeVersions(2).isEmpty() || !fleet.activeVersions(2).get(0).contains("/3:"); ) {
         assertTrue(System.nanoTime() - from < LONG_S * 1e9, "not proposed: " + fleet.activations());
-        fleet.settings(2, 1);
+        fleet.setMaxAttempts(2, 1);
         Thread.sleep(1000);
       }
       allAct(fleet, 3, 0, 1, 2, 3, 4);
@@ -309,11 +310,11 @@
               "agreement"));
       assertTrue(said.toString().contains("acts  plain on [3:"), said.toString());
       ActivationRecord.Contradiction longest =
-          ActivationRecord.longest(fleet.activations(), Set.of(), fleet.clock());
+          ActivationRecord.longestContradiction(fleet.activations(), Set.of(), fleet.elapsedS());
       // Its own logs are read a little late, so that a few ms may seem to overlap; the bound is
       // that of the settings.
       assertTrue(longest.seconds() <= 1, longest.toString());
-      assertEquals(List.of(), ActivationRecord.twoUnderOneNumber(fleet.activations()));
+      assertEquals(List.of(), ActivationRecord.versionConflicts(fleet.activations()));
     }
   }
 
@@ -344,8 +345,9 @@
 
   private static void awaitPart(RealFleet fleet, int index, double least)
       throws InterruptedException {
-    for (long from = System.nanoTime(); fleet.part(index) < least; ) {
-      assertTrue(System.nanoTime() - from < LONG_S * 1e9, index + " holds " + fleet.part(index));
+    for (long from = System.nanoTime(); fleet.usedShare(index) < least; ) {
+      assertTrue(
+          System.nanoTime() - from < LONG_S * 1e9, index + " holds " + fleet.usedShare(index));
       Thread.sleep(20);
     }
   }
@@ -378,10 +380,10 @@
                 }
               });
       player.start();
-      while (fleet.now() < 4) {
+      while (fleet.scriptTimeS() < 4) {
         Thread.sleep(20);
       }
-      assertTrue(fleet.part(0) < 0.05, "cut off, it has its lone part: " + fleet.part(0));
+      assertTrue(fleet.usedShare(0) < 0.05, "cut off, it has its lone part: " + fleet.usedShare(0));
       asks(fleet, 2, 200, over);
       player.join();
       settles(fleet);
--- a/src/test/java/cobaltseam/fleet/RebootstrapTest.java
+++ b/src/test/java/cobaltseam/fleet/RebootstrapTest.java
@@ -14,13 +14,13 @@
 
 /** An operator's re-bootstrap of what is left after three of five members are gone for good. */
 class RebootstrapTest {
-  private static final List<Integer> GONE = List.of(0, 1, 2);
-  private static final double GONE_AT_S = 60;
-  private static final double ASKED_AT_S = 120;
+  private static final List<Integer> LOST_MEMBERS = List.of(0, 1, 2);
+  private static final double LOST_AT_S = 60;
+  private static final double ORDERED_AT_S = 120;
   private static final int LINEAGE_SEEDS = 20;
-  private static final int DRAWN_SEEDS = 60;
-  private static final long SEED_OF_A_LEFT_VIEW = 308;
-  private static final int DRAWN_PAUSES = 4;
+  private static final int RANDOM_SEEDS = 60;
+  private static final long ABANDONED_VIEW_SEED = 308;
+  private static final int RANDOM_PAUSES = 4;
 
   /** Each pause begins in a slot of its own and ends within it. */
   private static final double PAUSE_SLOT_S = 32;
@@ -43,17 +43,17 @@
   @Test
   void aBootstrappedLineageIsYoungerThanTheLostOneAndNobodyElseHasItsNumber() {
     for (long seed = 0; seed < LINEAGE_SEEDS; seed++) {
-      Fault gone = new Fault(Kind.GONE, GONE_AT_S, 1, GONE, List.of(), 1);
+      Fault gone = new Fault(Kind.GONE, LOST_AT_S, 1, LOST_MEMBERS, List.of(), 1);
       VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(5), List.of(gone), seed);
-      fleet.run(ASKED_AT_S);
+      fleet.run(ORDERED_AT_S);
       ViewId lost = fleet.view(3).id();
-      fleet.bootstrapAgain(3, lost);
-      fleet.bootstrapAgain(4, lost);
+      fleet.rebootstrap(3, lost);
+      fleet.rebootstrap(4, lost);
       long one = fleet.view(3).id().lineage();
       long other = fleet.view(4).id().lineage();
       assertTrue(one > lost.lineage() && other > lost.lineage(), "seed " + seed);
       assertNotEquals(one, other, "seed " + seed);
-      fleet.run(ASKED_AT_S + 60);
+      fleet.run(ORDERED_AT_S + 60);
       assertEquals(
           List.of(),
           InvariantChecker.check(fleet.recordedEvents(), fleet.live(), true),
@@ -70,7 +70,7 @@
                 new Fault(Kind.PAUSE, 75, 10, List.of(3), List.of(), 1),
                 new Fault(Kind.PAUSE, 80, 10, List.of(4), List.of(), 1)));
     assertIsBootstrappedAgain(fleet);
-    fleet.run(ASKED_AT_S + 60);
+    fleet.run(ORDERED_AT_S + 60);
     assertEquals(2, fleet.view(4).members().size(), "state " + fleet.quorumState(4));
     assertEquals(fleet.view(3), fleet.view(4));
   }
@@ -82,19 +82,19 @@
     VirtualFleet fleet = playedFleet(List.of(pause));
     ViewId lost = fleet.view(3).id();
     assertEquals(QuorumState.UNCONFIRMED, fleet.quorumState(3));
-    fleet.bootstrapAgain(3, lost);
+    fleet.rebootstrap(3, lost);
     assertEquals(lost, fleet.view(3).id());
   }
 
   /** Guards against an order that acts on what was known before a long suspension. */
   @Test
   void anOrderReadRightAfterASuspensionIsRejected() {
-    Fault cut = new Fault(Kind.CUT, GONE_AT_S, 25, GONE, List.of(), 1);
-    Fault pause = new Fault(Kind.PAUSE, GONE_AT_S + 20, 30, List.of(3), List.of(), 1);
+    Fault cut = new Fault(Kind.CUT, LOST_AT_S, 25, LOST_MEMBERS, List.of(), 1);
+    Fault pause = new Fault(Kind.PAUSE, LOST_AT_S + 20, 30, List.of(3), List.of(), 1);
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(5), List.of(cut, pause), 6);
     fleet.run(pause.endS() - 0.001);
     ViewId held = fleet.view(3).id();
-    fleet.bootstrapAgain(3, held);
+    fleet.rebootstrap(3, held);
     assertEquals(held, fleet.view(3).id());
     assertEquals(QuorumState.UNCONFIRMED, fleet.quorumState(3));
   }
@@ -102,7 +102,7 @@
   /** Suspensions before, during and after the order, of a majority that is gone or cut off. */
   @Test
   void drawnSuspensionsAroundTheOrderBreakNothing() {
-    for (long seed = 0; seed < DRAWN_SEEDS; seed++) {
+    for (long seed = 0; seed < RANDOM_SEEDS; seed++) {
       assertDrawnSuspensionsBreakNothing(seed);
     }
   }
@@ -110,7 +110,7 @@
   /** A view whose members left for another lineage, one by one, must not win them back. */
   @Test
   void aViewThatAMemberHasLeftForAnotherLineageClaimsNoMajority() {
-    assertDrawnSuspensionsBreakNothing(SEED_OF_A_LEFT_VIEW);
+    assertDrawnSuspensionsBreakNothing(ABANDONED_VIEW_SEED);
   }
 
   private static void assertDrawnSuspensionsBreakNothing(long seed) {
@@ -118,22 +118,22 @@
     boolean isGone = random.nextBoolean();
     Fault loss =
         isGone
-            ? new Fault(Kind.GONE, GONE_AT_S, 1, GONE, List.of(), 1)
-            : new Fault(Kind.CUT, GONE_AT_S, 20 + random.nextInt(140), GONE, List.of(), 1);
+            ? new Fault(Kind.GONE, LOST_AT_S, 1, LOST_MEMBERS, List.of(), 1)
+            : new Fault(Kind.CUT, LOST_AT_S, 20 + random.nextInt(140), LOST_MEMBERS, List.of(), 1);
     List<Fault> faults = new ArrayList<>(List.of(loss));
-    for (int i = 0; i < DRAWN_PAUSES; i++) {
-      double at = GONE_AT_S + 2 + PAUSE_SLOT_S * (i + 0.5 * random.nextDouble());
+    for (int i = 0; i < RANDOM_PAUSES; i++) {
+      double at = LOST_AT_S + 2 + PAUSE_SLOT_S * (i + 0.5 * random.nextDouble());
       int process = isGone ? 3 + random.nextInt(2) : random.nextInt(5);
       double lengthS = 0.5 + 0.5 * (PAUSE_SLOT_S - 1) * random.nextDouble();
       faults.add(new Fault(Kind.PAUSE, at, lengthS, List.of(process), List.of(), 1));
     }
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(5), faults, seed);
-    fleet.run(GONE_AT_S);
+    fleet.run(LOST_AT_S);
     long lineage = fleet.view(3).id().lineage();
-    for (double orderAt = GONE_AT_S + 10 * random.nextDouble(); orderAt < 260; orderAt += 7) {
+    for (double orderAt = LOST_AT_S + 10 * random.nextDouble(); orderAt < 260; orderAt += 7) {
       fleet.run(orderAt);
       if (fleet.view(3) != null && fleet.view(3).id().lineage() == lineage) {
-        fleet.bootstrapAgain(3, fleet.view(3).id());
+        fleet.rebootstrap(3, fleet.view(3).id());
       }
     }
     fleet.run(340);
@@ -147,18 +147,18 @@
   }
 
   private static VirtualFleet playedFleet(List<Fault> further) {
-    Fault gone = new Fault(Kind.GONE, GONE_AT_S, 1, GONE, List.of(), 1);
+    Fault gone = new Fault(Kind.GONE, LOST_AT_S, 1, LOST_MEMBERS, List.of(), 1);
     List<Fault> faults = new ArrayList<>(further);
     faults.add(0, gone);
     VirtualFleet fleet = new VirtualFleet(VirtualFleet.Plan.of(5), faults, 6);
-    fleet.run(ASKED_AT_S);
+    fleet.run(ORDERED_AT_S);
     return fleet;
   }
 
   private static void assertIsBootstrappedAgain(VirtualFleet fleet) {
     ViewId lost = fleet.view(3).id();
-    fleet.bootstrapAgain(3, lost);
-    fleet.run(ASKED_AT_S + 1);
+    fleet.rebootstrap(3, lost);
+    fleet.run(ORDERED_AT_S + 1);
     assertNotEquals(lost.lineage(), fleet.view(3).id().lineage(), "state " + fleet.quorumState(3));
   }
 }
--- a/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
@@ -302,7 +302,7 @@
     long birth = fleet.view(0).members().get(2).incarnation().value();
     kept(fleet, 140);
     assertTrue(fleet.view(0).members().get(2).incarnation().value() > birth);
-    assertTrue(fleet.notes().get("folder_old") > 0, fleet.notes().toString());
+    assertTrue(fleet.eventCounts().get("folder_old") > 0, fleet.eventCounts().toString());
   }
 
   @Test
@@ -332,13 +332,14 @@
         fleet(5, 14, cut, new Fault(Kind.CUT, FORMED + 30, 30, List.of(0), List.of(1, 2), 1));
     fleet.run(FORMED + 2);
     ViewId old = fleet.view(3).id();
-    fleet.bootstrapAgain(3, old);
+    fleet.rebootstrap(3, old);
     assertEquals(old, fleet.view(3).id(), "too early");
     fleet.run(FORMED + 60);
-    fleet.bootstrapAgain(3, new ViewId(old.lineage(), old.number() + 7));
-    fleet.bootstrapAgain(1, fleet.view(1).id());
-    assertEquals(2, fleet.notes().get("not_founded_anew") - 1, "another view, and a majority");
-    fleet.bootstrapAgain(3, old);
+    fleet.rebootstrap(3, new ViewId(old.lineage(), old.number() + 7));
+    fleet.rebootstrap(1, fleet.view(1).id());
+    assertEquals(
+        2, fleet.eventCounts().get("not_founded_anew") - 1, "another view, and a majority");
+    fleet.rebootstrap(3, old);
     fleet.run(FORMED + 90);
     assertTrue(fleet.view(3).id().lineage() > old.lineage());
     assertEquals(fleet.view(3), fleet.view(4), "whoever is left comes to it");
@@ -350,10 +351,10 @@
   @Test
   void drawnScriptsWithFoldersBreakNothing() {
     for (long seed = 300_000; seed < 300_060; seed++) {
-      List<Fault> script = Fault.withFolders(Fault.drawn(5, 60, 5, seed), false, seed);
+      List<Fault> script = Fault.withFolders(Fault.generate(5, 60, 5, seed), false, seed);
       RunVerdict verdict =
           FleetRunner.playVirtual(VirtualFleet.Plan.of(5).withFolders(), script, 60, seed);
-      assertFalse(verdict.isBroken(), "seed " + seed + ": " + verdict.broken());
+      assertFalse(verdict.isFailed(), "seed " + seed + ": " + verdict.violations());
     }
   }
 
@@ -374,17 +375,17 @@
   void enginesAreSharedOverThoseWhoseSendsMayStillRun() {
     VirtualFleet fleet = fleet(5, 13, trouble(Kind.GONE, 1, 1, 3, 4));
     fleet.run(FORMED - 0.1);
-    assertEquals(5, fleet.carriers(0));
+    assertEquals(5, fleet.engineSharerCount(0));
     double second = FORMED;
     while (fleet.view(0).members().size() == 5) {
       second += 0.05;
       fleet.run(second);
     }
-    assertEquals(5, fleet.carriers(0), "their sends may still hold engines");
+    assertEquals(5, fleet.engineSharerCount(0), "their sends may still hold engines");
     fleet.run(second + 4.9);
-    assertEquals(5, fleet.carriers(0));
+    assertEquals(5, fleet.engineSharerCount(0));
     fleet.run(second + 5.2);
-    assertEquals(3, fleet.carriers(0), "the longest send has ended");
+    assertEquals(3, fleet.engineSharerCount(0), "the longest send has ended");
   }
 
   @Test
@@ -393,8 +394,8 @@
       for (int processes : new int[] {3, 9}) {
         RunVerdict verdict =
             FleetRunner.playVirtual(
-                VirtualFleet.Plan.of(processes), Fault.drawn(processes, 60, 5, seed), 60, seed);
-        assertFalse(verdict.isBroken(), "seed " + seed + ": " + verdict.broken());
+                VirtualFleet.Plan.of(processes), Fault.generate(processes, 60, 5, seed), 60, seed);
+        assertFalse(verdict.isFailed(), "seed " + seed + ": " + verdict.violations());
       }
     }
   }
