--- a/src/main/java/cobaltseam/service/AdvertisementSender.java
+++ b/src/main/java/cobaltseam/service/AdvertisementSender.java
@@ -19,25 +19,25 @@
 final class AdvertisementSender {
   private static final int US_PER_CENTISECOND = 10_000;
 
-  private final InetAddress self;
+  private final InetAddress localAddress;
   private final AdvertDatagramSocket socket;
   private final Clock clock;
   private final Counters counters;
   private final RateLimitedLog log;
 
   /**
-   * The sequence of the last advertisement: the clock in microseconds, or one more than the one
-   * before it, so that it rises even where the clock does not.
+   * The sequence number of the last advertisement: the time in microseconds, but at least one more
+   * than the previous sequence number, so that it increases even if the clock does not advance.
    */
-  private long sequence;
+  private long lastSequence;
 
   AdvertisementSender(
-      InetAddress self,
+      InetAddress localAddress,
       AdvertDatagramSocket socket,
       Clock clock,
       Counters counters,
       RateLimitedLog log) {
-    this.self = self;
+    this.localAddress = localAddress;
     this.socket = socket;
     this.clock = clock;
     this.counters = counters;
@@ -45,9 +45,10 @@
   }
 
   /**
-   * Sends one advertisement of a router to all peers; a failure is counted and logged.
+   * Sends one advertisement of a virtual router to all peers. A failure to send to one peer is
+   * counted and logged, and the others are still sent to.
    *
-   * @param priority 0 to 255; 0 resigns
+   * @param priority 0 to 255; 0 announces that this dispatcher resigns
    */
   void send(RouterOptions router, int priority, Settings.VirtualAddressSettings settings) {
     Advertisement advertisement =
@@ -56,7 +57,7 @@
             priority,
             (int) (router.advertisementInterval().us() / US_PER_CENTISECOND),
             router.addresses());
-    sequence = Math.max(sequence + 1, clock.now().us());
+    lastSequence = Math.max(lastSequence + 1, clock.now().us());
     for (InetSocketAddress peer : settings.peers()) {
       byte[] bytes = encode(advertisement, peer.getAddress(), settings);
       try {
@@ -65,7 +66,7 @@
       } catch (IOException e) {
         counters.add(Count.MASTERSHIP_ADVERTS_UNSENT);
         log.warn(
-            "advertisement to {0} not sent: {1}",
+            "could not send a VRRP advertisement to {0}: {1}",
             Field.of("peer", peer),
             Field.of("reason", e.getMessage()),
             Field.event("mastership.advert_unsent"));
@@ -75,11 +76,17 @@
 
   private byte[] encode(
       Advertisement advertisement, InetAddress peer, Settings.VirtualAddressSettings settings) {
-    byte[] bytes = AdvertisementCodec.encode(advertisement, self, peer, settings.coverage());
+    byte[] bytes =
+        AdvertisementCodec.encode(advertisement, localAddress, peer, settings.coverage());
     Settings.AuthenticationSettings authentication = settings.authentication();
     return authentication == null
         ? bytes
         : AdvertisementAuthenticator.sign(
-            bytes, self, peer, authentication.keys(), authentication.writeKey(), sequence);
+            bytes,
+            localAddress,
+            peer,
+            authentication.keys(),
+            authentication.writeKey(),
+            lastSequence);
   }
 }
--- a/src/main/java/cobaltseam/service/AgreedConfiguration.java
+++ b/src/main/java/cobaltseam/service/AgreedConfiguration.java
@@ -32,10 +32,10 @@
 import java.util.stream.Collectors;
 
 /**
- * The dispatch settings as a document that the fleet agrees on. {@link ConfigurationAgreement} says
- * which version is active; this class reads it as a deployment, with this dispatcher's own position
- * in it, and derives the settings to act on. Used by the fleet's thread alone, except {@link
- * #document}.
+ * The dispatch settings as a document that the fleet agrees on. {@link ConfigurationAgreement}
+ * determines which version is active; this class parses it as a deployment, with the position of
+ * this dispatcher in it, and derives the active settings. Used by the fleet's thread alone, except
+ * {@link #document}.
  */
 final class AgreedConfiguration {
   private static final System.Logger LOG = System.getLogger(AgreedConfiguration.class.getName());
@@ -51,8 +51,11 @@
   private final Counters counters;
   private final int position;
 
-  /** The deployments of documents, by hash; emptied when there are too many. */
-  private final Map<String, Deployment> deployments = new HashMap<>();
+  /**
+   * The deployments parsed from documents, by the hash of the document; cleared when there are too
+   * many.
+   */
+  private final Map<String, Deployment> deploymentsByHash = new HashMap<>();
 
   private final Deployment own;
   private Deployment active;
@@ -60,7 +63,7 @@
   private String lastProposal = "none";
 
   /**
-   * @param own the settings of this dispatcher's own file
+   * @param own the dispatch settings from the configuration file of this dispatcher
    */
   AgreedConfiguration(
       Settings.AgreementSettings settings,
@@ -71,7 +74,7 @@
       RandomGenerator random) {
     this.counters = counters;
     this.own = own;
-    // Nothing is agreed yet, and the fleet's settings may differ from this dispatcher's own file.
+    // No settings are agreed yet, and those of the fleet may differ from this dispatcher's file.
     conservative = ConservativeMerge.withoutRetries(own);
     active = conservative;
     position = own.dispatcherIndex();
@@ -103,10 +106,10 @@
   }
 
   /**
-   * The settings of a platform's configuration as a document: all but this dispatcher's position,
-   * keys in order.
+   * Returns the dispatch settings of a configuration file as a document: all of them except the
+   * position of this dispatcher, with sorted keys, so that equal settings have equal bytes.
    *
-   * @throws InvalidInputException if the configuration holds no settings
+   * @throws InvalidInputException if the configuration is not JSON or has no settings
    */
   static byte[] document(byte[] configuration) {
     try {
@@ -116,13 +119,18 @@
       return JSON.writeValueAsBytes(shared);
     } catch (IOException | RuntimeException e) {
       throw new InvalidInputException(
-          "no settings are read from the configuration: " + e.getMessage());
+          "cannot read dispatch settings from the configuration: " + e.getMessage());
     }
   }
 
+  /**
+   * Parses a document as a deployment with the position of this dispatcher.
+   *
+   * @throws InvalidInputException if the document is not JSON or its settings are invalid
+   */
   private Deployment deployment(byte[] content) {
     String hash = ConfigurationAgreement.hash(content);
-    Deployment cached = deployments.get(hash);
+    Deployment cached = deploymentsByHash.get(hash);
     if (cached != null) {
       return cached;
     }
@@ -132,37 +140,37 @@
       settings.put(POSITION, position);
       try (JsonParser parser = new JsonFactory().createParser(JSON.writeValueAsBytes(settings))) {
         Deployment deployment = DeploymentReader.read(JsonObjectReader.of(parser));
-        if (deployments.size() > MAX_CACHED_DEPLOYMENTS) {
-          deployments.clear();
+        if (deploymentsByHash.size() > MAX_CACHED_DEPLOYMENTS) {
+          deploymentsByHash.clear();
         }
-        deployments.put(hash, deployment);
+        deploymentsByHash.put(hash, deployment);
         return deployment;
       }
     } catch (IOException e) {
-      throw new InvalidInputException("the document is not JSON of settings: " + e.getMessage());
+      throw new InvalidInputException("the settings document is not valid JSON: " + e.getMessage());
     }
   }
 
-  // ---- input
+  // ---- proposals and documents
 
-  /** Adds the documents that the state folder held. */
+  /** Adds the documents that were read from the state folder at the start. */
   void addPersisted(List<byte[]> documents) {
     documents.forEach(agreement::addPersistedDocument);
   }
 
-  /** Sets the document that a first version is made of. */
+  /** Sets the document from which the first version is made if the view has no version yet. */
   void setOwn(byte[] document) {
     agreement.setOwnDocument(document);
   }
 
-  /** Proposes a document to the fleet; a rejection is logged and shown. */
+  /** Proposes a document to the fleet; a rejection is logged and shown as the last proposal. */
   void propose(byte[] document, Timestamp now) {
     String rejection = agreement.propose(document, -1, now);
     if (rejection != null) {
       lastProposal = "not proposed: " + rejection;
       LOG.log(
           Level.WARNING,
-          "the settings of the own file were not proposed: {0}",
+          "dispatch settings from the configuration file were not proposed to the fleet: {0}",
           Field.of("reason", rejection),
           Field.event("agreement.not_proposed"));
     }
@@ -175,29 +183,29 @@
   }
 
   /**
-   * Until when {@link #active} may be acted on if no further message arrives; null if only {@link
-   * #conservative} may.
+   * Until when {@link #active} may be used if no further message arrives; null if only {@link
+   * #conservative} may be used.
    */
   Timestamp activeUntil(Timestamp now) {
-    boolean mayAct =
+    boolean mayUseActive =
         agreement.activeConfiguration().mode() != ActiveConfiguration.Mode.FALLBACK
             && agreement.leaseLeft(now).isPositive();
-    return mayAct ? now.plus(agreement.leaseLeft(now)) : null;
+    return mayUseActive ? now.plus(agreement.leaseLeft(now)) : null;
   }
 
-  /** The settings to act on once {@link #activeUntil} has passed. */
+  /** The settings to use once {@link #activeUntil} has passed. */
   Deployment conservative() {
     return conservative;
   }
 
-  /** The settings to act on. */
+  /** The active settings. */
   Deployment active() {
     return active;
   }
 
   // ---- effects of the agreement
 
-  /** Derives the settings to act on from the versions that are active now. */
+  /** Derives the active settings from the versions that are active now. */
   void activate(ActiveConfiguration configuration) {
     ConfigurationVersion newest = configuration.newest();
     Deployment newestSettings = newest == null ? own : deployment(agreement.content(newest));
@@ -212,7 +220,7 @@
     counters.add(isConservative ? Count.AGREEMENT_STEPPED_BACK : Count.AGREEMENT_MOVES);
     LOG.log(
         Level.INFO,
-        "configuration active, mode {0}, versions {1}",
+        "the active dispatch settings changed: mode {0}, versions {1}",
         Field.of("mode", configuration.mode().label()),
         Field.of(
             "editions",
@@ -222,12 +230,12 @@
         Field.event("agreement.acts"));
   }
 
-  /** Logs an event of the agreement and shows it as the last one. */
+  /** Logs an event of the agreement and shows it as the last proposal. */
   void recordEvent(AgreementEffect.EventRecorded recorded) {
     lastProposal = recorded.event().label() + ": " + recorded.detail();
     LOG.log(
         Level.INFO,
-        "{0}: {1}",
+        "event {0} in the agreement on dispatch settings: {1}",
         Field.of("what", recorded.event().label()),
         Field.of("detail", recorded.detail()),
         Field.event("agreement." + recorded.event().label()));
--- a/src/main/java/cobaltseam/service/ConfigurationReloader.java
+++ b/src/main/java/cobaltseam/service/ConfigurationReloader.java
@@ -13,34 +13,35 @@
 import sun.misc.SignalHandler;
 
 /**
- * Reads the configuration and our own settings file again on SIGHUP, and applies them on the
- * event-loop thread. Files that can't be used change nothing.
+ * Reloads the configuration file and the settings file on SIGHUP, and applies them on the
+ * event-loop thread. If either file is invalid, nothing changes.
  */
 final class ConfigurationReloader {
   private static final System.Logger LOG = System.getLogger(DispatcherService.class.getName());
-  private static final String HANG_UP = "HUP";
+  private static final String SIGHUP = "HUP";
 
   private final EngineConnections engines;
   private final RequestTable requests;
   private final EndpointWatch endpointWatch;
-  private final EventLoopQueue inbox;
+  private final EventLoopQueue eventLoop;
   private final Counters counters;
 
-  /** The configuration that was applied last; the event-loop thread's own after the start. */
+  /** The configuration that was applied last; after the start only the event loop accesses it. */
   private ServiceConfiguration configuration;
 
-  /** Our own settings file, or null where none is named. */
+  /** The settings file, or null if this dispatcher has none. */
   private Path settingsFile;
 
-  /** Null unless virtual addresses are on. */
+  /** Null if virtual addresses are off. */
   private VirtualAddressService virtualAddresses;
 
-  /** Null unless the fleet is on. */
+  /** Null if fleet membership is off. */
   private FleetService fleet;
 
+  /** Null if fleet membership is off. */
   private FleetBridge fleetBridge;
 
-  /** Whether the fleet agrees on the settings of decisions. */
+  /** Whether the fleet agrees on the dispatch settings. */
   private boolean isAgreementOn;
 
   ConfigurationReloader(
@@ -48,13 +49,13 @@
       EngineConnections engines,
       RequestTable requests,
       EndpointWatch endpointWatch,
-      EventLoopQueue inbox,
+      EventLoopQueue eventLoop,
       Counters counters) {
     this.configuration = configuration;
     this.engines = engines;
     this.requests = requests;
     this.endpointWatch = endpointWatch;
-    this.inbox = inbox;
+    this.eventLoop = eventLoop;
     this.counters = counters;
   }
 
@@ -63,20 +64,20 @@
     return configuration;
   }
 
-  /** From now on this file is read again too. To be called before the start, like those below. */
+  /** Has this settings file reloaded too. Like the setters below, to be called before the start. */
   void setSettingsFile(Path file) {
     settingsFile = file;
   }
 
-  /** From now on the settings of virtual addresses are applied too. */
+  /** Has reloaded settings of virtual addresses applied to this service. */
   void setVirtualAddresses(VirtualAddressService service) {
     virtualAddresses = service;
   }
 
   /**
-   * From now on the settings of the fleet are applied too.
+   * Has reloaded settings of the fleet applied to this service.
    *
-   * @param agreementOn whether the fleet agrees on the settings of decisions before they act
+   * @param agreementOn whether the fleet agrees on dispatch settings before they take effect
    */
   void setFleet(FleetService service, FleetBridge bridge, boolean agreementOn) {
     fleet = service;
@@ -84,68 +85,74 @@
     isAgreementOn = agreementOn;
   }
 
-  /** From now on SIGHUP has the files read again. */
+  /** Installs the SIGHUP handler that reloads the files. */
   void reloadOnHangUp(Map<String, String> environment) {
-    SignalHandler before = Signal.handle(new Signal(HANG_UP), signal -> reload(environment));
-    if (before == SignalHandler.SIG_IGN) {
-      // As under nohup: the JVM then installs no handler, and SIGHUP would silently do nothing.
+    SignalHandler previous = Signal.handle(new Signal(SIGHUP), signal -> reload(environment));
+    if (previous == SignalHandler.SIG_IGN) {
+      // The parent process ignored SIGHUP, as nohup does. The JVM then installs no handler, and
+      // SIGHUP would have no effect without any notice.
       LOG.log(
           Level.WARNING,
-          "SIGHUP was ignored at the start and stays ignored: the configuration is never reloaded",
+          "SIGHUP was ignored at the start and stays ignored, so the configuration is never"
+              + " reloaded; to enable reloading, start the process without nohup",
           Field.event("configuration.deaf"));
     }
   }
 
-  /** Synchronized, since an older reading could otherwise overtake a newer one. */
+  /**
+   * Reads both files and posts them to the event loop. Synchronized, since of two concurrent
+   * reloads the one that read older files could otherwise be applied last.
+   */
   private synchronized void reload(Map<String, String> environment) {
     try {
-      ServiceConfiguration read = ServiceConfiguration.read(environment);
+      ServiceConfiguration reloaded = ServiceConfiguration.read(environment);
       Settings settings = settingsFile == null ? null : SettingsReader.read(settingsFile);
       byte[] document =
           !isAgreementOn
               ? null
               : AgreedConfiguration.document(
                   Files.readAllBytes(Path.of(environment.get("GW_CONFIG"))));
-      inbox.post(
+      eventLoop.post(
           null,
           () -> {
-            apply(read, document);
+            apply(reloaded, document);
             if (settings != null) {
               apply(settings);
             }
           });
     } catch (IOException | RuntimeException e) {
-      inbox.post(null, () -> counters.add(Count.CONFIGURATIONS_UNUSABLE));
+      eventLoop.post(null, () -> counters.add(Count.CONFIGURATIONS_UNUSABLE));
       LOG.log(
           Level.ERROR,
-          "the configuration stays as it was: {0}",
+          "the configuration was not reloaded and stays unchanged: {0}; correct the file and send"
+              + " SIGHUP again",
           Field.of("reason", e.getMessage()),
           Field.event("configuration.unusable"));
     }
   }
 
-  private void apply(ServiceConfiguration read, byte[] document) {
+  private void apply(ServiceConfiguration reloaded, byte[] document) {
     boolean isProposed = document != null && !fleet.isEnded();
     if (isProposed) {
-      // The settings of decisions do not follow this file, but what the fleet agrees on.
+      // Dispatch settings are taken from the agreement of the fleet, not directly from this file.
       fleet.propose(document);
     }
     ServiceConfiguration next =
         isProposed && fleetBridge.activeSettings() != null
-            ? read.withDeployment(fleetBridge.activeSettings())
-            : read;
+            ? reloaded.withDeployment(fleetBridge.activeSettings())
+            : reloaded;
     if (!next.name().equals(configuration.name())
         || !next.listen().equals(configuration.listen())) {
       LOG.log(
           Level.WARNING,
-          "name and address stay until the next start",
+          "the name and the listen address were not changed by the reload; restart to apply them",
           Field.event("configuration.partly"));
     }
     if (!isProposed && !next.deployment().equals(configuration.deployment())) {
       requests.applySettings(next.deployment());
       LOG.log(
           Level.INFO,
-          "the settings of decisions have changed, with {0} requests open",
+          "dispatch settings have changed while {0} requests were open",
           Field.of("inHand", requests.openRequests()),
           Field.event("configuration.moved"));
     }
@@ -156,7 +163,7 @@
     endpointWatch.moveTo(next.watchAddress());
     LOG.log(
         Level.INFO,
-        "{0} has reloaded its configuration; the event bus is at {1}",
+        "{0} has reloaded its configuration; endpoints are watched at {1}",
         Field.of("name", configuration.name()),
         Field.of("bus", next.watchAddress()),
         Field.event("configuration.read"));
@@ -164,11 +171,11 @@
 
   private void apply(Settings settings) {
     if (fleet != null && settings.membership() != null) {
-      fleet.applyRenewedSettings(settings.membership());
+      fleet.applyReloadedSettings(settings.membership());
     } else if (fleet != null || settings.membership() != null) {
       LOG.log(
           Level.WARNING,
-          "whether membership is on stays until the next start",
+          "fleet membership was not turned on or off by the reload; restart to apply the change",
           Field.event("configuration.partly"));
     }
     if (virtualAddresses != null && settings.virtualAddresses() != null) {
@@ -176,7 +183,7 @@
     } else if (virtualAddresses != null || settings.virtualAddresses() != null) {
       LOG.log(
           Level.WARNING,
-          "whether mastership is on stays until the next start",
+          "virtual addresses were not turned on or off by the reload; restart to apply the change",
           Field.event("configuration.partly"));
     }
   }
--- a/src/main/java/cobaltseam/service/FleetBridge.java
+++ b/src/main/java/cobaltseam/service/FleetBridge.java
@@ -17,32 +17,36 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Hands values over between the fleet's thread and the event loop, which owns the requests. The
+ * Exchanges values between the fleet's thread and the event loop, which owns the requests. The
  * fleet's thread publishes a {@link FleetSnapshot}; the event loop reads it before it receives,
- * decides or sends anything. All values pass through atomic variables: neither thread ever waits
+ * decides or sends anything. All values pass through atomic variables, so neither thread ever waits
  * for the other.
  */
 final class FleetBridge {
   private static final System.Logger LOG = System.getLogger(FleetBridge.class.getName());
 
-  /** A part of the engines that grows by less than this ratio is not applied. */
+  /** An increase of this dispatcher's capacity share by less than this ratio is not applied. */
   private static final double MIN_GROWTH_RATIO = 0.01;
 
-  /** The smallest part of the engines that is ever applied. */
-  private static final double MIN_PART = 1e-6;
+  /** The smallest capacity share that is ever applied, so that the dispatcher count is finite. */
+  private static final double MIN_CAPACITY_SHARE = 1e-6;
 
+  /** The shortest interval between two publications of local load reports. */
   private static final long REPORTS_INTERVAL_US = 20_000;
 
   /**
-   * Load reports that may wait while the event loop stands still; beyond them the oldest are
-   * dropped.
+   * The number of load reports that may wait while the event loop does not run; if there are more,
+   * the oldest are dropped.
    */
   private static final int MAX_PENDING_REPORTS = 4 * LoadReports.MAX_ENGINES;
 
   private final AtomicReference<FleetSnapshot> snapshot = new AtomicReference<>(FleetSnapshot.NONE);
 
-  /** The bits of a double: the demand so far, written by the event loop alone. */
-  private final AtomicLong offered = new AtomicLong();
+  /**
+   * The bits of a double: the total demand since the start in microseconds of one thread. Written
+   * by the event loop alone.
+   */
+  private final AtomicLong totalDemandBits = new AtomicLong();
 
   /** The latest load report of each engine that reported to this dispatcher. */
   private final AtomicReference<List<LoadReport>> localReports = new AtomicReference<>(List.of());
@@ -50,61 +54,61 @@
   /** Load reports from other dispatchers that the event loop has not read yet, or null. */
   private final AtomicReference<List<LoadReport>> remoteReports = new AtomicReference<>();
 
-  /** The retries that are left, in thousandths. */
+  /** The retries that are left in the retry budget, in thousandths. */
   private final AtomicLong remainingRetries = new AtomicLong();
 
-  /** Written by the event loop alone. */
+  /** The number of first attempts of requests; written by the event loop alone. */
   private final AtomicLong firstAttempts = new AtomicLong();
 
-  /** Written by the event loop alone. */
+  /** The number of retries, made and denied; written by the event loop alone. */
   private final AtomicLong wantedRetries = new AtomicLong();
 
   private final RequestTable requests;
-  private final EventLoopQueue inbox;
+  private final EventLoopQueue eventLoop;
   private final Clock clock;
   private final int configuredDispatchers;
   private final boolean hasMastership;
 
-  // The fields from here on belong to the event loop.
-  private FleetSnapshot applied = FleetSnapshot.NONE;
+  // The event loop alone accesses the fields below.
+  private FleetSnapshot appliedSnapshot = FleetSnapshot.NONE;
   private long reapplyAtUs = Long.MAX_VALUE;
-  private double sharedOver;
-  private Deployment active;
-  private final Map<EngineId, LoadReport> reports = new HashMap<>();
+  private double sharingDispatchers;
+  private Deployment activeSettings;
+  private final Map<EngineId, LoadReport> reportsByEngine = new HashMap<>();
   private boolean hasNewReports;
-  private long nextReportsUs;
+  private long nextReportsAtUs;
 
   /**
-   * @param hasMastership whether mastership, and not the fleet, says over how many dispatchers
-   *     engines are shared
+   * @param hasMastership whether mastership, and not the fleet, determines the number of
+   *     dispatchers that share the engines
    */
   FleetBridge(
       RequestTable requests,
-      EventLoopQueue inbox,
+      EventLoopQueue eventLoop,
       Clock clock,
       Deployment configured,
       boolean hasMastership) {
     this.requests = requests;
-    this.inbox = inbox;
+    this.eventLoop = eventLoop;
     this.clock = clock;
     configuredDispatchers = configured.dispatcherCount();
     this.hasMastership = hasMastership;
-    sharedOver = configuredDispatchers;
+    sharingDispatchers = configuredDispatchers;
   }
 
-  /** Has the load reports of engines collected; to be called before the first request. */
+  /** Enables the collection of load reports; to be called before the first request. */
   void collectReports() {
     requests.setLoadReports(this);
   }
 
-  /** Has retries limited over the fleet; to be called before the first request. */
+  /** Enables the fleet-wide limit of retries; to be called before the first request. */
   void limitRetries() {
     requests.setRetryLimit(this);
   }
 
   // ---- called by the fleet's thread
 
-  /** The retries that are left, for the retry budget. */
+  /** Access to the number of retries that are left, for the retry budget. */
   RetryBudget.RemainingRetries retries() {
     return new RetryBudget.RemainingRetries() {
       @Override
@@ -119,7 +123,7 @@
     };
   }
 
-  /** How many attempts this dispatcher made so far. */
+  /** The number of attempts that this dispatcher has made since the start. */
   FleetCoordinator.AttemptCounts attemptCounts() {
     return new FleetCoordinator.AttemptCounts() {
       @Override
@@ -137,12 +141,12 @@
   /** Publishes a snapshot and wakes the event loop to read it. */
   void publish(FleetSnapshot latest) {
     snapshot.setRelease(latest);
-    inbox.post(null, () -> {});
+    eventLoop.post(null, () -> {});
   }
 
-  /** The demand so far, in microseconds of one thread. */
+  /** The total demand since the start, in microseconds of one thread. */
   double totalDemand() {
-    return Double.longBitsToDouble(offered.getOpaque());
+    return Double.longBitsToDouble(totalDemandBits.getOpaque());
   }
 
   /** The latest load report of each engine that reported to this dispatcher. */
@@ -150,15 +154,15 @@
     return localReports.getAcquire();
   }
 
-  /** Hands over load reports from other dispatchers, behind those that still wait. */
+  /** Appends load reports from other dispatchers to those that the event loop has not read yet. */
   void addRemoteReports(List<LoadReport> received) {
-    List<LoadReport> waiting = remoteReports.getAndSet(null);
+    List<LoadReport> pending = remoteReports.getAndSet(null);
     List<LoadReport> all =
         new ArrayList<>(
-            waiting == null
+            pending == null
                 ? List.of()
-                : waiting.subList(
-                    Math.max(0, waiting.size() - MAX_PENDING_REPORTS), waiting.size()));
+                : pending.subList(
+                    Math.max(0, pending.size() - MAX_PENDING_REPORTS), pending.size()));
     all.addAll(received);
     remoteReports.set(all);
   }
@@ -172,17 +176,17 @@
 
   /** Exchanges values with the fleet's thread and applies what has changed since the last call. */
   void exchange() {
-    offered.setOpaque(Double.doubleToRawLongBits(requests.offeredLoad()));
+    totalDemandBits.setOpaque(Double.doubleToRawLongBits(requests.offeredLoad()));
     applyRemoteReports();
     publishLocalReports();
     FleetSnapshot latest = snapshot.getAcquire();
-    if (latest != applied || clock.us() >= reapplyAtUs) {
+    if (latest != appliedSnapshot || clock.us() >= reapplyAtUs) {
       apply(latest, clock.us());
     }
   }
 
   private void applyRemoteReports() {
-    // Read first: most times there are none, and a read is cheaper than an exchange.
+    // Usually there are none, and a read costs less than an atomic exchange.
     List<LoadReport> received =
         remoteReports.getAcquire() == null ? null : remoteReports.getAndSet(null);
     if (received != null) {
@@ -193,14 +197,14 @@
   }
 
   private void publishLocalReports() {
-    if (hasNewReports && clock.us() >= nextReportsUs) {
+    if (hasNewReports && clock.us() >= nextReportsAtUs) {
       hasNewReports = false;
-      nextReportsUs = clock.us() + REPORTS_INTERVAL_US;
-      localReports.setRelease(List.copyOf(reports.values()));
+      nextReportsAtUs = clock.us() + REPORTS_INTERVAL_US;
+      localReports.setRelease(List.copyOf(reportsByEngine.values()));
     }
   }
 
-  /** The number of retries that are left. */
+  /** The number of whole retries that are left in the retry budget. */
   long remainingRetries() {
     return remainingRetries.get() / RetryBudget.UNITS_PER_RETRY;
   }
@@ -210,12 +214,16 @@
     firstAttempts.setOpaque(firstAttempts.getPlain() + 1);
   }
 
-  /** Counts a retry that was not made because none is left. */
+  /** Counts a retry that was denied because none is left. */
   void countDeniedRetry() {
     wantedRetries.setOpaque(wantedRetries.getPlain() + 1);
   }
 
-  /** Counts a retry and takes it from those that are left; false if none is left by now. */
+  /**
+   * Counts a retry and takes it from those that are left.
+   *
+   * @return whether the retry may be made; false if none is left any more
+   */
   boolean takeRetry() {
     wantedRetries.setOpaque(wantedRetries.getPlain() + 1);
     for (long left = remainingRetries.get();
@@ -228,50 +236,58 @@
     return false;
   }
 
-  /** An engine reported how many requests it has in flight that do not wait for memory. */
+  /**
+   * Records a load report of an engine. Engines beyond {@link LoadReports#MAX_ENGINES} are ignored.
+   *
+   * @param inFlight the number of requests in flight that do not wait for memory
+   */
   void recordReport(EngineId engine, double inFlight, Timestamp now) {
-    if (reports.size() < LoadReports.MAX_ENGINES || reports.containsKey(engine)) {
-      reports.put(engine, new LoadReport(engine, inFlight, now));
+    if (reportsByEngine.size() < LoadReports.MAX_ENGINES || reportsByEngine.containsKey(engine)) {
+      reportsByEngine.put(engine, new LoadReport(engine, inFlight, now));
       hasNewReports = true;
     }
   }
 
   private void apply(FleetSnapshot latest, long nowUs) {
-    applied = latest;
+    appliedSnapshot = latest;
     reapplyAtUs = latest.nextChangeUs(nowUs);
     activate(nowUs < latest.activeUntilUs() ? latest.active() : latest.fallback());
-    double shared = sharedOver(latest, nowUs);
-    // A part that shrinks is applied at once, however little.
-    boolean isNotable = shared > sharedOver || shared < sharedOver * (1 - MIN_GROWTH_RATIO);
-    if (isNotable && !hasMastership) {
-      sharedOver = shared;
-      requests.setSharingDispatchers(sharedOver);
+    double current = sharingDispatchers(latest, nowUs);
+    // A smaller capacity share is applied at once, however small the difference is.
+    boolean isSignificant =
+        current > sharingDispatchers || current < sharingDispatchers * (1 - MIN_GROWTH_RATIO);
+    if (isSignificant && !hasMastership) {
+      sharingDispatchers = current;
+      requests.setSharingDispatchers(sharingDispatchers);
     }
   }
 
   private void activate(Deployment deployment) {
-    if (deployment == null || deployment.equals(active)) {
+    if (deployment == null || deployment.equals(activeSettings)) {
       return;
     }
-    active = deployment;
+    activeSettings = deployment;
     requests.applySettings(deployment);
     LOG.log(
         Level.INFO,
-        "other settings of decisions act from now on, with {0} requests in flight",
+        "agreed dispatch settings took effect while {0} requests were open",
         Field.of("inHand", requests.openRequests()),
         Field.event("configuration.moved"));
   }
 
-  /** Over how many dispatchers engines are shared; a fraction where parts are not even. */
-  private double sharedOver(FleetSnapshot latest, long nowUs) {
-    if (latest.parts() != null) {
-      return 1 / Math.max(MIN_PART, latest.usablePart(nowUs));
+  /**
+   * The number of dispatchers that share the engines: the inverse of this dispatcher's capacity
+   * share, and thus a fraction if the shares are not equal.
+   */
+  private double sharingDispatchers(FleetSnapshot latest, long nowUs) {
+    if (latest.capacityShares() != null) {
+      return 1 / Math.max(MIN_CAPACITY_SHARE, latest.usableShare(nowUs));
     }
-    return latest.carriers() > 0 ? latest.carriers() : configuredDispatchers;
+    return latest.engineSharers() > 0 ? latest.engineSharers() : configuredDispatchers;
   }
 
-  /** The agreed settings that are active; null where the fleet agrees on none. */
+  /** The active agreed settings; null if the fleet does not agree on settings. */
   Deployment activeSettings() {
-    return active;
+    return activeSettings;
   }
 }
--- a/src/main/java/cobaltseam/service/FleetEffects.java
+++ b/src/main/java/cobaltseam/service/FleetEffects.java
@@ -13,8 +13,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Carries out what the decision modules of the fleet ask for: queues messages, persists state,
- * activates agreed settings, and counts and logs events. Called on the fleet's thread alone.
+ * Executes the effects that the decision modules of the fleet request: queues messages, persists
+ * state, activates agreed settings, and counts and logs events. Called on the fleet's thread alone.
  */
 final class FleetEffects implements FleetCoordinator.EffectSink {
   private static final System.Logger LOG = System.getLogger(FleetEffects.class.getName());
@@ -65,7 +65,7 @@
   private void logView(View view) {
     LOG.log(
         Level.INFO,
-        "view {0} with {1} members: {2}",
+        "the installed view is now {0} with {1} members: {2}",
         Field.of("view", view == null ? "none" : view.id()),
         Field.of("count", view == null ? 0 : view.members().size()),
         Field.of(
@@ -87,7 +87,7 @@
           default -> Count.MEMBERSHIP_NOTED;
         });
     log.warn(
-        "{0}: {1}, {2}",
+        "membership event for member {0}: {1}, {2}",
         Field.of("member", recorded.member()),
         Field.of("what", recorded.event().label()),
         Field.of("detail", recorded.detail()),
--- a/src/main/java/cobaltseam/service/FleetMessaging.java
+++ b/src/main/java/cobaltseam/service/FleetMessaging.java
@@ -17,11 +17,12 @@
 import java.util.function.Consumer;
 
 /**
- * The messages of the members of the fleet: decodes received datagrams, queues messages to send and
- * sends them, and counts both. All methods belong to the fleet's thread; only the receiver of
- * datagrams is called on the socket's reading thread.
+ * Exchanges messages with the other members of the fleet: decodes received datagrams, queues and
+ * sends outgoing messages, and counts both. All methods are called on the fleet's thread; the
+ * receiver of datagrams is called on the socket's reading thread.
  */
 final class FleetMessaging {
+  /** A message that waits to be sent. */
   private record OutgoingMessage(InetSocketAddress to, PeerMessage message) {}
 
   private final Settings.MembershipSettings settings;
@@ -29,13 +30,13 @@
   private final RateLimitedLog log;
   private final MessageCodec codec;
   private final PeerDatagramSocket socket;
-  private final List<OutgoingMessage> queued = new ArrayList<>();
-  private final Map<RejectionReason, Long> rejections = new EnumMap<>(RejectionReason.class);
+  private final List<OutgoingMessage> outgoingMessages = new ArrayList<>();
+  private final Map<RejectionReason, Long> rejectionCounts = new EnumMap<>(RejectionReason.class);
   private boolean isOpen;
 
   /**
-   * @param receiver gets each received datagram on the socket's reading thread; the fleet's thread
-   *     then calls {@link #release} with it
+   * @param receiver called with each received datagram on the socket's reading thread; the fleet's
+   *     thread must then call {@link #release} with it
    */
   FleetMessaging(
       Settings.MembershipSettings settings,
@@ -71,12 +72,12 @@
     }
   }
 
-  /** Frees the space that a received datagram takes in the bounded buffer of unread ones. */
+  /** Frees the space of a received datagram in the bounded buffer of unread datagrams. */
   void release(byte[] datagram) {
     socket.release(datagram);
   }
 
-  /** Decodes a datagram; empty, counted and logged if it is rejected. */
+  /** Decodes a datagram; returns empty if it is rejected, which is counted and logged. */
   Optional<PeerMessage> decode(byte[] datagram) {
     MessageCodec.DecodedMessage decoded = codec.read(datagram);
     if (decoded.rejection() == null) {
@@ -84,9 +85,9 @@
       return Optional.of(decoded.message());
     }
     counters.add(Count.MEMBERSHIP_DATAGRAMS_REFUSED);
-    rejections.merge(decoded.rejection(), 1L, Long::sum);
+    rejectionCounts.merge(decoded.rejection(), 1L, Long::sum);
     log.warn(
-        "a datagram to {0} is rejected: {1}",
+        "rejected a datagram received on {0}: {1}",
         Field.of("address", settings.listen()),
         Field.of("reason", decoded.rejection().label()),
         Field.event("membership.refused"));
@@ -100,20 +101,21 @@
 
   /** Queues a message until {@link #sendQueued}. */
   void enqueue(InetSocketAddress to, PeerMessage message) {
-    queued.add(new OutgoingMessage(to, message));
+    outgoingMessages.add(new OutgoingMessage(to, message));
   }
 
   /** Sends all queued messages in order; a failure to send one is counted and logged. */
   void sendQueued() {
-    queued.forEach(this::send);
-    queued.clear();
+    outgoingMessages.forEach(this::send);
+    outgoingMessages.clear();
   }
 
   private void send(OutgoingMessage outgoing) {
     byte[] bytes = codec.write(outgoing.message);
     try {
       if (bytes == null) {
-        throw new IOException("longer than " + MessageCodec.MAX_MESSAGE_BYTES + " bytes");
+        throw new IOException(
+            "the encoded message exceeds " + MessageCodec.MAX_MESSAGE_BYTES + " bytes");
       }
       socket.send(bytes, outgoing.to);
       counters.add(Count.MEMBERSHIP_DATAGRAMS_SENT);
@@ -121,15 +123,15 @@
     } catch (IOException | RuntimeException e) {
       counters.add(Count.MEMBERSHIP_DATAGRAMS_UNSENT);
       log.warn(
-          "a datagram to {0} was not sent: {1}",
+          "could not send a datagram to member address {0}: {1}",
           Field.of("peer", outgoing.to),
           Field.of("reason", e.getMessage()),
           Field.event("membership.unsent"));
     }
   }
 
-  /** How many datagrams were rejected, by reason, in the order of the reasons. */
-  Map<RejectionReason, Long> rejections() {
-    return rejections;
+  /** The number of rejected datagrams by reason, in the order of the reasons. */
+  Map<RejectionReason, Long> rejectionCounts() {
+    return rejectionCounts;
   }
 }
--- a/src/main/java/cobaltseam/service/FleetModules.java
+++ b/src/main/java/cobaltseam/service/FleetModules.java
@@ -20,8 +20,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The decision modules of the fleet's thread, built from the settings and joined by a {@link
- * FleetCoordinator}. Modules that the settings do not ask for are null.
+ * The decision modules that run on the fleet's thread, created from the settings and connected by a
+ * {@link FleetCoordinator}. Modules that the settings do not enable are null.
  */
 final class FleetModules {
   /** The largest difference between the rates of two clocks, as a ratio. */
@@ -31,34 +31,36 @@
 
   final Membership membership;
 
-  /** Null if neither agreement nor capacity leases need one. */
+  /** The lease on the view; null if neither agreement nor capacity leases need it. */
   final Lease lease;
 
   /** Null if the fleet does not agree on settings. */
   final AgreedConfiguration agreed;
 
-  /** Null if members share no figures. */
+  /** The exchange of figures between members; null if members share no figures. */
   final StateGossip gossip;
 
-  /** Null if engines are not divided by demand. */
+  /** Null if the engines are not divided by demand. */
   final CapacityLeases capacityLeases;
 
-  /** Null if engines are not divided by demand. */
+  /** Null if the engines are not divided by demand. */
   final DemandEstimate demand;
 
   /** Null if members do not exchange the load reports of engines. */
   final LoadReports loadReports;
 
-  /** Null if retries are not limited over the fleet. */
+  /** Null if retries are not limited fleet-wide. */
   final RetryBudget retryBudget;
 
   final FleetCoordinator coordinator;
 
   /**
-   * Builds the modules and has the bridge collect what they need from the event loop.
+   * Creates the modules and enables the bridge to collect the values that they need from the event
+   * loop.
    *
-   * @param settings with membership on
-   * @param document this dispatcher's own settings; used if the fleet agrees on settings
+   * @param settings settings that enable membership
+   * @param document the dispatch settings of this dispatcher; used only if the fleet agrees on
+   *     settings
    */
   FleetModules(
       Settings settings,
@@ -128,8 +130,8 @@
             settings.bootstrapMembers().stream().map(MemberName::new).toList(),
             settings.seeds(),
             longestDeadline);
-    // Later than that of any earlier process here if clocks are right; if they are not, peers say
-    // so and membership raises it.
+    // The clock makes it higher than that of any earlier process of this member. If the clock is
+    // wrong, peers report the higher incarnation and membership raises this one.
     Incarnation incarnation = new Incarnation(Math.max(1, System.currentTimeMillis()));
     Member self =
         new Member(new MemberName(configuration.name()), incarnation, settings.advertise());
@@ -138,6 +140,10 @@
         : new Membership(options, self, random);
   }
 
+  /**
+   * Creates the lease on the view. Its duration is taken from the agreement if that is on, else
+   * from the capacity leases; null if both are off.
+   */
   private Lease createLease(Settings settings, SplittableRandom random) {
     TimeSpan duration = null;
     if (settings.agreement() != null) {
@@ -179,6 +185,7 @@
         now);
   }
 
+  /** Passes the optional modules to the coordinator and enables what they need at the bridge. */
   private void connect(FleetBridge bridge) {
     if (loadReports != null) {
       coordinator.setLoadReports(loadReports);
@@ -193,7 +200,7 @@
     }
   }
 
-  /** Whether each member's part of the engines follows its demand. */
+  /** Whether the capacity share of each member follows its demand. */
   boolean isDividedByDemand() {
     return capacitySettings != null && capacitySettings.followsDemand();
   }
--- a/src/main/java/cobaltseam/service/FleetRetryLimit.java
+++ b/src/main/java/cobaltseam/service/FleetRetryLimit.java
@@ -4,14 +4,14 @@
 import cobaltseam.service.Counters.Count;
 
 /**
- * The limit that the fleet sets on retries, on the event-loop thread. Without a fleet it allows
+ * The fleet-wide limit on retries. Called on the event-loop thread alone. Without a fleet it admits
  * every attempt.
  */
 final class FleetRetryLimit {
   private final Dispatcher dispatcher;
   private final Counters counters;
 
-  /** Null where no fleet limits retries. */
+  /** Null if no fleet limits retries. */
   private FleetBridge fleet;
 
   FleetRetryLimit(Dispatcher dispatcher, Counters counters) {
@@ -19,12 +19,14 @@
     this.counters = counters;
   }
 
-  /** From now on this fleet limits retries. */
+  /** Has retries limited by this fleet. */
   void setFleet(FleetBridge bridge) {
     fleet = bridge;
   }
 
-  /** Passes the number of retries that are left to the decision module, before it decides. */
+  /**
+   * Passes the number of retries that are left to the dispatcher; to be called before it decides.
+   */
   void updateDispatcher() {
     if (fleet != null) {
       dispatcher.setRemainingRetries(fleet.remainingRetries());
@@ -32,10 +34,10 @@
   }
 
   /**
-   * Counts an attempt that is about to start.
+   * Counts an attempt that is about to start and, if it is a retry, takes it from the retry budget.
    *
-   * @param earlierAttempts how many attempts of its request there were before
-   * @return whether it is allowed; a first attempt always is
+   * @param earlierAttempts the number of earlier attempts of the same request
+   * @return whether the attempt may be made; always true for a first attempt
    */
   boolean admitAttempt(int earlierAttempts) {
     if (fleet == null) {
@@ -49,10 +51,10 @@
   }
 
   /**
-   * Counts a request that ends without a result, after an attempt, while no retry is left: it may
-   * have ended because of that.
+   * Counts a denied retry if a request ends without a result after at least one attempt while no
+   * retry is left, since the request may have ended for that reason.
    *
-   * @param attempts how many attempts of the request there were
+   * @param attempts the number of attempts of the request
    */
   void recordIfRetryDenied(int attempts) {
     if (fleet != null && attempts > 0 && fleet.remainingRetries() < 1) {
--- a/src/main/java/cobaltseam/service/FleetService.java
+++ b/src/main/java/cobaltseam/service/FleetService.java
@@ -20,32 +20,36 @@
 import java.util.Map;
 
 /**
- * This dispatcher's part in its fleet, on a thread of its own. It passes messages and time to the
- * {@link FleetCoordinator} and publishes the results for the event loop through the {@link
- * FleetBridge}. A fault here ends fleet membership until the next start and nothing else: the
- * service goes on as one without it.
+ * Runs the fleet membership of this dispatcher on a thread of its own. It passes messages and time
+ * to the {@link FleetCoordinator} and publishes the results for the event loop through the {@link
+ * FleetBridge}. An unexpected exception here ends fleet membership until the next start and nothing
+ * else: the service continues as it would without a fleet.
  */
 final class FleetService {
   private static final System.Logger LOG = System.getLogger(FleetService.class.getName());
-  private static final TimeSpan MAX_WAIT = new TimeSpan(1_000_000);
+  private static final TimeSpan MAX_TASK_WAIT = new TimeSpan(1_000_000);
 
-  /** Tasks run in one turn before due timers are looked at. */
-  private static final int MAX_TASKS_PER_TURN = 1024;
+  /** The number of tasks after which due timers run, however many tasks still wait. */
+  private static final int MAX_TASKS_PER_ITERATION = 1024;
 
-  /** The rows of SHOW are no older than this. */
+  /** The longest delay after which a change is visible in the rows of SHOW. */
   private static final TimeSpan STATUS_REFRESH_INTERVAL = new TimeSpan(100_000);
 
+  /** The interval in which this dispatcher updates the figures that it shares. */
   private static final TimeSpan FIGURES_INTERVAL = new TimeSpan(250_000);
 
-  /** A timer that is late by more than this part of a period means that the process stood still. */
-  private static final double MAX_LATE_PERIODS = 0.5;
+  /**
+   * The delay of a timer, in periods of the failure detector, above which this process counts as
+   * suspended.
+   */
+  private static final double MAX_TIMER_DELAY_PERIODS = 0.5;
 
   private final Settings.MembershipSettings settings;
   private final Settings.CapacitySettings capacitySettings;
   private final FleetBridge bridge;
   private final Clock clock;
   private final Counters counters;
-  private final EventLoopQueue inbox;
+  private final EventLoopQueue taskQueue;
   private final Timers timers = new Timers();
   private final FleetMessaging messaging;
   private final FleetStateFolder folder;
@@ -55,27 +59,28 @@
   private final FleetCoordinator coordinator;
   private final FleetStatusRows status;
 
-  /** The view that an operator's re-bootstrap replaced, or null. */
+  /** The view that an operator's re-bootstrap has replaced, or null. */
   private String rebootstrappedView;
 
-  private Timers.Timer wakeTimer;
-  private Timers.Timer carriersTimer;
+  private Timers.Timer advanceTimer;
+  private Timers.Timer sharerExpiryTimer;
   private Timers.Timer statusTimer;
-  private Timestamp dueAt;
-  private Timestamp figuresAt;
+  private Timestamp advanceDueAt;
+  private Timestamp figuresSharedAt;
   private QuorumState quorumState = QuorumState.NONE;
-  private FleetSnapshot snapshot = FleetSnapshot.NONE;
+  private FleetSnapshot publishedSnapshot = FleetSnapshot.NONE;
 
-  /** Set once, by the fleet's thread. */
+  /** Whether an unexpected exception has ended membership. Set once, by the fleet's thread. */
   private volatile boolean hasFailed;
 
   private volatile boolean isClosed;
 
   /**
-   * @param settings with membership on
-   * @param document this dispatcher's own settings; used if the fleet agrees on settings
-   * @param hasMastership whether mastership, and not the fleet, says over how many dispatchers
-   *     engines are shared
+   * @param settings settings that enable membership
+   * @param document the dispatch settings of this dispatcher; used only if the fleet agrees on
+   *     settings
+   * @param hasMastership whether mastership, and not the fleet, determines the number of
+   *     dispatchers that share the engines
    */
   FleetService(
       Settings settings,
@@ -91,10 +96,12 @@
     this.bridge = bridge;
     this.clock = clock;
     this.counters = counters;
-    inbox = new EventLoopQueue(counters);
+    taskQueue = new EventLoopQueue(counters);
     RateLimitedLog log = new RateLimitedLog(LOG, clock);
     messaging = new FleetMessaging(this.settings, counters, log, this::receive);
-    folder = new FleetStateFolder(this.settings.stateFolder(), this::stored, this::notStored);
+    folder =
+        new FleetStateFolder(
+            this.settings.stateFolder(), this::onStateWritten, this::onStateWriteFailed);
     modules =
         new FleetModules(
             settings,
@@ -113,19 +120,19 @@
         new FleetStatusRows(
             settings, modules, folder, messaging, bridge, hasMastership, counters, clock);
     status.register(clients);
-    // First in the queue: neither a message from the socket nor a hang-up may run before the start.
-    inbox.post(null, () -> act(() -> coordinator.start(clock.now())));
+    // Posted first, so that neither a received message nor a reload runs before the start.
+    taskQueue.post(null, () -> runStep(() -> coordinator.start(clock.now())));
   }
 
-  private void stored(long number) {
-    inbox.post(null, () -> act(() -> coordinator.persisted(number, clock.now())));
+  private void onStateWritten(long number) {
+    taskQueue.post(null, () -> runStep(() -> coordinator.persisted(number, clock.now())));
   }
 
-  private void notStored(String reason) {
-    inbox.post(null, () -> act(() -> coordinator.persistFailed(reason, clock.now())));
+  private void onStateWriteFailed(String reason) {
+    taskQueue.post(null, () -> runStep(() -> coordinator.persistFailed(reason, clock.now())));
   }
 
-  // ---- start and end
+  // ---- life cycle
 
   /**
    * Opens the socket, publishes the first snapshot and the first rows of SHOW, and starts the
@@ -137,7 +144,7 @@
     messaging.open();
     LOG.log(
         Level.INFO,
-        "member {0}, incarnation {1}, of fleet {2} on {3}",
+        "member {0}, incarnation {1}, joins fleet {2} and is reachable at {3}",
         Field.of("member", membership.self().name()),
         Field.of("birth", membership.self().incarnation()),
         Field.of("fleet", settings.fleet()),
@@ -146,11 +153,12 @@
     if (agreed != null) {
       LOG.log(
           Level.INFO,
-          "no settings are agreed yet: a conservative reading of the own settings is active",
+          "the fleet has not agreed on dispatch settings yet: a conservative variant of those in the"
+              + " configuration file is active",
           Field.event("agreement.starts_back"));
     }
     publish();
-    // Clients may ask before the thread has built rows for the first time.
+    // A client may send SHOW before the thread builds the rows for the first time.
     status.refresh();
     Thread thread = new Thread(this::run, "fleet");
     thread.setDaemon(true);
@@ -161,7 +169,7 @@
     try {
       while (!isClosed) {
         runTasks();
-        detectPause();
+        detectSuspension();
         runDueTimers();
       }
     } catch (InterruptedException e) {
@@ -170,12 +178,12 @@
   }
 
   private void runTasks() throws InterruptedException {
-    Runnable task = inbox.poll(timers.untilNext(clock.now(), MAX_WAIT));
+    Runnable task = taskQueue.poll(timers.untilNext(clock.now(), MAX_TASK_WAIT));
     int taskCount = 1;
     while (task != null) {
-      detectPause();
+      detectSuspension();
       task.run();
-      task = taskCount < MAX_TASKS_PER_TURN ? inbox.poll(TimeSpan.ZERO) : null;
+      task = taskCount < MAX_TASKS_PER_ITERATION ? taskQueue.poll(TimeSpan.ZERO) : null;
       taskCount++;
     }
   }
@@ -192,29 +200,29 @@
     }
   }
 
-  /** Tells the other members that this one leaves, so that none suspects it. */
+  /** Notifies the other members that this one leaves, so that none suspects it. */
   void leave() {
-    inbox.post(null, () -> act(() -> coordinator.leave(clock.now())));
+    taskQueue.post(null, () -> runStep(() -> coordinator.leave(clock.now())));
   }
 
-  /** Ends the thread, the socket and the writer of the folder. */
+  /** Stops the thread, and closes the socket and the writer of the state folder. */
   void close() {
     isClosed = true;
     messaging.close();
     folder.close();
   }
 
-  /** Whether a fault has ended membership. */
+  /** Whether an unexpected exception has ended membership. */
   boolean isEnded() {
     return hasFailed;
   }
 
-  /** Proposes settings to the fleet. */
+  /** Proposes dispatch settings to the fleet. */
   void propose(byte[] document) {
-    inbox.post(
+    taskQueue.post(
         null,
         () ->
-            act(
+            runStep(
                 () -> {
                   agreed.propose(document, clock.now());
                   coordinator.follow(clock.now());
@@ -222,28 +230,29 @@
   }
 
   /**
-   * Applies what the own settings file says now: an operator's re-bootstrap takes effect, all else
-   * waits for the next start.
+   * Applies reloaded settings. A re-bootstrap that an operator requests takes effect; all other
+   * changes wait for the next start.
    */
-  void applyRenewedSettings(Settings.MembershipSettings renewed) {
-    inbox.post(null, () -> applyRenewed(renewed));
+  void applyReloadedSettings(Settings.MembershipSettings reloaded) {
+    taskQueue.post(null, () -> applyReloaded(reloaded));
   }
 
-  private void applyRenewed(Settings.MembershipSettings renewed) {
-    if (!renewed.withStartupSettingsOnly().equals(settings.withStartupSettingsOnly())) {
+  private void applyReloaded(Settings.MembershipSettings reloaded) {
+    if (!reloaded.withStartupSettingsOnly().equals(settings.withStartupSettingsOnly())) {
       LOG.log(
           Level.WARNING,
-          "of [membership] only found_anew is read before the next start",
+          "of the reloaded [membership] settings only found_anew was applied; restart to apply the"
+              + " others",
           Field.event("configuration.partly"));
     }
-    String view = renewed.rebootstrapView();
+    String view = reloaded.rebootstrapView();
     if (view != null && !view.equals(rebootstrappedView)) {
-      act(() -> coordinator.rebootstrap(ViewId.parse(view), clock.now()));
-      // A request that was rejected may be repeated with the same view.
-      boolean isDone =
+      runStep(() -> coordinator.rebootstrap(ViewId.parse(view), clock.now()));
+      // After a rejection the operator may request the same view again.
+      boolean isRebootstrapped =
           membership.view() != null
               && membership.view().id().lineage() == membership.self().incarnation().value();
-      rebootstrappedView = isDone ? view : null;
+      rebootstrappedView = isRebootstrapped ? view : null;
     }
   }
 
@@ -251,43 +260,47 @@
 
   /** Called on the socket's reading thread. */
   private void receive(byte[] datagram) {
-    inbox.post(
+    taskQueue.post(
         null,
         () -> {
           messaging.release(datagram);
           if (!hasFailed) {
             messaging
                 .decode(datagram)
-                .ifPresent(message -> act(() -> coordinator.receive(message, clock.now())));
+                .ifPresent(message -> runStep(() -> coordinator.receive(message, clock.now())));
           }
         });
   }
 
   /**
-   * Runs what is overdue before any other task if this process stood still, since its view may be
-   * an old one then.
+   * Runs the overdue advance before any other task if this process was suspended, since its view
+   * may be outdated.
    */
-  private void detectPause() {
+  private void detectSuspension() {
     if (!hasFailed
-        && dueAt != null
-        && clock.now().since(dueAt).compareTo(settings.period().times(MAX_LATE_PERIODS)) > 0) {
-      runDue();
+        && advanceDueAt != null
+        && clock
+                .now()
+                .since(advanceDueAt)
+                .compareTo(settings.period().times(MAX_TIMER_DELAY_PERIODS))
+            > 0) {
+      advance();
     }
   }
 
-  private void runDue() {
+  private void advance() {
     messaging.countDropped();
-    act(() -> coordinator.advance(clock.now()));
+    runStep(() -> coordinator.advance(clock.now()));
   }
 
   // ---- results
 
   /**
-   * Runs one step of the modules, publishes its results and only then sends its messages: a member
-   * that is lent capacity may use it at once, so by then this process must not. A fault ends
-   * membership and nothing else.
+   * Runs one step of the modules, publishes its results and only then sends its messages. The order
+   * matters because a member that is lent capacity may use it at once, and by then this process
+   * must have stopped using it. An unexpected exception ends membership and nothing else.
    */
-  private void act(Runnable step) {
+  private void runStep(Runnable step) {
     if (hasFailed) {
       return;
     }
@@ -304,9 +317,9 @@
         }
       }
       Timestamp now = clock.now();
-      scheduleWake(now);
+      scheduleAdvance(now);
       logQuorumState();
-      scheduleCarriersChange();
+      scheduleSharerExpiry();
       publish();
       messaging.sendQueued();
       if (statusTimer == null) {
@@ -317,31 +330,32 @@
     }
   }
 
-  private void scheduleWake(Timestamp now) {
-    timers.cancel(wakeTimer);
-    dueAt = coordinator.nextAdvanceAt(now);
-    wakeTimer = dueAt == null ? null : timers.set(dueAt, this::runDue);
+  private void scheduleAdvance(Timestamp now) {
+    timers.cancel(advanceTimer);
+    advanceDueAt = coordinator.nextAdvanceAt(now);
+    advanceTimer = advanceDueAt == null ? null : timers.set(advanceDueAt, this::advance);
   }
 
-  private void scheduleCarriersChange() {
-    timers.cancel(carriersTimer);
-    Timestamp at = membership.nextEngineSharerExpiry();
-    carriersTimer = at == null ? null : timers.set(at, () -> act(() -> {}));
+  /** Schedules the publication of the next decrease of the number of engine sharers. */
+  private void scheduleSharerExpiry() {
+    timers.cancel(sharerExpiryTimer);
+    Timestamp expiry = membership.nextEngineSharerExpiry();
+    sharerExpiryTimer = expiry == null ? null : timers.set(expiry, () -> runStep(() -> {}));
   }
 
-  /** Shares this dispatcher's demand and its spare retries with the other members. */
+  /** Updates the demand and the spare retries that this dispatcher shares with other members. */
   private void shareFigures() {
     Timestamp now = clock.now();
     if (modules.gossip == null
-        || figuresAt != null && now.since(figuresAt).compareTo(FIGURES_INTERVAL) < 0) {
+        || figuresSharedAt != null && now.since(figuresSharedAt).compareTo(FIGURES_INTERVAL) < 0) {
       return;
     }
-    figuresAt = now;
+    figuresSharedAt = now;
     Map<String, Long> figures = new HashMap<>();
     if (modules.capacityLeases != null) {
-      double rate = modules.demand.update(bridge.totalDemand(), now);
-      modules.capacityLeases.setDemand(rate);
-      figures.put(FleetCoordinator.DEMAND_FIGURE, FleetCoordinator.demandToFigure(rate));
+      double demandRate = modules.demand.update(bridge.totalDemand(), now);
+      modules.capacityLeases.setDemand(demandRate);
+      figures.put(FleetCoordinator.DEMAND_FIGURE, FleetCoordinator.demandToFigure(demandRate));
     }
     if (modules.retryBudget != null) {
       figures.put(FleetCoordinator.SPARE_RETRIES_FIGURE, modules.retryBudget.spareUnits());
@@ -355,77 +369,89 @@
       quorumState = current;
       LOG.log(
           Level.INFO,
-          "quorum state: {0}",
+          "the quorum state of this member is now {0}; while it is not majority, check that most"
+              + " members are running and reachable",
           Field.of("standing", current.label()),
           Field.event("membership.standing"));
     }
   }
 
-  /** Publishes a snapshot for the event loop if anything in it has changed. */
+  /** Publishes a snapshot for the event loop if any of its values has changed. */
   private void publish() {
     Timestamp now = clock.now();
     FleetSnapshot current = currentSnapshot(now);
-    if (current.isLike(snapshot)) {
+    if (current.isLike(publishedSnapshot)) {
       return;
     }
-    snapshot = current;
+    publishedSnapshot = current;
     bridge.publish(current);
     if (modules.isDividedByDemand() && capacitySettings.logsChanges()) {
       LOG.log(
           Level.INFO,
-          "usable parts of the engines, each with its end: {0}",
-          Field.of("steps", current.stepsText()),
+          "usable shares of the engine capacity, each with its end in microseconds: {0}",
+          Field.of("steps", current.sharesText()),
           Field.of("us", now.us()),
           Field.event("spread.parts"));
     }
   }
 
   private FleetSnapshot currentSnapshot(Timestamp now) {
-    int carriers = membership.engineSharerCount(now);
-    FleetSnapshot current = new FleetSnapshot(carriers, null, null, Long.MAX_VALUE, null, null);
+    int engineSharers = membership.engineSharerCount(now);
+    FleetSnapshot current =
+        new FleetSnapshot(engineSharers, null, null, Long.MAX_VALUE, null, null);
     if (agreed != null) {
-      Timestamp until = agreed.activeUntil(now);
-      long untilUs = until == null ? 0 : until.us();
+      Timestamp activeUntil = agreed.activeUntil(now);
+      long activeUntilUs = activeUntil == null ? 0 : activeUntil.us();
       current =
-          new FleetSnapshot(carriers, agreed.active(), agreed.conservative(), untilUs, null, null);
+          new FleetSnapshot(
+              engineSharers, agreed.active(), agreed.conservative(), activeUntilUs, null, null);
     }
     return modules.capacityLeases == null
         ? current
-        : current.withParts(modules.capacityLeases.usableSteps(now), capacitySettings.totalUnits());
+        : current.withCapacityShares(
+            modules.capacityLeases.usableSteps(now), capacitySettings.totalUnits());
   }
 
-  /** Ends membership until the next start; the service goes on as one without it. */
+  /** Ends membership until the next start; the service continues as it would without a fleet. */
   private void fail(RuntimeException cause) {
     if (hasFailed) {
       return;
     }
     counters.add(Count.FAULTS);
-    LOG.log(Level.ERROR, "a fault in membership, which ends here until the next start", cause);
+    LOG.log(
+        Level.ERROR,
+        "an unexpected exception ended fleet membership until the next start; restart this"
+            + " dispatcher to rejoin the fleet",
+        cause);
     hasFailed = true;
     status.markFailed();
-    timers.cancel(wakeTimer);
-    timers.cancel(carriersTimer);
+    timers.cancel(advanceTimer);
+    timers.cancel(sharerExpiryTimer);
     bridge.publish(failedSnapshot());
     close();
     try {
       refreshStatus();
     } catch (RuntimeException e) {
-      LOG.log(Level.ERROR, "the shown status of membership is the one before its fault", e);
+      LOG.log(
+          Level.ERROR,
+          "could not refresh the rows of SHOW, which predate the end of fleet membership",
+          e);
     }
   }
 
-  /** The snapshot after a fault: conservative settings, and the standalone part of the engines. */
+  /** The snapshot after a failure: conservative settings and the standalone capacity share. */
   private FleetSnapshot failedSnapshot() {
     Deployment conservative = agreed == null ? null : agreed.conservative();
-    FleetSnapshot last =
+    FleetSnapshot withoutShares =
         new FleetSnapshot(0, conservative, conservative, Long.MAX_VALUE, null, null);
     if (modules.capacityLeases == null) {
-      return last;
+      return withoutShares;
     }
-    long standalone =
+    long standaloneAmount =
         capacitySettings.capacityOptions(bridge.configuredDispatchers()).standaloneAmount();
-    return last.withParts(
-        List.of(new CapacityLeases.CapacityStep(null, standalone)), capacitySettings.totalUnits());
+    return withoutShares.withCapacityShares(
+        List.of(new CapacityLeases.CapacityStep(null, standaloneAmount)),
+        capacitySettings.totalUnits());
   }
 
   private void refreshStatus() {
--- a/src/main/java/cobaltseam/service/FleetSnapshot.java
+++ b/src/main/java/cobaltseam/service/FleetSnapshot.java
@@ -8,77 +8,81 @@
 import java.util.stream.IntStream;
 
 /**
- * An immutable snapshot of the fleet for the event loop. It also says what follows from it as time
- * passes, so that the event loop steps back in time even while the fleet's thread stands still.
- * Times are microseconds of the service's clock.
+ * An immutable snapshot of the fleet's state for the event loop. It includes the changes that take
+ * effect as time passes, so that the event loop changes to conservative settings and a smaller
+ * capacity share in time even if the fleet's thread does not run. Times are microseconds of the
+ * service's clock.
  *
- * @param carriers over how many dispatchers engines are shared; 0 if no view says so
- * @param active the settings to act on until {@code untilUs}, or null where the fleet agrees on
- *     none
- * @param fallback the settings to act on from then on
- * @param activeUntilUs when {@code acts} ends
- * @param stepsUs until when each of {@code parts} of the engines may be used, rising; null where
- *     parts are even
- * @param parts the usable part of the engines, from 0 to 1, in each of these steps; null where
- *     parts are even
+ * @param engineSharers the number of dispatchers that share the engines; 0 if there is no view
+ * @param active the dispatch settings to use until {@code activeUntilUs}, or null if the fleet does
+ *     not agree on settings
+ * @param fallback the dispatch settings to use from {@code activeUntilUs} on
+ * @param activeUntilUs when {@code active} ends
+ * @param shareEndsUs when each of {@code capacityShares} ends, ascending; null if all dispatchers
+ *     have equal shares
+ * @param capacityShares the usable shares of the engine capacity, from 0 to 1, one after the other;
+ *     null if all dispatchers have equal shares
  */
 record FleetSnapshot(
-    int carriers,
+    int engineSharers,
     Deployment active,
     Deployment fallback,
     long activeUntilUs,
-    long[] stepsUs,
-    double[] parts) {
-  /** Nothing is known of a fleet. */
+    long[] shareEndsUs,
+    double[] capacityShares) {
+  /** The snapshot before any other is published, or without a fleet. */
   static final FleetSnapshot NONE = new FleetSnapshot(0, null, null, Long.MAX_VALUE, null, null);
 
   /**
-   * The same with the parts of the engines that capacity leases allow.
+   * A copy with the capacity shares that capacity leases permit.
    *
-   * @param steps the usable amounts, the end of each rising; the last never ends
-   * @param whole the amount that is all of the engines
+   * @param steps the usable amounts, in ascending order of their ends; the last never ends
+   * @param total the amount that stands for the total engine capacity
    */
-  FleetSnapshot withParts(List<CapacityLeases.CapacityStep> steps, long whole) {
+  FleetSnapshot withCapacityShares(List<CapacityLeases.CapacityStep> steps, long total) {
     long[] ends =
         steps.stream()
             .mapToLong(step -> step.until() == null ? Long.MAX_VALUE : step.until().us())
             .toArray();
-    double[] amounts = steps.stream().mapToDouble(step -> (double) step.amount() / whole).toArray();
-    return new FleetSnapshot(carriers, active, fallback, activeUntilUs, ends, amounts);
+    double[] shares = steps.stream().mapToDouble(step -> (double) step.amount() / total).toArray();
+    return new FleetSnapshot(engineSharers, active, fallback, activeUntilUs, ends, shares);
   }
 
-  /** Whether it says the same as another; settings are compared by identity. */
+  /** Whether all values equal those of another snapshot; settings are compared by identity. */
   boolean isLike(FleetSnapshot other) {
-    return carriers == other.carriers
+    return engineSharers == other.engineSharers
         && active == other.active
         && fallback == other.fallback
         && activeUntilUs == other.activeUntilUs
-        && Arrays.equals(stepsUs, other.stepsUs)
-        && Arrays.equals(parts, other.parts);
+        && Arrays.equals(shareEndsUs, other.shareEndsUs)
+        && Arrays.equals(capacityShares, other.capacityShares);
   }
 
-  /** Each part and until when it may be used, for audits. */
-  String stepsText() {
-    return IntStream.range(0, parts.length)
-        .mapToObj(i -> parts[i] + "@" + stepsUs[i])
+  /** Each capacity share with its end in microseconds, for the audit log. */
+  String sharesText() {
+    return IntStream.range(0, capacityShares.length)
+        .mapToObj(i -> capacityShares[i] + "@" + shareEndsUs[i])
         .collect(Collectors.joining(" "));
   }
 
-  /** The part of the engines that may be used at this time; only where parts are not even. */
-  double usablePart(long nowUs) {
+  /** The capacity share that may be used at this time; to be called only if shares are set. */
+  double usableShare(long nowUs) {
     int step = 0;
-    while (step < stepsUs.length - 1 && nowUs >= stepsUs[step]) {
+    while (step < shareEndsUs.length - 1 && nowUs >= shareEndsUs[step]) {
       step++;
     }
-    return parts[step];
+    return capacityShares[step];
   }
 
-  /** When what follows from this snapshot next changes by itself; the largest long for never. */
+  /**
+   * When the settings or the capacity share of this snapshot next change as time passes, or {@link
+   * Long#MAX_VALUE} if they never do.
+   */
   long nextChangeUs(long nowUs) {
     long settingsChangeUs = nowUs < activeUntilUs ? activeUntilUs : Long.MAX_VALUE;
-    for (int i = 0; stepsUs != null && i < stepsUs.length; i++) {
-      if (stepsUs[i] > nowUs) {
-        return Math.min(settingsChangeUs, stepsUs[i]);
+    for (int i = 0; shareEndsUs != null && i < shareEndsUs.length; i++) {
+      if (shareEndsUs[i] > nowUs) {
+        return Math.min(settingsChangeUs, shareEndsUs[i]);
       }
     }
     return settingsChangeUs;
--- a/src/main/java/cobaltseam/service/FleetStateFolder.java
+++ b/src/main/java/cobaltseam/service/FleetStateFolder.java
@@ -11,9 +11,9 @@
 import java.util.function.LongConsumer;
 
 /**
- * The folder in which a member persists its state. Without one, or with one that can't be used,
- * membership runs without persistence, and {@link #unusableReason} says why. The fleet's thread
- * uses it; a background thread writes the file.
+ * The folder in which a member persists its state. Without a folder, or with an unusable one,
+ * membership runs without persistence, and {@link #unusableReason} gives the reason. Called on the
+ * fleet's thread; a background thread writes the file.
  */
 final class FleetStateFolder {
   private static final System.Logger LOG = System.getLogger(FleetStateFolder.class.getName());
@@ -26,15 +26,20 @@
   /**
    * Opens the folder and reads the state in it.
    *
-   * @param path null for none
-   * @param written called on the writer's thread with the number of a state that is on disk
-   * @param failed called on the writer's thread with the reason why a state could not be written
+   * @param path the folder, or null for none
+   * @param writtenListener called on the writer's thread with the number of a state that is on disk
+   * @param failureListener called on the writer's thread with the reason why a state could not be
+   *     written
    */
-  FleetStateFolder(Path path, LongConsumer written, BackgroundWriter.FailureListener failed) {
+  FleetStateFolder(
+      Path path, LongConsumer writtenListener, BackgroundWriter.FailureListener failureListener) {
     this.path = path;
     AtomicFile file = openFile();
     loadedState = file == null ? null : load(file);
-    writer = unusableReason.isEmpty() ? new BackgroundWriter(file, written, failed) : null;
+    writer =
+        unusableReason.isEmpty()
+            ? new BackgroundWriter(file, writtenListener, failureListener)
+            : null;
   }
 
   private AtomicFile openFile() {
@@ -45,38 +50,41 @@
     try {
       return AtomicFile.open(path, PersistentStateCodec.FILE_NAME, PersistentStateCodec.FORMAT);
     } catch (IOException e) {
-      continueWithout(String.valueOf(e.getMessage()));
+      disable(String.valueOf(e.getMessage()));
       return null;
     }
   }
 
+  /** Reads the state; null if there is none or it cannot be used. */
   private PersistentState load(AtomicFile file) {
     try {
-      AtomicFile.ReadResult reading = file.read();
+      AtomicFile.ReadResult result = file.read();
       PersistentState state =
-          reading.value() == null ? null : PersistentStateCodec.read(reading.value()).orElse(null);
-      boolean isUndecodable = reading.value() != null && state == null;
-      if (reading.status() == AtomicFile.ReadStatus.NEWER_FORMAT) {
-        continueWithout("written by a later program; it is left as it is");
-      } else if (reading.status() == AtomicFile.ReadStatus.CORRUPT || isUndecodable) {
+          result.value() == null ? null : PersistentStateCodec.read(result.value()).orElse(null);
+      boolean isUndecodable = result.value() != null && state == null;
+      if (result.status() == AtomicFile.ReadStatus.NEWER_FORMAT) {
+        disable("written by a later program; it is left as it is");
+      } else if (result.status() == AtomicFile.ReadStatus.CORRUPT || isUndecodable) {
         LOG.log(
             Level.WARNING,
-            "the state in folder {0} is corrupt: this process joins as a new member",
+            "the persisted state in folder {0} is corrupt and is not used: this process joins the"
+                + " fleet as a new member",
             Field.of("folder", path),
             Field.event("membership.folder_broken"));
       }
       return state;
     } catch (IOException e) {
-      continueWithout(String.valueOf(e.getMessage()));
+      disable(String.valueOf(e.getMessage()));
       return null;
     }
   }
 
-  private void continueWithout(String reason) {
+  private void disable(String reason) {
     unusableReason = reason;
     LOG.log(
         Level.WARNING,
-        "membership runs without the folder {0}: {1}",
+        "membership runs without its state folder {0}: {1}; correct this and restart to persist"
+            + " state",
         Field.of("folder", path),
         Field.of("reason", reason),
         Field.event("membership.folder_refused"));
@@ -92,17 +100,19 @@
     return unusableReason;
   }
 
-  /** The folder of the settings, or null. */
+  /** The folder that the settings name, or null. */
   Path path() {
     return path;
   }
 
-  /** The state that was read at the start, or null. */
+  /** The state that was read at the start, or null if there was none. */
   PersistentState loadedState() {
     return loadedState;
   }
 
-  /** Writes a state in the background, in place of any that still waits to be written. */
+  /**
+   * Writes a state in the background. It replaces an earlier state that has not been written yet.
+   */
   void write(long number, PersistentState state) {
     writer.submit(number, () -> PersistentStateCodec.write(state));
   }
--- a/src/main/java/cobaltseam/service/FleetStatusRows.java
+++ b/src/main/java/cobaltseam/service/FleetStatusRows.java
@@ -17,8 +17,9 @@
 import java.util.function.Supplier;
 
 /**
- * The rows that SHOW answers about the fleet. The fleet's thread builds them in {@link #refresh};
- * client sessions read the last complete set without a wait.
+ * The rows that SHOW returns about the fleet; operators' scripts read their names. The fleet's
+ * thread builds them in {@link #refresh}; client sessions read the last complete set without
+ * waiting.
  */
 final class FleetStatusRows {
   private static final int US_PER_MS = 1000;
@@ -33,14 +34,14 @@
   private final boolean hasMastership;
   private final Counters counters;
   private final Clock clock;
-  private final Map<String, Supplier<List<String[]>>> suppliers = new HashMap<>();
-  private final AtomicReference<Map<String, List<String[]>>> published =
+  private final Map<String, Supplier<List<String[]>>> rowSuppliers = new HashMap<>();
+  private final AtomicReference<Map<String, List<String[]>>> publishedRows =
       new AtomicReference<>(Map.of());
   private boolean hasFailed;
 
   /**
-   * @param hasMastership whether mastership, and not the fleet, says over how many dispatchers
-   *     engines are shared
+   * @param hasMastership whether mastership, and not the fleet, determines the number of
+   *     dispatchers that share the engines
    */
   FleetStatusRows(
       Settings settings,
@@ -62,7 +63,7 @@
     this.clock = clock;
   }
 
-  /** Has the sessions answer SHOW for each module that runs. */
+  /** Registers a SHOW table for each module that runs. */
   void register(ClientSessions sessions) {
     if (modules.agreed != null) {
       register(sessions, "agreement", () -> modules.agreed.rows(clock.now()));
@@ -77,18 +78,18 @@
   }
 
   private void register(ClientSessions sessions, String name, Supplier<List<String[]>> rows) {
-    suppliers.put(name, rows);
-    sessions.registerShow(name, () -> published.getAcquire().getOrDefault(name, List.of()));
+    rowSuppliers.put(name, rows);
+    sessions.registerShow(name, () -> publishedRows.getAcquire().getOrDefault(name, List.of()));
   }
 
-  /** Builds all rows anew and publishes them. */
+  /** Rebuilds all rows and publishes them. */
   void refresh() {
     Map<String, List<String[]>> all = new HashMap<>();
-    suppliers.forEach((name, rows) -> all.put(name, rows.get()));
-    published.setRelease(Map.copyOf(all));
+    rowSuppliers.forEach((name, rows) -> all.put(name, rows.get()));
+    publishedRows.setRelease(Map.copyOf(all));
   }
 
-  /** From now on rows say that a fault ended membership. */
+  /** Marks membership as ended by a fault in later rows. */
   void markFailed() {
     hasFailed = true;
   }
@@ -110,15 +111,15 @@
                   : Integer.toString(modules.loadReports.reportCount())));
       return rows;
     }
-    long standalone =
+    long standaloneAmount =
         capacitySettings.capacityOptions(bridge.configuredDispatchers()).standaloneAmount();
-    rows.add(row("usable", part(modules.capacityLeases.usableAmount(now))));
-    rows.add(row("alone", part(standalone)));
-    rows.add(row("even", part(modules.capacityLeases.equalShare(now))));
-    rows.add(row("lent", part(modules.capacityLeases.lentAmount(now))));
-    rows.add(row("borrowed", part(modules.capacityLeases.borrowedAmount(now))));
+    rows.add(row("usable", ratio(modules.capacityLeases.usableAmount(now))));
+    rows.add(row("alone", ratio(standaloneAmount)));
+    rows.add(row("even", ratio(modules.capacityLeases.equalShare(now))));
+    rows.add(row("lent", ratio(modules.capacityLeases.lentAmount(now))));
+    rows.add(row("borrowed", ratio(modules.capacityLeases.borrowedAmount(now))));
     rows.add(row("lease_left_ms", Long.toString(modules.lease.remaining(now).us() / US_PER_MS)));
-    StateGossip.FigureSum sum = modules.gossip.sum(FleetCoordinator.DEMAND_FIGURE, now);
+    StateGossip.FigureSum demandSum = modules.gossip.sum(FleetCoordinator.DEMAND_FIGURE, now);
     rows.add(
         row(
             "demand_threads",
@@ -128,9 +129,9 @@
                 FleetCoordinator.figureToDemand(
                         modules.gossip.ownFigure(FleetCoordinator.DEMAND_FIGURE))
                     / US_PER_SECOND,
-                FleetCoordinator.figureToDemand(sum.sum()) / US_PER_SECOND,
-                sum.counted(),
-                sum.unknown())));
+                FleetCoordinator.figureToDemand(demandSum.sum()) / US_PER_SECOND,
+                demandSum.counted(),
+                demandSum.unknown())));
     if (modules.loadReports != null) {
       rows.add(row("engines_reported", Integer.toString(modules.loadReports.reportCount())));
     }
@@ -140,8 +141,8 @@
   /** The rows of the retry budget, under the name "repeats". */
   private List<String[]> retryBudgetRows() {
     List<String[]> rows = new ArrayList<>();
-    double left = (double) bridge.retries().get() / RetryBudget.UNITS_PER_RETRY;
-    rows.add(row("left", String.format(Locale.ROOT, "%.3f", left)));
+    double remainingRetries = (double) bridge.retries().get() / RetryBudget.UNITS_PER_RETRY;
+    rows.add(row("left", String.format(Locale.ROOT, "%.3f", remainingRetries)));
     rows.add(
         row(
             "wanted_a_second",
@@ -150,7 +151,7 @@
     rows.add(
         row("further_sends_and_denied", Long.toString(bridge.attemptCounts().wantedRetries())));
     rows.add(row("denied", Long.toString(counters.get(Count.REPEATS_DENIED))));
-    StateGossip.FigureSum spare =
+    StateGossip.FigureSum spareSum =
         modules.gossip.sum(FleetCoordinator.SPARE_RETRIES_FIGURE, clock.now());
     rows.add(
         row(
@@ -159,15 +160,16 @@
                 Locale.ROOT,
                 "%.3f, %d members known, %d not",
                 (double)
-                        (spare.sum()
+                        (spareSum.sum()
                             - modules.gossip.ownFigure(FleetCoordinator.SPARE_RETRIES_FIGURE))
                     / RetryBudget.UNITS_PER_RETRY,
-                spare.counted(),
-                spare.unknown())));
+                spareSum.counted(),
+                spareSum.unknown())));
     return rows;
   }
 
-  private String part(long amount) {
+  /** An amount of capacity as a ratio of the total. */
+  private String ratio(long amount) {
     return String.format(Locale.ROOT, "%.6f", (double) amount / capacitySettings.totalUnits());
   }
 
@@ -188,7 +190,10 @@
                 + settings.advertise()));
     rows.add(row("standing", membership.quorumState().label()));
     rows.add(row("view", viewText(view, now)));
-    rows.add(row("engines_shared_over", sharedOver() + (hasMastership ? ", by mastership" : "")));
+    rows.add(
+        row(
+            "engines_shared_over",
+            sharingDispatchersText() + (hasMastership ? ", by mastership" : "")));
     rows.add(row("own_health", membership.healthScore() + " (0 is well)"));
     rows.add(row("folder", folderText()));
     rows.add(row("bears_ms", Long.toString(membership.toleratedSuspension().us() / US_PER_MS)));
@@ -196,7 +201,7 @@
       rows.add(row("member_" + status.member().name(), statusText(status, view, now)));
     }
     messaging
-        .rejections()
+        .rejectionCounts()
         .forEach(
             (reason, count) ->
                 rows.add(row("datagrams_refused_" + reason.label(), Long.toString(count))));
@@ -214,9 +219,10 @@
             + " ms";
   }
 
-  private String sharedOver() {
-    int carriers = modules.membership.engineSharerCount(clock.now());
-    return Integer.toString(hasFailed || carriers == 0 ? bridge.configuredDispatchers() : carriers);
+  private String sharingDispatchersText() {
+    int engineSharers = modules.membership.engineSharerCount(clock.now());
+    return Integer.toString(
+        hasFailed || engineSharers == 0 ? bridge.configuredDispatchers() : engineSharers);
   }
 
   private String folderText() {
--- a/src/main/java/cobaltseam/service/HealthSignals.java
+++ b/src/main/java/cobaltseam/service/HealthSignals.java
@@ -9,42 +9,42 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Measures the values that the health score of this dispatcher is judged by. */
+/** Measures the health signals from which the health score of this dispatcher is derived. */
 final class HealthSignals {
   private static final double US_PER_SECOND = 1e6;
 
   private HealthSignals() {}
 
   /**
-   * The value of each signal now; a signal that can't be measured yet is left out.
+   * Returns the current value of each signal, without those that can't be measured yet.
    *
-   * @param watchSilence for how long the endpoint watch has received nothing
-   * @param enginesInService the number of engines that may be given requests
-   * @param failingShare the part of the engines that fail, 0 to 1
-   * @param descriptorShare the part of the file descriptors in use, 0 to 1
-   * @param timerDelay by how much the event loop runs its timers late
+   * @param watchSilence the time since the endpoint watch last received data
+   * @param enginesInService the number of engines that requests may be sent to
+   * @param failingRatio the ratio of engines that fail, 0 to 1
+   * @param descriptorRatio the ratio of file descriptors in use, 0 to 1
+   * @param timerDelay the delay with which the event loop runs its timers
    */
   static Map<HealthSignal, Double> measure(
       TimeSpan watchSilence,
       int enginesInService,
-      double failingShare,
-      double descriptorShare,
+      double failingRatio,
+      double descriptorRatio,
       TimeSpan timerDelay) {
     Map<HealthSignal, Double> values = new EnumMap<>(HealthSignal.class);
     values.put(HealthSignal.BUS_SILENT, watchSilence.us() / US_PER_SECOND);
     values.put(HealthSignal.NO_ENGINE, enginesInService == 0 ? 1.0 : 0.0);
-    values.put(HealthSignal.ENGINES_FAILING, failingShare);
-    values.put(HealthSignal.DESCRIPTORS, descriptorShare);
+    values.put(HealthSignal.ENGINES_FAILING, failingRatio);
+    values.put(HealthSignal.DESCRIPTORS, descriptorRatio);
     values.put(HealthSignal.LATE, timerDelay.us() / US_PER_SECOND);
-    double memory = heapShareAfterCollection();
-    if (memory >= 0) {
-      values.put(HealthSignal.MEMORY, memory);
+    double heapUse = heapUseAfterCollection();
+    if (heapUse >= 0) {
+      values.put(HealthSignal.MEMORY, heapUse);
     }
     return values;
   }
 
-  /** The part of the heap in use after the last collection, or -1 before the first one. */
-  private static double heapShareAfterCollection() {
+  /** The ratio of the heap in use after the last garbage collection, or -1 before the first one. */
+  private static double heapUseAfterCollection() {
     long used = 0;
     long max = 0;
     for (MemoryPoolMXBean pool : ManagementFactory.getMemoryPoolMXBeans()) {
--- a/src/main/java/cobaltseam/service/MastershipRows.java
+++ b/src/main/java/cobaltseam/service/MastershipRows.java
@@ -14,7 +14,10 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The rows of SHOW cobaltseam.mastership, each a name and a value; scripts read the names. */
+/**
+ * The rows of SHOW cobaltseam.mastership, each a name and a value. Operators' scripts read the
+ * names.
+ */
 final class MastershipRows {
   private static final long US_PER_MS = 1000;
 
@@ -35,10 +38,10 @@
   }
 
   /**
-   * All rows as of now.
+   * Returns all rows as of a time.
    *
-   * @param hasFailed whether a fault has ended mastership
-   * @param sharingDispatchers over how many dispatchers the engines are shared
+   * @param hasFailed whether an unexpected exception has ended mastership
+   * @param sharingDispatchers the number of dispatchers that share the engines; may be a fraction
    */
   List<String[]> rows(boolean hasFailed, double sharingDispatchers, Timestamp now) {
     List<String[]> rows = new ArrayList<>();
@@ -74,12 +77,12 @@
     mastership
         .receivedAdvertisements(router)
         .forEach(
-            (peer, claim) -> {
-              long ageMs = now.since(claim.receivedAt()).us() / US_PER_MS;
+            (peer, received) -> {
+              long ageMs = now.since(received.receivedAt()).us() / US_PER_MS;
               add(
                   rows,
                   prefix + "peer_" + Addresses.format(peer),
-                  "priority " + claim.priority() + ", " + ageMs + " ms ago");
+                  "priority " + received.priority() + ", " + ageMs + " ms ago");
             });
   }
 
--- a/src/main/java/cobaltseam/service/ServiceConfiguration.java
+++ b/src/main/java/cobaltseam/service/ServiceConfiguration.java
@@ -16,16 +16,23 @@
 import java.util.Map;
 
 /**
- * The platform's configuration file of the service; maps the platform's field names to our own.
+ * The configuration file that the platform provides, with the platform's field names mapped to
+ * those of this project.
  *
- * @param listen where clients connect
- * @param watchAddress the event bus, which brings the endpoint list
- * @param maxSockets how many descriptors the process may have
- * @param memoryBytes the memory of the process
- * @param knownOffset the offset of the last event that the file holds
- * @param knownEvents the events of the endpoint list that the file holds
+ * @param name the name of this dispatcher
+ * @param listen the address on which clients connect
+ * @param watchAddress the address of the event bus, from which the endpoint watch receives the
+ *     endpoint list
+ * @param seed the seed of the random decisions
+ * @param maxSockets the number of file descriptors that the process may open
+ * @param memoryBytes the memory limit of the process in bytes
+ * @param knownOffset the offset of the last endpoint event in the file
+ * @param knownEvents the endpoint events in the file
+ * @param deployment the dispatch settings
+ * @param connectTimeout the longest time to wait for a connection to an engine
  * @param maxConnectionIdle the time after which engines close an idle connection; zero for never
- * @param attemptsPerConnection how many attempts may share a connection to an engine, at least 1
+ * @param attemptsPerConnection the number of attempts that may share a connection to an engine, at
+ *     least 1
  */
 record ServiceConfiguration(
     String name,
@@ -42,47 +49,55 @@
     int attemptsPerConnection) {
   private static final int HEX_RADIX = 16;
 
-  /** Assumed where the file names no limit. */
-  private static final long MIN_MEMORY_MB = 32;
+  /** The memory limit in MiB if the file has none. */
+  private static final long DEFAULT_MEMORY_MB = 32;
 
   private static final int MAX_PORT = 65_535;
 
   /**
-   * Reads the file that the environment variable GW_CONFIG names; GW_NAME and GW_LISTEN, if set,
-   * have to agree with it.
+   * Reads the file that the environment variable GW_CONFIG names. GW_NAME and GW_LISTEN, if set,
+   * must equal the name and the listen address in the file.
    *
-   * @throws InvalidInputException if the file can't be read or used
+   * @throws InvalidInputException if the file can't be read or is invalid
    */
   static ServiceConfiguration read(Map<String, String> environment) {
     String path = environment.get("GW_CONFIG");
     if (path == null || path.isEmpty()) {
-      throw new InvalidInputException("GW_CONFIG names no configuration file");
+      throw new InvalidInputException(
+          "the environment variable GW_CONFIG must name the configuration file");
     }
     JsonObjectReader document;
     try (JsonParser parser = new JsonFactory().createParser(new File(path))) {
       document = JsonObjectReader.of(parser);
     } catch (JsonProcessingException e) {
-      throw new InvalidInputException(path + " is not JSON: " + e.getOriginalMessage());
+      throw new InvalidInputException(
+          "the configuration file " + path + " is not valid JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new InvalidInputException(path + " can't be read: " + e.getMessage());
+      throw new InvalidInputException(
+          "the configuration file " + path + " can't be read: " + e.getMessage());
     }
-    ServiceConfiguration read = of(document);
-    requireSame(environment, "GW_NAME", read.name);
-    requireSame(environment, "GW_LISTEN", document.text("listen"));
-    return read;
+    ServiceConfiguration configuration = of(document);
+    requireEqual(environment, "GW_NAME", configuration.name);
+    requireEqual(environment, "GW_LISTEN", document.text("listen"));
+    return configuration;
   }
 
-  private static void requireSame(Map<String, String> environment, String variable, String value) {
+  private static void requireEqual(Map<String, String> environment, String variable, String value) {
     if (!value.equals(environment.getOrDefault(variable, value))) {
       throw new InvalidInputException(
-          variable + " is " + environment.get(variable) + ", the configuration has " + value);
+          "the environment variable "
+              + variable
+              + " is "
+              + environment.get(variable)
+              + ", but the configuration file has "
+              + value);
     }
   }
 
   /**
    * Reads the configuration from its JSON document.
    *
-   * @throws InvalidInputException if a field is missing or can't be used
+   * @throws InvalidInputException if a field is missing or invalid
    */
   static ServiceConfiguration of(JsonObjectReader document) {
     JsonObjectReader settings = document.object("settings");
@@ -96,7 +111,8 @@
     }
     String seed = document.text("seed");
     if (!seed.matches("[0-9a-fA-F]{1,16}")) {
-      throw new InvalidInputException("'seed' is not 16 hex digits");
+      throw new InvalidInputException(
+          "'seed' in the configuration file must be 1 to 16 hex digits");
     }
     return new ServiceConfiguration(
         document.text("name"),
@@ -104,7 +120,7 @@
         address(document.text("bus")),
         Long.parseUnsignedLong(seed, HEX_RADIX),
         (int) document.object("limits").integer("sockets"),
-        document.object("limits").integer("memory_mb", MIN_MEMORY_MB) << 20,
+        document.object("limits").integer("memory_mb", DEFAULT_MEMORY_MB) << 20,
         known.integer("offset"),
         events,
         DeploymentReader.read(settings),
@@ -113,8 +129,8 @@
         (int) Math.max(1, limits.integer("streams_per_conn", 1)));
   }
 
-  /** A copy with other settings of decisions. */
-  ServiceConfiguration withDeployment(Deployment other) {
+  /** A copy with other dispatch settings. */
+  ServiceConfiguration withDeployment(Deployment newDeployment) {
     return new ServiceConfiguration(
         name,
         listen,
@@ -124,24 +140,24 @@
         memoryBytes,
         knownOffset,
         knownEvents,
-        other,
+        newDeployment,
         connectTimeout,
         maxConnectionIdle,
         attemptsPerConnection);
   }
 
-  /** A copy with other addresses and events of the endpoint list. */
+  /** A copy with other addresses and other known endpoint events. */
   ServiceConfiguration withAddresses(
-      InetSocketAddress listenOn, InetSocketAddress watchAt, List<WatchEvent> events) {
+      InetSocketAddress newListen, InetSocketAddress newWatchAddress, List<WatchEvent> newEvents) {
     return new ServiceConfiguration(
         name,
-        listenOn,
-        watchAt,
+        newListen,
+        newWatchAddress,
         seed,
         maxSockets,
         memoryBytes,
         knownOffset,
-        events,
+        newEvents,
         deployment,
         connectTimeout,
         maxConnectionIdle,
@@ -149,9 +165,10 @@
   }
 
   /**
-   * Parses an IP address with its port; no name is ever looked up.
+   * Parses an IP address with a port, such as 127.0.0.1:80 or [::1]:80. Host names are rejected, so
+   * that no name is ever looked up.
    *
-   * @throws InvalidInputException if the text is no such address
+   * @throws InvalidInputException if the text is not an IP address with a port
    */
   static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
@@ -160,7 +177,7 @@
     if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:]+]")
         || !port.matches("[0-9]{1,5}")
         || Integer.parseInt(port) > MAX_PORT) {
-      throw new InvalidInputException("'" + text + "' is not an address with a port");
+      throw new InvalidInputException("'" + text + "' is not an IP address with a port");
     }
     return new InetSocketAddress(host, Integer.parseInt(port));
   }
--- a/src/main/java/cobaltseam/service/VirtualAddressListeners.java
+++ b/src/main/java/cobaltseam/service/VirtualAddressListeners.java
@@ -21,41 +21,44 @@
 
 /**
  * The listening sockets of the virtual routers. Binding and unbinding may block, so both run on a
- * thread of their own; every method is called on the event loop, and results are posted back to it.
- * An address that can't be bound is tried again for four advertisement intervals, then the router
- * is reported as unable to serve.
+ * separate thread, which posts the results to the event loop. Every method is called on the event
+ * loop. If an address can't be bound, binding is retried for four advertisement intervals; then the
+ * router is reported as unable to serve.
  */
 final class VirtualAddressListeners {
-  /** What the listeners ask of, and report to, the owner of the virtual routers. */
+  /** Queries to, and notifications of, the owner of the virtual routers. */
   interface RouterCallbacks {
     /** The advertisement interval of a configured router. */
     TimeSpan advertisementInterval(VirtualRouterId router);
 
-    /** The wanted listener of this router is open. */
+    /** Called when the listener of this router has opened as requested. */
     void onServing(VirtualRouterId router);
 
-    /** The wanted listener of this router could not be opened in time. */
+    /** Called when the listener of this router could not be opened in time. */
     void onUnableToServe(VirtualRouterId router);
   }
 
-  /** For how many advertisement intervals binding an address is tried. */
+  /** The number of advertisement intervals for which binding an address is retried. */
   private static final int MAX_BIND_INTERVALS = 4;
 
-  /** The pause between two attempts to bind, in advertisement intervals. */
+  /** The delay between two attempts to bind, in advertisement intervals. */
   private static final double BIND_RETRY_INTERVALS = 0.25;
 
   /** The listener of one virtual router, for as long as the router is configured. */
   private static final class Listener {
     InetSocketAddress address;
+
+    /** Whether the listener is requested to be open. */
     boolean isWanted;
 
-    /** The result of the last bind or unbind that has finished. */
+    /** Whether the address is bound, as of the last bind or unbind that has completed. */
     boolean isOpen;
 
-    /** Whether a bind or unbind is under way. */
+    /** Whether a bind or unbind is in progress. */
     boolean isBusy;
 
-    Timestamp wantedSince;
+    /** When the listener was last requested to open. */
+    Timestamp openRequestedAt;
   }
 
   private final BoundedAcceptor acceptor;
@@ -66,7 +69,7 @@
   private final Logger logger;
   private final RateLimitedLog rateLimitedLog;
   private final RouterCallbacks callbacks;
-  private final ExecutorService binder =
+  private final ExecutorService bindExecutor =
       Executors.newSingleThreadExecutor(VirtualAddressListeners::newThread);
   private final Map<VirtualRouterId, Listener> listeners = new HashMap<>();
   private final Map<SocketAddress, VirtualRouterId> routersByAddress = new HashMap<>();
@@ -96,26 +99,29 @@
     return thread;
   }
 
-  /** Adds the listener of a router, closed, or keeps the one it has. */
+  /**
+   * Sets the service address of a router. A new router gets a closed listener; an existing listener
+   * is kept.
+   */
   void configure(Settings.RouterSettings settings) {
     VirtualRouterId router = settings.options().router();
-    listeners.computeIfAbsent(router, r -> new Listener()).address = settings.serviceAddress();
+    listeners.computeIfAbsent(router, added -> new Listener()).address = settings.serviceAddress();
     routersByAddress.put(settings.serviceAddress(), router);
   }
 
-  /** Replaces the listener of a router by a closed one at the address of these settings. */
+  /** Replaces the listener of a router by a closed one with the address of these settings. */
   void replace(Settings.RouterSettings settings) {
     listeners.put(settings.options().router(), new Listener());
     configure(settings);
   }
 
-  /** Whether a router is known here with another service address than these settings have. */
-  boolean hasMoved(Settings.RouterSettings settings) {
+  /** Whether these settings change the service address of a router that is already configured. */
+  boolean changesAddress(Settings.RouterSettings settings) {
     Listener listener = listeners.get(settings.options().router());
     return listener != null && !listener.address.equals(settings.serviceAddress());
   }
 
-  /** Forgets all routers and service addresses but these. */
+  /** Removes all routers and service addresses except these. */
   void retainOnly(Set<VirtualRouterId> routers, List<Settings.RouterSettings> settings) {
     listeners.keySet().removeIf(router -> !routers.contains(router));
     Set<InetSocketAddress> addresses = new HashSet<>();
@@ -123,46 +129,49 @@
     routersByAddress.keySet().removeIf(address -> !addresses.contains(address));
   }
 
-  /** Opens the listener of a router, and retries while its address is still bound elsewhere. */
+  /** Opens the listener of a router, with retries while another process still has its address. */
   void open(VirtualRouterId router) {
     Listener listener = listeners.get(router);
     listener.isWanted = true;
-    listener.wantedSince = clock.now();
+    listener.openRequestedAt = clock.now();
     reconcile(router, listener);
   }
 
-  /** Closes the listener of a router; open sessions stay. */
+  /** Closes the listener of a router. Open sessions are not closed. */
   void close(VirtualRouterId router) {
     Listener listener = listeners.get(router);
     listener.isWanted = false;
     reconcile(router, listener);
   }
 
-  /** Closes the listeners of all routers; open sessions stay. */
+  /** Closes the listeners of all routers. Open sessions are not closed. */
   void closeAll() {
     listeners.keySet().forEach(this::close);
   }
 
-  /** Ends the binding thread. */
+  /** Stops the thread that binds and unbinds. */
   void shutDown() {
-    binder.shutdownNow();
+    bindExecutor.shutdownNow();
   }
 
-  /** Starts the next bind or unbind, if the listener is not yet as wanted and none is under way. */
+  /**
+   * Starts a bind or unbind if the listener is not in the requested state and no other bind or
+   * unbind is in progress.
+   */
   private void reconcile(VirtualRouterId router, Listener listener) {
     if (listener.isBusy || listener.isWanted == listener.isOpen) {
       return;
     }
     listener.isBusy = true;
-    boolean opens = listener.isWanted;
-    binder.execute(
+    boolean isOpening = listener.isWanted;
+    bindExecutor.execute(
         () -> {
-          IOException failure = opens ? bind(listener.address) : unbind(listener.address);
-          eventLoop.post(null, () -> onReconciled(router, listener, opens, failure));
+          IOException failure = isOpening ? bind(listener.address) : unbind(listener.address);
+          eventLoop.post(null, () -> onReconciled(router, listener, isOpening, failure));
         });
   }
 
-  /** Returns why the address can't be bound, or null once it is. */
+  /** Binds an address; returns the failure, or null if it is bound. */
   private IOException bind(InetSocketAddress address) {
     try {
       acceptor.bind(address);
@@ -174,7 +183,7 @@
     }
   }
 
-  /** Returns why the address can't be unbound, or null once it is. */
+  /** Unbinds an address; returns the failure, or null if it is unbound. */
   private IOException unbind(InetSocketAddress address) {
     try {
       acceptor.unbind(address);
@@ -185,18 +194,18 @@
   }
 
   private void onReconciled(
-      VirtualRouterId router, Listener listener, boolean opened, IOException failure) {
+      VirtualRouterId router, Listener listener, boolean wasOpening, IOException failure) {
     listener.isBusy = false;
-    if (opened && failure != null) {
+    if (wasOpening && failure != null) {
       onBindFailed(router, listener, failure);
       return;
     }
-    listener.isOpen = opened;
-    if (opened && listener.isWanted) {
+    listener.isOpen = wasOpening;
+    if (wasOpening && listener.isWanted) {
       callbacks.onServing(router);
       logger.log(
           Level.INFO,
-          "accepting clients on {0}",
+          "now accepting clients on service address {0}",
           Field.of("address", listener.address),
           Field.of("virtualRouter", router),
           Field.event("mastership.serves"));
@@ -207,7 +216,8 @@
   private void onBindFailed(VirtualRouterId router, Listener listener, IOException failure) {
     counters.add(Count.MASTERSHIP_BINDS_FAILED);
     rateLimitedLog.warn(
-        "cannot accept clients on {0} yet: {1}",
+        "cannot bind service address {0}: {1}; check that the address is configured on this host"
+            + " and that no other process listens on it",
         Field.of("address", listener.address),
         Field.of("reason", failure.getMessage()),
         Field.event("mastership.bind_failed"));
@@ -215,8 +225,8 @@
       return;
     }
     TimeSpan interval = callbacks.advertisementInterval(router);
-    TimeSpan triedFor = clock.now().since(listener.wantedSince);
-    if (triedFor.compareTo(interval.times(MAX_BIND_INTERVALS)) > 0) {
+    TimeSpan elapsed = clock.now().since(listener.openRequestedAt);
+    if (elapsed.compareTo(interval.times(MAX_BIND_INTERVALS)) > 0) {
       callbacks.onUnableToServe(router);
     } else {
       timers.set(
@@ -225,12 +235,12 @@
     }
   }
 
-  /** Whether clients connect to a virtual router at this address. */
+  /** Whether this is the service address of a virtual router. */
   boolean isVirtual(SocketAddress address) {
     return routersByAddress.containsKey(address);
   }
 
-  /** The router that is served at this address, or null. */
+  /** The virtual router with this service address, or null. */
   VirtualRouterId routerAt(SocketAddress address) {
     return routersByAddress.get(address);
   }
@@ -240,12 +250,12 @@
     return listeners.get(router).address;
   }
 
-  /** Whether the listener of a configured router is to be open. */
+  /** Whether the listener of a configured router is requested to be open. */
   boolean isWanted(VirtualRouterId router) {
     return listeners.get(router).isWanted;
   }
 
-  /** Whether the listener of a configured router is open and is not being closed. */
+  /** Whether the listener of a configured router is open and not being closed. */
   boolean isListening(VirtualRouterId router) {
     Listener listener = listeners.get(router);
     return listener.isOpen && !listener.isBusy;
--- a/src/main/java/cobaltseam/service/VirtualAddressService.java
+++ b/src/main/java/cobaltseam/service/VirtualAddressService.java
@@ -33,36 +33,34 @@
 import java.util.function.Supplier;
 
 /**
- * Takes part in VRRP for the virtual addresses of this dispatcher: passes advertisements between
- * the socket and {@link Mastership}, and carries out what that decides. All methods run on the
- * event loop, except that the socket hands over datagrams on its own thread.
+ * Runs VRRP for the virtual addresses of this dispatcher: passes advertisements between the socket
+ * and {@link Mastership}, and executes the actions that it returns. All methods run on the event
+ * loop, except that the socket delivers datagrams on its own thread.
  *
- * <p>A fault in here ends mastership until the next start and nothing else: requests in flight are
- * finished, new ones are rejected.
+ * <p>An unexpected exception here ends mastership until the next start and nothing else: requests
+ * in flight are completed, new ones are rejected.
  */
 final class VirtualAddressService
     implements ClientSessions.AdmissionGate, VirtualAddressListeners.RouterCallbacks {
   /**
-   * What the health score is judged by, beside what is measured in this package.
+   * The inputs of the health score that {@link HealthSignals} does not measure itself.
    *
-   * @param watchSilence for how long the endpoint watch has received nothing
-   * @param enginesInService the number of engines that may be given requests
-   * @param failingShare the part of the engines that fail, 0 to 1
-   * @param descriptorShare the part of the file descriptors in use, 0 to 1
+   * @param watchSilence the time since the endpoint watch last received data
+   * @param enginesInService the number of engines that requests may be sent to
+   * @param failingRatio the ratio of engines that fail, 0 to 1
+   * @param descriptorRatio the ratio of file descriptors in use, 0 to 1
    */
   record HealthReport(
-      TimeSpan watchSilence, int enginesInService, double failingShare, double descriptorShare) {}
+      TimeSpan watchSilence, int enginesInService, double failingRatio, double descriptorRatio) {}
 
   private static final System.Logger LOG = System.getLogger(VirtualAddressService.class.getName());
   private static final TimeSpan HEALTH_CHECK_PERIOD = new TimeSpan(100_000);
 
-  /** The request table is updated when the number of dispatchers changes by more than this part. */
-  private static final double MIN_SHARING_CHANGE = 0.01;
+  /** A smaller relative change of the dispatcher count is not passed on to the request table. */
+  private static final double MIN_CHANGE_RATIO = 0.01;
 
-  /**
-   * Advertisement intervals after which a peer has taken over from an active router at the latest.
-   */
-  private static final int TAKEOVER_INTERVALS = 4;
+  /** Advertisement intervals within which a peer takes over from an active router that fails. */
+  private static final int MAX_TAKEOVER_INTERVALS = 4;
 
   private final Supplier<HealthReport> healthReport;
   private final RequestTable requests;
@@ -72,7 +70,7 @@
   private final Timers timers;
   private final Counters counters;
   private final RateLimitedLog rateLimitedLog;
-  private final InetAddress self;
+  private final InetAddress localAddress;
   private final int configuredDispatchers;
   private final Mastership mastership;
   private final AdvertisementFilter filter;
@@ -107,13 +105,13 @@
     this.timers = timers;
     this.counters = counters;
     rateLimitedLog = new RateLimitedLog(LOG, clock);
-    self = settings.listen().getAddress();
+    localAddress = settings.listen().getAddress();
     configuredDispatchers = configuration.deployment().dispatcherCount();
     sharingDispatchers = configuredDispatchers;
     ReplayGuard replayGuard = new ReplayGuard(clock.now(), maxClockDifference(settings));
     mastership =
         new Mastership(
-            self,
+            localAddress,
             settings.routerOptions(),
             settings.peerAddresses(),
             dispatchersElsewhere(),
@@ -122,11 +120,11 @@
             settings.acceptsOtherIntervals());
     filter =
         new AdvertisementFilter(
-            self, mastership, replayGuard, settings.peerAddresses(), keys(settings));
+            localAddress, mastership, replayGuard, settings.peerAddresses(), keys(settings));
     healthScore = new HealthScore(settings.healthScore());
     socket =
         new AdvertDatagramSocket(settings.listen(), settings.peerAddresses(), this::onDatagram);
-    sender = new AdvertisementSender(self, socket, clock, counters, rateLimitedLog);
+    sender = new AdvertisementSender(localAddress, socket, clock, counters, rateLimitedLog);
     listeners =
         new VirtualAddressListeners(
             acceptor, eventLoop, clock, timers, counters, LOG, rateLimitedLog, this);
@@ -143,11 +141,12 @@
         : settings.authentication().clockDifference();
   }
 
-  /** The keys of authenticated advertisements, or null where they are not authenticated. */
+  /** The keys of authenticated advertisements, or null if they are not authenticated. */
   private static KeyRing keys(Settings.VirtualAddressSettings settings) {
     return settings.authentication() == null ? null : settings.authentication().keys();
   }
 
+  /** The longest deadline of any request class, which bounds the duration of an attempt. */
   private static TimeSpan maxAttemptDuration(Deployment deployment) {
     return deployment.requestClasses().stream()
         .map(Deployment.RequestClass::deadline)
@@ -155,6 +154,7 @@
         .orElse(TimeSpan.ZERO);
   }
 
+  /** The number of dispatchers besides this one and its peers, as set or as configured. */
   private double dispatchersElsewhere() {
     return settings.dispatchersElsewhere() >= 0
         ? settings.dispatchersElsewhere()
@@ -163,7 +163,7 @@
 
   // ---- life cycle
 
-  /** Whether the dispatcher's own address answers clients, with a rejection, while in backup. */
+  /** Whether clients can connect to the dispatcher's own address in backup, to be rejected. */
   boolean answersAsBackup() {
     return settings.answersAsBackup();
   }
@@ -171,13 +171,13 @@
   /**
    * Starts sending and receiving advertisements.
    *
-   * @throws IOException if the address of advertisements can't be bound
+   * @throws IOException if the address for advertisements can't be bound
    */
   void open() throws IOException {
     socket.open();
     nextHealthCheck = clock.now().plus(HEALTH_CHECK_PERIOD);
     timers.set(nextHealthCheck, this::checkHealth);
-    perform(() -> mastership.start(clock.now()));
+    execute(() -> mastership.start(clock.now()));
     LOG.log(
         Level.INFO,
         "sending and receiving VRRP advertisements on {0}",
@@ -185,13 +185,13 @@
         Field.event("mastership.opened"));
   }
 
-  /** Applies reloaded settings; those that can't change while running stay until the next start. */
+  /** Applies reloaded settings, except those that can change only at a start. */
   void reconfigure(Settings.VirtualAddressSettings reloaded) {
-    settings = withFixedSettings(reloaded);
+    settings = withStartupSettings(reloaded);
     Set<InetAddress> peers = settings.peerAddresses();
     healthScore.reconfigure(settings.healthScore());
     settings.routers().forEach(this::reconfigureListener);
-    perform(
+    execute(
         () ->
             mastership.reconfigure(
                 settings.routerOptions(), peers, dispatchersElsewhere(), clock.now()));
@@ -200,7 +200,8 @@
     listeners.retainOnly(new HashSet<>(mastership.routers()), settings.routers());
   }
 
-  private Settings.VirtualAddressSettings withFixedSettings(
+  /** The reloaded settings, with those kept unchanged that can change only at a start. */
+  private Settings.VirtualAddressSettings withStartupSettings(
       Settings.VirtualAddressSettings reloaded) {
     boolean switchesAuthentication =
         reloaded.authentication() == null != (settings.authentication() == null);
@@ -209,8 +210,8 @@
     }
     LOG.log(
         Level.WARNING,
-        "mastership.listen, and whether advertisements are authenticated, change only at the next"
-            + " start",
+        "the reload did not change mastership.listen or turn authentication of advertisements on or"
+            + " off; restart to apply these changes",
         Field.event("configuration.partly"));
     return new Settings.VirtualAddressSettings(
         settings.listen(),
@@ -224,9 +225,9 @@
         reloaded.healthScore());
   }
 
-  /** Sessions at a service address that changes are ended as on any loss of mastership. */
+  /** Sets a router's service address; if it changes, sessions end as on loss of mastership. */
   private void reconfigureListener(Settings.RouterSettings router) {
-    if (!listeners.hasMoved(router)) {
+    if (!listeners.changesAddress(router)) {
       listeners.configure(router);
       return;
     }
@@ -239,12 +240,12 @@
     }
   }
 
-  /** Resigns, so that a peer takes over within its skew time; requests in flight are finished. */
+  /** Resigns, so that a peer takes over within its skew time; requests in flight are completed. */
   void resign() {
-    perform(() -> mastership.stop(TransitionReason.ENDED, clock.now()));
+    execute(() -> mastership.stop(TransitionReason.ENDED, clock.now()));
   }
 
-  /** Closes the socket and ends the binding thread. */
+  /** Closes the socket and stops the thread that binds service addresses. */
   void close() {
     socket.close();
     listeners.shutDown();
@@ -252,7 +253,7 @@
 
   // ---- events
 
-  /** Runs on the socket's thread. */
+  /** Posts a received datagram to the event loop; called on the socket's thread. */
   private void onDatagram(byte[] bytes, InetAddress source) {
     eventLoop.post(
         null,
@@ -267,35 +268,35 @@
       return;
     }
     Timestamp now = clock.now();
-    AdvertisementFilter.FilterResult verdict;
+    AdvertisementFilter.FilterResult result;
     try {
-      verdict = filter.evaluate(bytes, source, self, now);
+      result = filter.evaluate(bytes, source, localAddress, now);
     } catch (RuntimeException e) {
       fail(e);
       return;
     }
-    if (verdict.rejection() != null) {
+    if (result.rejection() != null) {
       counters.add(Count.MASTERSHIP_ADVERTS_REFUSED);
       rateLimitedLog.warn(
-          "advertisement from {0} rejected: {1}",
+          "rejected a VRRP advertisement from {0}: {1}",
           Field.of("peer", Addresses.format(source)),
-          Field.of("reason", verdict.rejection().explanation()),
+          Field.of("reason", result.rejection().explanation()),
           Field.event("mastership.advert_refused"));
       return;
     }
     counters.add(Count.MASTERSHIP_ADVERTS_TAKEN);
-    perform(() -> mastership.onAdvertisement(source, verdict.advertisement(), now));
+    execute(() -> mastership.onAdvertisement(source, result.advertisement(), now));
   }
 
-  /** Steps back first, if a peer may have become active while this process did not run. */
+  /** Leaves the active role if a peer may have become active while this process was suspended. */
   void fenceIfOverdue() {
     if (!hasFailed && mastership.isFenceOverdue(clock.now())) {
-      perform(() -> mastership.fence(clock.now()));
+      execute(() -> mastership.fence(clock.now()));
     }
   }
 
   private void onWakeTimer() {
-    perform(() -> mastership.onTimer(clock.now()));
+    execute(() -> mastership.onTimer(clock.now()));
   }
 
   private void checkHealth() {
@@ -305,14 +306,14 @@
     timers.set(nextHealthCheck, this::checkHealth);
     countRejected(RejectionReason.UNKNOWN_SENDER, socket.takeUnknownSourceCount());
     countRejected(RejectionReason.TOO_MANY, socket.takeDroppedCount());
-    perform(
+    execute(
         () -> {
-          int before = mastership.priorityReduction();
+          int previousSteps = mastership.priorityReduction();
           int steps = healthScore.update(healthSignals(timerDelay), now);
-          if (steps != before) {
+          if (steps != previousSteps) {
             LOG.log(
                 Level.WARNING,
-                "health score: priority reduced by {0} steps, for {1}",
+                "the VRRP priority is now reduced by {0}; degraded health signals: {1}",
                 Field.of("steps", steps),
                 Field.of("signs", healthScore.degradedSignals()),
                 Field.event("mastership.fitness"));
@@ -331,20 +332,20 @@
     return HealthSignals.measure(
         report.watchSilence(),
         report.enginesInService(),
-        report.failingShare(),
-        report.descriptorShare(),
+        report.failingRatio(),
+        report.descriptorRatio(),
         timerDelay);
   }
 
   // ---- actions
 
-  /** Asks mastership for a decision and carries it out; a fault ends mastership. */
-  private void perform(Supplier<List<MastershipAction>> decision) {
+  /** Executes the actions that mastership returns; an unexpected exception ends mastership. */
+  private void execute(Supplier<List<MastershipAction>> decision) {
     if (hasFailed) {
       return;
     }
     try {
-      decision.get().forEach(this::carryOut);
+      decision.get().forEach(this::executeAction);
       updateSharing();
       timers.cancel(wakeTimer);
       Timestamp wake = mastership.nextTimerExpiry();
@@ -354,15 +355,16 @@
     }
   }
 
+  /** Passes on the number of dispatchers that share the engines if it changed significantly. */
   private void updateSharing() {
     double dispatchers = mastership.effectiveDispatcherCount(clock.now());
-    if (Math.abs(dispatchers - sharingDispatchers) > MIN_SHARING_CHANGE * sharingDispatchers) {
+    if (Math.abs(dispatchers - sharingDispatchers) > MIN_CHANGE_RATIO * sharingDispatchers) {
       sharingDispatchers = dispatchers;
       requests.setSharingDispatchers(dispatchers);
     }
   }
 
-  private void carryOut(MastershipAction action) {
+  private void executeAction(MastershipAction action) {
     if (action instanceof MastershipAction.Advertise advertise) {
       advertise(advertise);
     } else if (action instanceof MastershipAction.Acquire acquire) {
@@ -373,8 +375,8 @@
   }
 
   /**
-   * Sends an advertisement, unless clients could not connect yet: whoever serves the address now
-   * stops when it hears of another active router.
+   * Sends an advertisement if clients can already connect. Before that, the peer that serves the
+   * address must not receive one, since it would stop serving. A resignation is always sent.
    */
   private void advertise(MastershipAction.Advertise advertise) {
     boolean isResignation = advertise.priority() == Advertisement.RESIGNATION_PRIORITY;
@@ -387,7 +389,7 @@
     counters.add(Count.MASTERSHIP_TAKEN);
     LOG.log(
         Level.INFO,
-        "active for virtual router {0}: {1}",
+        "became active for virtual router {0}, reason {1}",
         Field.of("virtualRouter", acquire.router()),
         Field.of("reason", acquire.reason().label()),
         Field.event("mastership.taken"));
@@ -401,27 +403,27 @@
     }
     LOG.log(
         Level.WARNING,
-        "no longer active for virtual router {0}: {1}",
+        "is no longer active for virtual router {0}, reason {1}",
         Field.of("virtualRouter", release.router()),
         Field.of("reason", release.reason().label()),
         Field.event("mastership.left"));
     stopServing(release.router());
   }
 
-  /** Closes a router's listener, and sheds what is queued from its clients and, in backup, ours. */
+  /** Closes a router's listener; sheds its queued requests and, once in backup, all others. */
   private void stopServing(VirtualRouterId router) {
     InetSocketAddress address = listeners.addressOf(router);
     listeners.close(router);
     clients.withdrawRequests(address::equals, true);
     if (!mastership.isActive()) {
-      clients.withdrawRequests(at -> !listeners.isVirtual(at), false);
+      clients.withdrawRequests(local -> !listeners.isVirtual(local), false);
     }
   }
 
-  /** Ends mastership until the next start: resigns and closes the virtual routers' listeners. */
+  /** Ends mastership until the next start: resigns and closes the listeners of all routers. */
   private void fail(RuntimeException cause) {
     counters.add(Count.FAULTS);
-    LOG.log(Level.ERROR, "mastership failed and is off until the next start", cause);
+    LOG.log(Level.ERROR, "mastership failed and is off until this dispatcher is restarted", cause);
     try {
       for (MastershipAction action : mastership.stop(TransitionReason.FAULT, clock.now())) {
         if (action instanceof MastershipAction.Advertise resignation) {
@@ -429,13 +431,13 @@
         }
       }
     } catch (RuntimeException e) {
-      LOG.log(Level.ERROR, "resigning after the failure of mastership failed too", e);
+      LOG.log(Level.ERROR, "could not resign after mastership failed; peers take over later", e);
     }
     hasFailed = true;
     timers.cancel(wakeTimer);
     listeners.closeAll();
     clients.withdrawRequests(listeners::isVirtual, true);
-    clients.withdrawRequests(at -> !listeners.isVirtual(at), false);
+    clients.withdrawRequests(local -> !listeners.isVirtual(local), false);
   }
 
   // ---- callbacks of the listeners
@@ -457,7 +459,7 @@
 
   @Override
   public void onUnableToServe(VirtualRouterId router) {
-    perform(() -> mastership.onUnableToServe(router, clock.now()));
+    execute(() -> mastership.onUnableToServe(router, clock.now()));
   }
 
   // ---- admission of clients
@@ -484,11 +486,11 @@
     return !listeners.isVirtual(address) || admits(address);
   }
 
-  /** An active down interval, after which another dispatcher has taken over. */
+  /** The time within which a peer takes over the virtual router of this address. */
   @Override
   public TimeSpan retryAfter(SocketAddress address) {
     VirtualRouterId router = listeners.routerAt(address);
     return advertisementInterval(router != null ? router : mastership.routers().get(0))
-        .times(TAKEOVER_INTERVALS);
+        .times(MAX_TAKEOVER_INTERVALS);
   }
 }
--- a/src/test/java/cobaltseam/service/ConfigurationReloadProcessTest.java
+++ b/src/test/java/cobaltseam/service/ConfigurationReloadProcessTest.java
@@ -22,27 +22,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Reloads of the settings of decisions in a real process under steady load. */
+/** Reloads of the dispatch settings in a real process under constant load. */
 class ConfigurationReloadProcessTest {
   private static final String HOST = "127.0.0.1";
-  private static final int LONG_MS = 20_000;
+  private static final int TIMEOUT_MS = 20_000;
   private static final int CLIENTS = 12;
 
   @TempDir Path folder;
   private EmulatedEventBus bus;
   private EmulatedEngine engine;
   private InetSocketAddress listen;
-  private String known;
+  private String endpointEvents;
   private DispatcherProcess dispatcher;
-  private final AtomicBoolean over = new AtomicBoolean();
-  private final Map<String, Outcome> endings = new ConcurrentHashMap<>();
-  private final List<Thread> load = new ArrayList<>();
+  private final AtomicBoolean isLoadStopped = new AtomicBoolean();
+  private final Map<String, Outcome> outcomes = new ConcurrentHashMap<>();
+  private final List<Thread> clientThreads = new ArrayList<>();
 
   @BeforeEach
-  void begin() throws Exception {
+  void startDependencies() throws Exception {
     bus = new EmulatedEventBus(HOST);
     engine = new EmulatedEngine(HOST, profile -> 200);
-    known = bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
+    endpointEvents = bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
       listen = new InetSocketAddress(HOST, free.getLocalPort());
     }
@@ -50,14 +50,14 @@
   }
 
   private String configuration() {
-    return DispatcherProcess.configuration("n0", listen, 0, 1, 2, bus, known);
+    return DispatcherProcess.configuration("n0", listen, 0, 1, 2, bus, endpointEvents);
   }
 
   @AfterEach
-  void end() throws Exception {
-    over.set(true);
-    for (Thread each : load) {
-      each.join();
+  void stopAll() throws Exception {
+    isLoadStopped.set(true);
+    for (Thread client : clientThreads) {
+      client.join();
     }
     dispatcher.close();
     engine.close();
@@ -65,58 +65,58 @@
   }
 
   /**
-   * Three times as many clients as the engine has threads: at any time requests are queued and in
-   * flight.
+   * Starts three times as many clients as the engine has threads, so that requests are queued and
+   * in flight at any time.
    */
-  private void load() {
-    for (int c = 0; c < CLIENTS; c++) {
-      int number = c;
+  private void startClients() {
+    for (int i = 0; i < CLIENTS; i++) {
+      int number = i;
       Thread client =
           new Thread(
               () -> {
                 int calls = 0;
-                while (!over.get()) {
-                  try (StatementClient session = new StatementClient(listen, LONG_MS)) {
-                    while (!over.get()) {
+                while (!isLoadStopped.get()) {
+                  try (StatementClient session = new StatementClient(listen, TIMEOUT_MS)) {
+                    while (!isLoadStopped.get()) {
                       String call = "%08x%08x".formatted(number, calls++);
-                      endings.put(
+                      outcomes.put(
                           call,
                           session.execute(call, number % 2 == 0 ? "look" : "once", 3000, 200));
                     }
                   } catch (java.io.IOException e) {
-                    endings.put(number + "-" + calls, Outcome.CUT);
+                    outcomes.put(number + "-" + calls, Outcome.CUT);
                   }
                 }
               });
-      load.add(client);
+      clientThreads.add(client);
       client.start();
     }
   }
 
   private long count(String counter) throws Exception {
-    try (StatementClient session = new StatementClient(listen, LONG_MS)) {
+    try (StatementClient session = new StatementClient(listen, TIMEOUT_MS)) {
       return Long.parseLong(session.show("counters").get(counter));
     }
   }
 
   @Test
-  void reloadedSettingsActUnderLoadAndEveryRequestHasOneAnswer() throws Exception {
+  void reloadedSettingsTakeEffectUnderLoadAndEveryRequestHasOneFinalAnswer() throws Exception {
     dispatcher.start();
-    dispatcher.await("serves on", 0, LONG_MS);
-    load();
+    dispatcher.await("serves on", 0, TIMEOUT_MS);
+    startClients();
     while (count("commands_answered") < 20) {
       Thread.sleep(50);
     }
-    int from = dispatcher.lines();
+    int fromLine = dispatcher.lines();
     dispatcher.writeConfiguration(configuration().replace("\"most_tries\":3", "\"most_tries\":2"));
     dispatcher.signal("HUP");
-    int next = dispatcher.await("the settings of decisions have changed", from, LONG_MS);
+    int nextLine = dispatcher.await("dispatch settings have changed while", fromLine, TIMEOUT_MS);
     assertTrue(
-        !dispatcher.log().lines().toList().get(next - 1).contains("with 0 commands in hand"),
+        !dispatcher.log().lines().toList().get(nextLine - 1).contains("while 0 requests were open"),
         dispatcher.log());
     assertEquals(1, count("configurations_moved"));
-    // Another file, and 10 ms later the first again; two signals may come as one, and the last file
-    // counts.
+    // Writes other settings and 10 ms later the first ones again. The two signals may be delivered
+    // as one; the settings of the last file must become active.
     dispatcher.writeConfiguration(
         configuration().replace("\"repeat\":\"read_like\"", "\"repeat\":\"non_idempotent\""));
     dispatcher.signal("HUP");
@@ -127,15 +127,15 @@
     for (long since = System.nanoTime();
         count("configurations_read") < 2 || moved < 2;
         moved = count("configurations_moved")) {
-      assertTrue(System.nanoTime() - since < LONG_MS * 1_000_000L, "moved " + moved);
+      assertTrue(System.nanoTime() - since < TIMEOUT_MS * 1_000_000L, "moved " + moved);
     }
     long answered = count("commands_answered");
     while (count("commands_answered") < answered + 20) {
       Thread.sleep(50);
     }
-    over.set(true);
-    for (Thread each : load) {
-      each.join();
+    isLoadStopped.set(true);
+    for (Thread client : clientThreads) {
+      client.join();
     }
     Map<String, Long> counters = dispatcher.terminate();
     assertEquals(0, counters.get("faults"));
@@ -144,28 +144,29 @@
         counters.get("commands_answered")
             + counters.get("commands_shed")
             + counters.get("commands_failed"),
-        "one ending each: " + counters);
+        "each admitted request has one final answer: " + counters);
     assertTrue(
-        endings.values().stream().allMatch(e -> e == Outcome.ANSWERED || e == Outcome.SHED),
-        endings.values().toString());
-    engine.ledger().forEach((call, ran) -> assertTrue(ran.completed().get() <= 1, call));
+        outcomes.values().stream()
+            .allMatch(outcome -> outcome == Outcome.ANSWERED || outcome == Outcome.SHED),
+        outcomes.values().toString());
+    engine.ledger().forEach((call, runs) -> assertTrue(runs.completed().get() <= 1, call));
   }
 
   @Test
-  void aStartWithSighupIgnoredIsLogged() throws Exception {
+  void ignoredSighupIsLoggedAtStartAndDisablesReload() throws Exception {
     dispatcher.startWithSighupIgnored();
-    dispatcher.await("SIGHUP was ignored at the start", 0, LONG_MS);
-    dispatcher.await("serves on", 0, LONG_MS);
+    dispatcher.await("SIGHUP was ignored at the start", 0, TIMEOUT_MS);
+    dispatcher.await("serves on", 0, TIMEOUT_MS);
     dispatcher.signal("HUP");
     assertEquals(0, dispatcher.terminate().get("configurations_read"));
   }
 
   @Test
-  void aPlainStartLogsNoIgnoredSighupAndReloads() throws Exception {
+  void startWithoutIgnoredSighupAllowsReload() throws Exception {
     dispatcher.start();
-    dispatcher.await("serves on", 0, LONG_MS);
+    dispatcher.await("serves on", 0, TIMEOUT_MS);
     dispatcher.signal("HUP");
-    dispatcher.await("has reloaded its configuration", 0, LONG_MS);
+    dispatcher.await("has reloaded its configuration", 0, TIMEOUT_MS);
     assertTrue(!dispatcher.log().contains("SIGHUP was ignored"), dispatcher.log());
     assertEquals(1, dispatcher.terminate().get("configurations_read"));
   }
--- a/src/test/java/cobaltseam/service/FleetServiceOrderTest.java
+++ b/src/test/java/cobaltseam/service/FleetServiceOrderTest.java
@@ -27,28 +27,32 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Messages of other members that come at the wrong moment. */
+/** Messages of other members that are received before this member has started. */
 class FleetServiceOrderTest extends ServiceRig {
-  /** Longer than it takes to read a datagram on loopback: the duration is the subject. */
-  private static final int READ_WITHIN_MS = 500;
+  /**
+   * Longer than it takes to read a datagram on loopback. The test has to wait for this duration,
+   * since nothing shows from outside that the datagram has been read.
+   */
+  private static final int DATAGRAM_READ_MS = 500;
 
   @TempDir Path folder;
 
   /**
-   * A member that is started again is spoken to the moment its socket is open, as the others know
-   * its address. Heard before the start, such a message was a fault that ended membership for good,
-   * with the process still serving.
+   * Other members send messages to a restarted member as soon as its socket is open, since they
+   * know its address. Guards against such a message being processed before the membership module
+   * has started, which threw an exception and ended membership permanently while the process still
+   * served clients.
    */
   @Test
   void messageReceivedAsTheSocketOpensDoesNotEndMembership() throws Exception {
     try (DatagramSocket other = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       InetSocketAddress listen = freeUdp();
-      prepare(listen);
-      Handler says =
+      createService(listen);
+      Handler sendsOnOpened =
           new Handler() {
             @Override
-            public void publish(LogRecord line) {
-              if (line.getMessage().startsWith("member ")) {
+            public void publish(LogRecord logged) {
+              if (logged.getMessage().startsWith("member ")) {
                 sendHealthCheck(other, listen);
               }
             }
@@ -60,11 +64,11 @@
             public void close() {}
           };
       Logger log = Logger.getLogger(FleetService.class.getName());
-      log.addHandler(says);
+      log.addHandler(sendsOnOpened);
       try {
         serve();
       } finally {
-        log.removeHandler(says);
+        log.removeHandler(sendsOnOpened);
       }
       TestClient client = new TestClient();
       for (int i = 0;
@@ -73,7 +77,8 @@
           i++) {
         assertTrue(
             i < SOON_S * 100,
-            "the other member is not known: " + client.ask("SHOW cobaltseam.members"));
+            "the member that the message reports is not shown: "
+                + client.ask("SHOW cobaltseam.members"));
         Thread.sleep(10);
       }
       assertTrue(client.ask("SHOW cobaltseam.members").contains("membership|on"));
@@ -86,9 +91,9 @@
     }
   }
 
-  private void prepare(InetSocketAddress listen) throws IOException {
+  private void createService(InetSocketAddress listen) throws IOException {
     String address = "127.0.0.1:" + listen.getPort();
-    Path own =
+    Path settingsFile =
         Files.writeString(
             folder.resolve("cobaltseam.toml"),
             """
@@ -104,13 +109,13 @@
     String bus = new EmulatedPeer(false).address();
     service = new DispatcherService(serviceConfiguration(bus, SOCKETS, IDLE_MS));
     service.enableFleet(
-        SettingsReader.read(own),
+        SettingsReader.read(settingsFile),
         configurationJson(bus, SOCKETS, IDLE_MS).getBytes(StandardCharsets.UTF_8));
   }
 
   /**
-   * Probes, as another member, the one that listens there, and says of a third that it is
-   * suspected.
+   * Sends a health check as another member to the one at this address, and reports a third member
+   * as suspected in it.
    */
   private static void sendHealthCheck(DatagramSocket other, InetSocketAddress to) {
     InetSocketAddress from = (InetSocketAddress) other.getLocalSocketAddress();
@@ -126,7 +131,7 @@
                     List.of(new MemberUpdate(third, 0, MemberCondition.SUSPECT, self.name()))));
     try {
       other.send(new DatagramPacket(bytes, bytes.length, to));
-      Thread.sleep(READ_WITHIN_MS);
+      Thread.sleep(DATAGRAM_READ_MS);
     } catch (IOException | InterruptedException e) {
       throw new AssertionError(e);
     }
--- a/src/test/java/cobaltseam/service/SettingsIsolationTest.java
+++ b/src/test/java/cobaltseam/service/SettingsIsolationTest.java
@@ -13,15 +13,15 @@
 import sun.misc.Signal;
 
 /**
- * Settings of two customers: at once in two dispatchers, and one after the other in one, with
- * requests in hand.
+ * Isolation between the settings of two customers: in two dispatchers of one process at the same
+ * time, and in one dispatcher that is reloaded while requests are in flight.
  */
 class SettingsIsolationTest extends ServiceRig {
-  private static final int BUSY = 8;
+  private static final int IN_FLIGHT_REQUESTS = 8;
 
   @TempDir Path folder;
 
-  /** Another customer's file: other classes, tenants and limits on sends. */
+  /** The file of another customer: other request classes, tenants and limits on attempts. */
   private static String settingsOfOtherCustomer(String configuration) {
     return configuration
         .replace("\"name\":\"look\"", "\"name\":\"browse\"")
@@ -36,32 +36,37 @@
 
   @Test
   void twoDispatchersWithSettingsOfDifferentCustomersAreIsolated() throws Exception {
-    EmulatedPeer mine = new EmulatedPeer(true);
-    start(mine);
-    TestClient ours = new TestClient();
-    EmulatedPeer theirs = new EmulatedPeer(true);
-    start(SettingsIsolationTest::settingsOfOtherCustomer, SOCKETS, IDLE_MS, theirs.address());
-    TestClient other = new TestClient();
-    assertEquals(List.of("error 42"), ours.ask(statement("browse", 1, 5000)));
-    assertEquals(List.of("error 42"), ours.ask(withTenant("zeta", idempotentStatement(2, 5000))));
-    assertEquals(List.of("error 42"), other.ask(idempotentStatement(3, 5000)));
-    assertEquals(List.of("error 42"), other.ask(withTenant("acme", statement("browse", 4, 5000))));
-    // The same call at both, at once: neither takes it for the other's.
-    ours.query(ours.out, withTenant("acme", idempotentStatement(5, 5000)));
-    other.query(
-        other.out,
+    EmulatedPeer ourEngine = new EmulatedPeer(true);
+    start(ourEngine);
+    TestClient ourClient = new TestClient();
+    EmulatedPeer otherEngine = new EmulatedPeer(true);
+    start(SettingsIsolationTest::settingsOfOtherCustomer, SOCKETS, IDLE_MS, otherEngine.address());
+    TestClient otherClient = new TestClient();
+    assertEquals(List.of("error 42"), ourClient.ask(statement("browse", 1, 5000)));
+    assertEquals(
+        List.of("error 42"), ourClient.ask(withTenant("zeta", idempotentStatement(2, 5000))));
+    assertEquals(List.of("error 42"), otherClient.ask(idempotentStatement(3, 5000)));
+    assertEquals(
+        List.of("error 42"), otherClient.ask(withTenant("acme", statement("browse", 4, 5000))));
+    // Both receive a request with the same id at the same time and must not confuse the two.
+    ourClient.query(ourClient.out, withTenant("acme", idempotentStatement(5, 5000)));
+    otherClient.query(
+        otherClient.out,
         withTenant("zeta", statement("browse", 5, 5000).replace("work=100", "work=1000")));
-    Message here = mine.next("PULL");
-    Message there = theirs.next("PULL");
-    assertTrue(here.items().get(2).startsWith("lane=look"));
-    assertTrue(there.items().get(2).startsWith("lane=browse"));
-    here.answer(here.id(), "200", "pages=1", "ours\t1\tx\n");
-    there.answer(there.id(), "200", "pages=1", "theirs\t1\tx\n");
-    assertEquals(List.of("ours|1|x", "SELECT 1"), ours.readReplies());
-    assertEquals(List.of("theirs|1|x", "SELECT 1"), other.readReplies());
+    Message ourPull = ourEngine.next("PULL");
+    Message otherPull = otherEngine.next("PULL");
+    assertTrue(ourPull.items().get(2).startsWith("lane=look"));
+    assertTrue(otherPull.items().get(2).startsWith("lane=browse"));
+    ourPull.answer(ourPull.id(), "200", "pages=1", "ours\t1\tx\n");
+    otherPull.answer(otherPull.id(), "200", "pages=1", "theirs\t1\tx\n");
+    assertEquals(List.of("ours|1|x", "SELECT 1"), ourClient.readReplies());
+    assertEquals(List.of("theirs|1|x", "SELECT 1"), otherClient.readReplies());
   }
 
-  /** What was taken ends under the rules of both; what comes after knows the new ones alone. */
+  /**
+   * Requests in flight during the reload end under the conservative rules of both files; later
+   * requests have only the new settings.
+   */
   @Test
   void reloadUnderLoadReplacesAllSettingsOfTheFirstCustomer() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
@@ -69,34 +74,35 @@
     bus.next("from 7");
     Path file = folder.resolve("configuration.json");
     service.reloadOnHangUp(Map.of("GW_CONFIG", file.toString()));
-    List<TestClient> busy = new ArrayList<>();
-    List<Message> out = new ArrayList<>();
-    for (int i = 0; i < BUSY; i++) {
-      busy.add(new TestClient(withTenant("acme", statement("once", i, 20_000))));
-      out.add(engine.next("PULL"));
+    List<TestClient> clients = new ArrayList<>();
+    List<Message> pulls = new ArrayList<>();
+    for (int i = 0; i < IN_FLIGHT_REQUESTS; i++) {
+      clients.add(new TestClient(withTenant("acme", statement("once", i, 20_000))));
+      pulls.add(engine.next("PULL"));
     }
-    TestClient watch = new TestClient();
+    TestClient observer = new TestClient();
     Files.writeString(
         file,
         settingsOfOtherCustomer(
             configurationJson(
                 bus.address(), SOCKETS, IDLE_MS, endpointJson(1, engine.address(), "in_service"))));
     Signal.raise(new Signal("HUP"));
-    await(watch, "configurations_moved|1");
-    assertEquals(List.of("error 42"), watch.ask(idempotentStatement(20, 5000)));
-    assertEquals(List.of("error 42"), watch.ask(withTenant("acme", statement("browse", 21, 5000))));
-    for (int i = 0; i < BUSY; i++) {
-      out.get(i).answer(out.get(i).id(), "200", "pages=1", "");
-      assertEquals(List.of("SELECT 0"), busy.get(i).readReplies());
+    await(observer, "configurations_moved|1");
+    assertEquals(List.of("error 42"), observer.ask(idempotentStatement(20, 5000)));
+    assertEquals(
+        List.of("error 42"), observer.ask(withTenant("acme", statement("browse", 21, 5000))));
+    for (int i = 0; i < IN_FLIGHT_REQUESTS; i++) {
+      pulls.get(i).answer(pulls.get(i).id(), "200", "pages=1", "");
+      assertEquals(List.of("SELECT 0"), clients.get(i).readReplies());
     }
-    watch.query(
-        watch.out,
+    observer.query(
+        observer.out,
         withTenant("zeta", statement("browse", 22, 20_000).replace("work=100", "work=1000")));
     engine.next("PULL").reset();
     engine.next("closed");
     assertEquals(
         List.of("error 53 pushback"),
-        watch.readReplies(),
-        "one send at most under the new settings, not three");
+        observer.readReplies(),
+        "the new settings permit one attempt, not three");
   }
 }
--- a/src/test/java/cobaltseam/service/VirtualAddressServiceFaultTest.java
+++ b/src/test/java/cobaltseam/service/VirtualAddressServiceFaultTest.java
@@ -30,25 +30,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A fault within mastership, in a service that runs in this process. */
+/** Faults and suspensions of mastership, in a service that runs in the test process. */
 class VirtualAddressServiceFaultTest {
   private static final long TIMEOUT_MS = 30_000;
 
-  /** More than three advertisement intervals, after which a router is fenced. */
-  private static final long FENCE_MS = 400;
+  /** More than three advertisement intervals, after which an active router is fenced. */
+  private static final long FENCED_AFTER_MS = 400;
 
   @TempDir Path folder;
 
   private static ServiceConfiguration configuration(EmulatedEngine engine, EmulatedEventBus bus)
       throws IOException {
-    String known = bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
+    String endpointEvents =
+        bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
     String json =
         DispatcherProcess.configuration(
-            "n0", new InetSocketAddress("127.0.0.1", 0), 0, 1, 8, bus, known);
+            "n0", new InetSocketAddress("127.0.0.1", 0), 0, 1, 8, bus, endpointEvents);
     return ServiceConfiguration.of(JsonObjectReader.of(new JsonFactory().createParser(json)));
   }
 
-  /** Settings of one virtual router and no peers, on free ports. */
+  /** Settings with one virtual router and no peers, on free ports. */
   private Settings.VirtualAddressSettings settings() throws IOException {
     InetSocketAddress serviceAddress;
     InetSocketAddress advertisements;
@@ -85,23 +86,23 @@
   }
 
   /**
-   * Returns the outcome of a request that runs at the engine. One that comes as the router is
-   * fenced is rejected, and another is sent.
+   * Sends requests until one runs at the engine, and returns its outcome. A request that is
+   * received while the router is fenced is rejected, and the next one is sent.
    */
   private static CompletableFuture<Outcome> awaitInFlight(
       InetSocketAddress serviceAddress, EmulatedEngine engine) {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
     for (int call = 0; ; call++) {
       StatementClient client = VirtualAddressServiceTest.connect(serviceAddress);
       String id = "%016x".formatted(0xe00 + call);
-      CompletableFuture<Outcome> end =
+      CompletableFuture<Outcome> outcome =
           CompletableFuture.supplyAsync(() -> executeAndClose(client, id));
-      while (engine.running() == 0 && !end.isDone()) {
-        assertTrue(System.nanoTime() < until, "no request is in flight");
+      while (engine.running() == 0 && !outcome.isDone()) {
+        assertTrue(System.nanoTime() < deadlineNanos, "no request is in flight");
         VirtualAddressRig.sleep(5);
       }
-      if (!end.isDone()) {
-        return end;
+      if (!outcome.isDone()) {
+        return outcome;
       }
     }
   }
@@ -114,9 +115,12 @@
     }
   }
 
-  /** Guards against a test that waits at the engine for a request which was rejected. */
+  /**
+   * A request that is received after the event loop was suspended beyond the fence time is rejected
+   * and never runs at an engine. Tests that need a request in flight therefore send another one.
+   */
   @Test
-  void aRequestThatComesAsTheRouterIsFencedIsRejected() throws Exception {
+  void requestReceivedWhileTheRouterIsFencedIsRejected() throws Exception {
     try (EmulatedEngine engine = new EmulatedEngine("127.0.0.1", p -> 600);
         EmulatedEventBus bus = new EmulatedEventBus("127.0.0.1")) {
       Settings.VirtualAddressSettings settings = settings();
@@ -129,11 +133,11 @@
         CountDownLatch resumed = new CountDownLatch(1);
         service.inbox.post(null, () -> awaitQuietly(resumed));
         client.send("00000000000000e1", "look", 2500, 50);
-        // The duration is the subject: the fence time passes while the event loop does not run.
-        VirtualAddressRig.sleep(FENCE_MS);
+        // The test is about this duration: the fence time passes while the event loop does not run.
+        VirtualAddressRig.sleep(FENCED_AFTER_MS);
         resumed.countDown();
         assertEquals(Outcome.TURNED_AWAY, client.awaitOutcome());
-        assertTrue(engine.ledger().isEmpty(), "nothing ran");
+        assertTrue(engine.ledger().isEmpty(), "no request ran at the engine");
       }
       loop.interrupt();
       loop.join();
@@ -150,26 +154,26 @@
   }
 
   @Test
-  void aFaultInMastershipEndsOnlyMastership() throws Exception {
+  void faultInMastershipEndsOnlyMastership() throws Exception {
     try (EmulatedEngine engine = new EmulatedEngine("127.0.0.1", p -> 600);
         EmulatedEventBus bus = new EmulatedEventBus("127.0.0.1")) {
-      AtomicBoolean broken = new AtomicBoolean();
+      AtomicBoolean isFailing = new AtomicBoolean();
       Settings.VirtualAddressSettings settings = settings();
       InetSocketAddress serviceAddress = settings.routers().get(0).serviceAddress();
       DispatcherService service = new DispatcherService(configuration(engine, bus));
       service.enableVirtualAddresses(
           settings,
           () -> {
-            if (broken.get()) {
-              throw new IllegalStateException("for the test");
+            if (isFailing.get()) {
+              throw new IllegalStateException("injected by the test");
             }
             return new VirtualAddressService.HealthReport(TimeSpan.ZERO, 1, 0, 0);
           });
       service.open();
       Thread loop = startLoop(service);
-      CompletableFuture<Outcome> end = awaitInFlight(serviceAddress, engine);
-      broken.set(true);
-      assertEquals(Outcome.ANSWERED, end.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+      CompletableFuture<Outcome> outcome = awaitInFlight(serviceAddress, engine);
+      isFailing.set(true);
+      assertEquals(Outcome.ANSWERED, outcome.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
       try (StatementClient client = new StatementClient(service.address(), 5000)) {
         assertEquals("ended by a fault", client.show("mastership").get("mastership"));
         assertEquals(Outcome.TURNED_AWAY, client.execute("00000000000000e2", "look", 2500));
--- a/src/test/java/cobaltseam/service/VirtualAddressServiceTest.java
+++ b/src/test/java/cobaltseam/service/VirtualAddressServiceTest.java
@@ -36,32 +36,32 @@
 
 /**
  * Two dispatchers that share a virtual address, as real processes, while advertisements between
- * them are lost, cut and forged.
+ * them are lost, blocked and forged.
  */
 class VirtualAddressServiceTest {
   private static final long TIMEOUT_MS = 30_000;
 
-  /** After so long without a statement a dispatcher ends a new connection. */
-  private static final long FIRST_STATEMENT_MS = 2000;
+  /** The time without a statement after which a dispatcher closes a new connection. */
+  private static final long FIRST_STATEMENT_TIMEOUT_MS = 2000;
 
   @TempDir Path folder;
 
   /**
-   * One value that a dispatcher shows. A dispatcher may end a connection without a first statement
-   * in time: if this process stood still for that long, and the dispatcher counted it, it is asked
-   * again.
+   * Returns one value of SHOW cobaltseam.mastership, or the empty string. A dispatcher closes a
+   * connection whose first statement does not arrive in time. If this process was suspended for
+   * that long and the dispatcher counted the timeout, the value is requested again.
    */
   private static String shown(VirtualAddressRig rig, int index, String name) throws Exception {
-    long askedAt = System.nanoTime();
+    long startNanos = System.nanoTime();
     try (StatementClient client = new StatementClient(rig.owns[index], 5000)) {
       return client.show("mastership").getOrDefault(name, "");
     } catch (EOFException e) {
-      long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedAt);
+      long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
       Map<String, String> counters = shownCounters(rig, index);
       boolean hasTimedOut = !counters.get("clients_timed_out").equals("0");
       assertTrue(
-          tookMs >= FIRST_STATEMENT_MS && hasTimedOut,
-          "the connection ended after " + tookMs + " ms, counters " + counters);
+          elapsedMs >= FIRST_STATEMENT_TIMEOUT_MS && hasTimedOut,
+          "the connection ended after " + elapsedMs + " ms, counters " + counters);
       return shown(rig, index, name);
     }
   }
@@ -79,14 +79,15 @@
 
   private static void awaitShown(VirtualAddressRig rig, int index, String name, String value)
       throws Exception {
-    for (long waited = 0; !shown(rig, index, name).equals(value); waited += 20) {
+    for (long waitedMs = 0; !shown(rig, index, name).equals(value); waitedMs += 20) {
       assertTrue(
-          waited < TIMEOUT_MS, name + " is never " + value + ":\n" + rig.dispatchers[index].log());
+          waitedMs < TIMEOUT_MS,
+          name + " did not become " + value + ":\n" + rig.dispatchers[index].log());
       VirtualAddressRig.sleep(20);
     }
   }
 
-  /** Waits for a state; where that is active, also until clients can connect. */
+  /** Waits for a state of the virtual router; if it is active, also until clients can connect. */
   private static void awaitState(VirtualAddressRig rig, int index, String state) throws Exception {
     awaitShown(rig, index, "router_51/ipv4_state", state);
     if (state.equals("active")) {
@@ -94,7 +95,7 @@
     }
   }
 
-  /** Gives the other dispatcher the higher priority, and waits until it is active. */
+  /** Gives this dispatcher the higher priority, and waits until it is active. */
   private static void moveMastership(VirtualAddressRig rig, int to) throws Exception {
     for (int i = 0; i < 2; i++) {
       rig.dispatchers[i].writeSettings(rig.own(i, i == to ? 200 : 50));
@@ -103,41 +104,44 @@
     awaitState(rig, to, "active");
   }
 
-  /** Checks that each admitted request has one final answer, and no other request has one. */
+  /** Checks that each admitted request has one final answer and that clients received it. */
   private static void assertAccountedFor(
-      VirtualAddressRig rig, Map<String, Long> one, Map<String, Long> other) {
-    Map<Outcome, Integer> seen = rig.ledger.counts();
-    long admitted = one.get("commands_taken") + other.get("commands_taken");
-    long answered = 0;
+      VirtualAddressRig rig, Map<String, Long> first, Map<String, Long> second) {
+    Map<Outcome, Integer> outcomes = rig.ledger.counts();
+    long admitted = first.get("commands_taken") + second.get("commands_taken");
+    long ended = 0;
     for (String end : new String[] {"answered", "shed", "failed", "departed"}) {
-      answered += one.get("commands_" + end) + other.get("commands_" + end);
+      ended += first.get("commands_" + end) + second.get("commands_" + end);
     }
-    assertEquals(admitted, answered, "every command taken has one final answer");
+    assertEquals(admitted, ended, "every admitted request has one final answer");
     assertEquals(
-        (long) seen.get(Outcome.ANSWERED),
-        one.get("commands_answered") + other.get("commands_answered"),
-        seen.toString());
+        (long) outcomes.get(Outcome.ANSWERED),
+        first.get("commands_answered") + second.get("commands_answered"),
+        outcomes.toString());
     assertEquals(
-        (long) seen.get(Outcome.SHED),
-        one.get("commands_shed") + other.get("commands_shed"),
-        seen.toString());
+        (long) outcomes.get(Outcome.SHED),
+        first.get("commands_shed") + second.get("commands_shed"),
+        outcomes.toString());
     assertEquals(
-        (long) seen.get(Outcome.FAILED),
-        one.get("commands_failed") + other.get("commands_failed"),
-        seen.toString());
-    assertEquals(0, seen.get(Outcome.SILENT));
-    assertEquals(0, one.get("faults") + other.get("faults"));
-    assertNoRuleBroken(rig);
+        (long) outcomes.get(Outcome.FAILED),
+        first.get("commands_failed") + second.get("commands_failed"),
+        outcomes.toString());
+    assertEquals(0, outcomes.get(Outcome.SILENT));
+    assertEquals(0, first.get("faults") + second.get("faults"));
+    assertInvariantsHold(rig);
   }
 
-  private static void assertNoRuleBroken(VirtualAddressRig rig) {
-    assertEquals(0, rig.ranTwice(), "no effect twice");
-    assertEquals(0, rig.answeredUnrun(), "answered is what an engine ran");
-    assertEquals(0, rig.turnedAwayRun(), "nothing is taken by a backup");
-    assertEquals(0, rig.shedThoughRun(), "shed only where harmless");
+  private static void assertInvariantsHold(VirtualAddressRig rig) {
+    assertEquals(0, rig.ranTwice(), "no request that is not idempotent started twice");
+    assertEquals(0, rig.answeredUnrun(), "every answered request was completed by an engine");
+    assertEquals(0, rig.turnedAwayRun(), "no request that a backup rejected ran");
+    assertEquals(0, rig.shedThoughRun(), "no request that is not idempotent was shed after it ran");
   }
 
-  /** Whoever is active, and however often that changes, each request has exactly one answer. */
+  /**
+   * Mastership changes under load while advertisements are lost, duplicated and delayed: each
+   * admitted request still has exactly one final answer.
+   */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.1, 0.3, 0.6})
   void everyAdmittedRequestIsAccountedForUnderLoss(double loss) throws Exception {
@@ -147,9 +151,9 @@
       rig.links[0].setFault(new Fault(loss, loss / 3, loss / 3, 150));
       rig.links[1].setFault(new Fault(loss, loss / 3, loss / 3, 150));
       rig.startClients(8, 1, 2500);
-      for (int flip = 0; flip < 3; flip++) {
+      for (int change = 0; change < 3; change++) {
         VirtualAddressRig.sleep(300);
-        moveMastership(rig, flip % 2 == 0 ? 1 : 0);
+        moveMastership(rig, change % 2 == 0 ? 1 : 0);
       }
       rig.links[0].setFault(Fault.NONE);
       rig.links[1].setFault(Fault.NONE);
@@ -162,32 +166,32 @@
   }
 
   @Test
-  void aPeerTakesOverFromAKilledDispatcherAndFromOneThatResigns() throws Exception {
+  void peerTakesOverFromKilledDispatcherAndFromResigningOne() throws Exception {
     try (VirtualAddressRig rig = new VirtualAddressRig(Plan.of(200, 8), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
       rig.startClients(6, 1, 2500);
       rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
       rig.dispatchers[0].kill();
-      long killed = System.nanoTime();
+      long killedAt = System.nanoTime();
       rig.dispatchers[1].await("mastership.taken", 0, TIMEOUT_MS);
-      rig.awaitAnswer(killed, TIMEOUT_MS);
-      int from = rig.dispatchers[0].lines();
+      rig.awaitAnswer(killedAt, TIMEOUT_MS);
+      int fromLine = rig.dispatchers[0].lines();
       rig.dispatchers[0].start();
-      // After its restart it has the higher priority again.
-      rig.dispatchers[0].await("mastership.serves", from, TIMEOUT_MS);
+      // The restarted dispatcher has the higher priority and becomes active again.
+      rig.dispatchers[0].await("mastership.serves", fromLine, TIMEOUT_MS);
       rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
-      from = rig.dispatchers[1].lines();
+      fromLine = rig.dispatchers[1].lines();
       rig.dispatchers[0].terminate();
-      rig.dispatchers[1].await("mastership.taken", from, TIMEOUT_MS);
+      rig.dispatchers[1].await("mastership.taken", fromLine, TIMEOUT_MS);
       rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
       rig.stopClients();
-      assertNoRuleBroken(rig);
+      assertInvariantsHold(rig);
     }
   }
 
   @Test
-  void aPausedDispatcherStepsBackBeforeItAdmitsOrForwards() throws Exception {
+  void resumedDispatcherIsFencedBeforeItAdmitsOrForwardsRequests() throws Exception {
     try (VirtualAddressRig rig = new VirtualAddressRig(Plan.of(100, 9), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
@@ -196,21 +200,21 @@
       rig.dispatchers[0].signal("STOP");
       rig.dispatchers[1].await("mastership.taken", 0, TIMEOUT_MS);
       rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
-      int from = rig.dispatchers[0].lines();
+      int fromLine = rig.dispatchers[0].lines();
       rig.dispatchers[0].signal("CONT");
-      int left = rig.dispatchers[0].await("mastership.left", from, TIMEOUT_MS);
+      int left = rig.dispatchers[0].await("mastership.left", fromLine, TIMEOUT_MS);
       assertTrue(
           rig.dispatchers[0].log().lines().toList().get(left - 1).contains("fenced"),
           rig.dispatchers[0].log());
-      // It becomes active again, since its priority is higher.
+      // The resumed dispatcher becomes active again, since its priority is higher.
       rig.dispatchers[0].await("mastership.taken", left, TIMEOUT_MS);
       rig.stopClients();
-      assertNoRuleBroken(rig);
+      assertInvariantsHold(rig);
     }
   }
 
   @Test
-  void inASplitBothServeAndOneYieldsWhenItHeals() throws Exception {
+  void bothDispatchersServeInASplitAndOneBecomesBackupWhenItHeals() throws Exception {
     try (VirtualAddressRig rig = new VirtualAddressRig(Plan.of(100, 10), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
@@ -232,17 +236,17 @@
     }
   }
 
-  /** Slow engines of small capacity: some requests are in flight and some are queued. */
+  /** Engines are slow and have a small capacity, so that requests are both in flight and queued. */
   @Test
-  void onReleaseQueuedRequestsAreShedAtOnceAndThoseInFlightComplete() throws Exception {
+  void lossOfMastershipShedsQueuedRequestsAtOnceAndCompletesThoseInFlight() throws Exception {
     try (VirtualAddressRig rig =
         new VirtualAddressRig(
             new Plan(1, 2, 800, 100, new int[] {150, 100}, true, "", 12), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
       List<Thread> clients = new ArrayList<>();
-      Map<String, Outcome> ends = new ConcurrentHashMap<>();
-      Map<String, Long> ended = new ConcurrentHashMap<>();
+      Map<String, Outcome> outcomes = new ConcurrentHashMap<>();
+      Map<String, Long> endedAtNanos = new ConcurrentHashMap<>();
       for (int i = 0; i < 6; i++) {
         String call = "00000000000000b" + i;
         String profile = i % 2 == 0 ? "look" : "once";
@@ -250,16 +254,16 @@
             new Thread(
                 () -> {
                   try (StatementClient client = new StatementClient(rig.serves[0], 8000)) {
-                    ends.put(call, client.execute(call, profile, 3000, 800));
-                    ended.put(call, System.nanoTime());
+                    outcomes.put(call, client.execute(call, profile, 3000, 800));
+                    endedAtNanos.put(call, System.nanoTime());
                   } catch (IOException e) {
-                    ends.put(call, Outcome.UNSENT);
+                    outcomes.put(call, Outcome.UNSENT);
                   }
                 }));
         clients.get(i).start();
       }
-      for (long waited = 0; rig.engines.get(0).running() < 2; waited += 5) {
-        assertTrue(waited < TIMEOUT_MS);
+      for (long waitedMs = 0; rig.engines.get(0).running() < 2; waitedMs += 5) {
+        assertTrue(waitedMs < TIMEOUT_MS, "fewer than two requests are in flight");
         VirtualAddressRig.sleep(5);
       }
       VirtualAddressRig.sleep(50);
@@ -267,23 +271,24 @@
       for (Thread client : clients) {
         client.join(TIMEOUT_MS);
       }
-      long answered = ends.values().stream().filter(e -> e == Outcome.ANSWERED).count();
-      long shed = ends.values().stream().filter(e -> e == Outcome.SHED).count();
-      assertTrue(answered >= 2, ends.toString());
-      assertEquals(6, answered + shed, ends.toString());
-      long lastShed =
-          ends.keySet().stream()
-              .filter(c -> ends.get(c) == Outcome.SHED)
-              .mapToLong(ended::get)
+      long answered =
+          outcomes.values().stream().filter(outcome -> outcome == Outcome.ANSWERED).count();
+      long shed = outcomes.values().stream().filter(outcome -> outcome == Outcome.SHED).count();
+      assertTrue(answered >= 2, outcomes.toString());
+      assertEquals(6, answered + shed, outcomes.toString());
+      long lastShedAt =
+          outcomes.keySet().stream()
+              .filter(call -> outcomes.get(call) == Outcome.SHED)
+              .mapToLong(endedAtNanos::get)
               .max()
               .orElse(0);
-      long lastAnswered =
-          ends.keySet().stream()
-              .filter(c -> ends.get(c) == Outcome.ANSWERED)
-              .mapToLong(ended::get)
+      long lastAnsweredAt =
+          outcomes.keySet().stream()
+              .filter(call -> outcomes.get(call) == Outcome.ANSWERED)
+              .mapToLong(endedAtNanos::get)
               .max()
               .orElse(0);
-      assertTrue(lastShed < lastAnswered, "what is held is not kept waiting for what is out");
+      assertTrue(lastShedAt < lastAnsweredAt, "queued requests do not wait for those in flight");
       Map<String, Long> counters = rig.dispatchers[0].terminate();
       assertEquals(6, counters.get("commands_taken"));
       assertEquals(shed, counters.get("commands_shed"));
@@ -291,10 +296,10 @@
   }
 
   @Test
-  void aDispatcherThatCantBindItsAddressLetsAnotherServe() throws Exception {
+  void dispatcherThatCannotBindItsAddressLetsPeerServe() throws Exception {
     try (VirtualAddressRig rig = new VirtualAddressRig(Plan.of(100, 13), folder)) {
-      try (ServerSocket holder = new ServerSocket()) {
-        holder.bind(rig.serves[0]);
+      try (ServerSocket occupant = new ServerSocket()) {
+        occupant.bind(rig.serves[0]);
         rig.start();
         rig.dispatchers[0].await("mastership.bind_failed", 0, TIMEOUT_MS);
         rig.dispatchers[0].await("unable", 0, TIMEOUT_MS);
@@ -303,18 +308,21 @@
           assertEquals(Outcome.ANSWERED, client.execute("00000000000000d0", "look", 2000));
         }
       }
-      // The address is free again: the dispatcher retries after its backoff, and serves.
+      // The address is free again: the dispatcher retries after its backoff and becomes active.
       rig.dispatchers[0].await("mastership.serves", 0, TIMEOUT_MS);
       awaitState(rig, 1, "backup");
     }
   }
 
-  /** Guards against an advertisement that ends the service of another before this one can begin. */
+  /**
+   * Guards against an advertisement that is sent before the own service address is bound: the peer
+   * would stop serving although this dispatcher cannot serve yet.
+   */
   @Test
-  void aDispatcherThatCantBindItsAddressEndsNobodysService() throws Exception {
+  void dispatcherThatCannotBindItsAddressDoesNotEndServiceOfPeer() throws Exception {
     try (VirtualAddressRig rig = new VirtualAddressRig(Plan.of(100, 16), folder);
-        ServerSocket holder = new ServerSocket()) {
-      holder.bind(rig.serves[0]);
+        ServerSocket occupant = new ServerSocket()) {
+      occupant.bind(rig.serves[0]);
       rig.dispatchers[1].start();
       rig.dispatchers[1].await(" serves on ", 0, TIMEOUT_MS);
       awaitState(rig, 1, "active");
@@ -328,10 +336,13 @@
 
   @Test
   void forgedReplayedAndInvalidAdvertisementsAreRejectedAndKeysRotate() throws Exception {
-    String seal = "[mastership.seal]\nkeys = \"keys\"\nwrite_key = %d\nclock_difference_ms = 400\n";
-    Plan plan = new Plan(1, 8, 20, 100, new int[] {150, 100}, true, seal.formatted(1), 14);
+    String authentication =
+        "[mastership.seal]\nkeys = \"keys\"\nwrite_key = %d\nclock_difference_ms = 400\n";
+    Plan plan =
+        new Plan(1, 8, 20, 100, new int[] {150, 100}, true, authentication.formatted(1), 14);
     try (VirtualAddressRig rig = new VirtualAddressRig(plan, folder)) {
-      // Authentication covers the datagram's addresses, which a link changes.
+      // Authentication covers the addresses of a datagram, and a link changes them. So the test
+      // signs with the addresses that the receiver sees.
       for (int i = 0; i < 2; i++) {
         Files.writeString(
             rig.dispatchers[i].folder().toPath().resolve("keys"), "1 " + "ab".repeat(16) + "\n");
@@ -346,24 +357,29 @@
       awaitState(rig, 0, "active");
       // An advertisement signed with the right key in the peer's name is accepted.
       rig.links[1].sendToReceiver(
-          AdvertisementAuthenticator.sign(plain, peer, self, keys, 1, now()));
+          AdvertisementAuthenticator.sign(plain, peer, self, keys, 1, nowUs()));
       rig.dispatchers[0].await("higher_heard", 0, TIMEOUT_MS);
       awaitState(rig, 0, "active");
-      int from = rig.dispatchers[0].lines();
-      byte[] stale = AdvertisementAuthenticator.sign(plain, peer, self, keys, 1, now() - 1_500_000);
+      int fromLine = rig.dispatchers[0].lines();
+      byte[] stale =
+          AdvertisementAuthenticator.sign(plain, peer, self, keys, 1, nowUs() - 1_500_000);
       sendInvalid(rig, plain, stale, keys);
-      awaitAbove(rig, "adverts_refused_unsealed", 100);
-      awaitAbove(rig, "adverts_refused_stale", 100);
-      awaitAbove(rig, "adverts_refused_key_unknown", 100);
+      awaitAtLeast(rig, "adverts_refused_unsealed", 100);
+      awaitAtLeast(rig, "adverts_refused_stale", 100);
+      awaitAtLeast(rig, "adverts_refused_key_unknown", 100);
       assertEquals("active", state(rig, 0), rig.dispatchers[0].log());
       assertTrue(
-          rig.dispatchers[0].log().lines().skip(from).noneMatch(l -> l.contains("higher_heard")));
+          rig.dispatchers[0]
+              .log()
+              .lines()
+              .skip(fromLine)
+              .noneMatch(l -> l.contains("higher_heard")));
       rotateKeys(rig, plain, keys);
       // An invalid key file changes nothing.
       Files.writeString(rig.dispatchers[0].folder().toPath().resolve("keys"), "2 short");
-      int at = rig.dispatchers[0].lines();
+      int reloadFromLine = rig.dispatchers[0].lines();
       rig.dispatchers[0].signal("HUP");
-      rig.dispatchers[0].await("configuration.unusable", at, TIMEOUT_MS);
+      rig.dispatchers[0].await("configuration.unusable", reloadFromLine, TIMEOUT_MS);
       assertEquals("active", state(rig, 0));
     }
   }
@@ -379,7 +395,7 @@
           switch (i % 4) {
             case 0 -> plain;
             case 1 -> stale;
-            case 2 -> AdvertisementAuthenticator.sign(plain, peer, self, keys, 2, now());
+            case 2 -> AdvertisementAuthenticator.sign(plain, peer, self, keys, 2, nowUs());
             default -> {
               byte[] noise = new byte[random.nextInt(5000)];
               random.nextBytes(noise);
@@ -399,30 +415,31 @@
         new String[] {"1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16), "2 " + "cd".repeat(16)}) {
       Files.writeString(rig.dispatchers[0].folder().toPath().resolve("keys"), file);
       rig.dispatchers[0].writeSettings(rig.own(0, 150).replace("write_key = 1", "write_key = 2"));
-      int at = rig.dispatchers[0].lines();
+      int fromLine = rig.dispatchers[0].lines();
       rig.dispatchers[0].signal("HUP");
-      rig.dispatchers[0].await("configuration.read", at, TIMEOUT_MS);
-      at = rig.dispatchers[0].lines();
+      rig.dispatchers[0].await("configuration.read", fromLine, TIMEOUT_MS);
+      fromLine = rig.dispatchers[0].lines();
       rig.links[1].sendToReceiver(
-          AdvertisementAuthenticator.sign(plain, peer, self, keys, 2, now()));
-      rig.dispatchers[0].await("higher_heard", at, TIMEOUT_MS);
+          AdvertisementAuthenticator.sign(plain, peer, self, keys, 2, nowUs()));
+      rig.dispatchers[0].await("higher_heard", fromLine, TIMEOUT_MS);
       awaitState(rig, 0, "active");
     }
   }
 
-  private static long now() {
+  private static long nowUs() {
     return ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
   }
 
-  private static void awaitAbove(VirtualAddressRig rig, String name, int least) throws Exception {
-    for (long waited = 0; Integer.parseInt("0" + shown(rig, 0, name)) < least; waited += 20) {
-      assertTrue(waited < TIMEOUT_MS, name);
+  private static void awaitAtLeast(VirtualAddressRig rig, String name, int minimum)
+      throws Exception {
+    for (long waitedMs = 0; Integer.parseInt("0" + shown(rig, 0, name)) < minimum; waitedMs += 20) {
+      assertTrue(waitedMs < TIMEOUT_MS, name + " stays below " + minimum);
       VirtualAddressRig.sleep(20);
     }
   }
 
   @Test
-  void aSilentEndpointWatchLowersPriorityWithoutMovingMastership() throws Exception {
+  void silentEndpointWatchLowersPriorityWithoutMovingMastership() throws Exception {
     Plan plan =
         new Plan(
             1,
@@ -451,20 +468,20 @@
     }
   }
 
-  /** Connects as soon as something listens at an address. */
+  /** Connects to an address, with retries until a dispatcher listens on it. */
   static StatementClient connect(InetSocketAddress to) {
-    for (long waited = 0; ; waited += 10) {
+    for (long waitedMs = 0; ; waitedMs += 10) {
       try {
         return new StatementClient(to, 8000);
       } catch (IOException e) {
-        assertTrue(waited < TIMEOUT_MS, "nothing listens on " + to);
+        assertTrue(waitedMs < TIMEOUT_MS, "no dispatcher listens on " + to);
         VirtualAddressRig.sleep(10);
       }
     }
   }
 
   @Test
-  void aBackupRejectsRequestsWithARetryAfterTime() throws Exception {
+  void backupRejectsRequestsWithRetryAfterTime() throws Exception {
     try (VirtualAddressRig rig = new VirtualAddressRig(Plan.of(100, 11), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
