--- a/src/main/java/cobaltseam/authentication/MessageAuthenticator.java
+++ b/src/main/java/cobaltseam/authentication/MessageAuthenticator.java
@@ -9,34 +9,39 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Signs and verifies messages by a trailer: magic bytes, a format number, the id of a key, a
- * sequence, and an HMAC-SHA-256 (RFC 2104, FIPS 198-1) with that key over the associated data, the
- * message, and the trailer up to there. Associated data is known to both sides and not sent: both
- * addresses of a VRRP datagram, or the name of a fleet.
+ * Signs and verifies messages with a trailer: magic bytes, a format number, the id of a key, a
+ * sequence number, and an HMAC-SHA-256 (RFC 2104, FIPS 198-1) with that key over the associated
+ * data, the message, and the preceding fields of the trailer. The associated data is known to both
+ * sides and not transmitted: both addresses of a VRRP datagram, or the name of a fleet.
  */
 public final class MessageAuthenticator {
-  /** The bytes of a trailer. */
+  /** The length of a trailer, in bytes. */
   public static final int TRAILER_BYTES = 44;
 
+  /** The length of the fields of a trailer before the HMAC, in bytes. */
   private static final int TRAILER_HEADER_BYTES = 12;
+
   private static final short MAGIC = (short) 0xc05e;
   private static final byte FORMAT = 1;
   private static final String ALGORITHM = "HmacSHA256";
 
   private MessageAuthenticator() {}
 
-  /** Why a trailer is not valid. */
+  /** Why a trailer is invalid. */
   public enum Rejection {
-    /** The key ring has no key of this id. */
+    /** The key ring has no key with the id in the trailer. */
     KEY_UNKNOWN,
     /** The HMAC does not match. */
     FORGED
   }
 
-  /** The key id and the sequence of a trailer, which prove nothing before it is verified. */
+  /**
+   * The key id and the sequence number of a trailer; neither is authentic until the trailer is
+   * verified.
+   */
   public record Trailer(int keyId, long sequence) {}
 
-  /** Whether the bytes from this offset on have the form of a trailer. */
+  /** Whether the bytes from this offset to the end have the form of a trailer. */
   public static boolean hasTrailer(byte[] bytes, int offset) {
     if (offset < 0 || bytes.length - offset != TRAILER_BYTES) {
       return false;
@@ -45,7 +50,11 @@
     return trailer.getShort() == MAGIC && trailer.get() == FORMAT;
   }
 
-  /** Returns the message followed by its trailer; the key ring must contain the key. */
+  /**
+   * Returns the message followed by its trailer. The key ring must contain the key.
+   *
+   * @param sequence the sequence number to put into the trailer
+   */
   public static byte[] sign(
       byte[] message, byte[] associatedData, KeyRing keys, int keyId, long sequence) {
     byte[] bytes = Arrays.copyOf(message, message.length + TRAILER_BYTES);
@@ -60,14 +69,14 @@
     return bytes;
   }
 
-  /** Reads the trailer behind a message of this length, without verifying it. */
+  /** Reads the trailer that follows a message of this length, without verifying it. */
   public static Trailer readTrailer(byte[] bytes, int length) {
     ByteBuffer trailer = ByteBuffer.wrap(bytes, length, TRAILER_BYTES);
     trailer.position(length + 3);
     return new Trailer(trailer.get() & 0xff, trailer.getLong());
   }
 
-  /** Why the trailer behind a message of this length is not valid, or nothing if it is. */
+  /** Why the trailer that follows a message of this length is invalid; empty if it is valid. */
   public static Optional<Rejection> verify(
       byte[] bytes, int length, byte[] associatedData, KeyRing keys) {
     byte[] key = keys.key(readTrailer(bytes, length).keyId());
@@ -89,7 +98,7 @@
       mac.update(bytes, 0, length);
       return mac.doFinal();
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+      throw new IllegalStateException("every Java platform must support " + ALGORITHM, e);
     }
   }
 }
--- a/src/main/java/cobaltseam/authentication/package-info.java
+++ b/src/main/java/cobaltseam/authentication/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Authenticates messages between dispatchers by an HMAC-SHA-256 trailer. The entry point is {@link
- * cobaltseam.authentication.MessageAuthenticator}; all classes are immutable or stateless. Key ids
- * are 1 to 255, lengths are in bytes.
+ * Authenticates messages between dispatchers with an HMAC-SHA-256 trailer. The entry point is
+ * {@link cobaltseam.authentication.MessageAuthenticator}; all classes are immutable or stateless.
+ * Key ids are 1 to 255, lengths are in bytes.
  */
 package cobaltseam.authentication;
--- a/src/main/java/cobaltseam/store/AtomicFile.java
+++ b/src/main/java/cobaltseam/store/AtomicFile.java
@@ -13,42 +13,46 @@
 import java.util.zip.CRC32C;
 
 /**
- * A file with one value, in a folder of its own, that is replaced atomically: a crash at any moment
- * leaves either the old or the new value. A new value is written to a temporary file, synced and
- * renamed over the old one, then the folder is synced. No older value is kept: the file stores
- * promises, for which an older value is worse than none, so a corrupt value is moved aside and
- * treated as absent. A lock file gives the folder to one process at a time. Not thread-safe.
+ * Stores one value in a file that is replaced atomically, in a folder of its own: a crash at any
+ * moment leaves either the old or the new value. A new value is written to a temporary file, synced
+ * and renamed over the old file, then the folder is synced. No older value is kept: the file stores
+ * promises of a member, for which an older value is worse than none. A corrupt file is therefore
+ * moved aside and treated as absent. A lock file restricts the folder to one process at a time. Not
+ * thread-safe.
  *
- * <p>Layout, big-endian: the bytes {@code CSWF}, a 4-byte format number, a 4-byte length of the
- * value, a 4-byte CRC32C (RFC 3720, appendix B.4) of the format number, the length and the value,
- * and the value.
+ * <p>The file has these fields, big-endian: the bytes {@code CSWF}, a 4-byte format number, a
+ * 4-byte length of the value, a 4-byte CRC32C (RFC 3720, appendix B.4) over the format number, the
+ * length and the value, and the value.
  */
 public final class AtomicFile implements AutoCloseable {
   private static final int MAGIC = 0x43535746;
   private static final int HEADER_BYTES = 16;
 
-  /** The largest value that is written or read. */
+  /** The largest value that can be written or read, in bytes. */
   public static final int MAX_VALUE_BYTES = 1 << 24;
 
   private static final String LOCK_FILE_NAME = "lock";
 
-  /** What was found in the folder. */
+  /** The outcome of reading the file. */
   public enum ReadStatus {
-    /** There is no file. */
+    /** The file does not exist. */
     ABSENT,
-    /** There is a value. */
+    /** The file has a value. */
     VALUE,
-    /** The file is corrupt, and was moved aside with the suffix {@code .broken}. */
+    /**
+     * The file is corrupt; {@link AtomicFile#read} has renamed it with the suffix {@code .broken}
+     * added.
+     */
     CORRUPT,
-    /** The file has a newer format: it stays in place and must not be overwritten. */
+    /** The file has a newer format; it stays in place and must not be overwritten. */
     NEWER_FORMAT
   }
 
   /**
    * The result of reading.
    *
-   * @param status what was found
-   * @param value the value, or null if none was found
+   * @param status the outcome
+   * @param value the value; null unless the status is {@code VALUE}
    */
   public record ReadResult(ReadStatus status, byte[] value) {}
 
@@ -65,9 +69,10 @@
   }
 
   /**
-   * Locks the folder, which is created if it is missing.
+   * Opens the file and locks its folder, which is created if it does not exist.
    *
-   * @param format the format number that values are written with; higher ones are not read
+   * @param name the name of the file in the folder
+   * @param format the format number to write; files with a higher one are not read
    * @throws IOException if the folder can't be written, or another process has locked it
    */
   public static AtomicFile open(Path folder, String name, int format) throws IOException {
@@ -83,12 +88,12 @@
     }
     if (lock == null) {
       channel.close();
-      throw new IOException("another process has the folder " + folder);
+      throw new IOException("the folder " + folder + " is locked by another process");
     }
     return new AtomicFile(folder, name, format, channel);
   }
 
-  /** Reads the value, after dropping an unfinished write. */
+  /** Reads the value, after deleting the temporary file of an unfinished write. */
   public ReadResult read() throws IOException {
     Files.deleteIfExists(temporaryFile());
     if (!Files.exists(file)) {
@@ -107,7 +112,11 @@
     return result;
   }
 
-  /** Decodes the bytes of a file, which may have this format number at most. */
+  /**
+   * Decodes the bytes of a file.
+   *
+   * @param format the highest format number that is accepted
+   */
   public static ReadResult decode(byte[] bytes, int format) {
     ByteBuffer in = ByteBuffer.wrap(bytes);
     if (bytes.length < HEADER_BYTES || in.getInt() != MAGIC) {
@@ -141,13 +150,14 @@
   }
 
   /**
-   * Replaces the value, and returns once the new one is on disk.
+   * Replaces the value, and returns once the new value is on disk.
    *
-   * @throws IOException if it is too large or can't be written; the old value stays then
+   * @throws IOException if the value is too large or can't be written; the old value remains then
    */
   public void write(byte[] value) throws IOException {
     if (value.length > MAX_VALUE_BYTES) {
-      throw new IOException(value.length + " bytes are more than " + MAX_VALUE_BYTES);
+      throw new IOException(
+          "the value has " + value.length + " bytes, the limit is " + MAX_VALUE_BYTES);
     }
     ByteBuffer buffer =
         ByteBuffer.allocate(HEADER_BYTES + value.length)
@@ -175,7 +185,8 @@
           StandardCopyOption.ATOMIC_MOVE,
           StandardCopyOption.REPLACE_EXISTING);
     } catch (AtomicMoveNotSupportedException e) {
-      throw new IOException("this file system can't rename in one step: " + e.getMessage(), e);
+      throw new IOException(
+          "the file system does not support atomic renames: " + e.getMessage(), e);
     }
     try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
       directory.force(true);
--- a/src/main/java/cobaltseam/store/BackgroundWriter.java
+++ b/src/main/java/cobaltseam/store/BackgroundWriter.java
@@ -9,17 +9,19 @@
 import java.util.function.Supplier;
 
 /**
- * Writes values to a file on a thread of its own, so that a slow disk blocks nobody. Each value
- * contains everything of the ones before it, so only the newest value is written: a value that is
- * submitted during a write replaces the one that waits.
+ * Writes values to a file on a thread of its own, so that a slow disk does not block the submitting
+ * thread. Each value contains everything that the earlier ones contain, so only the newest value is
+ * written: a value that is submitted during a write replaces any value that is pending.
  */
 public final class BackgroundWriter implements AutoCloseable {
   private record PendingWrite(long number, Supplier<byte[]> value) {}
 
-  /** Is called when a value can't be written. */
+  /** Receives the failures to write a value or to close the file. */
   public interface FailureListener {
     /**
-     * @param reason in words
+     * Handles a failure.
+     *
+     * @param reason the message of the error
      */
     void onFailure(String reason);
   }
@@ -31,17 +33,19 @@
   private final ExecutorService executor;
 
   /**
-   * Both listeners are called on the writer's thread.
+   * Creates a writer. Both listeners are called on the writer's thread, but failures to close the
+   * file are reported on the thread that calls {@link #close}.
    *
-   * @param file is closed with this writer
-   * @param onWritten is called with the number of a value once it is on disk
+   * @param file the file to write; it is closed with this writer
+   * @param onWritten receives the number of a value once the value is on disk
+   * @param failureListener receives the failures
    */
   public BackgroundWriter(
       AtomicFile file, LongConsumer onWritten, FailureListener failureListener) {
     this.file = file;
     this.onWritten = onWritten;
     this.failureListener = failureListener;
-    // One task runs and one waits; a third would find the value already written by the second.
+    // One task runs and one waits. A third is discarded, since the waiting task writes its value.
     executor =
         new ThreadPoolExecutor(
             1,
@@ -58,10 +62,10 @@
   }
 
   /**
-   * Submits a value.
+   * Submits a value to be written.
    *
-   * @param number must rise with each value
-   * @param value is called on the writer's thread
+   * @param number the number of the value, which must be higher than that of any earlier value
+   * @param value supplies the bytes to write, on the writer's thread
    */
   public void submit(long number, Supplier<byte[]> value) {
     pending.set(new PendingWrite(number, value));
@@ -81,7 +85,9 @@
     }
   }
 
-  /** Waits up to a second for the write that is running; a waiting one may be lost. */
+  /**
+   * Waits up to a second for the writes to finish and closes the file; a pending write may be lost.
+   */
   @Override
   public void close() {
     executor.shutdown();
@@ -89,8 +95,8 @@
       executor.awaitTermination(1, TimeUnit.SECONDS);
       file.close();
     } catch (java.io.IOException e) {
-      // The lock is released with the process in any case.
-      failureListener.onFailure("closing: " + e.getMessage());
+      // The operating system releases the lock at the latest when the process ends.
+      failureListener.onFailure("can't close the file: " + e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/cobaltseam/transport/AdvertDatagramSocket.java
+++ b/src/main/java/cobaltseam/transport/AdvertDatagramSocket.java
@@ -11,32 +11,36 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The UDP socket of mastership adverts. A thread of its own reads it and hands over the datagrams
- * of peers, no more of each at once than a bound: a peer that floods it delays the others neither
- * here nor at the thread that owns the state.
+ * The UDP socket for mastership adverts. A thread of its own reads the socket and passes the
+ * datagrams of known peers to the receiver. The number of unprocessed bytes is limited for each
+ * peer, so that a peer that floods the socket delays the datagrams of other peers neither on the
+ * reading thread nor on the thread that owns the state.
  */
 public final class AdvertDatagramSocket {
   /**
-   * Gets each datagram on the reading thread; it calls {@link #release} once it is done with it.
+   * Receives each datagram on the reading thread, and must call {@link #release} once it has
+   * processed the datagram.
    */
   public interface Receiver {
-    /** Gets a datagram, which belongs to the receiver from then on. */
+    /** Receives a datagram; the receiver takes ownership of the array. */
     void receive(byte[] bytes, InetAddress source);
   }
 
   /**
-   * The longest advert with its authentication has 4,132 bytes: a longer datagram arrives cut, and
-   * is rejected for its length.
+   * The longest advert with its authentication trailer has 4,132 bytes. A longer datagram is
+   * truncated to this limit and then rejected for its length.
    */
   private static final int MAX_ADVERT_BYTES = 4200;
 
   /**
-   * Bytes of all peers that may wait to be read, with the overhead of each datagram: each peer has
-   * an even part, and at least two datagrams.
+   * The most bytes of all peers that may wait to be processed, including the overhead of each
+   * datagram. Each peer gets an equal share, which has space for at least two datagrams.
    */
   private static final int MAX_UNREAD_BYTES = 1 << 20;
 
+  /** The memory counted for each datagram in addition to its content. */
   private static final int OVERHEAD_BYTES = 128;
+
   private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
   private final DatagramEndpoint datagrams;
@@ -47,19 +51,20 @@
   private volatile int maxUnreadBytesPerPeer;
 
   /**
-   * @param at the address to bind
-   * @param peers the addresses whose datagrams are handed over
+   * @param address the address to bind
+   * @param peers the addresses whose datagrams are passed to the receiver
    */
-  public AdvertDatagramSocket(InetSocketAddress at, Set<InetAddress> peers, Receiver receiver) {
-    datagrams = new DatagramEndpoint(at, MAX_ADVERT_BYTES, this::receive);
+  public AdvertDatagramSocket(
+      InetSocketAddress address, Set<InetAddress> peers, Receiver receiver) {
+    datagrams = new DatagramEndpoint(address, MAX_ADVERT_BYTES, this::receive);
     this.receiver = receiver;
     setPeers(peers);
   }
 
-  /** From now on only datagrams from these addresses are handed over. */
+  /** Changes the addresses whose datagrams are passed to the receiver. */
   public void setPeers(Set<InetAddress> peers) {
     Map<InetAddress, AtomicInteger> next = new ConcurrentHashMap<>();
-    peers.forEach(p -> next.put(p, unreadBytes.getOrDefault(p, new AtomicInteger())));
+    peers.forEach(peer -> next.put(peer, unreadBytes.getOrDefault(peer, new AtomicInteger())));
     unreadBytes = next;
     maxUnreadBytesPerPeer =
         Math.max(
@@ -67,6 +72,8 @@
   }
 
   /**
+   * Binds the socket and starts the reading thread.
+   *
    * @throws IOException if the address can't be bound
    */
   public void open() throws IOException {
@@ -75,14 +82,14 @@
 
   private void receive(ByteBuffer buffer, InetSocketAddress from) {
     InetAddress source = from.getAddress();
-    AtomicInteger waiting = unreadBytes.get(source);
-    if (waiting == null) {
+    AtomicInteger pendingBytes = unreadBytes.get(source);
+    if (pendingBytes == null) {
       unknownSources.incrementAndGet();
       return;
     }
     byte[] bytes = new byte[buffer.remaining()];
-    if (waiting.addAndGet(bytes.length + OVERHEAD_BYTES) > maxUnreadBytesPerPeer) {
-      waiting.addAndGet(-bytes.length - OVERHEAD_BYTES);
+    if (pendingBytes.addAndGet(bytes.length + OVERHEAD_BYTES) > maxUnreadBytesPerPeer) {
+      pendingBytes.addAndGet(-bytes.length - OVERHEAD_BYTES);
       dropped.incrementAndGet();
     } else {
       buffer.get(bytes);
@@ -90,34 +97,34 @@
     }
   }
 
-  /** Frees the space of a datagram of this peer, so that others may wait in its place. */
+  /** Releases the space of a processed datagram of this peer. */
   public void release(byte[] bytes, InetAddress source) {
-    AtomicInteger waiting = unreadBytes.get(source);
-    if (waiting != null) {
-      waiting.addAndGet(-bytes.length - OVERHEAD_BYTES);
+    AtomicInteger pendingBytes = unreadBytes.get(source);
+    if (pendingBytes != null) {
+      pendingBytes.addAndGet(-bytes.length - OVERHEAD_BYTES);
     }
   }
 
-  /** The number of datagrams from other addresses since the last call. */
+  /** The number of datagrams from unknown addresses since the last call. */
   public long takeUnknownSourceCount() {
     return unknownSources.getAndSet(0);
   }
 
-  /** The number of datagrams dropped beyond the bound since the last call. */
+  /** The number of datagrams dropped because of the limit since the last call. */
   public long takeDroppedCount() {
     return dropped.getAndSet(0);
   }
 
   /**
-   * Sends a datagram; it never waits.
+   * Sends a datagram without blocking.
    *
-   * @throws IOException if the system rejects it
+   * @throws IOException if the operating system rejects the datagram
    */
   public void send(byte[] bytes, InetSocketAddress to) throws IOException {
     datagrams.send(bytes, to);
   }
 
-  /** Closes the socket; nothing is handed over from then on. */
+  /** Closes the socket and stops the reading thread. */
   public void close() {
     datagrams.close();
   }
--- a/src/main/java/cobaltseam/transport/DatagramEndpoint.java
+++ b/src/main/java/cobaltseam/transport/DatagramEndpoint.java
@@ -9,9 +9,9 @@
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
 
-/** A UDP socket that a thread of its own reads into one buffer. */
+/** A UDP socket with a reading thread of its own, which reads all datagrams into one buffer. */
 final class DatagramEndpoint {
-  /** Gets each datagram on the reading thread; the buffer is valid during the call alone. */
+  /** Receives each datagram on the reading thread; the buffer is valid only during the call. */
   interface Receiver {
     void receive(ByteBuffer bytes, InetSocketAddress from);
   }
@@ -23,7 +23,7 @@
   private Selector selector;
 
   /**
-   * @param maxDatagramBytes a longer datagram arrives cut
+   * @param maxDatagramBytes the length to which longer datagrams are truncated
    */
   DatagramEndpoint(InetSocketAddress address, int maxDatagramBytes, Receiver receiver) {
     this.address = address;
@@ -32,6 +32,8 @@
   }
 
   /**
+   * Binds the socket and starts the reading thread.
+   *
    * @throws IOException if the address can't be bound
    */
   void open(int receiveBufferBytes, String threadName) throws IOException {
@@ -63,9 +65,8 @@
       } catch (ClosedSelectorException e) {
         return;
       } catch (IOException e) {
-        // An error of an earlier datagram that was sent, such as an unreachable port: the socket
-        // stays
-        // open.
+        // The error concerns a datagram that was sent earlier, such as an unreachable port. The
+        // socket stays open.
         continue;
       }
     }
@@ -76,12 +77,12 @@
     return channel.isOpen() ? (InetSocketAddress) channel.receive(buffer) : null;
   }
 
-  /** Sends a datagram; it never waits. */
+  /** Sends a datagram without blocking. */
   void send(byte[] bytes, InetSocketAddress to) throws IOException {
     channel.send(ByteBuffer.wrap(bytes), to);
   }
 
-  /** Closes the socket; nothing is handed over from then on. */
+  /** Closes the socket and stops the reading thread. */
   void close() {
     try {
       if (channel != null) {
@@ -89,7 +90,7 @@
       }
       selector.close();
     } catch (IOException e) {
-      // It is not used any more, so there is nothing to repair.
+      // The socket is no longer used, so the error needs no handling.
       channel = null;
     }
   }
--- a/src/main/java/cobaltseam/transport/MessageCodec.java
+++ b/src/main/java/cobaltseam/transport/MessageCodec.java
@@ -30,57 +30,66 @@
 import java.util.function.Function;
 
 /**
- * The codec of messages between members: CBOR (RFC 8949) of a version, the fleet's name, the kind
- * of message and its fields by name, followed by a trailer of {@link MessageAuthenticator} if there
- * are keys. Unknown fields are ignored, so that a later program may add some; a message of unknown
- * kind is rejected.
+ * Encodes and decodes messages between members. A message is CBOR (RFC 8949) with a version, the
+ * name of the fleet, the kind of message and its fields by name, followed by a trailer of {@link
+ * MessageAuthenticator} if there are keys. Unknown fields are ignored, so that a later release may
+ * add fields; a message of an unknown kind is rejected.
  */
 public final class MessageCodec {
-  /** A longer message is neither written nor read. */
+  /** The longest message that is encoded or decoded, with its trailer, in bytes. */
   public static final int MAX_MESSAGE_BYTES = 1 << 14;
 
   private static final int VERSION = 1;
 
   /** Why a datagram is rejected. */
   public enum RejectionReason {
+    /** The datagram is longer than {@link #MAX_MESSAGE_BYTES}. */
     TOO_LONG,
+    /** The message has no authentication trailer, but this fleet has keys. */
     UNSEALED,
+    /** The key ring has no key with the id in the trailer. */
     KEY_UNKNOWN,
+    /** The HMAC in the trailer does not match. */
     FORGED,
+    /** The bytes are not a valid message. */
     MALFORMED,
+    /** The message has another version, or none. */
     VERSION,
+    /** The message belongs to another fleet. */
     OTHER_FLEET,
+    /** The kind of message is unknown. */
     KIND;
 
-    /** The word for it in logs and in SHOW. */
+    /** The label of the reason in logs and in SHOW. */
     public String label() {
       return name().toLowerCase(java.util.Locale.ROOT);
     }
   }
 
-  /** The result of decoding: a message, or why the bytes are rejected. One of the two is null. */
+  /** The result of decoding: a message, or why the bytes are rejected; the other one is null. */
   public record DecodedMessage(PeerMessage message, RejectionReason rejection) {}
 
   private final ObjectMapper mapper;
   private final String fleet;
   private final byte[] associatedData;
   private final KeyRing keys;
-  private final int writeKey;
+  private final int signingKeyId;
   private long sequence;
 
   /**
-   * @param keys the keys of authentication, or null if messages are not authenticated
-   * @param writeKey the id of the key to sign with
+   * @param fleet the name of the fleet
+   * @param keys the keys for authentication, or null if messages are not authenticated
+   * @param signingKeyId the id of the key to sign with
    */
-  public MessageCodec(String fleet, KeyRing keys, int writeKey) {
+  public MessageCodec(String fleet, KeyRing keys, int signingKeyId) {
     this.fleet = fleet;
     this.keys = keys;
-    this.writeKey = writeKey;
+    this.signingKeyId = signingKeyId;
     associatedData = fleet.getBytes(StandardCharsets.UTF_8);
     mapper = mapper();
   }
 
-  /** CBOR of our records, fields by name. */
+  /** A mapper between records and CBOR with the field names of {@link WireNames}. */
   static ObjectMapper mapper() {
     return CBORMapper.builder()
         .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -93,7 +102,7 @@
         .build();
   }
 
-  /** Names, incarnations and addresses as one item each. */
+  /** Encodes each member name, incarnation and address as a single CBOR item. */
   private static SimpleModule scalarTypes() {
     SimpleModule module = new SimpleModule();
     module.addKeyDeserializer(
@@ -104,63 +113,69 @@
             return new MemberName(key);
           }
         });
-    add(module, MemberName.class, MemberName::value, MemberName::new);
-    add(module, InetSocketAddress.class, MessageCodec::text, MessageCodec::address);
+    addTextType(module, MemberName.class, MemberName::value, MemberName::new);
+    addTextType(
+        module, InetSocketAddress.class, MessageCodec::formatAddress, MessageCodec::parseAddress);
     module.addSerializer(
         Incarnation.class,
         new StdSerializer<>(Incarnation.class) {
           @Override
-          public void serialize(Incarnation birth, JsonGenerator to, SerializerProvider provider)
+          public void serialize(
+              Incarnation value, JsonGenerator generator, SerializerProvider provider)
               throws IOException {
-            to.writeNumber(birth.value());
+            generator.writeNumber(value.value());
           }
         });
     module.addDeserializer(
         Incarnation.class,
         new StdDeserializer<>(Incarnation.class) {
           @Override
-          public Incarnation deserialize(JsonParser from, DeserializationContext context)
+          public Incarnation deserialize(JsonParser parser, DeserializationContext context)
               throws IOException {
-            return new Incarnation(from.getLongValue());
+            return new Incarnation(parser.getLongValue());
           }
         });
     return module;
   }
 
-  private static <T> void add(
-      SimpleModule module, Class<T> type, Function<T, String> write, Function<String, T> read) {
+  /** Registers a type that is encoded as a text item. */
+  private static <T> void addTextType(
+      SimpleModule module, Class<T> type, Function<T, String> format, Function<String, T> parse) {
     module.addSerializer(
         type,
         new StdSerializer<>(type) {
           @Override
-          public void serialize(T value, JsonGenerator to, SerializerProvider provider)
+          public void serialize(T value, JsonGenerator generator, SerializerProvider provider)
               throws IOException {
-            to.writeString(write.apply(value));
+            generator.writeString(format.apply(value));
           }
         });
     module.addDeserializer(
         type,
         new StdDeserializer<>(type) {
           @Override
-          public T deserialize(JsonParser from, DeserializationContext context) throws IOException {
-            return read.apply(from.getText());
+          public T deserialize(JsonParser parser, DeserializationContext context)
+              throws IOException {
+            return parse.apply(parser.getText());
           }
         });
   }
 
-  private static String text(InetSocketAddress address) {
+  /** Formats an address as the host address and the port, separated by a vertical bar. */
+  private static String formatAddress(InetSocketAddress address) {
     return Addresses.format(address.getAddress()) + "|" + address.getPort();
   }
 
-  private static InetSocketAddress address(String text) {
-    int bar = text.indexOf('|');
-    Optional<InetAddress> host = Addresses.parse(text.substring(0, Math.max(0, bar)));
+  private static InetSocketAddress parseAddress(String text) {
+    int separator = text.indexOf('|');
+    Optional<InetAddress> host = Addresses.parse(text.substring(0, Math.max(0, separator)));
     return new InetSocketAddress(
-        host.orElseThrow(() -> new IllegalArgumentException("not an address")),
-        Integer.parseInt(text.substring(bar + 1)));
+        host.orElseThrow(
+            () -> new IllegalArgumentException("the text is not an address with a port")),
+        Integer.parseInt(text.substring(separator + 1)));
   }
 
-  /** The bytes of a message; null if it is too long to be sent. */
+  /** Encodes a message, and signs it if there are keys; returns null if it is too long to send. */
   public byte[] write(PeerMessage message) {
     ObjectNode envelope = mapper.createObjectNode();
     envelope.put("v", VERSION).put("f", fleet).put("k", WireNames.kindOf(message));
@@ -169,15 +184,15 @@
     try {
       bytes = mapper.writeValueAsBytes(envelope);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("every message has bytes", e);
+      throw new IllegalStateException("every message must be encodable", e);
     }
     if (keys != null) {
-      bytes = MessageAuthenticator.sign(bytes, associatedData, keys, writeKey, sequence++);
+      bytes = MessageAuthenticator.sign(bytes, associatedData, keys, signingKeyId, sequence++);
     }
     return bytes.length > MAX_MESSAGE_BYTES ? null : bytes;
   }
 
-  /** Decodes a datagram; whatever it contains, this throws nothing. */
+  /** Decodes a datagram. No exception is thrown, whatever bytes it contains. */
   public DecodedMessage read(byte[] bytes) {
     if (bytes.length > MAX_MESSAGE_BYTES) {
       return rejected(RejectionReason.TOO_LONG);
@@ -188,11 +203,11 @@
       if (!MessageAuthenticator.hasTrailer(bytes, length)) {
         return rejected(RejectionReason.UNSEALED);
       }
-      Optional<MessageAuthenticator.Rejection> broken =
+      Optional<MessageAuthenticator.Rejection> trailerRejection =
           MessageAuthenticator.verify(bytes, length, associatedData, keys);
-      if (broken.isPresent()) {
+      if (trailerRejection.isPresent()) {
         return rejected(
-            broken.get() == MessageAuthenticator.Rejection.FORGED
+            trailerRejection.get() == MessageAuthenticator.Rejection.FORGED
                 ? RejectionReason.FORGED
                 : RejectionReason.KEY_UNKNOWN);
       }
@@ -219,7 +234,7 @@
           ? rejected(RejectionReason.MALFORMED)
           : new DecodedMessage(message, null);
     } catch (IOException | RuntimeException e) {
-      // The parser may throw anything on hostile bytes; they are malformed then.
+      // The parser may throw any exception on hostile bytes; the message is malformed then.
       return rejected(RejectionReason.MALFORMED);
     }
   }
--- a/src/main/java/cobaltseam/transport/PeerDatagramSocket.java
+++ b/src/main/java/cobaltseam/transport/PeerDatagramSocket.java
@@ -8,14 +8,17 @@
 import java.util.function.Consumer;
 
 /**
- * The UDP socket of messages between members. Its peers are not known beforehand, so the datagrams
- * that wait to be read are bounded for all peers together; the receiver authenticates them.
+ * The UDP socket for messages between members. The peers are not known in advance, so the bytes
+ * that wait to be processed are limited for all peers together. The receiver authenticates the
+ * datagrams.
  */
 public final class PeerDatagramSocket {
-  /** Bytes that may wait to be read, with the overhead of each datagram. */
+  /** The most bytes that may wait to be processed, including the overhead of each datagram. */
   private static final int MAX_UNREAD_BYTES = 1 << 20;
 
+  /** The memory counted for each datagram in addition to its content. */
   private static final int OVERHEAD_BYTES = 128;
+
   private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
   private final DatagramEndpoint datagrams;
@@ -24,16 +27,19 @@
   private final AtomicLong dropped = new AtomicLong();
 
   /**
-   * @param receiver gets each datagram on the reading thread, and calls {@link #release} once it is
-   *     through with it
+   * @param address the address to bind
+   * @param receiver receives each datagram on the reading thread, and must call {@link #release}
+   *     once it has processed the datagram
    */
-  public PeerDatagramSocket(InetSocketAddress at, Consumer<byte[]> receiver) {
-    // One byte more than the largest message, so that a longer datagram is seen to be longer.
-    datagrams = new DatagramEndpoint(at, MessageCodec.MAX_MESSAGE_BYTES + 1, this::receive);
+  public PeerDatagramSocket(InetSocketAddress address, Consumer<byte[]> receiver) {
+    // One byte more than the largest message, so that the codec detects a longer datagram.
+    datagrams = new DatagramEndpoint(address, MessageCodec.MAX_MESSAGE_BYTES + 1, this::receive);
     this.receiver = receiver;
   }
 
   /**
+   * Binds the socket and starts the reading thread.
+   *
    * @throws IOException if the address can't be bound
    */
   public void open() throws IOException {
@@ -52,26 +58,26 @@
     receiver.accept(bytes);
   }
 
-  /** Frees the space of a datagram, so that others may wait in its place. */
+  /** Releases the space of a processed datagram. */
   public void release(byte[] bytes) {
     unreadBytes.addAndGet(-bytes.length - OVERHEAD_BYTES);
   }
 
-  /** The number of datagrams dropped beyond the bound since the last call. */
+  /** The number of datagrams dropped because of the limit since the last call. */
   public long takeDroppedCount() {
     return dropped.getAndSet(0);
   }
 
   /**
-   * Sends a datagram; it never waits.
+   * Sends a datagram without blocking.
    *
-   * @throws IOException if the system rejects it
+   * @throws IOException if the operating system rejects the datagram
    */
   public void send(byte[] bytes, InetSocketAddress to) throws IOException {
     datagrams.send(bytes, to);
   }
 
-  /** Closes the socket; nothing is handed over from then on. */
+  /** Closes the socket and stops the reading thread. */
   public void close() {
     datagrams.close();
   }
--- a/src/main/java/cobaltseam/transport/WireNames.java
+++ b/src/main/java/cobaltseam/transport/WireNames.java
@@ -38,22 +38,25 @@
 import java.util.Map;
 
 /**
- * The names that messages between members and the persistent state of a member have as bytes. They
- * are written down here and not taken from the code, so that a class, a record component or an enum
- * constant can be renamed without a change to the wire or to stored folders.
+ * The encoded names of message kinds, record components and enum constants, in messages between
+ * members and in the persistent state of a member. They are listed here instead of being derived
+ * from the code, so that a class, a record component or an enum constant can be renamed without a
+ * change to the wire format or to stored state.
  *
- * <p>The names of a record stand in the order of its components. A new component gets its name at
- * the end of its row; a name that has been released never changes.
+ * <p>The names of a record are listed in the order of its components. A new component is added at
+ * the end of the record, and its name at the end of the list; a name that has been released never
+ * changes.
  */
 final class WireNames extends NopAnnotationIntrospector {
   private static final long serialVersionUID = 1L;
 
-  /** The kind of each message. */
-  private static final Map<Class<? extends PeerMessage>, String> KINDS = new HashMap<>();
+  /** The encoded kind of each message class. */
+  private static final Map<Class<? extends PeerMessage>, String> KINDS_BY_CLASS = new HashMap<>();
 
-  /** The field names of each record, in the order of its components. */
-  private static final Map<Class<? extends Record>, List<String>> FIELDS = new HashMap<>();
+  /** The encoded field names of each record, in the order of its components. */
+  private static final Map<Class<? extends Record>, List<String>> FIELDS_BY_CLASS = new HashMap<>();
 
+  /** The encoded name of each member condition. */
   private static final Map<MemberCondition, String> CONDITIONS =
       Map.of(
           MemberCondition.ALIVE, "ALIVE",
@@ -69,7 +72,7 @@
     nameValues();
   }
 
-  private static final Map<String, Class<? extends PeerMessage>> CLASSES = classesByKind();
+  private static final Map<String, Class<? extends PeerMessage>> CLASSES_BY_KIND = classesByKind();
 
   private static void nameMembershipMessages() {
     message("Probe", MembershipMessage.HealthCheck.class, "from", "id", "to", "news");
@@ -170,33 +173,35 @@
         "documents");
   }
 
+  /** Registers the kind and the field names of a message class. */
   private static <T extends Record & PeerMessage> void message(
       String kind, Class<T> type, String... names) {
-    KINDS.put(type, kind);
+    KINDS_BY_CLASS.put(type, kind);
     fields(type, names);
   }
 
+  /** Registers the field names of a record. */
   private static void fields(Class<? extends Record> type, String... names) {
     if (type.getRecordComponents().length != names.length) {
       throw new IllegalStateException("each component of " + type.getName() + " needs a name");
     }
-    FIELDS.put(type, List.of(names));
+    FIELDS_BY_CLASS.put(type, List.of(names));
   }
 
   private static Map<String, Class<? extends PeerMessage>> classesByKind() {
     Map<String, Class<? extends PeerMessage>> classes = new HashMap<>();
-    KINDS.forEach((type, kind) -> classes.put(kind, type));
+    KINDS_BY_CLASS.forEach((type, kind) -> classes.put(kind, type));
     return Map.copyOf(classes);
   }
 
-  /** The kind of a message as the wire has it. */
+  /** The encoded kind of a message. */
   static String kindOf(PeerMessage message) {
-    return KINDS.get(message.getClass());
+    return KINDS_BY_CLASS.get(message.getClass());
   }
 
-  /** The class of a kind, or null if this build does not know the kind. */
+  /** The message class of an encoded kind, or null if the kind is unknown. */
   static Class<? extends PeerMessage> classOf(String kind) {
-    return CLASSES.get(kind);
+    return CLASSES_BY_KIND.get(kind);
   }
 
   @Override
@@ -215,9 +220,10 @@
     if (!(annotated instanceof AnnotatedParameter parameter)) {
       return findNameForSerialization(annotated);
     }
-    List<String> names = FIELDS.get(parameter.getDeclaringClass());
-    boolean canonical = names != null && parameter.getOwner().getParameterCount() == names.size();
-    return canonical ? PropertyName.construct(names.get(parameter.getIndex())) : null;
+    List<String> names = FIELDS_BY_CLASS.get(parameter.getDeclaringClass());
+    boolean isCanonicalConstructor =
+        names != null && parameter.getOwner().getParameterCount() == names.size();
+    return isCanonicalConstructor ? PropertyName.construct(names.get(parameter.getIndex())) : null;
   }
 
   @Override
@@ -229,11 +235,12 @@
     return names;
   }
 
+  /** The encoded name of a record component; null if the type has no such component. */
   private static PropertyName nameOf(Class<?> type, String component) {
     if (!type.isRecord()) {
       return null;
     }
-    List<String> names = FIELDS.get(type);
+    List<String> names = FIELDS_BY_CLASS.get(type);
     RecordComponent[] components = type.getRecordComponents();
     for (int i = 0; i < components.length; i++) {
       if (components[i].getName().equals(component)) {
--- a/src/test/java/cobaltseam/store/AtomicFileTest.java
+++ b/src/test/java/cobaltseam/store/AtomicFileTest.java
@@ -21,14 +21,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The file has the old or the new value, however the process ends, and detects changed bytes. */
+/**
+ * The file has the old or the new value, however the process ends, and changed bytes are detected.
+ */
 class AtomicFileTest {
   private static final byte[] OLD = {1, 2, 3};
 
   @TempDir Path folder;
 
   @Test
-  void everyChangedByteAndEveryOtherLengthIsDetected() throws IOException {
+  void changedBytesAndWrongLengthsAreDetected() throws IOException {
     try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
       assertEquals(ReadStatus.ABSENT, file.read().status());
       file.write(OLD);
@@ -49,7 +51,7 @@
   }
 
   @Test
-  void aCorruptFileIsMovedAsideAndAnUnfinishedWriteIsDropped() throws IOException {
+  void corruptFileIsMovedAsideAndUnfinishedWriteIsDeleted() throws IOException {
     Files.write(folder.resolve("value"), new byte[] {9});
     Files.write(folder.resolve("value.new"), new byte[] {8});
     try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
@@ -61,7 +63,7 @@
   }
 
   @Test
-  void aFileOfANewerFormatStaysInPlace() throws IOException {
+  void fileWithNewerFormatStaysInPlace() throws IOException {
     try (AtomicFile file = AtomicFile.open(folder, "value", 2)) {
       file.write(OLD);
     }
@@ -83,7 +85,7 @@
   }
 
   @Test
-  void theWriterReportsTheNewestValueWrittenAndFailures() throws Exception {
+  void writerReportsWrittenValuesAndFailures() throws Exception {
     AtomicLong newest = new AtomicLong();
     CountDownLatch last = new CountDownLatch(1);
     CountDownLatch failed = new CountDownLatch(1);
@@ -91,13 +93,13 @@
     try (BackgroundWriter writer =
         new BackgroundWriter(
             file,
-            n -> {
-              assertTrue(n > newest.getAndSet(n), "numbers rise");
-              if (n == 500) {
+            number -> {
+              assertTrue(number > newest.getAndSet(number), "the numbers must rise");
+              if (number == 500) {
                 last.countDown();
               }
             },
-            why -> failed.countDown())) {
+            reason -> failed.countDown())) {
       for (long n = 1; n <= 500; n++) {
         long number = n;
         writer.submit(n, () -> ByteBuffer.allocate(8).putLong(number).array());
@@ -109,13 +111,13 @@
     }
   }
 
-  /** Writes rising numbers, and prints each once it is written. */
+  /** Writes rising numbers until it is killed, and prints each number once it is on disk. */
   public static final class WriterProcess {
     public static void main(String[] args) throws IOException {
       try (AtomicFile file = AtomicFile.open(Path.of(args[0]), "value", 1)) {
-        AtomicFile.ReadResult before = file.read();
-        System.out.println(before.status());
-        long number = before.value() == null ? 0 : ByteBuffer.wrap(before.value()).getLong();
+        AtomicFile.ReadResult initial = file.read();
+        System.out.println(initial.status());
+        long number = initial.value() == null ? 0 : ByteBuffer.wrap(initial.value()).getLong();
         while (true) {
           byte[] value = new byte[8 + (int) (number % 5000)];
           ByteBuffer.wrap(value).putLong(++number);
@@ -127,10 +129,15 @@
     }
   }
 
-  /** Kills a writing process this many times; returns the last number that was acknowledged. */
+  /**
+   * Kills a writing process this many times, each time after a random number of writes. After each
+   * kill, the file must have the last acknowledged number or the one after it.
+   *
+   * @return the last number that is stored
+   */
   static long killWriters(Path folder, int times, long seed)
       throws IOException, InterruptedException {
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     long acknowledged = 0;
     for (int kill = 0; kill < times; kill++) {
       Process process =
@@ -148,23 +155,23 @@
           new BufferedReader(new InputStreamReader(process.getInputStream()))) {
         ReadStatus expected = kill == 0 ? ReadStatus.ABSENT : ReadStatus.VALUE;
         assertEquals(expected.name(), out.readLine(), "kill " + kill);
-        for (int lines = 1 + chance.nextInt(40); lines > 0; lines--) {
+        for (int lines = 1 + random.nextInt(40); lines > 0; lines--) {
           acknowledged = Long.parseLong(out.readLine());
         }
         process.toHandle().destroyForcibly();
         for (String line = out.readLine(); line != null && !line.isEmpty(); line = out.readLine()) {
-          // A line may be cut by the kill; its number is lower then.
+          // The kill may truncate a line, whose number is then lower.
           acknowledged = Math.max(acknowledged, Long.parseLong(line));
         }
       }
       process.waitFor();
       try (AtomicFile file = AtomicFile.open(folder, "value", 1)) {
-        AtomicFile.ReadResult reading = file.read();
-        assertEquals(ReadStatus.VALUE, reading.status(), "kill " + kill);
-        long stored = ByteBuffer.wrap(reading.value()).getLong();
+        AtomicFile.ReadResult result = file.read();
+        assertEquals(ReadStatus.VALUE, result.status(), "kill " + kill);
+        long stored = ByteBuffer.wrap(result.value()).getLong();
         assertTrue(
             stored == acknowledged || stored == acknowledged + 1,
-            "held " + stored + ", said " + acknowledged);
+            "stored " + stored + ", acknowledged " + acknowledged);
         acknowledged = stored;
       }
     }
@@ -172,11 +179,13 @@
   }
 
   @Test
-  void aProcessKilledDuringAWriteLeavesTheOldOrTheNewValue() throws Exception {
+  void processKilledDuringWriteLeavesOldOrNewValue() throws Exception {
     assertTrue(killWriters(folder, 8, 1) > 0);
   }
 
-  /** Prints the figure of docs/measures-membership.md for this many kills. */
+  /**
+   * Runs the number of kills in the first argument, for the figure in docs/measures-membership.md.
+   */
   public static void main(String[] args) throws Exception {
     Path folder = Files.createTempDirectory("kills");
     System.out.println(
--- a/src/test/java/cobaltseam/transport/WireCompatibilityTest.java
+++ b/src/test/java/cobaltseam/transport/WireCompatibilityTest.java
@@ -16,11 +16,12 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Messages and stored state as commit f2adcf2 wrote them, before its classes were renamed: this
- * build reads them and writes the same bytes.
+ * Reads messages and stored state that were recorded with the first names of the message classes,
+ * and writes the same bytes. Guards against a renamed class or record component that changes the
+ * encoding.
  */
 class WireCompatibilityTest {
-  private static final int KINDS = 30;
+  private static final int KIND_COUNT = 30;
   private final MessageCodec codec = new MessageCodec("rig", null, 0);
 
   static Map<String, PeerMessage> samples() {
@@ -32,20 +33,21 @@
   }
 
   @Test
-  void everyKindOfMessageIsRecorded() {
-    assertEquals(KINDS, samples().size());
-    assertEquals(KINDS, samples().values().stream().map(Object::getClass).distinct().count());
+  void everyKindOfMessageHasASample() {
+    assertEquals(KIND_COUNT, samples().size());
+    assertEquals(KIND_COUNT, samples().values().stream().map(Object::getClass).distinct().count());
   }
 
   @ParameterizedTest
   @MethodSource("kinds")
-  void aRecordedMessageIsReadAndWrittenWithTheSameBytes(String kind) throws IOException {
+  void recordedMessageIsReadAndWrittenWithTheSameBytes(String kind) throws IOException {
     byte[] recorded = recorded(kind);
-    assertArrayEquals(recorded, codec.write(samples().get(kind)), "written by this build");
-    MessageCodec.DecodedMessage reading = codec.read(recorded);
-    assertNull(reading.rejection());
-    assertEquals(samples().get(kind).getClass(), reading.message().getClass());
-    assertArrayEquals(recorded, codec.write(reading.message()), "read and written again");
+    assertArrayEquals(recorded, codec.write(samples().get(kind)), "sample written");
+    MessageCodec.DecodedMessage decoded = codec.read(recorded);
+    assertNull(decoded.rejection());
+    assertEquals(samples().get(kind).getClass(), decoded.message().getClass());
+    assertArrayEquals(
+        recorded, codec.write(decoded.message()), "recorded message read and written again");
   }
 
   @Test
--- a/src/test/java/cobaltseam/transport/WireSamples.java
+++ b/src/test/java/cobaltseam/transport/WireSamples.java
@@ -30,8 +30,8 @@
 import java.util.Map;
 
 /**
- * One message of each kind and the persistent state of a member, with the values that the recorded
- * files in {@code cobaltseam/wire} hold. Maps have one entry, since their order is not fixed.
+ * One message of each kind and the persistent state of a member, with the values of the recorded
+ * files in {@code cobaltseam/wire}. Maps have one entry, since their order is not fixed.
  */
 final class WireSamples {
   private static final Member FIRST =
@@ -47,24 +47,25 @@
           FIRST, 3, new ViewId(1_796_163_423_780L, 12), true, VIEW_ID);
   private static final Ballot BALLOT = new Ballot(5, FIRST.name(), FIRST.incarnation());
   private static final Ballot LOWER_BALLOT = new Ballot(4, SECOND.name(), SECOND.incarnation());
-  private static final ConfigurationVersion EDITION =
+  private static final ConfigurationVersion CONFIGURATION =
       new ConfigurationVersion(3, "ab".repeat(32), FIRST.name());
-  private static final ViewDelta CHANGE = new ViewDelta(List.of(SECOND), List.of(FIRST), EDITION);
+  private static final ViewDelta DELTA =
+      new ViewDelta(List.of(SECOND), List.of(FIRST), CONFIGURATION);
   private static final List<MemberName> NAMES = List.of(FIRST.name(), SECOND.name());
   private static final FiguresVersion VERSION = new FiguresVersion(new Incarnation(4), 1L << 41);
 
   private WireSamples() {}
 
-  /** The samples by the name of the file that holds their bytes. */
+  /** The samples by the name of the file with their bytes, which is the kind on the wire. */
   static Map<String, PeerMessage> messages() {
     Map<String, PeerMessage> samples = new LinkedHashMap<>();
-    addMembership(samples);
-    addViewChange(samples);
-    addOthers(samples);
+    addMembershipMessages(samples);
+    addViewChangeMessages(samples);
+    addLeaseAgreementAndSharing(samples);
     return samples;
   }
 
-  private static void addMembership(Map<String, PeerMessage> samples) {
+  private static void addMembershipMessages(Map<String, PeerMessage> samples) {
     List<MemberUpdate> updates = new java.util.ArrayList<>();
     for (MemberCondition condition : MemberCondition.values()) {
       updates.add(new MemberUpdate(SECOND, 4, condition, FIRST.name()));
@@ -79,50 +80,50 @@
     samples.put("Consent", new MembershipMessage.BootstrapConsent(HEADER, 1));
   }
 
-  private static void addViewChange(Map<String, PeerMessage> samples) {
+  private static void addViewChangeMessages(Map<String, PeerMessage> samples) {
     samples.put("Prepare", new MembershipMessage.Prepare(HEADER, VIEW_ID, BALLOT, NAMES));
     samples.put(
         "Promise",
-        new MembershipMessage.Promise(HEADER, VIEW_ID, BALLOT, LOWER_BALLOT, CHANGE, NAMES));
+        new MembershipMessage.Promise(HEADER, VIEW_ID, BALLOT, LOWER_BALLOT, DELTA, NAMES));
     samples.put("Refuse", new MembershipMessage.Reject(HEADER, VIEW_ID, LOWER_BALLOT, BALLOT));
-    samples.put("Accept", new MembershipMessage.Accept(HEADER, VIEW_ID, BALLOT, CHANGE));
+    samples.put("Accept", new MembershipMessage.Accept(HEADER, VIEW_ID, BALLOT, DELTA));
     samples.put("Accepted", new MembershipMessage.Accepted(HEADER, VIEW_ID, BALLOT));
-    samples.put("Decided", new MembershipMessage.Decided(HEADER, VIEW_ID, CHANGE));
+    samples.put("Decided", new MembershipMessage.Decided(HEADER, VIEW_ID, DELTA));
     samples.put("AskView", new MembershipMessage.ViewRequest(HEADER, VIEW_ID, 48));
     samples.put(
         "ViewPart",
-        new MembershipMessage.ViewPart(HEADER, VIEW_ID, 1, 2, List.of(SECOND), EDITION));
+        new MembershipMessage.ViewPart(HEADER, VIEW_ID, 1, 2, List.of(SECOND), CONFIGURATION));
   }
 
-  private static void addOthers(Map<String, PeerMessage> samples) {
+  private static void addLeaseAgreementAndSharing(Map<String, PeerMessage> samples) {
     samples.put("Renew", new LeaseMessage.LeaseRenewal(HEADER, -1));
     samples.put("Granted", new LeaseMessage.LeaseGrant(HEADER, 1));
-    samples.put("Offer", new AgreementMessage.VersionOffer(HEADER, EDITION, 99));
-    samples.put("Checked", new AgreementMessage.VersionCheck(HEADER, EDITION, "no"));
-    samples.put("Want", new AgreementMessage.ContentRequest(HEADER, EDITION.hash(), 4));
+    samples.put("Offer", new AgreementMessage.VersionOffer(HEADER, CONFIGURATION, 99));
+    samples.put("Checked", new AgreementMessage.VersionCheck(HEADER, CONFIGURATION, "no"));
+    samples.put("Want", new AgreementMessage.ContentRequest(HEADER, CONFIGURATION.hash(), 4));
     samples.put(
         "Piece",
-        new AgreementMessage.ContentPart(HEADER, EDITION.hash(), 1, 3, new byte[] {7, -8}));
+        new AgreementMessage.ContentPart(HEADER, CONFIGURATION.hash(), 1, 3, new byte[] {7, -8}));
     Map<MemberName, SharingMessage.KnownVersion> known =
         Map.of(SECOND.name(), new SharingMessage.KnownVersion(VERSION, new TimeSpan(7)));
     samples.put(
         "ShareAsk",
         new SharingPeerMessage.SharingRequest(
             HEADER, new SharingMessage.UpdateRequest(FIRST.name(), -5, known)));
-    FiguresUpdate statement =
+    FiguresUpdate update =
         new FiguresUpdate(
             SECOND.name(),
             VERSION,
             new MemberFigures(Map.of("spread.demand", 3L)),
             new TimeSpan(11));
-    SharingMessage.Reaffirmation standing =
+    SharingMessage.Reaffirmation reaffirmation =
         new SharingMessage.Reaffirmation(FIRST.name(), VERSION, new TimeSpan(1));
     samples.put(
         "ShareNewer",
         new SharingPeerMessage.SharingReply(
             HEADER,
             new SharingMessage.UpdateReply(
-                FIRST.name(), 9, List.of(statement), List.of(standing))));
+                FIRST.name(), 9, List.of(update), List.of(reaffirmation))));
     samples.put("Borrow", new CapacityLeaseMessage.LeaseRequest(HEADER, 4, 5));
     samples.put("Lent", new CapacityLeaseMessage.LeaseGrant(HEADER, 4, 5, 6));
     samples.put("AskReports", new LoadReportMessage.ReportsRequest(HEADER, 8));
@@ -141,10 +142,10 @@
     return new PersistentState(
         FIRST,
         3,
-        new View(VIEW_ID, List.of(FIRST, SECOND), EDITION),
+        new View(VIEW_ID, List.of(FIRST, SECOND), CONFIGURATION),
         BALLOT,
         LOWER_BALLOT,
-        CHANGE,
+        DELTA,
         new Incarnation(9),
         4,
         Map.of(7L, 8L),
