--- a/src/test/java/cobaltseam/service/AnswerRaceTest.java
+++ b/src/test/java/cobaltseam/service/AnswerRaceTest.java
@@ -9,125 +9,124 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Answers that are cut off, never end or come late, for a request class that is idempotent and one
- * that is not.
+ * Answers that are truncated, never end or arrive late, for an idempotent and a non-idempotent
+ * request class.
  */
 class AnswerRaceTest extends ServiceRig {
-  private static void answerWell(Message pull) throws Exception {
+  private static void answerWithOnePage(Message pull) throws Exception {
     pull.answer(pull.id(), "200", "pages=1", ROWS);
   }
 
   /**
-   * The answer and the end of its connection are read together: the answer counts, without a retry.
+   * The answer and the end of its connection are read in the same round. A retry here would run the
+   * request twice.
    */
   @Test
-  void anAnswerCountsThoughItsConnectionEndsRightBehindIt() throws Exception {
-    EmulatedPeer one = new EmulatedPeer(true);
-    EmulatedPeer two = new EmulatedPeer(true);
-    start(one, two);
+  void answerIsAcceptedWhenItsConnectionClosesRightAfterIt() throws Exception {
+    EmulatedPeer firstEngine = new EmulatedPeer(true);
+    EmulatedPeer secondEngine = new EmulatedPeer(true);
+    start(firstEngine, secondEngine);
     TestClient client = new TestClient(idempotentStatement(1, 10_000));
-    Message pull = poll(one, two);
-    CountDownLatch held = holdUpSockets();
-    answerWell(pull);
+    Message pull = poll(firstEngine, secondEngine);
+    CountDownLatch resume = holdUpSockets();
+    answerWithOnePage(pull);
     pull.from().close();
-    held.countDown();
+    resume.countDown();
     assertEquals("SELECT 2", client.readReplies().get(2));
-    assertTrue(client.ask("SHOW cobaltseam.counters").contains("sends|1"), "it was sent again");
+    assertTrue(
+        client.ask("SHOW cobaltseam.counters").contains("sends|1"), "the request was retried");
   }
 
-  /** The client gets all pages of a result or none. */
+  /** The client must receive either all pages of one result or none of them. */
   @Test
-  void aResultCutOffBetweenPagesIsRetriedWhereThatIsAllowed() throws Exception {
-    EmulatedPeer one = new EmulatedPeer(true);
-    EmulatedPeer two = new EmulatedPeer(true);
-    start(one, two);
+  void idempotentRequestIsRetriedWhenTheConnectionIsLostBetweenPages() throws Exception {
+    EmulatedPeer firstEngine = new EmulatedPeer(true);
+    EmulatedPeer secondEngine = new EmulatedPeer(true);
+    start(firstEngine, secondEngine);
     TestClient client = new TestClient(idempotentStatement(1, 20_000));
-    Message first = poll(one, two);
+    Message first = poll(firstEngine, secondEngine);
     first.answer(first.id(), "200", "pages=2", ROWS);
-    assertEquals("SCROLL", poll(one, two).items().get(0));
+    assertEquals("SCROLL", poll(firstEngine, secondEngine).items().get(0));
     first.reset();
-    Message again = poll(one, two);
-    assertEquals(first.id(), again.id());
-    answerWell(again);
+    Message retry = poll(firstEngine, secondEngine);
+    assertEquals(first.id(), retry.id());
+    answerWithOnePage(retry);
     assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.readReplies());
   }
 
   @Test
-  void aResultCutOffFailsARequestThatIsNotIdempotent() throws Exception {
-    EmulatedPeer one = new EmulatedPeer(true);
-    EmulatedPeer two = new EmulatedPeer(true);
-    start(one, two);
+  void nonIdempotentRequestFailsWhenTheConnectionIsLostDuringItsAnswer() throws Exception {
+    EmulatedPeer firstEngine = new EmulatedPeer(true);
+    EmulatedPeer secondEngine = new EmulatedPeer(true);
+    start(firstEngine, secondEngine);
     TestClient client = new TestClient(statement("once", 1, 20_000));
-    Message first = poll(one, two);
+    Message first = poll(firstEngine, secondEngine);
     first.write("*4\r\n$16\r\n" + first.id().substring(0, 7));
     first.reset();
     assertEquals(List.of("error 58"), client.readReplies());
-    TestClient watch = new TestClient();
-    assertTrue(watch.ask("SHOW cobaltseam.counters").contains("sends|1"));
+    TestClient observer = new TestClient();
+    assertTrue(observer.ask("SHOW cobaltseam.counters").contains("sends|1"));
   }
 
   /**
-   * The answer announces bytes that never come: the attempt times out early enough for a retry, and
-   * the client gets nothing of it.
+   * The answer announces more bytes than the engine sends. The attempt has to time out early enough
+   * for a retry, and the client must get no part of the incomplete answer.
    */
   @Test
-  void anAnswerThatNeverEndsTimesOutAndIsRetried() throws Exception {
-    EmulatedPeer one = new EmulatedPeer(true);
-    EmulatedPeer two = new EmulatedPeer(true);
-    start(one, two);
+  void idempotentRequestIsRetriedWhenItsAnswerNeverEnds() throws Exception {
+    EmulatedPeer firstEngine = new EmulatedPeer(true);
+    EmulatedPeer secondEngine = new EmulatedPeer(true);
+    start(firstEngine, secondEngine);
     TestClient client = new TestClient(idempotentStatement(1, 20_000));
-    Message first = poll(one, two);
+    Message first = poll(firstEngine, secondEngine);
     first.write("*4\r\n$16\r\n" + first.id() + "\r\n$3\r\n200\r\n$7\r\npages=1\r\n$48000\r\nhalf");
-    Message again = poll(one, two);
-    assertEquals(first.id(), again.id());
-    assertNotEquals(first.from(), again.from());
-    answerWell(again);
+    Message retry = poll(firstEngine, secondEngine);
+    assertEquals(first.id(), retry.id());
+    assertNotEquals(first.from(), retry.from());
+    answerWithOnePage(retry);
     assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.readReplies());
   }
 
   /**
-   * Nothing comes, or a part, or the first of two pages: the request may have run, so it fails in
-   * time and is not retried.
+   * The engine sends nothing, a part of an answer, or the first of two pages. The request may have
+   * run, so it has to fail before its deadline and must not be retried.
    */
   @Test
-  void aRequestThatIsNotIdempotentFailsWhateverPartOfItsAnswerIsMissing() throws Exception {
-    EmulatedPeer one = new EmulatedPeer(true);
-    EmulatedPeer two = new EmulatedPeer(true);
-    start(one, two);
+  void nonIdempotentRequestFailsWhateverPartOfItsAnswerIsMissing() throws Exception {
+    EmulatedPeer firstEngine = new EmulatedPeer(true);
+    EmulatedPeer secondEngine = new EmulatedPeer(true);
+    start(firstEngine, secondEngine);
     TestClient client = new TestClient();
     String first = "*4\r\n$16\r\n%s\r\n$3\r\n200\r\n$7\r\npages=%d\r\n$%d\r\n%s";
-    int call = 0;
+    int callNumber = 0;
     for (String part :
         List.of(
             "",
             first.formatted("ID", 1, 48_000, "half"),
             first.formatted("ID", 2, ROWS.length(), ROWS + "\r\n"))) {
-      client.query(client.out, statement("once", ++call, 1500));
-      Message pull = poll(one, two);
+      client.query(client.out, statement("once", ++callNumber, 1500));
+      Message pull = poll(firstEngine, secondEngine);
       pull.write(part.replace("ID", pull.id()));
       assertEquals(List.of("error 58"), client.readReplies(), part);
     }
-    assertNoSecondPull(one);
-    assertNoSecondPull(two);
+    assertNoSecondPull(firstEngine);
+    assertNoSecondPull(secondEngine);
   }
 
   private static void assertNoSecondPull(EmulatedPeer peer) {
     assertTrue(
-        peer.received.stream().noneMatch(m -> m.items().get(0).equals("PULL")),
+        peer.received.stream().noneMatch(message -> message.items().get(0).equals("PULL")),
         peer.received.toString());
   }
 
-  /**
-   * The connection is reset long after its last answer, and would lose the next attempt if it were
-   * used.
-   */
+  /** The connection is reset while idle; an attempt that is sent on it would be lost. */
   @Test
-  void aConnectionResetWhileIdleIsNotReused() throws Exception {
+  void idleConnectionThatWasResetIsNotReused() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(statement("once", 1, 20_000));
     Message first = engine.next("PULL");
-    answerWell(first);
+    answerWithOnePage(first);
     assertEquals("SELECT 2", client.readReplies().get(2));
     first.reset();
     engine.next("closed");
@@ -135,18 +134,21 @@
     client.query(client.out, statement("once", 2, 20_000));
     Message second = engine.next("PULL");
     assertNotEquals(first.from(), second.from());
-    answerWell(second);
+    answerWithOnePage(second);
     assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
-  /** The second answer to a request is dropped, and not taken for that of the next request. */
+  /**
+   * The engine answers a request twice, the second time when the next request is open on the same
+   * connection. The duplicate has to be dropped.
+   */
   @Test
-  void aLateSecondAnswerIsNotTakenForThatOfTheNextRequest() throws Exception {
+  void duplicateAnswerIsNotDeliveredToTheNextRequest() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(statement("once", 1, 20_000));
     Message first = engine.next("PULL");
-    answerWell(first);
+    answerWithOnePage(first);
     assertEquals("SELECT 2", client.readReplies().get(2));
     client.query(client.out, statement("once", 2, 20_000));
     Message second = engine.next("PULL");
--- a/src/test/java/cobaltseam/service/ClientSessionsTest.java
+++ b/src/test/java/cobaltseam/service/ClientSessionsTest.java
@@ -15,23 +15,23 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Sessions of clients: limits, eviction of idle ones, unusable statements and cancel requests. */
+/** Client sessions: limits, eviction when idle, invalid statements, and cancel requests. */
 class ClientSessionsTest extends ServiceRig {
   @Test
-  void onlyTheClientThatDoesNotReadLosesItsConnection() throws Exception {
+  void onlyTheClientThatDoesNotReadIsDisconnected() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     String page = ("x".repeat(990) + "\t\t\n").repeat(6);
-    TestClient lazy = new TestClient();
-    int asked = 0;
-    boolean closed = false;
-    while (!closed && asked < 2000) {
+    TestClient notReading = new TestClient();
+    int sentStatements = 0;
+    boolean isClosed = false;
+    while (!isClosed && sentStatements < 2000) {
       try {
-        lazy.query(lazy.out, idempotentStatement(++asked, 3000));
+        notReading.query(notReading.out, idempotentStatement(++sentStatements, 3000));
       } catch (SocketException e) {
-        closed = true;
+        isClosed = true;
       }
-      Message pull = closed ? null : engine.received.poll(200, TimeUnit.MILLISECONDS);
+      Message pull = isClosed ? null : engine.received.poll(200, TimeUnit.MILLISECONDS);
       for (int i = 0; pull != null && i < 8; i++) {
         if (i > 0 && !engine.next().items().get(0).equals("SCROLL")) {
           break;
@@ -39,7 +39,7 @@
         pull.answer(pull.id(), i == 0 ? "200" : "chunk", i == 0 ? "pages=8" : "page=" + i, page);
       }
     }
-    assertTrue(closed, "it was never closed");
+    assertTrue(isClosed, "the client that does not read is still connected");
     TestClient other = new TestClient(idempotentStatement(9999, 3000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void unusableStatementsAndMessagesGetErrorsAndReachNoEngine() throws Exception {
+  void invalidStatementsAndMessagesGetErrorsAndReachNoEngine() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient();
@@ -66,55 +66,55 @@
   }
 
   /**
-   * Hundreds of statements at once, and long ones that are never complete: each such client is
-   * closed, and no other waits.
+   * Some clients send hundreds of statements at once, others long statements that are never
+   * complete. Both kinds are disconnected, and no other client is delayed.
    */
   @Test
-  void onlyClientsThatExceedTheirLimitsLoseTheirConnections() throws Exception {
+  void onlyClientsThatExceedTheirInputLimitsAreDisconnected() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    ByteArrayOutputStream many = new ByteArrayOutputStream();
-    DataOutputStream to = new DataOutputStream(many);
-    List<Socket> flooding = new ArrayList<>();
-    List<TestClient> long0 = new ArrayList<>();
-    TestClient usual = new TestClient();
+    ByteArrayOutputStream manyStatements = new ByteArrayOutputStream();
+    DataOutputStream statementOutput = new DataOutputStream(manyStatements);
+    List<Socket> overLimit = new ArrayList<>();
+    List<TestClient> withIncompleteStatement = new ArrayList<>();
+    TestClient regular = new TestClient();
     for (int i = 0; i < 300; i++) {
-      usual.query(to, idempotentStatement(5000 + i, 3000));
+      regular.query(statementOutput, idempotentStatement(5000 + i, 3000));
     }
     for (int i = 0; i < 3; i++) {
       TestClient client = new TestClient();
-      client.out.write(many.toByteArray());
-      flooding.add(client.socket);
+      client.out.write(manyStatements.toByteArray());
+      overLimit.add(client.socket);
     }
-    byte[] half = new byte[60_000];
-    System.arraycopy(new byte[] {'Q', 0, 0, -1, -1}, 0, half, 0, 5);
+    byte[] incompleteStatement = new byte[60_000];
+    System.arraycopy(new byte[] {'Q', 0, 0, -1, -1}, 0, incompleteStatement, 0, 5);
     for (int i = 0; i < 40; i++) {
       TestClient client = new TestClient();
-      long0.add(client);
+      withIncompleteStatement.add(client);
       client.ask("");
       try {
-        client.out.write(half);
+        client.out.write(incompleteStatement);
       } catch (SocketException e) {
         continue;
       }
     }
-    flooding.add(long0.get(39).socket);
-    for (Socket each : flooding) {
+    overLimit.add(withIncompleteStatement.get(39).socket);
+    for (Socket connection : overLimit) {
       try {
-        each.getInputStream().readAllBytes();
+        connection.getInputStream().readAllBytes();
       } catch (SocketException e) {
-        // A reset is a close, too.
+        // A reset also closes the connection.
       }
     }
-    assertEquals(List.of("empty"), usual.ask(""));
+    assertEquals(List.of("empty"), regular.ask(""));
   }
 
-  /** Guards against a connection that ends with no counter that says why. */
+  /** Guards against a connection that is closed without a counter for the reason. */
   @Test
-  void aClientThatSendsNoStatementIsClosedAndCounted() throws Exception {
+  void clientWithoutAStatementTimesOutAndIsCounted() throws Exception {
     start(new EmulatedPeer(true));
     TestClient silent = new TestClient();
-    assertTrue(silent.in.read() < 0, "it is closed");
+    assertTrue(silent.in.read() < 0, "the connection is closed");
     TestClient other = new TestClient();
     List<String> counters = other.ask("SHOW cobaltseam.counters");
     assertTrue(counters.contains("clients_timed_out|1"), counters.toString());
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Clients keep far more connections open than are allowed: those that send statements never wait
-   * for them.
+   * Clients keep far more connections open than the limit. A new client that sends a statement must
+   * not wait for them.
    */
   @Test
   void idleConnectionsAreEvictedForNewOnes() throws Exception {
@@ -131,29 +131,31 @@
     start(48, IDLE_MS, engine);
     TestClient open = new TestClient(idempotentStatement(1, 10_000));
     Message first = engine.next("PULL");
-    List<TestClient> stayed = new ArrayList<>();
+    List<TestClient> idle = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       TestClient client = new TestClient(idempotentStatement(100 + i, 3000));
       Message pull = engine.next("PULL");
       pull.answer(pull.id(), "200", "pages=1", ROWS);
       assertEquals("SELECT 2", client.readReplies().get(2));
-      stayed.add(client);
+      idle.add(client);
     }
-    assertTrue(stayed.get(0).in.read() < 0, "the longest idle has given way");
+    assertTrue(idle.get(0).in.read() < 0, "the client that was idle the longest is evicted");
     assertTrue(
         service.acceptor.delayedAccepts() < 10,
-        "room is made before it is needed: " + service.acceptor.delayedAccepts());
-    assertEquals(List.of("empty"), stayed.get(39).ask(""));
+        "idle clients are evicted before the acceptor has to wait: "
+            + service.acceptor.delayedAccepts());
+    assertEquals(List.of("empty"), idle.get(39).ask(""));
     first.answer(first.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", open.readReplies().get(2), "not one with an open statement");
+    assertEquals(
+        "SELECT 2", open.readReplies().get(2), "a client with an open statement is not evicted");
   }
 
   /**
-   * A client that looks idle to a process that was held up may have sent a statement: it is
-   * answered.
+   * The event loop is delayed, and selects a client for eviction that has sent a statement in the
+   * meantime. The statement has to be answered.
    */
   @Test
-  void anIdleConnectionIsNotEvictedOnceItHasSentAStatement() throws Exception {
+  void idleConnectionIsNotEvictedOnceItHasSentAStatement() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(16, IDLE_MS, engine);
     List<TestClient> idle = new ArrayList<>();
@@ -161,16 +163,16 @@
       idle.add(new TestClient());
       assertEquals(List.of("empty"), idle.get(i).ask(""));
     }
-    CountDownLatch held = holdUp();
-    Socket another = new Socket(service.address().getAddress(), service.address().getPort());
+    CountDownLatch resume = holdUp();
+    Socket newConnection = new Socket(service.address().getAddress(), service.address().getPort());
     Thread.sleep(200);
     idle.get(0).query(idle.get(0).out, idempotentStatement(1, 10_000));
     Thread.sleep(200);
-    held.countDown();
+    resume.countDown();
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", idle.get(0).readReplies().get(2));
-    another.close();
+    newConnection.close();
   }
 
   @Test
@@ -189,28 +191,28 @@
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
-    for (Socket each : silent) {
+    for (Socket connection : silent) {
       try {
-        assertTrue(each.getInputStream().read() < 0);
+        assertTrue(connection.getInputStream().read() < 0);
       } catch (SocketException e) {
-        // A reset is a close, too.
+        // A reset also closes the connection.
       }
-      each.close();
+      connection.close();
     }
   }
 
   @Test
-  void aClientPausesAfterRepeatedUnusableStatements() throws Exception {
+  void clientIsThrottledAfterRepeatedInvalidStatements() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient();
-    long from = System.nanoTime();
+    long startNanos = System.nanoTime();
     for (int i = 0; i < 4; i++) {
       assertEquals(List.of("error 42"), client.ask("SELECT " + i));
     }
     assertTrue(
-        System.nanoTime() - from >= TimeUnit.MILLISECONDS.toNanos(150),
-        "it would be refused without end");
+        System.nanoTime() - startNanos >= TimeUnit.MILLISECONDS.toNanos(150),
+        "repeated invalid statements are rejected without a pause");
     client.query(client.out, idempotentStatement(1, 5000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
@@ -218,21 +220,22 @@
   }
 
   @Test
-  void aCancelledOrAbandonedRequestGetsNoAnswer() throws Exception {
+  void requestThatIsCancelledOrWhoseClientDisconnectsGetsNoAnswer() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(idempotentStatement(1, 3000));
     Message pull = engine.next("PULL");
-    try (Socket cancel = new Socket(service.address().getAddress(), service.address().getPort())) {
-      cancel.getOutputStream().write(client.cancelRequest());
-      assertTrue(cancel.getInputStream().read() < 0);
+    try (Socket cancelConnection =
+        new Socket(service.address().getAddress(), service.address().getPort())) {
+      cancelConnection.getOutputStream().write(client.cancelRequest());
+      assertTrue(cancelConnection.getInputStream().read() < 0);
     }
     assertEquals("closed", engine.next().items().get(0));
     assertTrue(pull.from().getInputStream().read() < 0);
     client.query(client.out, idempotentStatement(2, 3000));
     Message second = engine.next("PULL");
     second.answer(second.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", client.readReplies().get(2), "the only answer is that of the second");
+    assertEquals("SELECT 2", client.readReplies().get(2), "the first request was answered");
     client.query(client.out, idempotentStatement(3, 3000));
     engine.next("PULL");
     client.close();
--- a/src/test/java/cobaltseam/service/DispatcherServiceTest.java
+++ b/src/test/java/cobaltseam/service/DispatcherServiceTest.java
@@ -7,30 +7,30 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The shutdown and the warm-up of a service. */
+/** The shutdown delay and the warm-up of a service. */
 class DispatcherServiceTest extends ServiceRig {
   @Test
-  void aStoppedServiceServesOnUntilNoRequestIsOpen() throws Exception {
+  void stoppedServiceServesUntilNoRequestIsOpen() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(idempotentStatement(1, 4000));
-    Message pull = engine.next("PULL");
-    long asked = System.nanoTime();
-    Thread stop = new Thread(service::stop);
-    stop.start();
-    TestClient late = new TestClient(idempotentStatement(2, 4000));
-    Message second = engine.next("PULL");
-    second.answer(second.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", late.readReplies().get(2), "new connections are still served");
-    pull.answer(pull.id(), "200", "pages=1", ROWS);
+    Message firstPull = engine.next("PULL");
+    long stopNanos = System.nanoTime();
+    Thread stopThread = new Thread(service::stop);
+    stopThread.start();
+    TestClient newClient = new TestClient(idempotentStatement(2, 4000));
+    Message secondPull = engine.next("PULL");
+    secondPull.answer(secondPull.id(), "200", "pages=1", ROWS);
+    assertEquals("SELECT 2", newClient.readReplies().get(2), "new connections are still served");
+    firstPull.answer(firstPull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
-    stop.join(SOON_S * 1000);
-    assertFalse(stop.isAlive());
-    assertTrue(System.nanoTime() - asked >= TimeUnit.MILLISECONDS.toNanos(700));
+    stopThread.join(SOON_S * 1000);
+    assertFalse(stopThread.isAlive());
+    assertTrue(System.nanoTime() - stopNanos >= TimeUnit.MILLISECONDS.toNanos(700));
   }
 
   @Test
-  void theWarmUpCompletesRequests() throws Exception {
+  void warmupCompletesRequests() throws Exception {
     assertTrue(
         Warmup.run(
                 serviceConfiguration(
--- a/src/test/java/cobaltseam/service/ProcessSignalTest.java
+++ b/src/test/java/cobaltseam/service/ProcessSignalTest.java
@@ -27,134 +27,142 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Signals and starts of real processes, crossed with requests. */
+/** Signals to real dispatcher processes while requests are open, and simultaneous starts. */
 class ProcessSignalTest {
   private static final String HOST = "127.0.0.1";
-  private static final int LONG_MS = 20_000;
-  private static final int RUNS_MS = 1500;
-  private static final int RESTARTED = 10;
+  private static final int TIMEOUT_MS = 20_000;
+
+  /** How long each request runs on the emulated engine. */
+  private static final int REQUEST_DURATION_MS = 1500;
+
+  private static final int PROCESS_COUNT = 10;
+
+  /** How long a process may take from its start to its first reply. */
   private static final int READY_WITHIN_MS = 10_000;
-  private static final int READY = 9;
+
+  private static final int MIN_READY = 9;
 
   @TempDir Path folder;
   private EmulatedEventBus bus;
   private EmulatedEngine engine;
-  private String known;
+  private String knownEndpoints;
   private final List<DispatcherProcess> processes = new ArrayList<>();
 
   @BeforeEach
-  void begin() throws Exception {
+  void startEngineAndEventBus() throws Exception {
     bus = new EmulatedEventBus(HOST);
-    engine = new EmulatedEngine(HOST, profile -> RUNS_MS);
-    known = bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
+    engine = new EmulatedEngine(HOST, profile -> REQUEST_DURATION_MS);
+    knownEndpoints = bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
   }
 
   @AfterEach
-  void end() throws Exception {
+  void stopProcesses() throws Exception {
     processes.forEach(DispatcherProcess::close);
     engine.close();
     bus.close();
   }
 
-  private static InetSocketAddress free() throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
-      return new InetSocketAddress(HOST, free.getLocalPort());
+  private static InetSocketAddress freeAddress() throws IOException {
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
+      return new InetSocketAddress(HOST, socket.getLocalPort());
     }
   }
 
   private DispatcherProcess dispatcher(int number, InetSocketAddress listen) throws IOException {
     String configuration =
         DispatcherProcess.configuration(
-            "n" + number, listen, number, RESTARTED, 4 * RESTARTED, bus, known);
+            "n" + number, listen, number, PROCESS_COUNT, 4 * PROCESS_COUNT, bus, knownEndpoints);
     DispatcherProcess process =
         new DispatcherProcess(folder.resolve("n" + number), configuration, null);
     processes.add(process);
     return process;
   }
 
-  /** A second SIGTERM, or a SIGHUP in between, neither shortens nor prolongs the shutdown. */
+  /** A second SIGTERM, or a SIGHUP in between, must not shorten or prolong the shutdown. */
   @Test
-  void signalsDuringAShutdownChangeNothingAndRequestsInFlightAreAnswered() throws Exception {
-    InetSocketAddress listen = free();
+  void repeatedSignalsDuringAShutdownChangeNothingAndInFlightRequestsAreAnswered()
+      throws Exception {
+    InetSocketAddress listen = freeAddress();
     DispatcherProcess process = dispatcher(0, listen);
     process.start();
-    process.await("serves on", 0, LONG_MS);
-    ExecutorService asks = Executors.newSingleThreadExecutor();
-    try (StatementClient client = new StatementClient(listen, LONG_MS)) {
-      Future<Outcome> answer =
-          asks.submit(() -> client.execute("%016x".formatted(1), "once", 3000, RUNS_MS));
+    process.await("serves on", 0, TIMEOUT_MS);
+    ExecutorService executor = Executors.newSingleThreadExecutor();
+    try (StatementClient client = new StatementClient(listen, TIMEOUT_MS)) {
+      Future<Outcome> outcome =
+          executor.submit(
+              () -> client.execute("%016x".formatted(1), "once", 3000, REQUEST_DURATION_MS));
       while (engine.running() == 0) {
-        assertFalse(answer.isDone(), "it never came to the engine");
+        assertFalse(outcome.isDone(), "the request ended before it reached the engine");
         Thread.onSpinWait();
       }
-      int from = process.lines();
+      int firstLine = process.lines();
       process.signal("TERM");
       process.signal("HUP");
       process.signal("TERM");
-      Map<String, Long> counters = process.awaitEnd(from);
-      assertEquals(Outcome.ANSWERED, answer.get(LONG_MS, TimeUnit.MILLISECONDS));
+      Map<String, Long> counters = process.awaitEnd(firstLine);
+      assertEquals(Outcome.ANSWERED, outcome.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
       assertEquals(0, counters.get("faults"));
     } finally {
-      asks.shutdownNow();
+      executor.shutdownNow();
     }
   }
 
   /**
-   * The process is frozen while requests and SIGTERM come; those unread in the kernel are still
-   * served.
+   * The process is suspended while a statement and SIGTERM arrive. The statement, which is still
+   * unread in the kernel, has to be answered.
    */
   @Test
-  void requestsUnreadWhenTheSignalComesAreServed() throws Exception {
-    InetSocketAddress listen = free();
+  void requestUnreadWhenSigtermArrivesIsAnswered() throws Exception {
+    InetSocketAddress listen = freeAddress();
     DispatcherProcess process = dispatcher(0, listen);
     process.start();
-    process.await("serves on", 0, LONG_MS);
-    ExecutorService asks = Executors.newSingleThreadExecutor();
-    try (StatementClient client = new StatementClient(listen, LONG_MS)) {
-      int from = process.lines();
+    process.await("serves on", 0, TIMEOUT_MS);
+    ExecutorService executor = Executors.newSingleThreadExecutor();
+    try (StatementClient client = new StatementClient(listen, TIMEOUT_MS)) {
+      int firstLine = process.lines();
       process.signal("STOP");
-      client.send("%016x".formatted(1), "once", 3000, RUNS_MS);
+      client.send("%016x".formatted(1), "once", 3000, REQUEST_DURATION_MS);
       process.signal("TERM");
-      Future<Outcome> answer = asks.submit(client::awaitOutcome);
+      Future<Outcome> outcome = executor.submit(client::awaitOutcome);
       process.signal("CONT");
-      assertEquals(Outcome.ANSWERED, answer.get(LONG_MS, TimeUnit.MILLISECONDS));
-      assertEquals(0, process.awaitEnd(from).get("faults"));
+      assertEquals(Outcome.ANSWERED, outcome.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+      assertEquals(0, process.awaitEnd(firstLine).get("faults"));
     } finally {
-      asks.shutdownNow();
+      executor.shutdownNow();
     }
   }
 
   /**
-   * All start at once and share the machine, each with its warm-up: the slowest but one has to be
-   * quick.
+   * All processes start at once, compete for the CPU, and run their warm-up. All but one have to be
+   * ready in time.
    */
   @Test
   void nineOfTenProcessesRestartedAtOnceAreReadyInTime() throws Exception {
     List<InetSocketAddress> addresses = new ArrayList<>();
-    for (int i = 0; i < RESTARTED; i++) {
-      addresses.add(free());
+    for (int i = 0; i < PROCESS_COUNT; i++) {
+      addresses.add(freeAddress());
       dispatcher(i, addresses.get(i));
     }
-    List<Callable<Boolean>> starts = new ArrayList<>();
-    for (int i = 0; i < RESTARTED; i++) {
+    List<Callable<Boolean>> startTasks = new ArrayList<>();
+    for (int i = 0; i < PROCESS_COUNT; i++) {
       int number = i;
-      starts.add(
+      startTasks.add(
           () -> {
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             processes.get(number).start();
-            processes.get(number).await("serves on", 0, LONG_MS);
-            try (StatementClient client = new StatementClient(addresses.get(number), LONG_MS)) {
+            processes.get(number).await("serves on", 0, TIMEOUT_MS);
+            try (StatementClient client = new StatementClient(addresses.get(number), TIMEOUT_MS)) {
               client.show("counters");
             }
-            return System.nanoTime() - from <= TimeUnit.MILLISECONDS.toNanos(READY_WITHIN_MS);
+            return System.nanoTime() - startNanos <= TimeUnit.MILLISECONDS.toNanos(READY_WITHIN_MS);
           });
     }
-    ExecutorService all = Executors.newFixedThreadPool(RESTARTED);
-    int ready = 0;
-    for (Future<Boolean> each : all.invokeAll(starts)) {
-      ready += each.get() ? 1 : 0;
+    ExecutorService executor = Executors.newFixedThreadPool(PROCESS_COUNT);
+    int readyCount = 0;
+    for (Future<Boolean> isReady : executor.invokeAll(startTasks)) {
+      readyCount += isReady.get() ? 1 : 0;
     }
-    all.shutdown();
-    assertTrue(ready >= READY, ready + " were ready in time");
+    executor.shutdown();
+    assertTrue(readyCount >= MIN_READY, readyCount + " were ready in time");
   }
 }
--- a/src/test/java/cobaltseam/service/ServiceFixtures.java
+++ b/src/test/java/cobaltseam/service/ServiceFixtures.java
@@ -6,32 +6,39 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/**
- * Builds the configuration, the endpoint events and the statements that tests of the service use.
- */
+/** Configurations, endpoint events and statements for the tests of the service. */
 abstract class ServiceFixtures {
+  /** The default limit of file descriptors. */
   static final int SOCKETS = 256;
+
+  /** The default idle timeout of connections to engines. */
   static final int IDLE_MS = 30_000;
+
+  /** A page with two rows of three columns. */
   static final String ROWS = "a\t1\tx\nb\t2\ty\n";
 
-  static String endpointJson(int uid, String engine, String state) {
+  /** Returns the JSON of one endpoint. */
+  static String endpointJson(int uid, String engineAddress, String state) {
     return "{\"uid\":\"s-%08x\",\"endpoint\":\"%s\",\"az\":\"z\",\"model\":\"m\",\"state\":\"%s\",\"boot_ms\":0}"
-        .formatted(uid, engine, state);
+        .formatted(uid, engineAddress, state);
   }
 
-  static String endpointEvent(int offset, boolean all, String... targets) {
+  /** Returns the JSON of an event of the endpoint list. */
+  static String endpointEvent(int offset, boolean isComplete, String... endpoints) {
     return "{\"offset\":%d,\"topology\":{\"rev\":1,\"all\":%b,\"targets\":[%s]}}"
-        .formatted(offset, all, String.join(",", targets));
+        .formatted(offset, isComplete, String.join(",", endpoints));
   }
 
   static ServiceConfiguration serviceConfiguration(
-      String bus, int sockets, int idleMs, String... targets) throws IOException {
+      String busAddress, int maxSockets, int idleMs, String... endpoints) throws IOException {
     return ServiceConfiguration.of(
         JsonObjectReader.of(
-            new JsonFactory().createParser(configurationJson(bus, sockets, idleMs, targets))));
+            new JsonFactory()
+                .createParser(configurationJson(busAddress, maxSockets, idleMs, endpoints))));
   }
 
-  static String configurationJson(String bus, int sockets, int idleMs, String... targets) {
+  static String configurationJson(
+      String busAddress, int maxSockets, int idleMs, String... endpoints) {
     return """
                 {"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"sockets":%d,"memory_mb":64},"bus":"%s",
                 "known":{"offset":7,"batch":[%s]},"settings":{"balancers":1,"position":0,"tick_us":5000,
@@ -41,22 +48,24 @@
                 "limits":{"most_tries":3,"cancel":true,"retry_after":true,"max_retry_after_us":500000,
                 "connect_timeout_us":2000000,"conn_idle_us":%d,"streams_per_conn":32}}}
                 """
-        .formatted(sockets, bus, endpointEvent(7, true, targets), idleMs * 1000);
+        .formatted(maxSockets, busAddress, endpointEvent(7, true, endpoints), idleMs * 1000);
   }
 
   /**
-   * A statement with so much work that no attempt times out while a slow machine plays its part.
+   * Returns a statement of the idempotent class "look", with so much estimated work that no attempt
+   * times out even if the test runs slowly.
    */
-  static String idempotentStatement(int call, int ttl) {
-    return statement("look", call, ttl).replace("work=100", "work=1000");
+  static String idempotentStatement(int callNumber, int timeToLiveMs) {
+    return statement("look", callNumber, timeToLiveMs).replace("work=100", "work=1000");
   }
 
-  static String statement(String profile, int call, int ttl) {
+  /** Returns a statement of this request class, with 100 ms of estimated work. */
+  static String statement(String requestClass, int callNumber, int timeToLiveMs) {
     return "/* op=%s,call=%016x,ttl=%d,work=100 */ SELECT n FROM a_1.t"
-        .formatted(profile, call, ttl);
+        .formatted(requestClass, callNumber, timeToLiveMs);
   }
 
-  /** A query message as its bytes on the wire. */
+  /** Returns a Query message as sent on the wire. */
   static byte[] queryMessage(String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     return ByteBuffer.allocate(bytes.length + 6)
@@ -67,7 +76,7 @@
         .array();
   }
 
-  /** A configuration that lets connections to engines take long to come up. */
+  /** Returns a configuration with a long connect timeout for engines. */
   static String withLongConnectTimeout(String configuration) {
     return configuration.replace(
         "\"connect_timeout_us\":2000000", "\"connect_timeout_us\":30000000");
--- a/src/test/java/cobaltseam/service/ShutdownRaceTest.java
+++ b/src/test/java/cobaltseam/service/ShutdownRaceTest.java
@@ -10,92 +10,101 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Shutdowns that cross messages of clients, and closes that cross unread bytes. */
+/** Races of a shutdown with clients' messages, and of a close with unread input. */
 class ShutdownRaceTest extends ServiceRig {
-  private static final int END = -1;
-  private static final int SMALL_BUFFER = 4096;
+  private static final int END_OF_STREAM = -1;
+
+  /** A small socket send buffer, so that a large answer is not written at once. */
+  private static final int SEND_BUFFER_BYTES = 4096;
 
   /** Rows of an answer that is larger than a socket's buffers while its client does not read. */
-  private static final int MANY_ROWS = 30_000;
+  private static final int LARGE_ROW_COUNT = 30_000;
 
   /** The earliest time after SIGTERM at which the platform may kill a process. */
-  private static final long LAST_MOMENT_NANOS = 3_700_000_000L;
+  private static final long KILL_AFTER_NANOS = 3_700_000_000L;
 
   /**
-   * Asks for the shutdown, and returns when no new statement is admitted: an idle client has then
-   * seen its connection end.
+   * Requests a shutdown, and returns when new statements are no longer admitted, which shows in the
+   * end of an idle client's connection.
+   *
+   * @return the thread that waits for the shutdown to complete
    */
   private Thread shutDown() throws IOException {
-    TestClient resting = new TestClient();
-    assertEquals(List.of("empty"), resting.ask(""));
-    Thread stop = new Thread(service::stop);
-    stop.start();
-    assertEquals(END, resting.in.read(), "a resting client sees an end, not a reset");
-    return stop;
+    TestClient idle = new TestClient();
+    assertEquals(List.of("empty"), idle.ask(""));
+    Thread stopThread = new Thread(service::stop);
+    stopThread.start();
+    assertEquals(
+        END_OF_STREAM, idle.in.read(), "an idle client gets an end of stream, not a reset");
+    return stopThread;
   }
 
-  private void assertEnds(Thread stop) throws InterruptedException {
-    stop.join(SOON_S * 1000);
-    assertFalse(stop.isAlive(), "it does not end");
+  private void assertShutdownCompletes(Thread stopThread) throws InterruptedException {
+    stopThread.join(SOON_S * 1000);
+    assertFalse(stopThread.isAlive(), "the shutdown does not complete");
   }
 
   /**
-   * If connections ended with the process, a request in that moment could lose the answer before
-   * it.
+   * If connections were only closed by the exit of the process, a client that sends a request at
+   * that moment would get a reset, which can discard an earlier answer that it has not read yet.
    */
   @Test
-  void anIdleClientSeesTheEndOfItsConnectionBeforeTheProcessEnds() throws Exception {
+  void idleClientConnectionIsClosedBeforeTheShutdownCompletes() throws Exception {
     start(new EmulatedPeer(true));
-    assertEnds(shutDown());
+    assertShutdownCompletes(shutDown());
   }
 
-  /** The client reads slowly: part of its answer is not written yet when the shutdown comes. */
+  /** The client reads slowly: a part of its answer is still unsent when the shutdown begins. */
   @Test
-  void anAnswerHalfWrittenWhenTheShutdownComesIsWrittenCompletely() throws Exception {
+  void answerHalfWrittenAtShutdownIsWrittenCompletely() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    service.acceptor.getSessionConfig().setSendBufferSize(SMALL_BUFFER);
-    TestClient slow = new TestClient(idempotentStatement(1, 20_000));
-    Message out = engine.next("PULL");
-    out.answer(out.id(), "200", "pages=1", "a\n".repeat(MANY_ROWS));
+    service.acceptor.getSessionConfig().setSendBufferSize(SEND_BUFFER_BYTES);
+    TestClient slowClient = new TestClient(idempotentStatement(1, 20_000));
+    Message pull = engine.next("PULL");
+    pull.answer(pull.id(), "200", "pages=1", "a\n".repeat(LARGE_ROW_COUNT));
     await(new TestClient(), "commands_answered|1");
-    assertTrue(service.acceptor.getScheduledWriteBytes() > 0, "the answer was written at once");
-    Thread stop = shutDown();
-    List<String> told = slow.readReplies();
-    assertEquals("SELECT " + MANY_ROWS, told.get(told.size() - 1));
-    assertEquals(END, slow.in.read(), "an end, not a reset");
-    assertEnds(stop);
+    assertTrue(
+        service.acceptor.getScheduledWriteBytes() > 0, "no part of the answer is left to write");
+    Thread stopThread = shutDown();
+    List<String> reply = slowClient.readReplies();
+    assertEquals("SELECT " + LARGE_ROW_COUNT, reply.get(reply.size() - 1));
+    assertEquals(END_OF_STREAM, slowClient.in.read(), "end of stream, not a reset");
+    assertShutdownCompletes(stopThread);
   }
 
   /**
-   * If it were forwarded, the process would run until it is killed, with a statement unanswered.
+   * A statement that is sent to an engine during the shutdown could still be unanswered when the
+   * platform kills the process.
    */
   @Test
-  void aStatementReadAfterTheShutdownIsRejectedAtOnceAndNotForwarded() throws Exception {
+  void statementReadAfterShutdownIsRejectedAtOnceAndNotSent() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
-    TestClient hanging = new TestClient(idempotentStatement(1, 20_000));
-    Message out = engine.next("PULL");
-    TestClient halfWritten = new TestClient();
-    byte[] late = queryMessage(idempotentStatement(2, 20_000));
-    halfWritten.out.write(late, 0, 30);
+    TestClient waiting = new TestClient(idempotentStatement(1, 20_000));
+    Message pull = engine.next("PULL");
+    TestClient partialWriter = new TestClient();
+    byte[] lateStatement = queryMessage(idempotentStatement(2, 20_000));
+    partialWriter.out.write(lateStatement, 0, 30);
     awaitRead();
-    Thread stop = shutDown();
-    halfWritten.out.write(late, 30, late.length - 30);
-    assertEquals(List.of("error 57"), halfWritten.readReplies(), "trying again is harmless");
-    assertEquals(END, halfWritten.in.read());
-    out.answer(out.id(), "200", "pages=1", ROWS);
-    assertEquals("SELECT 2", hanging.readReplies().get(2), "what was taken before is answered");
-    assertEnds(stop);
-    assertTrue(engine.received.stream().noneMatch(m -> m.items().get(0).equals("PULL")));
+    Thread stopThread = shutDown();
+    partialWriter.out.write(lateStatement, 30, lateStatement.length - 30);
+    assertEquals(List.of("error 57"), partialWriter.readReplies(), "the error allows a retry");
+    assertEquals(END_OF_STREAM, partialWriter.in.read());
+    pull.answer(pull.id(), "200", "pages=1", ROWS);
+    assertEquals(
+        "SELECT 2", waiting.readReplies().get(2), "a request from before the shutdown is answered");
+    assertShutdownCompletes(stopThread);
+    assertTrue(
+        engine.received.stream().noneMatch(message -> message.items().get(0).equals("PULL")));
   }
 
   /**
-   * The engine hangs beyond the time at which the platform may kill the process: the client has its
-   * answer before.
+   * The engine hangs for longer than the platform lets the process run. The clients have to be
+   * answered before the process may be killed.
    */
   @Test
-  void aRequestThatHangsTooLongIsAbandonedWithAnAnswer() throws Exception {
+  void hangingRequestIsAbandonedWithAnAnswer() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(
         configuration ->
@@ -103,119 +112,135 @@
         SOCKETS,
         IDLE_MS,
         engine.address());
-    TestClient once = new TestClient(statement("once", 1, 60_000));
+    TestClient nonIdempotent = new TestClient(statement("once", 1, 60_000));
     engine.next("PULL");
-    TestClient again =
+    TestClient idempotent =
         new TestClient(idempotentStatement(2, 60_000).replace("work=1000", "work=20000"));
     engine.next("PULL");
-    long asked = System.nanoTime();
-    Thread stop = shutDown();
-    assertEquals(List.of("error 53 pushback"), again.readReplies(), "trying again does no harm");
-    assertEquals(List.of("error 58"), once.readReplies(), "it may have run");
+    long shutdownNanos = System.nanoTime();
+    Thread stopThread = shutDown();
+    assertEquals(
+        List.of("error 53 pushback"),
+        idempotent.readReplies(),
+        "an idempotent request may be retried");
+    assertEquals(
+        List.of("error 58"), nonIdempotent.readReplies(), "a non-idempotent request may have run");
     assertTrue(
-        System.nanoTime() - asked < LAST_MOMENT_NANOS, "answered before the process may be killed");
-    assertEnds(stop);
+        System.nanoTime() - shutdownNanos < KILL_AFTER_NANOS,
+        "answered before the process may be killed");
+    assertShutdownCompletes(stopThread);
   }
 
-  /** The cancel request comes on a new connection, which a closed port would not accept. */
+  /** A cancel request arrives on a new connection, so the listener has to stay open. */
   @Test
-  void aCancelRequestIsProcessedWhileItsRequestIsOpen() throws Exception {
+  void cancelRequestIsProcessedDuringShutdown() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(statement("once", 1, 20_000));
     engine.next("PULL");
-    Thread stop = shutDown();
-    try (Socket cancel = new Socket(service.address().getAddress(), service.address().getPort())) {
-      cancel.getOutputStream().write(client.cancelRequest());
+    Thread stopThread = shutDown();
+    try (Socket cancelConnection =
+        new Socket(service.address().getAddress(), service.address().getPort())) {
+      cancelConnection.getOutputStream().write(client.cancelRequest());
       engine.next("closed");
     }
-    assertEquals(END, client.in.read(), "no answer is owed any more");
-    assertEnds(stop);
+    assertEquals(
+        END_OF_STREAM,
+        client.in.read(),
+        "the connection closes without an answer to the cancelled request");
+    assertShutdownCompletes(stopThread);
   }
 
   /**
-   * A connection that comes that late gets an error; a statement right behind its start-up is not
-   * forwarded.
+   * A new connection during the shutdown gets an error, and a statement right after its startup
+   * message is not sent to an engine.
    */
   @Test
-  void aConnectionThatComesWhileRequestsAreOpenIsRejected() throws Exception {
+  void newConnectionIsRejectedWhileRequestsAreOpen() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(idempotentStatement(1, 20_000));
-    Message out = engine.next("PULL");
-    Thread stop = shutDown();
+    Message pull = engine.next("PULL");
+    Thread stopThread = shutDown();
     byte[] startup = {0, 0, 0, 9, 0, 3, 0, 0, 0};
-    try (Socket late = new Socket(service.address().getAddress(), service.address().getPort())) {
-      late.getOutputStream().write(startup);
-      String told = new String(late.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-      assertTrue(told.contains("57P03"), "before it asks anything: " + told);
+    try (Socket newConnection =
+        new Socket(service.address().getAddress(), service.address().getPort())) {
+      newConnection.getOutputStream().write(startup);
+      String reply =
+          new String(newConnection.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      assertTrue(reply.contains("57P03"), "rejected before its first statement: " + reply);
     }
-    try (Socket late = new Socket(service.address().getAddress(), service.address().getPort())) {
-      late.getOutputStream().write(startup);
-      late.getOutputStream().write(queryMessage(idempotentStatement(2, 20_000)));
-      String told = new String(late.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-      assertTrue(told.contains("57P03"), told);
+    try (Socket newConnection =
+        new Socket(service.address().getAddress(), service.address().getPort())) {
+      newConnection.getOutputStream().write(startup);
+      newConnection.getOutputStream().write(queryMessage(idempotentStatement(2, 20_000)));
+      String reply =
+          new String(newConnection.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      assertTrue(reply.contains("57P03"), reply);
     }
-    out.answer(out.id(), "200", "pages=1", ROWS);
+    pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
-    assertEnds(stop);
-    assertTrue(engine.received.stream().noneMatch(m -> m.items().get(0).equals("PULL")));
+    assertShutdownCompletes(stopThread);
+    assertTrue(
+        engine.received.stream().noneMatch(message -> message.items().get(0).equals("PULL")));
   }
 
-  /** Several statements are read together in the turn of the shutdown: each gets its own answer. */
+  /** Two statements are read before the shutdown: each has to get its own answer. */
   @Test
-  void aPendingStatementIsRejectedOnceTheOneBeforeItIsAnswered() throws Exception {
+  void pendingStatementIsRejectedAfterTheOpenOneIsAnswered() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client =
         new TestClient(idempotentStatement(1, 20_000), idempotentStatement(2, 20_000));
-    Message out = engine.next("PULL");
-    Thread stop = shutDown();
-    out.answer(out.id(), "200", "pages=1", ROWS);
+    Message pull = engine.next("PULL");
+    Thread stopThread = shutDown();
+    pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
     assertEquals(List.of("error 57"), client.readReplies());
-    assertEquals(END, client.in.read());
-    assertEnds(stop);
+    assertEquals(END_OF_STREAM, client.in.read());
+    assertShutdownCompletes(stopThread);
   }
 
-  /** A client that never completes its message, or never closes, does not keep the process. */
+  /** A client that neither completes its message nor closes must not block the shutdown. */
   @Test
-  void aClientInTheMiddleOfAMessageDoesNotDelayTheEnd() throws Exception {
+  void incompleteMessageDoesNotDelayShutdown() throws Exception {
     start(new EmulatedPeer(true));
     TestClient client = new TestClient();
     client.out.write(queryMessage(idempotentStatement(1, 20_000)), 0, 30);
     awaitRead();
-    assertEnds(shutDown());
-    assertEquals(END, client.in.read());
+    assertShutdownCompletes(shutDown());
+    assertEquals(END_OF_STREAM, client.in.read());
   }
 
-  /** Unread bytes would turn the close into a reset, which may lose the answer. */
+  /** A close with unread input resets the connection, which may lose the error message. */
   @Test
-  void aCloseOverUnreadBytesResetsNothing() throws Exception {
+  void closeWithUnreadInputDoesNotResetTheConnection() throws Exception {
     start(new EmulatedPeer(true));
     TestClient client = new TestClient();
-    byte[] broken = new byte[100_000];
-    System.arraycopy(new byte[] {'Q', -1, 0, 0, 0}, 0, broken, 0, 5);
-    client.out.write(broken);
-    byte[] told = client.in.readAllBytes();
-    assertTrue(new String(told, StandardCharsets.UTF_8).contains("FATAL"), "it is told why");
+    byte[] malformedMessage = new byte[100_000];
+    System.arraycopy(new byte[] {'Q', -1, 0, 0, 0}, 0, malformedMessage, 0, 5);
+    client.out.write(malformedMessage);
+    byte[] reply = client.in.readAllBytes();
+    assertTrue(
+        new String(reply, StandardCharsets.UTF_8).contains("FATAL"), "the client gets the reason");
     assertEquals(List.of("empty"), new TestClient().ask(""));
   }
 
   /**
-   * The same with bytes that come after the end of the output: they are read, and nothing is reset.
+   * A client sends a statement after the server has ended its output. The input has to be read,
+   * since unread input would reset the connection.
    */
   @Test
-  void bytesThatCrossTheCloseOfAnIdleConnectionResetNothing() throws Exception {
+  void inputAfterTheEndOfOutputDoesNotResetTheConnection() throws Exception {
     start(16, IDLE_MS, new EmulatedPeer(true));
     TestClient idle = new TestClient();
     assertEquals(List.of("empty"), idle.ask(""));
     for (int i = 0; i < 6; i++) {
       assertEquals(List.of("empty"), new TestClient().ask(""));
     }
-    assertEquals(END, idle.in.read(), "the longest idle gives way");
+    assertEquals(END_OF_STREAM, idle.in.read(), "the client that was idle the longest is evicted");
     idle.query(idle.out, idempotentStatement(1, 3000));
     awaitRead();
-    assertEquals(END, idle.in.read());
+    assertEquals(END_OF_STREAM, idle.in.read());
   }
 }
--- a/src/test/java/cobaltseam/service/SlotTableTest.java
+++ b/src/test/java/cobaltseam/service/SlotTableTest.java
@@ -7,7 +7,7 @@
 /** The keys of a slot table. */
 class SlotTableTest {
   @Test
-  void aKeyFindsNothingAfterItsSlotWasFreed() {
+  void keyFindsNoItemAfterItsSlotWasFreed() {
     SlotTable<String> slots = new SlotTable<>(2);
     long first = slots.add("a");
     long second = slots.add("b");
