--- a/src/main/java/cobaltseam/service/Attempt.java
+++ b/src/main/java/cobaltseam/service/Attempt.java
@@ -34,7 +34,7 @@
   Result result;
 
   /** Requests queued on the engine as last reported with this attempt; below zero if never. */
-  double reportedQueue = -1;
+  double reportedQueueLength = -1;
 
   /** Requests in flight on the engine as last reported with this attempt; below zero if never. */
   double reportedInFlight = -1;
--- a/src/main/java/cobaltseam/service/ClientConnections.java
+++ b/src/main/java/cobaltseam/service/ClientConnections.java
@@ -175,14 +175,14 @@
     idleClients.update(client, false);
     int processedMessages = client.postedMessages - client.unprocessedMessages.get();
     WriteFuture lastWrite = client.lastWrite;
-    sockets.afterReading(
+    sockets.runAfterReading(
         () -> {
           boolean hasStayedIdle = client.postedMessages == processedMessages;
           if (hasStayedIdle) {
             // Ends the output here and now: later input is discarded, and the client that sent it
             // has to see the end of the connection soon afterwards.
             client.outputEnded = true;
-            sockets.endOutputOnThisThread(client.session, lastWrite);
+            sockets.shutdownOutputOnIoThread(client.session, lastWrite);
           }
           inbox.post(client.session, () -> finishEviction(client, hasStayedIdle));
         });
@@ -215,7 +215,7 @@
   void close(ClientSession client) {
     remove(client);
     client.outputEnded = true;
-    sockets.endOutput(client.session, client.lastWrite);
+    sockets.shutdownOutput(client.session, client.lastWrite);
     if (!client.session.isClosing()) {
       closingClients.add(client);
     }
--- a/src/main/java/cobaltseam/service/ClientInput.java
+++ b/src/main/java/cobaltseam/service/ClientInput.java
@@ -142,11 +142,11 @@
       pendingCancels.add(cancel);
       // The statement to cancel was written earlier on another connection, and has to be processed
       // before its cancel request.
-      sockets.afterReading(post);
+      sockets.runAfterReading(post);
     } else {
       // Delayed to the end of the round, when it is known whether the connection ended right behind
       // this message: its client has then disconnected, possibly long ago.
-      sockets.atRoundEnd(post);
+      sockets.runAtRoundEnd(post);
     }
   }
 
--- a/src/main/java/cobaltseam/service/DispatcherService.java
+++ b/src/main/java/cobaltseam/service/DispatcherService.java
@@ -269,10 +269,10 @@
   /** Returns the inputs of this dispatcher's health score. */
   private VirtualAddressService.HealthReport healthReport() {
     return new VirtualAddressService.HealthReport(
-        endpointWatch.silence(clock.now()),
-        engines.inService(),
-        engines.failing(),
-        (double) (clients.openClients() + engines.openConnections())
+        endpointWatch.silenceDuration(clock.now()),
+        engines.inServiceCount(),
+        engines.failingFraction(),
+        (double) (clients.openClients() + engines.connectionCount())
             / reloader.configuration().maxSockets());
   }
 
--- a/src/main/java/cobaltseam/service/EndpointWatch.java
+++ b/src/main/java/cobaltseam/service/EndpointWatch.java
@@ -171,7 +171,7 @@
   }
 
   /** How long ago the last line came; since the start, if none ever did. */
-  TimeSpan silence(Timestamp now) {
+  TimeSpan silenceDuration(Timestamp now) {
     return now.since(lastReceivedAt);
   }
 
--- a/src/main/java/cobaltseam/service/EngineAnswers.java
+++ b/src/main/java/cobaltseam/service/EngineAnswers.java
@@ -18,16 +18,16 @@
   /** Is notified at once. */
   interface Listener {
     /** An attempt reports progress, from 0 to 1. */
-    void progressed(Attempt attempt, double progress, Timestamp now);
+    void progressReported(Attempt attempt, double progress, Timestamp now);
 
     /** An attempt spills to disk, for want of so many megabytes. */
-    void memoryShort(Attempt attempt, double missingMb);
+    void memoryShortfallReported(Attempt attempt, double missingMb);
 
     /** An attempt is blocked by a load of the table that it reads. */
-    void blocked(Attempt attempt, Timestamp now);
+    void blockedByLoad(Attempt attempt, Timestamp now);
 
     /** An attempt has its answer. */
-    void end(Attempt attempt, AttemptResult result);
+    void endAttempt(Attempt attempt, AttemptResult result);
   }
 
   /** The value of a progress report "blocked" of an attempt that waits for a load. */
@@ -84,15 +84,15 @@
     double inFlight = answer.loadReportValue(DeploymentReader.IN_FLIGHT_REPORT_FIELD);
     double queue = answer.loadReportValue(DeploymentReader.QUEUED_REPORT_FIELD);
     attempt.reportedInFlight = inFlight >= 0 ? inFlight : attempt.reportedInFlight;
-    attempt.reportedQueue = queue >= 0 ? queue : attempt.reportedQueue;
+    attempt.reportedQueueLength = queue >= 0 ? queue : attempt.reportedQueueLength;
     switch (answer.code()) {
       case EngineResponse.STATUS -> processStatus(connection, attempt, answer);
       case EngineResponse.OK -> addFirstPage(connection, attempt, answer);
       case EngineResponse.CHUNK ->
           addPage(connection, attempt, answer.integerField("page"), answer.body());
       case EngineResponse.CAPACITY_EXCEEDED, EngineResponse.DEADLINE_EXCEEDED ->
-          listener.end(attempt, AttemptResult.CAPACITY_EXCEEDED);
-      case EngineResponse.ERROR -> listener.end(attempt, AttemptResult.ERROR);
+          listener.endAttempt(attempt, AttemptResult.CAPACITY_EXCEEDED);
+      case EngineResponse.ERROR -> listener.endAttempt(attempt, AttemptResult.ERROR);
       default -> protocolError(connection, "an answer '" + answer.code() + "'");
     }
   }
@@ -102,11 +102,11 @@
     String subject = answer.fields().getOrDefault("why", "");
     double value = answer.numberField("v");
     switch (subject) {
-      case "progress" -> listener.progressed(attempt, value, connection.receivedAt);
-      case "spill_mb" -> listener.memoryShort(attempt, value);
+      case "progress" -> listener.progressReported(attempt, value, connection.receivedAt);
+      case "spill_mb" -> listener.memoryShortfallReported(attempt, value);
       case "blocked" -> {
         if (value == BLOCKED_BY_LOAD) {
-          listener.blocked(attempt, connection.receivedAt);
+          listener.blockedByLoad(attempt, connection.receivedAt);
         }
       }
       default -> {}
@@ -161,7 +161,7 @@
     if (error != null) {
       rejectResult(connection, attempt, error);
     } else if (attempt.result.isComplete()) {
-      listener.end(attempt, AttemptResult.COMPLETED);
+      listener.endAttempt(attempt, AttemptResult.COMPLETED);
     }
   }
 
@@ -176,7 +176,7 @@
         Field.event("engine.bad_result"));
     connection.attempts.remove(attempt.callId());
     pool.drop(connection);
-    listener.end(attempt, AttemptResult.ERROR);
+    listener.endAttempt(attempt, AttemptResult.ERROR);
   }
 
   private void protocolError(EngineConnection connection, String reason) {
--- a/src/main/java/cobaltseam/service/EngineConnectionPool.java
+++ b/src/main/java/cobaltseam/service/EngineConnectionPool.java
@@ -142,13 +142,13 @@
   }
 
   /** How many engines may be sent to by the endpoint list. */
-  int inService() {
+  int inServiceCount() {
     return (int) engines.values().stream().filter(known -> known.state == EndpointState.UP).count();
   }
 
   /** The part of those to which the last connection or attempt failed, from 0 to 1. */
-  double failing() {
-    int up = inService();
+  double failingFraction() {
+    int up = inServiceCount();
     return up == 0
         ? 0
         : (double)
@@ -169,7 +169,7 @@
   // ---- connections
 
   /** How many connections to engines are open or being opened. */
-  int size() {
+  int connectionCount() {
     return connections.size();
   }
 
--- a/src/main/java/cobaltseam/service/EngineConnections.java
+++ b/src/main/java/cobaltseam/service/EngineConnections.java
@@ -20,13 +20,13 @@
     implements EngineInput.Listener, EngineConnectionPool.Listener, EngineAnswers.Listener {
   /** Is notified of the progress of attempts, and of the one outcome of each. */
   interface Listener {
-    void progressed(Attempt attempt, double progress, Timestamp now);
+    void progressReported(Attempt attempt, double progress, Timestamp now);
 
     /** An attempt spills to disk, for want of so many megabytes. */
-    void memoryShort(Attempt attempt, double missingMb);
+    void memoryShortfallReported(Attempt attempt, double missingMb);
 
     /** An attempt is blocked by a load of the table that it reads. */
-    void blocked(Attempt attempt, Timestamp now);
+    void blockedByLoad(Attempt attempt, Timestamp now);
 
     /** Whether a client still waits for the answer, as far as the I/O thread has read. */
     boolean isAwaited(Attempt attempt);
@@ -77,24 +77,24 @@
   }
 
   /** How many engines may be sent to by the endpoint list. */
-  int inService() {
-    return pool.inService();
+  int inServiceCount() {
+    return pool.inServiceCount();
   }
 
   /** The part of those to which the last connection or attempt failed, from 0 to 1. */
-  double failing() {
-    return pool.failing();
+  double failingFraction() {
+    return pool.failingFraction();
   }
 
   /** How many connections to engines are open or being opened. */
-  int openConnections() {
-    return pool.size();
+  int connectionCount() {
+    return pool.connectionCount();
   }
 
   // ---- attempts
 
   /** Starts an attempt; the listener is notified of its one outcome later, never at once. */
-  Attempt send(
+  Attempt startAttempt(
       RequestId requestId, int number, Placement placement, Statement statement, Timestamp now) {
     EngineId engine = placement.engine();
     Attempt attempt =
@@ -105,7 +105,7 @@
     counters.add(Count.SENDS);
     EngineConnection connection = pool.pick(engine, attempt.callId(), now);
     if (connection == null) {
-      attempt.timeout = timers.set(now, () -> end(attempt, AttemptResult.UNREACHABLE));
+      attempt.timeout = timers.set(now, () -> endAttempt(attempt, AttemptResult.UNREACHABLE));
       return attempt;
     }
     attempt.timeout = timers.set(attempt.deadline, () -> abandon(attempt, AttemptResult.TIMED_OUT));
@@ -118,11 +118,11 @@
   }
 
   /** An attempt that must not be sent after all; its outcome, never sent, comes later. */
-  Attempt neverSend(
+  Attempt createUnsentAttempt(
       RequestId requestId, int number, EngineId engine, Statement statement, Timestamp now) {
     Attempt attempt = new Attempt(requestId, number, engine, statement, now, now);
     counters.add(Count.SENDS);
-    attempt.timeout = timers.set(now, () -> end(attempt, AttemptResult.NEVER_SENT));
+    attempt.timeout = timers.set(now, () -> endAttempt(attempt, AttemptResult.NEVER_SENT));
     return attempt;
   }
 
@@ -145,7 +145,7 @@
     }
     EngineConnection connection = attempt.connection;
     if (connection == null || attempt.writePosition == 0) {
-      end(attempt, AttemptResult.UNREACHABLE);
+      endAttempt(attempt, AttemptResult.UNREACHABLE);
       return;
     }
     if (connection.attempts.size() == 1) {
@@ -158,11 +158,11 @@
               ? EngineCommands.kill(attempt.callId())
               : EngineCommands.discard(attempt.callId()));
     }
-    end(attempt, result);
+    endAttempt(attempt, result);
   }
 
   @Override
-  public void end(Attempt attempt, AttemptResult result) {
+  public void endAttempt(Attempt attempt, AttemptResult result) {
     if (attempt.hasEnded) {
       return;
     }
@@ -228,7 +228,7 @@
       if (isInTime && listener.isAwaited(attempt)) {
         write(attempt, now);
       } else {
-        end(attempt, AttemptResult.UNREACHABLE);
+        endAttempt(attempt, AttemptResult.UNREACHABLE);
       }
     }
   }
@@ -238,7 +238,7 @@
   public void removed(EngineConnection connection, long writtenMessages) {
     for (Attempt attempt : List.copyOf(connection.attempts.values())) {
       boolean neverRan = attempt.writePosition == 0 || attempt.writePosition > writtenMessages;
-      end(attempt, neverRan ? AttemptResult.UNREACHABLE : AttemptResult.CONNECTION_LOST);
+      endAttempt(attempt, neverRan ? AttemptResult.UNREACHABLE : AttemptResult.CONNECTION_LOST);
     }
   }
 
@@ -256,17 +256,17 @@
   }
 
   @Override
-  public void progressed(Attempt attempt, double progress, Timestamp now) {
-    listener.progressed(attempt, progress, now);
+  public void progressReported(Attempt attempt, double progress, Timestamp now) {
+    listener.progressReported(attempt, progress, now);
   }
 
   @Override
-  public void memoryShort(Attempt attempt, double missingMb) {
-    listener.memoryShort(attempt, missingMb);
+  public void memoryShortfallReported(Attempt attempt, double missingMb) {
+    listener.memoryShortfallReported(attempt, missingMb);
   }
 
   @Override
-  public void blocked(Attempt attempt, Timestamp now) {
-    listener.blocked(attempt, now);
+  public void blockedByLoad(Attempt attempt, Timestamp now) {
+    listener.blockedByLoad(attempt, now);
   }
 }
--- a/src/main/java/cobaltseam/service/EngineInput.java
+++ b/src/main/java/cobaltseam/service/EngineInput.java
@@ -78,7 +78,7 @@
     }
     // Not at once: a retry may follow, and the end of the client's connection may lie unread in the
     // same round of reading.
-    sockets.atRoundEnd(
+    sockets.runAtRoundEnd(
         () ->
             inbox.post(
                 session,
@@ -92,7 +92,7 @@
   public void sessionClosed(IoSession session) {
     long writtenMessages = session.getWrittenMessages();
     // At the end of the round too, or the close would overtake an answer that was read before it.
-    sockets.atRoundEnd(
+    sockets.runAtRoundEnd(
         () -> inbox.post(null, () -> listener.closed(connection(session), writtenMessages)));
   }
 
--- a/src/main/java/cobaltseam/service/EventLoop.java
+++ b/src/main/java/cobaltseam/service/EventLoop.java
@@ -87,7 +87,7 @@
   /** Has the I/O thread read all that came while the process was held up, and runs its tasks. */
   private void runUnreadTasks() throws InterruptedException {
     AtomicBoolean isAllRead = new AtomicBoolean();
-    sockets.afterReading(() -> inbox.post(null, () -> isAllRead.set(true)));
+    sockets.runAfterReading(() -> inbox.post(null, () -> isAllRead.set(true)));
     Timestamp deadline = clock.now().plus(MAX_WAIT_US);
     for (Timestamp now = clock.now();
         !isAllRead.get() && now.isBefore(deadline);
--- a/src/main/java/cobaltseam/service/RequestTable.java
+++ b/src/main/java/cobaltseam/service/RequestTable.java
@@ -246,7 +246,7 @@
   }
 
   @Override
-  public void progressed(Attempt attempt, double progress, Timestamp now) {
+  public void progressReported(Attempt attempt, double progress, Timestamp now) {
     if (progress >= 0) {
       dispatcher.updateProgress(attempt.requestId, attempt.number, progress, now);
       isNextStepDue = true;
@@ -254,12 +254,12 @@
   }
 
   @Override
-  public void memoryShort(Attempt attempt, double missingMb) {
+  public void memoryShortfallReported(Attempt attempt, double missingMb) {
     dispatcher.updateMemoryShortfall(attempt.requestId, attempt.number, missingMb);
   }
 
   @Override
-  public void blocked(Attempt attempt, Timestamp now) {
+  public void blockedByLoad(Attempt attempt, Timestamp now) {
     dispatcher.markBlocked(attempt.requestId, attempt.number, now);
     isNextStepDue = true;
   }
@@ -288,7 +288,7 @@
             isFinal,
             new TimeSpan(-1),
             -1,
-            attempt.reportedQueue,
+            attempt.reportedQueueLength,
             attempt.reportedInFlight);
     decide(request, () -> dispatcher.completeAttempt(outcome, now));
     if (isFinal) {
@@ -304,7 +304,8 @@
   /** Passes the number of running requests that an engine reported to the fleet. */
   private void publishLoad(Attempt attempt, Timestamp now) {
     if (loadReports != null && attempt.reportedInFlight >= 0) {
-      double running = Math.max(0, attempt.reportedInFlight - Math.max(0, attempt.reportedQueue));
+      double running =
+          Math.max(0, attempt.reportedInFlight - Math.max(0, attempt.reportedQueueLength));
       loadReports.recordReport(attempt.engine, running, now);
     }
   }
@@ -410,8 +411,8 @@
     int number = request.attemptCount++;
     request.attempt =
         isAllowed
-            ? engines.send(request.id, number, placement, request.statement, clock.now())
-            : engines.neverSend(
+            ? engines.startAttempt(request.id, number, placement, request.statement, clock.now())
+            : engines.createUnsentAttempt(
                 request.id, number, placement.engine(), request.statement, clock.now());
   }
 
--- a/src/main/java/cobaltseam/service/SocketProcessor.java
+++ b/src/main/java/cobaltseam/service/SocketProcessor.java
@@ -35,7 +35,7 @@
   }
 
   /** Runs a task on the I/O thread, after all that had come by now is read and posted. */
-  void afterReading(Runnable task) {
+  void runAfterReading(Runnable task) {
     requestedTasks.add(task);
     wakeup();
   }
@@ -44,7 +44,7 @@
    * Runs a task at the end of this round of reading, when it is known whether a connection ended
    * right behind what was read from it. To be called on the I/O thread.
    */
-  void atRoundEnd(Runnable task) {
+  void runAtRoundEnd(Runnable task) {
     roundEndTasks.add(task);
   }
 
@@ -55,28 +55,28 @@
    *
    * @param lastWrite the last write to this connection, or null if there was none
    */
-  void endOutput(IoSession session, WriteFuture lastWrite) {
-    afterReading(() -> endOutputOnThisThread(session, lastWrite));
+  void shutdownOutput(IoSession session, WriteFuture lastWrite) {
+    runAfterReading(() -> shutdownOutputOnIoThread(session, lastWrite));
   }
 
   /** The same without delay; to be called on the I/O thread. */
-  void endOutputOnThisThread(IoSession session, WriteFuture lastWrite) {
+  void shutdownOutputOnIoThread(IoSession session, WriteFuture lastWrite) {
     if (lastWrite == null) {
-      endOutput(session);
+      shutdownOutput(session);
     } else {
-      lastWrite.addListener(written -> endOutput(session));
+      lastWrite.addListener(written -> shutdownOutput(session));
     }
   }
 
-  private void endOutput(IoSession session) {
+  private void shutdownOutput(IoSession session) {
     for (SelectionKey key : selector.keys()) {
       if (key.attachment() == session && key.isValid()) {
-        endOutput(session, (SocketChannel) key.channel());
+        shutdownOutput(session, (SocketChannel) key.channel());
       }
     }
   }
 
-  private static void endOutput(IoSession session, SocketChannel channel) {
+  private static void shutdownOutput(IoSession session, SocketChannel channel) {
     try {
       channel.shutdownOutput();
     } catch (IOException e) {
--- a/src/test/java/cobaltseam/service/AnswerRaceTest.java
+++ b/src/test/java/cobaltseam/service/AnswerRaceTest.java
@@ -27,14 +27,14 @@
     EmulatedPeer secondEngine = new EmulatedPeer(true);
     start(firstEngine, secondEngine);
     TestClient client = new TestClient(idempotentStatement(1, 10_000));
-    Message pull = poll(firstEngine, secondEngine);
-    CountDownLatch resume = holdUpSockets();
+    Message pull = nextFromAny(firstEngine, secondEngine);
+    CountDownLatch resume = blockIoThread();
     answerWithOnePage(pull);
     pull.from().close();
     resume.countDown();
     assertEquals("SELECT 2", client.readReplies().get(2));
     assertTrue(
-        client.ask("SHOW cobaltseam.counters").contains("sends|1"), "the request was retried");
+        client.execute("SHOW cobaltseam.counters").contains("sends|1"), "the request was retried");
   }
 
   /** The client must receive either all pages of one result or none of them. */
@@ -44,11 +44,11 @@
     EmulatedPeer secondEngine = new EmulatedPeer(true);
     start(firstEngine, secondEngine);
     TestClient client = new TestClient(idempotentStatement(1, 20_000));
-    Message first = poll(firstEngine, secondEngine);
+    Message first = nextFromAny(firstEngine, secondEngine);
     first.answer(first.id(), "200", "pages=2", ROWS);
-    assertEquals("SCROLL", poll(firstEngine, secondEngine).items().get(0));
+    assertEquals("SCROLL", nextFromAny(firstEngine, secondEngine).items().get(0));
     first.reset();
-    Message retry = poll(firstEngine, secondEngine);
+    Message retry = nextFromAny(firstEngine, secondEngine);
     assertEquals(first.id(), retry.id());
     answerWithOnePage(retry);
     assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.readReplies());
@@ -60,12 +60,12 @@
     EmulatedPeer secondEngine = new EmulatedPeer(true);
     start(firstEngine, secondEngine);
     TestClient client = new TestClient(statement("once", 1, 20_000));
-    Message first = poll(firstEngine, secondEngine);
+    Message first = nextFromAny(firstEngine, secondEngine);
     first.write("*4\r\n$16\r\n" + first.id().substring(0, 7));
     first.reset();
     assertEquals(List.of("error 58"), client.readReplies());
     TestClient observer = new TestClient();
-    assertTrue(observer.ask("SHOW cobaltseam.counters").contains("sends|1"));
+    assertTrue(observer.execute("SHOW cobaltseam.counters").contains("sends|1"));
   }
 
   /**
@@ -78,9 +78,9 @@
     EmulatedPeer secondEngine = new EmulatedPeer(true);
     start(firstEngine, secondEngine);
     TestClient client = new TestClient(idempotentStatement(1, 20_000));
-    Message first = poll(firstEngine, secondEngine);
+    Message first = nextFromAny(firstEngine, secondEngine);
     first.write("*4\r\n$16\r\n" + first.id() + "\r\n$3\r\n200\r\n$7\r\npages=1\r\n$48000\r\nhalf");
-    Message retry = poll(firstEngine, secondEngine);
+    Message retry = nextFromAny(firstEngine, secondEngine);
     assertEquals(first.id(), retry.id());
     assertNotEquals(first.from(), retry.from());
     answerWithOnePage(retry);
@@ -104,8 +104,8 @@
             "",
             first.formatted("ID", 1, 48_000, "half"),
             first.formatted("ID", 2, ROWS.length(), ROWS + "\r\n"))) {
-      client.query(client.out, statement("once", ++callNumber, 1500));
-      Message pull = poll(firstEngine, secondEngine);
+      client.writeQuery(client.out, statement("once", ++callNumber, 1500));
+      Message pull = nextFromAny(firstEngine, secondEngine);
       pull.write(part.replace("ID", pull.id()));
       assertEquals(List.of("error 58"), client.readReplies(), part);
     }
@@ -130,8 +130,8 @@
     assertEquals("SELECT 2", client.readReplies().get(2));
     first.reset();
     engine.next("closed");
-    await(client, "engine_connections_closed|1");
-    client.query(client.out, statement("once", 2, 20_000));
+    awaitCounter(client, "engine_connections_closed|1");
+    client.writeQuery(client.out, statement("once", 2, 20_000));
     Message second = engine.next("PULL");
     assertNotEquals(first.from(), second.from());
     answerWithOnePage(second);
@@ -150,7 +150,7 @@
     Message first = engine.next("PULL");
     answerWithOnePage(first);
     assertEquals("SELECT 2", client.readReplies().get(2));
-    client.query(client.out, statement("once", 2, 20_000));
+    client.writeQuery(client.out, statement("once", 2, 20_000));
     Message second = engine.next("PULL");
     assertEquals(first.from(), second.from());
     first.answer(first.id(), "200", "pages=1", "wrong\t0\tx\n");
--- a/src/test/java/cobaltseam/service/AttemptRaceTest.java
+++ b/src/test/java/cobaltseam/service/AttemptRaceTest.java
@@ -23,10 +23,10 @@
             crowded.address());
     Message watch = bus.next("from 7");
     TestClient client = new TestClient(statement("once", 1, 20_000));
-    await(new TestClient(), "sends|1");
+    awaitCounter(new TestClient(), "sends|1");
     watch.write(endpointEvent(8, false, endpointJson(2, crowded.address(), "terminating")) + "\n");
-    await(new TestClient(), "bus_events|1");
-    EmulatedPeer drained = crowded.relieve();
+    awaitCounter(new TestClient(), "bus_events|1");
+    EmulatedPeer drained = crowded.acceptConnections();
     Message pull = sound.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
@@ -47,13 +47,13 @@
             crowded.address());
     Message watch = bus.next("from 7");
     TestClient client = new TestClient(statement("once", 1, 20_000));
-    await(new TestClient(), "sends|1");
+    awaitCounter(new TestClient(), "sends|1");
     String anew =
         endpointJson(2, crowded.address(), "in_service")
             .replace("\"boot_ms\":0", "\"boot_ms\":" + System.currentTimeMillis());
     watch.write(endpointEvent(8, false, anew) + "\n");
-    await(new TestClient(), "sends_unreachable|1");
-    Message pull = poll(sound, crowded.relieve());
+    awaitCounter(new TestClient(), "sends_unreachable|1");
+    Message pull = nextFromAny(sound, crowded.acceptConnections());
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
   }
@@ -78,8 +78,8 @@
     TestClient client = new TestClient(statement("once", 1, 20_000));
     first.next("PULL").reset();
     first.next("closed");
-    await(new TestClient(), "sends|2");
-    EmulatedPeer late = crowded.relieve();
+    awaitCounter(new TestClient(), "sends|2");
+    EmulatedPeer late = crowded.acceptConnections();
     assertEquals(List.of("error 53 pushback"), client.readReplies());
     assertNoPull(late);
   }
@@ -102,10 +102,10 @@
         two.address());
     TestClient client =
         new TestClient(statement("once", 1, 20_000).replace("op=", "dedupe=k-7f:01,op="));
-    Message first = poll(one, two);
+    Message first = nextFromAny(one, two);
     assertTrue(first.items().get(2).endsWith(",dedupe=k-7f:01"), first.items().get(2));
     first.reset();
-    Message again = poll(one, two);
+    Message again = nextFromAny(one, two);
     assertTrue(again.items().get(2).endsWith(",dedupe=k-7f:01"), again.items().get(2));
     again.answer(again.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
@@ -119,10 +119,10 @@
     TestClient client = new TestClient();
     assertEquals(
         List.of("error 42"),
-        client.ask(idempotentStatement(1, 3000).replace("op=", "dedupe=a b,op=")));
+        client.execute(idempotentStatement(1, 3000).replace("op=", "dedupe=a b,op=")));
     assertEquals(
         List.of("error 42"),
-        client.ask(
+        client.execute(
             idempotentStatement(1, 3000).replace("op=", "dedupe=" + "k".repeat(129) + ",op=")));
     assertTrue(engine.received.isEmpty());
   }
@@ -144,7 +144,7 @@
       assertTrue(service.completedRequests() > 0, "closed while it was still answering");
     }
     engine.next("closed");
-    client.query(client.out, idempotentStatement(2, 3000));
+    client.writeQuery(client.out, idempotentStatement(2, 3000));
     Message next = engine.next("PULL");
     next.answer(next.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
--- a/src/test/java/cobaltseam/service/ClientDisconnectRaceTest.java
+++ b/src/test/java/cobaltseam/service/ClientDisconnectRaceTest.java
@@ -41,12 +41,12 @@
     start(new EmulatedPeer(true));
     TestClient observer = new TestClient();
     TestClient disconnecting = new TestClient();
-    CountDownLatch resume = holdUpSockets();
-    disconnecting.query(disconnecting.out, idempotentStatement(1, 10_000));
+    CountDownLatch resume = blockIoThread();
+    disconnecting.writeQuery(disconnecting.out, idempotentStatement(1, 10_000));
     disconnecting.close();
     resume.countDown();
-    await(observer, "clients_closed|1");
-    assertTrue(observer.ask("SHOW cobaltseam.counters").contains("sends|0"));
+    awaitCounter(observer, "clients_closed|1");
+    assertTrue(observer.execute("SHOW cobaltseam.counters").contains("sends|0"));
   }
 
   /** The event loop is delayed: both the statement and the disconnect are read before it runs. */
@@ -55,14 +55,14 @@
     start(new EmulatedPeer(true));
     TestClient observer = new TestClient();
     TestClient disconnecting = new TestClient();
-    CountDownLatch resume = holdUp();
-    disconnecting.query(disconnecting.out, idempotentStatement(1, 10_000));
+    CountDownLatch resume = blockEventLoop();
+    disconnecting.writeQuery(disconnecting.out, idempotentStatement(1, 10_000));
     awaitRead();
     disconnecting.close();
     awaitRead();
     resume.countDown();
-    await(observer, "clients_closed|1");
-    assertTrue(observer.ask("SHOW cobaltseam.counters").contains("sends|0"));
+    awaitCounter(observer, "clients_closed|1");
+    assertTrue(observer.execute("SHOW cobaltseam.counters").contains("sends|0"));
   }
 
   /** Capacity that becomes free has to go to a queued request whose client is still connected. */
@@ -78,11 +78,11 @@
     }
     TestClient observer = new TestClient();
     TestClient disconnecting = new TestClient(longRunningStatement(20));
-    await(observer, "commands_taken|9");
+    awaitCounter(observer, "commands_taken|9");
     TestClient waiting = new TestClient(longRunningStatement(21));
-    await(observer, "commands_taken|10");
+    awaitCounter(observer, "commands_taken|10");
     disconnecting.close();
-    await(observer, "commands_departed|1");
+    awaitCounter(observer, "commands_departed|1");
     pulls.get(0).answer(pulls.get(0).id(), "200", "pages=1", ROWS);
     Message next = engine.next("PULL");
     assertEquals("%016x".formatted(21), next.id());
@@ -105,10 +105,10 @@
     }
     TestClient observer = new TestClient();
     TestClient disconnecting = new TestClient(longRunningStatement(20));
-    await(observer, "commands_taken|9");
+    awaitCounter(observer, "commands_taken|9");
     new TestClient(longRunningStatement(21));
-    await(observer, "commands_taken|10");
-    CountDownLatch resume = holdUp();
+    awaitCounter(observer, "commands_taken|10");
+    CountDownLatch resume = blockEventLoop();
     pulls.get(0).answer(pulls.get(0).id(), "200", "pages=1", ROWS);
     awaitRead();
     disconnecting.close();
@@ -126,7 +126,7 @@
     engine.next("PULL");
     disconnecting.socket.shutdownOutput();
     engine.next("closed");
-    await(new TestClient(), "commands_departed|1");
+    awaitCounter(new TestClient(), "commands_departed|1");
   }
 
   @Test
@@ -138,7 +138,7 @@
     disconnecting.socket.setSoLinger(true, 0);
     disconnecting.socket.close();
     engine.next("closed");
-    await(new TestClient(), "commands_departed|1");
+    awaitCounter(new TestClient(), "commands_departed|1");
   }
 
   /** The attempt is placed but not yet written when its client disconnects. */
@@ -148,10 +148,10 @@
     start(ServiceRig::withLongConnectTimeout, SOCKETS, IDLE_MS, unreachable.address());
     TestClient observer = new TestClient();
     TestClient disconnecting = new TestClient(longRunningStatement(1));
-    await(observer, "sends|1");
+    awaitCounter(observer, "sends|1");
     disconnecting.close();
-    await(observer, "commands_departed|1");
-    assertNoPull(unreachable.relieve());
+    awaitCounter(observer, "commands_departed|1");
+    assertNoPull(unreachable.acceptConnections());
   }
 
   /**
@@ -164,14 +164,14 @@
     start(ServiceRig::withLongConnectTimeout, SOCKETS, IDLE_MS, unreachable.address());
     TestClient observer = new TestClient();
     TestClient disconnecting = new TestClient(longRunningStatement(1));
-    await(observer, "sends|1");
-    CountDownLatch resume = holdUp();
-    EmulatedPeer engine = unreachable.relieve();
-    awaitHandedOver();
+    awaitCounter(observer, "sends|1");
+    CountDownLatch resume = blockEventLoop();
+    EmulatedPeer engine = unreachable.acceptConnections();
+    awaitPostedTask();
     disconnecting.close();
     awaitRead();
     resume.countDown();
-    await(observer, "commands_departed|1");
+    awaitCounter(observer, "commands_departed|1");
     assertNoPull(engine);
   }
 
@@ -186,14 +186,14 @@
     start(firstEngine, secondEngine);
     TestClient observer = new TestClient();
     TestClient disconnecting = new TestClient(idempotentStatement(1, 20_000));
-    Message pull = poll(firstEngine, secondEngine);
-    CountDownLatch resume = holdUp();
+    Message pull = nextFromAny(firstEngine, secondEngine);
+    CountDownLatch resume = blockEventLoop();
     pull.reset();
     awaitRead();
     disconnecting.close();
     awaitRead();
     resume.countDown();
-    await(observer, "commands_departed|1");
+    awaitCounter(observer, "commands_departed|1");
     assertNoPull(firstEngine);
     assertNoPull(secondEngine);
   }
@@ -208,26 +208,27 @@
     EmulatedPeer secondEngine = new EmulatedPeer(true);
     start(firstEngine, secondEngine);
     TestClient client = new TestClient(idempotentStatement(1, 20_000));
-    Message pull = poll(firstEngine, secondEngine);
+    Message pull = nextFromAny(firstEngine, secondEngine);
     try (Socket cancelConnection =
         new Socket(service.address().getAddress(), service.address().getPort())) {
-      await(new TestClient(), "clients_opened|3");
-      CountDownLatch resume = holdUp();
+      awaitCounter(new TestClient(), "clients_opened|3");
+      CountDownLatch resume = blockEventLoop();
       pull.reset();
       awaitRead();
       CountDownLatch resumeSockets =
-          holdUpSocketsOnceRead(
+          blockIoThreadAfterReading(
               () -> cancelConnection.getOutputStream().write(client.cancelRequest()));
       resume.countDown();
       Thread.sleep(DISCONNECT_UNPROCESSED_MS);
       resumeSockets.countDown();
       TestClient observer = new TestClient();
-      await(observer, "commands_departed|1");
+      awaitCounter(observer, "commands_departed|1");
       assertTrue(
-          observer.ask("SHOW cobaltseam.counters").contains("sends|1"), "the request was retried");
+          observer.execute("SHOW cobaltseam.counters").contains("sends|1"),
+          "the request was retried");
     }
-    client.query(client.out, idempotentStatement(2, 20_000));
-    Message next = poll(firstEngine, secondEngine);
+    client.writeQuery(client.out, idempotentStatement(2, 20_000));
+    Message next = nextFromAny(firstEngine, secondEngine);
     assertEquals("%016x".formatted(2), next.id());
     next.answer(next.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
@@ -248,22 +249,22 @@
     List<Message> pulls = new ArrayList<>();
     for (int i = 0; i < CLIENT_COUNT; i++) {
       disconnectingClients.add(new TestClient(idempotentStatement(i, 20_000)));
-      pulls.add(poll(firstEngine, secondEngine));
+      pulls.add(nextFromAny(firstEngine, secondEngine));
     }
-    CountDownLatch resume = holdUpSockets();
-    HoldsInRound round = new HoldsInRound(blocker);
+    CountDownLatch resume = blockIoThread();
+    ReadBlocker round = new ReadBlocker(blocker);
     for (int i = 0; i < CLIENT_COUNT; i++) {
       pulls.get(i).answer(pulls.get(i).id(), "503", "-", "");
       disconnectingClients.get(i).close();
     }
-    blocker.query(blocker.out, "");
+    blocker.writeQuery(blocker.out, "");
     resume.countDown();
-    round.holds.await();
+    round.blocked.await();
     Thread.sleep(DISCONNECT_UNPROCESSED_MS);
-    round.held.countDown();
-    await(observer, "commands_departed|" + CLIENT_COUNT);
+    round.release.countDown();
+    awaitCounter(observer, "commands_departed|" + CLIENT_COUNT);
     assertTrue(
-        observer.ask("SHOW cobaltseam.counters").contains("sends|" + CLIENT_COUNT),
+        observer.execute("SHOW cobaltseam.counters").contains("sends|" + CLIENT_COUNT),
         "a request was retried");
   }
 
@@ -277,13 +278,13 @@
     TestClient observer = new TestClient();
     Socket cancelConnection =
         new Socket(service.address().getAddress(), service.address().getPort());
-    await(observer, "clients_opened|3");
-    CountDownLatch resume = holdUpSockets();
+    awaitCounter(observer, "clients_opened|3");
+    CountDownLatch resume = blockIoThread();
     cancelConnection.getOutputStream().write(client.cancelRequest());
     cancelConnection.close();
     resume.countDown();
     engine.next("closed");
-    await(observer, "commands_departed|1");
+    awaitCounter(observer, "commands_departed|1");
   }
 
   /**
@@ -297,14 +298,14 @@
     TestClient disconnecting = new TestClient(longRunningStatement(1));
     Message first = engine.next("PULL");
     TestClient observer = new TestClient();
-    CountDownLatch resume = holdUp();
+    CountDownLatch resume = blockEventLoop();
     disconnecting.close();
     awaitRead();
     first.answer(first.id(), "200", "pages=1", ROWS);
     awaitRead();
     resume.countDown();
-    await(observer, "clients_closed|1");
-    observer.query(observer.out, longRunningStatement(2));
+    awaitCounter(observer, "clients_closed|1");
+    observer.writeQuery(observer.out, longRunningStatement(2));
     Message second = engine.next();
     while (second.items().get(0).equals("closed")) {
       second = engine.next();
@@ -331,10 +332,10 @@
     for (int i = 0; i < DISCONNECTING_CLIENTS; i++) {
       disconnectingClients.add(new TestClient(longRunningStatement(100 + i)));
     }
-    await(observer, "commands_taken|" + (ENGINE_CAPACITY + DISCONNECTING_CLIENTS));
+    awaitCounter(observer, "commands_taken|" + (ENGINE_CAPACITY + DISCONNECTING_CLIENTS));
     new TestClient(longRunningStatement(99));
-    await(observer, "commands_taken|" + (ENGINE_CAPACITY + DISCONNECTING_CLIENTS + 1));
-    CountDownLatch resume = holdUp();
+    awaitCounter(observer, "commands_taken|" + (ENGINE_CAPACITY + DISCONNECTING_CLIENTS + 1));
+    CountDownLatch resume = blockEventLoop();
     pulls.get(0).answer(pulls.get(0).id(), "200", "pages=1", ROWS);
     for (TestClient disconnecting : disconnectingClients) {
       disconnecting.close();
@@ -342,7 +343,7 @@
     awaitRead();
     resume.countDown();
     assertEquals("%016x".formatted(99), engine.next("PULL").id());
-    await(observer, "commands_departed|" + DISCONNECTING_CLIENTS);
+    awaitCounter(observer, "commands_departed|" + DISCONNECTING_CLIENTS);
   }
 
   /**
@@ -361,14 +362,14 @@
       clients.add(new TestClient());
     }
     awaitRead();
-    CountDownLatch resume = holdUpSockets();
+    CountDownLatch resume = blockIoThread();
     for (int i = 0; i < CLIENT_COUNT; i++) {
       TestClient client = clients.get(i);
-      client.query(client.out, statement("once", i, 20_000));
+      client.writeQuery(client.out, statement("once", i, 20_000));
       cancelConnections.get(i).getOutputStream().write(client.cancelRequest());
     }
     resume.countDown();
-    await(observer, "commands_departed|" + CLIENT_COUNT);
+    awaitCounter(observer, "commands_departed|" + CLIENT_COUNT);
     for (Socket connection : cancelConnections) {
       connection.close();
     }
--- a/src/test/java/cobaltseam/service/ClientSessionsTest.java
+++ b/src/test/java/cobaltseam/service/ClientSessionsTest.java
@@ -27,7 +27,7 @@
     boolean isClosed = false;
     while (!isClosed && sentStatements < 2000) {
       try {
-        notReading.query(notReading.out, idempotentStatement(++sentStatements, 3000));
+        notReading.writeQuery(notReading.out, idempotentStatement(++sentStatements, 3000));
       } catch (SocketException e) {
         isClosed = true;
       }
@@ -51,17 +51,17 @@
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient();
-    assertEquals(List.of("error 42"), client.ask("SELECT 1"));
-    assertEquals(List.of("error 42"), client.ask(statement("unknown", 1, 100)));
+    assertEquals(List.of("error 42"), client.execute("SELECT 1"));
+    assertEquals(List.of("error 42"), client.execute(statement("unknown", 1, 100)));
     assertEquals(
         List.of("error 42"),
-        client.ask(statement("look", 1, 100).replace("op=", "org=nobody,op=")));
+        client.execute(statement("look", 1, 100).replace("op=", "org=nobody,op=")));
     client.out.write(new byte[] {'P', 0, 0, 0, 8, 'x', 0, 0, 0, 'S', 0, 0, 0, 4});
     assertEquals(List.of("error 0A"), client.readReplies());
     TestClient other = new TestClient();
     other.out.write(new byte[] {'Q', -1, 0, 0, 0});
     assertThrows(IOException.class, other::readReplies);
-    assertEquals(List.of("empty"), client.ask(""));
+    assertEquals(List.of("empty"), client.execute(""));
     assertTrue(engine.received.isEmpty());
   }
 
@@ -79,7 +79,7 @@
     List<TestClient> withIncompleteStatement = new ArrayList<>();
     TestClient regular = new TestClient();
     for (int i = 0; i < 300; i++) {
-      regular.query(statementOutput, idempotentStatement(5000 + i, 3000));
+      regular.writeQuery(statementOutput, idempotentStatement(5000 + i, 3000));
     }
     for (int i = 0; i < 3; i++) {
       TestClient client = new TestClient();
@@ -91,7 +91,7 @@
     for (int i = 0; i < 40; i++) {
       TestClient client = new TestClient();
       withIncompleteStatement.add(client);
-      client.ask("");
+      client.execute("");
       try {
         client.out.write(incompleteStatement);
       } catch (SocketException e) {
@@ -106,7 +106,7 @@
         // A reset also closes the connection.
       }
     }
-    assertEquals(List.of("empty"), regular.ask(""));
+    assertEquals(List.of("empty"), regular.execute(""));
   }
 
   /** Guards against a connection that is closed without a counter for the reason. */
@@ -116,7 +116,7 @@
     TestClient silent = new TestClient();
     assertTrue(silent.in.read() < 0, "the connection is closed");
     TestClient other = new TestClient();
-    List<String> counters = other.ask("SHOW cobaltseam.counters");
+    List<String> counters = other.execute("SHOW cobaltseam.counters");
     assertTrue(counters.contains("clients_timed_out|1"), counters.toString());
     assertTrue(counters.contains("clients_gave_way|0"), counters.toString());
   }
@@ -144,7 +144,7 @@
         service.acceptor.delayedAccepts() < 10,
         "idle clients are evicted before the acceptor has to wait: "
             + service.acceptor.delayedAccepts());
-    assertEquals(List.of("empty"), idle.get(39).ask(""));
+    assertEquals(List.of("empty"), idle.get(39).execute(""));
     first.answer(first.id(), "200", "pages=1", ROWS);
     assertEquals(
         "SELECT 2", open.readReplies().get(2), "a client with an open statement is not evicted");
@@ -161,12 +161,12 @@
     List<TestClient> idle = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       idle.add(new TestClient());
-      assertEquals(List.of("empty"), idle.get(i).ask(""));
+      assertEquals(List.of("empty"), idle.get(i).execute(""));
     }
-    CountDownLatch resume = holdUp();
+    CountDownLatch resume = blockEventLoop();
     Socket newConnection = new Socket(service.address().getAddress(), service.address().getPort());
     Thread.sleep(200);
-    idle.get(0).query(idle.get(0).out, idempotentStatement(1, 10_000));
+    idle.get(0).writeQuery(idle.get(0).out, idempotentStatement(1, 10_000));
     Thread.sleep(200);
     resume.countDown();
     Message pull = engine.next("PULL");
@@ -182,7 +182,7 @@
     List<Socket> silent = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       silent.add(new Socket(service.address().getAddress(), service.address().getPort()));
-      silent.get(i).setSoTimeout(SOON_S * 1000);
+      silent.get(i).setSoTimeout(TIMEOUT_S * 1000);
       if (i % 2 == 0) {
         silent.get(i).getOutputStream().write(new byte[] {0, 0, 0, 9, 0, 3, 0, 0});
       }
@@ -208,12 +208,12 @@
     TestClient client = new TestClient();
     long startNanos = System.nanoTime();
     for (int i = 0; i < 4; i++) {
-      assertEquals(List.of("error 42"), client.ask("SELECT " + i));
+      assertEquals(List.of("error 42"), client.execute("SELECT " + i));
     }
     assertTrue(
         System.nanoTime() - startNanos >= TimeUnit.MILLISECONDS.toNanos(150),
         "repeated invalid statements are rejected without a pause");
-    client.query(client.out, idempotentStatement(1, 5000));
+    client.writeQuery(client.out, idempotentStatement(1, 5000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
@@ -232,11 +232,11 @@
     }
     assertEquals("closed", engine.next().items().get(0));
     assertTrue(pull.from().getInputStream().read() < 0);
-    client.query(client.out, idempotentStatement(2, 3000));
+    client.writeQuery(client.out, idempotentStatement(2, 3000));
     Message second = engine.next("PULL");
     second.answer(second.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2), "the first request was answered");
-    client.query(client.out, idempotentStatement(3, 3000));
+    client.writeQuery(client.out, idempotentStatement(3, 3000));
     engine.next("PULL");
     client.close();
     assertEquals("closed", engine.next().items().get(0));
--- a/src/test/java/cobaltseam/service/ConfigurationReloadTest.java
+++ b/src/test/java/cobaltseam/service/ConfigurationReloadTest.java
@@ -65,7 +65,7 @@
       for (String invalid : List.of("", "{", invalidConfiguration)) {
         Files.writeString(file, invalid);
         Signal.raise(new Signal("HUP"));
-        await(client, "configurations_unusable|" + ++signals);
+        awaitCounter(client, "configurations_unusable|" + ++signals);
       }
       EmulatedPeer bus = new EmulatedPeer(false);
       Files.writeString(file, configurationJson(bus.address(), SOCKETS, IDLE_MS));
@@ -74,7 +74,7 @@
       previousBus.next("closed");
       subscription.write(
           endpointEvent(8, false, endpointJson(1, engine.address(), "in_service")) + "\n");
-      client.query(client.out, idempotentStatement(1, 3000));
+      client.writeQuery(client.out, idempotentStatement(1, 3000));
       Message pull = engine.next("PULL");
       pull.answer(pull.id(), "200", "pages=1", ROWS);
       assertEquals("SELECT 2", client.readReplies().get(2));
@@ -83,7 +83,7 @@
           configurationJson(bus.address(), SOCKETS, IDLE_MS)
               .replace("\"offset\":7", "\"offset\":9"));
       Signal.raise(new Signal("HUP"));
-      await(client, "configurations_read|2");
+      awaitCounter(client, "configurations_read|2");
       subscription.reset();
       bus.next("closed");
       bus.next("from 9");
@@ -112,25 +112,26 @@
       TestClient observer = new TestClient();
       Files.writeString(file, configuration);
       Signal.raise(new Signal("HUP"));
-      await(observer, "configurations_moved|1");
+      awaitCounter(observer, "configurations_moved|1");
       List<TestClient> clients = new ArrayList<>();
       List<Message> pulls = new ArrayList<>();
       // The engine has eight threads: eight requests are in flight and two are queued.
       for (int i = 1; i <= 10; i++) {
         TestClient client = new TestClient();
-        client.query(client.out, statement("once", i, 60_000).replace("work=100", "work=5000"));
+        client.writeQuery(
+            client.out, statement("once", i, 60_000).replace("work=100", "work=5000"));
         clients.add(client);
         if (i <= 8) {
           pulls.add(engine.next("PULL"));
         }
       }
-      await(observer, "commands_taken|10");
+      awaitCounter(observer, "commands_taken|10");
       Files.writeString(file, configuration.replace("\"name\":\"once\"", "\"name\":\"twice\""));
       Signal.raise(new Signal("HUP"));
-      await(observer, "configurations_moved|2");
+      awaitCounter(observer, "configurations_moved|2");
       assertEquals(
           List.of("error 42"),
-          observer.ask(statement("once", 20, 3000)),
+          observer.execute(statement("once", 20, 3000)),
           "the new settings do not have this request class");
       for (Message pull : pulls) {
         pull.answer(pull.id(), "200", "pages=1", "");
@@ -147,8 +148,8 @@
       }
       Files.writeString(file, configuration);
       Signal.raise(new Signal("HUP"));
-      await(observer, "configurations_moved|3");
-      observer.query(observer.out, statement("once", 21, 3000));
+      awaitCounter(observer, "configurations_moved|3");
+      observer.writeQuery(observer.out, statement("once", 21, 3000));
       Message pull = engine.next("PULL");
       pull.answer(pull.id(), "200", "pages=1", "");
       assertEquals(List.of("SELECT 0"), observer.readReplies());
--- a/src/test/java/cobaltseam/service/DispatcherServiceTest.java
+++ b/src/test/java/cobaltseam/service/DispatcherServiceTest.java
@@ -24,7 +24,7 @@
     assertEquals("SELECT 2", newClient.readReplies().get(2), "new connections are still served");
     firstPull.answer(firstPull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
-    stopThread.join(SOON_S * 1000);
+    stopThread.join(TIMEOUT_S * 1000);
     assertFalse(stopThread.isAlive());
     assertTrue(System.nanoTime() - stopNanos >= TimeUnit.MILLISECONDS.toNanos(700));
   }
--- a/src/test/java/cobaltseam/service/EndpointWatchRaceTest.java
+++ b/src/test/java/cobaltseam/service/EndpointWatchRaceTest.java
@@ -44,7 +44,7 @@
             + "\n"
             + endpointEvent(9, false)
             + "\n");
-    await(new TestClient(), "bus_events|2");
+    awaitCounter(new TestClient(), "bus_events|2");
     assertGoesTo(one, two);
   }
 
@@ -75,15 +75,15 @@
     Message watch = former.next("from 7");
     EmulatedPeer bus = new EmulatedPeer(false);
     TestClient client = new TestClient();
-    CountDownLatch held = holdUp();
+    CountDownLatch held = blockEventLoop();
     reload(moved(bus, one, two));
-    awaitHandedOver();
+    awaitPostedTask();
     watch.write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
     awaitRead();
     held.countDown();
     bus.next("from 7")
         .write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
-    await(client, "bus_events|1");
+    awaitCounter(client, "bus_events|1");
     assertGoesTo(one, two);
   }
 
@@ -96,13 +96,13 @@
     Message watch = former.next("from 7");
     EmulatedPeer bus = new EmulatedPeer(false);
     TestClient client = new TestClient();
-    CountDownLatch held = holdUp();
+    CountDownLatch held = blockEventLoop();
     watch.write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
     awaitRead();
     reload(moved(bus, one, two));
     held.countDown();
     bus.next("from 8");
-    await(client, "configurations_read|1");
+    awaitCounter(client, "configurations_read|1");
     assertGoesTo(one, two);
   }
 
@@ -135,7 +135,7 @@
     bus.next("closed");
     bus.next("from 7")
         .write("8\n8\n" + endpointEvent(9, false, endpointJson(2, two.address(), drained)) + "\n");
-    await(new TestClient(), "bus_events|1");
+    awaitCounter(new TestClient(), "bus_events|1");
     assertGoesTo(one, two);
   }
 
@@ -148,7 +148,7 @@
     bus.next("closed");
     bus.next("from 7")
         .write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
-    await(new TestClient(), "bus_events|1");
+    awaitCounter(new TestClient(), "bus_events|1");
     assertGoesTo(one, two);
   }
 
@@ -162,7 +162,7 @@
     bus.next("closed");
     bus.next("from 8")
         .write(endpointEvent(9, false, endpointJson(2, two.address(), drained)) + "\n");
-    await(new TestClient(), "bus_events|2");
+    awaitCounter(new TestClient(), "bus_events|2");
     assertGoesTo(one, two);
   }
 
@@ -175,8 +175,8 @@
     Message from = bus.next("from 7");
     from.write(endpointEvent(12, true, endpointJson(1, one.address(), "in_service")) + "\n");
     TestClient watch = new TestClient();
-    await(watch, "bus_events|1");
-    assertTrue(watch.ask("SHOW cobaltseam.counters").contains("bus_gaps|0"));
+    awaitCounter(watch, "bus_events|1");
+    assertTrue(watch.execute("SHOW cobaltseam.counters").contains("bus_gaps|0"));
     assertGoesTo(one, two);
   }
 
@@ -194,7 +194,7 @@
             endpointEvent(
                     8, false, endpointJson(1, namesake.address(), drained).replace("\"s-", "\"t-"))
                 + "\n");
-    await(new TestClient(), "bus_events|1");
+    awaitCounter(new TestClient(), "bus_events|1");
     assertGoesTo(one, namesake);
   }
 
@@ -219,13 +219,13 @@
     TestClient watch = new TestClient();
     for (int i = 0; i < 2 * FEW_SOCKETS; i++) {
       Socket idle = new Socket(service.address().getAddress(), service.address().getPort());
-      open.add(idle);
-      assertEquals(List.of("empty"), watch.ask(""));
+      closeables.add(idle);
+      assertEquals(List.of("empty"), watch.execute(""));
     }
     EmulatedPeer bus = new EmulatedPeer(false, port);
     bus.next("from 7")
         .write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
-    await(watch, "bus_events|1");
+    awaitCounter(watch, "bus_events|1");
     assertGoesTo(one, two);
   }
 
@@ -291,7 +291,7 @@
                 + "\n"
                 + endpointEvent(9, false)
                 + "\n");
-    await(new TestClient(), "bus_events|2");
+    awaitCounter(new TestClient(), "bus_events|2");
     assertGoesTo(one, two);
   }
 }
--- a/src/test/java/cobaltseam/service/EngineAnswersTest.java
+++ b/src/test/java/cobaltseam/service/EngineAnswersTest.java
@@ -26,9 +26,9 @@
     pull.answer(pull.id(), "chunk", "page=2", "d\t\t\n");
     pull.answer(pull.id(), "chunk", "page=1", "c\t3\tz\n");
     assertEquals(List.of("a|1|x", "b|2|y", "c|3|z", "d||", "SELECT 4"), client.readReplies());
-    assertEquals(List.of("empty"), client.ask(" ; "));
-    assertTrue(client.ask("SHOW cobaltseam.counters;").contains("commands_answered|1"));
-    client.query(client.out, idempotentStatement(2, 3000));
+    assertEquals(List.of("empty"), client.execute(" ; "));
+    assertTrue(client.execute("SHOW cobaltseam.counters;").contains("commands_answered|1"));
+    client.writeQuery(client.out, idempotentStatement(2, 3000));
     Message again = engine.next("PULL");
     assertEquals(pull.from(), again.from(), "an unused connection is used again");
     again.answer(again.id(), "200", "pages=1", "");
@@ -41,17 +41,17 @@
     EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
     TestClient client = new TestClient(idempotentStatement(1, 3000));
-    Message first = poll(one, two);
+    Message first = nextFromAny(one, two);
     first.answer(first.id(), "503", "-", "");
-    Message second = poll(one, two);
+    Message second = nextFromAny(one, two);
     second.reset();
-    Message third = poll(one, two);
+    Message third = nextFromAny(one, two);
     assertEquals(
         "PULL", third.items().get(0), "a reset may have run, which this profile may do twice");
     third.answer(third.id(), "200", "pages=1", ROWS);
     assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.readReplies());
-    client.query(client.out, statement("once", 2, 3000));
-    Message once = poll(one, two);
+    client.writeQuery(client.out, statement("once", 2, 3000));
+    Message once = nextFromAny(one, two);
     once.reset();
     assertEquals(
         List.of("error 58"), client.readReplies(), "this one may not run twice, nor be refused");
@@ -67,11 +67,11 @@
     pull.answer(pull.id(), "200", "pages=1", "half a row");
     engine.next("closed");
     assertEquals(List.of("error 58"), client.readReplies());
-    client.query(client.out, statement("once", 2, 3000));
+    client.writeQuery(client.out, statement("once", 2, 3000));
     engine.next("PULL").write("*nonsense\r\n");
     assertEquals("closed", engine.next().items().get(0));
     assertEquals(List.of("error 58"), client.readReplies());
-    client.query(client.out, idempotentStatement(3, 3000));
+    client.writeQuery(client.out, idempotentStatement(3, 3000));
     Message good = engine.next("PULL");
     good.answer(good.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
@@ -92,7 +92,7 @@
       pull.answer(pull.id(), "chunk", "page=1", "c\t3\tz\n");
     }
     assertEquals(List.of("a|1|x", "b|2|y", "c|3|z", "SELECT 3"), client.readReplies());
-    client.query(client.out, idempotentStatement(2, 3000));
+    client.writeQuery(client.out, idempotentStatement(2, 3000));
     Message again = engine.next("PULL");
     assertEquals(pull.from(), again.from(), "the connection is as good as before");
     again.answer(again.id(), "200", "pages=1", "");
@@ -106,7 +106,7 @@
     start(engine);
     TestClient client = new TestClient(statement("look", 1, 3000));
     Message pull = engine.next("PULL");
-    CountDownLatch held = holdUp();
+    CountDownLatch held = blockEventLoop();
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     Thread.sleep(1000);
     held.countDown();
@@ -124,13 +124,13 @@
     start(engine);
     TestClient client = new TestClient(statement("look", 1, 3000));
     Message pull = engine.next("PULL");
-    CountDownLatch held = holdUp();
-    CountDownLatch heldSockets = holdUpSockets();
+    CountDownLatch held = blockEventLoop();
+    CountDownLatch heldSockets = blockIoThread();
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     // Longer than the timeout of an attempt: the duration itself is tested.
     Thread.sleep(1000);
     held.countDown();
-    awaitTurn();
+    awaitEventLoopTurn();
     heldSockets.countDown();
     assertEquals("SELECT 2", client.readReplies().get(2));
     assertTrue(engine.received.isEmpty(), "the send was given up with its answer there");
--- a/src/test/java/cobaltseam/service/EngineConnectionsTest.java
+++ b/src/test/java/cobaltseam/service/EngineConnectionsTest.java
@@ -31,7 +31,7 @@
         Set.of("closed", "PULL"), Set.of(next.get(0).items().get(0), next.get(1).items().get(0)));
     assertTrue(silent.from().getInputStream().read() < 0);
     assertEquals(List.of("error 53 pushback"), client.readReplies());
-    assertEquals(List.of("empty"), client.ask(""));
+    assertEquals(List.of("empty"), client.execute(""));
   }
 
   @Test
@@ -71,7 +71,7 @@
     first.answer(first.id(), "200", "pages=1", ROWS);
     client.readReplies();
     Thread.sleep(250);
-    client.query(client.out, statement("once", 2, 3000));
+    client.writeQuery(client.out, statement("once", 2, 3000));
     List<Message> next = List.of(engine.next(), engine.next());
     assertEquals(
         Set.of("closed", "PULL"), Set.of(next.get(0).items().get(0), next.get(1).items().get(0)));
--- a/src/test/java/cobaltseam/service/FleetServiceOrderTest.java
+++ b/src/test/java/cobaltseam/service/FleetServiceOrderTest.java
@@ -72,16 +72,16 @@
       }
       TestClient client = new TestClient();
       for (int i = 0;
-          client.ask("SHOW cobaltseam.members").stream()
+          client.execute("SHOW cobaltseam.members").stream()
               .noneMatch(row -> row.startsWith("member_n9"));
           i++) {
         assertTrue(
-            i < SOON_S * 100,
+            i < TIMEOUT_S * 100,
             "the member that the message reports is not shown: "
-                + client.ask("SHOW cobaltseam.members"));
+                + client.execute("SHOW cobaltseam.members"));
         Thread.sleep(10);
       }
-      assertTrue(client.ask("SHOW cobaltseam.members").contains("membership|on"));
+      assertTrue(client.execute("SHOW cobaltseam.members").contains("membership|on"));
     }
   }
 
--- a/src/test/java/cobaltseam/service/ServiceRig.java
+++ b/src/test/java/cobaltseam/service/ServiceRig.java
@@ -37,10 +37,10 @@
  * forces the order of events.
  */
 abstract class ServiceRig extends ServiceFixtures {
-  static final int SOON_S = 10;
+  static final int TIMEOUT_S = 10;
   private static final int CONNECT_MS = 50;
 
-  final List<AutoCloseable> open = new ArrayList<>();
+  final List<AutoCloseable> closeables = new ArrayList<>();
 
   /** The service that was started last. */
   DispatcherService service;
@@ -63,12 +63,12 @@
     EmulatedPeer(boolean resp, int port) throws IOException {
       this.resp = resp;
       server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-      open.add(this);
-      thread(
+      closeables.add(this);
+      startDaemon(
           () -> {
             while (true) {
               Socket socket = server.accept();
-              thread(() -> read(socket));
+              startDaemon(() -> read(socket));
             }
           });
     }
@@ -78,14 +78,14 @@
       try {
         while (true) {
           List<String> items = new ArrayList<>();
-          int number = resp ? Integer.parseInt(line(in).substring(1)) : 0;
+          int number = resp ? Integer.parseInt(readLine(in).substring(1)) : 0;
           for (int i = 0; i < number; i++) {
-            byte[] item = new byte[Integer.parseInt(line(in).substring(1))];
+            byte[] item = new byte[Integer.parseInt(readLine(in).substring(1))];
             in.readFully(item);
-            line(in);
+            readLine(in);
             items.add(new String(item, StandardCharsets.UTF_8));
           }
-          List<String> message = resp ? items : List.of(line(in));
+          List<String> message = resp ? items : List.of(readLine(in));
           received.add(new Message(socket, message, System.nanoTime()));
         }
       } catch (IOException e) {
@@ -94,7 +94,7 @@
     }
 
     Message next() throws InterruptedException {
-      Message message = received.poll(SOON_S, TimeUnit.SECONDS);
+      Message message = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
       assertNotNull(message, "nothing came");
       return message;
     }
@@ -147,7 +147,7 @@
     void run() throws IOException;
   }
 
-  static void thread(Task task) {
+  static void startDaemon(Task task) {
     Thread thread =
         new Thread(
             () -> {
@@ -161,7 +161,7 @@
     thread.start();
   }
 
-  static String line(DataInputStream in) throws IOException {
+  static String readLine(DataInputStream in) throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
     for (byte b = in.readByte(); b != '\n'; b = in.readByte()) {
       line.write(b);
@@ -178,21 +178,21 @@
     int secret;
 
     TestClient(String... behind) throws IOException {
-      open.add(this);
-      socket.setSoTimeout(SOON_S * 1000);
+      closeables.add(this);
+      socket.setSoTimeout(TIMEOUT_S * 1000);
       ByteArrayOutputStream first = new ByteArrayOutputStream();
       DataOutputStream to = new DataOutputStream(first);
       to.writeInt(9);
       to.writeInt(3 << 16);
       to.write(0);
       for (String query : behind) {
-        query(to, query);
+        writeQuery(to, query);
       }
       out.write(first.toByteArray());
       assertEquals("K", readReplies().get(0));
     }
 
-    void query(DataOutputStream to, String text) throws IOException {
+    void writeQuery(DataOutputStream to, String text) throws IOException {
       to.write(queryMessage(text));
     }
 
@@ -206,8 +206,8 @@
           .array();
     }
 
-    List<String> ask(String query) throws IOException {
-      query(out, query);
+    List<String> execute(String query) throws IOException {
+      writeQuery(out, query);
       return readReplies();
     }
 
@@ -309,8 +309,8 @@
       each.getValue().join();
       each.getKey().close();
     }
-    for (AutoCloseable each : open) {
-      each.close();
+    for (AutoCloseable closeable : closeables) {
+      closeable.close();
     }
   }
 
@@ -320,11 +320,11 @@
     final List<Socket> waiting = new ArrayList<>();
 
     UnreachableEngine() throws IOException {
-      open.add(server);
+      closeables.add(server);
       for (boolean full = false; !full; ) {
         Socket socket = new Socket();
         waiting.add(socket);
-        open.add(socket);
+        closeables.add(socket);
         try {
           socket.connect(server.getLocalSocketAddress(), CONNECT_MS);
         } catch (IOException e) {
@@ -338,13 +338,13 @@
     }
 
     /** Accepts connections from now on; the peer returned receives what is written to them. */
-    EmulatedPeer relieve() throws IOException {
+    EmulatedPeer acceptConnections() throws IOException {
       EmulatedPeer hears = new EmulatedPeer(true);
-      thread(
+      startDaemon(
           () -> {
             while (true) {
               Socket socket = server.accept();
-              thread(() -> hears.read(socket));
+              startDaemon(() -> hears.read(socket));
             }
           });
       return hears;
@@ -362,16 +362,16 @@
   }
 
   /** Waits until a counter has this value. */
-  static void await(TestClient client, String counter) throws Exception {
-    for (int i = 0; !client.ask("SHOW cobaltseam.counters").contains(counter); i++) {
-      assertTrue(i < SOON_S * 100, counter + " never came");
+  static void awaitCounter(TestClient client, String counter) throws Exception {
+    for (int i = 0; !client.execute("SHOW cobaltseam.counters").contains(counter); i++) {
+      assertTrue(i < TIMEOUT_S * 100, counter + " never came");
       Thread.sleep(10);
     }
   }
 
   /** The next message that comes to any of them. */
-  static Message poll(EmulatedPeer... peers) throws InterruptedException {
-    for (int i = 0; i < SOON_S * 1000; i++) {
+  static Message nextFromAny(EmulatedPeer... peers) throws InterruptedException {
+    for (int i = 0; i < TIMEOUT_S * 1000; i++) {
       for (EmulatedPeer peer : peers) {
         Message message = peer.received.poll();
         if (message != null && !message.items.get(0).equals("closed")) {
@@ -384,60 +384,60 @@
   }
 
   /** Blocks the I/O thread, from when this returns until the latch is counted down. */
-  CountDownLatch holdUpSockets() throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch holds = new CountDownLatch(1);
-    service.processor.afterReading(
+  CountDownLatch blockIoThread() throws InterruptedException {
+    CountDownLatch release = new CountDownLatch(1);
+    CountDownLatch blocked = new CountDownLatch(1);
+    service.processor.runAfterReading(
         () -> {
-          holds.countDown();
-          awaitQuietly(held);
+          blocked.countDown();
+          awaitQuietly(release);
         });
-    holds.await();
-    return held;
+    blocked.await();
+    return release;
   }
 
   /**
-   * Has the I/O thread write this to a peer, read what follows from it, and holds that thread up
+   * Has the I/O thread write this to a peer, read what follows from it, and blocked that thread up
    * before it is handed over.
    */
-  CountDownLatch holdUpSocketsOnceRead(Task write) throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch holds = new CountDownLatch(1);
-    service.processor.afterReading(
+  CountDownLatch blockIoThreadAfterReading(Task write) throws InterruptedException {
+    CountDownLatch release = new CountDownLatch(1);
+    CountDownLatch blocked = new CountDownLatch(1);
+    service.processor.runAfterReading(
         () -> {
           try {
             write.run();
           } catch (IOException e) {
             throw new AssertionError(e);
           }
-          service.processor.afterReading(
+          service.processor.runAfterReading(
               () -> {
-                holds.countDown();
-                awaitQuietly(held);
+                blocked.countDown();
+                awaitQuietly(release);
               });
         });
-    holds.await();
-    return held;
+    blocked.await();
+    return release;
   }
 
   /**
    * Holds up the thread that reads all sockets when it comes to what this client says next, in the
    * middle of a round.
    */
-  final class HoldsInRound extends IoFilterAdapter {
-    final CountDownLatch holds = new CountDownLatch(1);
-    final CountDownLatch held = new CountDownLatch(1);
+  final class ReadBlocker extends IoFilterAdapter {
+    final CountDownLatch blocked = new CountDownLatch(1);
+    final CountDownLatch release = new CountDownLatch(1);
 
-    HoldsInRound(TestClient client) {
+    ReadBlocker(TestClient client) {
       service.acceptor.getManagedSessions().values().stream()
           .filter(s -> s.getRemoteAddress().equals(client.socket.getLocalSocketAddress()))
-          .forEach(s -> s.getFilterChain().addLast("holds", this));
+          .forEach(s -> s.getFilterChain().addLast("blocked", this));
     }
 
     @Override
     public void messageReceived(NextFilter next, IoSession session, Object message) {
-      holds.countDown();
-      awaitQuietly(held);
+      blocked.countDown();
+      awaitQuietly(release);
       next.messageReceived(session, message);
     }
   }
@@ -448,37 +448,37 @@
   void awaitRead() throws InterruptedException {
     for (int round = 0; round < 3; round++) {
       CountDownLatch read = new CountDownLatch(1);
-      service.processor.afterReading(read::countDown);
+      service.processor.runAfterReading(read::countDown);
       read.await();
     }
   }
 
-  private static void awaitQuietly(CountDownLatch held) {
+  private static void awaitQuietly(CountDownLatch release) {
     try {
-      held.await();
+      release.await();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   /** Blocks the event-loop thread, from when this returns until the latch is counted down. */
-  CountDownLatch holdUp() throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch holds = new CountDownLatch(1);
+  CountDownLatch blockEventLoop() throws InterruptedException {
+    CountDownLatch release = new CountDownLatch(1);
+    CountDownLatch blocked = new CountDownLatch(1);
     service.inbox.post(
         null,
         () -> {
-          holds.countDown();
-          awaitQuietly(held);
+          blocked.countDown();
+          awaitQuietly(release);
         });
-    holds.await();
-    return held;
+    blocked.await();
+    return release;
   }
 
   /** Returns when a task was posted to the event-loop thread, which is blocked. */
-  void awaitHandedOver() throws InterruptedException {
+  void awaitPostedTask() throws InterruptedException {
     for (int i = 0; service.inbox.size() == 0; i++) {
-      assertTrue(i < SOON_S * 1000, "nothing was handed over");
+      assertTrue(i < TIMEOUT_S * 1000, "nothing was handed over");
       Thread.sleep(1);
     }
   }
@@ -487,7 +487,7 @@
    * Returns when the event loop has completed a turn since this was called, and run the timers that
    * were due.
    */
-  void awaitTurn() throws InterruptedException {
+  void awaitEventLoopTurn() throws InterruptedException {
     CountDownLatch heard = new CountDownLatch(1);
     // More than run in one turn: the last one runs after the first turn has ended.
     for (int i = 0; i < EventLoop.MAX_TASKS_PER_TURN; i++) {
--- a/src/test/java/cobaltseam/service/SettingsIsolationTest.java
+++ b/src/test/java/cobaltseam/service/SettingsIsolationTest.java
@@ -42,15 +42,15 @@
     EmulatedPeer otherEngine = new EmulatedPeer(true);
     start(SettingsIsolationTest::settingsOfOtherCustomer, SOCKETS, IDLE_MS, otherEngine.address());
     TestClient otherClient = new TestClient();
-    assertEquals(List.of("error 42"), ourClient.ask(statement("browse", 1, 5000)));
+    assertEquals(List.of("error 42"), ourClient.execute(statement("browse", 1, 5000)));
     assertEquals(
-        List.of("error 42"), ourClient.ask(withTenant("zeta", idempotentStatement(2, 5000))));
-    assertEquals(List.of("error 42"), otherClient.ask(idempotentStatement(3, 5000)));
+        List.of("error 42"), ourClient.execute(withTenant("zeta", idempotentStatement(2, 5000))));
+    assertEquals(List.of("error 42"), otherClient.execute(idempotentStatement(3, 5000)));
     assertEquals(
-        List.of("error 42"), otherClient.ask(withTenant("acme", statement("browse", 4, 5000))));
+        List.of("error 42"), otherClient.execute(withTenant("acme", statement("browse", 4, 5000))));
     // Both receive a request with the same id at the same time and must not confuse the two.
-    ourClient.query(ourClient.out, withTenant("acme", idempotentStatement(5, 5000)));
-    otherClient.query(
+    ourClient.writeQuery(ourClient.out, withTenant("acme", idempotentStatement(5, 5000)));
+    otherClient.writeQuery(
         otherClient.out,
         withTenant("zeta", statement("browse", 5, 5000).replace("work=100", "work=1000")));
     Message ourPull = ourEngine.next("PULL");
@@ -87,15 +87,15 @@
             configurationJson(
                 bus.address(), SOCKETS, IDLE_MS, endpointJson(1, engine.address(), "in_service"))));
     Signal.raise(new Signal("HUP"));
-    await(observer, "configurations_moved|1");
-    assertEquals(List.of("error 42"), observer.ask(idempotentStatement(20, 5000)));
+    awaitCounter(observer, "configurations_moved|1");
+    assertEquals(List.of("error 42"), observer.execute(idempotentStatement(20, 5000)));
     assertEquals(
-        List.of("error 42"), observer.ask(withTenant("acme", statement("browse", 21, 5000))));
+        List.of("error 42"), observer.execute(withTenant("acme", statement("browse", 21, 5000))));
     for (int i = 0; i < IN_FLIGHT_REQUESTS; i++) {
       pulls.get(i).answer(pulls.get(i).id(), "200", "pages=1", "");
       assertEquals(List.of("SELECT 0"), clients.get(i).readReplies());
     }
-    observer.query(
+    observer.writeQuery(
         observer.out,
         withTenant("zeta", statement("browse", 22, 20_000).replace("work=100", "work=1000")));
     engine.next("PULL").reset();
--- a/src/test/java/cobaltseam/service/ShutdownRaceTest.java
+++ b/src/test/java/cobaltseam/service/ShutdownRaceTest.java
@@ -31,7 +31,7 @@
    */
   private Thread shutDown() throws IOException {
     TestClient idle = new TestClient();
-    assertEquals(List.of("empty"), idle.ask(""));
+    assertEquals(List.of("empty"), idle.execute(""));
     Thread stopThread = new Thread(service::stop);
     stopThread.start();
     assertEquals(
@@ -40,7 +40,7 @@
   }
 
   private void assertShutdownCompletes(Thread stopThread) throws InterruptedException {
-    stopThread.join(SOON_S * 1000);
+    stopThread.join(TIMEOUT_S * 1000);
     assertFalse(stopThread.isAlive(), "the shutdown does not complete");
   }
 
@@ -63,7 +63,7 @@
     TestClient slowClient = new TestClient(idempotentStatement(1, 20_000));
     Message pull = engine.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", "a\n".repeat(LARGE_ROW_COUNT));
-    await(new TestClient(), "commands_answered|1");
+    awaitCounter(new TestClient(), "commands_answered|1");
     assertTrue(
         service.acceptor.getScheduledWriteBytes() > 0, "no part of the answer is left to write");
     Thread stopThread = shutDown();
@@ -223,7 +223,7 @@
     byte[] reply = client.in.readAllBytes();
     assertTrue(
         new String(reply, StandardCharsets.UTF_8).contains("FATAL"), "the client gets the reason");
-    assertEquals(List.of("empty"), new TestClient().ask(""));
+    assertEquals(List.of("empty"), new TestClient().execute(""));
   }
 
   /**
@@ -234,12 +234,12 @@
   void inputAfterTheEndOfOutputDoesNotResetTheConnection() throws Exception {
     start(16, IDLE_MS, new EmulatedPeer(true));
     TestClient idle = new TestClient();
-    assertEquals(List.of("empty"), idle.ask(""));
+    assertEquals(List.of("empty"), idle.execute(""));
     for (int i = 0; i < 6; i++) {
-      assertEquals(List.of("empty"), new TestClient().ask(""));
+      assertEquals(List.of("empty"), new TestClient().execute(""));
     }
     assertEquals(END_OF_STREAM, idle.in.read(), "the client that was idle the longest is evicted");
-    idle.query(idle.out, idempotentStatement(1, 3000));
+    idle.writeQuery(idle.out, idempotentStatement(1, 3000));
     awaitRead();
     assertEquals(END_OF_STREAM, idle.in.read());
   }
--- a/src/test/java/cobaltseam/service/SlowStartRaceTest.java
+++ b/src/test/java/cobaltseam/service/SlowStartRaceTest.java
@@ -91,7 +91,7 @@
     }
     // Until the operating system retries the connect: the duration itself is tested.
     Thread.sleep(CONNECTS_AFTER_MS);
-    List<Sent> sent = answerAll(engine.relieve(), 2 * FALL_S);
+    List<Sent> sent = answerAll(engine.acceptConnections(), 2 * FALL_S);
     assertTrue(sent.size() > DISPATCHERS / 2, "it is sent something: " + sent.size());
     assertKeepToRamp(sent, bootNanos, 1);
   }
@@ -153,10 +153,10 @@
   private void asks(int dispatcher, int client, int ttlMs) throws IOException {
     TestClient session = new TestClient();
     int first = (dispatcher * CLIENTS + client) * CALLS;
-    thread(
+    startDaemon(
         () -> {
           for (int call = first; !session.socket.isClosed(); call++) {
-            session.ask(statement("look", call, ttlMs));
+            session.execute(statement("look", call, ttlMs));
           }
         });
   }
