--- a/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
+++ b/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
@@ -238,7 +238,7 @@
     View view = membership.view();
     long number = view == null ? 0 : ConfigurationVersion.numberOf(view.configuration());
     if (view == null || !leaseLeft(now).isPositive()) {
-      return "no majority of the view has confirmed it in time";
+      return "this process has no valid lease from a majority of its view";
     }
     if (expectedNumber >= 0 && expectedNumber != number) {
       return "the agreed version is " + number + ", expected was " + expectedNumber;
@@ -375,7 +375,8 @@
     for (ConfigurationVersion other : earlier) {
       byte[] content = documents.get(other.hash());
       if (content == null || earlier.size() > MAX_MERGED_VERSIONS) {
-        reason = "an earlier version has no document here, or too many versions need a merge";
+        reason =
+            "the document of an earlier version is missing, or too many versions may be active";
       } else if (validator.contradict(content, documents.get(version.hash()))) {
         contradicting.add(other);
       }
--- a/src/main/java/cobaltseam/agreement/ConservativeMerge.java
+++ b/src/main/java/cobaltseam/agreement/ConservativeMerge.java
@@ -40,8 +40,8 @@
     table.put("Deployment.machineTypes", "the union, merged by id");
     table.put("Deployment.quotas", "the union, merged by tenant");
     table.put("Deployment.overQuotaWeight", "the smaller");
-    table.put("Deployment.rules", "each component by itself");
-    table.put("Deployment.capabilities", "each component by itself");
+    table.put("Deployment.rules", "each component separately");
+    table.put("Deployment.capabilities", "each component separately");
     table.put("Deployment.site", "never: each dispatcher has its own");
     table.put("RequestClass.id", "never");
     table.put("RequestClass.threads", "the larger: fewer requests run on an engine at once");
--- a/src/main/java/cobaltseam/agreement/ProposalTracker.java
+++ b/src/main/java/cobaltseam/agreement/ProposalTracker.java
@@ -38,8 +38,8 @@
     /** Whether the version was submitted to membership for the next view. */
     boolean isSubmitted;
 
-    /** The rejection of each member that answered; empty if the member accepts the version. */
-    final Map<MemberName, String> rejections = new HashMap<>();
+    /** The answer of each member: why it rejects the version, or empty if it accepts it. */
+    final Map<MemberName, String> answers = new HashMap<>();
 
     Proposal(ConfigurationVersion version, Timestamp startedAt) {
       this.version = version;
@@ -86,7 +86,7 @@
             membership.self().name());
     proposal = new Proposal(version, now);
     documents.put(version.hash(), document);
-    proposal.rejections.put(membership.self().name(), "");
+    proposal.answers.put(membership.self().name(), "");
     effects.record(AgreementEvent.PROPOSED, version.toString());
   }
 
@@ -97,7 +97,7 @@
    */
   void recordAnswer(MemberName member, ConfigurationVersion version, String rejection) {
     if (proposal != null && version.equals(proposal.version)) {
-      proposal.rejections.put(member, rejection == null ? "" : rejection);
+      proposal.answers.put(member, rejection == null ? "" : rejection);
     }
   }
 
@@ -108,7 +108,7 @@
     }
     List<Member> unanswered =
         view.members().stream()
-            .filter(member -> !proposal.rejections.containsKey(member.name()))
+            .filter(member -> !proposal.answers.containsKey(member.name()))
             .toList();
     TimeSpan age = now.since(proposal.startedAt);
     if (age.compareTo(maxContradiction.times(ABANDON_AFTER_FACTOR)) >= 0) {
@@ -143,7 +143,7 @@
     if (proposal.isSubmitted) {
       return false;
     }
-    for (Map.Entry<MemberName, String> entry : proposal.rejections.entrySet()) {
+    for (Map.Entry<MemberName, String> entry : proposal.answers.entrySet()) {
       if (!entry.getValue().isEmpty()) {
         effects.record(
             AgreementEvent.REFUSED,
