--- a/src/main/java/cobaltseam/service/Attempt.java
+++ b/src/main/java/cobaltseam/service/Attempt.java
@@ -6,7 +6,10 @@
 import cobaltseam.postgres.Statement;
 import cobaltseam.resp.Result;
 
-/** One attempt of a request on one engine, until its one outcome; the event-loop thread's own. */
+/**
+ * One attempt of a request on one engine, from its start to its single outcome. Confined to the
+ * event-loop thread.
+ */
 final class Attempt {
   final RequestId requestId;
   final int number;
@@ -14,29 +17,39 @@
   final Statement statement;
   final Timestamp startedAt;
 
-  /** When it times out. */
+  /** When the attempt times out, unless its timeout is extended. */
   final Timestamp deadline;
 
-  /** It must not be written later than this; null if it may be written at any time. */
+  /**
+   * The time from which on this attempt must not be written to its connection; null if it may be
+   * written at any time.
+   */
   Timestamp startBy;
 
+  /** Ends the attempt when its deadline has passed. */
   Timers.Timer timeout;
 
-  /** The connection that it is or will be written to; null if none could be had. */
+  /** The connection that this attempt is or will be written to; null if none was available. */
   EngineConnection connection;
 
-  /** Its place among the messages written to its connection, from 1; zero while not written. */
+  /**
+   * The position of this attempt among the messages written to its connection, from 1; zero while
+   * it is not written.
+   */
   long writePosition;
 
   boolean hasEnded;
 
-  /** Null until the first page has come. */
+  /** The pages received so far; null until the first page is received. */
   Result result;
 
-  /** Requests queued on the engine as last reported with this attempt; below zero if never. */
+  /** The engine's queue length as last reported for this attempt; negative if never reported. */
   double reportedQueueLength = -1;
 
-  /** Requests in flight on the engine as last reported with this attempt; below zero if never. */
+  /**
+   * The number of requests in flight on the engine as last reported for this attempt; negative if
+   * never reported.
+   */
   double reportedInFlight = -1;
 
   Attempt(
@@ -54,7 +67,7 @@
     this.deadline = deadline;
   }
 
-  /** The id of the request on the engines' wire. */
+  /** Returns the call id by which messages to and from engines name the request. */
   String callId() {
     return statement.callId();
   }
--- a/src/main/java/cobaltseam/service/Clock.java
+++ b/src/main/java/cobaltseam/service/Clock.java
@@ -5,8 +5,9 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * The system's time at the start, continued by a monotonic clock: microseconds since the Unix epoch
- * that never go back, even if the system's time is set.
+ * A monotonic clock of microseconds since the Unix epoch. Reads the system's wall clock once, at
+ * construction, and advances by {@link System#nanoTime}, so that its time never goes back, even if
+ * the wall clock is set.
  */
 final class Clock {
   private static final int NANOS_PER_MICRO = 1000;
@@ -14,11 +15,12 @@
   private final long startUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
   private final long startNanos = System.nanoTime();
 
+  /** Returns the current time. */
   Timestamp now() {
     return new Timestamp(us());
   }
 
-  /** The same in microseconds, for code that must not allocate. */
+  /** Returns the current time in microseconds, for code that must not allocate. */
   long us() {
     return startUs + (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
   }
--- a/src/main/java/cobaltseam/service/EndpointWatch.java
+++ b/src/main/java/cobaltseam/service/EndpointWatch.java
@@ -22,17 +22,19 @@
 import org.apache.mina.transport.socket.SocketConnector;
 
 /**
- * Watches the endpoint list on the platform's event bus, from the last event known on: reads events
- * on the I/O thread, and passes them to a listener on the event-loop thread. A connection that is
- * lost or silent is replaced by a new one.
+ * Watches the endpoint list on the platform's event bus. Requests the events that follow the last
+ * known offset, reads them on the I/O thread, and passes them to a listener on the event-loop
+ * thread. A connection that is lost or silent is replaced by a new one.
  */
 final class EndpointWatch {
-  private static final String NUMBER_ATTRIBUTE = "life";
+  private static final String CONNECTION_NUMBER_ATTRIBUTE = "life";
   private static final String LINE_ATTRIBUTE = "line";
-  private static final String UNPROCESSED_ATTRIBUTE = "unheard";
+  private static final String UNPROCESSED_BYTES_ATTRIBUTE = "unheard";
   private static final int MAX_LINE_BYTES = 1 << 20;
 
-  /** The event bus writes at least this often; in microseconds, like those below. */
+  /**
+   * The event bus writes at least once in this period. In microseconds, as are the constants below.
+   */
   private static final TimeSpan HEARTBEAT_PERIOD_US = new TimeSpan(1_000_000);
 
   private static final TimeSpan SILENCE_TIMEOUT_US = HEARTBEAT_PERIOD_US.times(2.5);
@@ -48,28 +50,33 @@
   private final Consumer<WatchEvent> listener;
   private final JsonFactory json = new JsonFactory();
 
-  /** The offset of the last event that was processed or skipped. */
+  /** The offset of the last event that was applied or skipped. */
   private long lastOffset;
 
-  /** The last offset at which missing events were requested again, or -1. */
-  private long refetchedFrom = -1;
+  /**
+   * The value of {@link #lastOffset} when missing events were last requested again; -1 if they
+   * never were.
+   */
+  private long lastRefetchOffset = -1;
 
-  /** Whether the last offset received alone on this connection lay beyond the last event. */
+  /** Whether the last heartbeat on this connection had an offset beyond {@link #lastOffset}. */
   private boolean isOffsetAhead;
 
-  /** Numbers connections; what an earlier one still brings is ignored. */
+  /** The number of the current connection; callbacks of earlier ones are ignored. */
   private long connectionNumber;
 
   private ConnectFuture future;
 
-  /** The timeout of the connection, or the start of the next one. */
-  private Timers.Timer nextTimer;
+  /** Ends the current connection for silence, or opens the next one. */
+  private Timers.Timer connectionTimer;
 
+  /** When the last line was received; at first, the time of construction. */
   private Timestamp lastReceivedAt;
 
   /** When events were first requested; null until then. */
   private Timestamp firstRequestedAt;
 
+  /** Whether any heartbeat has been received. */
   private boolean hasReceivedOffset;
 
   EndpointWatch(
@@ -99,14 +106,15 @@
     @Override
     public void sessionCreated(IoSession session) {
       session.setAttribute(LINE_ATTRIBUTE, new ByteArrayOutputStream());
-      session.setAttribute(UNPROCESSED_ATTRIBUTE, new AtomicInteger());
+      session.setAttribute(UNPROCESSED_BYTES_ATTRIBUTE, new AtomicInteger());
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
       ByteArrayOutputStream line = (ByteArrayOutputStream) session.getAttribute(LINE_ATTRIBUTE);
-      long number = (Long) session.getAttribute(NUMBER_ATTRIBUTE);
-      AtomicInteger unprocessedBytes = (AtomicInteger) session.getAttribute(UNPROCESSED_ATTRIBUTE);
+      long number = (Long) session.getAttribute(CONNECTION_NUMBER_ATTRIBUTE);
+      AtomicInteger unprocessedBytes =
+          (AtomicInteger) session.getAttribute(UNPROCESSED_BYTES_ATTRIBUTE);
       IoBuffer input = (IoBuffer) message;
       while (input.hasRemaining()) {
         byte next = input.get();
@@ -136,7 +144,7 @@
 
     @Override
     public void sessionClosed(IoSession session) {
-      long number = (Long) session.getAttribute(NUMBER_ATTRIBUTE);
+      long number = (Long) session.getAttribute(CONNECTION_NUMBER_ATTRIBUTE);
       inbox.post(null, () -> reconnect(number, "closed"));
     }
 
@@ -148,21 +156,22 @@
 
   // ---- connections
 
-  /** Opens a connection, and requests the events behind the last one known. */
+  /** Opens a connection and requests the events that follow the last known offset. */
   void connect() {
     long number = ++connectionNumber;
     future =
         connector.connect(
-            address, (session, connecting) -> session.setAttribute(NUMBER_ATTRIBUTE, number));
+            address,
+            (session, connecting) -> session.setAttribute(CONNECTION_NUMBER_ATTRIBUTE, number));
     future.addListener(
         (ConnectFuture connecting) -> inbox.post(null, () -> connected(number, connecting)));
-    nextTimer =
+    connectionTimer =
         timers.set(clock.now().plus(HEARTBEAT_PERIOD_US), () -> reconnect(number, "no connection"));
   }
 
   /**
-   * Whether the events that the event bus had at the first request have come: its last offset has
-   * come, or there was enough time for it.
+   * Whether the events that the event bus had at the first request can be taken as received: a
+   * heartbeat was received, or {@link #RECONNECT_BACKOFF_US} has passed since that request.
    */
   boolean isCaughtUp(Timestamp now) {
     return hasReceivedOffset
@@ -170,12 +179,15 @@
             && now.since(firstRequestedAt).compareTo(RECONNECT_BACKOFF_US) >= 0;
   }
 
-  /** How long ago the last line came; since the start, if none ever did. */
+  /** Returns the time since the last line was received, or since construction if none was. */
   TimeSpan silenceDuration(Timestamp now) {
     return now.since(lastReceivedAt);
   }
 
-  /** From now on the event bus is at this address; the offsets go on there. */
+  /**
+   * Moves the watch to an event bus at another address, which continues the same sequence of
+   * offsets.
+   */
   void moveTo(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
       address = newAddress;
@@ -185,8 +197,8 @@
   }
 
   /**
-   * Processes events from the configuration: each that follows the last one known, or that holds
-   * the complete list.
+   * Applies events from the configuration. An event is skipped if its offset is not beyond the last
+   * one, or if it neither directly follows the last one nor holds the complete list.
    */
   void applyEvents(List<WatchEvent> events) {
     for (WatchEvent event : events) {
@@ -210,15 +222,16 @@
       restartSilenceTimeout(number);
       if (firstRequestedAt == null) {
         firstRequestedAt = clock.now();
-        // Wakes the event loop, which waits at the start for the first events.
+        // Wakes the event loop, which waits for isCaughtUp() at the start.
         timers.set(firstRequestedAt.plus(RECONNECT_BACKOFF_US), () -> {});
       }
     }
   }
 
   private void restartSilenceTimeout(long number) {
-    timers.cancel(nextTimer);
-    nextTimer = timers.set(clock.now().plus(SILENCE_TIMEOUT_US), () -> reconnect(number, "silent"));
+    timers.cancel(connectionTimer);
+    connectionTimer =
+        timers.set(clock.now().plus(SILENCE_TIMEOUT_US), () -> reconnect(number, "silent"));
   }
 
   private void reconnect(long number, String reason) {
@@ -226,16 +239,16 @@
       return;
     }
     log.warn(
-        "endpoint watch lost: {0}; requesting events again from offset {1}",
+        "endpoint watch connection lost: {0}; requesting events again from offset {1}",
         Field.of("reason", reason), Field.of("offset", lastOffset), Field.event("bus.lost"));
     disconnect();
-    nextTimer = timers.set(clock.now().plus(RECONNECT_BACKOFF_US), this::connect);
+    connectionTimer = timers.set(clock.now().plus(RECONNECT_BACKOFF_US), this::connect);
   }
 
   private void disconnect() {
     connectionNumber++;
     isOffsetAhead = false;
-    timers.cancel(nextTimer);
+    timers.cancel(connectionTimer);
     if (future.isConnected()) {
       future.getSession().closeNow();
     } else {
@@ -259,15 +272,16 @@
       }
     } catch (IOException | InvalidInputException e) {
       log.warn(
-          "endpoint watch: a line can''t be used: {0}",
+          "endpoint watch: ignored an unusable line: {0}",
           Field.of("reason", e.getMessage()), Field.event("bus.line_unusable"));
     }
   }
 
   /**
-   * Processes the offset of the last event, sent alone as a heartbeat: all events up to it should
-   * have come. Where missing events were requested again, they are skipped only at the next
-   * heartbeat, since the offset may overtake them, and a drain among them would be lost.
+   * Processes a heartbeat, which holds the offset of the last event: all events up to it should
+   * have been received. Missing events are requested again once. If they are still missing, they
+   * are skipped only at the second such heartbeat in a row, since a heartbeat may arrive ahead of
+   * the events it covers, and a drain among them would be lost.
    */
   private void processOffset(long connection, long offset) {
     hasReceivedOffset = true;
@@ -288,7 +302,7 @@
     boolean isComplete =
         event.has(WatchEvent.EVENT_FIELD)
             && event.object(WatchEvent.EVENT_FIELD).flag(WatchEvent.COMPLETE_FIELD);
-    // A complete list makes up for events that are missing before it.
+    // A complete list replaces the state, so events missing before it are not needed.
     if (offset <= lastOffset || offset > lastOffset + 1 && !isComplete && requestMissing(number)) {
       return;
     }
@@ -301,16 +315,16 @@
   }
 
   /**
-   * Requests missing events again, but only once: one that can't be used would otherwise hold up
-   * all that follow.
+   * Requests missing events again, but only once for each offset: an event that can't be used would
+   * otherwise block all that follow.
    *
-   * @return whether they were requested
+   * @return whether the events were requested
    */
   private boolean requestMissing(long number) {
-    if (refetchedFrom == lastOffset) {
+    if (lastRefetchOffset == lastOffset) {
       return false;
     }
-    refetchedFrom = lastOffset;
+    lastRefetchOffset = lastOffset;
     counters.add(Count.BUS_GAPS);
     reconnect(number, "events are missing");
     return true;
--- a/src/main/java/cobaltseam/service/EngineAnswers.java
+++ b/src/main/java/cobaltseam/service/EngineAnswers.java
@@ -11,26 +11,26 @@
 import java.util.List;
 
 /**
- * Processes what engines answer, on the event-loop thread: collects the pages of results, passes
- * progress reports on, and ends attempts that have their answer.
+ * Processes the answers of engines on the event-loop thread: collects the pages of results,
+ * forwards progress reports, and ends attempts whose answer is complete.
  */
 final class EngineAnswers {
-  /** Is notified at once. */
+  /** Receives progress reports and the ends of attempts, within the call that processes them. */
   interface Listener {
-    /** An attempt reports progress, from 0 to 1. */
+    /** Called when an attempt reports progress, from 0 to 1. */
     void progressReported(Attempt attempt, double progress, Timestamp now);
 
-    /** An attempt spills to disk, for want of so many megabytes. */
+    /** Called when an attempt spills to disk because it lacks so many megabytes. */
     void memoryShortfallReported(Attempt attempt, double missingMb);
 
-    /** An attempt is blocked by a load of the table that it reads. */
+    /** Called when an attempt waits for a load of the table that it reads. */
     void blockedByLoad(Attempt attempt, Timestamp now);
 
-    /** An attempt has its answer. */
+    /** Ends an attempt with this result. */
     void endAttempt(Attempt attempt, AttemptResult result);
   }
 
-  /** The value of a progress report "blocked" of an attempt that waits for a load. */
+  /** The value of a progress report "blocked" from an attempt that waits for a load. */
   private static final double BLOCKED_BY_LOAD = 2;
 
   private final EngineConnectionPool pool;
@@ -53,9 +53,11 @@
   }
 
   /**
-   * Processes the answers that came on a connection in one round of reading.
+   * Processes the answers that were received on a connection in one read. Stops early if one of
+   * them causes the connection to be closed.
    *
-   * @param protocolError what is wrong with what came behind them, or null
+   * @param answers an element is null for an array that is not an engine answer
+   * @param protocolError the error in the input that follows these answers, or null
    */
   void process(EngineConnection connection, List<EngineResponse> answers, String protocolError) {
     connection.receivedAt = clock.now();
@@ -65,7 +67,7 @@
         return;
       }
       if (answer == null) {
-        protocolError(connection, "an array that is no answer");
+        protocolError(connection, "an array that is not an engine answer");
       } else if (!answer.code().equals(EngineResponse.ALIVE)) {
         process(connection, answer);
       }
@@ -82,9 +84,9 @@
       return;
     }
     double inFlight = answer.loadReportValue(DeploymentReader.IN_FLIGHT_REPORT_FIELD);
-    double queue = answer.loadReportValue(DeploymentReader.QUEUED_REPORT_FIELD);
+    double queueLength = answer.loadReportValue(DeploymentReader.QUEUED_REPORT_FIELD);
     attempt.reportedInFlight = inFlight >= 0 ? inFlight : attempt.reportedInFlight;
-    attempt.reportedQueueLength = queue >= 0 ? queue : attempt.reportedQueueLength;
+    attempt.reportedQueueLength = queueLength >= 0 ? queueLength : attempt.reportedQueueLength;
     switch (answer.code()) {
       case EngineResponse.STATUS -> processStatus(connection, attempt, answer);
       case EngineResponse.OK -> addFirstPage(connection, attempt, answer);
@@ -93,15 +95,15 @@
       case EngineResponse.CAPACITY_EXCEEDED, EngineResponse.DEADLINE_EXCEEDED ->
           listener.endAttempt(attempt, AttemptResult.CAPACITY_EXCEEDED);
       case EngineResponse.ERROR -> listener.endAttempt(attempt, AttemptResult.ERROR);
-      default -> protocolError(connection, "an answer '" + answer.code() + "'");
+      default -> protocolError(connection, "unexpected answer code '" + answer.code() + "'");
     }
   }
 
   private void processStatus(EngineConnection connection, Attempt attempt, EngineResponse answer) {
     counters.add(Count.NOTES);
-    String subject = answer.fields().getOrDefault("why", "");
+    String reportType = answer.fields().getOrDefault("why", "");
     double value = answer.numberField("v");
-    switch (subject) {
+    switch (reportType) {
       case "progress" -> listener.progressReported(attempt, value, connection.receivedAt);
       case "spill_mb" -> listener.memoryShortfallReported(attempt, value);
       case "blocked" -> {
@@ -113,17 +115,20 @@
     }
   }
 
-  /** An answer to an attempt that is not on this connection: cancelled, or never sent. */
+  /**
+   * Processes an answer to an attempt that is not on this connection: it was abandoned, or was
+   * never sent on it.
+   */
   private void processUnknown(EngineConnection connection, EngineResponse answer) {
     if (!connection.isAbandoned(answer.id())) {
       counters.add(Count.UNKNOWN_ANSWERS);
       log.warn(
-          "engine {0}: an answer for unknown id {1}",
+          "engine {0}: ignored an answer to unknown call id {1}",
           Field.of("engine", Long.toHexString(connection.engine.value())),
           Field.of("command", answer.id()),
           Field.event("engine.unknown_answer"));
-      if (connection.isFloodedByAnswer()) {
-        protocolError(connection, "answers without end that nobody asked for");
+      if (connection.countUnsolicitedAnswer()) {
+        protocolError(connection, "too many answers to unknown call ids");
       }
       return;
     }
@@ -140,7 +145,7 @@
     }
     int pages = answer.integerField("pages");
     if (!Result.isValidPageCount(pages)) {
-      rejectResult(connection, attempt, "a result of " + pages + " pages");
+      rejectResult(connection, attempt, "invalid page count " + pages);
       return;
     }
     attempt.result = new Result(pages);
@@ -157,7 +162,9 @@
       return;
     }
     String error =
-        attempt.result == null ? "a page before the first" : attempt.result.addPage(page, body);
+        attempt.result == null
+            ? "a further page arrived before the first page"
+            : attempt.result.addPage(page, body);
     if (error != null) {
       rejectResult(connection, attempt, error);
     } else if (attempt.result.isComplete()) {
@@ -165,11 +172,14 @@
     }
   }
 
-  /** A result that can't be passed on counts as the engine's error; its connection is dropped. */
+  /**
+   * Ends an attempt whose result can't be forwarded with {@link AttemptResult#ERROR}, and closes
+   * its connection.
+   */
   private void rejectResult(EngineConnection connection, Attempt attempt, String reason) {
     counters.add(Count.ENGINE_PROTOCOL_ERRORS);
     log.warn(
-        "engine {0}: {1}",
+        "engine {0}: unusable result, attempt failed and connection closed: {1}",
         Field.of("engine", Long.toHexString(attempt.engine.value())),
         Field.of("reason", reason),
         Field.of("command", attempt.callId()),
@@ -182,7 +192,7 @@
   private void protocolError(EngineConnection connection, String reason) {
     counters.add(Count.ENGINE_PROTOCOL_ERRORS);
     log.warn(
-        "engine {0} closed: {1}",
+        "connection to engine {0} closed after a protocol error, its attempts end as lost: {1}",
         Field.of("engine", Long.toHexString(connection.engine.value())),
         Field.of("reason", reason),
         Field.event("engine.closed"));
--- a/src/main/java/cobaltseam/service/EngineConnection.java
+++ b/src/main/java/cobaltseam/service/EngineConnection.java
@@ -9,15 +9,21 @@
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.session.IoSession;
 
-/** One connection to one engine, and the attempts on it; the event-loop thread's own. */
+/** One connection to one engine and the attempts on it. Confined to the event-loop thread. */
 final class EngineConnection {
-  /** Call ids of abandoned attempts that are remembered, so that late answers are recognized. */
+  /**
+   * The number of most recent call ids of abandoned attempts that are kept, so that late answers to
+   * them are recognized.
+   */
   private static final int MAX_ABANDONED_IDS = 256;
 
-  /** Answers to unknown call ids that an engine may write between two of our own writes. */
+  /**
+   * The number of answers to unknown call ids that an engine may write between two writes of this
+   * process.
+   */
   private static final int MAX_UNSOLICITED_ANSWERS = 256;
 
-  /** Unwritten bytes from which on no further attempt uses this connection. */
+  /** With this many unwritten bytes or more, the connection accepts no further attempt. */
   private static final int MAX_UNWRITTEN_BYTES = 1 << 18;
 
   final EngineId engine;
@@ -36,17 +42,21 @@
         }
       };
 
-  /** Its key in the table of all connections. */
+  /** The key of this connection in the slot table of all connections. */
   long key;
 
   ConnectFuture future;
-  Timers.Timer connectTimeout;
+  Timers.Timer connectTimer;
 
-  /** Null until it is connected. */
+  /** Null until the connection is established. */
   IoSession session;
 
+  /** When answers were last received; before that, when the connection was opened. */
   Timestamp receivedAt;
+
+  /** When the connection last became free of attempts. */
   Timestamp idleSince;
+
   private long writtenMessages;
   private int unsolicitedAnswers;
 
@@ -60,7 +70,7 @@
   /**
    * Writes a message.
    *
-   * @return how many messages the session has written once this one is completely out
+   * @return the number of messages that the session has written once this one is written completely
    */
   long write(byte[] bytes) {
     session.write(IoBuffer.wrap(bytes));
@@ -68,16 +78,20 @@
     return ++writtenMessages;
   }
 
-  /** Counts an answer to an unknown call id; whether there are now too many of them. */
-  boolean isFloodedByAnswer() {
+  /**
+   * Counts an answer to an unknown call id.
+   *
+   * @return whether more than {@link #MAX_UNSOLICITED_ANSWERS} were counted since the last write
+   */
+  boolean countUnsolicitedAnswer() {
     return ++unsolicitedAnswers > MAX_UNSOLICITED_ANSWERS;
   }
 
   /**
-   * Whether a further attempt may use this connection. Each call id may use it only once, or the
-   * answers to two attempts would be mixed up.
+   * Whether a further attempt may use this connection. A call id may be used on it only once, since
+   * the answers to two attempts with the same id could not be told apart.
    */
-  boolean canTake(String callId, int maxAttempts) {
+  boolean canAccept(String callId, int maxAttempts) {
     return attempts.size() < maxAttempts
         && !attempts.containsKey(callId)
         && !abandonedIds.containsKey(callId)
@@ -85,7 +99,9 @@
             || session.isActive() && session.getScheduledWriteBytes() < MAX_UNWRITTEN_BYTES);
   }
 
-  /** An answer with this call id may still come, and is then ignored. */
+  /**
+   * Records an abandoned attempt, whose answer may still be received and is then ignored as late.
+   */
   void addAbandoned(String callId) {
     abandonedIds.put(callId, true);
   }
--- a/src/main/java/cobaltseam/service/EngineConnectionPool.java
+++ b/src/main/java/cobaltseam/service/EngineConnectionPool.java
@@ -18,40 +18,41 @@
 import org.apache.mina.transport.socket.SocketConnector;
 
 /**
- * The engines of the endpoint list and the connections to them, on the event-loop thread: opens
- * connections, picks one for an attempt, and drops those that are of no more use.
+ * The engines of the endpoint list and the connections to them. Opens connections, selects one for
+ * each attempt, and closes those that can no longer be used. Confined to the event-loop thread.
  */
 final class EngineConnectionPool {
-  /** Is notified at once when a connection is usable or gone. */
+  /** Is notified synchronously when a connection becomes usable and when it is removed. */
   interface Listener {
+    /** Called when a connection is established. */
     void connected(EngineConnection connection, Timestamp now);
 
     /**
-     * A connection was removed from the pool.
+     * Called when a connection was removed from the pool.
      *
-     * @param writtenMessages how many messages were written to it completely
+     * @param writtenMessages the number of messages that may have been written to it completely
      */
     void removed(EngineConnection connection, long writtenMessages);
   }
 
   /**
-   * A connection that was idle for more than this part of the time after which engines close it is
-   * not used.
+   * A connection that was idle for more than this fraction of the time after which engines close
+   * idle connections is closed instead of reused.
    */
-  private static final double USED_IDLE_PART = 0.9;
+  private static final double MAX_IDLE_FRACTION = 0.9;
 
-  /** One of this many of the process's descriptors may be a connection to an engine. */
+  /** At most one in this many of the configured sockets may be a connection to an engine. */
   private static final int SOCKETS_PER_CONNECTION = 3;
 
   /** One engine of the endpoint list. */
-  private static final class EngineState {
+  private static final class EngineEntry {
     InetSocketAddress address;
     EndpointState state;
 
-    /** When its process started, by the endpoint list. */
+    /** When the engine's process started, according to the endpoint list. */
     Timestamp startedAt;
 
-    /** Whether the last connection to it, or attempt on one, failed. */
+    /** Whether the last connection to the engine, or the last attempt on it, failed. */
     boolean hasFailed;
 
     final List<EngineConnection> connections = new ArrayList<>();
@@ -63,7 +64,7 @@
   private final Timers timers;
   private final Counters counters;
   private final Listener listener;
-  private final Map<EngineId, EngineState> engines = new HashMap<>();
+  private final Map<EngineId, EngineEntry> engines = new HashMap<>();
   private final SlotTable<EngineConnection> connections;
   private TimeSpan connectTimeout;
   private TimeSpan maxIdle;
@@ -87,124 +88,133 @@
     connections = new SlotTable<>(configuration.maxSockets() / SOCKETS_PER_CONNECTION);
   }
 
-  /** Applies the timeouts and limits of connections; those of open ones stay. */
+  /**
+   * Applies the timeouts and limits of connections. Connect timers that are already set keep their
+   * time, and the maximum number of connections does not change.
+   */
   void applyConfiguration(ServiceConfiguration configuration) {
     connectTimeout = configuration.connectTimeout();
-    maxIdle = configuration.maxConnectionIdle().times(USED_IDLE_PART);
+    maxIdle = configuration.maxConnectionIdle().times(MAX_IDLE_FRACTION);
     maxAttemptsPerConnection = configuration.attemptsPerConnection();
   }
 
   // ---- the endpoint list
 
-  /** Applies a change of the endpoint list, or the complete list. */
+  /** Applies an event that holds changes of the endpoint list or the complete list. */
   void updateEndpoints(WatchEvent event) {
     if (event.isComplete()) {
       Set<EngineId> listed =
           event.endpoints().stream().map(EndpointStatus::engine).collect(Collectors.toSet());
       engines.forEach(
-          (engine, known) ->
-              known.state = listed.contains(engine) ? known.state : EndpointState.REMOVED);
+          (engine, entry) ->
+              entry.state = listed.contains(engine) ? entry.state : EndpointState.REMOVED);
     }
     for (EndpointStatus status : event.endpoints()) {
       updateEndpoint(status, event.addresses().get(status.engine()));
     }
-    for (EngineState known : List.copyOf(engines.values())) {
-      if (known.state == EndpointState.REMOVED) {
-        List.copyOf(known.connections).stream()
+    for (EngineEntry entry : List.copyOf(engines.values())) {
+      if (entry.state == EndpointState.REMOVED) {
+        List.copyOf(entry.connections).stream()
             .filter(connection -> connection.attempts.isEmpty() || connection.session == null)
             .forEach(this::drop);
       }
     }
     engines
         .values()
-        .removeIf(known -> known.state == EndpointState.REMOVED && known.connections.isEmpty());
+        .removeIf(entry -> entry.state == EndpointState.REMOVED && entry.connections.isEmpty());
   }
 
   private void updateEndpoint(EndpointStatus status, InetSocketAddress address) {
-    EngineState known = engines.computeIfAbsent(status.engine(), engine -> new EngineState());
+    EngineEntry entry = engines.computeIfAbsent(status.engine(), engine -> new EngineEntry());
     boolean hasChanged =
-        status.state() != known.state || !status.startedAt().equals(known.startedAt);
-    known.state = status.state();
-    known.startedAt = status.startedAt();
+        status.state() != entry.state || !status.startedAt().equals(entry.startedAt);
+    entry.state = status.state();
+    entry.startedAt = status.startedAt();
     if (address != null) {
-      known.address = address;
+      entry.address = address;
     }
-    for (EngineConnection connection : List.copyOf(known.connections)) {
-      // Connections to an earlier incarnation of the process may stay open and silent.
+    for (EngineConnection connection : List.copyOf(entry.connections)) {
+      // A connection to an earlier incarnation of the engine may stay open without any answer.
       boolean isOutdated =
           status.state() == EndpointState.UP && connection.openedAt.isBefore(status.startedAt());
-      // What waits for a connection was decided on while the engine was not draining or warming up.
-      boolean isDecidedBeforeChange = hasChanged && connection.session == null;
-      if (isOutdated || isDecidedBeforeChange) {
+      // Attempts that wait for this connection were placed by the engine's earlier state, for
+      // example
+      // before it drained or restarted, and have to be placed again.
+      boolean isPlacedBeforeChange = hasChanged && connection.session == null;
+      if (isOutdated || isPlacedBeforeChange) {
         drop(connection);
       }
     }
   }
 
-  /** How many engines may be sent to by the endpoint list. */
+  /** Returns the number of engines that the endpoint list shows as in service. */
   int inServiceCount() {
-    return (int) engines.values().stream().filter(known -> known.state == EndpointState.UP).count();
+    return (int) engines.values().stream().filter(entry -> entry.state == EndpointState.UP).count();
   }
 
-  /** The part of those to which the last connection or attempt failed, from 0 to 1. */
+  /**
+   * Returns the fraction of engines in service whose last connection or attempt failed, from 0 to
+   * 1; 0 if no engine is in service.
+   */
   double failingFraction() {
     int up = inServiceCount();
     return up == 0
         ? 0
         : (double)
                 engines.values().stream()
-                    .filter(known -> known.state == EndpointState.UP && known.hasFailed)
+                    .filter(entry -> entry.state == EndpointState.UP && entry.hasFailed)
                     .count()
             / up;
   }
 
-  /** Notes whether the last connection to an engine, or attempt on one, failed. */
+  /** Records whether the last connection to an engine, or the last attempt on it, failed. */
   void setFailed(EngineConnection connection, boolean hasFailed) {
-    EngineState known = engines.get(connection.engine);
-    if (known != null) {
-      known.hasFailed = hasFailed;
+    EngineEntry entry = engines.get(connection.engine);
+    if (entry != null) {
+      entry.hasFailed = hasFailed;
     }
   }
 
   // ---- connections
 
-  /** How many connections to engines are open or being opened. */
+  /** Returns the number of connections to engines that are open or being opened. */
   int connectionCount() {
     return connections.size();
   }
 
-  /** Whether a connection has not been removed. */
+  /** Whether a connection is still in the pool. */
   boolean isOpen(EngineConnection connection) {
     return connections.get(connection.key) == connection;
   }
 
   /**
-   * The connection for one more attempt: an idle one, the last used first, or a new one; only where
-   * no more can be opened is one shared. An attempt that is alone on its connection is cancelled by
-   * closing it, which works also where an engine has gone silent, and breaks no other attempt.
+   * Selects the connection for one more attempt: the most recently used idle one, else a new one. A
+   * connection is shared only if no more can be opened, and then the one with the fewest attempts.
+   * An attempt that is alone on its connection is cancelled by closing it, which also works if the
+   * engine no longer responds, and interrupts no other attempt.
    *
-   * @return null if the engine is unknown, or no connection can be had
+   * @return null if the engine is unknown or no connection is available
    */
-  EngineConnection pick(EngineId engine, String callId, Timestamp now) {
-    EngineState known = engines.get(engine);
-    if (known == null || known.address == null) {
+  EngineConnection select(EngineId engine, String callId, Timestamp now) {
+    EngineEntry entry = engines.get(engine);
+    if (entry == null || entry.address == null) {
       return null;
     }
     EngineConnection idle = null;
-    for (EngineConnection connection : List.copyOf(known.connections)) {
+    for (EngineConnection connection : List.copyOf(entry.connections)) {
       if (isIdleTooLong(connection, now)) {
         drop(connection);
       } else if (connection.attempts.isEmpty()
-          && connection.canTake(callId, maxAttemptsPerConnection)
+          && connection.canAccept(callId, maxAttemptsPerConnection)
           && (idle == null || idle.idleSince.isBefore(connection.idleSince))) {
         idle = connection;
       }
     }
-    EngineConnection unshared = idle == null ? open(known, engine, now) : idle;
-    return unshared != null
-        ? unshared
-        : known.connections.stream()
-            .filter(connection -> connection.canTake(callId, maxAttemptsPerConnection))
+    EngineConnection exclusive = idle == null ? open(entry, engine, now) : idle;
+    return exclusive != null
+        ? exclusive
+        : entry.connections.stream()
+            .filter(connection -> connection.canAccept(callId, maxAttemptsPerConnection))
             .min(Comparator.comparingInt(connection -> connection.attempts.size()))
             .orElse(null);
   }
@@ -215,17 +225,18 @@
         && now.since(connection.idleSince).compareTo(maxIdle) > 0;
   }
 
-  private EngineConnection open(EngineState known, EngineId engine, Timestamp now) {
+  /** Opens a connection; returns null if no more connections may be open. */
+  private EngineConnection open(EngineEntry entry, EngineId engine, Timestamp now) {
     EngineConnection connection = new EngineConnection(engine, now);
     connection.key = connections.add(connection);
     if (connection.key == SlotTable.NONE) {
       return null;
     }
-    known.connections.add(connection);
+    entry.connections.add(connection);
     connection.future =
         connector.connect(
-            known.address, (session, future) -> EngineInput.attach(session, connection));
-    connection.connectTimeout =
+            entry.address, (session, future) -> EngineInput.attach(session, connection));
+    connection.connectTimer =
         timers.set(
             now.plus(connectTimeout),
             () -> {
@@ -233,7 +244,7 @@
               connectFailed(connection);
             });
     connection.future.addListener(
-        (ConnectFuture done) -> inbox.post(null, () -> connectEnded(connection)));
+        (ConnectFuture future) -> inbox.post(null, () -> connectEnded(connection)));
     return connection;
   }
 
@@ -246,7 +257,7 @@
       connectFailed(connection);
     } else {
       counters.add(Count.ENGINE_CONNECTIONS);
-      timers.cancel(connection.connectTimeout);
+      timers.cancel(connection.connectTimer);
       connection.session = connection.future.getSession();
       Timestamp now = clock.now();
       connection.receivedAt = now;
@@ -262,7 +273,7 @@
     }
   }
 
-  /** The other side or an error has closed a connection. */
+  /** Removes a connection that the engine or an I/O error has closed. */
   void closed(EngineConnection connection, long writtenMessages) {
     if (isOpen(connection)) {
       counters.add(Count.ENGINE_CONNECTIONS_CLOSED);
@@ -270,16 +281,22 @@
     }
   }
 
-  /** A connection has no more attempts; it is dropped if its engine is gone. */
+  /**
+   * Records that a connection has no more attempts, and closes it if its engine was removed from
+   * the endpoint list.
+   */
   void becameIdle(EngineConnection connection, Timestamp now) {
     connection.idleSince = now;
-    EngineState known = engines.get(connection.engine);
-    if (known != null && known.state == EndpointState.REMOVED) {
+    EngineEntry entry = engines.get(connection.engine);
+    if (entry != null && entry.state == EndpointState.REMOVED) {
       drop(connection);
     }
   }
 
-  /** Closes a connection from this side; what was written to it may have run. */
+  /**
+   * Closes a connection from this side. All messages written to it count as written completely,
+   * since the engine may have run them.
+   */
   void drop(EngineConnection connection) {
     if (!isOpen(connection)) {
       return;
@@ -293,11 +310,11 @@
   }
 
   private void remove(EngineConnection connection, long writtenMessages) {
-    timers.cancel(connection.connectTimeout);
+    timers.cancel(connection.connectTimer);
     connections.free(connection.key);
-    EngineState known = engines.get(connection.engine);
-    if (known != null) {
-      known.connections.remove(connection);
+    EngineEntry entry = engines.get(connection.engine);
+    if (entry != null) {
+      entry.connections.remove(connection);
     }
     listener.removed(connection, writtenMessages);
   }
--- a/src/main/java/cobaltseam/service/EngineConnections.java
+++ b/src/main/java/cobaltseam/service/EngineConnections.java
@@ -13,24 +13,26 @@
 import org.apache.mina.transport.socket.SocketConnector;
 
 /**
- * The attempts on engines, on the event-loop thread: starts, cancels and times out each, and
- * notifies a listener of its one outcome.
+ * The attempts on engines: starts, cancels and times out each attempt, and notifies a listener of
+ * its single outcome. Confined to the event-loop thread.
  */
 final class EngineConnections
     implements EngineInput.Listener, EngineConnectionPool.Listener, EngineAnswers.Listener {
-  /** Is notified of the progress of attempts, and of the one outcome of each. */
+  /** Is notified of the progress of attempts and of the single outcome of each. */
   interface Listener {
+    /** Called when an attempt reports progress, from 0 to 1. */
     void progressReported(Attempt attempt, double progress, Timestamp now);
 
-    /** An attempt spills to disk, for want of so many megabytes. */
+    /** Called when an attempt spills to disk because it lacks so many megabytes. */
     void memoryShortfallReported(Attempt attempt, double missingMb);
 
-    /** An attempt is blocked by a load of the table that it reads. */
+    /** Called when an attempt waits for a load of the table that it reads. */
     void blockedByLoad(Attempt attempt, Timestamp now);
 
     /** Whether a client still waits for the answer, as far as the I/O thread has read. */
     boolean isAwaited(Attempt attempt);
 
+    /** Called once for each attempt, with its outcome. */
     void ended(Attempt attempt, AttemptResult result, Timestamp now);
   }
 
@@ -61,39 +63,48 @@
     connector.setHandler(new EngineInput(this, sockets, inbox));
   }
 
-  /** To be called once, before the first attempt. */
+  /** Sets the listener; to be called once, before the first attempt. */
   void setListener(Listener attemptListener) {
     listener = attemptListener;
   }
 
-  /** Applies the timeouts and limits of connections; those of open ones stay. */
+  /**
+   * Applies the timeouts and limits of connections. Connect timers that are already set keep their
+   * time, and the maximum number of connections does not change.
+   */
   void applyConfiguration(ServiceConfiguration configuration) {
     pool.applyConfiguration(configuration);
   }
 
-  /** Applies a change of the endpoint list, or the complete list. */
+  /** Applies an event that holds changes of the endpoint list or the complete list. */
   void updateEndpoints(WatchEvent event) {
     pool.updateEndpoints(event);
   }
 
-  /** How many engines may be sent to by the endpoint list. */
+  /** Returns the number of engines that the endpoint list shows as in service. */
   int inServiceCount() {
     return pool.inServiceCount();
   }
 
-  /** The part of those to which the last connection or attempt failed, from 0 to 1. */
+  /**
+   * Returns the fraction of engines in service whose last connection or attempt failed, from 0 to
+   * 1; 0 if no engine is in service.
+   */
   double failingFraction() {
     return pool.failingFraction();
   }
 
-  /** How many connections to engines are open or being opened. */
+  /** Returns the number of connections to engines that are open or being opened. */
   int connectionCount() {
     return pool.connectionCount();
   }
 
   // ---- attempts
 
-  /** Starts an attempt; the listener is notified of its one outcome later, never at once. */
+  /**
+   * Starts an attempt. The listener is notified of its outcome after this method has returned,
+   * never during the call.
+   */
   Attempt startAttempt(
       RequestId requestId, int number, Placement placement, Statement statement, Timestamp now) {
     EngineId engine = placement.engine();
@@ -103,7 +114,7 @@
     attempt.startBy =
         placement.maxStartDelay() == null ? null : now.plus(placement.maxStartDelay());
     counters.add(Count.SENDS);
-    EngineConnection connection = pool.pick(engine, attempt.callId(), now);
+    EngineConnection connection = pool.select(engine, attempt.callId(), now);
     if (connection == null) {
       attempt.timeout = timers.set(now, () -> endAttempt(attempt, AttemptResult.UNREACHABLE));
       return attempt;
@@ -117,7 +128,10 @@
     return attempt;
   }
 
-  /** An attempt that must not be sent after all; its outcome, never sent, comes later. */
+  /**
+   * Creates an attempt that is not allowed to be sent. Its outcome, {@link
+   * AttemptResult#NEVER_SENT}, follows after this method has returned.
+   */
   Attempt createUnsentAttempt(
       RequestId requestId, int number, EngineId engine, Statement statement, Timestamp now) {
     Attempt attempt = new Attempt(requestId, number, engine, statement, now, now);
@@ -126,7 +140,7 @@
     return attempt;
   }
 
-  /** Moves the timeout of an attempt to this time, if that is later than its first deadline. */
+  /** Moves the timeout of an attempt to {@code deadline} if that is later than its own deadline. */
   void extendTimeout(Attempt attempt, Timestamp deadline) {
     if (!attempt.hasEnded && attempt.deadline.isBefore(deadline) && attempt.connection != null) {
       timers.cancel(attempt.timeout);
@@ -134,11 +148,18 @@
     }
   }
 
-  /** Cancels an attempt: the listener is notified at once, and its engine is asked to stop. */
+  /**
+   * Cancels an attempt. The listener is notified before this method returns, and the engine is
+   * asked to stop.
+   */
   void cancel(Attempt attempt) {
     abandon(attempt, AttemptResult.CANCELLED);
   }
 
+  /**
+   * Ends an attempt without an answer. If it is alone on its connection, the connection is closed;
+   * otherwise the engine gets a message that cancels it or discards its result.
+   */
   private void abandon(Attempt attempt, AttemptResult result) {
     if (attempt.hasEnded) {
       return;
@@ -196,9 +217,12 @@
                 attempt.statement.text()));
   }
 
-  /** Asks an engine whether a connection to it works. */
+  /**
+   * Sends a health check to an engine if a connection to it is established, or else begins to open
+   * a connection.
+   */
   void checkHealth(EngineId engine, Timestamp now) {
-    EngineConnection connection = pool.pick(engine, "", now);
+    EngineConnection connection = pool.select(engine, "", now);
     if (connection != null && connection.session != null) {
       connection.write(EngineCommands.echo("probe"));
     }
@@ -222,8 +246,8 @@
   @Override
   public void connected(EngineConnection connection, Timestamp now) {
     for (Attempt attempt : List.copyOf(connection.attempts.values())) {
-      // It may have waited too long for this connection: engines may have forgotten the attempt
-      // before, and would not recognize this one as a repetition.
+      // From startBy on, engines may have forgotten the earlier attempt of this request and would
+      // not recognize this one as a repetition.
       boolean isInTime = attempt.startBy == null || now.isBefore(attempt.startBy);
       if (isInTime && listener.isAwaited(attempt)) {
         write(attempt, now);
@@ -233,7 +257,10 @@
     }
   }
 
-  /** An attempt that was not written completely never ran; any other may have run. */
+  /**
+   * Ends the attempts on a removed connection: one that was not written completely never ran and is
+   * unreachable; any other may have run, and its connection counts as lost.
+   */
   @Override
   public void removed(EngineConnection connection, long writtenMessages) {
     for (Attempt attempt : List.copyOf(connection.attempts.values())) {
@@ -251,8 +278,8 @@
 
   @Override
   public void received(
-      EngineConnection connection, List<EngineResponse> received, String protocolError) {
-    answers.process(connection, received, protocolError);
+      EngineConnection connection, List<EngineResponse> responses, String protocolError) {
+    answers.process(connection, responses, protocolError);
   }
 
   @Override
--- a/src/main/java/cobaltseam/service/EngineInput.java
+++ b/src/main/java/cobaltseam/service/EngineInput.java
@@ -9,31 +9,37 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 
-/** Turns the bytes of engine connections into answers on the I/O thread, for the event loop. */
+/**
+ * Parses the bytes received from engines into answers on the I/O thread and posts them to the event
+ * loop.
+ */
 final class EngineInput extends IoHandlerAdapter {
   /** Is notified on the event-loop thread. */
   interface Listener {
     /**
-     * Answers have come.
+     * Called when answers were received.
      *
-     * @param answers an element is null where an array is no answer
-     * @param protocolError what is wrong with what came behind them, or null
+     * @param answers an element is null for an array that is not an engine answer
+     * @param protocolError the error in the input that follows these answers, or null
      */
     void received(EngineConnection connection, List<EngineResponse> answers, String protocolError);
 
     /**
-     * The connection was closed.
+     * Called when a connection was closed.
      *
-     * @param writtenMessages how many messages were written completely
+     * @param writtenMessages the number of messages that were written to it completely
      */
     void closed(EngineConnection connection, long writtenMessages);
   }
 
   private static final String PARSER_ATTRIBUTE = "parser";
   private static final String CONNECTION_ATTRIBUTE = "connection";
-  private static final String UNPROCESSED_ATTRIBUTE = "unheard";
+  private static final String UNPROCESSED_BYTES_ATTRIBUTE = "unheard";
 
-  /** Bytes of one connection that may wait to be processed: results of many attempts. */
+  /**
+   * The number of bytes of one connection that may wait for the event loop, enough for the results
+   * of many attempts. A connection that exceeds it is closed.
+   */
   private static final int MAX_UNPROCESSED_BYTES = 1 << 21;
 
   private final Listener listener;
@@ -46,7 +52,7 @@
     this.inbox = inbox;
   }
 
-  /** Tells the handler which connection a session belongs to, before it is used. */
+  /** Associates a session with its connection, before the session receives anything. */
   static void attach(IoSession session, EngineConnection connection) {
     session.setAttribute(CONNECTION_ATTRIBUTE, connection);
   }
@@ -58,26 +64,27 @@
   @Override
   public void sessionCreated(IoSession session) {
     session.setAttribute(PARSER_ATTRIBUTE, new RespParser());
-    session.setAttribute(UNPROCESSED_ATTRIBUTE, new AtomicInteger());
+    session.setAttribute(UNPROCESSED_BYTES_ATTRIBUTE, new AtomicInteger());
   }
 
   @Override
   public void messageReceived(IoSession session, Object message) {
     List<EngineResponse> answers = new ArrayList<>();
     RespParser parser = (RespParser) session.getAttribute(PARSER_ATTRIBUTE);
-    AtomicInteger unprocessedBytes = (AtomicInteger) session.getAttribute(UNPROCESSED_ATTRIBUTE);
+    AtomicInteger unprocessedBytes =
+        (AtomicInteger) session.getAttribute(UNPROCESSED_BYTES_ATTRIBUTE);
     IoBuffer input = (IoBuffer) message;
     int bytes = input.remaining();
-    boolean isTooMuch = unprocessedBytes.addAndGet(bytes) > MAX_UNPROCESSED_BYTES;
+    boolean exceedsLimit = unprocessedBytes.addAndGet(bytes) > MAX_UNPROCESSED_BYTES;
     String protocolError =
-        isTooMuch
-            ? "more than is asked for"
+        exceedsLimit
+            ? "too many unprocessed bytes"
             : parser.parse(input.buf(), items -> answers.add(EngineResponse.parse(items)));
     if (protocolError != null) {
       session.closeNow();
     }
-    // Not at once: a retry may follow, and the end of the client's connection may lie unread in the
-    // same round of reading.
+    // Posted only at the end of this read round: the answer may lead to a retry, and the end of the
+    // client's connection may still be unread in the same round.
     sockets.runAtRoundEnd(
         () ->
             inbox.post(
@@ -91,7 +98,7 @@
   @Override
   public void sessionClosed(IoSession session) {
     long writtenMessages = session.getWrittenMessages();
-    // At the end of the round too, or the close would overtake an answer that was read before it.
+    // Also at the end of the round, or the close would overtake an answer that was read before it.
     sockets.runAtRoundEnd(
         () -> inbox.post(null, () -> listener.closed(connection(session), writtenMessages)));
   }
--- a/src/main/java/cobaltseam/service/EventLoop.java
+++ b/src/main/java/cobaltseam/service/EventLoop.java
@@ -7,19 +7,22 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * The turns of the event-loop thread, which owns all state: runs the tasks that other threads
- * posted, then the timers that are due, then the next steps of the decision module.
+ * Runs the turns of the event-loop thread, which owns all state. A turn runs the tasks that other
+ * threads posted, then the timers that are due, then the next steps of the decision module.
  */
 final class EventLoop {
-  /** What the loop drives; called on the event-loop thread. */
+  /** The steps of a turn that the owner of the loop implements; called on the event-loop thread. */
   interface Steps {
-    /** Is called before each task and before timers: state that may have become invalid ends. */
+    /**
+     * Called before each task and before timers run. Ends the active role of this process if a peer
+     * may have become active meanwhile, and applies the latest state of the fleet.
+     */
     void checkAuthority();
 
-    /** Whether anything could be read that has not been read yet. */
+    /** Whether any connection is open, from which unread input could be received. */
     boolean hasConnections();
 
-    /** Carries out what follows from the tasks and timers of this turn. */
+    /** Runs the next steps that follow from the tasks and timers of this turn. */
     void runNextSteps();
   }
 
@@ -27,13 +30,13 @@
   private static final TimeSpan MAX_WAIT_US = new TimeSpan(1_000_000);
 
   /**
-   * A timer that is overdue by more than this, in microseconds, shows that the process was held up.
-   * No attempt may start later than 0.1 s after its client has left, so the end of a client's
-   * connection must not lie unread for longer than this.
+   * A timer that is overdue by more than this, in microseconds, shows that the process was stalled.
+   * No attempt may start later than 0.1 s after its client has disconnected, so the end of a
+   * client's connection must not stay unread for longer than this.
    */
-  private static final TimeSpan HELD_UP_AFTER_US = new TimeSpan(50_000);
+  private static final TimeSpan STALL_THRESHOLD_US = new TimeSpan(50_000);
 
-  /** The number of tasks that run before timers are looked at again. */
+  /** The maximum number of tasks that run before timers are checked again. */
   static final int MAX_TASKS_PER_TURN = 1024;
 
   private static final System.Logger LOG = System.getLogger(DispatcherService.class.getName());
@@ -60,19 +63,22 @@
     this.steps = steps;
   }
 
-  /** Runs the tasks that were posted, the timers that are due, and the steps that follow. */
+  /** Runs one turn: the posted tasks, the timers that are due, and the steps that follow. */
   void runTurn() throws InterruptedException {
-    // All posted tasks run before a timer acts, or a process that was held up would time attempts
-    // out whose answers are already in the queue.
+    // Posted tasks run before timers, or a process that was stalled would time out attempts whose
+    // answers are already in the queue.
     runTasks(timers.untilNext(clock.now(), MAX_WAIT_US));
-    if (timers.overdue(clock.now()).compareTo(HELD_UP_AFTER_US) > 0 && steps.hasConnections()) {
+    if (timers.overdue(clock.now()).compareTo(STALL_THRESHOLD_US) > 0 && steps.hasConnections()) {
       runUnreadTasks();
     }
     runTimers();
     steps.runNextSteps();
   }
 
-  /** Runs the tasks that were posted, waiting at most this long for the first of them. */
+  /**
+   * Runs the posted tasks, at most {@link #MAX_TASKS_PER_TURN}, and waits at most {@code maxWait}
+   * for the first of them.
+   */
   private void runTasks(TimeSpan maxWait) throws InterruptedException {
     Runnable task = inbox.poll(maxWait);
     for (int count = 1;
@@ -84,7 +90,10 @@
     steps.checkAuthority();
   }
 
-  /** Has the I/O thread read all that came while the process was held up, and runs its tasks. */
+  /**
+   * Has the I/O thread read all input that arrived while the process was stalled, and runs the
+   * tasks that it posts. Waits at most {@link #MAX_WAIT_US}.
+   */
   private void runUnreadTasks() throws InterruptedException {
     AtomicBoolean isAllRead = new AtomicBoolean();
     sockets.runAfterReading(() -> inbox.post(null, () -> isAllRead.set(true)));
@@ -97,14 +106,18 @@
   }
 
   private void runTimers() {
-    for (Runnable due = timers.pollDue(clock.now());
-        due != null;
-        due = timers.pollDue(clock.now())) {
+    for (Runnable timerTask = timers.pollDue(clock.now());
+        timerTask != null;
+        timerTask = timers.pollDue(clock.now())) {
       try {
-        due.run();
+        timerTask.run();
       } catch (RuntimeException e) {
         counters.add(Count.FAULTS);
-        LOG.log(Level.ERROR, "a fault at a deadline", e);
+        LOG.log(
+            Level.ERROR,
+            "a timer task failed and is not run again; a request that depends on it may remain"
+                + " unanswered",
+            e);
       }
     }
   }
--- a/src/main/java/cobaltseam/service/EventLoopQueue.java
+++ b/src/main/java/cobaltseam/service/EventLoopQueue.java
@@ -9,9 +9,9 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * The tasks that other threads post to the event-loop thread. Posting never blocks, since a flood
- * from one peer would otherwise stop input from all others. Whoever posts bounds what each peer may
- * have in this queue.
+ * The queue of tasks that other threads post to the event-loop thread. Posting never blocks, since
+ * a flood from one peer would otherwise stop input from all others. The queue is unbounded: callers
+ * limit how much each peer may have in it.
  */
 final class EventLoopQueue {
   private static final System.Logger LOG = System.getLogger(EventLoopQueue.class.getName());
@@ -24,10 +24,10 @@
   }
 
   /**
-   * Posts a task; from any thread. An exception in it closes this connection and has no other
-   * effect.
+   * Posts a task; thread-safe. A runtime exception in the task is counted and logged, closes the
+   * connection, and has no other effect.
    *
-   * @param connection may be null
+   * @param connection the connection whose input the task processes, or null
    */
   void post(IoSession connection, Runnable task) {
     tasks.add(
@@ -36,7 +36,11 @@
             task.run();
           } catch (RuntimeException e) {
             counters.add(Count.FAULTS);
-            LOG.log(Level.ERROR, "connection closed by a fault", e);
+            LOG.log(
+                Level.ERROR,
+                "an event-loop task failed; its connection, if any, is closed, and requests on it"
+                    + " end as after a disconnect",
+                e);
             if (connection != null) {
               connection.closeNow();
             }
@@ -44,12 +48,12 @@
         });
   }
 
-  /** The number of posted tasks that were not taken yet. */
+  /** Returns the number of posted tasks that were not taken yet. */
   int size() {
     return tasks.size();
   }
 
-  /** Takes the next task, or returns null if none comes within this time. */
+  /** Takes the next task, or returns null if none is posted within {@code maxWait}. */
   Runnable poll(TimeSpan maxWait) throws InterruptedException {
     Runnable task = tasks.poll();
     return task != null || !maxWait.isPositive()
--- a/src/main/java/cobaltseam/service/RateLimitedLog.java
+++ b/src/main/java/cobaltseam/service/RateLimitedLog.java
@@ -6,8 +6,8 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Logs warnings about peers, at most a few a second, since a peer could otherwise cause any number
- * of lines.
+ * Logs warnings about peers, at most {@link #MAX_LINES_PER_WINDOW} a second, since a peer could
+ * otherwise cause any number of log lines.
  */
 final class RateLimitedLog {
   private static final TimeSpan WINDOW_US = new TimeSpan(1_000_000);
@@ -25,10 +25,10 @@
   }
 
   /**
-   * Logs a warning, or counts it as suppressed if there were too many in this second; the count is
-   * logged before the next warning.
+   * Logs a warning, or counts it as suppressed if the limit of the current second is reached. The
+   * count of suppressed warnings is logged before the next warning.
    *
-   * @return whether it was logged
+   * @return whether the warning was logged
    */
   boolean warn(String format, Object... fields) {
     Timestamp now = clock.now();
@@ -41,7 +41,7 @@
       return false;
     }
     if (suppressedLines > 0) {
-      logger.log(Level.WARNING, "{0} lines like the next one were suppressed", suppressedLines);
+      logger.log(Level.WARNING, "{0} warnings were suppressed by the rate limit", suppressedLines);
       suppressedLines = 0;
     }
     linesInWindow++;
--- a/src/main/java/cobaltseam/service/SocketProcessor.java
+++ b/src/main/java/cobaltseam/service/SocketProcessor.java
@@ -13,45 +13,49 @@
 import org.apache.mina.transport.socket.nio.NioProcessor;
 
 /**
- * The I/O thread of all sockets. Beyond what Apache MINA offers, it runs tasks after all that has
- * come was read, since a connection that looks silent to the event loop may have bytes in the
- * kernel's buffers, and it ends the output of a connection that is still read.
+ * The processor of the I/O thread that serves all sockets. It adds two functions to those of Apache
+ * MINA: it runs tasks after all available input was read, since a connection that looks silent to
+ * the event loop may have bytes in the kernel's buffers, and it shuts down the output of a
+ * connection that is still read.
  */
 final class SocketProcessor extends NioProcessor {
-  /** How long a select waits while tasks wait for it to end. */
+  /** The timeout of a select while tasks wait for its end. */
   private static final int PENDING_TASKS_TIMEOUT_MS = 1;
 
-  /** Tasks for after reading, from any thread. */
+  /** Tasks that any thread has passed to {@link #runAfterReading}. */
   private final Queue<Runnable> requestedTasks = new ConcurrentLinkedQueue<>();
 
-  /** Requested before the last select; run after what it selected is read. */
+  /** Tasks requested before the last select; they run after its input is read. */
   private List<Runnable> tasksAfterSelect = List.of();
 
-  /** Run after all that this select selected is read. */
+  /** Tasks that run after all input of the current select is read. */
   private List<Runnable> roundEndTasks = new ArrayList<>();
 
   SocketProcessor(Executor threads) {
     super(threads);
   }
 
-  /** Runs a task on the I/O thread, after all that had come by now is read and posted. */
+  /**
+   * Runs a task on the I/O thread after all input that had arrived before this call is read and
+   * posted; thread-safe.
+   */
   void runAfterReading(Runnable task) {
     requestedTasks.add(task);
     wakeup();
   }
 
   /**
-   * Runs a task at the end of this round of reading, when it is known whether a connection ended
-   * right behind what was read from it. To be called on the I/O thread.
+   * Runs a task at the end of the current read round, when it is known whether a connection ended
+   * directly after the input that was read from it. To be called on the I/O thread.
    */
   void runAtRoundEnd(Runnable task) {
     roundEndTasks.add(task);
   }
 
   /**
-   * Ends the output of a connection as soon as all that was written to it is out, and goes on
-   * reading. Closing a socket with unread bytes would reset the connection, and the other side
-   * might lose an answer that it has not read.
+   * Shuts down the output of a connection as soon as all data written to it is sent, and continues
+   * reading; thread-safe. Closing a socket with unread bytes would reset the connection, and the
+   * peer might lose an answer that it has not read.
    *
    * @param lastWrite the last write to this connection, or null if there was none
    */
@@ -59,7 +63,10 @@
     runAfterReading(() -> shutdownOutputOnIoThread(session, lastWrite));
   }
 
-  /** The same without delay; to be called on the I/O thread. */
+  /**
+   * Does the same as {@link #shutdownOutput(IoSession, WriteFuture)} without first waiting for
+   * unread input; to be called on the I/O thread.
+   */
   void shutdownOutputOnIoThread(IoSession session, WriteFuture lastWrite) {
     if (lastWrite == null) {
       shutdownOutput(session);
@@ -80,12 +87,15 @@
     try {
       channel.shutdownOutput();
     } catch (IOException e) {
-      // The other side is gone: nobody is left to read the rest.
+      // The peer has disconnected, so no reader is left for the remaining output.
       session.closeNow();
     }
   }
 
-  /** When this is called, everything that the last call selected has been read. */
+  /**
+   * Runs the tasks that are due, then selects. MINA calls this method after it has read the input
+   * of all sessions that the previous call selected.
+   */
   @Override
   protected int select(long timeout) throws Exception {
     List<Runnable> endTasks = roundEndTasks;
@@ -101,7 +111,7 @@
       return super.select(timeout);
     }
     int selected = super.select(PENDING_TASKS_TIMEOUT_MS);
-    // Or MINA would take a select that returned at once with nothing for a broken selector.
+    // Without this, MINA would take a select that returns early with no keys for a broken selector.
     wakeupCalled.set(true);
     return selected;
   }
--- a/src/main/java/cobaltseam/service/WatchEvent.java
+++ b/src/main/java/cobaltseam/service/WatchEvent.java
@@ -18,10 +18,10 @@
 /**
  * One event of the endpoint watch.
  *
- * @param offset its number; each event has the number after the one before it
- * @param isComplete whether it holds the complete endpoint list, or only what has changed
- * @param endpoints the state of engines
- * @param addresses the addresses of those engines that have one in this event
+ * @param offset the number of the event; consecutive events have consecutive numbers
+ * @param isComplete whether the event holds the complete endpoint list, or only changes
+ * @param endpoints the states of engines
+ * @param addresses the addresses of the engines for which the event gives one
  */
 record WatchEvent(
     long offset,
@@ -33,7 +33,7 @@
   static final String COMPLETE_FIELD = "all";
   private static final int HEX_RADIX = 16;
 
-  /** Has at most as many digits as an int holds. */
+  /** A hexadecimal number of at most 32 bits, the low bits of an engine id. */
   private static final String HEX_NUMBER = "[0-9a-fA-F]{1,8}";
 
   private static final long US_PER_MS = 1000;
@@ -77,10 +77,11 @@
   }
 
   /**
-   * Computes an engine's id from its name alone, so that all dispatchers agree on it. The low bits
-   * are the number at the end of the name, the high bits a hash of what precedes it, so that
-   * "east-01" and "west-01" are two engines, and engines whose names differ only in the number are
-   * ordered by it. For a name without such a number the id is a hash of the complete name.
+   * Computes an engine's id from its name alone, so that all dispatchers compute the same id. The
+   * low 32 bits are the hexadecimal number at the end of the name, and the high bits are a hash of
+   * the prefix, so that "east-01" and "west-01" are two engines, and engines whose names differ
+   * only in the number are ordered by it. The id of a name without such a number is a hash of the
+   * complete name.
    */
   static EngineId engineId(String uid) {
     int numberFrom = uid.lastIndexOf('-') + 1;
@@ -92,10 +93,11 @@
     return new EngineId((prefixHash | Long.parseLong(number, HEX_RADIX)) & Long.MAX_VALUE);
   }
 
+  /** Returns the 64-bit FNV-1a hash of a name. */
   private static long hash(String name) {
     long hash = FNV_BASIS;
-    for (byte next : name.getBytes(StandardCharsets.UTF_8)) {
-      hash = (hash ^ next & 0xff) * FNV_PRIME;
+    for (byte nextByte : name.getBytes(StandardCharsets.UTF_8)) {
+      hash = (hash ^ nextByte & 0xff) * FNV_PRIME;
     }
     return hash;
   }
