--- a/src/test/java/cobaltseam/service/AttemptRaceTest.java
+++ b/src/test/java/cobaltseam/service/AttemptRaceTest.java
@@ -7,63 +7,74 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Attempts that wait for a connection while their engine changes, and engines that flood. */
+/**
+ * Tests attempts that wait for a connection while the state of their engine changes, the handling
+ * of idempotency keys, and engines that send unsolicited answers.
+ */
 class AttemptRaceTest extends ServiceRig {
-  /** Placed before the drain and written after it, the attempt would break the drain. */
+  /**
+   * An attempt that is placed before a drain and waits for a connection must not be written to the
+   * draining engine once the connection is established.
+   */
   @Test
-  void anAttemptThatWaitsForAConnectionToADrainedEngineGoesToAnother() throws Exception {
-    EmulatedPeer sound = new EmulatedPeer(true);
-    UnreachableEngine crowded = new UnreachableEngine();
-    EmulatedPeer bus =
+  void attemptWaitingForConnectionToDrainedEngineIsSentToAnotherEngine() throws Exception {
+    EmulatedPeer available = new EmulatedPeer(true);
+    UnreachableEngine unreachable = new UnreachableEngine();
+    EmulatedPeer eventBus =
         start(
             ServiceRig::withLongConnectTimeout,
             SOCKETS,
             IDLE_MS,
-            sound.address(),
-            crowded.address());
-    Message watch = bus.next("from 7");
+            available.address(),
+            unreachable.address());
+    Message watch = eventBus.next("from 7");
     TestClient client = new TestClient(statement("once", 1, 20_000));
     awaitCounter(new TestClient(), "sends|1");
-    watch.write(endpointEvent(8, false, endpointJson(2, crowded.address(), "terminating")) + "\n");
+    watch.write(
+        endpointEvent(8, false, endpointJson(2, unreachable.address(), "terminating")) + "\n");
     awaitCounter(new TestClient(), "bus_events|1");
-    EmulatedPeer drained = crowded.acceptConnections();
-    Message pull = sound.next("PULL");
+    EmulatedPeer drained = unreachable.acceptConnections();
+    Message pull = available.next("PULL");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
     assertNoPull(drained);
   }
 
-  /** A restarted engine warms up: an attempt that waits for it is limited by its slow start. */
+  /**
+   * An attempt that waits for a connection when its engine restarts is placed again, since the slow
+   * start of the engine limits it.
+   */
   @Test
-  void anAttemptThatWaitsForAConnectionToARestartedEngineIsPlacedAgain() throws Exception {
-    EmulatedPeer sound = new EmulatedPeer(true);
-    UnreachableEngine crowded = new UnreachableEngine();
-    EmulatedPeer bus =
+  void attemptWaitingForConnectionToRestartedEngineIsPlacedAgain() throws Exception {
+    EmulatedPeer available = new EmulatedPeer(true);
+    UnreachableEngine unreachable = new UnreachableEngine();
+    EmulatedPeer eventBus =
         start(
             ServiceRig::withLongConnectTimeout,
             SOCKETS,
             IDLE_MS,
-            sound.address(),
-            crowded.address());
-    Message watch = bus.next("from 7");
+            available.address(),
+            unreachable.address());
+    Message watch = eventBus.next("from 7");
     TestClient client = new TestClient(statement("once", 1, 20_000));
     awaitCounter(new TestClient(), "sends|1");
-    String anew =
-        endpointJson(2, crowded.address(), "in_service")
+    String restarted =
+        endpointJson(2, unreachable.address(), "in_service")
             .replace("\"boot_ms\":0", "\"boot_ms\":" + System.currentTimeMillis());
-    watch.write(endpointEvent(8, false, anew) + "\n");
+    watch.write(endpointEvent(8, false, restarted) + "\n");
     awaitCounter(new TestClient(), "sends_unreachable|1");
-    Message pull = nextFromAny(sound, crowded.acceptConnections());
+    Message pull = nextFromAny(available, unreachable.acceptConnections());
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
   /**
-   * A retry that starts after engines have forgotten the attempt before could take effect twice.
+   * A retry that starts after the deduplication window of the earlier attempt could run the request
+   * a second time.
    */
   @Test
-  void aRetryThatWaitsForAConnectionBeyondTheDeduplicationWindowIsNotSent() throws Exception {
-    UnreachableEngine crowded = new UnreachableEngine();
+  void retryWaitingForConnectionBeyondDeduplicationWindowIsNotSent() throws Exception {
+    UnreachableEngine unreachable = new UnreachableEngine();
     EmulatedPeer first = new EmulatedPeer(true);
     start(
         configuration ->
@@ -73,22 +84,23 @@
                     "\"repeat\":\"idempotency_key\",\"key_scope\":\"all\",\"window_us\":800000"),
         SOCKETS,
         IDLE_MS,
-        crowded.address(),
+        unreachable.address(),
         first.address());
     TestClient client = new TestClient(statement("once", 1, 20_000));
     first.next("PULL").reset();
     first.next("closed");
     awaitCounter(new TestClient(), "sends|2");
-    EmulatedPeer late = crowded.acceptConnections();
+    EmulatedPeer reachable = unreachable.acceptConnections();
     assertEquals(List.of("error 53 pushback"), client.readReplies());
-    assertNoPull(late);
+    assertNoPull(reachable);
   }
 
   /**
-   * Without the key, engines could not tell the retry of a request that has run from a new request.
+   * Without its idempotency key, engines could not distinguish the retry of a request that has run
+   * from a new request.
    */
   @Test
-  void eachAttemptOfARequestCarriesItsIdempotencyKey() throws Exception {
+  void everyAttemptCarriesIdempotencyKeyOfItsRequest() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
     start(
@@ -105,15 +117,18 @@
     Message first = nextFromAny(one, two);
     assertTrue(first.items().get(2).endsWith(",dedupe=k-7f:01"), first.items().get(2));
     first.reset();
-    Message again = nextFromAny(one, two);
-    assertTrue(again.items().get(2).endsWith(",dedupe=k-7f:01"), again.items().get(2));
-    again.answer(again.id(), "200", "pages=1", ROWS);
+    Message retry = nextFromAny(one, two);
+    assertTrue(retry.items().get(2).endsWith(",dedupe=k-7f:01"), retry.items().get(2));
+    retry.answer(retry.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
-  /** Such a key would reach the engine as another key, or as further fields. */
+  /**
+   * A key with a space or of more than 128 characters would reach the engine as a different key or
+   * as additional fields.
+   */
   @Test
-  void anUnusableIdempotencyKeyIsRejected() throws Exception {
+  void invalidIdempotencyKeyIsRejected() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient();
@@ -127,9 +142,12 @@
     assertTrue(engine.received.isEmpty());
   }
 
-  /** Unsolicited answers must not take all the processor time; other engines are still used. */
+  /**
+   * Unsolicited answers must not take all processor time: the connection is closed, and the engine
+   * is used again over a new one.
+   */
   @Test
-  void anEngineThatFloodsWithUnsolicitedAnswersLosesItsConnection() throws Exception {
+  void connectionOfEngineThatFloodsUnsolicitedAnswersIsClosed() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(idempotentStatement(1, 3000));
@@ -141,7 +159,7 @@
         pull.answer(pull.id(), "200", "pages=1", ROWS);
       }
     } catch (IOException e) {
-      assertTrue(service.completedRequests() > 0, "closed while it was still answering");
+      assertTrue(service.completedRequests() > 0, "closed before its answer was processed");
     }
     engine.next("closed");
     client.writeQuery(client.out, idempotentStatement(2, 3000));
--- a/src/test/java/cobaltseam/service/EndpointWatchRaceTest.java
+++ b/src/test/java/cobaltseam/service/EndpointWatchRaceTest.java
@@ -15,48 +15,56 @@
 import org.junit.jupiter.api.io.TempDir;
 import sun.misc.Signal;
 
-/** The endpoint watch when it is silent, behind, or receives events in another order. */
+/**
+ * Tests the endpoint watch with silent connections, missing, late and repeated events, and reloads
+ * of the configuration.
+ */
 class EndpointWatchRaceTest extends ServiceRig {
   private static final int FEW_SOCKETS = 48;
-  private final String drained = "terminating";
-  @TempDir Path folder;
+  private final String drainedState = "terminating";
+  @TempDir Path configurationFolder;
 
-  private void assertGoesTo(EmulatedPeer expected, EmulatedPeer other) throws Exception {
+  /** Asserts that a new request is sent to {@code expected} and none to {@code other}. */
+  private void assertRequestSentTo(EmulatedPeer expected, EmulatedPeer other) throws Exception {
     TestClient client = new TestClient(statement("once", 1, 5000));
     Message pull = expected.next("PULL");
-    assertTrue(other.received.isEmpty(), "the drained engine was sent to");
+    assertTrue(other.received.isEmpty(), "a request was sent to the drained engine");
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
-  /** A drain that is skipped for an offset that overtook it would be lost. */
+  /**
+   * A heartbeat whose offset arrives ahead of the events that were requested again must not cause
+   * them to be skipped, or a drain among them would be lost.
+   */
   @Test
-  void anOffsetThatOvertakesEventsRequestedAgainSkipsNone() throws Exception {
+  void heartbeatAheadOfEventsRequestedAgainSkipsNone() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
-    EmulatedPeer bus = start(one, two);
-    bus.next("from 7").write("9\n");
-    bus.next("closed");
-    Message anew = bus.next("from 7");
-    anew.write(
+    EmulatedPeer eventBus = start(one, two);
+    eventBus.next("from 7").write("9\n");
+    eventBus.next("closed");
+    Message secondRequest = eventBus.next("from 7");
+    secondRequest.write(
         "9\n"
-            + endpointEvent(8, false, endpointJson(2, two.address(), drained))
+            + endpointEvent(8, false, endpointJson(2, two.address(), drainedState))
             + "\n"
             + endpointEvent(9, false)
             + "\n");
     awaitCounter(new TestClient(), "bus_events|2");
-    assertGoesTo(one, two);
+    assertRequestSentTo(one, two);
   }
 
   private void reload(String configuration) throws Exception {
-    Path file = Files.writeString(folder.resolve("configuration.json"), configuration);
+    Path file = Files.writeString(configurationFolder.resolve("configuration.json"), configuration);
     service.reloadOnHangUp(Map.of("GW_CONFIG", file.toString()));
     Signal.raise(new Signal("HUP"));
   }
 
-  private String moved(EmulatedPeer bus, EmulatedPeer one, EmulatedPeer two) {
+  /** Returns a configuration that moves the watch to another event eventBus. */
+  private String configurationWithBus(EmulatedPeer eventBus, EmulatedPeer one, EmulatedPeer two) {
     return configurationJson(
-        bus.address(),
+        eventBus.address(),
         SOCKETS,
         IDLE_MS,
         endpointJson(1, one.address(), "in_service"),
@@ -64,146 +72,156 @@
   }
 
   /**
-   * The drain came from the former event bus behind the reload that moves to another: it is
-   * requested there.
+   * A drain that the former event bus sends directly after a reload that moves the watch is
+   * requested from the new event eventBus.
    */
   @Test
-  void aDrainRightBehindAReloadThatMovesTheWatchIsApplied() throws Exception {
+  void drainDirectlyAfterReloadThatMovesWatchIsApplied() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
-    EmulatedPeer former = start(one, two);
-    Message watch = former.next("from 7");
-    EmulatedPeer bus = new EmulatedPeer(false);
+    EmulatedPeer formerBus = start(one, two);
+    Message watch = formerBus.next("from 7");
+    EmulatedPeer eventBus = new EmulatedPeer(false);
     TestClient client = new TestClient();
-    CountDownLatch held = blockEventLoop();
-    reload(moved(bus, one, two));
+    CountDownLatch release = blockEventLoop();
+    reload(configurationWithBus(eventBus, one, two));
     awaitPostedTask();
-    watch.write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
+    watch.write(endpointEvent(8, false, endpointJson(2, two.address(), drainedState)) + "\n");
     awaitRead();
-    held.countDown();
-    bus.next("from 7")
-        .write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
+    release.countDown();
+    eventBus
+        .next("from 7")
+        .write(endpointEvent(8, false, endpointJson(2, two.address(), drainedState)) + "\n");
     awaitCounter(client, "bus_events|1");
-    assertGoesTo(one, two);
+    assertRequestSentTo(one, two);
   }
 
-  /** The reloaded configuration holds a list from before the drain. */
+  /** A reloaded configuration with an older endpoint list must not undo a drain. */
   @Test
-  void aReloadRightBehindADrainDoesNotUndoIt() throws Exception {
+  void reloadDirectlyAfterDrainDoesNotUndoIt() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
-    EmulatedPeer former = start(one, two);
-    Message watch = former.next("from 7");
-    EmulatedPeer bus = new EmulatedPeer(false);
+    EmulatedPeer formerBus = start(one, two);
+    Message watch = formerBus.next("from 7");
+    EmulatedPeer eventBus = new EmulatedPeer(false);
     TestClient client = new TestClient();
-    CountDownLatch held = blockEventLoop();
-    watch.write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
+    CountDownLatch release = blockEventLoop();
+    watch.write(endpointEvent(8, false, endpointJson(2, two.address(), drainedState)) + "\n");
     awaitRead();
-    reload(moved(bus, one, two));
-    held.countDown();
-    bus.next("from 8");
+    reload(configurationWithBus(eventBus, one, two));
+    release.countDown();
+    eventBus.next("from 8");
     awaitCounter(client, "configurations_read|1");
-    assertGoesTo(one, two);
+    assertRequestSentTo(one, two);
   }
 
-  /** The reloaded configuration holds the drain before the event bus sends it. */
+  /** The reloaded configuration holds a drain that the event bus has not sent yet. */
   @Test
-  void aDrainInAReloadedConfigurationActsAtOnce() throws Exception {
+  void drainInReloadedConfigurationTakesEffectImmediately() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
     start(one, two).next("from 7");
-    EmulatedPeer bus = new EmulatedPeer(false);
+    EmulatedPeer eventBus = new EmulatedPeer(false);
     reload(
         configurationJson(
-                bus.address(),
+                eventBus.address(),
                 SOCKETS,
                 IDLE_MS,
                 endpointJson(1, one.address(), "in_service"),
-                endpointJson(2, two.address(), drained))
+                endpointJson(2, two.address(), drainedState))
             .replace("\"offset\":7", "\"offset\":8"));
-    bus.next("from 8");
-    assertGoesTo(one, two);
+    eventBus.next("from 8");
+    assertRequestSentTo(one, two);
   }
 
-  /** An event that stays missing is skipped, or it would hold up all others. */
+  /** An event that remains missing is skipped, since it would otherwise block all later events. */
   @Test
-  void anEventThatIsMissingAtTheSecondHeartbeatIsSkipped() throws Exception {
+  void eventStillMissingAtSecondHeartbeatIsSkipped() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
-    EmulatedPeer bus = start(one, two);
-    bus.next("from 7").write("8\n");
-    bus.next("closed");
-    bus.next("from 7")
-        .write("8\n8\n" + endpointEvent(9, false, endpointJson(2, two.address(), drained)) + "\n");
+    EmulatedPeer eventBus = start(one, two);
+    eventBus.next("from 7").write("8\n");
+    eventBus.next("closed");
+    eventBus
+        .next("from 7")
+        .write(
+            "8\n8\n"
+                + endpointEvent(9, false, endpointJson(2, two.address(), drainedState))
+                + "\n");
     awaitCounter(new TestClient(), "bus_events|1");
-    assertGoesTo(one, two);
+    assertRequestSentTo(one, two);
   }
 
   @Test
-  void aWatchThatIsSilentFromTheStartIsReconnected() throws Exception {
+  void watchThatIsSilentFromTheStartIsReconnected() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
-    EmulatedPeer bus = start(one, two);
-    bus.next("from 7");
-    bus.next("closed");
-    bus.next("from 7")
-        .write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
+    EmulatedPeer eventBus = start(one, two);
+    eventBus.next("from 7");
+    eventBus.next("closed");
+    eventBus
+        .next("from 7")
+        .write(endpointEvent(8, false, endpointJson(2, two.address(), drainedState)) + "\n");
     awaitCounter(new TestClient(), "bus_events|1");
-    assertGoesTo(one, two);
+    assertRequestSentTo(one, two);
   }
 
-  /** After some heartbeats nothing comes: drains during that silence are requested again. */
+  /** The events that were missed while the connection was silent are requested again. */
   @Test
-  void aWatchThatFallsSilentIsReconnectedFromTheLastEvent() throws Exception {
+  void watchThatBecomesSilentIsReconnectedFromLastEvent() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
-    EmulatedPeer bus = start(one, two);
-    bus.next("from 7").write("7\n" + endpointEvent(8, false) + "\n8\n");
-    bus.next("closed");
-    bus.next("from 8")
-        .write(endpointEvent(9, false, endpointJson(2, two.address(), drained)) + "\n");
+    EmulatedPeer eventBus = start(one, two);
+    eventBus.next("from 7").write("7\n" + endpointEvent(8, false) + "\n8\n");
+    eventBus.next("closed");
+    eventBus
+        .next("from 8")
+        .write(endpointEvent(9, false, endpointJson(2, two.address(), drainedState)) + "\n");
     awaitCounter(new TestClient(), "bus_events|2");
-    assertGoesTo(one, two);
+    assertRequestSentTo(one, two);
   }
 
-  /** A complete list makes up for the events before it. */
+  /** A complete list replaces the state, so events missing before it are not requested. */
   @Test
-  void aCompleteListIsAppliedThoughEventsBeforeItAreMissing() throws Exception {
+  void completeListIsAppliedDespiteMissingEarlierEvents() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
-    EmulatedPeer bus = start(one, two);
-    Message from = bus.next("from 7");
-    from.write(endpointEvent(12, true, endpointJson(1, one.address(), "in_service")) + "\n");
+    EmulatedPeer eventBus = start(one, two);
+    Message request = eventBus.next("from 7");
+    request.write(endpointEvent(12, true, endpointJson(1, one.address(), "in_service")) + "\n");
     TestClient watch = new TestClient();
     awaitCounter(watch, "bus_events|1");
     assertTrue(watch.execute("SHOW cobaltseam.counters").contains("bus_gaps|0"));
-    assertGoesTo(one, two);
+    assertRequestSentTo(one, two);
   }
 
   /**
-   * The names differ only before the number; taken for one engine, the drain of one would affect
-   * the other.
+   * Two engines whose names differ only in the prefix must not be taken for one engine, or the
+   * drain of one would affect the other.
    */
   @Test
-  void enginesWithTheSameNumberInTheirNamesAreDrainedSeparately() throws Exception {
+  void enginesWithSameNumberInNameAreDrainedSeparately() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
-    EmulatedPeer namesake = new EmulatedPeer(true);
-    EmulatedPeer bus = start(one);
-    bus.next("from 7")
+    EmulatedPeer otherPrefix = new EmulatedPeer(true);
+    EmulatedPeer eventBus = start(one);
+    eventBus
+        .next("from 7")
         .write(
             endpointEvent(
-                    8, false, endpointJson(1, namesake.address(), drained).replace("\"s-", "\"t-"))
+                    8,
+                    false,
+                    endpointJson(1, otherPrefix.address(), drainedState).replace("\"s-", "\"t-"))
                 + "\n");
     awaitCounter(new TestClient(), "bus_events|1");
-    assertGoesTo(one, namesake);
+    assertRequestSentTo(one, otherPrefix);
   }
 
   /**
-   * More idle clients than descriptors come while the event bus is down: the watch still gets one
-   * when it returns.
+   * While the event bus is down, more idle clients connect than there are descriptors. The watch
+   * must still get a descriptor when the event bus returns.
    */
   @Test
-  void theWatchReconnectsThoughIdleClientsHoldTheDescriptors() throws Exception {
+  void watchReconnectsWhileIdleClientsUseAllDescriptors() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
     int port;
@@ -211,7 +229,8 @@
       port = free.getLocalPort();
     }
     start(
-        plain -> plain.replaceFirst("\"bus\":\"[^\"]*\"", "\"bus\":\"127.0.0.1:" + port + "\""),
+        configuration ->
+            configuration.replaceFirst("\"bus\":\"[^\"]*\"", "\"bus\":\"127.0.0.1:" + port + "\""),
         FEW_SOCKETS,
         IDLE_MS,
         one.address(),
@@ -222,51 +241,54 @@
       closeables.add(idle);
       assertEquals(List.of("empty"), watch.execute(""));
     }
-    EmulatedPeer bus = new EmulatedPeer(false, port);
-    bus.next("from 7")
-        .write(endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n");
+    EmulatedPeer eventBus = new EmulatedPeer(false, port);
+    eventBus
+        .next("from 7")
+        .write(endpointEvent(8, false, endpointJson(2, two.address(), drainedState)) + "\n");
     awaitCounter(watch, "bus_events|1");
-    assertGoesTo(one, two);
+    assertRequestSentTo(one, two);
   }
 
   /**
-   * The configuration was written before the start: a later drain has to be applied before the
-   * first request is forwarded.
+   * The configuration may be older than the state of the event bus: a later drain has to be applied
+   * before the first request is forwarded.
    */
   @Test
-  void aDrainDuringTheStartIsAppliedBeforeClientsCome() throws Exception {
+  void drainDuringStartupIsAppliedBeforeClientsConnect() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
-    EmulatedPeer bus = new EmulatedPeer(false);
+    EmulatedPeer eventBus = new EmulatedPeer(false);
     service =
         new DispatcherService(
             serviceConfiguration(
-                bus.address(),
+                eventBus.address(),
                 SOCKETS,
                 IDLE_MS,
                 endpointJson(1, one.address(), "in_service"),
                 endpointJson(2, two.address(), "in_service")));
-    Thread tells =
+    Thread notifier =
         new Thread(
             () -> {
               try {
-                bus.next("from 7")
+                eventBus
+                    .next("from 7")
                     .write(
-                        endpointEvent(8, false, endpointJson(2, two.address(), drained)) + "\n8\n");
+                        endpointEvent(8, false, endpointJson(2, two.address(), drainedState))
+                            + "\n8\n");
               } catch (Exception e) {
                 throw new IllegalStateException(e);
               }
             });
-    tells.start();
+    notifier.start();
     service.awaitEndpointUpdates();
     serve();
-    assertGoesTo(one, two);
-    tells.join();
+    assertRequestSentTo(one, two);
+    notifier.join();
   }
 
-  /** Without the event bus the service starts with the list of its configuration. */
+  /** If the event bus is unreachable, the service starts with the configured endpoint list. */
   @Test
-  void aStartWithoutTheWatchServesByTheConfiguredList() throws Exception {
+  void startWithoutEventBusUsesConfiguredEndpointList() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     service =
         new DispatcherService(
@@ -274,24 +296,25 @@
                 "127.0.0.1:9", SOCKETS, IDLE_MS, endpointJson(1, one.address(), "in_service")));
     service.awaitEndpointUpdates();
     serve();
-    assertGoesTo(one, new EmulatedPeer(true));
+    assertRequestSentTo(one, new EmulatedPeer(true));
   }
 
-  /** An older event that is repeated or late does not undo a newer one. */
+  /** An older event that is repeated or late must not undo a newer one. */
   @Test
-  void anEventOlderThanTheLastOneChangesNothing() throws Exception {
+  void eventOlderThanLastOneChangesNothing() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
-    EmulatedPeer bus = start(one, two);
-    bus.next("from 7")
+    EmulatedPeer eventBus = start(one, two);
+    eventBus
+        .next("from 7")
         .write(
-            endpointEvent(8, false, endpointJson(2, two.address(), drained))
+            endpointEvent(8, false, endpointJson(2, two.address(), drainedState))
                 + "\n"
                 + endpointEvent(6, false, endpointJson(2, two.address(), "in_service"))
                 + "\n"
                 + endpointEvent(9, false)
                 + "\n");
     awaitCounter(new TestClient(), "bus_events|2");
-    assertGoesTo(one, two);
+    assertRequestSentTo(one, two);
   }
 }
--- a/src/test/java/cobaltseam/service/EngineAnswersTest.java
+++ b/src/test/java/cobaltseam/service/EngineAnswersTest.java
@@ -8,11 +8,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Answers of engines: complete, broken, repeated, and those that come while the process is held up.
+ * Tests answers of engines: complete, invalid and repeated answers, and answers that arrive while
+ * the process is stalled.
  */
 class EngineAnswersTest extends ServiceRig {
   @Test
-  void allPagesOfAResultReachTheClient() throws Exception {
+  void allPagesOfResultReachClient() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(idempotentStatement(1, 3000));
@@ -30,13 +31,13 @@
     assertTrue(client.execute("SHOW cobaltseam.counters;").contains("commands_answered|1"));
     client.writeQuery(client.out, idempotentStatement(2, 3000));
     Message again = engine.next("PULL");
-    assertEquals(pull.from(), again.from(), "an unused connection is used again");
+    assertEquals(pull.from(), again.from(), "an idle connection is reused");
     again.answer(again.id(), "200", "pages=1", "");
     assertEquals(List.of("SELECT 0"), client.readReplies());
   }
 
   @Test
-  void onlyAttemptsThatNeverRanOrAreIdempotentAreRetried() throws Exception {
+  void onlyIdempotentOrNeverRunAttemptsAreRetried() throws Exception {
     EmulatedPeer one = new EmulatedPeer(true);
     EmulatedPeer two = new EmulatedPeer(true);
     start(one, two);
@@ -47,18 +48,20 @@
     second.reset();
     Message third = nextFromAny(one, two);
     assertEquals(
-        "PULL", third.items().get(0), "a reset may have run, which this profile may do twice");
+        "PULL",
+        third.items().get(0),
+        "it may have run before the reset, but its class is idempotent");
     third.answer(third.id(), "200", "pages=1", ROWS);
     assertEquals(List.of("a|1|x", "b|2|y", "SELECT 2"), client.readReplies());
     client.writeQuery(client.out, statement("once", 2, 3000));
-    Message once = nextFromAny(one, two);
-    once.reset();
+    Message nonIdempotent = nextFromAny(one, two);
+    nonIdempotent.reset();
     assertEquals(
-        List.of("error 58"), client.readReplies(), "this one may not run twice, nor be refused");
+        List.of("error 58"), client.readReplies(), "it may have run: neither retried nor shed");
   }
 
   @Test
-  void aBrokenAnswerFailsItsAttemptAndNoOther() throws Exception {
+  void invalidAnswerFailsOnlyItsAttempt() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(statement("once", 1, 3000));
@@ -72,8 +75,8 @@
     assertEquals("closed", engine.next().items().get(0));
     assertEquals(List.of("error 58"), client.readReplies());
     client.writeQuery(client.out, idempotentStatement(3, 3000));
-    Message good = engine.next("PULL");
-    good.answer(good.id(), "200", "pages=1", ROWS);
+    Message valid = engine.next("PULL");
+    valid.answer(valid.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", client.readReplies().get(2));
   }
 
@@ -94,45 +97,46 @@
     assertEquals(List.of("a|1|x", "b|2|y", "c|3|z", "SELECT 3"), client.readReplies());
     client.writeQuery(client.out, idempotentStatement(2, 3000));
     Message again = engine.next("PULL");
-    assertEquals(pull.from(), again.from(), "the connection is as good as before");
+    assertEquals(pull.from(), again.from(), "repeated answers do not close the connection");
     again.answer(again.id(), "200", "pages=1", "");
     assertEquals(List.of("SELECT 0"), client.readReplies());
   }
 
-  /** A process that was held up finds answers posted when it goes on. */
+  /** Answers posted while the event loop is stalled must be processed before overdue timeouts. */
   @Test
-  void postedAnswersAreProcessedBeforeATimeoutActs() throws Exception {
+  void postedAnswersAreProcessedBeforeOverdueTimeout() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(statement("look", 1, 3000));
     Message pull = engine.next("PULL");
-    CountDownLatch held = blockEventLoop();
+    CountDownLatch release = blockEventLoop();
     pull.answer(pull.id(), "200", "pages=1", ROWS);
+    // Longer than the timeout of an attempt: the duration itself is tested.
     Thread.sleep(1000);
-    held.countDown();
+    release.countDown();
     assertEquals("SELECT 2", client.readReplies().get(2));
-    assertTrue(engine.received.isEmpty(), "the send was given up with its answer there");
+    assertTrue(engine.received.isEmpty(), "abandoned although its answer had arrived");
   }
 
   /**
-   * The I/O thread was held up too: the answer lies unread in the kernel's buffers when its timeout
-   * is overdue.
+   * If the I/O thread is stalled too, the answer is still unread in the kernel's buffers when the
+   * timeout of its attempt is overdue.
    */
   @Test
-  void unreadAnswersAreReadBeforeAnOverdueTimeoutActs() throws Exception {
+  void unreadAnswersAreReadBeforeOverdueTimeout() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(statement("look", 1, 3000));
     Message pull = engine.next("PULL");
-    CountDownLatch held = blockEventLoop();
-    CountDownLatch heldSockets = blockIoThread();
+    CountDownLatch release = blockEventLoop();
+    CountDownLatch releaseIoThread = blockIoThread();
     pull.answer(pull.id(), "200", "pages=1", ROWS);
     // Longer than the timeout of an attempt: the duration itself is tested.
     Thread.sleep(1000);
-    held.countDown();
+    release.countDown();
     awaitEventLoopTurn();
-    heldSockets.countDown();
+    releaseIoThread.countDown();
     assertEquals("SELECT 2", client.readReplies().get(2));
-    assertTrue(engine.received.isEmpty(), "the send was given up with its answer there");
+    assertTrue(engine.received.isEmpty(), "abandoned although its answer had arrived");
   }
 }
--- a/src/test/java/cobaltseam/service/EngineConnectionsTest.java
+++ b/src/test/java/cobaltseam/service/EngineConnectionsTest.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Connections to engines: shared, reused, refused, and closed to cancel an attempt. */
+/** Tests sharing, reuse, refusal and closing of connections to engines. */
 class EngineConnectionsTest extends ServiceRig {
   /**
-   * An engine that is cut off reads no cancel message: only a closed connection surely ends an
-   * attempt.
+   * An engine behind a network partition reads no cancel message: only closing its connection ends
+   * the attempt reliably.
    */
   @Test
-  void anAttemptIsCancelledByClosingItsConnectionBeforeTheRetry() throws Exception {
+  void attemptIsCancelledByClosingItsConnectionBeforeRetry() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(engine);
     TestClient client = new TestClient(statement("look", 1, 1500));
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aRefusedConnectionProvesThatNothingRan() throws Exception {
+  void attemptWithRefusedConnectionCountsAsNeverRun() throws Exception {
     int closedPort;
     try (ServerSocket listener = new ServerSocket(0)) {
       closedPort = listener.getLocalPort();
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void attemptsOnASharedConnectionAreCancelledByMessage() throws Exception {
+  void attemptOnSharedConnectionIsCancelledByMessage() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     start(5, IDLE_MS, engine);
     TestClient one = new TestClient(statement("once", 1, 700));
@@ -57,13 +57,14 @@
     assertEquals(List.of("KILL", first.id()), engine.next().items());
     assertEquals(List.of("error 58"), one.readReplies());
     first.answer(first.id(), "200", "pages=2", ROWS);
-    assertEquals(List.of("DISCARD", first.id()), engine.next().items(), "a late answer is dropped");
+    assertEquals(
+        List.of("DISCARD", first.id()), engine.next().items(), "a late answer is discarded");
     second.answer(second.id(), "200", "pages=1", ROWS);
     assertEquals("SELECT 2", two.readReplies().get(2));
   }
 
   @Test
-  void connectionsIdleTooLongOrToAnEarlierIncarnationAreNotUsed() throws Exception {
+  void connectionsIdleTooLongOrToEarlierIncarnationAreNotUsed() throws Exception {
     EmulatedPeer engine = new EmulatedPeer(true);
     EmulatedPeer bus = start(SOCKETS, 200, engine);
     TestClient client = new TestClient(idempotentStatement(1, 3000));
@@ -83,19 +84,19 @@
     assertEquals(
         "closed",
         engine.next().items().get(0),
-        "a machine that came back knows no earlier connection");
+        "a restarted engine does not know connections to its earlier incarnation");
     assertEquals(List.of("error 58"), client.readReplies());
   }
 
   @Test
-  void aConnectTimeoutProvesThatNothingRan() throws Exception {
-    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      List<Socket> waiting = new ArrayList<>();
+  void attemptWithConnectTimeoutCountsAsNeverRun() throws Exception {
+    try (ServerSocket fullListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      List<Socket> queuedSockets = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
         Socket socket = new Socket();
-        waiting.add(socket);
+        queuedSockets.add(socket);
         try {
-          socket.connect(full.getLocalSocketAddress(), 50);
+          socket.connect(fullListener.getLocalSocketAddress(), 50);
         } catch (IOException e) {
           break;
         }
@@ -106,12 +107,12 @@
                   "\"connect_timeout_us\":2000000", "\"connect_timeout_us\":250000"),
           SOCKETS,
           IDLE_MS,
-          "127.0.0.1:" + full.getLocalPort());
+          "127.0.0.1:" + fullListener.getLocalPort());
       TestClient client = new TestClient(statement("once", 1, 2000));
-      long asked = System.nanoTime();
+      long startNanos = System.nanoTime();
       assertEquals(List.of("error 53 pushback"), client.readReplies());
-      assertTrue(System.nanoTime() - asked < TimeUnit.SECONDS.toNanos(2));
-      for (Socket socket : waiting) {
+      assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(2));
+      for (Socket socket : queuedSockets) {
         socket.close();
       }
     }
--- a/src/test/java/cobaltseam/service/ServiceRig.java
+++ b/src/test/java/cobaltseam/service/ServiceRig.java
@@ -32,9 +32,9 @@
 import org.junit.jupiter.api.AfterEach;
 
 /**
- * A service under test between clients, engines and an event bus that the test emulates, on
- * loopback. Each peer waits for the message that it expects before it goes on, so that a test
- * forces the order of events.
+ * Runs a service on loopback between clients, engines and an event bus that the test emulates. A
+ * test waits for the message that it expects before it continues, and so forces the order of
+ * events.
  */
 abstract class ServiceRig extends ServiceFixtures {
   static final int TIMEOUT_S = 10;
@@ -47,7 +47,7 @@
 
   private final Map<DispatcherService, Thread> loops = new LinkedHashMap<>();
 
-  /** Accepts connections; what is received on them, and their ends, form one queue of messages. */
+  /** An engine or event bus; one queue holds the messages and closes of all its connections. */
   final class EmulatedPeer implements AutoCloseable {
     final ServerSocket server;
     final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
@@ -58,7 +58,8 @@
     }
 
     /**
-     * @param port where it listens, or 0 for any that is free
+     * @param resp whether the peer reads RESP arrays, as an engine does; otherwise it reads lines
+     * @param port the port to listen on, or 0 for any free port
      */
     EmulatedPeer(boolean resp, int port) throws IOException {
       this.resp = resp;
@@ -78,8 +79,8 @@
       try {
         while (true) {
           List<String> items = new ArrayList<>();
-          int number = resp ? Integer.parseInt(readLine(in).substring(1)) : 0;
-          for (int i = 0; i < number; i++) {
+          int itemCount = resp ? Integer.parseInt(readLine(in).substring(1)) : 0;
+          for (int i = 0; i < itemCount; i++) {
             byte[] item = new byte[Integer.parseInt(readLine(in).substring(1))];
             in.readFully(item);
             readLine(in);
@@ -95,13 +96,13 @@
 
     Message next() throws InterruptedException {
       Message message = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
-      assertNotNull(message, "nothing came");
+      assertNotNull(message, "no message was received");
       return message;
     }
 
-    Message next(String word) throws InterruptedException {
+    Message next(String expected) throws InterruptedException {
       Message message = next();
-      assertEquals(word, message.items.get(0), message.items.toString());
+      assertEquals(expected, message.items.get(0), message.items.toString());
       return message;
     }
 
@@ -116,9 +117,10 @@
   }
 
   /**
-   * What a peer received.
+   * A message that a peer received.
    *
-   * @param readAtNanos when its thread had read this, however late the test looks at it
+   * @param items the items of a RESP array, one line, or "closed" for the end of the connection
+   * @param readAtNanos when the peer's thread read the message, however late the test takes it
    */
   record Message(Socket from, List<String> items, long readAtNanos) {
     void write(String text) throws IOException {
@@ -154,7 +156,7 @@
               try {
                 task.run();
               } catch (IOException e) {
-                // The peer was closed.
+                // Expected when the peer is closed.
               }
             });
     thread.setDaemon(true);
@@ -163,13 +165,13 @@
 
   static String readLine(DataInputStream in) throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
-    for (byte b = in.readByte(); b != '\n'; b = in.readByte()) {
-      line.write(b);
+    for (byte next = in.readByte(); next != '\n'; next = in.readByte()) {
+      line.write(next);
     }
     return line.toString(StandardCharsets.UTF_8).strip();
   }
 
-  /** A client that writes and reads at the test's command. */
+  /** A client that writes and reads when the test calls its methods. */
   final class TestClient implements AutoCloseable {
     final Socket socket = new Socket(service.address().getAddress(), service.address().getPort());
     final DataInputStream in = new DataInputStream(socket.getInputStream());
@@ -177,26 +179,27 @@
     int session;
     int secret;
 
-    TestClient(String... behind) throws IOException {
+    /** Connects, and sends the start-up message and these queries in one write. */
+    TestClient(String... queries) throws IOException {
       closeables.add(this);
       socket.setSoTimeout(TIMEOUT_S * 1000);
-      ByteArrayOutputStream first = new ByteArrayOutputStream();
-      DataOutputStream to = new DataOutputStream(first);
-      to.writeInt(9);
-      to.writeInt(3 << 16);
-      to.write(0);
-      for (String query : behind) {
-        writeQuery(to, query);
+      ByteArrayOutputStream firstBytes = new ByteArrayOutputStream();
+      DataOutputStream firstOutput = new DataOutputStream(firstBytes);
+      firstOutput.writeInt(9);
+      firstOutput.writeInt(3 << 16);
+      firstOutput.write(0);
+      for (String query : queries) {
+        writeQuery(firstOutput, query);
       }
-      out.write(first.toByteArray());
+      out.write(firstBytes.toByteArray());
       assertEquals("K", readReplies().get(0));
     }
 
-    void writeQuery(DataOutputStream to, String text) throws IOException {
-      to.write(queryMessage(text));
+    void writeQuery(DataOutputStream output, String text) throws IOException {
+      output.write(queryMessage(text));
     }
 
-    /** The cancel request for this session's statement, to be written on another connection. */
+    /** Returns the cancel request for this session, to be written on another connection. */
     byte[] cancelRequest() {
       return ByteBuffer.allocate(16)
           .putInt(16)
@@ -211,39 +214,39 @@
       return readReplies();
     }
 
-    /** The messages up to ReadyForQuery, in short: rows, tags, and the class of errors. */
+    /** Reads up to ReadyForQuery; returns rows, command tags and error classes in short form. */
     List<String> readReplies() throws IOException {
-      List<String> told = new ArrayList<>();
+      List<String> replies = new ArrayList<>();
       while (true) {
         char type = (char) in.readByte();
         byte[] body = new byte[in.readInt() - 4];
         in.readFully(body);
-        DataInputStream read = new DataInputStream(new ByteArrayInputStream(body));
+        DataInputStream fields = new DataInputStream(new ByteArrayInputStream(body));
         switch (type) {
           case 'Z' -> {
-            return told;
+            return replies;
           }
           case 'K' -> {
-            session = read.readInt();
-            secret = read.readInt();
-            told.add("K");
+            session = fields.readInt();
+            secret = fields.readInt();
+            replies.add("K");
           }
           case 'D' -> {
             List<String> row = new ArrayList<>();
-            for (int n = read.readShort(); n > 0; n--) {
-              row.add(new String(read.readNBytes(read.readInt()), StandardCharsets.UTF_8));
+            for (int left = fields.readShort(); left > 0; left--) {
+              row.add(new String(fields.readNBytes(fields.readInt()), StandardCharsets.UTF_8));
             }
-            told.add(String.join("|", row));
+            replies.add(String.join("|", row));
           }
           case 'E' -> {
             String text = new String(body, StandardCharsets.UTF_8);
-            told.add(
+            replies.add(
                 "error "
                     + text.substring(text.indexOf("\0C") + 2, text.indexOf("\0C") + 4)
                     + (text.contains("pushback=500") ? " pushback" : ""));
           }
-          case 'C' -> told.add(new String(body, 0, body.length - 1, StandardCharsets.UTF_8));
-          case 'I' -> told.add("empty");
+          case 'C' -> replies.add(new String(body, 0, body.length - 1, StandardCharsets.UTF_8));
+          case 'I' -> replies.add("empty");
           default -> {}
         }
       }
@@ -255,6 +258,7 @@
     }
   }
 
+  /** Starts a service with these engines; returns its event bus. */
   EmulatedPeer start(EmulatedPeer... engines) throws IOException {
     return start(SOCKETS, IDLE_MS, engines);
   }
@@ -268,7 +272,8 @@
     return start(configuration -> configuration, sockets, idleMs, engines);
   }
 
-  EmulatedPeer start(UnaryOperator<String> changed, int sockets, int idleMs, String... engines)
+  /** Starts a service with a changed configuration and these engines; returns its event bus. */
+  EmulatedPeer start(UnaryOperator<String> change, int sockets, int idleMs, String... engines)
       throws IOException {
     EmulatedPeer bus = new EmulatedPeer(false);
     String[] targets = new String[engines.length];
@@ -279,13 +284,13 @@
                 JsonObjectReader.of(
                     new JsonFactory()
                         .createParser(
-                            changed.apply(
+                            change.apply(
                                 configurationJson(bus.address(), sockets, idleMs, targets))))));
     serve();
     return bus;
   }
 
-  /** Opens the service and runs its loop. */
+  /** Opens the service and runs its event loop on a new thread. */
   void serve() throws IOException {
     service.open();
     DispatcherService started = service;
@@ -304,31 +309,31 @@
 
   @AfterEach
   void stop() throws Exception {
-    for (Map.Entry<DispatcherService, Thread> each : loops.entrySet()) {
-      each.getValue().interrupt();
-      each.getValue().join();
-      each.getKey().close();
+    for (Map.Entry<DispatcherService, Thread> loop : loops.entrySet()) {
+      loop.getValue().interrupt();
+      loop.getValue().join();
+      loop.getKey().close();
     }
     for (AutoCloseable closeable : closeables) {
       closeable.close();
     }
   }
 
-  /** An engine whose accept queue is full: no connection comes up until it is relieved. */
+  /** An engine whose accept queue is full: no connection is established until it accepts some. */
   final class UnreachableEngine {
     final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    final List<Socket> waiting = new ArrayList<>();
+    final List<Socket> queuedSockets = new ArrayList<>();
 
     UnreachableEngine() throws IOException {
       closeables.add(server);
-      for (boolean full = false; !full; ) {
+      for (boolean isFull = false; !isFull; ) {
         Socket socket = new Socket();
-        waiting.add(socket);
+        queuedSockets.add(socket);
         closeables.add(socket);
         try {
           socket.connect(server.getLocalSocketAddress(), CONNECT_MS);
         } catch (IOException e) {
-          full = true;
+          isFull = true;
         }
       }
     }
@@ -337,39 +342,39 @@
       return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Accepts connections from now on; the peer returned receives what is written to them. */
+    /** Starts to accept connections; returns the peer that receives the messages on them. */
     EmulatedPeer acceptConnections() throws IOException {
-      EmulatedPeer hears = new EmulatedPeer(true);
+      EmulatedPeer peer = new EmulatedPeer(true);
       startDaemon(
           () -> {
             while (true) {
               Socket socket = server.accept();
-              startDaemon(() -> hears.read(socket));
+              startDaemon(() -> peer.read(socket));
             }
           });
-      return hears;
+      return peer;
     }
   }
 
   /** Asserts that no request is sent to this peer, now or in the next 2 s. */
   static void assertNoPull(EmulatedPeer peer) throws InterruptedException {
-    for (Message m = peer.received.poll(2, TimeUnit.SECONDS);
-        m != null;
-        m = peer.received.poll(0, TimeUnit.SECONDS)) {
-      assertEquals("closed", m.items().get(0));
+    for (Message message = peer.received.poll(2, TimeUnit.SECONDS);
+        message != null;
+        message = peer.received.poll(0, TimeUnit.SECONDS)) {
+      assertEquals("closed", message.items().get(0));
     }
     assertNull(peer.received.peek());
   }
 
-  /** Waits until a counter has this value. */
+  /** Waits until a counter has a value; {@code counter} is a row of SHOW cobaltseam.counters. */
   static void awaitCounter(TestClient client, String counter) throws Exception {
     for (int i = 0; !client.execute("SHOW cobaltseam.counters").contains(counter); i++) {
-      assertTrue(i < TIMEOUT_S * 100, counter + " never came");
+      assertTrue(i < TIMEOUT_S * 100, counter + " was not reached");
       Thread.sleep(10);
     }
   }
 
-  /** The next message that comes to any of them. */
+  /** Returns the next message that any of these peers receives, other than a close. */
   static Message nextFromAny(EmulatedPeer... peers) throws InterruptedException {
     for (int i = 0; i < TIMEOUT_S * 1000; i++) {
       for (EmulatedPeer peer : peers) {
@@ -380,10 +385,10 @@
       }
       Thread.sleep(1);
     }
-    throw new AssertionError("nothing came");
+    throw new AssertionError("no message was received");
   }
 
-  /** Blocks the I/O thread, from when this returns until the latch is counted down. */
+  /** Blocks the I/O thread; returns the latch that unblocks it when counted down. */
   CountDownLatch blockIoThread() throws InterruptedException {
     CountDownLatch release = new CountDownLatch(1);
     CountDownLatch blocked = new CountDownLatch(1);
@@ -397,8 +402,8 @@
   }
 
   /**
-   * Has the I/O thread write this to a peer, read what follows from it, and blocked that thread up
-   * before it is handed over.
+   * Runs a write on the I/O thread, has it read the input that follows, and blocks it before that
+   * input is posted; returns the latch that unblocks it when counted down.
    */
   CountDownLatch blockIoThreadAfterReading(Task write) throws InterruptedException {
     CountDownLatch release = new CountDownLatch(1);
@@ -420,10 +425,7 @@
     return release;
   }
 
-  /**
-   * Holds up the thread that reads all sockets when it comes to what this client says next, in the
-   * middle of a round.
-   */
+  /** Blocks the I/O thread within a read round, at the next message that a client sends. */
   final class ReadBlocker extends IoFilterAdapter {
     final CountDownLatch blocked = new CountDownLatch(1);
     final CountDownLatch release = new CountDownLatch(1);
@@ -431,7 +433,7 @@
     ReadBlocker(TestClient client) {
       service.acceptor.getManagedSessions().values().stream()
           .filter(s -> s.getRemoteAddress().equals(client.socket.getLocalSocketAddress()))
-          .forEach(s -> s.getFilterChain().addLast("blocked", this));
+          .forEach(s -> s.getFilterChain().addLast("read-blocker", this));
     }
 
     @Override
@@ -442,9 +444,7 @@
     }
   }
 
-  /**
-   * Returns when all that peers had written before this was called has been read and handed over.
-   */
+  /** Waits until all data that peers wrote before this call is read and posted. */
   void awaitRead() throws InterruptedException {
     for (int round = 0; round < 3; round++) {
       CountDownLatch read = new CountDownLatch(1);
@@ -461,7 +461,7 @@
     }
   }
 
-  /** Blocks the event-loop thread, from when this returns until the latch is counted down. */
+  /** Blocks the event-loop thread; returns the latch that unblocks it when counted down. */
   CountDownLatch blockEventLoop() throws InterruptedException {
     CountDownLatch release = new CountDownLatch(1);
     CountDownLatch blocked = new CountDownLatch(1);
@@ -475,25 +475,22 @@
     return release;
   }
 
-  /** Returns when a task was posted to the event-loop thread, which is blocked. */
+  /** Waits until a task is in the queue of the event-loop thread, which has to be blocked. */
   void awaitPostedTask() throws InterruptedException {
     for (int i = 0; service.inbox.size() == 0; i++) {
-      assertTrue(i < TIMEOUT_S * 1000, "nothing was handed over");
+      assertTrue(i < TIMEOUT_S * 1000, "no task was posted");
       Thread.sleep(1);
     }
   }
 
-  /**
-   * Returns when the event loop has completed a turn since this was called, and run the timers that
-   * were due.
-   */
+  /** Waits until the event loop has completed a turn and has run the timers that were due. */
   void awaitEventLoopTurn() throws InterruptedException {
-    CountDownLatch heard = new CountDownLatch(1);
-    // More than run in one turn: the last one runs after the first turn has ended.
+    CountDownLatch turnCompleted = new CountDownLatch(1);
+    // One more task than a turn runs, so that the last one runs after the first turn has ended.
     for (int i = 0; i < EventLoop.MAX_TASKS_PER_TURN; i++) {
       service.inbox.post(null, () -> {});
     }
-    service.inbox.post(null, heard::countDown);
-    heard.await();
+    service.inbox.post(null, turnCompleted::countDown);
+    turnCompleted.await();
   }
 }
--- a/src/test/java/cobaltseam/service/TimersTest.java
+++ b/src/test/java/cobaltseam/service/TimersTest.java
@@ -8,24 +8,24 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order of timers. */
+/** Tests the order in which timers become due. */
 class TimersTest {
   @Test
-  void timersRunInTheOrderOfTheirTimeAndThenOfTheirSetting() {
+  void timersRunInOrderOfDueTimeThenOfSetting() {
     Timers timers = new Timers();
     Timestamp now = new Timestamp(50);
-    List<Integer> run = new ArrayList<>();
-    timers.set(now, () -> run.add(2));
-    timers.set(now, () -> run.add(3));
-    Timers.Timer cancelled = timers.set(now, () -> run.add(4));
-    timers.set(new Timestamp(40), () -> run.add(1));
-    timers.set(new Timestamp(51), () -> run.add(5));
+    List<Integer> executed = new ArrayList<>();
+    timers.set(now, () -> executed.add(2));
+    timers.set(now, () -> executed.add(3));
+    Timers.Timer cancelled = timers.set(now, () -> executed.add(4));
+    timers.set(new Timestamp(40), () -> executed.add(1));
+    timers.set(new Timestamp(51), () -> executed.add(5));
     timers.cancel(cancelled);
     timers.cancel(null);
-    for (Runnable due = timers.pollDue(now); due != null; due = timers.pollDue(now)) {
-      due.run();
+    for (Runnable task = timers.pollDue(now); task != null; task = timers.pollDue(now)) {
+      task.run();
     }
-    assertEquals(List.of(1, 2, 3), run);
+    assertEquals(List.of(1, 2, 3), executed);
     assertEquals(1, timers.untilNext(now, new TimeSpan(9)).us());
   }
 }
