--- a/src/main/java/cobaltseam/emulator/Baseline.java
+++ b/src/main/java/cobaltseam/emulator/Baseline.java
@@ -24,12 +24,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Policies to compare the module with: each only picks an engine and sends at once. They keep the
- * rules on repeats, drains, placement and order by the plainest means, hold nothing but what order
- * asks for, and shed only what has failed.
+ * Baseline policies that the dispatcher's own policy is compared with. Each chooses an engine and
+ * sends a request there at once. They keep the rules on retries, draining, placement and order in
+ * the simplest way, queue requests only to keep their order, and shed only requests whose attempts
+ * failed or that have no engine or time left. {@link EngineChoice#CLAIRVOYANT} also queues and
+ * sheds by the true state of the engines.
  */
 final class Baseline implements Policy {
-  /** Which engine, of those that the list has up. */
+  /** How an engine is chosen among those that are up. The names are those of the policies. */
   enum EngineChoice {
     RANDOM,
     ROUND_ROBIN,
@@ -39,229 +41,249 @@
     CLAIRVOYANT
   }
 
-  /** The clairvoyant one waits this many times as long as a command would truly take. */
-  private static final double SEEN_AFTER = 4;
+  /** CLAIRVOYANT's attempt timeout as a multiple of the time that the request would truly take. */
+  private static final double TIMEOUT_FACTOR = 4;
 
-  /** And sends only what would be in time were it that much slower. */
+  /** CLAIRVOYANT sends a request only if it met its objective even when slowed by this factor. */
   private static final double SLACK = 1.3;
 
-  private static final TimeSpan LOOK = new TimeSpan(5000);
+  /** The interval at which CLAIRVOYANT tries to place its queued requests again. */
+  private static final TimeSpan QUEUE_CHECK_INTERVAL = new TimeSpan(5000);
 
   private static final class OpenRequest {
-    Request command;
-    Timestamp taken;
-    double density;
-    Deployment.RequestClass profile;
-    int sends;
-    EngineId out;
+    Request request;
+    Timestamp admittedAt;
+    double weightPerWork;
+    Deployment.RequestClass requestClass;
+    int attempts;
+
+    /** The engine of the open attempt, or null. */
+    EngineId engine;
+
     boolean mayHaveRun;
   }
 
   private final EngineChoice choice;
-  private final RandomGenerator chance;
-  private final Deployment told;
-  private final Map<String, Deployment.RequestClass> profiles = new HashMap<>();
-  private final TreeMap<EngineId, EndpointStatus> up = new TreeMap<>();
-  private final Map<EngineId, Integer> inHand = new HashMap<>();
+  private final RandomGenerator random;
+  private final Deployment deployment;
+  private final Map<String, Deployment.RequestClass> requestClasses = new HashMap<>();
+  private final TreeMap<EngineId, EndpointStatus> upByEngine = new TreeMap<>();
+  private final Map<EngineId, Integer> inFlight = new HashMap<>();
 
-  /** What engines reported in hand with their last answer. */
-  private final Map<EngineId, Double> reported = new HashMap<>();
+  /** The number of requests in flight that each engine reported with its last answer. */
+  private final Map<EngineId, Double> reportedInFlight = new HashMap<>();
 
-  private final Map<RequestId, OpenRequest> open = new HashMap<>();
-  private final Deque<OpenRequest> again = new ArrayDeque<>();
+  private final Map<RequestId, OpenRequest> openRequests = new HashMap<>();
+  private final Deque<OpenRequest> placeAgain = new ArrayDeque<>();
 
-  /**
-   * By key of an order profile: commands not over, in the order taken; until when a key rests; and
-   * who waits for that.
-   */
-  private final Map<SequenceKey, Deque<OpenRequest>> lines = new HashMap<>();
+  /** The open requests of each sequence key, in the order of their admission. */
+  private final Map<SequenceKey, Deque<OpenRequest>> queuesByKey = new HashMap<>();
 
-  private final Map<SequenceKey, Timestamp> rests = new HashMap<>();
-  private final List<OpenRequest> resting = new ArrayList<>();
+  /** When the rest of a sequence key ends, during which no request of the key is sent. */
+  private final Map<SequenceKey, Timestamp> keyRestEnds = new HashMap<>();
+
+  /** Requests that are first of their key and wait for the end of its rest. */
+  private final List<OpenRequest> waitingForRest = new ArrayList<>();
 
   /**
-   * Held by the clairvoyant one until an engine truly has room: the most benefit for its work
-   * first.
+   * Requests that CLAIRVOYANT queues until an engine truly has capacity, by descending priority
+   * weight per work.
    */
-  private final TreeSet<OpenRequest> held =
+  private final TreeSet<OpenRequest> queued =
       new TreeSet<>(
-          Comparator.comparingDouble((OpenRequest request) -> -request.density)
-              .thenComparing(request -> request.command.id().value()));
+          Comparator.comparingDouble((OpenRequest request) -> -request.weightPerWork)
+              .thenComparing(request -> request.request.id().value()));
 
-  private final TrueState truth;
-  private List<EndpointStatus> list = List.of();
-  private int turn;
-  private Timestamp looked;
+  private final TrueState trueState;
+  private List<EndpointStatus> upEngines = List.of();
+  private int nextIndex;
+  private Timestamp lastQueueCheck;
 
-  /** What is so at engines at this moment, which no dispatcher can know. */
+  /** The true state of the engines, which a real dispatcher cannot know. */
   interface TrueState {
     /**
-     * How long a microsecond of one thread's work would take for one command more; infinite where
-     * nothing would come.
+     * The time in microseconds that a microsecond of one thread's work would take with one more
+     * thread; infinite if the engine does no work.
      */
-    double pace(EngineId engine);
+    double timePerThreadWork(EngineId engine);
 
-    /** Whether so many threads more still add work done rather than take from it. */
-    boolean hasRoom(EngineId engine, int threads);
+    /** Whether an engine can run more threads up to its knee; an idle one always can. */
+    boolean hasCapacity(EngineId engine, int threads);
   }
 
   /**
-   * @param truth for the clairvoyant one alone
+   * Creates a policy without engines.
+   *
+   * @param trueState the true state of the engines, which only CLAIRVOYANT uses
    */
-  Baseline(EngineChoice choice, Deployment told, RandomGenerator chance, TrueState truth) {
+  Baseline(
+      EngineChoice choice, Deployment deployment, RandomGenerator random, TrueState trueState) {
     this.choice = choice;
-    this.told = told;
-    this.chance = chance;
-    this.truth = truth;
-    told.requestClasses().forEach(p -> profiles.put(p.id().value(), p));
-    turn = told.dispatcherIndex();
+    this.deployment = deployment;
+    this.random = random;
+    this.trueState = trueState;
+    deployment
+        .requestClasses()
+        .forEach(requestClass -> requestClasses.put(requestClass.id().value(), requestClass));
+    nextIndex = deployment.dispatcherIndex();
   }
 
   @Override
-  public Placement place(Request command, Timestamp now) {
-    OpenRequest request = open.get(command.id());
-    if (request == null) {
-      request = new OpenRequest();
-      request.command = command;
-      request.profile = profiles.get(command.requestClass().value());
-      request.taken = now;
-      open.put(command.id(), request);
-      if (request.profile.isOrdered() && command.sequenceKey() != null) {
-        lines.computeIfAbsent(command.sequenceKey(), k -> new ArrayDeque<>()).add(request);
+  public Placement place(Request request, Timestamp now) {
+    OpenRequest open = openRequests.get(request.id());
+    if (open == null) {
+      open = new OpenRequest();
+      open.request = request;
+      open.requestClass = requestClasses.get(request.requestClass().value());
+      open.admittedAt = now;
+      openRequests.put(request.id(), open);
+      if (open.requestClass.isOrdered() && request.sequenceKey() != null) {
+        queuesByKey.computeIfAbsent(request.sequenceKey(), k -> new ArrayDeque<>()).add(open);
       }
     }
-    if (request.out != null) {
+    if (open.engine != null) {
       return Placement.queue();
     }
-    TimeSpan left = command.deadline().since(now).minus(told.capabilities().clockTick().times(2));
-    if (left.isPositive() && waits(request, now)) {
+    TimeSpan left =
+        request.deadline().since(now).minus(deployment.capabilities().clockTick().times(2));
+    if (left.isPositive() && mustWaitForKey(open, now)) {
       return Placement.queue();
     }
-    EngineId engine = left.isPositive() ? pick(request) : null;
-    double us = 0;
+    EngineId engine = left.isPositive() ? chooseEngine(open) : null;
+    double expectedUs = 0;
     if (engine != null && choice == EngineChoice.CLAIRVOYANT) {
-      boolean room = truth.hasRoom(engine, request.profile.threads());
-      us = truth.pace(engine) * command.work().us() / request.profile.threads();
-      Timestamp target =
-          request
-              .taken
-              .plus(request.profile.latencyObjective())
+      boolean hasCapacity = trueState.hasCapacity(engine, open.requestClass.threads());
+      expectedUs =
+          trueState.timePerThreadWork(engine) * request.work().us() / open.requestClass.threads();
+      Timestamp objective =
+          open.admittedAt
+              .plus(open.requestClass.latencyObjective())
               .plus(
-                  command
+                  request
                       .work()
-                      .times(request.profile.objectivePerWork() / request.profile.threads()));
-      double least = command.work().us() / (double) request.profile.threads();
-      if (!now.plus(new TimeSpan(Math.round(Math.min(least, 1e12)))).isBefore(target)) {
-        return giveUp(request);
+                      .times(open.requestClass.objectivePerWork() / open.requestClass.threads()));
+      double minUs = request.work().us() / (double) open.requestClass.threads();
+      if (!now.plus(new TimeSpan(Math.round(Math.min(minUs, 1e12)))).isBefore(objective)) {
+        return giveUp(open);
       }
-      if (!room || !(us * SLACK < target.since(now).us())) {
-        request.density = request.profile.priorityWeight() / Math.max(1, command.work().us());
-        held.add(request);
+      if (!hasCapacity || !(expectedUs * SLACK < objective.since(now).us())) {
+        open.weightPerWork = open.requestClass.priorityWeight() / Math.max(1, request.work().us());
+        queued.add(open);
         return Placement.queue();
       }
     }
     if (engine == null) {
-      return giveUp(request);
+      return giveUp(open);
     }
-    held.remove(request);
-    // The clairvoyant one would also see that an engine has gone, and not wait for it.
+    queued.remove(open);
+    // With knowledge of the true state, a failed engine is noticed well before the deadline.
     left =
         choice == EngineChoice.CLAIRVOYANT
             ? left.min(
-                new TimeSpan(Math.round(SEEN_AFTER * us)).max(request.profile.latencyObjective()))
+                new TimeSpan(Math.round(TIMEOUT_FACTOR * expectedUs))
+                    .max(open.requestClass.latencyObjective()))
             : left;
-    request.out = engine;
-    request.sends++;
-    inHand.merge(engine, 1, Integer::sum);
+    open.engine = engine;
+    open.attempts++;
+    inFlight.merge(engine, 1, Integer::sum);
     return Placement.send(engine, left, -1);
   }
 
   private Placement giveUp(OpenRequest request) {
     remove(request);
-    return request.mayHaveRun && request.profile.retrySafety() != Deployment.RetrySafety.IDEMPOTENT
+    return request.mayHaveRun
+            && request.requestClass.retrySafety() != Deployment.RetrySafety.IDEMPOTENT
         ? Placement.fail()
-        : Placement.shed(told.capabilities().maxRetryAfter());
+        : Placement.shed(deployment.capabilities().maxRetryAfter());
   }
 
   private void remove(OpenRequest request) {
-    open.remove(request.command.id());
-    again.remove(request);
-    held.remove(request);
-    Deque<OpenRequest> line =
-        request.command.sequenceKey() == null ? null : lines.get(request.command.sequenceKey());
-    if (line != null && line.remove(request) && line.isEmpty()) {
-      lines.remove(request.command.sequenceKey());
-    } else if (line != null
-        && !line.isEmpty()
-        && line.peek().out == null
-        && !again.contains(line.peek())) {
-      again.add(line.peek());
+    openRequests.remove(request.request.id());
+    placeAgain.remove(request);
+    queued.remove(request);
+    Deque<OpenRequest> queue =
+        request.request.sequenceKey() == null
+            ? null
+            : queuesByKey.get(request.request.sequenceKey());
+    if (queue != null && queue.remove(request) && queue.isEmpty()) {
+      queuesByKey.remove(request.request.sequenceKey());
+    } else if (queue != null
+        && !queue.isEmpty()
+        && queue.peek().engine == null
+        && !placeAgain.contains(queue.peek())) {
+      placeAgain.add(queue.peek());
     }
   }
 
-  /** Whether one in order has to wait for an earlier one of its key, or for the key to rest. */
-  private boolean waits(OpenRequest request, Timestamp now) {
-    Deque<OpenRequest> line =
-        request.profile.isOrdered() && request.command.sequenceKey() != null
-            ? lines.get(request.command.sequenceKey())
+  /**
+   * Whether an ordered request has to wait for an earlier one of its key, or for the key's rest to
+   * end.
+   */
+  private boolean mustWaitForKey(OpenRequest request, Timestamp now) {
+    Deque<OpenRequest> queue =
+        request.requestClass.isOrdered() && request.request.sequenceKey() != null
+            ? queuesByKey.get(request.request.sequenceKey())
             : null;
-    if (line == null) {
+    if (queue == null) {
       return false;
     }
-    Timestamp rest = rests.get(request.command.sequenceKey());
-    if (rest != null && !now.isBefore(rest)) {
-      rests.remove(request.command.sequenceKey());
-      rest = null;
+    Timestamp restEnd = keyRestEnds.get(request.request.sequenceKey());
+    if (restEnd != null && !now.isBefore(restEnd)) {
+      keyRestEnds.remove(request.request.sequenceKey());
+      restEnd = null;
     }
-    if (line.peek() == request && rest != null && !resting.contains(request)) {
-      resting.add(request);
+    if (queue.peek() == request && restEnd != null && !waitingForRest.contains(request)) {
+      waitingForRest.add(request);
     }
-    return line.peek() != request || rest != null;
+    return queue.peek() != request || restEnd != null;
   }
 
-  private EngineId pick(OpenRequest request) {
-    List<EndpointStatus> to =
-        request.profile.locations() == null
-            ? list
-            : list.stream()
-                .filter(l -> request.profile.locations().contains(l.location()))
+  private EngineId chooseEngine(OpenRequest request) {
+    List<EndpointStatus> candidates =
+        request.requestClass.locations() == null
+            ? upEngines
+            : upEngines.stream()
+                .filter(l -> request.requestClass.locations().contains(l.location()))
                 .toList();
-    if (to.isEmpty()) {
+    if (candidates.isEmpty()) {
       return null;
     }
     return switch (choice) {
-      case RANDOM -> to.get(chance.nextInt(to.size())).engine();
-      case ROUND_ROBIN -> to.get(Math.floorMod(turn++, to.size())).engine();
-      case LEAST_IN_HAND -> least(to, this::inHand);
+      case RANDOM -> candidates.get(random.nextInt(candidates.size())).engine();
+      case ROUND_ROBIN -> candidates.get(Math.floorMod(nextIndex++, candidates.size())).engine();
+      case LEAST_IN_HAND -> lowest(candidates, this::inFlight);
       case TWO_CHOICES ->
-          least(
-              List.of(to.get(chance.nextInt(to.size())), to.get(chance.nextInt(to.size()))),
-              this::inHand);
-      case SHORTEST_LATE -> least(to, e -> reported.getOrDefault(e, 0.0) + inHand(e));
+          lowest(
+              List.of(
+                  candidates.get(random.nextInt(candidates.size())),
+                  candidates.get(random.nextInt(candidates.size()))),
+              this::inFlight);
+      case SHORTEST_LATE ->
+          lowest(candidates, e -> reportedInFlight.getOrDefault(e, 0.0) + inFlight(e));
       case CLAIRVOYANT ->
-          least(
-              to,
+          lowest(
+              candidates,
               e ->
-                  truth.hasRoom(e, request.profile.threads())
-                      ? truth.pace(e)
+                  trueState.hasCapacity(e, request.requestClass.threads())
+                      ? trueState.timePerThreadWork(e)
                       : Double.POSITIVE_INFINITY);
     };
   }
 
-  private double inHand(EngineId engine) {
-    return inHand.getOrDefault(engine, 0);
+  private double inFlight(EngineId engine) {
+    return inFlight.getOrDefault(engine, 0);
   }
 
-  private EngineId least(List<EndpointStatus> of, ToDoubleFunction<EngineId> figure) {
+  private EngineId lowest(List<EndpointStatus> candidates, ToDoubleFunction<EngineId> metric) {
     EngineId best = null;
-    double least = Double.POSITIVE_INFINITY;
-    int from = chance.nextInt(of.size());
-    for (int i = 0; i < of.size(); i++) {
-      EngineId engine = of.get((from + i) % of.size()).engine();
-      double value = figure.applyAsDouble(engine);
-      if (best == null || value < least) {
+    double lowest = Double.POSITIVE_INFINITY;
+    int from = random.nextInt(candidates.size());
+    for (int i = 0; i < candidates.size(); i++) {
+      EngineId engine = candidates.get((from + i) % candidates.size()).engine();
+      double value = metric.applyAsDouble(engine);
+      if (best == null || value < lowest) {
         best = engine;
-        least = value;
+        lowest = value;
       }
     }
     return best;
@@ -269,94 +291,102 @@
 
   @Override
   public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
-    OpenRequest request = open.get(outcome.request());
-    if (request == null || request.out == null) {
+    OpenRequest request = openRequests.get(outcome.request());
+    if (request == null || request.engine == null) {
       return Placement.queue();
     }
-    inHand.merge(request.out, -1, Integer::sum);
+    inFlight.merge(request.engine, -1, Integer::sum);
     if (outcome.inFlightAtEngine() >= 0) {
-      reported.put(request.out, outcome.inFlightAtEngine());
+      reportedInFlight.put(request.engine, outcome.inFlightAtEngine());
     }
-    request.out = null;
-    AttemptOutcome.AttemptResult ending = outcome.result();
-    request.mayHaveRun |= !ending.hasNeverRun();
-    if (request.profile.isOrdered()
-        && request.command.sequenceKey() != null
-        && (ending == AttemptOutcome.AttemptResult.TIMED_OUT
-            || ending == AttemptOutcome.AttemptResult.CONNECTION_LOST
-            || ending == AttemptOutcome.AttemptResult.CANCELLED)) {
-      rests.put(
-          request.command.sequenceKey(),
-          now.plus(told.rules().sequenceKeyRest()).plus(told.capabilities().clockTick()));
+    request.engine = null;
+    AttemptOutcome.AttemptResult result = outcome.result();
+    request.mayHaveRun |= !result.hasNeverRun();
+    if (request.requestClass.isOrdered()
+        && request.request.sequenceKey() != null
+        && (result == AttemptOutcome.AttemptResult.TIMED_OUT
+            || result == AttemptOutcome.AttemptResult.CONNECTION_LOST
+            || result == AttemptOutcome.AttemptResult.CANCELLED)) {
+      keyRestEnds.put(
+          request.request.sequenceKey(),
+          now.plus(deployment.rules().sequenceKeyRest())
+              .plus(deployment.capabilities().clockTick()));
     }
-    if (outcome.isLast() || ending == AttemptOutcome.AttemptResult.COMPLETED) {
+    if (outcome.isLast() || result == AttemptOutcome.AttemptResult.COMPLETED) {
       remove(request);
       return Placement.queue();
     }
-    boolean repeats =
-        request.profile.retrySafety() == Deployment.RetrySafety.IDEMPOTENT || !request.mayHaveRun;
-    if (!repeats
-        || request.sends >= told.capabilities().maxAttempts()
-        || told.rules().freeRetries() != null
-        || request.profile.isOrdered()) {
+    boolean mayRetry =
+        request.requestClass.retrySafety() == Deployment.RetrySafety.IDEMPOTENT
+            || !request.mayHaveRun;
+    if (!mayRetry
+        || request.attempts >= deployment.capabilities().maxAttempts()
+        || deployment.rules().freeRetries() != null
+        || request.requestClass.isOrdered()) {
       return giveUp(request);
     }
-    again.add(request);
+    placeAgain.add(request);
     return Placement.queue();
   }
 
   @Override
   public NextStep next(Timestamp now) {
-    OpenRequest request = again.poll();
+    OpenRequest request = placeAgain.poll();
     if (request != null) {
-      return NextStep.placeAgain(request.command);
+      return NextStep.placeAgain(request.request);
     }
     TimeSpan wait = null;
-    for (OpenRequest r : List.copyOf(resting)) {
-      Timestamp until = rests.get(r.command.sequenceKey());
-      if (!open.containsKey(r.command.id()) || until == null || !now.isBefore(until)) {
-        resting.remove(r);
-        if (open.containsKey(r.command.id())) {
-          return NextStep.placeAgain(r.command);
+    for (OpenRequest waiting : List.copyOf(waitingForRest)) {
+      Timestamp restEnd = keyRestEnds.get(waiting.request.sequenceKey());
+      if (!openRequests.containsKey(waiting.request.id())
+          || restEnd == null
+          || !now.isBefore(restEnd)) {
+        waitingForRest.remove(waiting);
+        if (openRequests.containsKey(waiting.request.id())) {
+          return NextStep.placeAgain(waiting.request);
         }
       } else {
-        wait = wait == null ? until.since(now) : wait.min(until.since(now));
+        wait = wait == null ? restEnd.since(now) : wait.min(restEnd.since(now));
       }
     }
-    // Held ones are looked at once each tick.
-    if (!held.isEmpty() && (looked == null || !now.isBefore(looked.plus(LOOK)))) {
-      looked = now;
-      again.addAll(held);
-      return NextStep.placeAgain(again.poll().command);
+    // Queued requests are placed again at a fixed interval.
+    if (!queued.isEmpty()
+        && (lastQueueCheck == null || !now.isBefore(lastQueueCheck.plus(QUEUE_CHECK_INTERVAL)))) {
+      lastQueueCheck = now;
+      placeAgain.addAll(queued);
+      return NextStep.placeAgain(placeAgain.poll().request);
     }
-    return NextStep.waitFor(held.isEmpty() ? wait : wait == null ? LOOK : wait.min(LOOK));
+    return NextStep.waitFor(
+        queued.isEmpty()
+            ? wait
+            : wait == null ? QUEUE_CHECK_INTERVAL : wait.min(QUEUE_CHECK_INTERVAL));
   }
 
   @Override
-  public void updateEndpoints(List<EndpointStatus> lines, boolean whole, Timestamp now) {
-    if (whole) {
-      up.clear();
+  public void updateEndpoints(List<EndpointStatus> list, boolean complete, Timestamp now) {
+    if (complete) {
+      upByEngine.clear();
     }
-    for (EndpointStatus line : lines) {
-      if (line.state() == EndpointStatus.EndpointState.UP) {
-        up.put(line.engine(), line);
+    for (EndpointStatus status : list) {
+      if (status.state() == EndpointStatus.EndpointState.UP) {
+        upByEngine.put(status.engine(), status);
       } else {
-        up.remove(line.engine());
+        upByEngine.remove(status.engine());
       }
     }
-    list = new ArrayList<>(up.values());
+    upEngines = new ArrayList<>(upByEngine.values());
   }
 
   @Override
-  public void updateProgress(RequestId command, int send, double share, Timestamp now) {
-    // None of them listens.
+  public void updateProgress(RequestId id, int attempt, double fraction, Timestamp now) {
+    // No baseline uses progress reports.
     return;
   }
 
   @Override
-  public void clientLeft(RequestId command, Timestamp now) {
-    OpenRequest request = open.get(command);
-    if (request != null && request.out == null) {
+  public void clientLeft(RequestId id, Timestamp now) {
+    OpenRequest request = openRequests.get(id);
+    if (request != null && request.engine == null) {
       remove(request);
     }
   }
--- a/src/main/java/cobaltseam/emulator/ClientTraffic.java
+++ b/src/main/java/cobaltseam/emulator/ClientTraffic.java
@@ -13,26 +13,28 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The clients of an emulated site: open arrivals with bursts, closed clients, retries, and what
- * each of them counts as completed in time, late, shed or failed.
+ * The clients of an emulated site: open arrivals with swing and bursts, closed clients, and
+ * retries. Counts each request as answered within its objective, late, shed, failed or unanswered.
  */
 final class ClientTraffic {
-  /** What a client wants, over all its retries. */
+  /** One request of a client, over all its retries. */
   private static final class ClientRequest {
     int requestClass;
     int tenant;
     long firstUs;
-    EngineLink.Order order;
+    EngineLink.RequestWork work;
     double estimateUs;
     String key;
     int retriesLeft;
-    boolean closed;
+    boolean isFromClosedClient;
   }
 
-  /** The least wait before a retry, before jitter. */
+  /** The minimum wait before a retry, before jitter. */
   private static final double MIN_RETRY_WAIT_S = 0.05;
 
+  /** The number of sequence keys that ordered requests use. */
   private static final int SEQUENCE_KEYS = 64;
+
   private final EmulatedSite site;
   private final Timeline time;
   private final List<EmulatedDispatcher> dispatchers;
@@ -40,23 +42,31 @@
   private final EventHash decisions;
   private final RandomGenerator arrivals;
   private final RandomGenerator works;
-  private final double[] classParts;
-  private final double[] tenantParts;
-  private final double[] dataParts;
 
-  /** How many times its usual load each tenant brings now. */
-  private final double[] tenantLoad;
+  /** Cumulative shares of the request classes in the traffic. */
+  private final double[] cumulativeClassShares;
+
+  /** The share of each tenant in the traffic. */
+  private final double[] tenantShares;
+
+  /** Cumulative weights of the data sets, by Zipf's law. */
+  private final double[] cumulativeDataSetWeights;
 
-  /** Sums of the dispatchers' parts of the traffic; null where all carry alike. */
-  private final double[] dispatcherParts;
+  /** The current load of each tenant as a multiple of its normal load. */
+  private final double[] tenantLoadFactor;
 
-  private long asked;
+  /** Cumulative shares of the dispatchers in the traffic; null if all shares are equal. */
+  private final double[] cumulativeDispatcherShares;
+
+  private long requestsSent;
   private boolean isOpen = true;
 
   /**
-   * @param dispatchers those that requests go to; may be filled later
-   * @param arrivals draws when requests come, and of which class and tenant
-   * @param works draws how much work they are
+   * Creates the clients; no request is issued before {@link #start}.
+   *
+   * @param dispatchers the dispatchers that requests go to; may be filled later
+   * @param arrivals the random source of arrival times, request classes, tenants and dispatchers
+   * @param works the random source of work, estimates, data sets and sequence keys
    */
   ClientTraffic(
       EmulatedSite site,
@@ -73,18 +83,18 @@
     this.decisions = decisions;
     this.arrivals = arrivals;
     this.works = works;
-    dispatcherParts = dispatcherParts(site);
-    classParts =
+    cumulativeDispatcherShares = cumulativeDispatcherShares(site);
+    cumulativeClassShares =
         cumulative(
             site.requestClasses().stream().mapToDouble(EmulatedSite.RequestClass::part).toArray());
-    tenantParts = site.tenants().stream().mapToDouble(EmulatedSite.Tenant::part).toArray();
-    tenantLoad = new double[Math.max(1, tenantParts.length)];
-    Arrays.fill(tenantLoad, 1);
-    double[] sets = new double[Math.max(0, site.load().dataSets())];
-    for (int i = 0; i < sets.length; i++) {
-      sets[i] = 1 / Math.pow(i + 1, site.load().skew());
+    tenantShares = site.tenants().stream().mapToDouble(EmulatedSite.Tenant::part).toArray();
+    tenantLoadFactor = new double[Math.max(1, tenantShares.length)];
+    Arrays.fill(tenantLoadFactor, 1);
+    double[] dataSetWeights = new double[Math.max(0, site.load().dataSets())];
+    for (int i = 0; i < dataSetWeights.length; i++) {
+      dataSetWeights[i] = 1 / Math.pow(i + 1, site.load().skew());
     }
-    dataParts = cumulative(sets);
+    cumulativeDataSetWeights = cumulative(dataSetWeights);
   }
 
   /** Schedules the first request of open arrivals and of each closed client. */
@@ -99,59 +109,62 @@
     }
   }
 
-  /** No request comes from now on; those that are open go on. */
+  /** Issues no new requests; open requests continue, with their retries. */
   void stop() {
     isOpen = false;
   }
 
-  /** Whether the site has a tenant of this number. */
+  /** Whether the site has a tenant with this index. */
   boolean hasTenant(int tenant) {
-    return tenant < tenantParts.length;
+    return tenant < tenantShares.length;
   }
 
-  /** Has a tenant bring so many times its usual load from now on. */
+  /** Sets the load of a tenant to a multiple of its normal load. */
   void setTenantLoad(int tenant, double factor) {
-    tenantLoad[tenant] = factor;
+    tenantLoadFactor[tenant] = factor;
   }
 
-  private static double[] dispatcherParts(EmulatedSite world) {
-    Double skew = world.load().dispatcherSkew();
+  private static double[] cumulativeDispatcherShares(EmulatedSite site) {
+    Double skew = site.load().dispatcherSkew();
     if (skew == null || skew == 0) {
       return null;
     }
-    double[] parts = new double[world.dispatchers()];
-    for (int i = 0; i < parts.length; i++) {
-      parts[i] = 1 / Math.pow(i + 1, skew);
+    double[] shares = new double[site.dispatchers()];
+    for (int i = 0; i < shares.length; i++) {
+      shares[i] = 1 / Math.pow(i + 1, skew);
     }
-    return cumulative(parts);
+    return cumulative(shares);
   }
 
-  /** The part of all traffic that a dispatcher gets. */
-  double partOf(int dispatcher) {
-    if (dispatcherParts == null) {
+  /** The share of all traffic that a dispatcher receives, from 0 to 1. */
+  double shareOf(int dispatcher) {
+    if (cumulativeDispatcherShares == null) {
       return 1.0 / site.dispatchers();
     }
-    double before = dispatcher == 0 ? 0 : dispatcherParts[dispatcher - 1];
-    return (dispatcherParts[dispatcher] - before) / dispatcherParts[dispatcherParts.length - 1];
+    double before = dispatcher == 0 ? 0 : cumulativeDispatcherShares[dispatcher - 1];
+    return (cumulativeDispatcherShares[dispatcher] - before)
+        / cumulativeDispatcherShares[cumulativeDispatcherShares.length - 1];
   }
 
-  private static double[] cumulative(double[] parts) {
-    double[] sums = parts.clone();
+  private static double[] cumulative(double[] values) {
+    double[] sums = values.clone();
     Arrays.parallelPrefix(sums, Double::sum);
     return sums;
   }
 
-  private double rate() {
+  /** The current rate of open arrivals per second: swing, bursts and tenant loads included. */
+  private double arrivalRate() {
     EmulatedSite.Load load = site.load();
     double seconds = (time.nowUs() - Timeline.START_US) / 1e6;
     double swing =
         load.swingS() > 0 ? 1 + load.swing() * Math.sin(2 * Math.PI * seconds / load.swingS()) : 1;
-    boolean burst = load.burstEveryS() > 0 && seconds % load.burstEveryS() < load.burstS();
-    double flood = 1;
-    for (int i = 0; i < tenantParts.length; i++) {
-      flood += tenantParts[i] * (tenantLoad[i] - 1) / Arrays.stream(tenantParts).sum();
+    boolean inBurst = load.burstEveryS() > 0 && seconds % load.burstEveryS() < load.burstS();
+    double tenantFactor = 1;
+    for (int i = 0; i < tenantShares.length; i++) {
+      tenantFactor +=
+          tenantShares[i] * (tenantLoadFactor[i] - 1) / Arrays.stream(tenantShares).sum();
     }
-    return load.perSecond() * swing * (burst ? load.burstTimes() : 1) * flood;
+    return load.perSecond() * swing * (inBurst ? load.burstTimes() : 1) * tenantFactor;
   }
 
   private void nextArrival() {
@@ -159,109 +172,121 @@
       return;
     }
     issueRequest(false);
-    double gap = -Math.log(1 - arrivals.nextDouble()) / rate();
-    time.at(time.nowUs() + Math.max(0, Math.round(gap * 1e6)), this::nextArrival);
+    double gapS = -Math.log(1 - arrivals.nextDouble()) / arrivalRate();
+    time.at(time.nowUs() + Math.max(0, Math.round(gapS * 1e6)), this::nextArrival);
   }
 
-  private static int draw(double[] sums, double unit) {
+  /**
+   * Selects an index with a probability in proportion to its weight.
+   *
+   * @param sums the cumulative weights
+   * @param unit a random number from 0 to 1
+   */
+  private static int sample(double[] sums, double unit) {
     int found = Arrays.binarySearch(sums, unit * sums[sums.length - 1]);
     return Math.min(sums.length - 1, found >= 0 ? found + 1 : -found - 1);
   }
 
-  private int drawTenant() {
-    if (tenantParts.length == 0) {
+  private int sampleTenant() {
+    if (tenantShares.length == 0) {
       return -1;
     }
-    double[] parts = tenantParts.clone();
-    for (int i = 0; i < parts.length; i++) {
-      parts[i] *= tenantLoad[i];
+    double[] weights = tenantShares.clone();
+    for (int i = 0; i < weights.length; i++) {
+      weights[i] *= tenantLoadFactor[i];
     }
-    return draw(cumulative(parts), arrivals.nextDouble());
+    return sample(cumulative(weights), arrivals.nextDouble());
   }
 
-  private double workUs(EmulatedSite.RequestClass requestClass) {
-    double mean = requestClass.workMs() * 1000;
+  /** Samples the work of a request: constant, exponential or log-normal by its variation. */
+  private double sampleWorkUs(EmulatedSite.RequestClass requestClass) {
+    double meanUs = requestClass.workMs() * 1000;
     if (requestClass.cv() == 0) {
-      return mean;
+      return meanUs;
     }
     if (requestClass.cv() == 1) {
-      return -Math.log(1 - works.nextDouble()) * mean;
+      return -Math.log(1 - works.nextDouble()) * meanUs;
     }
-    double variance = Math.log(1 + requestClass.cv() * requestClass.cv());
-    return mean * Math.exp(works.nextGaussian() * Math.sqrt(variance) - variance / 2);
+    double logVariance = Math.log(1 + requestClass.cv() * requestClass.cv());
+    return meanUs * Math.exp(works.nextGaussian() * Math.sqrt(logVariance) - logVariance / 2);
   }
 
-  private void issueRequest(boolean closed) {
+  private void issueRequest(boolean isFromClosedClient) {
     if (!isOpen) {
       return;
     }
     ClientRequest request = new ClientRequest();
-    request.requestClass = draw(classParts, arrivals.nextDouble());
-    request.tenant = drawTenant();
+    request.requestClass = sample(cumulativeClassShares, arrivals.nextDouble());
+    request.tenant = sampleTenant();
     request.firstUs = time.nowUs();
-    request.closed = closed;
+    request.isFromClosedClient = isFromClosedClient;
     request.retriesLeft = site.load().retries();
     EmulatedSite.RequestClass requestClass = site.requestClasses().get(request.requestClass);
     DataSetId data =
-        dataParts.length == 0 ? null : new DataSetId(draw(dataParts, works.nextDouble()));
-    request.order =
-        new EngineLink.Order(requestClass, workUs(requestClass), requestClass.memoryMb(), data);
+        cumulativeDataSetWeights.length == 0
+            ? null
+            : new DataSetId(sample(cumulativeDataSetWeights, works.nextDouble()));
+    request.work =
+        new EngineLink.RequestWork(
+            requestClass, sampleWorkUs(requestClass), requestClass.memoryMb(), data);
     request.estimateUs =
-        request.order.workUs() * Math.exp(site.load().estimateError() * works.nextGaussian());
-    request.key = requestClass.inOrder() ? "k" + works.nextInt(SEQUENCE_KEYS) : null;
+        request.work.workUs() * Math.exp(site.load().estimateError() * works.nextGaussian());
+    request.key = requestClass.isOrdered() ? "k" + works.nextInt(SEQUENCE_KEYS) : null;
     counts.offered(
         request.requestClass, requestClass.priorityWeight(), request.firstUs - Timeline.START_US);
-    attempt(request);
+    sendToDispatcher(request);
   }
 
-  private void attempt(ClientRequest request) {
-    EmulatedSite.RequestClass requestClass = request.order.profile();
+  /** Sends a request to a dispatcher, and gives up at its deadline. */
+  private void sendToDispatcher(ClientRequest request) {
+    EmulatedSite.RequestClass requestClass = request.work.requestClass();
     EmulatedDispatcher dispatcher =
         dispatchers.get(
-            dispatcherParts == null
+            cumulativeDispatcherShares == null
                 ? arrivals.nextInt(dispatchers.size())
-                : draw(dispatcherParts, arrivals.nextDouble()));
-    long there = time.nowUs() + Math.round(site.network().clientMs() * 1000);
-    long until = time.nowUs() + requestClass.deadline().us();
-    RequestId id = new RequestId("c" + asked++);
-    Request sent = toRequest(id, request, until);
-    boolean[] answered = {false};
+                : sample(cumulativeDispatcherShares, arrivals.nextDouble()));
+    long arrivesUs = time.nowUs() + Math.round(site.network().clientMs() * 1000);
+    long deadlineUs = time.nowUs() + requestClass.deadline().us();
+    RequestId id = new RequestId("c" + requestsSent++);
+    Request sent = toRequest(id, request, deadlineUs);
+    boolean[] isOver = {false};
     time.at(
-        there,
+        arrivesUs,
         () -> {
           if (!dispatcher.isUp()) {
-            answered[0] = true;
+            isOver[0] = true;
             retryLater(request, TimeSpan.ZERO, () -> counts.row(request.requestClass).failed++);
             return;
           }
           dispatcher.admit(
               sent,
-              request.order,
+              request.work,
               request.key,
               new EmulatedDispatcher.ResponseListener() {
                 @Override
-                public void onFinalAnswer(InvariantChecker.FinalAnswer what, TimeSpan retryAfter) {
+                public void onFinalAnswer(
+                    InvariantChecker.FinalAnswer answer, TimeSpan retryAfter) {
                   time.after(
                       EmulatedSite.ms(site.network().clientMs()),
                       () -> {
-                        if (!answered[0]) {
-                          answered[0] = true;
-                          ClientTraffic.this.onFinalAnswer(request, what, retryAfter);
+                        if (!isOver[0]) {
+                          isOver[0] = true;
+                          ClientTraffic.this.onFinalAnswer(request, answer, retryAfter);
                         }
                       });
                 }
 
                 @Override
                 public boolean hasClientLeft() {
-                  return answered[0];
+                  return isOver[0];
                 }
               });
         });
     time.at(
-        until,
+        deadlineUs,
         () -> {
-          if (!answered[0]) {
-            answered[0] = true;
+          if (!isOver[0]) {
+            isOver[0] = true;
             dispatcher.clientLeft(id);
             counts.row(request.requestClass).unanswered++;
             finish(request);
@@ -272,31 +297,32 @@
   private Request toRequest(RequestId id, ClientRequest request, long deadlineUs) {
     return new Request(
         id,
-        new RequestClassId(request.order.profile().name()),
+        new RequestClassId(request.work.requestClass().name()),
         request.tenant < 0 ? null : new TenantId(site.tenants().get(request.tenant).name()),
         request.key == null ? null : new SequenceKey(request.key),
         new Timestamp(deadlineUs),
         new TimeSpan(Math.round(request.estimateUs)),
-        request.order.data(),
-        request.order.memoryMb());
+        request.work.data(),
+        request.work.memoryMb());
   }
 
   private void onFinalAnswer(
-      ClientRequest request, InvariantChecker.FinalAnswer what, TimeSpan retryAfter) {
-    EmulatedSite.RequestClass requestClass = request.order.profile();
-    decisions.add(what.ordinal() + 31L * time.nowUs());
-    switch (what) {
+      ClientRequest request, InvariantChecker.FinalAnswer answer, TimeSpan retryAfter) {
+    EmulatedSite.RequestClass requestClass = request.work.requestClass();
+    decisions.add(answer.ordinal() + 31L * time.nowUs());
+    switch (answer) {
       case ANSWERED -> {
-        long latency = time.nowUs() - request.firstUs;
-        double target =
+        long latencyUs = time.nowUs() - request.firstUs;
+        double objectiveUs =
             requestClass.objective().us()
-                + requestClass.objectivePerWork() * request.order.workUs() / requestClass.threads();
-        boolean in = latency <= Math.min(target, requestClass.deadline().us());
+                + requestClass.objectivePerWork() * request.work.workUs() / requestClass.threads();
+        boolean withinObjective = latencyUs <= Math.min(objectiveUs, requestClass.deadline().us());
         counts.answered(
             request.requestClass,
-            requestClass.priorityWeight() * (in ? 1 : requestClass.latePriorityWeight()),
-            in,
-            latency,
+            requestClass.priorityWeight()
+                * (withinObjective ? 1 : requestClass.latePriorityWeight()),
+            withinObjective,
+            latencyUs,
             request.firstUs - Timeline.START_US);
         finish(request);
       }
@@ -308,22 +334,23 @@
     }
   }
 
-  private void retryLater(ClientRequest request, TimeSpan retryAfter, Runnable otherwise) {
+  /** Retries a request if it may and its deadline allows; otherwise counts it and ends it. */
+  private void retryLater(ClientRequest request, TimeSpan retryAfter, Runnable countOutcome) {
     TimeSpan wait =
         retryAfter.max(EmulatedSite.ms(MIN_RETRY_WAIT_S * 1000)).times(0.5 + arrivals.nextDouble());
-    boolean inTime =
-        time.nowUs() + wait.us() < request.firstUs + request.order.profile().deadline().us();
-    if (request.retriesLeft > 0 && inTime) {
+    boolean beforeDeadline =
+        time.nowUs() + wait.us() < request.firstUs + request.work.requestClass().deadline().us();
+    if (request.retriesLeft > 0 && beforeDeadline) {
       request.retriesLeft--;
-      time.after(wait, () -> attempt(request));
+      time.after(wait, () -> sendToDispatcher(request));
     } else {
-      otherwise.run();
+      countOutcome.run();
       finish(request);
     }
   }
 
   private void finish(ClientRequest request) {
-    if (request.closed) {
+    if (request.isFromClosedClient) {
       time.after(EmulatedSite.ms(site.load().thinkMs()), () -> issueRequest(true));
     }
   }
--- a/src/main/java/cobaltseam/emulator/EmulateHuntCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulateHuntCommand.java
@@ -45,7 +45,7 @@
           new Simulation(
                   world,
                   PolicyCatalog.named(policy),
-                  common.drawn(world, seed),
+                  common.faultsFor(world, seed),
                   common.seconds,
                   seed)
               .run());
--- a/src/main/java/cobaltseam/emulator/EmulateOptions.java
+++ b/src/main/java/cobaltseam/emulator/EmulateOptions.java
@@ -134,7 +134,9 @@
       description = "faults from a file, in place of drawn ones")
   Path script;
 
-  List<Fault> drawn(EmulatedSite site, long of) {
-    return script != null ? FaultScript.read(script, site) : Fault.drawn(site, seconds, faults, of);
+  List<Fault> faultsFor(EmulatedSite site, long faultSeed) {
+    return script != null
+        ? FaultScript.read(script, site)
+        : Fault.random(site, seconds, faults, faultSeed);
   }
 }
--- a/src/main/java/cobaltseam/emulator/EmulatePoliciesCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulatePoliciesCommand.java
@@ -51,7 +51,7 @@
                       new Simulation(
                               world,
                               PolicyCatalog.named(name),
-                              common.drawn(world, common.seed + i),
+                              common.faultsFor(world, common.seed + i),
                               common.seconds,
                               common.seed + i)
                           .run())
@@ -65,7 +65,7 @@
           results.stream().mapToLong(Simulation.Result::violationCount).sum(),
           results.stream().mapToDouble(r -> r.counts().busiest()).average().orElse(0),
           results.stream().mapToDouble(r -> r.counts().idlest()).average().orElse(0),
-          results.stream().mapToDouble(Simulation.Result::pace).average().orElse(0));
+          results.stream().mapToDouble(Simulation.Result::admittedPerSecond).average().orElse(0));
       out.flush();
     }
     return 0;
--- a/src/main/java/cobaltseam/emulator/EmulateRunCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulateRunCommand.java
@@ -37,7 +37,7 @@
   public Integer call() throws IOException {
     PrintWriter out = spec.commandLine().getOut();
     EmulatedSite world = common.world();
-    List<Fault> faults = common.drawn(world, common.seed);
+    List<Fault> faults = common.faultsFor(world, common.seed);
     faults.forEach(
         f ->
             out.printf(
@@ -81,7 +81,7 @@
         result.violationCount(),
         result.virtualS(),
         result.realS(),
-        result.pace(),
+        result.admittedPerSecond(),
         result.hash());
     result.violations().forEach(out::println);
     out.flush();
--- a/src/main/java/cobaltseam/emulator/EmulateShrinkCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulateShrinkCommand.java
@@ -32,7 +32,7 @@
   @Override
   public Integer call() {
     EmulatedSite world = common.world();
-    List<Fault> faults = common.drawn(world, common.seed);
+    List<Fault> faults = common.faultsFor(world, common.seed);
     Shrink<Fault> shrink =
         new Shrink<>(
             f -> {
--- a/src/main/java/cobaltseam/emulator/EmulatedDispatcher.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedDispatcher.java
@@ -15,32 +15,35 @@
 import java.util.Map;
 
 /**
- * One dispatcher around a policy: carries out what it says, as the service does on sockets, and
- * decides nothing.
+ * An emulated dispatcher process: carries out the decisions of a {@link Policy}, as the service
+ * does on sockets, and makes none of its own.
  */
 final class EmulatedDispatcher {
-  /** Who waits for the final answer. */
+  /** The client's side of a request, which receives its final answer. */
   interface ResponseListener {
-    void onFinalAnswer(InvariantChecker.FinalAnswer what, TimeSpan comeBack);
+    void onFinalAnswer(InvariantChecker.FinalAnswer answer, TimeSpan retryAfter);
 
-    /** Whether its client has left before it was taken. */
+    /** Whether the client disconnected before the request was admitted. */
     boolean hasClientLeft();
   }
 
-  /** A command in hand. */
+  /** An admitted request that is not over. */
   private static final class InFlightRequest {
     Request request;
     ResponseListener listener;
-    EngineLink.Order order;
+    EngineLink.RequestWork work;
     int attempts;
     Attempt current;
   }
 
-  /** One send without outcome. */
+  /** An attempt of a request at an engine. */
   static final class Attempt {
     InFlightRequest request;
     int number;
-    int seen;
+
+    /** The index under which the invariant checker recorded the attempt; -1 if it did not. */
+    int observedIndex;
+
     EngineModel engine;
     EngineModel.Job job;
     long sentUs;
@@ -48,8 +51,10 @@
     boolean isOver;
   }
 
-  private static final TimeSpan NOT_TOLD = new TimeSpan(-1);
-  private static final int MOST_ASKED = 1_000_000;
+  private static final TimeSpan NOT_REPORTED = new TimeSpan(-1);
+
+  /** More steps at one moment than any correct policy returns. */
+  private static final int MAX_STEPS_PER_CALL = 1_000_000;
 
   final int number;
   private final Timeline time;
@@ -58,287 +63,312 @@
   private final OutcomeCounts counts;
   private final Map<RequestId, InFlightRequest> inFlight = new HashMap<>();
   private Policy policy;
-  private Timeline.Entry wake;
-  private Timeline.Entry soon;
-  private boolean standsStill;
+  private Timeline.Entry wakeTimer;
+  private Timeline.Entry pendingStep;
+  private boolean isSuspended;
 
-  /** What came while it stood still. */
-  private final Deque<Runnable> waiting = new ArrayDeque<>();
+  /** Events that arrived while the process was suspended. */
+  private final Deque<Runnable> deferredEvents = new ArrayDeque<>();
 
-  /** Counts its lives; what belongs to an earlier one is passed over. */
+  /** Incremented at each start and kill; events of an earlier incarnation are ignored. */
   private int incarnation;
 
   EmulatedDispatcher(
-      int number, Timeline time, EngineLink link, InvariantChecker referee, OutcomeCounts tally) {
+      int number,
+      Timeline time,
+      EngineLink link,
+      InvariantChecker invariants,
+      OutcomeCounts counts) {
     this.number = number;
     this.time = time;
     this.link = link;
-    this.invariants = referee;
-    this.counts = tally;
+    this.invariants = invariants;
+    this.counts = counts;
   }
 
-  /** Starts, or starts anew with nothing. */
-  void start(Policy with) {
+  /** Starts a new incarnation, without state of an earlier one. */
+  void start(Policy newPolicy) {
     incarnation++;
-    policy = with;
+    policy = newPolicy;
   }
 
   boolean isUp() {
     return policy != null;
   }
 
-  boolean standsStill() {
-    return standsStill;
+  boolean isSuspended() {
+    return isSuspended;
   }
 
+  /** Kills the process: all its requests and deferred events are dropped. */
   void kill() {
     policy = null;
     incarnation++;
-    Timeline.cancel(wake);
-    Timeline.cancel(soon);
-    wake = null;
-    soon = null;
-    waiting.clear();
-    standsStill = false;
+    Timeline.cancel(wakeTimer);
+    Timeline.cancel(pendingStep);
+    wakeTimer = null;
+    pendingStep = null;
+    deferredEvents.clear();
+    isSuspended = false;
     for (InFlightRequest inFlightRequest : inFlight.values()) {
       if (inFlightRequest.current != null) {
         inFlightRequest.current.isOver = true;
         Timeline.cancel(inFlightRequest.current.timeout);
-        // Its connections are reset: engines give up what is open on them.
-        link.giveUp(this, inFlightRequest.current);
+        // The connections are reset, so engines cancel the attempts that are open on them.
+        link.abandon(this, inFlightRequest.current);
       }
     }
     inFlight.clear();
-    invariants.killed(number);
+    invariants.dispatcherKilled(number);
   }
 
-  void standStill(boolean now) {
-    standsStill = now;
-    if (!now) {
-      while (!standsStill && !waiting.isEmpty()) {
-        waiting.poll().run();
+  /** Suspends the process, or resumes it and handles the events that arrived meanwhile. */
+  void setSuspended(boolean suspended) {
+    isSuspended = suspended;
+    if (!suspended) {
+      while (!isSuspended && !deferredEvents.isEmpty()) {
+        deferredEvents.poll().run();
       }
     }
   }
 
-  /** Something comes to it, now or when it goes on. */
-  private void receive(Runnable what) {
+  /** Handles an event now, or on resumption if suspended; drops it if the process is not up. */
+  private void receive(Runnable event) {
     if (policy == null) {
       return;
     }
-    int mine = incarnation;
-    if (standsStill) {
-      waiting.add(
+    int current = incarnation;
+    if (isSuspended) {
+      deferredEvents.add(
           () -> {
-            if (mine == incarnation) {
-              what.run();
+            if (current == incarnation) {
+              event.run();
             }
           });
     } else {
-      what.run();
+      event.run();
     }
   }
 
-  void updateEndpoints(List<EndpointStatus> list, boolean whole) {
+  void updateEndpoints(List<EndpointStatus> list, boolean complete) {
     receive(
         () -> {
-          list.forEach(l -> invariants.listed(number, l.engine(), l.state()));
-          policy.updateEndpoints(list, whole, time.now());
-          follow();
+          list.forEach(
+              status -> invariants.endpointNotified(number, status.engine(), status.state()));
+          policy.updateEndpoints(list, complete, time.now());
+          scheduleNextSteps();
         });
   }
 
-  /** Takes a command in. */
-  void admit(Request command, EngineLink.Order order, String key, ResponseListener asker) {
+  /**
+   * Admits a request, unless its client has disconnected.
+   *
+   * @param work the true work, which is passed on to engines and never to the policy
+   * @param key the sequence key, or null
+   */
+  void admit(Request request, EngineLink.RequestWork work, String key, ResponseListener listener) {
     receive(
         () -> {
-          if (asker.hasClientLeft()) {
+          if (listener.hasClientLeft()) {
             return;
           }
           InFlightRequest inFlightRequest = new InFlightRequest();
-          inFlightRequest.request = command;
-          inFlightRequest.listener = asker;
-          inFlightRequest.order = order;
-          inFlight.put(command.id(), inFlightRequest);
+          inFlightRequest.request = request;
+          inFlightRequest.listener = listener;
+          inFlightRequest.work = work;
+          inFlight.put(request.id(), inFlightRequest);
           counts.admitted++;
-          invariants.taken(number, command.id(), order.profile(), key, command.deadline().us());
-          carryOut(inFlightRequest, policy.place(command, time.now()));
-          follow();
+          invariants.requestAdmitted(
+              number, request.id(), work.requestClass(), key, request.deadline().us());
+          applyPlacement(inFlightRequest, policy.place(request, time.now()));
+          scheduleNextSteps();
         });
   }
 
-  /** Its client waits no longer. */
+  /** The client of a request has disconnected. */
   void clientLeft(RequestId id) {
     InFlightRequest inFlightRequest = inFlight.get(id);
     if (inFlightRequest == null || inFlightRequest.listener == null) {
       return;
     }
-    invariants.departed(number, id, standsStill || policy == null);
+    invariants.clientLeft(number, id, isSuspended || policy == null);
     inFlightRequest.listener = null;
     receive(
         () -> {
           policy.clientLeft(id, time.now());
           if (inFlightRequest.current != null) {
-            giveUp(inFlightRequest.current, AttemptResult.CANCELLED);
+            abandon(inFlightRequest.current, AttemptResult.CANCELLED);
           } else {
             inFlight.remove(id);
           }
-          follow();
+          scheduleNextSteps();
         });
   }
 
-  private void carryOut(InFlightRequest inFlightRequest, Placement placement) {
+  private void applyPlacement(InFlightRequest inFlightRequest, Placement placement) {
     if (inFlightRequest.listener == null) {
       return;
     }
     switch (placement.decision()) {
       case SEND -> send(inFlightRequest, placement);
-      case SHED -> end(inFlightRequest, InvariantChecker.FinalAnswer.SHED, placement.retryAfter());
-      case FAIL -> end(inFlightRequest, InvariantChecker.FinalAnswer.FAILED, TimeSpan.ZERO);
+      case SHED ->
+          sendFinalAnswer(
+              inFlightRequest, InvariantChecker.FinalAnswer.SHED, placement.retryAfter());
+      case FAIL ->
+          sendFinalAnswer(inFlightRequest, InvariantChecker.FinalAnswer.FAILED, TimeSpan.ZERO);
       default -> {}
     }
   }
 
-  private void end(
-      InFlightRequest inFlightRequest, InvariantChecker.FinalAnswer what, TimeSpan comeBack) {
-    ResponseListener asker = inFlightRequest.listener;
+  private void sendFinalAnswer(
+      InFlightRequest inFlightRequest, InvariantChecker.FinalAnswer answer, TimeSpan retryAfter) {
+    ResponseListener listener = inFlightRequest.listener;
     inFlightRequest.listener = null;
-    invariants.answered(number, inFlightRequest.request.id(), what);
+    invariants.finalAnswerSent(number, inFlightRequest.request.id(), answer);
     if (inFlightRequest.current == null) {
       inFlight.remove(inFlightRequest.request.id());
     }
-    asker.onFinalAnswer(what, comeBack);
+    listener.onFinalAnswer(answer, retryAfter);
   }
 
   private void send(InFlightRequest inFlightRequest, Placement placement) {
-    Attempt out = new Attempt();
-    out.request = inFlightRequest;
-    out.number = inFlightRequest.attempts++;
-    out.engine = link.engine(placement.engine());
-    out.sentUs = time.nowUs();
-    out.seen = invariants.sent(number, inFlightRequest.request.id(), out.engine);
+    Attempt attempt = new Attempt();
+    attempt.request = inFlightRequest;
+    attempt.number = inFlightRequest.attempts++;
+    attempt.engine = link.engine(placement.engine());
+    attempt.sentUs = time.nowUs();
+    attempt.observedIndex =
+        invariants.attemptSent(number, inFlightRequest.request.id(), attempt.engine);
     counts.attempts++;
-    counts.retries += out.number > 0 ? 1 : 0;
-    inFlightRequest.current = out;
-    out.timeout =
+    counts.retries += attempt.number > 0 ? 1 : 0;
+    inFlightRequest.current = attempt;
+    attempt.timeout =
         time.at(
-            out.sentUs + Math.max(1, placement.attemptTimeout().us()),
-            () -> receive(() -> giveUp(out, AttemptResult.TIMED_OUT)));
-    link.send(this, out, inFlightRequest.order);
+            attempt.sentUs + Math.max(1, placement.attemptTimeout().us()),
+            () -> receive(() -> abandon(attempt, AttemptResult.TIMED_OUT)));
+    link.send(this, attempt, inFlightRequest.work);
   }
 
-  RequestId command(Attempt out) {
-    return out.request.request.id();
+  RequestId requestId(Attempt attempt) {
+    return attempt.request.request.id();
   }
 
-  /** What an engine, or the network, says of a send. */
-  void completeAttempt(Attempt out, AttemptResult ending, double reportedInHand) {
-    receive(() -> outcome(out, ending, reportedInHand));
+  /**
+   * Receives the outcome of an attempt from an engine or the network.
+   *
+   * @param reportedInFlight what the engine reports in flight; negative if it reports nothing
+   */
+  void completeAttempt(Attempt attempt, AttemptResult result, double reportedInFlight) {
+    receive(() -> applyOutcome(attempt, result, reportedInFlight));
   }
 
-  void updateProgress(Attempt out, double share) {
+  void updateProgress(Attempt attempt, double fraction) {
     receive(
         () -> {
-          if (!out.isOver) {
-            policy.updateProgress(out.request.request.id(), out.number, share, time.now());
-            follow();
+          if (!attempt.isOver) {
+            policy.updateProgress(
+                attempt.request.request.id(), attempt.number, fraction, time.now());
+            scheduleNextSteps();
           }
         });
   }
 
-  private void giveUp(Attempt out, AttemptResult ending) {
-    if (!out.isOver) {
-      link.giveUp(this, out);
-      outcome(out, ending, -1);
+  private void abandon(Attempt attempt, AttemptResult result) {
+    if (!attempt.isOver) {
+      link.abandon(this, attempt);
+      applyOutcome(attempt, result, -1);
     }
   }
 
-  private void outcome(Attempt out, AttemptResult ending, double reportedInHand) {
-    if (out.isOver) {
+  private void applyOutcome(Attempt attempt, AttemptResult result, double reportedInFlight) {
+    if (attempt.isOver) {
       return;
     }
-    out.isOver = true;
-    Timeline.cancel(out.timeout);
-    InFlightRequest inFlightRequest = out.request;
+    attempt.isOver = true;
+    Timeline.cancel(attempt.timeout);
+    InFlightRequest inFlightRequest = attempt.request;
     inFlightRequest.current = null;
-    invariants.outcome(number, inFlightRequest.request.id(), out.seen, ending);
-    ResponseListener answered = ending == AttemptResult.COMPLETED ? inFlightRequest.listener : null;
-    boolean over = ending == AttemptResult.COMPLETED || inFlightRequest.listener == null;
+    invariants.attemptEnded(number, inFlightRequest.request.id(), attempt.observedIndex, result);
+    ResponseListener completedListener =
+        result == AttemptResult.COMPLETED ? inFlightRequest.listener : null;
+    boolean isLast = result == AttemptResult.COMPLETED || inFlightRequest.listener == null;
     AttemptOutcome outcome =
         new AttemptOutcome(
             inFlightRequest.request.id(),
-            out.number,
-            out.engine.id,
-            ending,
-            new TimeSpan(time.nowUs() - out.sentUs),
-            over,
-            NOT_TOLD,
+            attempt.number,
+            attempt.engine.id,
+            result,
+            new TimeSpan(time.nowUs() - attempt.sentUs),
+            isLast,
+            NOT_REPORTED,
             -1,
-            reportedInHand < 0 ? -1 : 0,
-            reportedInHand);
-    if (answered != null) {
-      end(inFlightRequest, InvariantChecker.FinalAnswer.ANSWERED, TimeSpan.ZERO);
+            reportedInFlight < 0 ? -1 : 0,
+            reportedInFlight);
+    if (completedListener != null) {
+      sendFinalAnswer(inFlightRequest, InvariantChecker.FinalAnswer.ANSWERED, TimeSpan.ZERO);
     }
-    carryOut(inFlightRequest, policy.completeAttempt(outcome, time.now()));
+    applyPlacement(inFlightRequest, policy.completeAttempt(outcome, time.now()));
     if (inFlightRequest.listener == null) {
       inFlight.remove(inFlightRequest.request.id());
     }
-    follow();
+    scheduleNextSteps();
   }
 
-  /** Follows the policy once all that comes at this moment is heard. */
-  private void follow() {
-    if (soon == null) {
-      int mine = incarnation;
-      soon =
+  /** Schedules the policy's next steps after all other events of this moment. */
+  private void scheduleNextSteps() {
+    if (pendingStep == null) {
+      int current = incarnation;
+      pendingStep =
           time.at(
               time.nowUs(),
               () -> {
-                soon = null;
-                if (mine == incarnation) {
-                  followed();
+                pendingStep = null;
+                if (current == incarnation) {
+                  runNextSteps();
                 }
               });
     }
   }
 
-  private void followed() {
-    if (standsStill) {
-      waiting.add(this::followed);
+  /** Carries out steps of the policy until it returns a time to wait. */
+  private void runNextSteps() {
+    if (isSuspended) {
+      deferredEvents.add(this::runNextSteps);
       return;
     }
-    Timeline.cancel(wake);
-    wake = null;
-    for (int asked = 0; asked < MOST_ASKED; asked++) {
-      NextStep pause = policy.next(time.now());
-      if (pause.delay() == null) {
+    Timeline.cancel(wakeTimer);
+    wakeTimer = null;
+    for (int steps = 0; steps < MAX_STEPS_PER_CALL; steps++) {
+      NextStep step = policy.next(time.now());
+      if (step.delay() == null) {
         return;
       }
-      if (pause.delay().isPositive()) {
-        int mine = incarnation;
-        wake =
+      if (step.delay().isPositive()) {
+        int current = incarnation;
+        wakeTimer =
             time.after(
-                pause.delay(),
+                step.delay(),
                 () -> {
-                  if (mine == incarnation) {
-                    followed();
+                  if (current == incarnation) {
+                    runNextSteps();
                   }
                 });
         return;
       }
       InFlightRequest inFlightRequest =
-          pause.request() == null ? null : inFlight.get(pause.request().id());
-      if (pause.request() != null && inFlightRequest == null) {
-        policy.clientLeft(pause.request().id(), time.now());
-      } else if (pause.cancelAttempt() >= 0) {
+          step.request() == null ? null : inFlight.get(step.request().id());
+      if (step.request() != null && inFlightRequest == null) {
+        policy.clientLeft(step.request().id(), time.now());
+      } else if (step.cancelAttempt() >= 0) {
         if (inFlightRequest.current != null
-            && inFlightRequest.current.number == pause.cancelAttempt()) {
-          giveUp(inFlightRequest.current, AttemptResult.CANCELLED);
+            && inFlightRequest.current.number == step.cancelAttempt()) {
+          abandon(inFlightRequest.current, AttemptResult.CANCELLED);
         }
       } else if (inFlightRequest != null) {
-        carryOut(inFlightRequest, policy.place(pause.request(), time.now()));
+        applyPlacement(inFlightRequest, policy.place(step.request(), time.now()));
       }
     }
-    throw new IllegalStateException("the policy names the same thing without end");
+    throw new IllegalStateException(
+        "the policy returned " + MAX_STEPS_PER_CALL + " steps without a time to wait");
   }
 }
--- a/src/main/java/cobaltseam/emulator/EmulatedSite.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedSite.java
@@ -65,9 +65,9 @@
       @JsonProperty("scope") DeduplicationScope deduplicationScope,
       @JsonProperty("rememberedMs") double deduplicationWindowMs,
       @JsonProperty("memoryMb") double memoryMb,
-      @JsonProperty("inOrder") boolean inOrder,
-      @JsonProperty("badPlans") double badPlans,
-      @JsonProperty("badTimes") double badTimes,
+      @JsonProperty("inOrder") boolean isOrdered,
+      @JsonProperty("badPlans") double badPlanShare,
+      @JsonProperty("badTimes") double badPlanFactor,
       @JsonProperty("locations") List<String> locations) {
     TimeSpan objective() {
       return ms(objectiveMs);
@@ -157,7 +157,7 @@
                         p.retrySafety(),
                         p.deduplicationScope(),
                         ms(p.deduplicationWindowMs()),
-                        p.inOrder(),
+                        p.isOrdered(),
                         p.locations() == null
                             ? null
                             : p.locations().stream()
@@ -194,7 +194,8 @@
   double capacity() {
     double mean =
         requestClasses.stream()
-                .mapToDouble(p -> p.part() * p.workMs() * (1 + p.badPlans() * (p.badTimes() - 1)))
+                .mapToDouble(
+                    p -> p.part() * p.workMs() * (1 + p.badPlanShare() * (p.badPlanFactor() - 1)))
                 .sum()
             / requestClasses.stream().mapToDouble(RequestClass::part).sum();
     return engines.count() * engines.cores() * 1000 / mean;
--- a/src/main/java/cobaltseam/emulator/EmulatedSites.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedSites.java
@@ -96,7 +96,7 @@
       bound(wrong, p.name() + ".cv", p.cv(), 0, 10);
       bound(wrong, p.name() + ".targetMs", p.objectiveMs(), 1, 1e7);
       bound(wrong, p.name() + ".timeoutMs", p.deadlineMs(), p.objectiveMs(), 1e7);
-      bound(wrong, p.name() + ".badPlans", p.badPlans(), 0, 1);
+      bound(wrong, p.name() + ".badPlans", p.badPlanShare(), 0, 1);
     }
     bound(wrong, "load.perSecond", world.load().perSecond(), 0, 1e7);
     bound(wrong, "load.swing", world.load().swing(), 0, 0.99);
--- a/src/main/java/cobaltseam/emulator/EngineLink.java
+++ b/src/main/java/cobaltseam/emulator/EngineLink.java
@@ -3,16 +3,22 @@
 import cobaltseam.dispatch.DataSetId;
 import cobaltseam.dispatch.EngineId;
 
-/** The way between dispatchers and engines. */
+/** The network between dispatchers and engines. */
 interface EngineLink {
-  /** What an engine is asked to do for a command: the true work, which no dispatcher knows. */
-  record Order(EmulatedSite.RequestClass profile, double workUs, double memoryMb, DataSetId data) {}
+  /**
+   * The work of a request at an engine. Dispatchers do not know it; they see the client's estimate.
+   *
+   * @param data the data set that the request reads, or null
+   */
+  record RequestWork(
+      EmulatedSite.RequestClass requestClass, double workUs, double memoryMb, DataSetId data) {}
 
+  /** The engine of an id. */
   EngineModel engine(EngineId id);
 
-  /** A send leaves; what comes of it is told to its dispatcher. */
-  void send(EmulatedDispatcher from, EmulatedDispatcher.Attempt out, Order order);
+  /** Sends an attempt to its engine; its dispatcher later receives the outcome and progress. */
+  void send(EmulatedDispatcher from, EmulatedDispatcher.Attempt attempt, RequestWork work);
 
-  /** A dispatcher waits for a send no longer, and tells its engine. */
-  void giveUp(EmulatedDispatcher from, EmulatedDispatcher.Attempt out);
+  /** Cancels an attempt at its engine, if the site's dispatchers can cancel. */
+  void abandon(EmulatedDispatcher from, EmulatedDispatcher.Attempt attempt);
 }
--- a/src/main/java/cobaltseam/emulator/EngineModel.java
+++ b/src/main/java/cobaltseam/emulator/EngineModel.java
@@ -11,39 +11,49 @@
 import java.util.PriorityQueue;
 
 /**
- * One engine: runs at once all that it is sent, up to a number of sessions, and shares its cores
- * among the threads of all. The work that all do together is that of one core a thread up to the
- * number of cores, stays there up to the knee, and falls beyond. Every thread is served alike, so
- * one figure, the work done so far for each thread, tells when each job ends: a job ends when that
- * figure has grown by its work for each of its threads.
+ * A model of one engine under processor sharing. An engine runs all its jobs concurrently, up to a
+ * number of sessions, and shares its cores among their threads. The total rate of work grows with
+ * the number of threads up to the number of cores, is constant up to the knee, and falls beyond it.
+ *
+ * <p>Every thread is served at the same rate. A single counter, the work done so far per thread,
+ * therefore determines all completion times: a job ends when the counter has grown by the job's
+ * work per thread.
  */
 final class EngineModel {
-  private static final double LEAST_WORK = 0.3;
-  private static final long WARM_STEP_US = 250_000;
+  /** The rate of work never falls below this fraction of the rate at the knee. */
+  private static final double MIN_RATE_FRACTION = 0.3;
 
-  /** One send as the engine has it. */
+  /** The longest time between two computations of the completion time during slow start. */
+  private static final long SLOW_START_STEP_US = 250_000;
+
+  /** One attempt as the engine runs it. Jobs are ordered by their completion. */
   static final class Job implements Comparable<Job> {
     final int threads;
     final double workUs;
     final double memoryMb;
 
-    /** The work for each thread at which it ends; told when it begins. */
+    /** The value of {@link #workPerThread} at which the job ends; set at its start. */
     private double endsAt;
 
-    private double beganAt;
+    private double startedAt;
     private long number;
-    private boolean over;
-    private final Runnable done;
+    private boolean isOver;
+    private final Runnable onCompleted;
 
-    /** Told where its engine dies under it. */
-    final Runnable cut;
+    /** Run if the engine's process dies, but not if it vanishes. */
+    final Runnable onConnectionLost;
 
-    Job(int threads, double workUs, double memoryMb, Runnable done, Runnable cut) {
+    Job(
+        int threads,
+        double workUs,
+        double memoryMb,
+        Runnable onCompleted,
+        Runnable onConnectionLost) {
       this.threads = threads;
       this.workUs = workUs;
       this.memoryMb = memoryMb;
-      this.done = done;
-      this.cut = cut;
+      this.onCompleted = onCompleted;
+      this.onConnectionLost = onConnectionLost;
     }
 
     @Override
@@ -54,9 +64,9 @@
     }
   }
 
-  /** Whether it is there, and how. */
+  /** The state of an engine's process. A vanished one ended without closing its connections. */
   enum ProcessState {
-    RUNS,
+    RUNNING,
     DIED,
     VANISHED
   }
@@ -65,27 +75,32 @@
   final LocationId location;
   final GroupId group;
   private final Timeline time;
-  private final EmulatedSite.Engines terms;
+  private final EmulatedSite.Engines settings;
   private final PriorityQueue<Job> jobs = new PriorityQueue<>();
   private final Map<DataSetId, Boolean> warm;
   private final double speed;
-  ProcessState life = ProcessState.RUNS;
+  ProcessState state = ProcessState.RUNNING;
+
+  /** The factor that faults apply to the speed; 0 while the engine hangs. */
+  double speedFactor = 1;
 
-  /** The factor of faults on its speed; zero while it hangs. */
-  double slowed = 1;
+  /** The share of attempts that fail at once because of a fault. */
+  double errorRate;
 
-  /** Shares of answers that are errors at once, lost, or spoilt, by faults. */
-  double failing;
+  /** The share of answers that are lost because of a fault. */
+  double answerLossRate;
 
-  double losing;
   long startedUs;
-  private double served;
-  private long lastUs;
+
+  /** The counter of work done so far per thread; see the class comment. */
+  private double workPerThread;
+
+  private long advancedToUs;
   private int threads;
   private int running;
-  private double memoryUsed;
-  private long numbers;
-  private Timeline.Entry next;
+  private double memoryUsedMb;
+  private long jobsStarted;
+  private Timeline.Entry nextCompletion;
   private double workDone;
 
   EngineModel(
@@ -93,15 +108,15 @@
       LocationId location,
       GroupId group,
       double speed,
-      EmulatedSite.Engines terms,
+      EmulatedSite.Engines settings,
       Timeline time) {
     this.id = id;
     this.location = location;
     this.group = group;
     this.speed = speed;
-    this.terms = terms;
+    this.settings = settings;
     this.time = time;
-    lastUs = time.nowUs();
+    advancedToUs = time.nowUs();
     startedUs = Long.MIN_VALUE / 2;
     warm =
         new LinkedHashMap<>(16, 0.75f, true) {
@@ -109,7 +124,7 @@
 
           @Override
           protected boolean removeEldestEntry(Map.Entry<DataSetId, Boolean> eldest) {
-            return size() > terms.warmSets();
+            return size() > settings.warmSets();
           }
         };
   }
@@ -127,132 +142,152 @@
     return workDone;
   }
 
-  /** The part of its work that it can do, from its start on. */
-  double warmth() {
-    double since = (time.nowUs() - startedUs) / (terms.slowStartS() * 1e6);
-    return since >= 1 || terms.slowStartS() <= 0
+  /** The fraction of its speed that the engine has reached in slow start; 1 afterwards. */
+  double slowStartFactor() {
+    double elapsed = (time.nowUs() - startedUs) / (settings.slowStartS() * 1e6);
+    return elapsed >= 1 || settings.slowStartS() <= 0
         ? 1
-        : terms.slowStartFraction() + (1 - terms.slowStartFraction()) * Math.max(0, since);
+        : settings.slowStartFraction() + (1 - settings.slowStartFraction()) * Math.max(0, elapsed);
   }
 
-  /** Work a microsecond that all its threads do together. */
-  private double capacity() {
-    double threadsAfter = threads;
-    double cores = terms.cores();
-    double beyond = Math.max(0, threadsAfter / cores - terms.knee());
-    return Math.min(threadsAfter, cores)
-        * Math.max(LEAST_WORK, 1 - terms.fall() * beyond)
+  /** The work that all threads together do in a microsecond. */
+  private double totalRate() {
+    double threadCount = threads;
+    double cores = settings.cores();
+    double beyond = Math.max(0, threadCount / cores - settings.knee());
+    return Math.min(threadCount, cores)
+        * Math.max(MIN_RATE_FRACTION, 1 - settings.fall() * beyond)
         * speed
-        * slowed
-        * warmth();
+        * speedFactor
+        * slowStartFactor();
   }
 
-  /** How long a thread's microsecond of work takes for one command more, as it is now. */
-  double pace(int more) {
-    double threadsAfter = threads + more;
+  /**
+   * The time in microseconds that a microsecond of one thread's work would take with additional
+   * threads, at the current load; infinite if the engine does no work.
+   */
+  double timePerThreadWork(int additionalThreads) {
+    double threadsAfter = threads + additionalThreads;
     double work =
-        Math.min(threadsAfter, terms.cores())
+        Math.min(threadsAfter, settings.cores())
             * Math.max(
-                LEAST_WORK,
-                1 - terms.fall() * Math.max(0, threadsAfter / terms.cores() - terms.knee()));
-    double all = work * speed * slowed * warmth();
-    return life != ProcessState.RUNS || all <= 0 ? Double.POSITIVE_INFINITY : threadsAfter / all;
+                MIN_RATE_FRACTION,
+                1
+                    - settings.fall()
+                        * Math.max(0, threadsAfter / settings.cores() - settings.knee()));
+    double rate = work * speed * speedFactor * slowStartFactor();
+    return state != ProcessState.RUNNING || rate <= 0
+        ? Double.POSITIVE_INFINITY
+        : threadsAfter / rate;
   }
 
-  /** Takes a job in; false where it has no session left. */
-  boolean begin(Job job, DataSetId data) {
-    if (running >= terms.sessions()) {
+  /**
+   * Starts a job, unless all sessions are in use. The job's work falls if its data set is warm, and
+   * grows if the engine has less memory left than the job needs.
+   *
+   * @param data the data set that the job reads, or null
+   * @return whether the job was started
+   */
+  boolean tryStart(Job job, DataSetId data) {
+    if (running >= settings.sessions()) {
       return false;
     }
     advance();
     double work = job.workUs;
     if (data != null && warm.put(data, true) != null) {
-      work *= 1 - terms.warmGain();
+      work *= 1 - settings.warmGain();
     }
-    double free = terms.memoryMb() > 0 ? Math.max(0, terms.memoryMb() - memoryUsed) : job.memoryMb;
-    if (job.memoryMb > free) {
-      work *= 1 + terms.spill() * (job.memoryMb - free) / job.memoryMb;
+    double freeMb =
+        settings.memoryMb() > 0 ? Math.max(0, settings.memoryMb() - memoryUsedMb) : job.memoryMb;
+    if (job.memoryMb > freeMb) {
+      work *= 1 + settings.spill() * (job.memoryMb - freeMb) / job.memoryMb;
     }
-    memoryUsed += job.memoryMb;
+    memoryUsedMb += job.memoryMb;
     running++;
     threads += job.threads;
-    job.number = numbers++;
-    job.beganAt = served;
-    job.endsAt = served + work / job.threads;
+    job.number = jobsStarted++;
+    job.startedAt = workPerThread;
+    job.endsAt = workPerThread + work / job.threads;
     jobs.add(job);
-    plan();
+    scheduleNextCompletion();
     return true;
   }
 
-  /** The share of a job's work that is done. */
+  /** The fraction of a job's work that is done, from 0 to 1. */
   double progress(Job job) {
     advance();
-    return Math.min(1, (served - job.beganAt) / (job.endsAt - job.beganAt));
+    return Math.min(1, (workPerThread - job.startedAt) / (job.endsAt - job.startedAt));
   }
 
-  /** Ends a job without an answer. */
+  /** Ends a job without an answer; does nothing if it is over. */
   void cancel(Job job) {
-    if (!job.over) {
+    if (!job.isOver) {
       advance();
       jobs.remove(job);
       end(job);
-      plan();
+      scheduleNextCompletion();
     }
   }
 
   private void end(Job job) {
-    job.over = true;
+    job.isOver = true;
     running--;
     threads -= job.threads;
-    memoryUsed -= job.memoryMb;
+    memoryUsedMb -= job.memoryMb;
   }
 
-  /** Ends all jobs without an answer, as a process that dies does. */
-  List<Job> drop() {
+  /** Ends all jobs without an answer, as at the end of a process, and returns them. */
+  List<Job> dropAll() {
     advance();
     List<Job> dropped = new ArrayList<>(jobs);
     jobs.clear();
     dropped.forEach(this::end);
     warm.clear();
-    plan();
+    scheduleNextCompletion();
     return dropped;
   }
 
-  /** What changes its pace is about to change, or has changed: call it before and after. */
+  /**
+   * Accounts for the work done up to now. Has to be called before and after each change of what the
+   * rate of work depends on.
+   */
   void advance() {
     long now = time.nowUs();
-    if (threads > 0 && now > lastUs && life == ProcessState.RUNS) {
-      double all = capacity() * (now - lastUs);
-      served += all / threads;
-      workDone += all;
+    if (threads > 0 && now > advancedToUs && state == ProcessState.RUNNING) {
+      double done = totalRate() * (now - advancedToUs);
+      workPerThread += done / threads;
+      workDone += done;
     }
-    lastUs = now;
+    advancedToUs = now;
   }
 
-  void plan() {
-    Timeline.cancel(next);
-    next = null;
-    double rate = threads > 0 && life == ProcessState.RUNS ? capacity() / threads : 0;
+  /** Schedules the completion of the job that ends next; cancels an earlier schedule. */
+  void scheduleNextCompletion() {
+    Timeline.cancel(nextCompletion);
+    nextCompletion = null;
+    double rate = threads > 0 && state == ProcessState.RUNNING ? totalRate() / threads : 0;
     if (rate > 0) {
-      long in = (long) Math.ceil(Math.max(0, jobs.peek().endsAt - served) / rate);
-      // While it warms up its pace changes: it is looked at again soon.
-      long at = time.nowUs() + (warmth() < 1 ? Math.min(in, WARM_STEP_US) : in);
-      next = time.at(at, this::finish);
+      long remainingUs = (long) Math.ceil(Math.max(0, jobs.peek().endsAt - workPerThread) / rate);
+      // The rate changes during slow start, so the completion time is computed again soon.
+      long at =
+          time.nowUs()
+              + (slowStartFactor() < 1 ? Math.min(remainingUs, SLOW_START_STEP_US) : remainingUs);
+      nextCompletion = time.at(at, this::finish);
     }
   }
 
   private void finish() {
-    next = null;
+    nextCompletion = null;
     advance();
-    List<Job> done = new ArrayList<>(1);
-    // A rounded microsecond may be missing.
-    double slack = threads > 0 ? capacity() / threads : 0;
-    while (!jobs.isEmpty() && jobs.peek().endsAt <= served + slack) {
+    List<Job> completed = new ArrayList<>(1);
+    // Times are rounded to microseconds, so up to one microsecond of work may be missing.
+    double roundingSlack = threads > 0 ? totalRate() / threads : 0;
+    while (!jobs.isEmpty() && jobs.peek().endsAt <= workPerThread + roundingSlack) {
       Job job = jobs.poll();
       end(job);
-      done.add(job);
+      completed.add(job);
     }
-    plan();
-    done.forEach(j -> j.done.run());
+    scheduleNextCompletion();
+    completed.forEach(job -> job.onCompleted.run());
   }
 }
--- a/src/main/java/cobaltseam/emulator/Experiment.java
+++ b/src/main/java/cobaltseam/emulator/Experiment.java
@@ -212,7 +212,7 @@
         new Simulation(
                 world,
                 PolicyCatalog.named(run.policy),
-                of.drawn(world, run.seed),
+                of.faultsFor(world, run.seed),
                 run.plan.seconds(),
                 run.seed)
             .run();
--- a/src/main/java/cobaltseam/emulator/Fault.java
+++ b/src/main/java/cobaltseam/emulator/Fault.java
@@ -77,7 +77,7 @@
    * Faults by chance, overlapping, some on whole locations at once; the same ones from the same
    * seed.
    */
-  public static List<Fault> drawn(EmulatedSite world, double seconds, int number, long seed) {
+  public static List<Fault> random(EmulatedSite world, double seconds, int number, long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     List<Fault> faults = new ArrayList<>();
     for (int i = 0; i < number; i++) {
--- a/src/main/java/cobaltseam/emulator/InvariantChecker.java
+++ b/src/main/java/cobaltseam/emulator/InvariantChecker.java
@@ -15,26 +15,39 @@
 import java.util.Map;
 
 /**
- * Watches every run for broken rules, by what was taken, sent, run and answered, and asks no
- * policy. Slow and plain: it keeps what each rule needs and looks it through. A dispatcher that
- * stands still or was killed is not held to answer.
+ * Checks the invariants of a run. The checker is independent of policies: it observes which
+ * requests were admitted, sent, run and answered, keeps what each rule needs and favours simple
+ * code over speed. A suspended or killed dispatcher does not have to answer its requests.
  */
 final class InvariantChecker {
-  /** The seven rules. */
+  /** The rules that are checked. */
   enum Rule {
+    /** Every admitted request gets exactly one final answer, in time. */
     LOST,
+    /** No request runs more often than its retry safety allows, or is sent while at an engine. */
     TWICE,
+    /** No attempt goes to an engine that is not up, after a grace period. */
     DRAIN,
+    /** No engine in slow start receives more work than it can do. */
     COLD,
+    /** Requests of one sequence key are sent one after the other, and not while the key rests. */
     ORDER,
+    /** Attempts go only to the locations of the request class. */
     PLACEMENT,
+    /** Retries stay within the retry budget. */
     BUDGET
   }
 
-  /** One broken rule: when, by which dispatcher, on which command, and what was seen. */
+  /**
+   * A violation of a rule. The component names are part of the printed form.
+   *
+   * @param dispatcher the number of the dispatcher; -1 if the violation belongs to none
+   * @param command the id of the request; empty if the violation belongs to none
+   * @param what a description
+   */
   record Violation(Rule rule, double atS, int dispatcher, String command, String what) {}
 
-  /** How a command can end for its client. */
+  /** The final answer that a client receives. */
   enum FinalAnswer {
     ANSWERED,
     SHED,
@@ -42,339 +55,389 @@
   }
 
   private static final class ObservedRequest {
-    EmulatedSite.RequestClass profile;
+    EmulatedSite.RequestClass requestClass;
     String key;
-    long takenUs;
-    long timeoutUs;
-    FinalAnswer told;
-    boolean gone;
-    int out;
-    final List<ObservedAttempt> sends = new ArrayList<>();
+    long admittedUs;
+    long deadlineUs;
+    FinalAnswer answer;
+    boolean hasClientLeft;
+    int openAttempts;
+    final List<ObservedAttempt> attempts = new ArrayList<>();
   }
 
   private static final class ObservedAttempt {
     EngineModel engine;
-    long atUs;
+    long sentUs;
+
+    /** When an engine completed the attempt; -1 if none did. */
     long ranUs = -1;
-    AttemptResult ending;
+
+    /** The outcome as the dispatcher saw it, or null. */
+    AttemptResult result;
+
     long endedUs;
   }
 
-  private record NotifiedState(EndpointState standing, long atUs) {}
+  private record NotifiedState(EndpointState state, long atUs) {}
 
+  /** How many violations are recorded; all are counted. */
   private static final int MAX_RECORDED = 100;
-  private static final long SLACK_US = 50_000;
+
+  /** How late after the deadline a final answer may be. */
+  private static final long DEADLINE_SLACK_US = 50_000;
 
   private final EmulatedSite site;
   private final Timeline time;
-  private final List<Map<RequestId, ObservedRequest>> seen = new ArrayList<>();
-  private final List<Map<EngineId, NotifiedState>> told = new ArrayList<>();
-  private final List<Deque<Long>> taken = new ArrayList<>();
-  private final List<Deque<Long>> further = new ArrayList<>();
 
-  /** By dispatcher and key: commands not over, in the order taken; and until when the key rests. */
-  private final List<Map<String, Deque<RequestId>>> lines = new ArrayList<>();
+  // By dispatcher.
+  private final List<Map<RequestId, ObservedRequest>> observedRequests = new ArrayList<>();
+  private final List<Map<EngineId, NotifiedState>> notifiedStates = new ArrayList<>();
+  private final List<Deque<Long>> admissions = new ArrayList<>();
+  private final List<Deque<Long>> retries = new ArrayList<>();
+
+  /** By dispatcher and sequence key: requests that are not over, in the order of admission. */
+  private final List<Map<String, Deque<RequestId>>> queuesByKey = new ArrayList<>();
+
+  /** By dispatcher and sequence key: when the rest of the key ends. */
+  private final List<Map<String, Long>> keyRestEnds = new ArrayList<>();
+
+  /** The time and the work of recent attempts at each engine in slow start. */
+  private final Map<EngineId, Deque<double[]>> slowStartWork = new HashMap<>();
 
-  private final List<Map<String, Long>> rests = new ArrayList<>();
-  private final Map<EngineId, Deque<double[]>> cold = new HashMap<>();
   private final List<Violation> violations = new ArrayList<>();
   private final Map<Rule, Long> counts = new EnumMap<>(Rule.class);
 
-  InvariantChecker(EmulatedSite world, Timeline time) {
-    this.site = world;
+  InvariantChecker(EmulatedSite site, Timeline time) {
+    this.site = site;
     this.time = time;
-    for (int i = 0; i < world.dispatchers(); i++) {
-      seen.add(new HashMap<>());
-      told.add(new HashMap<>());
-      taken.add(new ArrayDeque<>());
-      further.add(new ArrayDeque<>());
-      lines.add(new HashMap<>());
-      rests.add(new HashMap<>());
+    for (int i = 0; i < site.dispatchers(); i++) {
+      observedRequests.add(new HashMap<>());
+      notifiedStates.add(new HashMap<>());
+      admissions.add(new ArrayDeque<>());
+      retries.add(new ArrayDeque<>());
+      queuesByKey.add(new HashMap<>());
+      keyRestEnds.add(new HashMap<>());
     }
   }
 
-  private void violations(Rule rule, int dispatcher, RequestId command, String what) {
+  private void report(Rule rule, int dispatcher, RequestId id, String description) {
     counts.merge(rule, 1L, Long::sum);
     if (violations.size() < MAX_RECORDED) {
       violations.add(
           new Violation(
-              rule, time.nowUs() / 1e6, dispatcher, command == null ? "" : command.value(), what));
+              rule, time.nowUs() / 1e6, dispatcher, id == null ? "" : id.value(), description));
     }
   }
 
+  /** The first violations. */
   List<Violation> violations() {
     return violations;
   }
 
+  /** The number of all violations of a rule. */
   long count(Rule rule) {
     return counts.getOrDefault(rule, 0L);
   }
 
-  long all() {
+  /** The number of all violations. */
+  long violationCount() {
     return counts.values().stream().mapToLong(Long::longValue).sum();
   }
 
-  void listed(int dispatcher, EngineId engine, EndpointState standing) {
-    NotifiedState before = told.get(dispatcher).get(engine);
-    // A drain counts from when it was first told, however often it is told again.
+  /** A dispatcher was notified of the state of an endpoint. */
+  void endpointNotified(int dispatcher, EngineId engine, EndpointState state) {
+    NotifiedState before = notifiedStates.get(dispatcher).get(engine);
+    // The grace period starts with the first notification that the engine is not up.
     if (before == null
-        || before.standing != standing
-            && (before.standing == EndpointState.UP || standing == EndpointState.UP)) {
-      told.get(dispatcher).put(engine, new NotifiedState(standing, time.nowUs()));
+        || before.state != state
+            && (before.state == EndpointState.UP || state == EndpointState.UP)) {
+      notifiedStates.get(dispatcher).put(engine, new NotifiedState(state, time.nowUs()));
     }
   }
 
-  void taken(
-      int dispatcher, RequestId id, EmulatedSite.RequestClass profile, String key, long timeoutUs) {
+  /** A dispatcher admitted a request; its sequence key may be null. */
+  void requestAdmitted(
+      int dispatcher,
+      RequestId id,
+      EmulatedSite.RequestClass requestClass,
+      String key,
+      long deadlineUs) {
     ObservedRequest observed = new ObservedRequest();
-    observed.profile = profile;
+    observed.requestClass = requestClass;
     observed.key = key;
-    observed.takenUs = time.nowUs();
-    observed.timeoutUs = timeoutUs;
-    seen.get(dispatcher).put(id, observed);
-    taken.get(dispatcher).addLast(observed.takenUs);
-    if (profile.inOrder() && key != null) {
-      lines.get(dispatcher).computeIfAbsent(key, k -> new ArrayDeque<>()).addLast(id);
+    observed.admittedUs = time.nowUs();
+    observed.deadlineUs = deadlineUs;
+    observedRequests.get(dispatcher).put(id, observed);
+    admissions.get(dispatcher).addLast(observed.admittedUs);
+    if (requestClass.isOrdered() && key != null) {
+      queuesByKey.get(dispatcher).computeIfAbsent(key, k -> new ArrayDeque<>()).addLast(id);
     }
   }
 
-  /** A send leaves; the number under which its outcome is told, or -1. */
-  int sent(int dispatcher, RequestId id, EngineModel engine) {
+  /**
+   * A dispatcher sent an attempt.
+   *
+   * @return the index under which its outcome has to be reported; -1 if the request is not known
+   */
+  int attemptSent(int dispatcher, RequestId id, EngineModel engine) {
     long now = time.nowUs();
-    ObservedRequest observed = seen.get(dispatcher).get(id);
+    ObservedRequest observed = observedRequests.get(dispatcher).get(id);
     if (observed == null) {
-      violations(Rule.LOST, dispatcher, id, "a send for a command that is over or was never taken");
+      report(
+          Rule.LOST, dispatcher, id, "an attempt for a request that is over or was never admitted");
       return -1;
     }
-    if (observed.told != null) {
-      violations(Rule.LOST, dispatcher, id, "a send after its final answer " + observed.told);
+    if (observed.answer != null) {
+      report(Rule.LOST, dispatcher, id, "an attempt after the final answer " + observed.answer);
     }
-    if (observed.out > 0) {
-      violations(Rule.TWICE, dispatcher, id, "a send while another is out");
+    if (observed.openAttempts > 0) {
+      report(Rule.TWICE, dispatcher, id, "an attempt while another is open");
     }
-    NotifiedState standing = told.get(dispatcher).get(engine.id);
-    if (standing == null) {
-      violations(Rule.DRAIN, dispatcher, id, "a send to an engine that was never listed");
-    } else if (standing.standing != EndpointState.UP
-        && now - standing.atUs > EmulatedSite.ms(site.limits().drainGraceMs()).us()) {
-      violations(
+    NotifiedState notified = notifiedStates.get(dispatcher).get(engine.id);
+    if (notified == null) {
+      report(Rule.DRAIN, dispatcher, id, "an attempt at an engine that was never listed");
+    } else if (notified.state != EndpointState.UP
+        && now - notified.atUs > EmulatedSite.ms(site.limits().drainGraceMs()).us()) {
+      report(
           Rule.DRAIN,
           dispatcher,
           id,
-          "a send "
-              + (now - standing.atUs) / 1000
-              + " ms after its engine was told "
-              + standing.standing);
+          "an attempt "
+              + (now - notified.atUs) / 1000
+              + " ms after the dispatcher was notified that the engine is "
+              + notified.state);
     }
-    if (observed.profile.locations() != null
-        && !observed.profile.locations().contains(engine.location.value())) {
-      violations(Rule.PLACEMENT, dispatcher, id, "a send to " + engine.location.value());
+    if (observed.requestClass.locations() != null
+        && !observed.requestClass.locations().contains(engine.location.value())) {
+      report(Rule.PLACEMENT, dispatcher, id, "an attempt in location " + engine.location.value());
     }
-    if (!observed.sends.isEmpty()) {
-      repeated(dispatcher, id, observed, engine, now);
+    if (!observed.attempts.isEmpty()) {
+      checkRetry(dispatcher, id, observed, engine, now);
     }
-    if (observed.profile.inOrder() && observed.key != null) {
-      ordered(dispatcher, id, observed, now);
+    if (observed.requestClass.isOrdered() && observed.key != null) {
+      checkOrder(dispatcher, id, observed, now);
     }
-    ObservedAttempt sent = new ObservedAttempt();
-    sent.engine = engine;
-    sent.atUs = now;
-    observed.sends.add(sent);
-    observed.out++;
-    return observed.sends.size() - 1;
+    ObservedAttempt attempt = new ObservedAttempt();
+    attempt.engine = engine;
+    attempt.sentUs = now;
+    observed.attempts.add(attempt);
+    observed.openAttempts++;
+    return observed.attempts.size() - 1;
   }
 
-  private void repeated(
+  private void checkRetry(
       int dispatcher, RequestId id, ObservedRequest observed, EngineModel engine, long now) {
     ObservedAttempt first =
-        observed.sends.stream()
-            .filter(x -> x.ending == null || !x.ending.hasNeverRun())
+        observed.attempts.stream()
+            .filter(attempt -> attempt.result == null || !attempt.result.hasNeverRun())
             .findFirst()
             .orElse(null);
-    if (first != null && observed.profile.retrySafety() == RetrySafety.NOT_IDEMPOTENT) {
-      violations(
-          Rule.TWICE, dispatcher, id, "another send of a non-replayable command that may have run");
-    } else if (first != null && observed.profile.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY) {
-      boolean same =
-          observed.profile.deduplicationScope() == DeduplicationScope.ALL
-              || observed.profile.deduplicationScope() == DeduplicationScope.GROUP
+    if (first != null && observed.requestClass.retrySafety() == RetrySafety.NOT_IDEMPOTENT) {
+      report(
+          Rule.TWICE,
+          dispatcher,
+          id,
+          "a retry of a request that is not idempotent and may have run");
+    } else if (first != null
+        && observed.requestClass.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY) {
+      boolean isDeduplicated =
+          observed.requestClass.deduplicationScope() == DeduplicationScope.ALL
+              || observed.requestClass.deduplicationScope() == DeduplicationScope.GROUP
                   && first.engine.group.equals(engine.group)
-              || observed.profile.deduplicationScope() == DeduplicationScope.LOCATION
+              || observed.requestClass.deduplicationScope() == DeduplicationScope.LOCATION
                   && first.engine.location.equals(engine.location);
-      if (!same
-          || now - first.atUs > EmulatedSite.ms(observed.profile.deduplicationWindowMs()).us()) {
-        violations(
-            Rule.TWICE,
-            dispatcher,
-            id,
-            "a uniqued command sent again outside what drops its repeats");
+      if (!isDeduplicated
+          || now - first.sentUs
+              > EmulatedSite.ms(observed.requestClass.deduplicationWindowMs()).us()) {
+        report(Rule.TWICE, dispatcher, id, "a retry outside the scope or window of deduplication");
       }
     }
     if (site.limits().freeRetries() != null) {
       long window = EmulatedSite.ms(site.limits().retryWindowMs()).us();
-      Deque<Long> sends = further.get(dispatcher);
-      Deque<Long> came = taken.get(dispatcher);
-      sends.addLast(now);
-      while (!sends.isEmpty() && sends.peekFirst() < now - window) {
-        sends.pollFirst();
+      Deque<Long> recentRetries = retries.get(dispatcher);
+      Deque<Long> recentAdmissions = admissions.get(dispatcher);
+      recentRetries.addLast(now);
+      while (!recentRetries.isEmpty() && recentRetries.peekFirst() < now - window) {
+        recentRetries.pollFirst();
       }
-      while (!came.isEmpty() && came.peekFirst() <= now - window) {
-        came.pollFirst();
+      while (!recentAdmissions.isEmpty() && recentAdmissions.peekFirst() <= now - window) {
+        recentAdmissions.pollFirst();
       }
-      double allowed = site.limits().freeRetries() + site.limits().retryRatio() * came.size();
-      if (sends.size() > allowed) {
-        violations(Rule.BUDGET, dispatcher, id, sends.size() + " further sends of " + allowed);
+      double allowed =
+          site.limits().freeRetries() + site.limits().retryRatio() * recentAdmissions.size();
+      if (recentRetries.size() > allowed) {
+        report(
+            Rule.BUDGET,
+            dispatcher,
+            id,
+            recentRetries.size() + " retries of " + allowed + " allowed");
       }
     }
   }
 
-  private void ordered(int dispatcher, RequestId id, ObservedRequest observed, long now) {
-    for (RequestId other : lines.get(dispatcher).getOrDefault(observed.key, new ArrayDeque<>())) {
+  private void checkOrder(int dispatcher, RequestId id, ObservedRequest observed, long now) {
+    for (RequestId other :
+        queuesByKey.get(dispatcher).getOrDefault(observed.key, new ArrayDeque<>())) {
       if (other.equals(id)) {
         break;
       }
-      violations(
+      report(
           Rule.ORDER,
           dispatcher,
           id,
-          "a send while an earlier one of its key, " + other.value() + ", is not over");
+          "an attempt while an earlier request of its key, " + other.value() + ", is not over");
       break;
     }
-    if (now < rests.get(dispatcher).getOrDefault(observed.key, 0L)) {
-      violations(Rule.ORDER, dispatcher, id, "a send while its key rests");
+    if (now < keyRestEnds.get(dispatcher).getOrDefault(observed.key, 0L)) {
+      report(Rule.ORDER, dispatcher, id, "an attempt while its key rests");
     }
   }
 
   /**
-   * An engine takes a send in: whether the work of the last window pushes it over, if it is cold.
-   * Each send weighs its profile's mean work, since no dispatcher could know more.
+   * An attempt arrived at an engine.
+   *
+   * @param workUs the mean work of the request class, since dispatchers do not know the true work
+   * @return whether the engine is in slow start and received more work in the last window than it
+   *     can do; false at any other time
    */
-  boolean pushesOver(EngineModel engine, double workUs) {
+  boolean overloadsColdEngine(EngineModel engine, double workUs) {
     long window = EmulatedSite.ms(site.limits().slowStartWindowMs()).us();
-    if (engine.warmth() >= 1 || window <= 0) {
-      cold.remove(engine.id);
+    if (engine.slowStartFactor() >= 1 || window <= 0) {
+      slowStartWork.remove(engine.id);
       return false;
     }
-    Deque<double[]> work = cold.computeIfAbsent(engine.id, e -> new ArrayDeque<>());
-    work.addLast(new double[] {time.nowUs(), workUs});
-    while (work.peekFirst()[0] < time.nowUs() - window) {
-      work.pollFirst();
+    Deque<double[]> recent = slowStartWork.computeIfAbsent(engine.id, e -> new ArrayDeque<>());
+    recent.addLast(new double[] {time.nowUs(), workUs});
+    while (recent.peekFirst()[0] < time.nowUs() - window) {
+      recent.pollFirst();
     }
-    double sum = work.stream().mapToDouble(w -> w[1]).sum();
-    double most =
-        site.limits().slowStartLimitFactor() * engine.warmth() * site.engines().cores() * window;
-    if (sum > most && work.size() > site.engines().cores()) {
-      violations(
+    double sumUs = recent.stream().mapToDouble(entry -> entry[1]).sum();
+    double limitUs =
+        site.limits().slowStartLimitFactor()
+            * engine.slowStartFactor()
+            * site.engines().cores()
+            * window;
+    if (sumUs > limitUs && recent.size() > site.engines().cores()) {
+      report(
           Rule.COLD,
           -1,
           null,
           "engine "
               + engine.id.value()
-              + " was sent "
-              + Math.round(sum / most * 100)
-              + "% of what it stands");
+              + " in slow start received "
+              + Math.round(sumUs / limitUs * 100)
+              + "% of its limit");
       return true;
     }
     return false;
   }
 
-  /** A send ran to its end. */
-  void ran(int dispatcher, RequestId id, int send) {
-    ObservedRequest observed = seen.get(dispatcher).get(id);
-    if (observed != null && send >= 0) {
-      observed.sends.get(send).ranUs = time.nowUs();
-      long runs = observed.sends.stream().filter(x -> x.ranUs >= 0).count();
-      if (runs > 1 && observed.profile.retrySafety() == RetrySafety.NOT_IDEMPOTENT) {
-        violations(Rule.TWICE, dispatcher, id, "it ran twice");
+  /** An engine completed an attempt. */
+  void attemptRan(int dispatcher, RequestId id, int index) {
+    ObservedRequest observed = observedRequests.get(dispatcher).get(id);
+    if (observed != null && index >= 0) {
+      observed.attempts.get(index).ranUs = time.nowUs();
+      long runs = observed.attempts.stream().filter(attempt -> attempt.ranUs >= 0).count();
+      if (runs > 1 && observed.requestClass.retrySafety() == RetrySafety.NOT_IDEMPOTENT) {
+        report(Rule.TWICE, dispatcher, id, "the request ran twice");
       }
     }
   }
 
-  void outcome(int dispatcher, RequestId id, int send, AttemptResult ending) {
-    ObservedRequest observed = seen.get(dispatcher).get(id);
-    if (observed == null || send < 0) {
+  /** A dispatcher saw the outcome of an attempt. */
+  void attemptEnded(int dispatcher, RequestId id, int index, AttemptResult result) {
+    ObservedRequest observed = observedRequests.get(dispatcher).get(id);
+    if (observed == null || index < 0) {
       return;
     }
-    ObservedAttempt sent = observed.sends.get(send);
-    sent.ending = ending;
-    sent.endedUs = time.nowUs();
-    observed.out--;
-    if (observed.profile.inOrder()
+    ObservedAttempt attempt = observed.attempts.get(index);
+    attempt.result = result;
+    attempt.endedUs = time.nowUs();
+    observed.openAttempts--;
+    if (observed.requestClass.isOrdered()
         && observed.key != null
-        && (ending == AttemptResult.TIMED_OUT
-            || ending == AttemptResult.CONNECTION_LOST
-            || ending == AttemptResult.CANCELLED)) {
-      rests
+        && (result == AttemptResult.TIMED_OUT
+            || result == AttemptResult.CONNECTION_LOST
+            || result == AttemptResult.CANCELLED)) {
+      keyRestEnds
           .get(dispatcher)
           .put(
               observed.key, time.nowUs() + EmulatedSite.ms(site.limits().sequenceKeyRestMs()).us());
     }
-    over(dispatcher, id, observed);
+    removeIfOver(dispatcher, id, observed);
   }
 
-  void answered(int dispatcher, RequestId id, FinalAnswer told) {
-    ObservedRequest observed = seen.get(dispatcher).get(id);
-    if (observed == null || observed.told != null) {
-      violations(Rule.LOST, dispatcher, id, "a second final answer, " + told);
+  /** A dispatcher sent the final answer of a request. */
+  void finalAnswerSent(int dispatcher, RequestId id, FinalAnswer answer) {
+    ObservedRequest observed = observedRequests.get(dispatcher).get(id);
+    if (observed == null || observed.answer != null) {
+      report(Rule.LOST, dispatcher, id, "a second final answer, " + answer);
       return;
     }
-    observed.told = told;
-    if (time.nowUs() > observed.timeoutUs + SLACK_US) {
-      violations(
+    observed.answer = answer;
+    if (time.nowUs() > observed.deadlineUs + DEADLINE_SLACK_US) {
+      report(
           Rule.LOST,
           dispatcher,
           id,
           "a final answer "
-              + (time.nowUs() - observed.timeoutUs) / 1000
-              + " ms after the client timeout");
+              + (time.nowUs() - observed.deadlineUs) / 1000
+              + " ms after the deadline");
     }
-    if (told == FinalAnswer.SHED
-        && observed.profile.retrySafety() != RetrySafety.IDEMPOTENT
-        && !(observed.profile.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY
-            && observed.profile.deduplicationScope() == DeduplicationScope.ALL)
-        && observed.sends.stream().anyMatch(x -> x.ending == null || !x.ending.hasNeverRun())) {
-      violations(Rule.TWICE, dispatcher, id, "shed though it may have run");
+    if (answer == FinalAnswer.SHED
+        && observed.requestClass.retrySafety() != RetrySafety.IDEMPOTENT
+        && !(observed.requestClass.retrySafety() == RetrySafety.IDEMPOTENT_WITH_KEY
+            && observed.requestClass.deduplicationScope() == DeduplicationScope.ALL)
+        && observed.attempts.stream()
+            .anyMatch(attempt -> attempt.result == null || !attempt.result.hasNeverRun())) {
+      report(Rule.TWICE, dispatcher, id, "shed although the request may have run");
     }
-    if (told == FinalAnswer.ANSWERED && observed.sends.stream().noneMatch(x -> x.ranUs >= 0)) {
-      violations(Rule.LOST, dispatcher, id, "answered though no engine ran it");
+    if (answer == FinalAnswer.ANSWERED
+        && observed.attempts.stream().noneMatch(attempt -> attempt.ranUs >= 0)) {
+      report(Rule.LOST, dispatcher, id, "answered although no engine completed the request");
     }
-    over(dispatcher, id, observed);
+    removeIfOver(dispatcher, id, observed);
   }
 
-  /** Its client has waited for its whole timeout. */
-  void departed(int dispatcher, RequestId id, boolean stoodStill) {
-    ObservedRequest observed = seen.get(dispatcher).get(id);
-    if (observed != null && observed.told == null) {
-      if (!stoodStill) {
-        violations(Rule.LOST, dispatcher, id, "no final answer within the client timeout");
+  /**
+   * The client of a request has waited until the deadline and left.
+   *
+   * @param wasSuspended whether the dispatcher was suspended or down, which excuses it
+   */
+  void clientLeft(int dispatcher, RequestId id, boolean wasSuspended) {
+    ObservedRequest observed = observedRequests.get(dispatcher).get(id);
+    if (observed != null && observed.answer == null) {
+      if (!wasSuspended) {
+        report(Rule.LOST, dispatcher, id, "no final answer by the deadline");
       }
-      observed.gone = true;
-      over(dispatcher, id, observed);
+      observed.hasClientLeft = true;
+      removeIfOver(dispatcher, id, observed);
     }
   }
 
-  private void over(int dispatcher, RequestId id, ObservedRequest observed) {
-    if ((observed.told != null || observed.gone) && observed.out == 0) {
-      seen.get(dispatcher).remove(id);
-      if (observed.profile.inOrder() && observed.key != null) {
-        Deque<RequestId> line = lines.get(dispatcher).get(observed.key);
-        if (line != null) {
-          line.remove(id);
-          if (line.isEmpty()) {
-            lines.get(dispatcher).remove(observed.key);
+  /** Forgets a request that has its final answer, or no client, and no open attempt. */
+  private void removeIfOver(int dispatcher, RequestId id, ObservedRequest observed) {
+    if ((observed.answer != null || observed.hasClientLeft) && observed.openAttempts == 0) {
+      observedRequests.get(dispatcher).remove(id);
+      if (observed.requestClass.isOrdered() && observed.key != null) {
+        Deque<RequestId> queue = queuesByKey.get(dispatcher).get(observed.key);
+        if (queue != null) {
+          queue.remove(id);
+          if (queue.isEmpty()) {
+            queuesByKey.get(dispatcher).remove(observed.key);
           }
         }
       }
     }
   }
 
-  /** A killed dispatcher's commands are no longer its duty, and what it was told is forgotten. */
-  void killed(int dispatcher) {
-    seen.get(dispatcher).clear();
-    told.get(dispatcher).clear();
-    taken.get(dispatcher).clear();
-    further.get(dispatcher).clear();
-    lines.get(dispatcher).clear();
-    rests.get(dispatcher).clear();
+  /** A dispatcher was killed: its requests and all it was notified of are forgotten. */
+  void dispatcherKilled(int dispatcher) {
+    observedRequests.get(dispatcher).clear();
+    notifiedStates.get(dispatcher).clear();
+    admissions.get(dispatcher).clear();
+    retries.get(dispatcher).clear();
+    queuesByKey.get(dispatcher).clear();
+    keyRestEnds.get(dispatcher).clear();
   }
 }
--- a/src/main/java/cobaltseam/emulator/OutcomeCounts.java
+++ b/src/main/java/cobaltseam/emulator/OutcomeCounts.java
@@ -64,7 +64,7 @@
   }
 
   /** Threads of work on each engine at one moment. */
-  void looked(double[] threads) {
+  void sampleLoad(double[] threads) {
     double mean = 0;
     double most = 0;
     double least = Double.MAX_VALUE;
--- a/src/main/java/cobaltseam/emulator/Policy.java
+++ b/src/main/java/cobaltseam/emulator/Policy.java
@@ -10,65 +10,68 @@
 import cobaltseam.dispatch.Timestamp;
 import java.util.List;
 
-/** The module's own calls, so that others can be put in its place. */
+/**
+ * The calls of a {@link Dispatcher} that the emulator uses, so that baselines can take its place.
+ * The methods have the contracts of the dispatcher's.
+ */
 interface Policy {
-  Placement place(Request command, Timestamp now);
+  Placement place(Request request, Timestamp now);
 
   Placement completeAttempt(AttemptOutcome outcome, Timestamp now);
 
   NextStep next(Timestamp now);
 
-  void updateEndpoints(List<EndpointStatus> list, boolean whole, Timestamp now);
+  void updateEndpoints(List<EndpointStatus> list, boolean complete, Timestamp now);
 
-  void updateProgress(RequestId command, int send, double share, Timestamp now);
+  void updateProgress(RequestId id, int attempt, double fraction, Timestamp now);
 
-  void clientLeft(RequestId command, Timestamp now);
+  void clientLeft(RequestId id, Timestamp now);
 
-  /** Another one, and what is done beside it. */
+  /** Passes every call on to another policy; subclasses override what they add to. */
   class DelegatingPolicy implements Policy {
-    private final Policy to;
+    private final Policy delegate;
 
-    DelegatingPolicy(Policy to) {
-      this.to = to;
+    DelegatingPolicy(Policy delegate) {
+      this.delegate = delegate;
     }
 
     @Override
-    public Placement place(Request command, Timestamp now) {
-      return to.place(command, now);
+    public Placement place(Request request, Timestamp now) {
+      return delegate.place(request, now);
     }
 
     @Override
     public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
-      return to.completeAttempt(outcome, now);
+      return delegate.completeAttempt(outcome, now);
     }
 
     @Override
     public NextStep next(Timestamp now) {
-      return to.next(now);
+      return delegate.next(now);
     }
 
     @Override
-    public void updateEndpoints(List<EndpointStatus> list, boolean whole, Timestamp now) {
-      to.updateEndpoints(list, whole, now);
+    public void updateEndpoints(List<EndpointStatus> list, boolean complete, Timestamp now) {
+      delegate.updateEndpoints(list, complete, now);
     }
 
     @Override
-    public void updateProgress(RequestId command, int send, double share, Timestamp now) {
-      to.updateProgress(command, send, share, now);
+    public void updateProgress(RequestId id, int attempt, double fraction, Timestamp now) {
+      delegate.updateProgress(id, attempt, fraction, now);
     }
 
     @Override
-    public void clientLeft(RequestId command, Timestamp now) {
-      to.clientLeft(command, now);
+    public void clientLeft(RequestId id, Timestamp now) {
+      delegate.clientLeft(id, now);
     }
   }
 
-  /** The policy that the service runs. */
+  /** The policy of a dispatcher, as the service runs it. */
   static Policy ofDispatcher(Dispatcher dispatcher) {
     return new Policy() {
       @Override
-      public Placement place(Request command, Timestamp now) {
-        return dispatcher.place(command, now);
+      public Placement place(Request request, Timestamp now) {
+        return dispatcher.place(request, now);
       }
 
       @Override
@@ -82,18 +85,18 @@
       }
 
       @Override
-      public void updateEndpoints(List<EndpointStatus> list, boolean whole, Timestamp now) {
-        dispatcher.updateEndpoints(list, whole, now);
+      public void updateEndpoints(List<EndpointStatus> list, boolean complete, Timestamp now) {
+        dispatcher.updateEndpoints(list, complete, now);
       }
 
       @Override
-      public void updateProgress(RequestId command, int send, double share, Timestamp now) {
-        dispatcher.updateProgress(command, send, share, now);
+      public void updateProgress(RequestId id, int attempt, double fraction, Timestamp now) {
+        dispatcher.updateProgress(id, attempt, fraction, now);
       }
 
       @Override
-      public void clientLeft(RequestId command, Timestamp now) {
-        dispatcher.clientDisconnected(command, now);
+      public void clientLeft(RequestId id, Timestamp now) {
+        dispatcher.clientDisconnected(id, now);
       }
     };
   }
--- a/src/main/java/cobaltseam/emulator/PolicyCatalog.java
+++ b/src/main/java/cobaltseam/emulator/PolicyCatalog.java
@@ -30,7 +30,7 @@
     if (name.equals("fleet-true")) {
       return (told, seed, sim) -> {
         Dispatcher deployment = new Dispatcher(told, seed);
-        deployment.setSharingDispatchers(1 / sim.trafficOf(told.dispatcherIndex()));
+        deployment.setSharingDispatchers(1 / sim.trafficShareOf(told.dispatcherIndex()));
         return Policy.ofDispatcher(deployment);
       };
     }
@@ -38,7 +38,7 @@
       Baseline.EngineChoice choice =
           Baseline.EngineChoice.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
       return (told, seed, truth) ->
-          new Baseline(choice, told, new SplittableRandom(seed), truth.truth());
+          new Baseline(choice, told, new SplittableRandom(seed), truth.trueState());
     } catch (IllegalArgumentException e) {
       throw new InvalidInputException(
           "policy '"
--- a/src/main/java/cobaltseam/emulator/Simulation.java
+++ b/src/main/java/cobaltseam/emulator/Simulation.java
@@ -10,6 +10,8 @@
 import cobaltseam.dispatch.MachineTypeId;
 import cobaltseam.dispatch.TimeSpan;
 import cobaltseam.dispatch.Timestamp;
+import cobaltseam.emulator.EmulatedDispatcher.Attempt;
+import cobaltseam.emulator.EngineModel.ProcessState;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -19,16 +21,16 @@
 
 /**
  * One run of an emulated site in virtual time: dispatchers, the network, engines, discovery and
- * faults; {@link ClientTraffic} brings the requests. The same site, policy, faults and seed give
- * the same run, event by event.
+ * faults; {@link ClientTraffic} generates the requests. Two runs with the same site, policy, faults
+ * and seed execute the same events in the same order.
  */
 public final class Simulation implements EngineLink {
-  /** Makes the policy of one dispatcher. */
+  /** Creates the policy of one dispatcher. */
   interface PolicyFactory {
-    Policy of(Deployment told, long seed, Simulation truth);
+    Policy create(Deployment deployment, long seed, Simulation simulation);
   }
 
-  /** What a run came to. */
+  /** The outcome of a run; {@code hash} covers all decisions, for comparing two runs. */
   public record Result(
       OutcomeCounts counts,
       List<String> violations,
@@ -37,15 +39,16 @@
       double virtualS,
       double realS,
       long hash) {
-    /** Commands taken for each second that the run took. */
-    public double pace() {
+    /** Requests admitted per second of real time; 0 if no time passed. */
+    public double admittedPerSecond() {
       return realS <= 0 ? 0 : counts.admitted() / realS;
     }
   }
 
-  /** From when on and how often it is looked how even the engines are loaded. */
-  private static final long SAMPLE_FROM_US = Timeline.START_US + 10_000_000;
+  /** When sampling of the load of the engines starts: after ten seconds of warm-up. */
+  private static final long SAMPLING_START_US = Timeline.START_US + 10_000_000;
 
+  /** The interval between two samples of the load of the engines. */
   private static final long SAMPLE_INTERVAL_US = 200_000;
 
   private final EmulatedSite site;
@@ -59,18 +62,21 @@
   private final List<EndpointState> endpointStates = new ArrayList<>();
   private final List<EmulatedDispatcher> dispatchers = new ArrayList<>();
   private final List<Set<Integer>> partitioned = new ArrayList<>();
-  private final long[] notifiedUntilUs;
+  private final long[] lastNotificationUs;
   private final long[] incarnations;
-  private final List<Integer> unsentUpdates = new ArrayList<>();
+  private final List<Integer> deferredUpdates = new ArrayList<>();
   private final RandomGenerator network;
-  private final RandomGenerator plans;
+
+  /** Decides which attempts fail, get a bad plan or lose their answer. */
+  private final RandomGenerator chance;
+
   private final RandomGenerator seeds;
 
   private EmulatedFleet fleet;
   private final double endS;
   private int discoveryStops;
-  private double badPlans;
-  private double badTimes = 10;
+  private double badPlanShare;
+  private double badPlanFactor = 10;
 
   Simulation(
       EmulatedSite site, PolicyFactory policies, List<Fault> faults, double seconds, long seed) {
@@ -79,15 +85,15 @@
     endS = seconds;
     invariants = new InvariantChecker(site, time);
     counts = new OutcomeCounts(site.requestClasses().size());
-    SplittableRandom all = new SplittableRandom(seed);
-    RandomGenerator arrivals = all.split();
-    RandomGenerator works = all.split();
-    network = all.split();
-    plans = all.split();
-    seeds = all.split();
-    RandomGenerator speeds = all.split();
+    SplittableRandom root = new SplittableRandom(seed);
+    RandomGenerator arrivals = root.split();
+    RandomGenerator works = root.split();
+    network = root.split();
+    chance = root.split();
+    seeds = root.split();
+    RandomGenerator speeds = root.split();
     traffic = new ClientTraffic(site, time, dispatchers, counts, decisions, arrivals, works);
-    notifiedUntilUs = new long[site.dispatchers()];
+    lastNotificationUs = new long[site.dispatchers()];
     incarnations = new long[site.dispatchers()];
     for (int i = 0; i < site.engines().count(); i++) {
       double speed =
@@ -108,72 +114,75 @@
       start(i);
     }
     for (Fault fault : faults) {
-      time.at(at(fault.atS()), () -> inject(fault));
+      time.at(virtualUs(fault.atS()), () -> inject(fault));
     }
-    time.at(SAMPLE_FROM_US, this::sampleLoad);
+    time.at(SAMPLING_START_US, this::sampleLoad);
     traffic.start();
   }
 
-  /** The part of all traffic that a dispatcher gets. */
-  double trafficOf(int dispatcher) {
-    return traffic.partOf(dispatcher);
+  /** The share of all traffic that a dispatcher receives, from 0 to 1. */
+  double trafficShareOf(int dispatcher) {
+    return traffic.shareOf(dispatcher);
   }
 
-  /** The dispatchers as one fleet, for policies that have one. */
-  EmulatedFleet withFleet(boolean spreads, double newsMs) {
-    fleet = fleet == null ? new EmulatedFleet(site, time, spreads, newsMs) : fleet;
+  /** Returns the fleet of the dispatchers, which the first call creates. */
+  EmulatedFleet withFleet(boolean sharesCapacity, double reportIntervalMs) {
+    fleet = fleet == null ? new EmulatedFleet(site, time, sharesCapacity, reportIntervalMs) : fleet;
     return fleet;
   }
 
   private void sampleLoad() {
-    counts.looked(
+    counts.sampleLoad(
         engines.stream()
-            .filter(e -> e.life == EngineModel.ProcessState.RUNS)
+            .filter(e -> e.state == ProcessState.RUNNING)
             .mapToDouble(EngineModel::threads)
             .toArray());
     time.at(time.nowUs() + SAMPLE_INTERVAL_US, this::sampleLoad);
   }
 
-  private static long at(double seconds) {
+  private static long virtualUs(double seconds) {
     return Timeline.START_US + Math.round(seconds * 1e6);
   }
 
-  /** Runs it: clients come until the end, and all that was asked gets the time it may take. */
+  /**
+   * Runs the simulation: clients issue requests until the end, and then virtual time goes on for
+   * twice the longest deadline and a second, so that every open request can finish.
+   */
   Result run() {
-    long started = System.nanoTime();
-    time.run(new Timestamp(at(endS)));
+    long startNs = System.nanoTime();
+    time.runUntil(new Timestamp(virtualUs(endS)));
     traffic.stop();
-    double longest =
+    double longestDeadlineS =
         site.requestClasses().stream()
                 .mapToDouble(EmulatedSite.RequestClass::deadlineMs)
                 .max()
                 .orElse(0)
             / 1000;
-    time.run(new Timestamp(at(endS + longest * 2 + 1)));
+    time.runUntil(new Timestamp(virtualUs(endS + longestDeadlineS * 2 + 1)));
     return new Result(
         counts,
         invariants.violations().stream().map(InvariantChecker.Violation::toString).toList(),
-        invariants.all(),
-        time.happened(),
+        invariants.violationCount(),
+        time.executedEvents(),
         (time.nowUs() - Timeline.START_US) / 1e6,
-        (System.nanoTime() - started) / 1e9,
+        (System.nanoTime() - startNs) / 1e9,
         decisions.value());
   }
 
-  InvariantChecker referee() {
+  InvariantChecker invariants() {
     return invariants;
   }
 
-  /** What is so at engines, for a policy that may see it. */
-  Baseline.TrueState truth() {
+  /** The true state of the engines, for a policy that is allowed to see it. */
+  Baseline.TrueState trueState() {
     return new Baseline.TrueState() {
       @Override
-      public double pace(EngineId engine) {
-        return engine(engine).pace(1);
+      public double timePerThreadWork(EngineId engine) {
+        return engine(engine).timePerThreadWork(1);
       }
 
       @Override
-      public boolean hasRoom(EngineId engine, int threads) {
+      public boolean hasCapacity(EngineId engine, int threads) {
         EngineModel model = engine(engine);
         return model.threads() == 0
             || model.threads() + threads <= site.engines().cores() * site.engines().knee();
@@ -193,98 +202,97 @@
     return engines.get((int) id.value() - 1);
   }
 
-  private boolean isPartitioned(EmulatedDispatcher host, EngineModel engine) {
-    return partitioned.get(host.number).contains((int) engine.id.value() - 1);
+  private boolean isPartitioned(EmulatedDispatcher dispatcher, EngineModel engine) {
+    return partitioned.get(dispatcher.number).contains((int) engine.id.value() - 1);
   }
 
   @Override
-  public void send(EmulatedDispatcher from, EmulatedDispatcher.Attempt out, Order order) {
-    decisions.add(out.engine.id.value() * 1_000_003 + time.nowUs());
-    EmulatedSite.RequestClass requestClass = order.profile();
-    boolean bad = plans.nextDouble() < Math.max(requestClass.badPlans(), badPlans);
-    double work =
-        order.workUs()
-            * (bad ? badPlans > requestClass.badPlans() ? badTimes : requestClass.badTimes() : 1);
-    boolean fails = plans.nextDouble() < Math.max(out.engine.failing, site.engines().errors());
-    time.after(delay(), () -> arrive(from, out, order, work, fails));
+  public void send(EmulatedDispatcher from, Attempt attempt, RequestWork work) {
+    decisions.add(attempt.engine.id.value() * 1_000_003 + time.nowUs());
+    EmulatedSite.RequestClass requestClass = work.requestClass();
+    boolean bad = chance.nextDouble() < Math.max(requestClass.badPlanShare(), badPlanShare);
+    double workUs =
+        work.workUs()
+            * (bad
+                ? badPlanShare > requestClass.badPlanShare()
+                    ? badPlanFactor
+                    : requestClass.badPlanFactor()
+                : 1);
+    boolean fails =
+        chance.nextDouble() < Math.max(attempt.engine.errorRate, site.engines().errors());
+    time.after(delay(), () -> arrive(from, attempt, work, workUs, fails));
   }
 
   private void arrive(
-      EmulatedDispatcher from,
-      EmulatedDispatcher.Attempt out,
-      Order order,
-      double work,
-      boolean fails) {
-    EngineModel engine = out.engine;
-    if (out.isOver
-        || isPartitioned(from, engine)
-        || engine.life == EngineModel.ProcessState.VANISHED) {
+      EmulatedDispatcher from, Attempt attempt, RequestWork work, double workUs, boolean fails) {
+    EngineModel engine = attempt.engine;
+    if (attempt.isOver || isPartitioned(from, engine) || engine.state == ProcessState.VANISHED) {
       return;
     }
-    if (engine.life == EngineModel.ProcessState.DIED) {
-      deliverOutcome(from, out, AttemptResult.UNREACHABLE, -1);
+    if (engine.state == ProcessState.DIED) {
+      deliverOutcome(from, attempt, AttemptResult.UNREACHABLE, -1);
       return;
     }
     if (fails) {
-      deliverOutcome(from, out, AttemptResult.ERROR, engine.running());
+      deliverOutcome(from, attempt, AttemptResult.ERROR, engine.running());
       return;
     }
-    if (invariants.pushesOver(engine, order.profile().workMs() * 1000)) {
+    if (invariants.overloadsColdEngine(engine, work.requestClass().workMs() * 1000)) {
       die(engine, false);
-      deliverOutcome(from, out, AttemptResult.UNREACHABLE, -1);
+      deliverOutcome(from, attempt, AttemptResult.UNREACHABLE, -1);
       return;
     }
-    int threads = order.profile().threads();
+    int threads = work.requestClass().threads();
     EngineModel.Job job =
         new EngineModel.Job(
             threads,
-            work,
-            order.memoryMb(),
+            workUs,
+            work.memoryMb(),
             () -> {
-              invariants.ran(from.number, from.command(out), out.seen);
-              if (!(engine.losing > 0 && plans.nextDouble() < engine.losing)) {
-                deliverOutcome(from, out, AttemptResult.COMPLETED, engine.running());
+              invariants.attemptRan(from.number, from.requestId(attempt), attempt.observedIndex);
+              if (!(engine.answerLossRate > 0 && chance.nextDouble() < engine.answerLossRate)) {
+                deliverOutcome(from, attempt, AttemptResult.COMPLETED, engine.running());
               }
             },
-            () -> deliverOutcome(from, out, AttemptResult.CONNECTION_LOST, -1));
-    if (!engine.begin(job, order.data())) {
-      deliverOutcome(from, out, AttemptResult.CAPACITY_EXCEEDED, engine.running());
+            () -> deliverOutcome(from, attempt, AttemptResult.CONNECTION_LOST, -1));
+    if (!engine.tryStart(job, work.data())) {
+      deliverOutcome(from, attempt, AttemptResult.CAPACITY_EXCEEDED, engine.running());
       return;
     }
-    out.job = job;
+    attempt.job = job;
     if (site.limits().progressMs() > 0) {
-      time.after(EmulatedSite.ms(site.limits().progressMs()), () -> progress(from, out));
+      time.after(EmulatedSite.ms(site.limits().progressMs()), () -> progress(from, attempt));
     }
   }
 
-  private void progress(EmulatedDispatcher from, EmulatedDispatcher.Attempt out) {
-    if (!out.isOver
-        && !isPartitioned(from, out.engine)
-        && out.engine.life == EngineModel.ProcessState.RUNS) {
-      double share = out.engine.progress(out.job);
-      if (share < 1) {
-        time.after(delay(), () -> from.updateProgress(out, share));
-        time.after(EmulatedSite.ms(site.limits().progressMs()), () -> progress(from, out));
+  private void progress(EmulatedDispatcher from, Attempt attempt) {
+    if (!attempt.isOver
+        && !isPartitioned(from, attempt.engine)
+        && attempt.engine.state == ProcessState.RUNNING) {
+      double fraction = attempt.engine.progress(attempt.job);
+      if (fraction < 1) {
+        time.after(delay(), () -> from.updateProgress(attempt, fraction));
+        time.after(EmulatedSite.ms(site.limits().progressMs()), () -> progress(from, attempt));
       }
     }
   }
 
-  /** The outcome of an attempt travels back to its dispatcher, unless the two are partitioned. */
+  /** Sends the outcome of an attempt to its dispatcher, unless the two are partitioned. */
   private void deliverOutcome(
-      EmulatedDispatcher to, EmulatedDispatcher.Attempt out, AttemptResult ending, double inHand) {
-    if (!isPartitioned(to, out.engine)) {
-      time.after(delay(), () -> to.completeAttempt(out, ending, inHand));
+      EmulatedDispatcher to, Attempt attempt, AttemptResult result, double inFlight) {
+    if (!isPartitioned(to, attempt.engine)) {
+      time.after(delay(), () -> to.completeAttempt(attempt, result, inFlight));
     }
   }
 
   @Override
-  public void giveUp(EmulatedDispatcher from, EmulatedDispatcher.Attempt out) {
+  public void abandon(EmulatedDispatcher from, Attempt attempt) {
     if (site.limits().canCancel()) {
       time.after(
           delay(),
           () -> {
-            if (out.job != null && !isPartitioned(from, out.engine)) {
-              out.engine.cancel(out.job);
+            if (attempt.job != null && !isPartitioned(from, attempt.engine)) {
+              attempt.engine.cancel(attempt.job);
             }
           });
     }
@@ -292,15 +300,16 @@
 
   // ---- discovery
 
+  /** Starts a dispatcher as a new incarnation and gives it the complete endpoint list. */
   private void start(int dispatcher) {
     incarnations[dispatcher]++;
     EmulatedDispatcher host = dispatchers.get(dispatcher);
-    host.start(policies.of(site.deployment(dispatcher), seeds.nextLong(), this));
-    List<EndpointStatus> all = new ArrayList<>();
+    host.start(policies.create(site.deployment(dispatcher), seeds.nextLong(), this));
+    List<EndpointStatus> endpoints = new ArrayList<>();
     for (int i = 0; i < engines.size(); i++) {
-      all.add(endpointStatus(i));
+      endpoints.add(endpointStatus(i));
     }
-    host.updateEndpoints(all, true);
+    host.updateEndpoints(endpoints, true);
   }
 
   private EndpointStatus endpointStatus(int engine) {
@@ -314,46 +323,47 @@
         new Timestamp(Math.max(0, model.startedUs)));
   }
 
-  /** An endpoint has changed its state: each dispatcher is notified late, and in order. */
-  private void changeState(int engine, EndpointState to) {
-    endpointStates.set(engine, to);
+  /** Changes an endpoint's state; each dispatcher is notified late, in the order of changes. */
+  private void changeState(int engine, EndpointState state) {
+    endpointStates.set(engine, state);
     if (discoveryStops > 0) {
-      unsentUpdates.add(engine);
+      deferredUpdates.add(engine);
       return;
     }
     notifyDispatchers(engine);
   }
 
   private void notifyDispatchers(int engine) {
-    EndpointStatus line = endpointStatus(engine);
+    EndpointStatus status = endpointStatus(engine);
     for (EmulatedDispatcher host : dispatchers) {
-      double late = site.discovery().lagMs() + network.nextDouble() * site.discovery().spreadMs();
+      double lagMs = site.discovery().lagMs() + network.nextDouble() * site.discovery().spreadMs();
       long when =
-          Math.max(notifiedUntilUs[host.number] + 1, time.nowUs() + Math.round(late * 1000));
-      notifiedUntilUs[host.number] = when;
-      long life = incarnations[host.number];
+          Math.max(lastNotificationUs[host.number] + 1, time.nowUs() + Math.round(lagMs * 1000));
+      lastNotificationUs[host.number] = when;
+      long incarnation = incarnations[host.number];
       time.at(
           when,
           () -> {
-            if (incarnations[host.number] == life) {
-              host.updateEndpoints(List.of(line), false);
+            if (incarnations[host.number] == incarnation) {
+              host.updateEndpoints(List.of(status), false);
             }
           });
     }
   }
 
+  /** Ends an engine's process; silently, if open attempts are to stay without an outcome. */
   private void die(EngineModel engine, boolean silent) {
     engine.advance();
-    engine.life = silent ? EngineModel.ProcessState.VANISHED : EngineModel.ProcessState.DIED;
-    List<EngineModel.Job> dropped = engine.drop();
+    engine.state = silent ? ProcessState.VANISHED : ProcessState.DIED;
+    List<EngineModel.Job> dropped = engine.dropAll();
     if (!silent) {
-      dropped.forEach(j -> j.cut.run());
+      dropped.forEach(job -> job.onConnectionLost.run());
     }
     int number = (int) engine.id.value() - 1;
     time.after(
         EmulatedSite.ms(silent ? site.discovery().lagMs() * 2 : 0),
         () -> {
-          if (engine.life != EngineModel.ProcessState.RUNS) {
+          if (engine.state != ProcessState.RUNNING) {
             changeState(number, EndpointState.REMOVED);
           }
         });
@@ -361,8 +371,8 @@
 
   private void restart(int number) {
     EngineModel engine = engines.get(number);
-    if (engine.life != EngineModel.ProcessState.RUNS) {
-      engine.life = EngineModel.ProcessState.RUNS;
+    if (engine.state != ProcessState.RUNNING) {
+      engine.state = ProcessState.RUNNING;
       engine.startedUs = time.nowUs();
       engine.advance();
       changeState(number, EndpointState.UP);
@@ -374,20 +384,20 @@
   private void inject(Fault fault) {
     long end = time.nowUs() + Math.round(fault.lengthS() * 1e6);
     switch (fault.kind()) {
-      case SLOW -> paced(fault, 1 / fault.size(), fault.size(), end);
-      case HANG -> paced(fault, 0, 0, end);
+      case SLOW -> changeSpeed(fault, 1 / fault.size(), fault.size(), end);
+      case HANG -> changeSpeed(fault, 0, 0, end);
       case FAIL -> failAttempts(fault, end);
       case LOSE -> loseAnswers(fault, end);
       case VANISH, DIE -> takeDown(fault, end);
       case DRAIN -> drain(fault, end);
       case PARTITION -> {
-        Set<Integer> of = partitioned.get(fault.target());
-        of.addAll(fault.engines());
-        time.at(end, () -> of.removeAll(fault.engines()));
+        Set<Integer> unreachable = partitioned.get(fault.target());
+        unreachable.addAll(fault.engines());
+        time.at(end, () -> unreachable.removeAll(fault.engines()));
       }
       case PAUSE -> {
-        dispatchers.get(fault.target()).standStill(true);
-        time.at(end, () -> dispatchers.get(fault.target()).standStill(false));
+        dispatchers.get(fault.target()).setSuspended(true);
+        time.at(end, () -> dispatchers.get(fault.target()).setSuspended(false));
       }
       case KILL -> {
         if (dispatchers.get(fault.target()).isUp()) {
@@ -404,8 +414,8 @@
         }
       }
       case BAD_PLANS -> {
-        badPlans = fault.size();
-        time.at(end, () -> badPlans = 0);
+        badPlanShare = fault.size();
+        time.at(end, () -> badPlanShare = 0);
       }
       default -> throw new IllegalStateException(fault.kind().label());
     }
@@ -413,21 +423,21 @@
 
   private void failAttempts(Fault fault, long end) {
     for (int number : fault.engines()) {
-      engines.get(number).failing = fault.size();
-      time.at(end, () -> engines.get(number).failing = 0);
+      engines.get(number).errorRate = fault.size();
+      time.at(end, () -> engines.get(number).errorRate = 0);
     }
   }
 
   private void loseAnswers(Fault fault, long end) {
     for (int number : fault.engines()) {
-      engines.get(number).losing = fault.size();
-      time.at(end, () -> engines.get(number).losing = 0);
+      engines.get(number).answerLossRate = fault.size();
+      time.at(end, () -> engines.get(number).answerLossRate = 0);
     }
   }
 
   private void takeDown(Fault fault, long end) {
     for (int number : fault.engines()) {
-      if (engines.get(number).life == EngineModel.ProcessState.RUNS) {
+      if (engines.get(number).state == ProcessState.RUNNING) {
         die(engines.get(number), fault.kind() == Fault.Kind.VANISH);
         time.at(end, () -> restart(number));
       }
@@ -436,7 +446,7 @@
 
   private void drain(Fault fault, long end) {
     for (int number : fault.engines()) {
-      if (engines.get(number).life == EngineModel.ProcessState.RUNS) {
+      if (engines.get(number).state == ProcessState.RUNNING) {
         changeState(number, EndpointState.DRAINING);
         time.at(end, () -> dieIfRunning(number));
         time.at(end + (end - time.nowUs()), () -> restart(number));
@@ -445,7 +455,7 @@
   }
 
   private void dieIfRunning(int number) {
-    if (engines.get(number).life == EngineModel.ProcessState.RUNS) {
+    if (engines.get(number).state == ProcessState.RUNNING) {
       die(engines.get(number), false);
     }
   }
@@ -457,24 +467,30 @@
 
   private void resumeDiscovery() {
     if (--discoveryStops == 0) {
-      List<Integer> due = List.copyOf(unsentUpdates);
-      unsentUpdates.clear();
-      due.stream().distinct().forEach(this::notifyDispatchers);
+      List<Integer> deferred = List.copyOf(deferredUpdates);
+      deferredUpdates.clear();
+      deferred.stream().distinct().forEach(this::notifyDispatchers);
     }
   }
 
-  private void paced(Fault fault, double factor, double back, long end) {
-    for (int e : fault.engines()) {
-      EngineModel engine = engines.get(e);
-      double before = engine.slowed;
-      pace(engine, back == 0 ? 0 : before * factor);
-      time.at(end, () -> pace(engine, back == 0 ? Math.max(before, 0.01) : engine.slowed * back));
+  /** Multiplies the speed of engines by a factor, and by another at the end; 0 and 0 for a hang. */
+  private void changeSpeed(Fault fault, double factor, double endFactor, long end) {
+    for (int number : fault.engines()) {
+      EngineModel engine = engines.get(number);
+      double before = engine.speedFactor;
+      setSpeed(engine, endFactor == 0 ? 0 : before * factor);
+      time.at(
+          end,
+          () ->
+              setSpeed(
+                  engine,
+                  endFactor == 0 ? Math.max(before, 0.01) : engine.speedFactor * endFactor));
     }
   }
 
-  private static void pace(EngineModel engine, double to) {
+  private static void setSpeed(EngineModel engine, double factor) {
     engine.advance();
-    engine.slowed = to;
-    engine.plan();
+    engine.speedFactor = factor;
+    engine.scheduleNextCompletion();
   }
 }
--- a/src/main/java/cobaltseam/emulator/Timeline.java
+++ b/src/main/java/cobaltseam/emulator/Timeline.java
@@ -33,7 +33,7 @@
   private final PriorityQueue<Entry> entries = new PriorityQueue<>(1024);
   private long now;
   private long numbers;
-  private long happened;
+  private long executedEvents;
 
   Timeline(Timestamp start) {
     now = start.us();
@@ -48,8 +48,8 @@
   }
 
   /** How many things have happened. */
-  long happened() {
-    return happened;
+  long executedEvents() {
+    return executedEvents;
   }
 
   Entry at(long us, Runnable what) {
@@ -73,14 +73,14 @@
   }
 
   /** Lets everything up to a moment happen. */
-  void run(Timestamp until) {
+  void runUntil(Timestamp until) {
     for (Entry next = entries.peek();
         next != null && next.at <= until.us();
         next = entries.peek()) {
       entries.poll();
       if (next.what != null) {
         now = next.at;
-        happened++;
+        executedEvents++;
         Runnable what = next.what;
         next.what = null;
         what.run();
--- a/src/test/java/cobaltseam/emulator/ExperimentTest.java
+++ b/src/test/java/cobaltseam/emulator/ExperimentTest.java
@@ -105,7 +105,7 @@
   @Test
   void aScriptShrinksToWhatMatters() {
     EmulatedSite world = EmulatedSites.named("hall");
-    List<Fault> faults = new ArrayList<>(Fault.drawn(world, 60, 15, 3));
+    List<Fault> faults = new ArrayList<>(Fault.random(world, 60, 15, 3));
     faults.add(7, new Fault(Fault.Kind.PARTITION, 10, 16, List.of(1, 4, 6, 8), 1, 2));
     // It fails where engine 6 is cut off from dispatcher 2 for at least three seconds.
     Shrink<Fault> shrink =
@@ -128,7 +128,7 @@
   @Test
   void scriptsAreReadAsTheyAreWritten() throws IOException {
     EmulatedSite world = EmulatedSites.named("hall");
-    List<Fault> faults = Fault.drawn(world, 60, 20, 9);
+    List<Fault> faults = Fault.random(world, 60, 20, 9);
     Path file = Files.writeString(folder.resolve("faults.toml"), FaultScript.write(faults));
     assertEquals(faults, FaultScript.read(file, world));
     Files.writeString(
--- a/src/test/java/cobaltseam/emulator/InvariantCheckerTest.java
+++ b/src/test/java/cobaltseam/emulator/InvariantCheckerTest.java
@@ -91,7 +91,7 @@
             SECONDS,
             seed);
     site.run();
-    return site.referee();
+    return site.invariants();
   }
 
   private static EmulatedSite with(EmulatedSite site, EmulatedSite.Limits limits) {
@@ -129,14 +129,14 @@
   void theModuleKeepsTheRulesUnderDrawnFaults() {
     for (long seed = 1; seed <= 12; seed++) {
       EmulatedSite world = seed % 3 == 0 ? budgeted() : hall();
-      InvariantChecker referee = play(world, Fault.drawn(world, SECONDS, 8, seed), m -> m, seed);
-      assertEquals(0, referee.all(), "seed " + seed + ": " + referee.violations());
+      InvariantChecker referee = play(world, Fault.random(world, SECONDS, 8, seed), m -> m, seed);
+      assertEquals(0, referee.violationCount(), "seed " + seed + ": " + referee.violations());
     }
   }
 
   @Test
   void theSameSeedDecidesTheSameAndAnotherDoesNot() {
-    List<Fault> faults = Fault.drawn(hall(), SECONDS, 8, 5);
+    List<Fault> faults = Fault.random(hall(), SECONDS, 8, 5);
     long one =
         new Simulation(hall(), PolicyCatalog.named("module"), faults, SECONDS, 5).run().hash();
     assertEquals(
@@ -145,7 +145,7 @@
     assertNotEquals(
         one,
         new Simulation(hall(), PolicyCatalog.named("module"), faults, SECONDS, 6).run().hash());
-    assertEquals(faults, Fault.drawn(hall(), SECONDS, 8, 5));
+    assertEquals(faults, Fault.random(hall(), SECONDS, 8, 5));
   }
 
   /** What comes to a killed one while it is also to stand still must not wait for its next life. */
@@ -157,7 +157,7 @@
             new Fault(Fault.Kind.PAUSE, 4, 2, List.of(0), 1, 0),
             new Fault(Fault.Kind.DRAIN, 4.2, 2, List.of(1), 1, 0),
             new Fault(Fault.Kind.PAUSE, 8, 3, List.of(0), 1, 0));
-    assertEquals(0, play(hall(), faults, m -> m, 1).all());
+    assertEquals(0, play(hall(), faults, m -> m, 1).violationCount());
   }
 
   @Test
@@ -229,7 +229,7 @@
     InvariantChecker referee =
         play(
             hall(),
-            Fault.drawn(hall(), SECONDS, 8, 1),
+            Fault.random(hall(), SECONDS, 8, 1),
             m ->
                 new Mutant(m) {
                   private int after;
@@ -342,7 +342,7 @@
             hall().network(),
             hall().discovery(),
             hall().limits());
-    assertEquals(0, play(placed, List.of(), m -> m, 2).all());
+    assertEquals(0, play(placed, List.of(), m -> m, 2).violationCount());
     Mutation anywhere =
         m ->
             new Mutant(m) {
@@ -382,7 +382,7 @@
     Simulation site =
         new Simulation(strict, PolicyCatalog.named("least-in-hand"), faults, SECONDS, 3);
     site.run();
-    assertTrue(site.referee().count(Rule.COLD) > 0);
+    assertTrue(site.invariants().count(Rule.COLD) > 0);
   }
 
   @Test
