--- a/src/test/java/cobaltseam/service/EndpointWatchRaceTest.java
+++ b/src/test/java/cobaltseam/service/EndpointWatchRaceTest.java
@@ -61,7 +61,7 @@
     Signal.raise(new Signal("HUP"));
   }
 
-  /** Returns a configuration that moves the watch to another event eventBus. */
+  /** Returns a configuration that moves the watch to another event bus. */
   private String configurationWithBus(EmulatedPeer eventBus, EmulatedPeer one, EmulatedPeer two) {
     return configurationJson(
         eventBus.address(),
@@ -73,7 +73,7 @@
 
   /**
    * A drain that the former event bus sends directly after a reload that moves the watch is
-   * requested from the new event eventBus.
+   * requested from the new event bus.
    */
   @Test
   void drainDirectlyAfterReloadThatMovesWatchIsApplied() throws Exception {
