--- a/src/main/java/cobaltseam/service/Counters.java
+++ b/src/main/java/cobaltseam/service/Counters.java
@@ -17,7 +17,7 @@
     CLIENTS_CLOSED,
     /** Client connections that were rejected because too many were open. */
     CLIENTS_TURNED_AWAY,
-    /** Idle client connections that were evicted to make room for new ones. */
+    /** Idle client connections that were evicted because a new client connected at the limit. */
     CLIENTS_GAVE_WAY,
     /** Client connections that were closed because of a protocol violation. */
     CLIENT_PROTOCOL_ERRORS,
@@ -57,7 +57,7 @@
     SENDS_NEVER_SENT,
     /** Further result pages that were requested from engines. */
     PAGES_ASKED,
-    /** Progress reports from engines. */
+    /** Progress reports and other status messages of engines about running attempts. */
     NOTES,
     /** Answers to attempts that had already ended at this dispatcher. */
     LATE_ANSWERS,
@@ -89,7 +89,7 @@
     FAULTS,
     /** Transitions of a virtual router to active. */
     MASTERSHIP_TAKEN,
-    /** Transitions of a virtual router from active. */
+    /** Transitions of a virtual router from active to another state. */
     MASTERSHIP_LEFT,
     /** Transitions from active because this process ran late and a peer may have become active. */
     MASTERSHIP_FENCED,
