--- a/src/main/java/cobaltseam/adapter/SimulatorAdapter.java
+++ b/src/main/java/cobaltseam/adapter/SimulatorAdapter.java
@@ -64,7 +64,7 @@
       List<SimulatedDispatcher.WireDecision> reply =
           replies.computeIfAbsent(number, n -> new ArrayList<>());
       for (JsonObjectReader event : group.objects("events")) {
-        String name = event.onlyName();
+        String name = event.singleFieldName();
         handleEvent(number, name, event.object(name), reply, now);
       }
     }
--- a/src/main/java/cobaltseam/deployment/DeploymentReader.java
+++ b/src/main/java/cobaltseam/deployment/DeploymentReader.java
@@ -9,12 +9,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Turns the platform's start-up parameters into a {@link Deployment}. */
+/** Converts the platform's start-up parameters to a {@link Deployment}. */
 public final class DeploymentReader {
-  /** The name, in load reports of engines, of the requests that wait for memory. */
+  /**
+   * The field of an engine's load report that holds the number of requests that wait for memory.
+   */
   public static final String QUEUED_REPORT_FIELD = "pending";
 
-  /** The name, in load reports of engines, of all requests in flight, waiting ones included. */
+  /**
+   * The field of an engine's load report that holds the number of requests in flight, including
+   * those that wait for memory.
+   */
   public static final String IN_FLIGHT_REPORT_FIELD = "busy_reqs";
 
   private DeploymentReader() {}
@@ -22,7 +27,7 @@
   /**
    * Reads a deployment from the platform's parameters.
    *
-   * @throws InvalidInputException if a field is missing or can't be used
+   * @throws InvalidInputException if a field is missing or invalid
    */
   public static Deployment read(JsonObjectReader parameters) {
     JsonObjectReader family = parameters.object("family_info");
@@ -39,7 +44,7 @@
         parameters.number("over_share_worth", 1),
         rules(parameters.object("rules")),
         capabilities(parameters, parameters.object("limits"), family),
-        place(parameters));
+        dispatcherSite(parameters));
   }
 
   private static List<Deployment.RequestClass> requestClasses(
@@ -67,9 +72,9 @@
         threads,
         fields.number("importance", 1),
         fields.number("late_value", 0),
-        span(fields, "aim_us"),
+        timeSpan(fields, "aim_us"),
         fields.number("aim_stretch", 0),
-        span(fields, "hard_limit_us"),
+        timeSpan(fields, "hard_limit_us"),
         retrySafety(fields.text("repeat")),
         deduplicationScope(fields.text("key_scope", "all")),
         new TimeSpan(fields.integer("window_us", 0)),
@@ -137,20 +142,21 @@
         throw new InvalidInputException(
             "classes: 'runs_on' of "
                 + requestClass.id().value()
-                + " names a kind not in 'machine_types'");
+                + " names a machine type that is not in 'machine_types'");
       }
     }
   }
 
   private static Deployment.Rules rules(JsonObjectReader fields) {
     boolean hasRetryBudget = fields.has("counted_over_us");
-    // The retry budget binds where it is given, so one that can't be kept is an error.
+    // A configured retry budget is enforced, so values that can't be enforced are an error.
     if (hasRetryBudget
         && (fields.integer("counted_over_us") <= 0
             || fields.number("spare_attempts", 0) < 0
             || fields.number("repeat_ratio", 0) < 0)) {
       throw new InvalidInputException(
-          "rules: 'counted_over_us' above 0, 'spare_attempts' and 'repeat_ratio' not below 0");
+          "rules: 'counted_over_us' must be above 0, "
+              + "'spare_attempts' and 'repeat_ratio' not below 0");
     }
     return new Deployment.Rules(
         fields.number("cold_from", 1),
@@ -160,7 +166,7 @@
         new TimeSpan(fields.integer("key_rest_us", 0)),
         hasRetryBudget ? fields.number("spare_attempts", 0) : null,
         hasRetryBudget ? fields.number("repeat_ratio", 0) : null,
-        hasRetryBudget ? span(fields, "counted_over_us") : null);
+        hasRetryBudget ? timeSpan(fields, "counted_over_us") : null);
   }
 
   private static Deployment.Capabilities capabilities(
@@ -171,10 +177,10 @@
     }
     if (limits.integer("most_tries", 1) < 1 || limits.integer("max_retry_after_us", 0) < 0) {
       throw new InvalidInputException(
-          "limits: 'most_tries' at least 1, 'max_retry_after_us' not below 0");
+          "limits: 'most_tries' must be at least 1, 'max_retry_after_us' not below 0");
     }
     return new Deployment.Capabilities(
-        span(parameters, "tick_us"),
+        timeSpan(parameters, "tick_us"),
         (int) limits.integer("most_tries", 1),
         limits.flag("cancel"),
         family.flag("ranks_heeded"),
@@ -184,7 +190,7 @@
         family.flag("takes_grants"));
   }
 
-  private static Deployment.DispatcherSite place(JsonObjectReader parameters) {
+  private static Deployment.DispatcherSite dispatcherSite(JsonObjectReader parameters) {
     String zone = parameters.text("zone", null);
     boolean isCrossZonePriced =
         parameters.has("prices") && parameters.object("prices").number("cross_zone", 0) > 0;
@@ -193,7 +199,7 @@
         : new Deployment.DispatcherSite(new LocationId(zone), isCrossZonePriced);
   }
 
-  private static TimeSpan span(JsonObjectReader fields, String name) {
+  private static TimeSpan timeSpan(JsonObjectReader fields, String name) {
     return new TimeSpan(fields.integer(name));
   }
 }
--- a/src/main/java/cobaltseam/deployment/InvalidInputException.java
+++ b/src/main/java/cobaltseam/deployment/InvalidInputException.java
@@ -1,13 +1,13 @@
 package cobaltseam.deployment;
 
-/** Input from outside that can't be used; the message names the field and what is wrong with it. */
+/** Thrown when external input is invalid; the message names the field and the error. */
 public final class InvalidInputException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
   /**
    * Creates the exception.
    *
-   * @param message the field, and what is wrong with it
+   * @param message the field and the error in it
    */
   public InvalidInputException(String message) {
     super(message);
--- a/src/main/java/cobaltseam/deployment/JsonObjectReader.java
+++ b/src/main/java/cobaltseam/deployment/JsonObjectReader.java
@@ -9,36 +9,36 @@
 import java.util.Map;
 
 /**
- * One JSON object, read completely; its fields are read by name and type.
+ * A fully parsed JSON object that gives access to its fields by name and type.
  *
- * <p>Every method that reads a field throws {@link InvalidInputException} if the field is missing,
- * unless it says what is returned then, or if it has another type. A field that is null counts as
- * missing.
+ * <p>Every method that reads a field throws {@link InvalidInputException} if the field has another
+ * type. It does so too if the field is missing, unless the method documents what it returns in that
+ * case. A field whose value is null counts as missing.
  */
 public final class JsonObjectReader {
-  private final String where;
+  private final String context;
   private final Map<String, Object> values;
 
-  private JsonObjectReader(String where, Map<String, Object> values) {
-    this.where = where;
+  private JsonObjectReader(String context, Map<String, Object> values) {
+    this.context = context;
     this.values = values;
   }
 
   /**
-   * Reads a line, which has to hold exactly one object.
+   * Parses a line that consists of exactly one JSON object.
    *
-   * @throws InvalidInputException if it holds anything else
-   * @throws IOException if it is not JSON
+   * @throws InvalidInputException if the line contains any other JSON
+   * @throws IOException if the line is not JSON
    */
   public static JsonObjectReader of(JsonParser line) throws IOException {
     if (line.nextToken() != JsonToken.START_OBJECT) {
       throw new InvalidInputException("a line is not a JSON object");
     }
-    JsonObjectReader read = new JsonObjectReader("batch", object(line));
+    JsonObjectReader reader = new JsonObjectReader("batch", object(line));
     if (line.nextToken() != null) {
-      throw new InvalidInputException("a line holds more than one JSON value");
+      throw new InvalidInputException("a line contains more than one JSON value");
     }
-    return read;
+    return reader;
   }
 
   private static Map<String, Object> object(JsonParser in) throws IOException {
@@ -64,7 +64,7 @@
       case VALUE_STRING:
         return in.getText();
       case VALUE_NUMBER_INT:
-        // Unsigned numbers of 64 bits, such as tokens and seeds, keep all their bits.
+        // Unsigned 64-bit numbers, such as tokens and seeds, may exceed the range of long.
         return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
             ? (Object) in.getBigIntegerValue()
             : (Object) in.getLongValue();
@@ -79,16 +79,20 @@
     }
   }
 
-  /** Whether the object has this field, with a value that is not null. */
+  /** Returns whether the object has this field with a value other than null. */
   public boolean has(String name) {
     return values.get(name) != null;
   }
 
-  /** The name of the only field; an object with more or fewer fields can't be used. */
-  public String onlyName() {
+  /**
+   * Returns the name of the only field.
+   *
+   * @throws InvalidInputException if the object does not have exactly one field
+   */
+  public String singleFieldName() {
     if (values.size() != 1) {
       throw new InvalidInputException(
-          where + ": a message must have one name, not " + values.keySet());
+          context + ": expected an object with exactly one field, not " + values.keySet());
     }
     return values.keySet().iterator().next();
   }
@@ -96,7 +100,7 @@
   private Object required(String name) {
     Object value = values.get(name);
     if (value == null) {
-      throw new InvalidInputException(where + ": '" + name + "' is missing");
+      throw new InvalidInputException(context + ": '" + name + "' is missing");
     }
     return value;
   }
@@ -104,105 +108,105 @@
   private <T> T as(Class<T> type, String name, String expected) {
     Object value = required(name);
     if (!type.isInstance(value)) {
-      throw new InvalidInputException(where + ": '" + name + "' is not " + expected);
+      throw new InvalidInputException(context + ": '" + name + "' is not " + expected);
     }
     return type.cast(value);
   }
 
-  /** The text in a field. */
+  /** Returns the string in a field. */
   public String text(String name) {
-    return as(String.class, name, "text");
+    return as(String.class, name, "a string");
   }
 
-  /** The value of a field as text, or a default if the field is missing. */
+  /** Returns the value of a field as a string, or a default if the field is missing. */
   public String text(String name, String defaultValue) {
     return has(name) ? String.valueOf(values.get(name)) : defaultValue;
   }
 
-  /** The number in a field as an integer; a fraction is cut off. */
+  /** Returns the number in a field as an integer; a fraction is truncated. */
   public long integer(String name) {
     return as(Number.class, name, "a number").longValue();
   }
 
-  /** The number in a field as an integer, or a default if the field is missing. */
+  /** Returns the number in a field as an integer, or a default if the field is missing. */
   public long integer(String name, long defaultValue) {
     return has(name) ? integer(name) : defaultValue;
   }
 
-  /** The number in a field. */
+  /** Returns the number in a field. */
   public double number(String name) {
     return as(Number.class, name, "a number").doubleValue();
   }
 
-  /** The number in a field, or a default if the field is missing. */
+  /** Returns the number in a field, or a default if the field is missing. */
   public double number(String name, double defaultValue) {
     return has(name) ? number(name) : defaultValue;
   }
 
-  /** The boolean in a field; false if the field is missing. */
+  /** Returns the boolean in a field; false if the field is missing. */
   public boolean flag(String name) {
     return has(name) && as(Boolean.class, name, "true or false");
   }
 
-  /** The object in a field. */
+  /** Returns the object in a field. */
   public JsonObjectReader object(String name) {
-    Map<String, Object> read = new LinkedHashMap<>();
+    Map<String, Object> fields = new LinkedHashMap<>();
     Map<?, ?> object = as(Map.class, name, "an object");
-    object.forEach((k, v) -> read.put((String) k, v));
-    return new JsonObjectReader(name, read);
+    object.forEach((key, value) -> fields.put((String) key, value));
+    return new JsonObjectReader(name, fields);
   }
 
-  /** The objects of an array. */
+  /** Returns the objects of an array. */
   public List<JsonObjectReader> objects(String name) {
-    List<JsonObjectReader> read = new ArrayList<>();
+    List<JsonObjectReader> objects = new ArrayList<>();
     for (Object item : as(List.class, name, "an array")) {
       if (!(item instanceof Map<?, ?> map)) {
         throw new InvalidInputException(
-            where + ": '" + name + "' holds something that is not an object");
+            context + ": '" + name + "' contains an element that is not an object");
       }
       Map<String, Object> fields = new LinkedHashMap<>();
-      map.forEach((k, v) -> fields.put((String) k, v));
-      read.add(new JsonObjectReader(name, fields));
+      map.forEach((key, value) -> fields.put((String) key, value));
+      objects.add(new JsonObjectReader(name, fields));
     }
-    return read;
+    return objects;
   }
 
-  /** The items of an array as text. */
+  /** Returns the elements of an array as strings. */
   public List<String> texts(String name) {
-    List<String> read = new ArrayList<>();
+    List<String> texts = new ArrayList<>();
     for (Object item : as(List.class, name, "an array")) {
-      read.add(String.valueOf(item));
+      texts.add(String.valueOf(item));
     }
-    return read;
+    return texts;
   }
 
-  /** The numbers of an array; none if the field is missing. */
+  /** Returns the numbers of an array; an empty list if the field is missing. */
   public List<Double> numbers(String name) {
-    List<Double> read = new ArrayList<>();
+    List<Double> numbers = new ArrayList<>();
     if (has(name)) {
       for (Object item : as(List.class, name, "an array")) {
         if (!(item instanceof Number number)) {
           throw new InvalidInputException(
-              where + ": '" + name + "' holds something that is not a number");
+              context + ": '" + name + "' contains an element that is not a number");
         }
-        read.add(number.doubleValue());
+        numbers.add(number.doubleValue());
       }
     }
-    return read;
+    return numbers;
   }
 
-  /** The booleans of an array; none if the field is missing. */
+  /** Returns the booleans of an array; an empty list if the field is missing. */
   public List<Boolean> flags(String name) {
-    List<Boolean> read = new ArrayList<>();
+    List<Boolean> flags = new ArrayList<>();
     if (has(name)) {
       for (Object item : as(List.class, name, "an array")) {
         if (!(item instanceof Boolean flag)) {
           throw new InvalidInputException(
-              where + ": '" + name + "' holds something that is not true or false");
+              context + ": '" + name + "' contains an element that is not true or false");
         }
-        read.add(flag);
+        flags.add(flag);
       }
     }
-    return read;
+    return flags;
   }
 }
--- a/src/main/java/cobaltseam/settings/FleetSections.java
+++ b/src/main/java/cobaltseam/settings/FleetSections.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Reads the sections [membership], [agreement], [spread] and [repeats]; the last three need the
- * first one. A section that is missing is null.
+ * Reads the sections [membership], [agreement], [spread] and [repeats]. The last three require
+ * [membership]. Each method returns null if its section is missing.
  */
 final class FleetSections {
   private final SettingValues values;
@@ -61,7 +61,8 @@
       return null;
     }
     if (membership.isMissingNode()) {
-      errors.add("agreement", section, "it needs [membership]: views carry what is agreed.");
+      errors.add(
+          "agreement", section, "requires [membership]: views carry the agreed configuration.");
     }
     return new Settings.AgreementSettings(
         SettingValues.timeOrDefault(section, values.schemaOf("agreement"), "contradiction_ms"));
@@ -74,22 +75,24 @@
     }
     if (membership.isMissingNode()) {
       errors.add(
-          "spread", section, "it needs [membership]: parts are those of the members of a view.");
+          "spread",
+          section,
+          "requires [membership]: capacity is shared among the members of a view.");
     }
     if (section.has("lease_ms") && agreement.has("contradiction_ms")) {
       errors.add(
           "spread.lease_ms",
           section.path("lease_ms"),
-          "agreement.contradiction_ms says for how long a lease lasts; one of the two is allowed.");
+          "agreement.contradiction_ms sets the lease duration; only one of the two is allowed.");
     }
     JsonNode schema = values.schemaOf("spread");
-    TimeSpan round = SettingValues.timeOrDefault(section, schema, "round_ms");
-    TimeSpan end = SettingValues.timeOrDefault(section, schema, "unknown_after_ms");
-    if (end.compareTo(round) <= 0) {
+    TimeSpan gossipPeriod = SettingValues.timeOrDefault(section, schema, "round_ms");
+    TimeSpan expiresAfter = SettingValues.timeOrDefault(section, schema, "unknown_after_ms");
+    if (expiresAfter.compareTo(gossipPeriod) <= 0) {
       errors.add(
           "spread.unknown_after_ms",
           section.path("unknown_after_ms"),
-          "it must be longer than spread.round_ms.");
+          "must be longer than spread.round_ms.");
     }
     return new Settings.CapacitySettings(
         SettingValues.valueOrDefault(section, schema, "by").asText().equals("demand"),
@@ -97,8 +100,8 @@
         SettingValues.valueOrDefault(section, schema, "floor").asDouble(),
         SettingValues.timeOrDefault(section, schema, "lease_ms"),
         SettingValues.timeOrDefault(section, schema, "window_ms"),
-        round,
-        end,
+        gossipPeriod,
+        expiresAfter,
         SettingValues.timeOrDefault(section, schema, "news_ms"),
         SettingValues.valueOrDefault(section, schema, "audit").asBoolean());
   }
@@ -109,21 +112,21 @@
     }
     if (membership.isMissingNode()) {
       errors.add(
-          "repeats", section, "it needs [membership]: what is left is moved between members.");
+          "repeats",
+          section,
+          "requires [membership]: members transfer unused budget to each other.");
     }
     JsonNode schema = values.schemaOf("repeats");
     TimeSpan window = SettingValues.timeOrDefault(section, schema, "window_ms");
-    TimeSpan round = SettingValues.timeOrDefault(section, schema, "round_ms");
-    if (round.compareTo(window) >= 0) {
+    TimeSpan requestPeriod = SettingValues.timeOrDefault(section, schema, "round_ms");
+    if (requestPeriod.compareTo(window) >= 0) {
       errors.add(
-          "repeats.round_ms",
-          section.path("round_ms"),
-          "it must be shorter than repeats.window_ms.");
+          "repeats.round_ms", section.path("round_ms"), "must be shorter than repeats.window_ms.");
     }
     return new Settings.RetryBudgetSettings(
         SettingValues.valueOrDefault(section, schema, "ratio").asDouble(),
         SettingValues.valueOrDefault(section, schema, "alone").asDouble(),
         window,
-        round);
+        requestPeriod);
   }
 }
--- a/src/main/java/cobaltseam/settings/MastershipSection.java
+++ b/src/main/java/cobaltseam/settings/MastershipSection.java
@@ -18,10 +18,10 @@
 import java.util.Objects;
 import java.util.Set;
 
-/** Reads the section [mastership], and checks its settings against each other. */
+/** Reads the section [mastership] and validates its settings against each other. */
 final class MastershipSection {
-  /** A claim is stored for each router and peer. */
-  private static final int MAX_CLAIMS = 1 << 13;
+  /** The maximum of routers times peers, because state is stored for each pair of them. */
+  private static final int MAX_ROUTER_PEER_PAIRS = 1 << 13;
 
   private static final int DEFAULT_PRIORITY = 100;
   private static final long DEFAULT_INTERVAL_MS = 1000;
@@ -38,13 +38,13 @@
     InetSocketAddress listen = values.address("mastership.listen", section.path("listen"));
     List<InetSocketAddress> peers = readPeers(section.path("peers"), listen);
     List<Settings.RouterSettings> routers = readRouters(section.path("router"), listen);
-    if (section.path("peers").size() * routers.size() > MAX_CLAIMS) {
+    if (section.path("peers").size() * routers.size() > MAX_ROUTER_PEER_PAIRS) {
       errors.add(
           "mastership.router",
           section.path("router").size() + " routers",
-          "no more than "
-              + MAX_CLAIMS
-              + " routers times peers is allowed: something is kept for each.");
+          "at most "
+              + MAX_ROUTER_PEER_PAIRS
+              + " pairs of a router and a peer are allowed, because state is stored for each.");
     }
     return new Settings.VirtualAddressSettings(
         listen,
@@ -60,7 +60,7 @@
         readHealthScore(section.path("fitness")));
   }
 
-  /** The peers whose address is valid, even if it conflicts with another one. */
+  /** Returns the peers with a valid address, including those whose address conflicts. */
   private List<InetSocketAddress> readPeers(JsonNode peers, InetSocketAddress listen) {
     List<InetSocketAddress> addresses = new ArrayList<>();
     Set<InetAddress> hosts = new HashSet<>();
@@ -69,7 +69,8 @@
       String key = "mastership.peers[" + i + "]";
       InetSocketAddress address = values.address(key, peer);
       if (address != null && !hosts.add(address.getAddress())) {
-        errors.add(key, peer, "each peer needs an IP address of its own: adverts are known by it.");
+        errors.add(
+            key, peer, "each peer needs its own IP address, which identifies its advertisements.");
       } else if (address != null && listen != null) {
         checkPeer(key, peer, address, listen);
       }
@@ -81,9 +82,9 @@
   private void checkPeer(
       String key, JsonNode peer, InetSocketAddress address, InetSocketAddress listen) {
     if (address.getAddress().equals(listen.getAddress())) {
-      errors.add(key, peer, "a peer's address must not be mastership.listen, which is ours.");
+      errors.add(key, peer, "the address of a peer must differ from mastership.listen.");
     } else if (SettingValues.isIpv6(address) != SettingValues.isIpv6(listen)) {
-      errors.add(key, peer, "it must be of the family of mastership.listen.");
+      errors.add(key, peer, "must have the address family of mastership.listen.");
     }
   }
 
@@ -94,16 +95,17 @@
     for (int i = 0; i < routers.size(); i++) {
       JsonNode router = routers.path(i);
       String key = "mastership.router[" + i + "]";
-      Settings.RouterSettings read = readRouter(key, router, listen);
-      settings.add(read);
-      if (!ids.add(read.options().router())) {
-        errors.add(key + ".id", router.path("id"), "each virtual router id may be used once.");
+      Settings.RouterSettings routerSettings = readRouter(key, router, listen);
+      settings.add(routerSettings);
+      if (!ids.add(routerSettings.options().router())) {
+        errors.add(key + ".id", router.path("id"), "each virtual router id may be used only once.");
       }
-      if (read.serviceAddress() != null && !serviceAddresses.add(read.serviceAddress())) {
+      if (routerSettings.serviceAddress() != null
+          && !serviceAddresses.add(routerSettings.serviceAddress())) {
         errors.add(
             key + ".serve",
             router.path("serve"),
-            "each virtual router needs an address to serve of its own.");
+            "each virtual router needs its own address to serve.");
       }
     }
     return settings;
@@ -132,10 +134,10 @@
       String key = routerKey + ".addresses[" + i + "]";
       InetAddress address = Addresses.parse(text.asText()).orElse(null);
       if (address == null) {
-        errors.add(key, text, "an IPv4 or IPv6 address, written out, is allowed.");
+        errors.add(key, text, "expected a numeric IPv4 or IPv6 address.");
       } else if (listen != null
           && address instanceof Inet6Address != SettingValues.isIpv6(listen)) {
-        errors.add(key, text, "it must be of the family of mastership.listen.");
+        errors.add(key, text, "must have the address family of mastership.listen.");
       } else {
         addresses.add(address);
       }
@@ -147,9 +149,9 @@
     JsonNode schema = values.schemaOf("mastership.fitness");
     Map<HealthSignal, HealthScore.SignalBounds> bounds = new EnumMap<>(HealthSignal.class);
     for (HealthSignal signal : HealthSignal.values()) {
-      HealthScore.SignalBounds read = readBounds(section, schema, signal.label());
-      if (read.priorityDecrement() > 0) {
-        bounds.put(signal, read);
+      HealthScore.SignalBounds signalBounds = readBounds(section, schema, signal.label());
+      if (signalBounds.priorityDecrement() > 0) {
+        bounds.put(signal, signalBounds);
       }
     }
     return new HealthScore.HealthScoreOptions(
@@ -164,13 +166,13 @@
     JsonNode defaults = schema.path(signal).path("properties");
     double unhealthyFrom = SettingValues.valueOrDefault(bounds, defaults, "bad_from").asDouble();
     double healthyBelow = SettingValues.valueOrDefault(bounds, defaults, "well_below").asDouble();
-    int steps = SettingValues.valueOrDefault(bounds, defaults, "steps").asInt();
+    int priorityDecrement = SettingValues.valueOrDefault(bounds, defaults, "steps").asInt();
     if (healthyBelow > unhealthyFrom) {
       errors.add(
           "mastership.fitness." + signal + ".well_below",
           bounds.path("well_below"),
-          "no more than bad_from, " + unhealthyFrom + ", is allowed.");
+          "must not exceed bad_from, " + unhealthyFrom + ".");
     }
-    return new HealthScore.SignalBounds(unhealthyFrom, healthyBelow, steps);
+    return new HealthScore.SignalBounds(unhealthyFrom, healthyBelow, priorityDecrement);
   }
 }
--- a/src/main/java/cobaltseam/settings/SchemaCheck.java
+++ b/src/main/java/cobaltseam/settings/SchemaCheck.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checks a settings file against the JSON schema, and explains violations in plain English. */
+/** Validates a settings file against the JSON schema and describes violations in plain English. */
 final class SchemaCheck {
   private final JsonNode schema;
   private final SettingErrors errors;
@@ -18,7 +18,7 @@
     this.errors = errors;
   }
 
-  /** Adds an error for each violation. */
+  /** Validates the settings and adds an error for each violation of the schema. */
   void check(JsonNode settings) {
     SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
         .getSchema(schema)
@@ -35,20 +35,20 @@
           errors.add(
               join(key, error.getProperty()),
               "nothing",
-              allowed(violated.at("/properties/" + error.getProperty())));
+              expected(violated.at("/properties/" + error.getProperty())));
       case "additionalProperties" -> {
         List<String> names = new ArrayList<>();
         violated.path("properties").fieldNames().forEachRemaining(names::add);
         errors.add(
             join(key, error.getProperty()),
             actual == null ? MissingNode.getInstance() : actual.path(error.getProperty()),
-            "only these are allowed there: " + String.join(", ", names));
+            "unknown setting; expected one of " + String.join(", ", names));
       }
-      default -> errors.add(key, actual, allowed(violated));
+      default -> errors.add(key, actual, expected(violated));
     }
   }
 
-  /** The part of the schema that contains the violated keyword. */
+  /** Returns the part of the schema that contains the violated keyword. */
   private JsonNode schemaOf(Error error) {
     String[] steps = error.getSchemaLocation().getFragment().toString().split("/");
     JsonNode node = schema;
@@ -58,7 +58,7 @@
     return node;
   }
 
-  private static String allowed(JsonNode schema) {
+  private static String expected(JsonNode schema) {
     List<String> parts = new ArrayList<>();
     if (schema.has("enum")) {
       parts.add("one of " + schema.path("enum"));
@@ -73,29 +73,34 @@
       parts.add("a multiple of " + schema.path("multipleOf"));
     }
     if (schema.has("minItems")) {
-      parts.add("of " + schema.path("minItems") + " to " + schema.path("maxItems") + ", each once");
+      parts.add(
+          "of "
+              + schema.path("minItems")
+              + " to "
+              + schema.path("maxItems")
+              + " distinct elements");
     }
     if (schema.has("pattern")) {
-      parts.add("address:port, an IPv6 address in brackets");
+      parts.add("in the form address:port, with an IPv6 address in brackets");
     }
     if (schema.has("default")) {
       parts.add("default " + schema.path("default"));
     }
-    return String.join(", ", parts) + " is allowed. " + schema.path("description").asText();
+    return "expected " + String.join(", ", parts) + ". " + schema.path("description").asText();
   }
 
   private static String typeName(String type) {
     return switch (type) {
-      case "integer" -> "a whole number";
+      case "integer" -> "an integer";
       case "number" -> "a number";
       case "boolean" -> "true or false";
-      case "array" -> "a list";
+      case "array" -> "an array";
       case "object" -> "a table";
-      default -> "a text";
+      default -> "a string";
     };
   }
 
-  /** The dotted name of a setting, from its JSON pointer. */
+  /** Converts the JSON pointer of a setting to its dotted name. */
   private static String key(String pointer) {
     StringBuilder key = new StringBuilder();
     for (String step : pointer.split("/")) {
--- a/src/main/java/cobaltseam/settings/SettingErrors.java
+++ b/src/main/java/cobaltseam/settings/SettingErrors.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects everything that is wrong with a settings file, a line each. */
+/** Collects the errors of a settings file, one line per error. */
 final class SettingErrors {
   private final Path file;
   private final List<String> lines = new ArrayList<>();
@@ -19,22 +19,22 @@
    * Adds an error.
    *
    * @param key the dotted name of the setting
-   * @param actual its value, or null or a missing node if there is none
-   * @param allowed what is allowed instead, as a sentence
+   * @param actual the value of the setting, or null or a missing node if it is not set
+   * @param explanation what is expected or wrong, as the rest of a sentence
    */
-  void add(String key, JsonNode actual, String allowed) {
-    add(key, actual == null || actual.isMissingNode() ? "nothing" : actual.toString(), allowed);
+  void add(String key, JsonNode actual, String explanation) {
+    add(key, actual == null || actual.isMissingNode() ? "nothing" : actual.toString(), explanation);
   }
 
   /** Like {@link #add(String, JsonNode, String)}, with the value as text. */
-  void add(String key, String actual, String allowed) {
-    lines.add(file + ": " + key + ": " + actual + " stands there; " + allowed.strip());
+  void add(String key, String actual, String explanation) {
+    lines.add(file + ": " + key + ": found " + actual + "; " + explanation.strip());
   }
 
   /**
-   * Ends the reading if there are errors.
+   * Throws an exception if errors were added.
    *
-   * @throws InvalidInputException with all lines added so far
+   * @throws InvalidInputException with the lines of all errors added so far
    */
   void throwIfAny() {
     if (!lines.isEmpty()) {
--- a/src/main/java/cobaltseam/settings/SettingValues.java
+++ b/src/main/java/cobaltseam/settings/SettingValues.java
@@ -11,7 +11,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Converts values of the settings file that more than one section has; errors are collected. */
+/** Converts types of values that several sections of the settings file use; collects errors. */
 final class SettingValues {
   private static final int US_PER_MS = 1000;
   private static final int MAX_PORT = 65_535;
@@ -27,22 +27,22 @@
     this.errors = errors;
   }
 
-  /** The schema of the settings in a section, by the dotted name of the section. */
+  /** Returns the schema of the settings in a section, by the dotted name of the section. */
   JsonNode schemaOf(String section) {
     return schema.at("/properties/" + section.replace(".", "/properties/") + "/properties");
   }
 
-  /** A setting of a section, or its default in the schema of that section's settings. */
+  /** Returns a setting of a section, or its default in the schema of that section's settings. */
   static JsonNode valueOrDefault(JsonNode section, JsonNode schema, String name) {
     return section.has(name) ? section.path(name) : schema.path(name).path("default");
   }
 
-  /** A setting in milliseconds, or its default in the schema of its section's settings. */
+  /** Returns a setting in milliseconds, or its default in the schema of its section's settings. */
   static TimeSpan timeOrDefault(JsonNode section, JsonNode schema, String name) {
     return new TimeSpan(valueOrDefault(section, schema, name).asLong() * US_PER_MS);
   }
 
-  /** A value in milliseconds, or a default in milliseconds. */
+  /** Returns the time span of a value in milliseconds, or of a default in milliseconds. */
   static TimeSpan time(JsonNode value, long defaultMs) {
     return new TimeSpan(value.asLong(defaultMs) * US_PER_MS);
   }
@@ -51,7 +51,7 @@
     return address.getAddress() instanceof Inet6Address;
   }
 
-  /** An address and port, or null and an error. */
+  /** Parses an address and port; adds an error and returns null if the value is invalid. */
   InetSocketAddress address(String key, JsonNode value) {
     String text = value.isMissingNode() ? "" : value.asText();
     int colon = text.lastIndexOf(':');
@@ -62,7 +62,9 @@
       errors.add(
           key,
           value,
-          "one address written out, a colon and a port from 1 to " + MAX_PORT + " is allowed.");
+          "expected a numeric, non-wildcard address, a colon and a port from 1 to "
+              + MAX_PORT
+              + ".");
       return null;
     }
     return new InetSocketAddress(address, port);
@@ -74,9 +76,10 @@
   }
 
   /**
-   * Reads the authentication of messages and its key file; null if there is none or it has errors.
+   * Reads the authentication settings of a section and the key file that they name. Returns null if
+   * the section has none or they are invalid.
    *
-   * @param section the name of the section that it belongs to
+   * @param section the name of the section that contains the authentication settings
    */
   Settings.AuthenticationSettings authentication(String section, JsonNode seal) {
     if (seal.isMissingNode()) {
@@ -89,22 +92,17 @@
         errors.add(
             section + ".seal.write_key",
             seal.path("write_key"),
-            "the id of a key in " + keyFile + " is allowed.");
+            "expected the id of a key in " + keyFile + ".");
       }
       return new Settings.AuthenticationSettings(
           keys,
           seal.path("write_key").asInt(),
           time(seal.path("clock_difference_ms"), DEFAULT_CLOCK_DIFFERENCE_MS));
     } catch (IOException e) {
-      errors.add(
-          section + ".seal.keys",
-          seal.path("keys"),
-          "a file that can be read is allowed; this one: " + e);
+      errors.add(section + ".seal.keys", seal.path("keys"), "the key file can't be read: " + e);
     } catch (IllegalArgumentException e) {
       errors.add(
-          section + ".seal.keys",
-          seal.path("keys"),
-          "a file of keys is allowed; of this one " + e.getMessage());
+          section + ".seal.keys", seal.path("keys"), "the key file is invalid: " + e.getMessage());
     }
     return null;
   }
--- a/src/main/java/cobaltseam/settings/Settings.java
+++ b/src/main/java/cobaltseam/settings/Settings.java
@@ -13,7 +13,8 @@
 import java.util.stream.Collectors;
 
 /**
- * What our own settings file turns on. A part that is null is off.
+ * The contents of the dispatcher's own settings file, as opposed to the platform's configuration. A
+ * component that is null is off.
  *
  * @param logsJson whether log lines are JSON
  * @param virtualAddresses the virtual addresses that this dispatcher shares by VRRP
@@ -29,7 +30,7 @@
     AgreementSettings agreement,
     CapacitySettings capacity,
     RetryBudgetSettings retryBudget) {
-  /** Without a file: everything is off. */
+  /** The settings that apply without a file: everything is off. */
   public static final Settings OFF = new Settings(false, null, null, null, null, null);
 
   private static final TimeSpan DEFAULT_GOSSIP_PERIOD = new TimeSpan(1_000_000);
@@ -37,17 +38,17 @@
   private static final int GOSSIP_EXPIRY_ROUNDS = 10;
 
   /**
-   * How members exchange their figures by gossip.
+   * Returns the options of the gossip by which members exchange their figures.
    *
-   * @param maxBytes of one message
-   * @param maxClockDrift by which part the rates of two clocks differ at most
+   * @param maxBytes the maximum size of one message
+   * @param maxClockDrift the maximum relative difference between the rates of two clocks
    */
   public cobaltseam.sharing.GossipOptions gossipOptions(int maxBytes, double maxClockDrift) {
-    TimeSpan round = capacity != null ? capacity.gossipPeriod() : DEFAULT_GOSSIP_PERIOD;
+    TimeSpan gossipPeriod = capacity != null ? capacity.gossipPeriod() : DEFAULT_GOSSIP_PERIOD;
     return new cobaltseam.sharing.GossipOptions(
-        round,
+        gossipPeriod,
         GOSSIP_PEERS_PER_ROUND,
-        capacity != null ? capacity.expiresAfter() : round.times(GOSSIP_EXPIRY_ROUNDS),
+        capacity != null ? capacity.expiresAfter() : gossipPeriod.times(GOSSIP_EXPIRY_ROUNDS),
         maxBytes,
         maxClockDrift);
   }
@@ -55,13 +56,14 @@
   /**
    * The group of dispatchers that share virtual addresses by VRRP.
    *
-   * @param listen where advertisements are sent from and received
-   * @param peers where the other dispatchers of the group receive advertisements
-   * @param coverage what the checksum of IPv4 advertisements covers when they are sent
+   * @param listen the address that sends and receives advertisements
+   * @param peers the addresses at which the other dispatchers of the group receive advertisements
+   * @param coverage what the checksum of sent IPv4 advertisements covers
    * @param acceptsOtherIntervals whether advertisements with another interval are accepted
-   * @param dispatchersElsewhere dispatchers with traffic outside the group, or below zero if unset
-   * @param answersAsBackup whether the dispatcher's own address answers while it is not active
-   * @param authentication null where advertisements are not authenticated
+   * @param dispatchersElsewhere the number of dispatchers outside the group that receive traffic,
+   *     or a negative number if unset
+   * @param answersAsBackup whether the dispatcher's own address stays open while it is a backup
+   * @param authentication null if advertisements are not authenticated
    */
   public record VirtualAddressSettings(
       InetSocketAddress listen,
@@ -73,35 +75,40 @@
       List<RouterSettings> routers,
       AuthenticationSettings authentication,
       HealthScore.HealthScoreOptions healthScore) {
-    /** The IP addresses that advertisements are accepted from. */
+    /** Returns the IP addresses from which advertisements are accepted. */
     public Set<InetAddress> peerAddresses() {
       return peers.stream().map(InetSocketAddress::getAddress).collect(Collectors.toSet());
     }
 
-    /** The options of all virtual routers. */
+    /** Returns the options of all virtual routers. */
     public List<RouterOptions> routerOptions() {
       return routers.stream().map(RouterSettings::options).toList();
     }
   }
 
-  /** One virtual router, and the address that accepts clients while it is active. */
+  /**
+   * One virtual router.
+   *
+   * @param serviceAddress the address that accepts clients while this dispatcher is active
+   */
   public record RouterSettings(RouterOptions options, InetSocketAddress serviceAddress) {}
 
   /**
    * The fleet that this dispatcher is a member of.
    *
    * @param fleet the name of the fleet
-   * @param listen where messages are received
-   * @param advertise the address that the other members use
-   * @param seeds addresses that are asked for the other members
+   * @param listen the address that receives messages
+   * @param advertise the address to which the other members send messages
+   * @param seeds the addresses from which this dispatcher requests the list of members
    * @param bootstrapMembers the names of the members that bootstrap the first view
-   * @param period between two health checks of a member
-   * @param suspicionPeriods periods for which a suspected member may refute the suspicion, besides
-   *     one for each tenfold of members
-   * @param indirectProbes how many members check indirectly one that does not respond
-   * @param stateFolder where persistent state is stored, or null
-   * @param rebootstrapView the view to bootstrap again because its majority is lost, or null
-   * @param authentication null where messages are not authenticated
+   * @param period the time between two probes that this dispatcher sends
+   * @param suspicionPeriods the number of periods within which a suspected member may refute the
+   *     suspicion; one more is added for each factor of ten in the number of members
+   * @param indirectProbes the number of other members that probe a member that does not respond
+   * @param stateFolder the folder of persistent state, or null to store none
+   * @param rebootstrapView the view to re-bootstrap because its majority is permanently lost, or
+   *     null
+   * @param authentication null if messages are not authenticated
    */
   public record MembershipSettings(
       String fleet,
@@ -115,7 +122,10 @@
       Path stateFolder,
       String rebootstrapView,
       AuthenticationSettings authentication) {
-    /** The settings that are read at the start only, apart from the keys. */
+    /**
+     * Returns only the settings that require a restart to change: {@code rebootstrapView} and
+     * {@code authentication}, which are reloaded while the dispatcher runs, are null.
+     */
     public MembershipSettings withStartupSettingsOnly() {
       return new MembershipSettings(
           fleet,
@@ -135,23 +145,26 @@
   /**
    * How the fleet agrees on a configuration.
    *
-   * @param maxContradiction for how long two members may use contradicting configurations at most
+   * @param maxContradiction the longest time for which two members may use contradicting
+   *     configurations
    */
   public record AgreementSettings(TimeSpan maxContradiction) {}
 
   /**
    * How the fleet shares the capacity of the engines.
    *
-   * @param followsDemand whether shares follow demand; else they are even over the view
+   * @param followsDemand whether shares follow demand; otherwise all members of the view have equal
+   *     shares
    * @param aloneShare the share of the engines that all dispatchers together have without a
    *     majority
-   * @param minShare the part of its even share that a member keeps without demand
-   * @param leaseDuration for how long a share is valid after the last message of a majority
+   * @param minShare the fraction of its equal share that a member keeps without demand
+   * @param leaseDuration how long a share is valid after the last confirmation by a majority
    * @param demandHalfLife the half-life of measured demand
-   * @param gossipPeriod between two rounds of gossip
-   * @param expiresAfter after which a figure of another member expires
-   * @param loadReportPeriod between two requests for load reports of engines; zero for never
-   * @param logsChanges whether each change of the own share is logged
+   * @param gossipPeriod the time between two rounds of gossip
+   * @param expiresAfter the age at which a figure of another member expires
+   * @param loadReportPeriod the time between two requests to other members for their load reports
+   *     of engines; zero for never
+   * @param logsChanges whether each change of this dispatcher's share is logged
    */
   public record CapacitySettings(
       boolean followsDemand,
@@ -166,18 +179,18 @@
     private static final long TOTAL_UNITS = 1_000_000_000L;
     private static final int MAX_LEASES = 16;
 
-    /** Periods after which a load report expires. */
+    /** The number of load report periods after which a load report expires. */
     private static final int LOAD_REPORT_EXPIRY_PERIODS = 30;
 
-    /** The number of units that the engines are divided into. */
+    /** Returns the number of units into which the capacity of the engines is divided. */
     public long totalUnits() {
       return TOTAL_UNITS;
     }
 
     /**
-     * The options of capacity leases.
+     * Returns the options of capacity leases.
      *
-     * @param processes how many dispatchers run at once at most
+     * @param processes the maximum number of dispatchers that run at the same time
      */
     public cobaltseam.capacity.CapacityOptions capacityOptions(int processes) {
       return new cobaltseam.capacity.CapacityOptions(
@@ -185,9 +198,9 @@
     }
 
     /**
-     * The options of load reports.
+     * Returns the options of load reports.
      *
-     * @param maxClockDrift by which part the rates of two clocks differ at most
+     * @param maxClockDrift the maximum relative difference between the rates of two clocks
      */
     public cobaltseam.capacity.LoadReports.LoadReportOptions loadReportOptions(
         double maxClockDrift) {
@@ -199,17 +212,18 @@
   /**
    * How the fleet shares a retry budget.
    *
-   * @param ratio retries allowed for each first attempt
-   * @param aloneRetries further retries in a window that each dispatcher has on its own
-   * @param window for which the retries that first attempts earn may be used
-   * @param requestPeriod between two checks whether to request budget from other members
+   * @param ratio the number of retries allowed for each first attempt
+   * @param aloneRetries the number of additional retries per window that each dispatcher may always
+   *     use
+   * @param window how long the retries that a first attempt earns may be used
+   * @param requestPeriod the time between two checks whether to request budget from other members
    */
   public record RetryBudgetSettings(
       double ratio, double aloneRetries, TimeSpan window, TimeSpan requestPeriod) {
     /**
-     * The options of the retry budget.
+     * Returns the options of the retry budget.
      *
-     * @param maxClockDrift by which part the rates of two clocks differ at most
+     * @param maxClockDrift the maximum relative difference between the rates of two clocks
      */
     public cobaltseam.retrybudget.RetryBudgetOptions retryBudgetOptions(double maxClockDrift) {
       return new cobaltseam.retrybudget.RetryBudgetOptions(
@@ -218,10 +232,10 @@
   }
 
   /**
-   * How messages are authenticated.
+   * The keys and limits with which messages are authenticated.
    *
-   * @param writeKey the id of the key to sign with
-   * @param clockDifference by how much the clocks of two dispatchers may differ
+   * @param writeKey the id of the key that signs sent messages
+   * @param clockDifference the maximum difference between the clocks of two dispatchers
    */
   public record AuthenticationSettings(KeyRing keys, int writeKey, TimeSpan clockDifference) {}
 }
--- a/src/main/java/cobaltseam/settings/SettingsReader.java
+++ b/src/main/java/cobaltseam/settings/SettingsReader.java
@@ -11,9 +11,9 @@
 import java.nio.file.Path;
 
 /**
- * Reads our own settings file: TOML, checked against the schema in this package's resources, then
- * setting against setting. All errors are reported at once, each with the file, the setting, its
- * value and what is allowed.
+ * Reads the dispatcher's own settings file, which is TOML. Validates it against the schema in this
+ * package's resources, and then the settings against each other. All errors of a step are reported
+ * at once, each with the file, the setting, its value and what is expected.
  */
 public final class SettingsReader {
   private static final String SCHEMA_RESOURCE = "schema.json";
@@ -22,9 +22,9 @@
   private SettingsReader() {}
 
   /**
-   * Reads a file.
+   * Reads a settings file.
    *
-   * @throws InvalidInputException with everything that is wrong with it, a line each
+   * @throws InvalidInputException with all errors found in the file, one line per error
    */
   public static Settings read(Path file) {
     JsonNode root = readToml(file);
@@ -52,17 +52,18 @@
   private static JsonNode readToml(Path file) {
     try {
       if (Files.size(file) > MAX_FILE_BYTES) {
-        throw new InvalidInputException(file + ": it is longer than " + MAX_FILE_BYTES + " bytes");
+        throw new InvalidInputException(
+            file + ": the file is longer than " + MAX_FILE_BYTES + " bytes");
       }
       return new TomlMapper().readTree(Files.readString(file));
     } catch (JacksonException e) {
       throw new InvalidInputException(
           file
-              + ": it is not TOML: "
+              + ": the file is not valid TOML: "
               + e.getOriginalMessage()
               + (e.getLocation() == null ? "" : ", line " + e.getLocation().getLineNr()));
     } catch (IOException e) {
-      throw new InvalidInputException(file + ": it can't be read: " + e.getMessage());
+      throw new InvalidInputException(file + ": the file can't be read: " + e.getMessage());
     }
   }
 
@@ -70,7 +71,7 @@
     try (InputStream in = SettingsReader.class.getResourceAsStream(SCHEMA_RESOURCE)) {
       return new ObjectMapper().readTree(in);
     } catch (IOException e) {
-      throw new IllegalStateException("the schema is not in the jar", e);
+      throw new IllegalStateException("the settings schema can't be read from the jar", e);
     }
   }
 }
--- a/src/test/java/cobaltseam/cli/CobaltseamCommandTest.java
+++ b/src/test/java/cobaltseam/cli/CobaltseamCommandTest.java
@@ -208,6 +208,6 @@
     Files.writeString(file, "mastership = 1\n");
     CommandResult bad = run("check", "--config", file.toString());
     assertEquals(1, bad.code);
-    assertTrue(bad.err.contains("mastership: 1 stands there"), bad.err);
+    assertTrue(bad.err.contains("mastership: found 1;"), bad.err);
   }
 }
--- a/src/test/java/cobaltseam/deployment/DeploymentReaderTest.java
+++ b/src/test/java/cobaltseam/deployment/DeploymentReaderTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The settings that the move brought, read alike by the simulator's adapter and by the service. */
+/** Tests the conversion of the platform's parameters to a deployment, with their defaults. */
 class DeploymentReaderTest {
   private static final String CLASSES =
       "\"classes\": [{\"name\": \"lookup\", \"aim_us\": 500000, \"hard_limit_us\": "
@@ -44,8 +44,8 @@
   @Test
   void missingOptionalFieldsHaveTheirDefaults() {
     Deployment deployment = read("", "", "", "");
-    assertNull(deployment.rules().retryWindow(), "no budget of further sends");
-    assertNull(deployment.requestClasses().get(1).machineTypes(), "any kind");
+    assertNull(deployment.rules().retryWindow(), "no retry budget");
+    assertNull(deployment.requestClasses().get(1).machineTypes(), "any machine type");
     assertFalse(deployment.capabilities().allowsRetryAfter());
     assertEquals(1, deployment.capabilities().maxAttempts());
   }
@@ -63,8 +63,7 @@
     assertEquals(10_000_000, deployment.rules().retryWindow().us());
     assertEquals(
         List.of(new MachineTypeId("c8")), deployment.requestClasses().get(1).machineTypes());
-    assertFalse(
-        deployment.capabilities().allowsRetryAfter(), "clients are not told when to come back");
+    assertFalse(deployment.capabilities().allowsRetryAfter(), "clients receive no retry-after");
     assertEquals(5, deployment.capabilities().maxAttempts());
   }
 
--- a/src/test/java/cobaltseam/settings/SettingsReaderTest.java
+++ b/src/test/java/cobaltseam/settings/SettingsReaderTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Our own settings file: what it sets, and all errors that it can have. */
+/** Tests the reading of the dispatcher's own settings file and the errors that it reports. */
 class SettingsReaderTest {
   private static final String COMPLETE =
       """
@@ -46,7 +46,7 @@
     return Files.writeString(folder.resolve("cobaltseam.toml"), text);
   }
 
-  private String errorsOf(String text) throws IOException {
+  private String errorsIn(String text) throws IOException {
     Path file = write(text);
     String errors =
         assertThrows(InvalidInputException.class, () -> SettingsReader.read(file)).getMessage();
@@ -64,7 +64,7 @@
             """;
 
   @Test
-  void sectionsOfTheFleetNeedMembershipAndHaveDefaults() throws IOException {
+  void fleetSectionsRequireMembershipAndHaveDefaults() throws IOException {
     Settings settings =
         SettingsReader.read(write(MEMBERSHIP + "[agreement]\n[spread]\nwindow_ms = 500\n"));
     assertEquals(new TimeSpan(2_000_000), settings.agreement().maxContradiction());
@@ -83,28 +83,28 @@
     assertEquals(
         new Settings.RetryBudgetSettings(0.3, 1, new TimeSpan(10_000_000), new TimeSpan(100_000)),
         SettingsReader.read(write(MEMBERSHIP + "[repeats]\nratio = 0.3\n")).retryBudget());
-    assertTrue(errorsOf("[repeats]\n").contains("it needs [membership]"));
+    assertTrue(errorsIn("[repeats]\n").contains("requires [membership]"));
     assertTrue(
-        errorsOf(MEMBERSHIP + "[repeats]\nround_ms = 600\nwindow_ms = 500\n")
+        errorsIn(MEMBERSHIP + "[repeats]\nround_ms = 600\nwindow_ms = 500\n")
             .contains("shorter than repeats.window_ms"));
-    assertTrue(errorsOf("[spread]\n").contains("it needs [membership]"));
-    assertTrue(errorsOf("[agreement]\n").contains("it needs [membership]"));
+    assertTrue(errorsIn("[spread]\n").contains("requires [membership]"));
+    assertTrue(errorsIn("[agreement]\n").contains("requires [membership]"));
     assertTrue(
-        errorsOf(MEMBERSHIP + "[agreement]\ncontradiction_ms = 500\n[spread]\nlease_ms = 500\n")
-            .contains("one of the two"));
+        errorsIn(MEMBERSHIP + "[agreement]\ncontradiction_ms = 500\n[spread]\nlease_ms = 500\n")
+            .contains("only one of the two"));
     assertTrue(
-        errorsOf(MEMBERSHIP + "[spread]\nround_ms = 5000\nunknown_after_ms = 5000\n")
+        errorsIn(MEMBERSHIP + "[spread]\nround_ms = 5000\nunknown_after_ms = 5000\n")
             .contains("longer than spread.round_ms"));
-    assertTrue(errorsOf(MEMBERSHIP + "[spread]\nalone = 1.5\n").contains("spread.alone"));
+    assertTrue(errorsIn(MEMBERSHIP + "[spread]\nalone = 1.5\n").contains("spread.alone"));
   }
 
   @Test
-  void anEmptyFileTurnsNothingOn() throws IOException {
+  void emptyFileEqualsSettingsOff() throws IOException {
     assertEquals(Settings.OFF, SettingsReader.read(write("")));
   }
 
   @Test
-  void aCompleteFileIsRead() throws IOException {
+  void completeFileIsRead() throws IOException {
     Settings settings = SettingsReader.read(write(COMPLETE));
     assertTrue(settings.logsJson());
     assertEquals(ChecksumCoverage.PSEUDO_HEADER, settings.virtualAddresses().coverage());
@@ -135,9 +135,9 @@
   }
 
   @Test
-  void allErrorsAreReportedAtOnce() throws IOException {
+  void allSchemaViolationsAreReportedAtOnce() throws IOException {
     String errors =
-        errorsOf(
+        errorsIn(
             COMPLETE
                 .replace("priority = 150", "priority = 300")
                 .replace("interval_ms = 250", "interval_ms = 255")
@@ -146,20 +146,21 @@
                 .replace("serve = \"127.0.0.21:5050\"", ""));
     assertTrue(
         errors.contains(
-            "mastership.router[0].priority: 300 stands there; a whole number, from 1 to 255, default 100"),
+            "mastership.router[0].priority: found 300; expected an integer, from 1 to 255, default 100"),
         errors);
-    assertTrue(errors.contains("mastership.router[0].interval_ms: 255 stands there"), errors);
+    assertTrue(errors.contains("mastership.router[0].interval_ms: found 255;"), errors);
     assertTrue(errors.contains("a multiple of 10"), errors);
     assertTrue(
-        errors.contains("logging.form: \"xml\" stands there; one of [\"text\",\"json\"]"), errors);
-    assertTrue(errors.contains("mastership.seals: {"), errors);
-    assertTrue(errors.contains("mastership.router[0].serve: nothing stands there"), errors);
+        errors.contains("logging.form: found \"xml\"; expected one of [\"text\",\"json\"]"),
+        errors);
+    assertTrue(errors.contains("mastership.seals: found {"), errors);
+    assertTrue(errors.contains("mastership.router[0].serve: found nothing;"), errors);
     assertEquals(5, errors.split("\n").length, errors);
   }
 
   @Test
-  void settingsAreCheckedAgainstEachOther() throws IOException {
-    String twice =
+  void conflictingSettingsAreReported() throws IOException {
+    String duplicateRouter =
         COMPLETE.replace(
             "[mastership.seal]",
             """
@@ -169,36 +170,36 @@
                 serve = "127.0.0.21:5050"
                 [mastership.seal]""");
     String errors =
-        errorsOf(
-            twice
+        errorsIn(
+            duplicateRouter
                 .replace(
                     "\"127.0.0.12:1112\"", "\"127.0.0.11:1\", \"127.0.0.9:1\", \"127.0.0.9:2\"")
                 .replace("write_key = 2", "write_key = 3")
                 .replace("well_below = 0.2", "well_below = 0.9"));
     assertTrue(errors.contains("mastership.peers[0]"), errors);
     assertTrue(errors.contains("mastership.peers[2]"), errors);
-    assertTrue(errors.contains("mastership.router[1].id: 51"), errors);
+    assertTrue(errors.contains("mastership.router[1].id: found 51;"), errors);
     assertTrue(errors.contains("mastership.router[1].addresses[0]"), errors);
     assertTrue(errors.contains("mastership.router[1].serve"), errors);
-    assertTrue(errors.contains("mastership.seal.write_key: 3"), errors);
-    assertTrue(errors.contains("mastership.fitness.late.well_below: 0.9"), errors);
+    assertTrue(errors.contains("mastership.seal.write_key: found 3;"), errors);
+    assertTrue(errors.contains("mastership.fitness.late.well_below: found 0.9;"), errors);
     assertEquals(7, errors.split("\n").length, errors);
   }
 
   @Test
-  void filesThatCantBeReadAreReported() throws IOException {
-    assertTrue(errorsOf("[mastership\n").contains("it is not TOML"));
-    assertTrue(errorsOf(COMPLETE.replace("\"keys\"", "\"none\"")).contains("mastership.seal.keys"));
+  void unreadableFilesAndUnusableAddressesAreReported() throws IOException {
+    assertTrue(errorsIn("[mastership\n").contains("the file is not valid TOML"));
+    assertTrue(errorsIn(COMPLETE.replace("\"keys\"", "\"none\"")).contains("mastership.seal.keys"));
     assertTrue(
-        errorsOf(COMPLETE.replace("127.0.0.21:5050", "0.0.0.0:5050"))
+        errorsIn(COMPLETE.replace("127.0.0.21:5050", "0.0.0.0:5050"))
             .contains("mastership.router[0].serve"));
     assertTrue(
-        errorsOf(COMPLETE.replace("127.0.0.21:5050", "localhost:5050"))
+        errorsIn(COMPLETE.replace("127.0.0.21:5050", "localhost:5050"))
             .contains("mastership.router[0].serve"));
-    Path missing = folder.resolve("gone.toml");
+    Path missing = folder.resolve("missing.toml");
     assertTrue(
         assertThrows(InvalidInputException.class, () -> SettingsReader.read(missing))
             .getMessage()
-            .contains("can't be read"));
+            .contains("the file can't be read"));
   }
 }
