--- a/src/main/java/cobaltseam/emulator/Charts.java
+++ b/src/main/java/cobaltseam/emulator/Charts.java
@@ -19,21 +19,24 @@
 import org.jfree.data.xy.XYSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
 
-/** Results as SVG. */
+/** Writes charts of results as SVG files. */
 final class Charts {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 480;
 
   private Charts() {}
 
-  /** One figure over what was swept, a line a policy, the mean of seeds at each point. */
+  /**
+   * Charts a metric over the values of the varied parameter: one line per policy, and the mean over
+   * all seeds at each point.
+   */
   static void sweep(
       Path file,
       String title,
-      String figure,
-      String what,
+      String parameter,
+      String metricName,
       List<ResultsFile.RunResult> rows,
-      ToDoubleFunction<ResultsFile.RunResult> of)
+      ToDoubleFunction<ResultsFile.RunResult> metric)
       throws IOException {
     XYSeriesCollection lines = new XYSeriesCollection();
     Map<String, List<ResultsFile.RunResult>> policies =
@@ -42,35 +45,38 @@
                 Collectors.groupingBy(
                     ResultsFile.RunResult::policy, TreeMap::new, Collectors.toList()));
     policies.forEach(
-        (policy, its) -> {
+        (policy, results) -> {
           XYSeries line = new XYSeries(policy);
-          its.stream()
+          results.stream()
               .collect(
                   Collectors.groupingBy(
-                      ResultsFile.RunResult::value, TreeMap::new, Collectors.averagingDouble(of)))
+                      ResultsFile.RunResult::value,
+                      TreeMap::new,
+                      Collectors.averagingDouble(metric)))
               .forEach(line::add);
           lines.addSeries(line);
         });
-    write(file, ChartFactory.createXYLineChart(title, figure, what, lines));
+    write(file, ChartFactory.createXYLineChart(title, parameter, metricName, lines));
   }
 
-  /** Benefit offered and got by second, with the time of each fault shaded. */
+  /** Charts the priority weight offered and served by second, with the faults shaded. */
   static void series(Path file, String title, List<double[]> seconds, List<Fault> faults)
       throws IOException {
     XYSeries offered = new XYSeries("offered");
-    XYSeries got = new XYSeries("got");
+    XYSeries served = new XYSeries("got");
     for (int s = 0; s < seconds.size(); s++) {
       offered.add(s, seconds.get(s)[0]);
-      got.add(s, seconds.get(s)[1]);
+      served.add(s, seconds.get(s)[1]);
     }
     XYSeriesCollection lines = new XYSeriesCollection();
     lines.addSeries(offered);
-    lines.addSeries(got);
+    lines.addSeries(served);
     JFreeChart chart = ChartFactory.createXYLineChart(title, "second asked", "benefit", lines);
-    for (Fault f : faults) {
+    for (Fault fault : faults) {
       IntervalMarker mark =
-          new IntervalMarker(f.atS(), f.atS() + f.lengthS(), new Color(255, 120, 0, 40));
-      mark.setLabel(f.kind().label());
+          new IntervalMarker(
+              fault.atS(), fault.atS() + fault.lengthS(), new Color(255, 120, 0, 40));
+      mark.setLabel(fault.kind().label());
       ((XYPlot) chart.getPlot()).addDomainMarker(mark);
     }
     write(file, chart);
@@ -84,8 +90,8 @@
     for (int i = 0; i < plot.getSeriesCount(); i++) {
       plot.getRenderer().setSeriesStroke(i, new BasicStroke(2));
     }
-    SVGGraphics2D to = new SVGGraphics2D(WIDTH, HEIGHT);
-    chart.draw(to, new Rectangle2D.Double(0, 0, WIDTH, HEIGHT));
-    Files.writeString(file, to.getSVGElement());
+    SVGGraphics2D graphics = new SVGGraphics2D(WIDTH, HEIGHT);
+    chart.draw(graphics, new Rectangle2D.Double(0, 0, WIDTH, HEIGHT));
+    Files.writeString(file, graphics.getSVGElement());
   }
 }
--- a/src/main/java/cobaltseam/emulator/EmulateCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulateCommand.java
@@ -4,10 +4,11 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command {@code emulate}: the deployment in virtual time. */
+/** The command {@code emulate}, which runs emulated deployments in virtual time. */
 @Command(
     name = "emulate",
-    description = "Plays a deployment in virtual time, with the real decisions and with faults.",
+    description =
+        "Emulates a deployment in virtual time, with the real decision modules and faults.",
     subcommands = {
       EmulateRunCommand.class,
       EmulateHuntCommand.class,
--- a/src/main/java/cobaltseam/emulator/EmulateCompareCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulateCompareCommand.java
@@ -8,16 +8,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Two result sets, or two policies of one. */
+/** Compares two result sets, or two policies of one. */
 @Command(
     name = "compare",
-    description = "Differences of goodput pair by pair, with intervals over seeds.",
+    description = "Compares goodput by pairs of runs, with confidence intervals.",
     mixinStandardHelpOptions = true)
 final class EmulateCompareCommand implements Callable<Integer> {
   @CommandLine.Parameters(
       paramLabel = "RESULTS",
       arity = "1..2",
-      description = "one or two results.arrow")
+      description = "one or two files results.arrow")
   List<Path> files;
 
   @Option(
@@ -25,25 +25,28 @@
       paramLabel = "A,B",
       split = ",",
       arity = "1",
-      description = "within one set: one policy against another")
-  List<String> names;
+      description = "compares two policies within one result set")
+  List<String> policies;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
   @Override
   public Integer call() throws IOException {
-    if (files.size() == 1 && (names == null || names.size() != 2)) {
+    if (files.size() == 1 && (policies == null || policies.size() != 2)) {
       throw new CommandLine.ParameterException(
-          spec.commandLine(), "one result set needs --policies A,B");
+          spec.commandLine(), "a single result set requires --policies A,B");
     }
     List<ResultsFile.RunResult> first = ResultsFile.read(files.get(0));
     List<ResultsFile.RunResult> second = files.size() == 1 ? first : ResultsFile.read(files.get(1));
-    boolean within = files.size() == 1;
+    boolean withinOneSet = files.size() == 1;
     spec.commandLine()
         .getOut()
         .print(
-            Experiment.compared(
-                first, second, within ? names.get(0) : null, within ? names.get(1) : null));
+            Experiment.compare(
+                first,
+                second,
+                withinOneSet ? policies.get(0) : null,
+                withinOneSet ? policies.get(1) : null));
     spec.commandLine().getOut().flush();
     return 0;
   }
--- a/src/main/java/cobaltseam/emulator/EmulateHuntCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulateHuntCommand.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Many drawn scripts, each a run; all cores. */
+/** Runs many random fault scripts on all cores. */
 @Command(
     name = "hunt",
     description =
-        "Runs drawn fault scripts over all cores, and tells broken rules and the worst runs.",
+        "Runs random fault scripts on all cores, and reports broken rules and the worst runs.",
     mixinStandardHelpOptions = true)
 final class EmulateHuntCommand implements Callable<Integer> {
   @CommandLine.Mixin EmulateOptions common;
@@ -35,50 +35,52 @@
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
-  private record Ran(long seed, Simulation.Result result) {}
+  private record SeedResult(long seed, Simulation.Result result) {}
 
-  /** A fault of the code under one seed is told with that seed. */
-  private Ran play(EmulatedSite world, long seed) {
+  /** Runs one seed; an exception names the seed, so that it can be reproduced. */
+  private SeedResult runSeed(EmulatedSite site, long seed) {
     try {
-      return new Ran(
+      return new SeedResult(
           seed,
           new Simulation(
-                  world,
+                  site,
                   PolicyCatalog.named(policy),
-                  common.faultsFor(world, seed),
+                  common.faultsFor(site, seed),
                   common.seconds,
                   seed)
               .run());
     } catch (RuntimeException e) {
-      throw new IllegalStateException("seed " + seed + " ends in a fault", e);
+      throw new IllegalStateException("the run of seed " + seed + " failed", e);
     }
   }
 
   @Override
   public Integer call() {
     PrintWriter out = spec.commandLine().getOut();
-    EmulatedSite world = common.world();
-    List<Ran> ran =
-        IntStream.range(0, runs).parallel().mapToObj(i -> play(world, common.seed + i)).toList();
-    long broken = ran.stream().filter(r -> r.result.violationCount() > 0).count();
-    double mean = ran.stream().mapToDouble(r -> r.result.counts().goodput()).average().orElse(0);
-    long taken = ran.stream().mapToLong(r -> r.result.counts().admitted()).sum();
+    EmulatedSite site = common.site();
+    List<SeedResult> results =
+        IntStream.range(0, runs).parallel().mapToObj(i -> runSeed(site, common.seed + i)).toList();
+    long violatingRuns = results.stream().filter(r -> r.result.violationCount() > 0).count();
+    double meanGoodput =
+        results.stream().mapToDouble(r -> r.result.counts().goodput()).average().orElse(0);
+    long admitted = results.stream().mapToLong(r -> r.result.counts().admitted()).sum();
     out.printf(
         Locale.ROOT,
         "%d runs, %d commands taken, emulated goodput %.4f at the mean, %d runs broke a rule%n",
         runs,
-        taken,
-        mean,
-        broken);
-    List<Ran> order = new ArrayList<>(ran);
-    order.sort((a, b) -> Double.compare(a.result.counts().goodput(), b.result.counts().goodput()));
-    order.stream()
+        admitted,
+        meanGoodput,
+        violatingRuns);
+    List<SeedResult> byGoodput = new ArrayList<>(results);
+    byGoodput.sort(
+        (a, b) -> Double.compare(a.result.counts().goodput(), b.result.counts().goodput()));
+    byGoodput.stream()
         .limit(5)
         .forEach(
             r ->
                 out.printf(
                     Locale.ROOT, "seed %d: goodput %.4f%n", r.seed, r.result.counts().goodput()));
-    ran.stream()
+    results.stream()
         .filter(r -> r.result.violationCount() > 0)
         .limit(10)
         .forEach(
@@ -90,6 +92,6 @@
                     r.result.violationCount(),
                     r.result.violations().get(0)));
     out.flush();
-    return broken == 0 ? 0 : 1;
+    return violatingRuns == 0 ? 0 : 1;
   }
 }
--- a/src/main/java/cobaltseam/emulator/EmulateOptions.java
+++ b/src/main/java/cobaltseam/emulator/EmulateOptions.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import picocli.CommandLine.Option;
 
-/** What every command is told. */
+/** The options that all commands share. */
 class EmulateOptions {
   @Option(
       names = "--world",
       paramLabel = "NAME",
       defaultValue = "hall",
-      description = "hall, or a file; default: ${DEFAULT-VALUE}")
-  String world;
+      description = "the name of an included site, or a file; default: ${DEFAULT-VALUE}")
+  String siteName;
 
   @Option(
       names = "--seconds",
       paramLabel = "S",
       defaultValue = "60",
-      description = "virtual seconds; default: ${DEFAULT-VALUE}")
+      description = "the virtual duration in seconds; default: ${DEFAULT-VALUE}")
   double seconds;
 
   @Option(
@@ -31,25 +31,32 @@
       names = "--faults",
       paramLabel = "N",
       defaultValue = "0",
-      description = "faults drawn by the seed; default: ${DEFAULT-VALUE}")
+      description = "the number of random faults; default: ${DEFAULT-VALUE}")
   int faults;
 
-  @Option(names = "--engines", paramLabel = "N", description = "in place of the world's number")
+  @Option(
+      names = "--engines",
+      paramLabel = "N",
+      description = "the number of engines, instead of the site's")
   Integer engines;
 
-  @Option(names = "--dispatchers", paramLabel = "N", description = "in place of the world's number")
+  @Option(
+      names = "--dispatchers",
+      paramLabel = "N",
+      description = "the number of dispatchers, instead of the site's")
   Integer dispatchers;
 
   @Option(
       names = "--load",
       paramLabel = "SHARE",
-      description = "of the world's capacity, in place of its rate")
+      description = "the load as a share of the site's capacity, instead of the site's rate")
   Double load;
 
   @Option(
       names = "--skew",
       paramLabel = "POWER",
-      description = "dispatchers carry parts as 1 / rank to this power, in place of the world's")
+      description =
+          "traffic shares of dispatchers fall as 1 / rank to this power, instead of the site's")
   Double skew;
 
   private static EmulatedSite.Engines withCount(EmulatedSite.Engines engineSettings, int count) {
@@ -71,16 +78,16 @@
         engineSettings.errors());
   }
 
-  /** The named site in the size and with the load of these options. */
-  EmulatedSite world() {
-    EmulatedSite site = EmulatedSites.named(world);
+  /** The named site with the size and the load that these options set. */
+  EmulatedSite site() {
+    EmulatedSite site = EmulatedSites.named(siteName);
     EmulatedSite.Engines engineSettings = site.engines();
     int count = engines == null ? engineSettings.count() : engines;
-    EmulatedSite.Engines of = withCount(engineSettings, count);
-    EmulatedSite sized =
+    EmulatedSite.Engines resizedEngines = withCount(engineSettings, count);
+    EmulatedSite resized =
         new EmulatedSite(
             site.name(),
-            of,
+            resizedEngines,
             dispatchers == null ? site.dispatchers() : dispatchers,
             site.requestClasses(),
             site.tenants(),
@@ -90,23 +97,23 @@
             site.limits());
     double perSecond =
         load != null
-            ? sized.capacity() * load
+            ? resized.capacity() * load
             : site.load().perSecond() * count / engineSettings.count();
     EmulatedSite.Load loadSettings = site.load();
-    // Quotas grow with the load, as they were at the site's own size.
+    // Quotas are in proportion to the load.
     List<EmulatedSite.Tenant> tenants =
         site.tenants().stream()
             .map(
-                h ->
+                tenant ->
                     new EmulatedSite.Tenant(
-                        h.name(),
-                        h.part(),
-                        h.perSecond() * perSecond / Math.max(1e-9, loadSettings.perSecond())))
+                        tenant.name(),
+                        tenant.part(),
+                        tenant.perSecond() * perSecond / Math.max(1e-9, loadSettings.perSecond())))
             .toList();
     return new EmulatedSite(
         site.name(),
-        of,
-        sized.dispatchers(),
+        resizedEngines,
+        resized.dispatchers(),
         site.requestClasses(),
         tenants,
         new EmulatedSite.Load(
@@ -131,9 +138,10 @@
   @Option(
       names = "--script",
       paramLabel = "FILE",
-      description = "faults from a file, in place of drawn ones")
+      description = "reads the faults from a file, instead of random ones")
   Path script;
 
+  /** The faults of the script, or else random faults of this seed. */
   List<Fault> faultsFor(EmulatedSite site, long faultSeed) {
     return script != null
         ? FaultScript.read(script, site)
--- a/src/main/java/cobaltseam/emulator/EmulatePlanCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulatePlanCommand.java
@@ -7,24 +7,24 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A plan of runs. */
+/** Runs an experiment. */
 @Command(
     name = "experiment",
     description =
-        "Plays a plan over all cores, goes on where it was stopped, and writes an Arrow file, a "
-            + "table and charts.",
+        "Runs the plan of an experiment on all cores, resumes it if it was stopped, and writes an"
+            + " Arrow file, a table and charts.",
     mixinStandardHelpOptions = true)
 final class EmulatePlanCommand implements Callable<Integer> {
   @CommandLine.Parameters(
       paramLabel = "PLAN",
-      description = "a TOML file; docs/operations/experiments.md")
+      description = "a TOML file; see docs/operations/experiments.md")
   Path plan;
 
   @Option(
       names = "--out",
       paramLabel = "FOLDER",
       required = true,
-      description = "where results are kept")
+      description = "the folder of the results")
   Path folder;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
--- a/src/main/java/cobaltseam/emulator/EmulatePoliciesCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulatePoliciesCommand.java
@@ -9,10 +9,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The module beside the baselines, on the same seeds. */
+/** Compares policies on the same seeds. */
 @Command(
     name = "policies",
-    description = "The same worlds, faults and seeds under each policy.",
+    description = "Compares policies on the same site, faults and seeds.",
     mixinStandardHelpOptions = true)
 final class EmulatePoliciesCommand implements Callable<Integer> {
   @CommandLine.Mixin EmulateOptions common;
@@ -21,7 +21,7 @@
       names = "--runs",
       paramLabel = "N",
       defaultValue = "8",
-      description = "seeds; default: ${DEFAULT-VALUE}")
+      description = "the number of seeds; default: ${DEFAULT-VALUE}")
   int runs;
 
   @Option(
@@ -31,27 +31,27 @@
       defaultValue =
           "module,random,round-robin,least-in-hand,two-choices,shortest-late,clairvoyant",
       description = "default: ${DEFAULT-VALUE}")
-  List<String> names;
+  List<String> policies;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
   @Override
   public Integer call() {
     PrintWriter out = spec.commandLine().getOut();
-    EmulatedSite world = common.world();
+    EmulatedSite site = common.site();
     out.println(
         "| policy | emulated goodput, mean of seeds | least | rules broken | busiest engine over the mean | idlest | commands a second and core |");
     out.println("| --- | --- | --- | --- | --- | --- | --- |");
-    for (String name : names) {
+    for (String policy : policies) {
       List<Simulation.Result> results =
           IntStream.range(0, runs)
               .parallel()
               .mapToObj(
                   i ->
                       new Simulation(
-                              world,
-                              PolicyCatalog.named(name),
-                              common.faultsFor(world, common.seed + i),
+                              site,
+                              PolicyCatalog.named(policy),
+                              common.faultsFor(site, common.seed + i),
                               common.seconds,
                               common.seed + i)
                           .run())
@@ -59,7 +59,7 @@
       out.printf(
           Locale.ROOT,
           "| %s | %.4f | %.4f | %d | %.2f | %.2f | %.0f |%n",
-          name,
+          policy,
           results.stream().mapToDouble(r -> r.counts().goodput()).average().orElse(0),
           results.stream().mapToDouble(r -> r.counts().goodput()).min().orElse(0),
           results.stream().mapToLong(Simulation.Result::violationCount).sum(),
--- a/src/main/java/cobaltseam/emulator/EmulateRunCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulateRunCommand.java
@@ -10,10 +10,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** One run. */
+/** Runs one seed. */
 @Command(
     name = "run",
-    description = "One run: what clients got, rules broken, and how fast it went.",
+    description =
+        "Runs one seed, and reports the outcomes for clients, broken rules and the speed of the run.",
     mixinStandardHelpOptions = true)
 final class EmulateRunCommand implements Callable<Integer> {
   @CommandLine.Mixin EmulateOptions common;
@@ -28,7 +29,7 @@
   @Option(
       names = "--chart",
       paramLabel = "FILE",
-      description = "writes benefit by second, with the faults, as SVG")
+      description = "writes a chart of the priority weight by second, with the faults, as SVG")
   Path chart;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
@@ -36,31 +37,31 @@
   @Override
   public Integer call() throws IOException {
     PrintWriter out = spec.commandLine().getOut();
-    EmulatedSite world = common.world();
-    List<Fault> faults = common.faultsFor(world, common.seed);
+    EmulatedSite site = common.site();
+    List<Fault> faults = common.faultsFor(site, common.seed);
     faults.forEach(
-        f ->
+        fault ->
             out.printf(
                 Locale.ROOT,
                 "fault: %s from %.1f s for %.1f s on %d engines, size %.2f, who %d%n",
-                f.kind().label(),
-                f.atS(),
-                f.lengthS(),
-                f.engines().size(),
-                f.size(),
-                f.target()));
+                fault.kind().label(),
+                fault.atS(),
+                fault.lengthS(),
+                fault.engines().size(),
+                fault.size(),
+                fault.target()));
     Simulation.Result result =
-        new Simulation(world, PolicyCatalog.named(policy), faults, common.seconds, common.seed)
+        new Simulation(site, PolicyCatalog.named(policy), faults, common.seconds, common.seed)
             .run();
     out.println(
         "| profile | offered | in target | late | shed | failed | unheard | median, ms | 99th, ms |");
     out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (int i = 0; i < world.requestClasses().size(); i++) {
+    for (int i = 0; i < site.requestClasses().size(); i++) {
       OutcomeCounts.ClassOutcome row = result.counts().rows().get(i);
       out.printf(
           Locale.ROOT,
           "| %s | %d | %d | %d | %d | %d | %d | %.1f | %.1f |%n",
-          world.requestClasses().get(i).name(),
+          site.requestClasses().get(i).name(),
           row.offered,
           row.withinObjective,
           row.late,
@@ -88,7 +89,7 @@
     if (chart != null) {
       Charts.series(
           chart,
-          world.name() + ", " + policy + ", seed " + common.seed + " (emulated)",
+          site.name() + ", " + policy + ", seed " + common.seed + " (emulated)",
           result.counts().seconds(),
           faults);
     }
--- a/src/main/java/cobaltseam/emulator/EmulateShrinkCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulateShrinkCommand.java
@@ -8,11 +8,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The least of a failing script. */
+/** Minimises a failing fault script. */
 @Command(
     name = "shrink",
     description =
-        "Cuts drawn or scripted faults down to the least that still breaks a rule, or stays under a goodput.",
+        "Minimises random or scripted faults that break a rule, or whose goodput is below a bound.",
     mixinStandardHelpOptions = true)
 final class EmulateShrinkCommand implements Callable<Integer> {
   @CommandLine.Mixin EmulateOptions common;
@@ -24,38 +24,44 @@
       description = "default: ${DEFAULT-VALUE}")
   String policy;
 
-  @Option(names = "--under", paramLabel = "GOODPUT", description = "in place of a broken rule")
-  Double under;
+  @Option(
+      names = "--under",
+      paramLabel = "GOODPUT",
+      description = "looks for a goodput below this bound instead of a broken rule")
+  Double goodputBound;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
   @Override
   public Integer call() {
-    EmulatedSite world = common.world();
-    List<Fault> faults = common.faultsFor(world, common.seed);
+    EmulatedSite site = common.site();
+    List<Fault> faults = common.faultsFor(site, common.seed);
     Shrink<Fault> shrink =
         new Shrink<>(
-            f -> {
+            candidate -> {
               Simulation.Result result =
-                  new Simulation(world, PolicyCatalog.named(policy), f, common.seconds, common.seed)
+                  new Simulation(
+                          site, PolicyCatalog.named(policy), candidate, common.seconds, common.seed)
                       .run();
-              return under != null
-                  ? result.counts().goodput() < under
+              return goodputBound != null
+                  ? result.counts().goodput() < goodputBound
                   : result.violationCount() > 0;
             },
-            Fault::simpler);
+            Fault::simplerVariants);
     PrintWriter out = spec.commandLine().getOut();
-    Simulation.Result whole =
-        new Simulation(world, PolicyCatalog.named(policy), faults, common.seconds, common.seed)
+    Simulation.Result complete =
+        new Simulation(site, PolicyCatalog.named(policy), faults, common.seconds, common.seed)
             .run();
-    if (under != null ? whole.counts().goodput() >= under : whole.violationCount() == 0) {
-      throw new InvalidInputException("the whole script does not fail: nothing to shrink");
+    if (goodputBound != null
+        ? complete.counts().goodput() >= goodputBound
+        : complete.violationCount() == 0) {
+      throw new InvalidInputException("the script does not fail, so there is nothing to minimise");
     }
-    List<Fault> least = shrink.of(faults);
+    List<Fault> minimal = shrink.of(faults);
     out.printf(
         "# %d faults of %d are left, after %d runs; seed %d%n",
-        least.size(), faults.size(), shrink.runs(), common.seed);
-    out.print(FaultScript.write(least));
+        minimal.size(), faults.size(), shrink.runs(), common.seed);
+    out.print(FaultScript.write(minimal));
     out.flush();
     return 0;
   }
--- a/src/main/java/cobaltseam/emulator/EmulatedFleet.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedFleet.java
@@ -30,53 +30,60 @@
 import java.util.SplittableRandom;
 
 /**
- * The emulated dispatchers as one fleet that spreads load by demand: the real {@code sharing} and
- * {@code spread} over a view that is given and a lease that always holds. What goes wrong with
- * views and leases is played by the fleets of {@code fleet}.
+ * The emulated dispatchers as one fleet that divides capacity by demand: the real state gossip,
+ * load reports and capacity leases, with a fixed view and a lease on it that never ends. Failures
+ * of views and leases are not emulated here; the package {@code fleet} tests them with real
+ * processes.
  */
 final class EmulatedFleet {
-  private static final long WHOLE = 1_000_000_000L;
+  private static final long TOTAL_CAPACITY = 1_000_000_000L;
   private static final TimeSpan LEASE = new TimeSpan(2_000_000);
-  private static final TimeSpan ROUND = new TimeSpan(1_000_000);
-  private static final TimeSpan WINDOW = new TimeSpan(8_000_000);
-  private static final double CLOCKS = 0.001;
+  private static final TimeSpan GOSSIP_ROUND = new TimeSpan(1_000_000);
+  private static final TimeSpan DEMAND_WINDOW = new TimeSpan(8_000_000);
+  private static final double MAX_CLOCK_RATE_RATIO = 0.001;
+
+  /** The mean time of a message between two members; it varies by half. */
   private static final double ONE_WAY_US = 1000;
-  private static final int MOST_BYTES = 8192;
-  private static final int ASKED = 3;
-  private static final int ASKS_NEWS = 1;
-  private static final TimeSpan NEWS_END = new TimeSpan(3_000_000);
+
+  private static final int MAX_GOSSIP_BYTES = 8192;
+  private static final int GOSSIP_REQUESTS_PER_ROUND = 3;
+  private static final int REPORT_REQUESTS_PER_ROUND = 1;
+  private static final TimeSpan MAX_REPORT_AGE = new TimeSpan(3_000_000);
 
   private static final class FleetMember {
     Dispatcher dispatcher;
-    StateGossip sharing;
+    StateGossip gossip;
     CapacityLeases capacityLeases;
-    DemandEstimate demand = new DemandEstimate(WINDOW);
+    DemandEstimate demand = new DemandEstimate(DEMAND_WINDOW);
     LoadReports loadReports;
     int incarnation;
   }
 
   private final Timeline time;
-  private final SplittableRandom chance = new SplittableRandom(7);
+  private final SplittableRandom random = new SplittableRandom(7);
   private final View view;
-  private final FleetMember[] processes;
+  private final FleetMember[] members;
   private final boolean sharesCapacity;
-  private final TimeSpan reportIntervalUs;
+  private final TimeSpan reportInterval;
 
   /**
-   * @param spreads whether parts follow demand
-   * @param newsMs between two rounds of asking what engines told others; 0 for never
+   * Creates the fleet of a site; dispatchers join it when they start.
+   *
+   * @param sharesCapacity whether the members' shares of the capacity follow their demand
+   * @param reportIntervalMs the time between two rounds of exchanging load reports; 0 for no
+   *     exchange
    */
-  EmulatedFleet(EmulatedSite world, Timeline time, boolean spreads, double newsMs) {
+  EmulatedFleet(EmulatedSite site, Timeline time, boolean sharesCapacity, double reportIntervalMs) {
     this.time = time;
-    this.sharesCapacity = spreads;
-    reportIntervalUs = newsMs > 0 ? EmulatedSite.ms(newsMs) : null;
-    List<Member> members = new ArrayList<>();
-    processes = new FleetMember[world.dispatchers()];
-    for (int index = 0; index < processes.length; index++) {
-      processes[index] = new FleetMember();
-      members.add(new Member(name(index), new Incarnation(1), address(index)));
+    this.sharesCapacity = sharesCapacity;
+    reportInterval = reportIntervalMs > 0 ? EmulatedSite.ms(reportIntervalMs) : null;
+    List<Member> viewMembers = new ArrayList<>();
+    members = new FleetMember[site.dispatchers()];
+    for (int index = 0; index < members.length; index++) {
+      members[index] = new FleetMember();
+      viewMembers.add(new Member(name(index), new Incarnation(1), address(index)));
     }
-    view = new View(new ViewId(1, 1), members, null);
+    view = new View(new ViewId(1, 1), viewMembers, null);
   }
 
   private static MemberName name(int index) {
@@ -94,58 +101,69 @@
     }
   }
 
-  /** A dispatcher starts, or starts anew as the same member. */
-  Policy join(Deployment told, Dispatcher dispatcher, long seed) {
-    int index = told.dispatcherIndex();
-    FleetMember one = processes[index];
-    one.incarnation++;
-    one.dispatcher = dispatcher;
-    one.demand = new DemandEstimate(WINDOW);
-    SplittableRandom own = new SplittableRandom(seed);
-    if (reportIntervalUs != null) {
-      one.loadReports =
+  /**
+   * Adds a dispatcher that starts or restarts, as the same member of the view.
+   *
+   * @return the policy that the dispatcher has to run
+   */
+  Policy join(Deployment deployment, Dispatcher dispatcher, long seed) {
+    int index = deployment.dispatcherIndex();
+    FleetMember member = members[index];
+    member.incarnation++;
+    member.dispatcher = dispatcher;
+    member.demand = new DemandEstimate(DEMAND_WINDOW);
+    SplittableRandom ownRandom = new SplittableRandom(seed);
+    if (reportInterval != null) {
+      member.loadReports =
           new LoadReports(
-              new LoadReports.LoadReportOptions(reportIntervalUs, ASKS_NEWS, NEWS_END, CLOCKS),
-              own.split(),
+              new LoadReports.LoadReportOptions(
+                  reportInterval, REPORT_REQUESTS_PER_ROUND, MAX_REPORT_AGE, MAX_CLOCK_RATE_RATIO),
+              ownRandom.split(),
               time.now());
-      startExchange(index, one.incarnation);
+      runReportRound(index, member.incarnation);
     }
     if (!sharesCapacity) {
-      return decorate(one, Policy.ofDispatcher(dispatcher));
+      return withLoadReports(member, Policy.ofDispatcher(dispatcher));
     }
-    one.sharing =
+    member.gossip =
         new StateGossip(
             name(index),
             new Incarnation(1),
-            new cobaltseam.sharing.GossipOptions(ROUND, ASKED, ROUND.times(10), MOST_BYTES, CLOCKS),
-            own.split(),
+            new cobaltseam.sharing.GossipOptions(
+                GOSSIP_ROUND,
+                GOSSIP_REQUESTS_PER_ROUND,
+                GOSSIP_ROUND.times(10),
+                MAX_GOSSIP_BYTES,
+                MAX_CLOCK_RATE_RATIO),
+            ownRandom.split(),
             time.now());
-    one.sharing.setView(
+    member.gossip.setView(
         new java.util.HashSet<>(view.members().stream().map(Member::name).toList()));
-    one.capacityLeases =
+    member.capacityLeases =
         new CapacityLeases(
-            new CapacityOptions(WHOLE, 0.1, processes.length, 0.25, LEASE.times(0.25), 16),
-            under(index),
-            own.split());
-    if (one.incarnation == 1) {
-      // The fleet was formed long before the run begins.
-      one.capacityLeases.update(time.now().minus(LEASE.times(2)));
+            new CapacityOptions(TOTAL_CAPACITY, 0.1, members.length, 0.25, LEASE.times(0.25), 16),
+            leaseContext(index),
+            ownRandom.split());
+    if (member.incarnation == 1) {
+      // The fleet was formed long before the run, so that waits for earlier leases have passed.
+      member.capacityLeases.update(time.now().minus(LEASE.times(2)));
     }
-    dispatcher.setSharingDispatchers((double) WHOLE / one.capacityLeases.usableAmount(time.now()));
-    turn(index, one.incarnation);
-    return decorate(one, Policy.ofDispatcher(dispatcher));
+    dispatcher.setSharingDispatchers(
+        (double) TOTAL_CAPACITY / member.capacityLeases.usableAmount(time.now()));
+    runRound(index, member.incarnation);
+    return withLoadReports(member, Policy.ofDispatcher(dispatcher));
   }
 
-  /** The policy, with what engines tell it told to its fleet as well. */
-  private Policy decorate(FleetMember one, Policy policy) {
-    if (one.loadReports == null) {
+  /** A policy that also passes the engines' load reports to the fleet. */
+  private Policy withLoadReports(FleetMember member, Policy policy) {
+    if (member.loadReports == null) {
       return policy;
     }
     return new Policy.DelegatingPolicy(policy) {
       @Override
       public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
         if (outcome.inFlightAtEngine() >= 0) {
-          one.loadReports.addLocalReport(
+          member.loadReports.addLocalReport(
               new LoadReports.LoadReport(
                   outcome.engine(),
                   Math.max(0, outcome.inFlightAtEngine() - Math.max(0, outcome.queuedAtEngine())),
@@ -156,10 +174,11 @@
     };
   }
 
-  private void startExchange(int index, int life) {
-    if (processes[index].incarnation == life) {
-      send(processes[index].loadReports.runRound(view, header(index), time.now()));
-      time.at(processes[index].loadReports.nextRoundAt().us(), () -> startExchange(index, life));
+  private void runReportRound(int index, int incarnation) {
+    if (members[index].incarnation == incarnation) {
+      sendReports(members[index].loadReports.runRound(view, header(index), time.now()));
+      time.at(
+          members[index].loadReports.nextRoundAt().us(), () -> runReportRound(index, incarnation));
     }
   }
 
@@ -167,30 +186,31 @@
     return new MessageHeader(view.members().get(index), 0, view.id(), true);
   }
 
-  private void send(List<LoadReports.OutgoingMessage> tells) {
-    for (LoadReports.OutgoingMessage tell : tells) {
-      int to = number(tell.to());
-      after(
+  private void sendReports(List<LoadReports.OutgoingMessage> messages) {
+    for (LoadReports.OutgoingMessage outgoing : messages) {
+      int to = indexOf(outgoing.to());
+      deliver(
           to,
           () -> {
-            send(processes[to].loadReports.receive(tell.message(), view, header(to), time.now()));
-            processes[to]
+            sendReports(
+                members[to].loadReports.receive(outgoing.message(), view, header(to), time.now()));
+            members[to]
                 .loadReports
                 .takeReceivedReports()
                 .forEach(
-                    r ->
-                        processes[to].dispatcher.updateEngineLoad(
-                            r.engine(), r.inFlight(), r.measuredAt()));
+                    report ->
+                        members[to].dispatcher.updateEngineLoad(
+                            report.engine(), report.inFlight(), report.measuredAt()));
           });
     }
   }
 
-  private static int number(InetSocketAddress address) {
-    byte[] amount = address.getAddress().getAddress();
-    return (amount[1] & 0xff) << 16 | (amount[2] & 0xff) << 8 | amount[3] & 0xff;
+  private static int indexOf(InetSocketAddress address) {
+    byte[] bytes = address.getAddress().getAddress();
+    return (bytes[1] & 0xff) << 16 | (bytes[2] & 0xff) << 8 | bytes[3] & 0xff;
   }
 
-  private CapacityLeases.LeaseContext under(int index) {
+  private CapacityLeases.LeaseContext leaseContext(int index) {
     return new CapacityLeases.LeaseContext() {
       @Override
       public View view() {
@@ -214,74 +234,76 @@
 
       @Override
       public TimeSpan maxLeaseDuration() {
-        return LEASE.times(1 + 2 * CLOCKS);
+        return LEASE.times(1 + 2 * MAX_CLOCK_RATE_RATIO);
       }
 
       @Override
       public double maxClockRateRatio() {
-        return CLOCKS;
+        return MAX_CLOCK_RATE_RATIO;
       }
 
       @Override
-      public Double demand(MemberName of) {
-        KnownFigures known = processes[index].sharing.figuresOf(of, time.now());
-        Long said =
+      public Double demand(MemberName member) {
+        KnownFigures known = members[index].gossip.figuresOf(member, time.now());
+        Long figure =
             known == null ? null : known.figures().byName().get(FleetCoordinator.DEMAND_FIGURE);
-        return said == null ? null : Double.valueOf(FleetCoordinator.figureToDemand(said));
+        return figure == null ? null : Double.valueOf(FleetCoordinator.figureToDemand(figure));
       }
     };
   }
 
-  /** One turn of a dispatcher's fleet thread. */
-  private void turn(int index, int life) {
-    FleetMember one = processes[index];
-    if (one.incarnation != life) {
+  /** One round of a dispatcher's fleet thread; schedules the next one. */
+  private void runRound(int index, int incarnation) {
+    FleetMember member = members[index];
+    if (member.incarnation != incarnation) {
       return;
     }
     Timestamp now = time.now();
-    double rate = one.demand.update(one.dispatcher.offeredWorkUs(), now);
-    one.capacityLeases.setDemand(rate);
-    one.sharing.setOwnFigures(
+    double rate = member.demand.update(member.dispatcher.offeredWorkUs(), now);
+    member.capacityLeases.setDemand(rate);
+    member.gossip.setOwnFigures(
         new MemberFigures(
             Map.of(FleetCoordinator.DEMAND_FIGURE, FleetCoordinator.demandToFigure(rate))));
-    shares(index, one.sharing.runRound(now));
-    one.capacityLeases.update(now).forEach(t -> send(t.to(), t.message()));
-    publishFigures(one);
-    time.after(LEASE.times(0.25), () -> turn(index, life));
+    sendGossip(index, member.gossip.runRound(now));
+    member.capacityLeases.update(now).forEach(outgoing -> send(outgoing.to(), outgoing.message()));
+    applyCapacity(member);
+    time.after(LEASE.times(0.25), () -> runRound(index, incarnation));
   }
 
-  private void publishFigures(FleetMember one) {
-    one.dispatcher.setSharingDispatchers(
-        (double) WHOLE / Math.max(1, one.capacityLeases.usableAmount(time.now())));
+  /** Sets the share of the engines that the dispatcher may use from its capacity leases. */
+  private void applyCapacity(FleetMember member) {
+    member.dispatcher.setSharingDispatchers(
+        (double) TOTAL_CAPACITY / Math.max(1, member.capacityLeases.usableAmount(time.now())));
   }
 
-  private void shares(int from, List<StateGossip.OutgoingMessage> sends) {
-    for (StateGossip.OutgoingMessage send : sends) {
-      int to = Integer.parseInt(send.to().value().substring(1));
-      after(to, () -> shares(to, processes[to].sharing.receive(send.message(), time.now())));
+  private void sendGossip(int from, List<StateGossip.OutgoingMessage> messages) {
+    for (StateGossip.OutgoingMessage outgoing : messages) {
+      int to = Integer.parseInt(outgoing.to().value().substring(1));
+      deliver(to, () -> sendGossip(to, members[to].gossip.receive(outgoing.message(), time.now())));
     }
   }
 
-  private void send(InetSocketAddress address, CapacityLeaseMessage word) {
-    int to = number(address);
-    after(
+  private void send(InetSocketAddress address, CapacityLeaseMessage message) {
+    int to = indexOf(address);
+    deliver(
         to,
         () -> {
-          processes[to]
+          members[to]
               .capacityLeases
-              .receive(word, time.now())
-              .forEach(t -> send(t.to(), t.message()));
-          publishFigures(processes[to]);
+              .receive(message, time.now())
+              .forEach(outgoing -> send(outgoing.to(), outgoing.message()));
+          applyCapacity(members[to]);
         });
   }
 
-  private void after(int to, Runnable what) {
-    int life = processes[to].incarnation;
+  /** Delivers a message after the network delay, unless the receiver has restarted meanwhile. */
+  private void deliver(int to, Runnable receive) {
+    int incarnation = members[to].incarnation;
     time.after(
-        new TimeSpan(Math.round(ONE_WAY_US * chance.nextDouble(0.5, 1.5))),
+        new TimeSpan(Math.round(ONE_WAY_US * random.nextDouble(0.5, 1.5))),
         () -> {
-          if (processes[to].incarnation == life) {
-            what.run();
+          if (members[to].incarnation == incarnation) {
+            receive.run();
           }
         });
   }
--- a/src/main/java/cobaltseam/emulator/EmulatedSite.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedSite.java
@@ -14,7 +14,20 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
-/** What an emulated deployment is made of; every figure is the world's own. */
+/**
+ * The description of an emulated deployment. Its figures are assumptions of the site, not
+ * measurements of a real one.
+ *
+ * @param name the name of the site
+ * @param engines the engines
+ * @param dispatchers the number of dispatchers
+ * @param requestClasses the request classes, by their share of the traffic
+ * @param tenants the tenants, by their share of the traffic; may be empty
+ * @param load the load that clients generate
+ * @param network the delays of the network
+ * @param discovery the delays of discovery
+ * @param limits the capabilities and limits of the dispatchers
+ */
 public record EmulatedSite(
     @JsonProperty("name") String name,
     @JsonProperty("engines") Engines engines,
@@ -26,11 +39,23 @@
     @JsonProperty("roster") Discovery discovery,
     @JsonProperty("limits") Limits limits) {
   /**
-   * The engines: how many, their cores, the spread of their speeds around 1, threads a core up to
-   * which all cores do work, how much work falls for each thread a core beyond, sessions at most,
-   * the part of its work that one can do when it starts and for how long it warms up, memory, how
-   * much work grows for a command with none of the memory it needs, how many data sets stay warm,
-   * and how much less work reading a warm one is.
+   * The engines. {@link EngineModel} describes how the figures determine their speed.
+   *
+   * @param count the number of engines
+   * @param cores the cores of each engine
+   * @param speedSpread the largest deviation of the speed of an engine from 1, either way
+   * @param knee the threads per core up to which an engine keeps its full rate of work
+   * @param fall the fraction of that rate that is lost per thread per core beyond the knee
+   * @param sessions the largest number of jobs that an engine runs at once
+   * @param slowStartFraction the fraction of its speed that an engine has when it starts
+   * @param slowStartS the duration of slow start in seconds; 0 for none
+   * @param memoryMb the memory of each engine; 0 for no limit
+   * @param spill the fraction by which the work of a request grows that gets none of its memory
+   * @param warmSets the number of data sets that stay warm in an engine
+   * @param warmGain the fraction of its work that a request saves if its data set is warm
+   * @param locations the number of locations, over which engines are spread in turn
+   * @param groups the number of groups, over which engines are spread in turn
+   * @param errors the share of attempts that fail without any fault
    */
   public record Engines(
       @JsonProperty("count") int count,
@@ -49,7 +74,26 @@
       @JsonProperty("groups") int groups,
       @JsonProperty("errors") double errors) {}
 
-  /** One profile of commands, by its part of all that come. */
+  /**
+   * A request class.
+   *
+   * @param name the name of the class
+   * @param part the weight of the class in the traffic, relative to the other classes
+   * @param threads the threads that a request uses at an engine
+   * @param workMs the mean work of a request, in milliseconds of one thread at speed 1
+   * @param cv the coefficient of variation of the work: 0 for constant, 1 for exponential work
+   * @param priorityWeight the priority weight of an answer within the objective
+   * @param latePriorityWeight the factor on the priority weight of a later answer
+   * @param objectiveMs the latency objective, apart from the part that depends on work
+   * @param deadlineMs the time from sending a request to its deadline
+   * @param objectivePerWork the time that the objective grows by per work of each thread
+   * @param deduplicationWindowMs how long engines recognise a retry as a duplicate
+   * @param memoryMb the memory that a request needs
+   * @param isOrdered whether requests have a sequence key
+   * @param badPlanShare the share of attempts that get a bad plan
+   * @param badPlanFactor the factor of a bad plan on the work
+   * @param locations the locations in which requests may run; null for all
+   */
   public record RequestClass(
       @JsonProperty("name") String name,
       @JsonProperty("part") double part,
@@ -78,17 +122,34 @@
     }
   }
 
-  /** One holder of a share: its part of the traffic, and how many commands a second it is due. */
+  /**
+   * A tenant.
+   *
+   * @param part the weight of the tenant in the traffic, relative to the other tenants
+   * @param perSecond the quota in requests per second
+   */
   public record Tenant(
       @JsonProperty("name") String name,
       @JsonProperty("part") double part,
       @JsonProperty("perSecond") double perSecond) {}
 
   /**
-   * What comes: commands a second, how much that swings in how many seconds, how often bursts come
-   * and how much more they bring for how long, how skewed data sets are, how often clients ask
-   * again, and closed clients that ask one at a time with a pause between. Dispatchers carry parts
-   * as 1 / rank to the power of their skew; without one all carry alike.
+   * The load that clients generate.
+   *
+   * @param perSecond the mean rate of open arrivals outside bursts; 0 for none
+   * @param swing the amplitude of the sinusoidal swing of the rate, as a fraction of it
+   * @param swingS the period of the swing in seconds; 0 for none
+   * @param burstEveryS the time from the start of a burst to that of the next; 0 for none
+   * @param burstTimes the factor of a burst on the rate
+   * @param burstS the duration of a burst in seconds
+   * @param dataSets the number of data sets; 0 for requests without one
+   * @param skew the exponent of Zipf's law by which data sets are chosen
+   * @param retries the largest number of retries of a client
+   * @param estimateError the standard deviation of the logarithm of a client's work estimate
+   * @param closedClients the number of clients that send one request at a time
+   * @param thinkMs the pause of a closed client between two requests
+   * @param dispatcherSkew the exponent of Zipf's law by which dispatchers are chosen; null or 0 for
+   *     equal shares
    */
   public record Load(
       @JsonProperty("perSecond") double perSecond,
@@ -106,19 +167,42 @@
       @JsonProperty("dispatcherSkew") Double dispatcherSkew) {}
 
   /**
-   * One way between dispatchers and engines, its spread, and between clients and dispatchers, in
-   * milliseconds.
+   * The delays of the network.
+   *
+   * @param oneWayMs the mean time of a message between a dispatcher and an engine
+   * @param jitter the largest deviation from that mean, as a fraction of it
+   * @param clientMs the time of a message between a client and a dispatcher
    */
   public record Network(
       @JsonProperty("oneWayMs") double oneWayMs,
       @JsonProperty("jitter") double jitter,
       @JsonProperty("clientMs") double clientMs) {}
 
-  /** How late a dispatcher hears of changes: at the least, and how much more by chance. */
+  /**
+   * The delays of discovery.
+   *
+   * @param lagMs the minimum time from a change to the notification of a dispatcher
+   * @param spreadMs the largest random time in addition
+   */
   public record Discovery(
       @JsonProperty("lagMs") double lagMs, @JsonProperty("spreadMs") double spreadMs) {}
 
-  /** What a dispatcher may do. */
+  /**
+   * The capabilities and limits of the dispatchers.
+   *
+   * @param maxAttempts the largest number of attempts of a request
+   * @param canCancel whether attempts can be cancelled at engines
+   * @param progressMs the interval of progress reports; 0 for none
+   * @param maxRetryAfterMs the longest time after which a client can be asked to retry; 0 for none
+   * @param drainGraceMs how long after a notification an engine may still get attempts
+   * @param slowStartLimitFactor the factor on the work that an engine in slow start can do in a
+   *     window, above which it fails
+   * @param slowStartWindowMs the length of that window
+   * @param sequenceKeyRestMs how long a sequence key rests after an attempt with an unknown outcome
+   * @param freeRetries the retries of a window that are always allowed; null for no retry budget
+   * @param retryRatio the retries that are allowed per admitted request of a window
+   * @param retryWindowMs the length of the window of the retry budget
+   */
   public record Limits(
       @JsonProperty("mostSends") int maxAttempts,
       @JsonProperty("cancels") boolean canCancel,
@@ -132,41 +216,46 @@
       @JsonProperty("furtherRatio") Double retryRatio,
       @JsonProperty("furtherWindowMs") double retryWindowMs) {}
 
-  static final String KIND = "emulated";
+  /** The machine type of all engines. */
+  static final String MACHINE_TYPE = "emulated";
 
+  /** A time span of so many milliseconds, rounded to microseconds. */
   static TimeSpan ms(double ms) {
     return new TimeSpan(Math.round(ms * 1000));
   }
 
-  /** What the module is told of this world, as the dispatcher of a number. */
-  Deployment deployment(int number) {
+  /** The deployment as the dispatcher of this index sees it. */
+  Deployment deployment(int dispatcherIndex) {
     return new Deployment(
-        number,
+        dispatcherIndex,
         dispatchers,
         requestClasses.stream()
             .map(
-                p ->
+                requestClass ->
                     new Deployment.RequestClass(
-                        new RequestClassId(p.name()),
-                        p.threads(),
-                        p.priorityWeight(),
-                        p.latePriorityWeight(),
-                        p.objective(),
-                        p.objectivePerWork(),
-                        p.deadline(),
-                        p.retrySafety(),
-                        p.deduplicationScope(),
-                        ms(p.deduplicationWindowMs()),
-                        p.isOrdered(),
-                        p.locations() == null
+                        new RequestClassId(requestClass.name()),
+                        requestClass.threads(),
+                        requestClass.priorityWeight(),
+                        requestClass.latePriorityWeight(),
+                        requestClass.objective(),
+                        requestClass.objectivePerWork(),
+                        requestClass.deadline(),
+                        requestClass.retrySafety(),
+                        requestClass.deduplicationScope(),
+                        ms(requestClass.deduplicationWindowMs()),
+                        requestClass.isOrdered(),
+                        requestClass.locations() == null
                             ? null
-                            : p.locations().stream()
+                            : requestClass.locations().stream()
                                 .map(cobaltseam.dispatch.LocationId::new)
                                 .toList(),
                         null))
             .toList(),
-        List.of(new MachineType(new MachineTypeId(KIND), engines.cores(), engines.memoryMb())),
-        tenants.stream().map(h -> new Quota(new TenantId(h.name()), h.perSecond())).toList(),
+        List.of(
+            new MachineType(new MachineTypeId(MACHINE_TYPE), engines.cores(), engines.memoryMb())),
+        tenants.stream()
+            .map(tenant -> new Quota(new TenantId(tenant.name()), tenant.perSecond()))
+            .toList(),
         0.05,
         new Rules(
             engines.slowStartFraction(),
@@ -188,16 +277,20 @@
   }
 
   /**
-   * Commands a second that keep every core busy, at the mean work of a command and engines of speed
-   * 1.
+   * The rate of requests per second that keeps every core busy, at the mean work of a request and
+   * with engines of speed 1.
    */
   double capacity() {
-    double mean =
+    double meanWorkMs =
         requestClasses.stream()
                 .mapToDouble(
-                    p -> p.part() * p.workMs() * (1 + p.badPlanShare() * (p.badPlanFactor() - 1)))
+                    requestClass ->
+                        requestClass.part()
+                            * requestClass.workMs()
+                            * (1
+                                + requestClass.badPlanShare() * (requestClass.badPlanFactor() - 1)))
                 .sum()
             / requestClasses.stream().mapToDouble(RequestClass::part).sum();
-    return engines.count() * engines.cores() * 1000 / mean;
+    return engines.count() * engines.cores() * 1000 / meanWorkMs;
   }
 }
--- a/src/main/java/cobaltseam/emulator/EmulatedSites.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedSites.java
@@ -14,14 +14,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * Worlds from TOML, by the name of one that comes along or by a file; with every figure checked
- * against its bounds.
- */
+/** Reads sites from TOML, from a resource or a file, and checks their figures against bounds. */
 final class EmulatedSites {
   private static final TomlMapper TOML = new TomlMapper();
 
-  /** The names that files of sites have for the classes of {@link RetrySafety}. */
+  /** Maps the values of {@link RetrySafety} to their names in site files. */
   private enum RetrySafetyNames {
     @JsonProperty("REPLAYABLE")
     IDEMPOTENT,
@@ -41,7 +38,10 @@
   private EmulatedSites() {}
 
   /**
-   * @throws InvalidInputException with what can't be used
+   * Reads a site.
+   *
+   * @param name the name of a site that is included, or the path of a file
+   * @throws InvalidInputException if the site cannot be read, or has figures out of bounds
    */
   static EmulatedSite named(String name) {
     String text;
@@ -52,66 +52,76 @@
               : Files.readString(Path.of(name));
     } catch (IOException e) {
       throw new InvalidInputException(
-          "world " + name + " is neither one that comes along nor a file: " + e.getMessage());
+          "site " + name + " is neither an included site nor a readable file: " + e.getMessage());
     }
     return read(name, text);
   }
 
+  /**
+   * Parses a site.
+   *
+   * @param name the name of the site in error messages
+   * @throws InvalidInputException if the text is not a site, or has figures out of bounds
+   */
   static EmulatedSite read(String name, String text) {
-    EmulatedSite world;
+    EmulatedSite site;
     try {
-      world = TOML.readValue(text, EmulatedSite.class);
-    } catch (JacksonException engines) {
-      throw new InvalidInputException("world " + name + ": " + engines.getOriginalMessage());
+      site = TOML.readValue(text, EmulatedSite.class);
+    } catch (JacksonException e) {
+      throw new InvalidInputException("site " + name + ": " + e.getOriginalMessage());
     }
-    List<String> wrong = new ArrayList<>();
-    if (world.engines() == null
-        || world.requestClasses() == null
-        || world.tenants() == null
-        || world.load() == null
-        || world.network() == null
-        || world.discovery() == null
-        || world.limits() == null) {
+    List<String> errors = new ArrayList<>();
+    if (site.engines() == null
+        || site.requestClasses() == null
+        || site.tenants() == null
+        || site.load() == null
+        || site.network() == null
+        || site.discovery() == null
+        || site.limits() == null) {
       throw new InvalidInputException(
-          "world "
+          "site "
               + name
-              + ": engines, profiles, holders, load, net, roster and limits are all needed");
+              + ": engines, profiles, holders, load, net, roster and limits are required");
     }
-    EmulatedSite.Engines engines = world.engines();
-    bound(wrong, "engines.count", engines.count(), 1, 10_000);
-    bound(wrong, "engines.cores", engines.cores(), 0.1, 1024);
-    bound(wrong, "engines.speedSpread", engines.speedSpread(), 0, 0.9);
-    bound(wrong, "engines.knee", engines.knee(), 1, 100);
-    bound(wrong, "engines.fall", engines.fall(), 0, 10);
-    bound(wrong, "engines.sessions", engines.sessions(), 1, 1_000_000);
-    bound(wrong, "engines.coldFrom", engines.slowStartFraction(), 0.01, 1);
-    bound(wrong, "engines.locations", engines.locations(), 1, engines.count());
-    bound(wrong, "engines.groups", engines.groups(), 1, engines.count());
-    bound(wrong, "dispatchers", world.dispatchers(), 1, 10_000);
-    bound(wrong, "profiles", world.requestClasses().size(), 1, 100);
-    for (EmulatedSite.RequestClass p : world.requestClasses()) {
-      bound(wrong, p.name() + ".part", p.part(), 0, 1e9);
-      bound(wrong, p.name() + ".threads", p.threads(), 1, 1024);
-      bound(wrong, p.name() + ".workMs", p.workMs(), 0.001, 1e7);
-      bound(wrong, p.name() + ".cv", p.cv(), 0, 10);
-      bound(wrong, p.name() + ".targetMs", p.objectiveMs(), 1, 1e7);
-      bound(wrong, p.name() + ".timeoutMs", p.deadlineMs(), p.objectiveMs(), 1e7);
-      bound(wrong, p.name() + ".badPlans", p.badPlanShare(), 0, 1);
+    EmulatedSite.Engines engines = site.engines();
+    checkBounds(errors, "engines.count", engines.count(), 1, 10_000);
+    checkBounds(errors, "engines.cores", engines.cores(), 0.1, 1024);
+    checkBounds(errors, "engines.speedSpread", engines.speedSpread(), 0, 0.9);
+    checkBounds(errors, "engines.knee", engines.knee(), 1, 100);
+    checkBounds(errors, "engines.fall", engines.fall(), 0, 10);
+    checkBounds(errors, "engines.sessions", engines.sessions(), 1, 1_000_000);
+    checkBounds(errors, "engines.coldFrom", engines.slowStartFraction(), 0.01, 1);
+    checkBounds(errors, "engines.locations", engines.locations(), 1, engines.count());
+    checkBounds(errors, "engines.groups", engines.groups(), 1, engines.count());
+    checkBounds(errors, "dispatchers", site.dispatchers(), 1, 10_000);
+    checkBounds(errors, "profiles", site.requestClasses().size(), 1, 100);
+    for (EmulatedSite.RequestClass requestClass : site.requestClasses()) {
+      checkBounds(errors, requestClass.name() + ".part", requestClass.part(), 0, 1e9);
+      checkBounds(errors, requestClass.name() + ".threads", requestClass.threads(), 1, 1024);
+      checkBounds(errors, requestClass.name() + ".workMs", requestClass.workMs(), 0.001, 1e7);
+      checkBounds(errors, requestClass.name() + ".cv", requestClass.cv(), 0, 10);
+      checkBounds(errors, requestClass.name() + ".targetMs", requestClass.objectiveMs(), 1, 1e7);
+      checkBounds(
+          errors,
+          requestClass.name() + ".timeoutMs",
+          requestClass.deadlineMs(),
+          requestClass.objectiveMs(),
+          1e7);
+      checkBounds(errors, requestClass.name() + ".badPlans", requestClass.badPlanShare(), 0, 1);
     }
-    bound(wrong, "load.perSecond", world.load().perSecond(), 0, 1e7);
-    bound(wrong, "load.swing", world.load().swing(), 0, 0.99);
-    bound(wrong, "net.jitter", world.network().jitter(), 0, 1);
-    if (!wrong.isEmpty()) {
-      throw new InvalidInputException("world " + name + ":\n" + String.join("\n", wrong));
+    checkBounds(errors, "load.perSecond", site.load().perSecond(), 0, 1e7);
+    checkBounds(errors, "load.swing", site.load().swing(), 0, 0.99);
+    checkBounds(errors, "net.jitter", site.network().jitter(), 0, 1);
+    if (!errors.isEmpty()) {
+      throw new InvalidInputException("site " + name + ":\n" + String.join("\n", errors));
     }
-    return world;
+    return site;
   }
 
-  private static void bound(
-      List<String> wrong, String key, double value, double least, double most) {
-    if (!(value >= least && value <= most)) {
-      wrong.add(
-          key + ": " + value + " stands there; from " + least + " to " + most + " is allowed");
+  private static void checkBounds(
+      List<String> errors, String key, double value, double min, double max) {
+    if (!(value >= min && value <= max)) {
+      errors.add(key + ": " + value + " is out of bounds; allowed are " + min + " to " + max);
     }
   }
 }
--- a/src/main/java/cobaltseam/emulator/EventHash.java
+++ b/src/main/java/cobaltseam/emulator/EventHash.java
@@ -1,7 +1,8 @@
 package cobaltseam.emulator;
 
 /**
- * A running FNV-1a hash of what happened in a run, so that two runs can be compared event by event.
+ * A running hash of the events of a run, for comparing runs. Like FNV-1a, but over 64-bit values
+ * instead of bytes.
  */
 final class EventHash {
   private static final long FNV_BASIS = 0xcbf29ce484222325L;
--- a/src/main/java/cobaltseam/emulator/Experiment.java
+++ b/src/main/java/cobaltseam/emulator/Experiment.java
@@ -22,18 +22,23 @@
 import java.util.stream.Collectors;
 
 /**
- * A plan of runs (worlds, policies, seeds and one figure that is swept), played over all cores.
- * Each run that is done is kept at once, so a plan that was killed goes on where it stopped; the
- * results are an Arrow file, a table and charts.
+ * An experiment: a plan of runs over sites, policies, seeds and the values of one parameter, which
+ * runs on all cores. Each result is recorded as soon as its run is over, so an experiment that was
+ * killed resumes where it stopped. The results are an Arrow file, a table and charts.
  */
 final class Experiment {
   /**
-   * What to play; seeds from the first to the last. {@code figure}: load, engines, dispatchers,
-   * faults, or none.
+   * The plan of an experiment.
+   *
+   * @param firstSeed the first seed; all seeds up to the last are run
+   * @param seconds the virtual duration of each run
+   * @param faults the number of random faults in each run
+   * @param figure the parameter that varies: load, engines, dispatchers, faults, or none
+   * @param values the values of that parameter
    */
   record Plan(
       @JsonProperty("name") String name,
-      @JsonProperty("worlds") List<String> worlds,
+      @JsonProperty("worlds") List<String> sites,
       @JsonProperty("policies") List<String> policies,
       @JsonProperty("firstSeed") long firstSeed,
       @JsonProperty("lastSeed") long lastSeed,
@@ -42,12 +47,12 @@
       @JsonProperty("figure") String figure,
       @JsonProperty("values") List<Double> values) {}
 
-  private record Run(Plan plan, String world, String policy, double value, long seed) {}
+  private record Run(Plan plan, String site, String policy, double value, long seed) {}
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final List<String> FIGURES =
       List.of("load", "engines", "dispatchers", "faults", "none");
-  private static final String KEPT = "runs.jsonl";
+  private static final String RUNS_FILE = "runs.jsonl";
 
   private final Plan plan;
   private final Path folder;
@@ -60,7 +65,9 @@
   }
 
   /**
-   * @throws InvalidInputException if the plan can't be used
+   * Reads a plan.
+   *
+   * @throws InvalidInputException if the file cannot be read, or is not a valid plan
    */
   static Plan read(Path file) {
     Plan plan;
@@ -74,12 +81,12 @@
     } catch (JacksonException e) {
       throw new InvalidInputException(file + ": " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new InvalidInputException(file + " can't be read: " + e.getMessage());
+      throw new InvalidInputException(file + " cannot be read: " + e.getMessage());
     }
-    if (plan.worlds() == null
+    if (plan.sites() == null
         || plan.policies() == null
         || plan.values() == null
-        || plan.worlds().isEmpty()
+        || plan.sites().isEmpty()
         || plan.policies().isEmpty()
         || plan.values().isEmpty()
         || !FIGURES.contains(plan.figure())
@@ -89,54 +96,56 @@
           file
               + ": worlds, policies and values must not be empty, figure must be one of "
               + FIGURES
-              + ", seeds must go up and seconds be above 0");
+              + ", lastSeed must not be below firstSeed, and seconds must be above 0");
     }
     plan.policies().forEach(PolicyCatalog::named);
-    plan.worlds().forEach(EmulatedSites::named);
+    plan.sites().forEach(EmulatedSites::named);
     return plan;
   }
 
-  /** Plays what is not kept yet, and writes the results. */
+  /** Runs what is not recorded in the folder yet, and writes the results there. */
   static void run(Plan plan, Path folder, PrintWriter out) throws IOException {
     Files.createDirectories(folder);
     new Experiment(plan, folder, out).run();
   }
 
   private void run() throws IOException {
-    Map<String, ResultsFile.RunResult> kept = kept();
-    List<Run> due = new ArrayList<>();
-    for (String world : plan.worlds()) {
+    Map<String, ResultsFile.RunResult> recorded = readRecordedRuns();
+    List<Run> remaining = new ArrayList<>();
+    for (String site : plan.sites()) {
       for (String policy : plan.policies()) {
         for (double value : plan.values()) {
           for (long seed = plan.firstSeed(); seed <= plan.lastSeed(); seed++) {
-            Run run = new Run(plan, world, policy, value, seed);
-            if (!kept.containsKey(key(run))) {
-              due.add(run);
+            Run run = new Run(plan, site, policy, value, seed);
+            if (!recorded.containsKey(key(run))) {
+              remaining.add(run);
             }
           }
         }
       }
     }
-    out.printf("%d runs are kept, %d are due%n", kept.size(), due.size());
+    out.printf("%d runs are recorded, %d remain%n", recorded.size(), remaining.size());
     out.flush();
-    int[] done = {0};
-    due.parallelStream()
+    int[] completed = {0};
+    remaining.parallelStream()
         .forEach(
             run -> {
-              ResultsFile.RunResult row = play(run);
-              synchronized (done) {
-                keep(row);
-                kept.put(row.key(), row);
-                done[0]++;
-                if (done[0] * 10 / due.size() != (done[0] - 1) * 10 / due.size()) {
+              ResultsFile.RunResult row = simulate(run);
+              synchronized (completed) {
+                record(row);
+                recorded.put(row.key(), row);
+                completed[0]++;
+                if (completed[0] * 10 / remaining.size()
+                    != (completed[0] - 1) * 10 / remaining.size()) {
                   out.printf(
                       "%3d%% [%-20s]%n",
-                      done[0] * 100 / due.size(), "#".repeat(done[0] * 20 / due.size()));
+                      completed[0] * 100 / remaining.size(),
+                      "#".repeat(completed[0] * 20 / remaining.size()));
                   out.flush();
                 }
               }
             });
-    List<ResultsFile.RunResult> rows = new ArrayList<>(new TreeMap<>(kept).values());
+    List<ResultsFile.RunResult> rows = new ArrayList<>(new TreeMap<>(recorded).values());
     ResultsFile.write(folder.resolve("results.arrow"), rows);
     Files.writeString(folder.resolve("results.md"), table(rows));
     if (!plan.figure().equals("none")) {
@@ -160,32 +169,33 @@
   }
 
   private String key(Run run) {
-    return run.world + " " + run.policy + " " + plan.figure() + " " + run.value + " " + run.seed;
+    return run.site + " " + run.policy + " " + plan.figure() + " " + run.value + " " + run.seed;
   }
 
   /**
-   * Lines that are whole; the last one of a run that was killed may not be, and is played again.
+   * Reads the recorded runs. Lines that are incomplete, as the last line of a process that was
+   * killed can be, are skipped, so that their runs are repeated.
    */
-  private Map<String, ResultsFile.RunResult> kept() throws IOException {
-    Map<String, ResultsFile.RunResult> kept = new HashMap<>();
-    Path file = folder.resolve(KEPT);
+  private Map<String, ResultsFile.RunResult> readRecordedRuns() throws IOException {
+    Map<String, ResultsFile.RunResult> recorded = new HashMap<>();
+    Path file = folder.resolve(RUNS_FILE);
     if (Files.exists(file)) {
       for (String line : Files.readAllLines(file)) {
         try {
           ResultsFile.RunResult row = JSON.readValue(line, ResultsFile.RunResult.class);
-          kept.put(row.key(), row);
+          recorded.put(row.key(), row);
         } catch (JacksonException e) {
-          out.println("a line of " + file + " is not whole, its run is played again");
+          out.println("skipped an incomplete line of " + file + "; its run is repeated");
         }
       }
     }
-    return kept;
+    return recorded;
   }
 
-  private void keep(ResultsFile.RunResult row) {
+  private void record(ResultsFile.RunResult row) {
     try {
       Files.writeString(
-          folder.resolve(KEPT),
+          folder.resolve(RUNS_FILE),
           "\n" + JSON.writeValueAsString(row) + "\n",
           StandardCharsets.UTF_8,
           StandardOpenOption.CREATE,
@@ -195,45 +205,45 @@
     }
   }
 
-  private static ResultsFile.RunResult play(Run run) {
-    EmulateOptions of = new EmulateOptions();
-    of.world = run.world;
-    of.seconds = run.plan.seconds();
-    of.faults = run.plan.faults();
+  private static ResultsFile.RunResult simulate(Run run) {
+    EmulateOptions options = new EmulateOptions();
+    options.siteName = run.site;
+    options.seconds = run.plan.seconds();
+    options.faults = run.plan.faults();
     switch (run.plan.figure()) {
-      case "load" -> of.load = run.value;
-      case "engines" -> of.engines = (int) run.value;
-      case "dispatchers" -> of.dispatchers = (int) run.value;
-      case "faults" -> of.faults = (int) run.value;
+      case "load" -> options.load = run.value;
+      case "engines" -> options.engines = (int) run.value;
+      case "dispatchers" -> options.dispatchers = (int) run.value;
+      case "faults" -> options.faults = (int) run.value;
       default -> {}
     }
-    EmulatedSite world = of.world();
+    EmulatedSite site = options.site();
     Simulation.Result result =
         new Simulation(
-                world,
+                site,
                 PolicyCatalog.named(run.policy),
-                of.faultsFor(world, run.seed),
+                options.faultsFor(site, run.seed),
                 run.plan.seconds(),
                 run.seed)
             .run();
     List<OutcomeCounts.ClassOutcome> rows = result.counts().rows();
-    org.HdrHistogram.Histogram all = new org.HdrHistogram.Histogram(3_600_000_000L, 2);
-    rows.forEach(row -> all.add(row.latency));
+    org.HdrHistogram.Histogram latency = new org.HdrHistogram.Histogram(3_600_000_000L, 2);
+    rows.forEach(row -> latency.add(row.latency));
     return new ResultsFile.RunResult(
-        run.world,
+        run.site,
         run.policy,
         run.plan.figure(),
         run.value,
         run.seed,
         result.counts().goodput(),
         result.counts().offered(),
-        sum(rows, x -> x.withinObjective),
-        sum(rows, x -> x.late),
-        sum(rows, x -> x.shed),
-        sum(rows, x -> x.failed),
-        sum(rows, x -> x.unanswered),
-        all.getValueAtPercentile(50) / 1000.0,
-        all.getValueAtPercentile(99) / 1000.0,
+        sum(rows, row -> row.withinObjective),
+        sum(rows, row -> row.late),
+        sum(rows, row -> row.shed),
+        sum(rows, row -> row.failed),
+        sum(rows, row -> row.unanswered),
+        latency.getValueAtPercentile(50) / 1000.0,
+        latency.getValueAtPercentile(99) / 1000.0,
         result.violationCount(),
         result.counts().admitted(),
         result.counts().attempts(),
@@ -244,8 +254,8 @@
 
   private static long sum(
       List<OutcomeCounts.ClassOutcome> rows,
-      java.util.function.ToLongFunction<OutcomeCounts.ClassOutcome> of) {
-    return rows.stream().mapToLong(of).sum();
+      java.util.function.ToLongFunction<OutcomeCounts.ClassOutcome> count) {
+    return rows.stream().mapToLong(count).sum();
   }
 
   private String table(List<ResultsFile.RunResult> rows) {
@@ -268,40 +278,50 @@
                 TreeMap::new,
                 Collectors.toList()))
         .forEach(
-            (key, of) ->
+            (key, group) ->
                 text.append(
                     String.format(
                         Locale.ROOT,
                         "| %s | %d | %.4f | %.4f | %.0f | %d |%n",
                         key,
-                        of.size(),
-                        of.stream().mapToDouble(ResultsFile.RunResult::goodput).average().orElse(0),
-                        of.stream().mapToDouble(ResultsFile.RunResult::goodput).min().orElse(0),
-                        of.stream().mapToDouble(ResultsFile.RunResult::p99Ms).average().orElse(0),
-                        of.stream().mapToLong(ResultsFile.RunResult::brokenRules).sum())));
+                        group.size(),
+                        group.stream()
+                            .mapToDouble(ResultsFile.RunResult::goodput)
+                            .average()
+                            .orElse(0),
+                        group.stream().mapToDouble(ResultsFile.RunResult::goodput).min().orElse(0),
+                        group.stream()
+                            .mapToDouble(ResultsFile.RunResult::p99Ms)
+                            .average()
+                            .orElse(0),
+                        group.stream().mapToLong(ResultsFile.RunResult::brokenRules).sum())));
     return text.toString();
   }
 
   /**
-   * Two result sets, pair by pair: the same world, policy, figure, value and seed; or one policy
-   * against another within one set.
+   * Compares two sets of results as a table, by pairs of runs with the same site, policy,
+   * parameter, value and seed.
+   *
+   * @param policyA compares this policy of the first set with policy B of the second; null to
+   *     compare each policy with itself
+   * @param policyB null if and only if policy A is
    */
-  static String compared(
+  static String compare(
       List<ResultsFile.RunResult> first,
       List<ResultsFile.RunResult> second,
       String policyA,
       String policyB) {
-    Map<String, ResultsFile.RunResult> other = new HashMap<>();
+    Map<String, ResultsFile.RunResult> secondByKey = new HashMap<>();
     second.stream()
         .filter(result -> policyB == null || result.policy().equals(policyB))
-        .forEach(result -> other.put(pair(result, policyB != null), result));
+        .forEach(result -> secondByKey.put(pairKey(result, policyB != null), result));
     Map<String, List<Double>> differences = new TreeMap<>();
     for (ResultsFile.RunResult result : first) {
-      ResultsFile.RunResult with =
+      ResultsFile.RunResult counterpart =
           policyA == null || result.policy().equals(policyA)
-              ? other.get(pair(result, policyA != null))
+              ? secondByKey.get(pairKey(result, policyA != null))
               : null;
-      if (with != null) {
+      if (counterpart != null) {
         differences
             .computeIfAbsent(
                 result.site()
@@ -310,7 +330,7 @@
                     + " | "
                     + result.value(),
                 k -> new ArrayList<>())
-            .add(result.goodput() - with.goodput());
+            .add(result.goodput() - counterpart.goodput());
       }
     }
     StringBuilder text =
@@ -318,8 +338,8 @@
             "| world | policy | value | pairs | difference of emulated goodput | 95% interval | |\n"
                 + "| --- | --- | --- | --- | --- | --- | --- |\n");
     differences.forEach(
-        (key, of) -> {
-          Paired paired = Paired.of(of);
+        (key, group) -> {
+          Paired paired = Paired.of(group);
           text.append(
               String.format(
                   Locale.ROOT,
@@ -329,12 +349,12 @@
                   paired.mean(),
                   paired.low(),
                   paired.high(),
-                  paired.words()));
+                  paired.verdict()));
         });
     return text.toString();
   }
 
-  private static String pair(ResultsFile.RunResult result, boolean anyPolicy) {
+  private static String pairKey(ResultsFile.RunResult result, boolean anyPolicy) {
     return result.site()
         + " "
         + (anyPolicy ? "" : result.policy())
--- a/src/main/java/cobaltseam/emulator/Fault.java
+++ b/src/main/java/cobaltseam/emulator/Fault.java
@@ -7,9 +7,14 @@
 import java.util.SplittableRandom;
 
 /**
- * One thing that goes wrong from a moment on for a while. Engines are named by number, by location,
- * or as a part of all drawn by the script's seed; {@code size} is a factor or a share, by kind;
- * {@code who} is a holder or a dispatcher's number.
+ * A fault that lasts for a time span of a run.
+ *
+ * @param kind the kind of fault
+ * @param atS the start of the fault, in seconds from the start of the run
+ * @param lengthS the duration in seconds
+ * @param engines the indices of the affected engines
+ * @param size a factor or a share, as the kind defines it
+ * @param target the index of the affected tenant or dispatcher, as the kind defines it
  */
 public record Fault(
     @JsonProperty("kind") Kind kind,
@@ -18,38 +23,39 @@
     @JsonProperty("engines") List<Integer> engines,
     @JsonProperty("size") double size,
     @JsonProperty("who") int target) {
-  private static final double SHORTEST_S = 0.1;
+  /** Faults are not shortened below this duration. */
+  private static final double MIN_LENGTH_S = 0.1;
 
-  /** What goes wrong. */
+  /** The kind of a fault. */
   public enum Kind {
-    /** Engines work this many times slower. */
+    /** The speed of engines is divided by the size. */
     SLOW,
-    /** Engines take commands in and do nothing. */
+    /** Engines accept attempts and do no work. */
     HANG,
-    /** This share of sends fails at once. */
+    /** The share {@code size} of attempts fails at once. */
     FAIL,
-    /** This share of answers never comes. */
+    /** The share {@code size} of answers is lost. */
     LOSE,
-    /** Engines fall silent, and are listed as gone after a while. */
+    /** Engines stop without closing connections; discovery removes them after a delay. */
     VANISH,
-    /** Engines die, and return cold at the end. */
+    /** Engines die, and restart at the end, in slow start. */
     DIE,
-    /** Engines are listed as draining, end at the end, and return cold as long again later. */
+    /** Engines drain, stop at the end, and restart as long after that, in slow start. */
     DRAIN,
-    /** One dispatcher and these engines do not reach each other. */
+    /** The target dispatcher and the engines cannot reach each other. */
     PARTITION,
-    /** One dispatcher stands still. */
+    /** The process of the target dispatcher is suspended. */
     PAUSE,
-    /** One dispatcher is killed, and starts anew at the end. */
+    /** The target dispatcher is killed, and restarts at the end. */
     KILL,
-    /** Changes of the list reach nobody until the end. */
+    /** Discovery stops: changes of endpoints reach no dispatcher until the end. */
     ROSTER_STOPS,
-    /** One holder sends this many times as much. */
+    /** The load of the target tenant is multiplied by the size. */
     FLOOD,
-    /** This share of sends gets a bad plan. */
+    /** The share {@code size} of attempts gets a bad plan. */
     BAD_PLANS;
 
-    /** The kind as scripts write it. */
+    /** The name of the kind in fault scripts. */
     public String label() {
       return name().toLowerCase(Locale.ROOT);
     }
@@ -59,56 +65,58 @@
     engines = List.copyOf(engines);
   }
 
-  /** The next simpler forms: one engine fewer, or half as long. */
-  List<Fault> simpler() {
-    List<Fault> forms = new ArrayList<>();
+  /** Simpler variants of this fault: one engine fewer, or half as long. */
+  List<Fault> simplerVariants() {
+    List<Fault> variants = new ArrayList<>();
     for (int e = 0; e < engines.size() && engines.size() > 1; e++) {
-      List<Integer> fewer = new ArrayList<>(engines);
-      fewer.remove(e);
-      forms.add(new Fault(kind, atS, lengthS, fewer, size, target));
+      List<Integer> remaining = new ArrayList<>(engines);
+      remaining.remove(e);
+      variants.add(new Fault(kind, atS, lengthS, remaining, size, target));
     }
-    if (lengthS / 2 >= SHORTEST_S) {
-      forms.add(new Fault(kind, atS, lengthS / 2, engines, size, target));
+    if (lengthS / 2 >= MIN_LENGTH_S) {
+      variants.add(new Fault(kind, atS, lengthS / 2, engines, size, target));
     }
-    return forms;
+    return variants;
   }
 
   /**
-   * Faults by chance, overlapping, some on whole locations at once; the same ones from the same
-   * seed.
+   * Generates random faults, which can overlap; some affect whole locations. The same arguments
+   * give the same faults.
    */
-  public static List<Fault> random(EmulatedSite world, double seconds, int number, long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  public static List<Fault> random(EmulatedSite site, double seconds, int count, long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     List<Fault> faults = new ArrayList<>();
-    for (int i = 0; i < number; i++) {
-      Kind kind = Kind.values()[chance.nextInt(Kind.values().length)];
-      double at = chance.nextDouble(0.1, 0.8) * seconds;
-      double length = chance.nextDouble(0.05, 0.25) * seconds;
+    for (int i = 0; i < count; i++) {
+      Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
+      double at = random.nextDouble(0.1, 0.8) * seconds;
+      double length = random.nextDouble(0.05, 0.25) * seconds;
       List<Integer> engines = new ArrayList<>();
-      boolean group = chance.nextInt(4) == 0;
-      int location = chance.nextInt(world.engines().locations());
-      double part = chance.nextDouble(0.03, 0.3);
-      for (int e = 0; e < world.engines().count(); e++) {
-        if (group ? e % world.engines().locations() == location : chance.nextDouble() < part) {
+      boolean wholeLocation = random.nextInt(4) == 0;
+      int location = random.nextInt(site.engines().locations());
+      double share = random.nextDouble(0.03, 0.3);
+      for (int e = 0; e < site.engines().count(); e++) {
+        if (wholeLocation
+            ? e % site.engines().locations() == location
+            : random.nextDouble() < share) {
           engines.add(e);
         }
       }
       if (engines.isEmpty()) {
-        engines.add(chance.nextInt(world.engines().count()));
+        engines.add(random.nextInt(site.engines().count()));
       }
       double size =
           switch (kind) {
-            case SLOW -> chance.nextDouble(1.5, 8);
-            case FAIL, LOSE -> chance.nextDouble(0.1, 1);
-            case FLOOD -> chance.nextDouble(2, 6);
-            case BAD_PLANS -> chance.nextDouble(0.02, 0.2);
+            case SLOW -> random.nextDouble(1.5, 8);
+            case FAIL, LOSE -> random.nextDouble(0.1, 1);
+            case FLOOD -> random.nextDouble(2, 6);
+            case BAD_PLANS -> random.nextDouble(0.02, 0.2);
             default -> 1;
           };
-      int who =
+      int target =
           kind == Kind.FLOOD
-              ? chance.nextInt(Math.max(1, world.tenants().size()))
-              : chance.nextInt(world.dispatchers());
-      faults.add(new Fault(kind, at, length, engines, size, who));
+              ? random.nextInt(Math.max(1, site.tenants().size()))
+              : random.nextInt(site.dispatchers());
+      faults.add(new Fault(kind, at, length, engines, size, target));
     }
     return faults;
   }
--- a/src/main/java/cobaltseam/emulator/FaultScript.java
+++ b/src/main/java/cobaltseam/emulator/FaultScript.java
@@ -13,7 +13,7 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** Faults as a file that people can read and change: TOML, a table each. */
+/** A fault script: a TOML file with one table per fault, which users can edit. */
 record FaultScript(@JsonProperty("faults") List<Fault> faults) {
   private static final TomlMapper TOML =
       TomlMapper.builder()
@@ -24,52 +24,61 @@
           .build();
 
   /**
-   * @throws InvalidInputException with what can't be used for this world
+   * Reads a fault script.
+   *
+   * @throws InvalidInputException if the file cannot be read, or has faults that the site does not
+   *     allow
    */
-  static List<Fault> read(Path file, EmulatedSite world) {
+  static List<Fault> read(Path file, EmulatedSite site) {
     FaultScript script;
     try {
       script = TOML.readValue(Files.readString(file), FaultScript.class);
     } catch (JacksonException e) {
       throw new InvalidInputException(file + ": " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new InvalidInputException(file + " can't be read: " + e.getMessage());
+      throw new InvalidInputException(file + " cannot be read: " + e.getMessage());
     }
     List<Fault> faults = script.faults == null ? List.of() : script.faults;
-    for (Fault f : faults) {
-      boolean engines = f.engines().stream().allMatch(e -> e >= 0 && e < world.engines().count());
-      boolean who =
-          f.target() >= 0
-              && (f.kind() == Fault.Kind.FLOOD
-                  ? f.target() < world.tenants().size()
-                  : f.target() < world.dispatchers());
-      if (!engines || !who || !(f.atS() >= 0) || !(f.lengthS() > 0) || !(f.size() > 0)) {
+    for (Fault fault : faults) {
+      boolean validEngines =
+          fault.engines().stream().allMatch(e -> e >= 0 && e < site.engines().count());
+      boolean validTarget =
+          fault.target() >= 0
+              && (fault.kind() == Fault.Kind.FLOOD
+                  ? fault.target() < site.tenants().size()
+                  : fault.target() < site.dispatchers());
+      if (!validEngines
+          || !validTarget
+          || !(fault.atS() >= 0)
+          || !(fault.lengthS() > 0)
+          || !(fault.size() > 0)) {
         throw new InvalidInputException(
             file
                 + ": "
-                + f
-                + ": engines from 0 to "
-                + (world.engines().count() - 1)
-                + ", a holder or dispatcher that is there, atS from 0, lengthS and size above 0 are allowed");
+                + fault
+                + ": allowed are engines from 0 to "
+                + (site.engines().count() - 1)
+                + ", the index of a tenant or dispatcher of the site as who, atS from 0, and lengthS and"
+                + " size above 0");
       }
     }
     return faults;
   }
 
-  /** The same as text. */
+  /** Formats faults as a script that {@link #read} accepts. */
   static String write(List<Fault> faults) {
     return faults.stream()
         .map(
-            f ->
+            fault ->
                 String.format(
                     Locale.ROOT,
                     "[[faults]]%nkind = \"%s\"%natS = %s%nlengthS = %s%nengines = %s%nsize = %s%nwho = %d%n",
-                    f.kind().label(),
-                    f.atS(),
-                    f.lengthS(),
-                    f.engines(),
-                    f.size(),
-                    f.target()))
+                    fault.kind().label(),
+                    fault.atS(),
+                    fault.lengthS(),
+                    fault.engines(),
+                    fault.size(),
+                    fault.target()))
         .collect(Collectors.joining("\n"));
   }
 }
--- a/src/main/java/cobaltseam/emulator/OutcomeCounts.java
+++ b/src/main/java/cobaltseam/emulator/OutcomeCounts.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 
-/** What clients got, by profile and by second. */
+/** The outcomes of a run as clients see them, by request class and by second. */
 public final class OutcomeCounts {
-  /** One profile's figures: commands as first asked, however often they were asked again. */
+  /** The outcomes of one request class. A request counts once, however often clients retry it. */
   public static final class ClassOutcome {
     public long offered;
     public long withinObjective;
@@ -17,27 +17,29 @@
     public double weightOffered;
     public double weightServed;
 
-    /** From the first asking to the answer, in microseconds, two digits of it true. */
+    /**
+     * Latencies in microseconds from the first attempt of the client, to two significant digits.
+     */
     public final Histogram latency = new Histogram(3_600_000_000L, 2);
   }
 
   private final List<ClassOutcome> rows = new ArrayList<>();
   private final List<double[]> seconds = new ArrayList<>();
-  private double busiest;
-  private double idlest;
-  private long looks;
+  private double busiestSum;
+  private double idlestSum;
+  private long loadSamples;
   long admitted;
   long attempts;
   long retries;
 
-  OutcomeCounts(int profiles) {
-    for (int i = 0; i < profiles; i++) {
+  OutcomeCounts(int requestClasses) {
+    for (int i = 0; i < requestClasses; i++) {
       rows.add(new ClassOutcome());
     }
   }
 
-  ClassOutcome row(int profile) {
-    return rows.get(profile);
+  ClassOutcome row(int requestClass) {
+    return rows.get(requestClass);
   }
 
   private double[] second(long us) {
@@ -48,49 +50,52 @@
     return seconds.get(second);
   }
 
-  void offered(int profile, double benefit, long us) {
-    rows.get(profile).offered++;
-    rows.get(profile).weightOffered += benefit;
-    second(us)[0] += benefit;
+  /** Counts a request that a client issued. */
+  void offered(int requestClass, double weight, long us) {
+    rows.get(requestClass).offered++;
+    rows.get(requestClass).weightOffered += weight;
+    second(us)[0] += weight;
   }
 
-  void answered(int profile, double benefit, boolean inTarget, long latencyUs, long askedUs) {
-    ClassOutcome row = rows.get(profile);
-    row.withinObjective += inTarget ? 1 : 0;
-    row.late += inTarget ? 0 : 1;
-    row.weightServed += benefit;
+  /** Counts an answer. */
+  void answered(
+      int requestClass, double weight, boolean withinObjective, long latencyUs, long issuedUs) {
+    ClassOutcome row = rows.get(requestClass);
+    row.withinObjective += withinObjective ? 1 : 0;
+    row.late += withinObjective ? 0 : 1;
+    row.weightServed += weight;
     row.latency.recordValue(Math.min(latencyUs, 3_600_000_000L));
-    second(askedUs)[1] += benefit;
+    second(issuedUs)[1] += weight;
   }
 
-  /** Threads of work on each engine at one moment. */
+  /** Records a sample of the number of threads on each engine. */
   void sampleLoad(double[] threads) {
     double mean = 0;
-    double most = 0;
-    double least = Double.MAX_VALUE;
-    for (double t : threads) {
-      mean += t / threads.length;
-      most = Math.max(most, t);
-      least = Math.min(least, t);
+    double max = 0;
+    double min = Double.MAX_VALUE;
+    for (double count : threads) {
+      mean += count / threads.length;
+      max = Math.max(max, count);
+      min = Math.min(min, count);
     }
     if (mean > 0) {
-      busiest += most / mean;
-      idlest += least / mean;
-      looks++;
+      busiestSum += max / mean;
+      idlestSum += min / mean;
+      loadSamples++;
     }
   }
 
-  /** Threads on the busiest engine over those on the mean one, at the mean of looks. */
+  /** The ratio of the threads on the busiest engine to the mean, averaged over all samples. */
   public double busiest() {
-    return looks == 0 ? 0 : busiest / looks;
+    return loadSamples == 0 ? 0 : busiestSum / loadSamples;
   }
 
-  /** The same of the idlest. */
+  /** The ratio of the threads on the idlest engine to the mean, averaged over all samples. */
   public double idlest() {
-    return looks == 0 ? 0 : idlest / looks;
+    return loadSamples == 0 ? 0 : idlestSum / loadSamples;
   }
 
-  /** Benefit got of benefit offered: the goodput. */
+  /** The goodput: the share of the offered priority weight that was served. */
   public double goodput() {
     double offered = rows.stream().mapToDouble(r -> r.weightOffered).sum();
     return offered == 0 ? 0 : rows.stream().mapToDouble(r -> r.weightServed).sum() / offered;
--- a/src/main/java/cobaltseam/emulator/PolicyCatalog.java
+++ b/src/main/java/cobaltseam/emulator/PolicyCatalog.java
@@ -5,46 +5,59 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 
-/** The policies that can be played, by the names that the command line and plans have for them. */
+/** The policies by the names that the command line and plans use. */
 final class PolicyCatalog {
   private PolicyCatalog() {}
 
   /**
-   * The policy of a name: the dispatcher's own, or a baseline that it is compared with.
+   * Returns the factory of a policy: the dispatcher's own policy alone or in a fleet, or a
+   * baseline. The names mean:
+   *
+   * <ul>
+   *   <li>{@code module}: the dispatcher alone
+   *   <li>{@code fleet}: dispatchers that divide capacity by demand
+   *   <li>{@code fleet-true}: dispatchers that know their true share of the traffic
+   *   <li>{@code news-N}: dispatchers that exchange load reports every N milliseconds
+   *   <li>others: the values of {@link Baseline.EngineChoice}, in lower case and with hyphens
+   * </ul>
    *
    * @throws InvalidInputException if no policy has this name
    */
   static Simulation.PolicyFactory named(String name) {
     if (name.equals("module")) {
-      return (told, seed, truth) -> Policy.ofDispatcher(new Dispatcher(told, seed));
+      return (deployment, seed, simulation) ->
+          Policy.ofDispatcher(new Dispatcher(deployment, seed));
     }
     if (name.equals("fleet")) {
-      return (told, seed, sim) ->
-          sim.withFleet(true, 0).join(told, new Dispatcher(told, seed), seed);
+      return (deployment, seed, simulation) ->
+          simulation.withFleet(true, 0).join(deployment, new Dispatcher(deployment, seed), seed);
     }
     if (name.startsWith("news-")) {
       double roundMs = Double.parseDouble(name.substring(5));
-      return (told, seed, sim) ->
-          sim.withFleet(false, roundMs).join(told, new Dispatcher(told, seed), seed);
+      return (deployment, seed, simulation) ->
+          simulation
+              .withFleet(false, roundMs)
+              .join(deployment, new Dispatcher(deployment, seed), seed);
     }
     if (name.equals("fleet-true")) {
-      return (told, seed, sim) -> {
-        Dispatcher deployment = new Dispatcher(told, seed);
-        deployment.setSharingDispatchers(1 / sim.trafficShareOf(told.dispatcherIndex()));
-        return Policy.ofDispatcher(deployment);
+      return (deployment, seed, simulation) -> {
+        Dispatcher dispatcher = new Dispatcher(deployment, seed);
+        dispatcher.setSharingDispatchers(
+            1 / simulation.trafficShareOf(deployment.dispatcherIndex()));
+        return Policy.ofDispatcher(dispatcher);
       };
     }
     try {
       Baseline.EngineChoice choice =
           Baseline.EngineChoice.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
-      return (told, seed, truth) ->
-          new Baseline(choice, told, new SplittableRandom(seed), truth.trueState());
+      return (deployment, seed, simulation) ->
+          new Baseline(choice, deployment, new SplittableRandom(seed), simulation.trueState());
     } catch (IllegalArgumentException e) {
       throw new InvalidInputException(
-          "policy '"
+          "unknown policy '"
               + name
-              + "' stands there; module, fleet, fleet-true, news-100 (or another round in ms), random, round-robin, least-in-hand, two-choices, "
-              + "shortest-late or clairvoyant is allowed");
+              + "'; allowed are module, fleet, fleet-true, news-100 (or another round in ms),"
+              + " random, round-robin, least-in-hand, two-choices, shortest-late and clairvoyant");
     }
   }
 }
--- a/src/main/java/cobaltseam/emulator/ResultsFile.java
+++ b/src/main/java/cobaltseam/emulator/ResultsFile.java
@@ -23,9 +23,16 @@
 import org.apache.arrow.vector.ipc.ArrowFileReader;
 import org.apache.arrow.vector.ipc.ArrowFileWriter;
 
-/** The outcomes of runs as a columnar file (Apache Arrow's file format), one row a run. */
+/** The results of runs as a columnar file in Apache Arrow's file format, with one row per run. */
 final class ResultsFile {
-  /** One run: what was played, and what came of it. Latencies in milliseconds, of all answers. */
+  /**
+   * The parameters and the results of one run. Latencies are in milliseconds and cover all answers.
+   *
+   * @param figure the parameter that the experiment varies
+   * @param value the value of that parameter
+   * @param realS the real time that the run took, in seconds
+   * @param hash the hash of all decisions
+   */
   record RunResult(
       @JsonProperty("world") String site,
       @JsonProperty("policy") String policy,
@@ -47,24 +54,25 @@
       @JsonProperty("further") long retries,
       @JsonProperty("realS") double realS,
       @JsonProperty("hash") long hash) {
+    /** The identity of the run within an experiment. */
     String key() {
       return site + " " + policy + " " + figure + " " + value + " " + seed;
     }
   }
 
-  private static final List<String> TEXTS = List.of("world", "policy", "figure");
-  private static final List<Function<RunResult, String>> TEXT =
+  private static final List<String> TEXT_COLUMNS = List.of("world", "policy", "figure");
+  private static final List<Function<RunResult, String>> TEXT_GETTERS =
       List.of(RunResult::site, RunResult::policy, RunResult::figure);
-  private static final List<String> NUMBERS =
+  private static final List<String> DOUBLE_COLUMNS =
       List.of("value", "goodput", "median_ms", "p99_ms", "real_s");
-  private static final List<ToDoubleFunction<RunResult>> NUMBER =
+  private static final List<ToDoubleFunction<RunResult>> DOUBLE_GETTERS =
       List.of(
           RunResult::value,
           RunResult::goodput,
           RunResult::medianMs,
           RunResult::p99Ms,
           RunResult::realS);
-  private static final List<String> WHOLES =
+  private static final List<String> LONG_COLUMNS =
       List.of(
           "seed",
           "offered",
@@ -78,7 +86,7 @@
           "sends",
           "further",
           "decisions");
-  private static final List<ToLongFunction<RunResult>> WHOLE =
+  private static final List<ToLongFunction<RunResult>> LONG_GETTERS =
       List.of(
           RunResult::seed,
           RunResult::offered,
@@ -93,46 +101,46 @@
           RunResult::retries,
           RunResult::hash);
 
-  /** Held for good, or its level would be forgotten with it. */
-  private static final java.util.logging.Logger QUIET =
+  /** Kept in a field, since a logger without a strong reference loses its level. */
+  private static final java.util.logging.Logger ARROW_LOGGER =
       java.util.logging.Logger.getLogger("org.apache.arrow");
 
   static {
-    QUIET.setLevel(java.util.logging.Level.WARNING);
+    ARROW_LOGGER.setLevel(java.util.logging.Level.WARNING);
   }
 
   private ResultsFile() {}
 
-  /** Writes rows to a file, aside first, so that there is never half of one. */
+  /** Writes rows to a file, through a temporary file, so that the file is never incomplete. */
   static void write(Path file, List<RunResult> rows) throws IOException {
-    Path aside = file.resolveSibling(file.getFileName() + ".part");
+    Path temporary = file.resolveSibling(file.getFileName() + ".part");
     try (BufferAllocator memory = new RootAllocator()) {
       List<FieldVector> columns = new ArrayList<>();
-      for (int c = 0; c < TEXTS.size(); c++) {
-        VarCharVector vector = new VarCharVector(TEXTS.get(c), memory);
-        Function<RunResult, String> of = TEXT.get(c);
+      for (int c = 0; c < TEXT_COLUMNS.size(); c++) {
+        VarCharVector vector = new VarCharVector(TEXT_COLUMNS.get(c), memory);
+        Function<RunResult, String> getter = TEXT_GETTERS.get(c);
         fill(
             vector,
             rows,
-            (i, row) -> vector.setSafe(i, of.apply(row).getBytes(StandardCharsets.UTF_8)));
+            (i, row) -> vector.setSafe(i, getter.apply(row).getBytes(StandardCharsets.UTF_8)));
         columns.add(vector);
       }
-      for (int c = 0; c < NUMBERS.size(); c++) {
-        Float8Vector vector = new Float8Vector(NUMBERS.get(c), memory);
-        ToDoubleFunction<RunResult> of = NUMBER.get(c);
-        fill(vector, rows, (i, row) -> vector.setSafe(i, of.applyAsDouble(row)));
+      for (int c = 0; c < DOUBLE_COLUMNS.size(); c++) {
+        Float8Vector vector = new Float8Vector(DOUBLE_COLUMNS.get(c), memory);
+        ToDoubleFunction<RunResult> getter = DOUBLE_GETTERS.get(c);
+        fill(vector, rows, (i, row) -> vector.setSafe(i, getter.applyAsDouble(row)));
         columns.add(vector);
       }
-      for (int c = 0; c < WHOLES.size(); c++) {
-        BigIntVector vector = new BigIntVector(WHOLES.get(c), memory);
-        ToLongFunction<RunResult> of = WHOLE.get(c);
-        fill(vector, rows, (i, row) -> vector.setSafe(i, of.applyAsLong(row)));
+      for (int c = 0; c < LONG_COLUMNS.size(); c++) {
+        BigIntVector vector = new BigIntVector(LONG_COLUMNS.get(c), memory);
+        ToLongFunction<RunResult> getter = LONG_GETTERS.get(c);
+        fill(vector, rows, (i, row) -> vector.setSafe(i, getter.applyAsLong(row)));
         columns.add(vector);
       }
       try (VectorSchemaRoot root = new VectorSchemaRoot(columns);
           FileChannel out =
               FileChannel.open(
-                  aside,
+                  temporary,
                   StandardOpenOption.CREATE,
                   StandardOpenOption.TRUNCATE_EXISTING,
                   StandardOpenOption.WRITE);
@@ -143,7 +151,7 @@
         writer.end();
       }
     }
-    Files.move(aside, file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+    Files.move(temporary, file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
   }
 
   private static void fill(
@@ -155,7 +163,7 @@
     vector.setValueCount(rows.size());
   }
 
-  /** Reads them back. */
+  /** Reads the rows of a file that {@link #write} wrote. */
   static List<RunResult> read(Path file) throws IOException {
     List<RunResult> rows = new ArrayList<>();
     try (BufferAllocator memory = new RootAllocator();
@@ -169,23 +177,23 @@
                   text(root, "world", i),
                   text(root, "policy", i),
                   text(root, "figure", i),
-                  number(root, "value", i),
-                  whole(root, "seed", i),
-                  number(root, "goodput", i),
-                  whole(root, "offered", i),
-                  whole(root, "in_target", i),
-                  whole(root, "late", i),
-                  whole(root, "shed", i),
-                  whole(root, "failed", i),
-                  whole(root, "unheard", i),
-                  number(root, "median_ms", i),
-                  number(root, "p99_ms", i),
-                  whole(root, "broken_rules", i),
-                  whole(root, "taken", i),
-                  whole(root, "sends", i),
-                  whole(root, "further", i),
-                  number(root, "real_s", i),
-                  whole(root, "decisions", i)));
+                  doubleValue(root, "value", i),
+                  longValue(root, "seed", i),
+                  doubleValue(root, "goodput", i),
+                  longValue(root, "offered", i),
+                  longValue(root, "in_target", i),
+                  longValue(root, "late", i),
+                  longValue(root, "shed", i),
+                  longValue(root, "failed", i),
+                  longValue(root, "unheard", i),
+                  doubleValue(root, "median_ms", i),
+                  doubleValue(root, "p99_ms", i),
+                  longValue(root, "broken_rules", i),
+                  longValue(root, "taken", i),
+                  longValue(root, "sends", i),
+                  longValue(root, "further", i),
+                  doubleValue(root, "real_s", i),
+                  longValue(root, "decisions", i)));
         }
       }
     }
@@ -196,11 +204,11 @@
     return new String(((VarCharVector) root.getVector(name)).get(index), StandardCharsets.UTF_8);
   }
 
-  private static double number(VectorSchemaRoot root, String name, int index) {
+  private static double doubleValue(VectorSchemaRoot root, String name, int index) {
     return ((Float8Vector) root.getVector(name)).get(index);
   }
 
-  private static long whole(VectorSchemaRoot root, String name, int index) {
+  private static long longValue(VectorSchemaRoot root, String name, int index) {
     return ((BigIntVector) root.getVector(name)).get(index);
   }
 }
--- a/src/main/java/cobaltseam/emulator/Shrink.java
+++ b/src/main/java/cobaltseam/emulator/Shrink.java
@@ -6,24 +6,30 @@
 import java.util.function.Predicate;
 
 /**
- * Cuts a script of faults down to the least that still fails: whole faults first, in halves and
- * then one by one, then each to what is simpler of it, as its kind tells. What is left fails, and
- * no single further cut of these kinds does.
+ * Minimises a failing list of faults by delta debugging. Removes faults as long as the rest still
+ * fails, first half of them at once and at last one by one, and then replaces each remaining fault
+ * by simpler variants. The result fails; before the faults are simplified, none of them can be
+ * removed on its own.
+ *
+ * @param <T> the type of a fault
  */
 public final class Shrink<T> {
   private final Predicate<List<T>> fails;
-  private final Function<T, List<T>> simpler;
+  private final Function<T, List<T>> simplerVariants;
   private int runs;
 
   /**
-   * @param simpler the next simpler forms of one fault, the simplest first
+   * Creates a minimiser.
+   *
+   * @param fails whether a list of faults fails
+   * @param simplerVariants the simpler variants of a fault, in the order in which they are tried
    */
-  public Shrink(Predicate<List<T>> fails, Function<T, List<T>> simpler) {
+  public Shrink(Predicate<List<T>> fails, Function<T, List<T>> simplerVariants) {
     this.fails = fails;
-    this.simpler = simpler;
+    this.simplerVariants = simplerVariants;
   }
 
-  /** How often a candidate was tried. */
+  /** The number of candidates that were tried. */
   public int runs() {
     return runs;
   }
@@ -34,46 +40,49 @@
   }
 
   /**
-   * @param failing a script that fails
+   * Minimises a list of faults.
+   *
+   * @param failing a list that fails
    */
   public List<T> of(List<T> failing) {
-    List<T> least = new ArrayList<>(failing);
-    for (int part = Math.max(1, least.size() / 2); ; part = Math.max(1, part / 2)) {
-      boolean cut = false;
-      for (int from = 0; from < least.size(); ) {
-        List<T> less = new ArrayList<>(least);
-        less.subList(from, Math.min(from + part, less.size())).clear();
-        if (fails(less)) {
-          least = less;
-          cut = true;
+    List<T> minimal = new ArrayList<>(failing);
+    for (int length = Math.max(1, minimal.size() / 2); ; length = Math.max(1, length / 2)) {
+      boolean removed = false;
+      for (int from = 0; from < minimal.size(); ) {
+        List<T> candidate = new ArrayList<>(minimal);
+        candidate.subList(from, Math.min(from + length, candidate.size())).clear();
+        if (fails(candidate)) {
+          minimal = candidate;
+          removed = true;
         } else {
-          from += part;
+          from += length;
         }
       }
-      if (part == 1 && !cut) {
+      if (length == 1 && !removed) {
         break;
       }
     }
-    for (int i = 0; i < least.size(); i++) {
-      least = simplest(least, i);
+    for (int i = 0; i < minimal.size(); i++) {
+      minimal = simplify(minimal, i);
     }
-    return least;
+    return minimal;
   }
 
-  private List<T> simplest(List<T> faults, int index) {
-    List<T> least = faults;
-    for (boolean cut = true; cut; ) {
-      cut = false;
-      for (T form : simpler.apply(least.get(index))) {
-        List<T> less = new ArrayList<>(least);
-        less.set(index, form);
-        if (fails(less)) {
-          least = less;
-          cut = true;
+  /** Replaces one fault by simpler variants as long as the list fails. */
+  private List<T> simplify(List<T> faults, int index) {
+    List<T> minimal = faults;
+    for (boolean simplified = true; simplified; ) {
+      simplified = false;
+      for (T variant : simplerVariants.apply(minimal.get(index))) {
+        List<T> candidate = new ArrayList<>(minimal);
+        candidate.set(index, variant);
+        if (fails(candidate)) {
+          minimal = candidate;
+          simplified = true;
           break;
         }
       }
     }
-    return least;
+    return minimal;
   }
 }
--- a/src/main/java/cobaltseam/emulator/Simulation.java
+++ b/src/main/java/cobaltseam/emulator/Simulation.java
@@ -317,7 +317,7 @@
     return new EndpointStatus(
         model.id,
         model.location,
-        new MachineTypeId(EmulatedSite.KIND),
+        new MachineTypeId(EmulatedSite.MACHINE_TYPE),
         model.group,
         endpointStates.get(engine),
         new Timestamp(Math.max(0, model.startedUs)));
--- a/src/main/java/cobaltseam/emulator/Timeline.java
+++ b/src/main/java/cobaltseam/emulator/Timeline.java
@@ -5,23 +5,23 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time: what is to happen, in the order of its moments, and of its setting where those are
- * the same.
+ * Virtual time, as a queue of events. Events are executed in the order of their times, and events
+ * of the same time in the order in which they were scheduled.
  */
 final class Timeline {
   /** The virtual time at which every run starts, in microseconds. */
   static final long START_US = 1_000_000_000L;
 
-  /** Something set for a moment, to be taken back by who set it. */
+  /** A scheduled event, which can be cancelled. */
   static final class Entry implements Comparable<Entry> {
     private final long at;
     private final long number;
-    private Runnable what;
+    private Runnable action;
 
-    private Entry(long at, long number, Runnable what) {
+    private Entry(long at, long number, Runnable action) {
       this.at = at;
       this.number = number;
-      this.what = what;
+      this.action = action;
     }
 
     @Override
@@ -32,7 +32,7 @@
 
   private final PriorityQueue<Entry> entries = new PriorityQueue<>(1024);
   private long now;
-  private long numbers;
+  private long scheduled;
   private long executedEvents;
 
   Timeline(Timestamp start) {
@@ -47,43 +47,45 @@
     return now;
   }
 
-  /** How many things have happened. */
+  /** The number of events that were executed. */
   long executedEvents() {
     return executedEvents;
   }
 
-  Entry at(long us, Runnable what) {
-    Entry entry = new Entry(Math.max(us, now), numbers++, what);
+  /** Schedules an action for a time; for now, if the time has passed. */
+  Entry at(long us, Runnable action) {
+    Entry entry = new Entry(Math.max(us, now), scheduled++, action);
     entries.add(entry);
     return entry;
   }
 
-  Entry after(TimeSpan span, Runnable what) {
-    return at(now + span.us(), what);
+  /** Schedules an action for the end of a time span from now. */
+  Entry after(TimeSpan span, Runnable action) {
+    return at(now + span.us(), action);
   }
 
   /**
-   * Takes one back; null and what is past are passed over. Its place is freed when its moment
-   * comes.
+   * Cancels an event. Does nothing for null and for an event that was executed. The entry stays in
+   * the queue until its time.
    */
   static void cancel(Entry entry) {
     if (entry != null) {
-      entry.what = null;
+      entry.action = null;
     }
   }
 
-  /** Lets everything up to a moment happen. */
+  /** Executes all events up to a time, including those that they schedule. */
   void runUntil(Timestamp until) {
     for (Entry next = entries.peek();
         next != null && next.at <= until.us();
         next = entries.peek()) {
       entries.poll();
-      if (next.what != null) {
+      if (next.action != null) {
         now = next.at;
         executedEvents++;
-        Runnable what = next.what;
-        next.what = null;
-        what.run();
+        Runnable action = next.action;
+        next.action = null;
+        action.run();
       }
     }
     now = Math.max(now, until.us());
--- a/src/test/java/cobaltseam/emulator/EngineModelTheoryTest.java
+++ b/src/test/java/cobaltseam/emulator/EngineModelTheoryTest.java
@@ -10,18 +10,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The emulator's engines where theory tells what must come out: runs of many commands, within
- * stated intervals.
+ * Compares the engine model with results of queueing theory, within confidence intervals over many
+ * requests.
  */
 class EngineModelTheoryTest {
   private static final double WORK_MS = 100;
   private static final int SEEDS = 10;
 
   /**
-   * One engine of some cores, one dispatcher that sends at once, no network, and commands on one
-   * thread.
+   * A site with one engine, one dispatcher that sends requests at once, no network delay, and
+   * requests of one thread.
    */
-  private static EmulatedSite world(double cores, double cv, double perSecond, int sessions) {
+  private static EmulatedSite site(double cores, double cv, double perSecond, int sessions) {
     return new EmulatedSite(
         "theory",
         new EmulatedSite.Engines(1, cores, 0, 1000, 0, sessions, 1, 0, 0, 0, 0, 0, 1, 1, 0),
@@ -54,19 +54,19 @@
   }
 
   /**
-   * The mean and a 99% interval of it over independent seeds (Student's t with 9 degrees of
-   * freedom).
+   * The mean of a metric over independent seeds, and the half-width of its 99% confidence interval
+   * by Student's t distribution with 9 degrees of freedom.
    */
-  private static double[] interval(
-      EmulatedSite world,
+  private static double[] confidenceInterval(
+      EmulatedSite site,
       double seconds,
-      java.util.function.ToDoubleFunction<Simulation.Result> figure) {
+      java.util.function.ToDoubleFunction<Simulation.Result> metric) {
     List<Double> values = new ArrayList<>();
     for (int seed = 0; seed < SEEDS; seed++) {
       Simulation.Result result =
-          new Simulation(world, PolicyCatalog.named("random"), List.of(), seconds, seed).run();
+          new Simulation(site, PolicyCatalog.named("random"), List.of(), seconds, seed).run();
       assertEquals(0, result.violationCount(), result.violations().toString());
-      values.add(figure.applyAsDouble(result));
+      values.add(metric.applyAsDouble(result));
     }
     double mean = values.stream().mapToDouble(v -> v).average().orElseThrow();
     double variance = values.stream().mapToDouble(v -> (v - mean) * (v - mean)).sum() / (SEEDS - 1);
@@ -77,29 +77,29 @@
     return result.counts().rows().get(0).latency.getMean() / 1000;
   }
 
-  private static void within(double expected, double[] found, double rounding) {
+  private static void assertWithin(double expected, double[] measured, double roundingRatio) {
     assertTrue(
-        Math.abs(found[0] - expected) <= found[1] + rounding * expected,
-        "expected " + expected + ", found " + found[0] + " +- " + found[1]);
+        Math.abs(measured[0] - expected) <= measured[1] + roundingRatio * expected,
+        "expected " + expected + ", measured " + measured[0] + " +- " + measured[1]);
     assertTrue(
-        found[1] < 0.15 * expected,
-        "an interval that says little: " + found[1] + " of " + expected);
+        measured[1] < 0.15 * expected,
+        "the interval is too wide: " + measured[1] + " of " + expected);
   }
 
-  /** M/M/1 and M/G/1 under processor sharing: work / (1 - load), whatever the spread of works. */
+  /** M/G/1 with processor sharing: the mean is work / (1 - load) for any distribution of work. */
   @Test
-  void oneCoreSharedByAll() {
+  void meanLatencyOfOneCoreMatchesProcessorSharing() {
     for (double cv : new double[] {0, 1, 2}) {
-      within(
+      assertWithin(
           WORK_MS / (1 - 0.7),
-          interval(world(1, cv, 7, 1_000_000), 6000, EngineModelTheoryTest::meanMs),
+          confidenceInterval(site(1, cv, 7, 1_000_000), 6000, EngineModelTheoryTest::meanMs),
           0.01);
     }
   }
 
-  /** M/M/c: by Erlang's formula for waiting. */
+  /** M/M/c: the Erlang C formula gives the probability of waiting. */
   @Test
-  void fourCores() {
+  void meanLatencyOfFourCoresMatchesErlangC() {
     double load = 0.8 * 4;
     double sum = 0;
     double term = 1;
@@ -107,24 +107,26 @@
       sum += term;
       term *= load / (k + 1);
     }
-    double waits = term / (1 - 0.8) / (sum + term / (1 - 0.8));
-    double expected = WORK_MS + waits * WORK_MS / (4 * (1 - 0.8));
-    within(
-        expected, interval(world(4, 1, 32, 1_000_000), 4000, EngineModelTheoryTest::meanMs), 0.01);
+    double waitProbability = term / (1 - 0.8) / (sum + term / (1 - 0.8));
+    double expected = WORK_MS + waitProbability * WORK_MS / (4 * (1 - 0.8));
+    assertWithin(
+        expected,
+        confidenceInterval(site(4, 1, 32, 1_000_000), 4000, EngineModelTheoryTest::meanMs),
+        0.01);
   }
 
-  /** An overloaded loss system, M/M/c/c: by Erlang's formula for loss. */
+  /** M/M/c/c under overload: the Erlang B formula gives the share of requests that are lost. */
   @Test
-  void whatIsTooMuchIsLost() {
+  void shedShareUnderOverloadMatchesErlangB() {
     double load = 6;
-    double lost = 1;
+    double lossProbability = 1;
     for (int k = 1; k <= 4; k++) {
-      lost = load * lost / (k + load * lost);
+      lossProbability = load * lossProbability / (k + load * lossProbability);
     }
-    within(
-        lost,
-        interval(
-            world(4, 1, 60, 4),
+    assertWithin(
+        lossProbability,
+        confidenceInterval(
+            site(4, 1, 60, 4),
             2000,
             result -> (double) result.counts().rows().get(0).shed / result.counts().offered()),
         0.01);
--- a/src/test/java/cobaltseam/emulator/ExperimentTest.java
+++ b/src/test/java/cobaltseam/emulator/ExperimentTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Plans, what they leave behind, and what is made of it. */
+/** Tests experiments: plans, recorded runs, comparisons, and the minimisation of fault scripts. */
 class ExperimentTest {
   private static final String PLAN =
       """
@@ -34,42 +34,42 @@
 
   @TempDir Path folder;
 
-  private String play(Experiment.Plan plan) throws IOException {
-    StringWriter said = new StringWriter();
-    Experiment.run(plan, folder.resolve("out"), new PrintWriter(said));
-    return said.toString();
+  private String run(Experiment.Plan plan) throws IOException {
+    StringWriter output = new StringWriter();
+    Experiment.run(plan, folder.resolve("out"), new PrintWriter(output));
+    return output.toString();
   }
 
   @Test
-  void aPlanThatWasKilledGoesOnWhereItStopped() throws IOException {
+  void killedExperimentResumesWithoutRepeatingRecordedRuns() throws IOException {
     Experiment.Plan plan = Experiment.read(Files.writeString(folder.resolve("plan.toml"), PLAN));
-    String first = play(plan);
-    assertTrue(first.contains("0 runs are kept, 12 are due"), first);
-    List<ResultsFile.RunResult> whole = ResultsFile.read(folder.resolve("out/results.arrow"));
-    assertEquals(12, whole.size());
-    // Killed within a line: that run is played again, the others are not, and all comes out the
-    // same.
-    Path kept = folder.resolve("out/runs.jsonl");
-    String text = Files.readString(kept);
-    Files.writeString(kept, text.substring(0, text.length() - 40));
-    String again = play(plan);
-    assertTrue(again.contains("11 runs are kept, 1 are due"), again);
-    List<ResultsFile.RunResult> anew = ResultsFile.read(folder.resolve("out/results.arrow"));
+    String first = run(plan);
+    assertTrue(first.contains("0 runs are recorded, 12 remain"), first);
+    List<ResultsFile.RunResult> expected = ResultsFile.read(folder.resolve("out/results.arrow"));
+    assertEquals(12, expected.size());
+    // A process that is killed while it writes a line leaves it incomplete. Only that run is
+    // repeated, and the results are the same.
+    Path runs = folder.resolve("out/runs.jsonl");
+    String text = Files.readString(runs);
+    Files.writeString(runs, text.substring(0, text.length() - 40));
+    String second = run(plan);
+    assertTrue(second.contains("11 runs are recorded, 1 remain"), second);
+    List<ResultsFile.RunResult> resumed = ResultsFile.read(folder.resolve("out/results.arrow"));
     assertEquals(
-        whole.stream().map(ResultsFile.RunResult::hash).toList(),
-        anew.stream().map(ResultsFile.RunResult::hash).toList());
+        expected.stream().map(ResultsFile.RunResult::hash).toList(),
+        resumed.stream().map(ResultsFile.RunResult::hash).toList());
     assertTrue(Files.readString(folder.resolve("out/goodput.svg")).contains("<svg"));
     assertTrue(
         Files.readString(folder.resolve("out/results.md")).contains("| hall | 0.6 | random | 3 |"));
-    // Against itself no difference is shown; the module against random choice needs more than three
-    // seeds.
-    assertTrue(Experiment.compared(anew, anew, null, null).contains("no difference shown"));
-    assertTrue(Experiment.compared(anew, anew, "module", "random").contains("| 3 |"));
+    // A set of results does not differ from itself. Three pairs are too few for a difference
+    // between two policies.
+    assertTrue(Experiment.compare(resumed, resumed, null, null).contains("no difference shown"));
+    assertTrue(Experiment.compare(resumed, resumed, "module", "random").contains("| 3 |"));
   }
 
   @Test
-  void plansThatCantBePlayedAreRefused() throws IOException {
-    for (String bad :
+  void invalidPlansAreRejected() throws IOException {
+    for (String invalid :
         List.of(
             PLAN.replace("\"random\"", "\"best\""),
             PLAN.replace("hall", "nowhere"),
@@ -77,63 +77,66 @@
             PLAN.replace("lastSeed = 3", "lastSeed = 0"),
             PLAN + "more = 1\n",
             "name =")) {
-      Path file = Files.writeString(folder.resolve("bad.toml"), bad);
-      assertThrows(InvalidInputException.class, () -> Experiment.read(file), bad);
+      Path file = Files.writeString(folder.resolve("bad.toml"), invalid);
+      assertThrows(InvalidInputException.class, () -> Experiment.read(file), invalid);
     }
   }
 
   @Test
-  void intervalsOverPairsFindWhatIsThereAndNothingElse() {
-    SplittableRandom chance = new SplittableRandom(4);
-    int shown = 0;
+  void bootstrapIntervalsDetectRealDifferencesOnly() {
+    SplittableRandom random = new SplittableRandom(4);
+    int falsePositives = 0;
     for (int i = 0; i < 200; i++) {
-      List<Double> nothing = new ArrayList<>();
-      List<Double> something = new ArrayList<>();
+      List<Double> withoutDifference = new ArrayList<>();
+      List<Double> withDifference = new ArrayList<>();
       for (int j = 0; j < 20; j++) {
-        double noise = chance.nextGaussian();
-        nothing.add(noise);
-        something.add(noise + 2);
+        double noise = random.nextGaussian();
+        withoutDifference.add(noise);
+        withDifference.add(noise + 2);
       }
-      shown += Paired.of(nothing).shown() ? 1 : 0;
-      assertEquals("better", Paired.of(something).words());
+      falsePositives += Paired.of(withoutDifference).isSignificant() ? 1 : 0;
+      assertEquals("better", Paired.of(withDifference).verdict());
     }
     assertTrue(
-        shown <= 24, "a difference was shown " + shown + " times of 200 where there is none");
-    assertFalse(Paired.of(List.of(1.0, 1.0, 1.0)).shown(), "too few to show anything");
+        falsePositives <= 24,
+        falsePositives + " of 200 comparisons show a difference where there is none");
+    assertFalse(
+        Paired.of(List.of(1.0, 1.0, 1.0)).isSignificant(),
+        "three pairs are too few to show a difference");
   }
 
   @Test
-  void aScriptShrinksToWhatMatters() {
-    EmulatedSite world = EmulatedSites.named("hall");
-    List<Fault> faults = new ArrayList<>(Fault.random(world, 60, 15, 3));
+  void shrinkReducesScriptToTheFailingFault() {
+    EmulatedSite site = EmulatedSites.named("hall");
+    List<Fault> faults = new ArrayList<>(Fault.random(site, 60, 15, 3));
     faults.add(7, new Fault(Fault.Kind.PARTITION, 10, 16, List.of(1, 4, 6, 8), 1, 2));
-    // It fails where engine 6 is cut off from dispatcher 2 for at least three seconds.
+    // The script fails if dispatcher 2 cannot reach engine 6 for at least three seconds.
     Shrink<Fault> shrink =
         new Shrink<>(
-            fs ->
-                fs.stream()
+            candidate ->
+                candidate.stream()
                     .anyMatch(
-                        f ->
-                            f.kind() == Fault.Kind.PARTITION
-                                && f.target() == 2
-                                && f.engines().contains(6)
-                                && f.lengthS() >= 3),
-            Fault::simpler);
-    List<Fault> least = shrink.of(faults);
-    assertEquals(1, least.size(), least.toString());
-    assertEquals(List.of(6), least.get(0).engines());
-    assertTrue(least.get(0).lengthS() < 6 && least.get(0).lengthS() >= 3, least.toString());
+                        fault ->
+                            fault.kind() == Fault.Kind.PARTITION
+                                && fault.target() == 2
+                                && fault.engines().contains(6)
+                                && fault.lengthS() >= 3),
+            Fault::simplerVariants);
+    List<Fault> minimal = shrink.of(faults);
+    assertEquals(1, minimal.size(), minimal.toString());
+    assertEquals(List.of(6), minimal.get(0).engines());
+    assertTrue(minimal.get(0).lengthS() < 6 && minimal.get(0).lengthS() >= 3, minimal.toString());
   }
 
   @Test
-  void scriptsAreReadAsTheyAreWritten() throws IOException {
-    EmulatedSite world = EmulatedSites.named("hall");
-    List<Fault> faults = Fault.random(world, 60, 20, 9);
+  void writtenFaultScriptsReadBackAndUnknownEnginesAreRejected() throws IOException {
+    EmulatedSite site = EmulatedSites.named("hall");
+    List<Fault> faults = Fault.random(site, 60, 20, 9);
     Path file = Files.writeString(folder.resolve("faults.toml"), FaultScript.write(faults));
-    assertEquals(faults, FaultScript.read(file, world));
+    assertEquals(faults, FaultScript.read(file, site));
     Files.writeString(
         file,
         "[[faults]]\nkind = \"slow\"\natS = 1\nlengthS = 1\nengines = [99]\nsize = 2\nwho = 0\n");
-    assertThrows(InvalidInputException.class, () -> FaultScript.read(file, world));
+    assertThrows(InvalidInputException.class, () -> FaultScript.read(file, site));
   }
 }
--- a/src/test/java/cobaltseam/emulator/InvariantCheckerTest.java
+++ b/src/test/java/cobaltseam/emulator/InvariantCheckerTest.java
@@ -26,75 +26,76 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The real module in the emulator keeps the rules, and the same seed decides the same; mutants of
- * it are caught.
+ * Tests the invariant checker: the dispatcher keeps all rules, and each mutant of it, which breaks
+ * a rule on purpose, is detected. Also tests that runs are reproducible.
  */
 class InvariantCheckerTest {
   private static final double SECONDS = 20;
 
-  /** The module with something broken. */
+  /** A policy that delegates to the dispatcher; subclasses break a rule. */
   private static class Mutant implements Policy {
-    final Policy module;
-    final Map<RequestId, Request> commands = new HashMap<>();
+    final Policy delegate;
+    final Map<RequestId, Request> requests = new HashMap<>();
 
-    Mutant(Policy module) {
-      this.module = module;
+    Mutant(Policy delegate) {
+      this.delegate = delegate;
     }
 
     @Override
-    public Placement place(Request command, Timestamp now) {
-      commands.put(command.id(), command);
-      return module.place(command, now);
+    public Placement place(Request request, Timestamp now) {
+      requests.put(request.id(), request);
+      return delegate.place(request, now);
     }
 
     @Override
     public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
-      return module.completeAttempt(outcome, now);
+      return delegate.completeAttempt(outcome, now);
     }
 
     @Override
     public NextStep next(Timestamp now) {
-      return module.next(now);
+      return delegate.next(now);
     }
 
     @Override
-    public void updateEndpoints(List<EndpointStatus> list, boolean whole, Timestamp now) {
-      module.updateEndpoints(list, whole, now);
+    public void updateEndpoints(List<EndpointStatus> list, boolean complete, Timestamp now) {
+      delegate.updateEndpoints(list, complete, now);
     }
 
     @Override
-    public void updateProgress(RequestId command, int send, double share, Timestamp now) {
-      module.updateProgress(command, send, share, now);
+    public void updateProgress(RequestId id, int attempt, double fraction, Timestamp now) {
+      delegate.updateProgress(id, attempt, fraction, now);
     }
 
     @Override
-    public void clientLeft(RequestId command, Timestamp now) {
-      module.clientLeft(command, now);
+    public void clientLeft(RequestId id, Timestamp now) {
+      delegate.clientLeft(id, now);
     }
   }
 
   private interface Mutation {
-    Policy of(Policy module);
+    Policy apply(Policy policy);
   }
 
-  private static EmulatedSite hall() {
+  private static EmulatedSite includedSite() {
     return EmulatedSites.named("hall");
   }
 
-  private static InvariantChecker play(
-      EmulatedSite world, List<Fault> faults, Mutation mutation, long seed) {
-    Simulation site =
+  private static InvariantChecker run(
+      EmulatedSite site, List<Fault> faults, Mutation mutation, long seed) {
+    Simulation simulation =
         new Simulation(
-            world,
-            (told, of, truth) -> mutation.of(Policy.ofDispatcher(new Dispatcher(told, of))),
+            site,
+            (deployment, policySeed, unused) ->
+                mutation.apply(Policy.ofDispatcher(new Dispatcher(deployment, policySeed))),
             faults,
             SECONDS,
             seed);
-    site.run();
-    return site.invariants();
+    simulation.run();
+    return simulation.invariants();
   }
 
-  private static EmulatedSite with(EmulatedSite site, EmulatedSite.Limits limits) {
+  private static EmulatedSite withLimits(EmulatedSite site, EmulatedSite.Limits limits) {
     return new EmulatedSite(
         site.name(),
         site.engines(),
@@ -107,286 +108,305 @@
         limits);
   }
 
-  private static EmulatedSite budgeted() {
-    EmulatedSite.Limits load = hall().limits();
-    return with(
-        hall(),
+  private static EmulatedSite siteWithRetryBudget() {
+    EmulatedSite.Limits limits = includedSite().limits();
+    return withLimits(
+        includedSite(),
         new EmulatedSite.Limits(
-            load.maxAttempts(),
-            load.canCancel(),
-            load.progressMs(),
-            load.maxRetryAfterMs(),
-            load.drainGraceMs(),
-            load.slowStartLimitFactor(),
-            load.slowStartWindowMs(),
-            load.sequenceKeyRestMs(),
+            limits.maxAttempts(),
+            limits.canCancel(),
+            limits.progressMs(),
+            limits.maxRetryAfterMs(),
+            limits.drainGraceMs(),
+            limits.slowStartLimitFactor(),
+            limits.slowStartWindowMs(),
+            limits.sequenceKeyRestMs(),
             2.0,
             0.02,
             2000));
   }
 
   @Test
-  void theModuleKeepsTheRulesUnderDrawnFaults() {
+  void dispatcherKeepsAllRulesUnderRandomFaults() {
     for (long seed = 1; seed <= 12; seed++) {
-      EmulatedSite world = seed % 3 == 0 ? budgeted() : hall();
-      InvariantChecker referee = play(world, Fault.random(world, SECONDS, 8, seed), m -> m, seed);
-      assertEquals(0, referee.violationCount(), "seed " + seed + ": " + referee.violations());
+      EmulatedSite site = seed % 3 == 0 ? siteWithRetryBudget() : includedSite();
+      InvariantChecker invariants = run(site, Fault.random(site, SECONDS, 8, seed), m -> m, seed);
+      assertEquals(0, invariants.violationCount(), "seed " + seed + ": " + invariants.violations());
     }
   }
 
   @Test
-  void theSameSeedDecidesTheSameAndAnotherDoesNot() {
-    List<Fault> faults = Fault.random(hall(), SECONDS, 8, 5);
-    long one =
-        new Simulation(hall(), PolicyCatalog.named("module"), faults, SECONDS, 5).run().hash();
+  void sameSeedRepeatsAllDecisionsAndAnotherSeedDoesNot() {
+    List<Fault> faults = Fault.random(includedSite(), SECONDS, 8, 5);
+    long hash =
+        new Simulation(includedSite(), PolicyCatalog.named("module"), faults, SECONDS, 5)
+            .run()
+            .hash();
     assertEquals(
-        one,
-        new Simulation(hall(), PolicyCatalog.named("module"), faults, SECONDS, 5).run().hash());
+        hash,
+        new Simulation(includedSite(), PolicyCatalog.named("module"), faults, SECONDS, 5)
+            .run()
+            .hash());
     assertNotEquals(
-        one,
-        new Simulation(hall(), PolicyCatalog.named("module"), faults, SECONDS, 6).run().hash());
-    assertEquals(faults, Fault.random(hall(), SECONDS, 8, 5));
+        hash,
+        new Simulation(includedSite(), PolicyCatalog.named("module"), faults, SECONDS, 6)
+            .run()
+            .hash());
+    assertEquals(faults, Fault.random(includedSite(), SECONDS, 8, 5));
   }
 
-  /** What comes to a killed one while it is also to stand still must not wait for its next life. */
+  /**
+   * Guards against events that are deferred for a killed dispatcher, while a pause fault covers the
+   * same time, and that its next incarnation would handle.
+   */
   @Test
-  void aKilledDispatcherThatStandsStillHearsNothing() {
+  void killedDispatcherDefersNoEventsForItsNextIncarnation() {
     List<Fault> faults =
         List.of(
             new Fault(Fault.Kind.KILL, 3, 6, List.of(0), 1, 0),
             new Fault(Fault.Kind.PAUSE, 4, 2, List.of(0), 1, 0),
             new Fault(Fault.Kind.DRAIN, 4.2, 2, List.of(1), 1, 0),
             new Fault(Fault.Kind.PAUSE, 8, 3, List.of(0), 1, 0));
-    assertEquals(0, play(hall(), faults, m -> m, 1).violationCount());
+    assertEquals(0, run(includedSite(), faults, m -> m, 1).violationCount());
   }
 
   @Test
-  void aDrainIgnoredIsSeen() {
+  void ignoredDrainIsDetected() {
     List<Fault> faults = List.of(new Fault(Fault.Kind.DRAIN, 3, 10, List.of(0, 1, 2), 1, 0));
-    InvariantChecker referee =
-        play(
-            hall(),
+    InvariantChecker invariants =
+        run(
+            includedSite(),
             faults,
             m ->
                 new Mutant(m) {
                   @Override
                   public void updateEndpoints(
-                      List<EndpointStatus> list, boolean whole, Timestamp now) {
-                    module.updateEndpoints(
+                      List<EndpointStatus> list, boolean complete, Timestamp now) {
+                    delegate.updateEndpoints(
                         list.stream()
                             .map(
-                                l ->
+                                status ->
                                     new EndpointStatus(
-                                        l.engine(),
-                                        l.location(),
-                                        l.machineType(),
-                                        l.group(),
+                                        status.engine(),
+                                        status.location(),
+                                        status.machineType(),
+                                        status.group(),
                                         EndpointState.UP,
-                                        l.startedAt()))
+                                        status.startedAt()))
                             .toList(),
-                        whole,
+                        complete,
                         now);
                   }
                 },
             1);
-    assertTrue(referee.count(Rule.DRAIN) > 0);
+    assertTrue(invariants.count(Rule.DRAIN) > 0);
   }
 
-  /** It is asked again for a command that is out, and sends it once more. */
+  /** The mutant sends a second attempt while the first is open. */
   @Test
-  void aSecondSendWithOneOutIsSeen() {
-    InvariantChecker referee =
-        play(
-            hall(),
+  void secondConcurrentAttemptIsDetected() {
+    InvariantChecker invariants =
+        run(
+            includedSite(),
             List.of(),
             m ->
                 new Mutant(m) {
                   private int placed;
-                  private Request twice;
+                  private Request duplicated;
 
                   @Override
-                  public Placement place(Request command, Timestamp now) {
-                    if (command.equals(twice)) {
-                      twice = null;
+                  public Placement place(Request request, Timestamp now) {
+                    if (request.equals(duplicated)) {
+                      duplicated = null;
                       return Placement.send(new EngineId(2), new TimeSpan(1_000_000), -1);
                     }
-                    Placement p = super.place(command, now);
-                    twice = p.decision() == Decision.SEND && ++placed % 50 == 0 ? command : twice;
-                    return p;
+                    Placement placement = super.place(request, now);
+                    duplicated =
+                        placement.decision() == Decision.SEND && ++placed % 50 == 0
+                            ? request
+                            : duplicated;
+                    return placement;
                   }
 
                   @Override
                   public NextStep next(Timestamp now) {
-                    return twice != null ? NextStep.placeAgain(twice) : module.next(now);
+                    return duplicated != null
+                        ? NextStep.placeAgain(duplicated)
+                        : delegate.next(now);
                   }
                 },
             1);
-    assertTrue(referee.count(Rule.TWICE) > 0);
+    assertTrue(invariants.count(Rule.TWICE) > 0);
   }
 
   @Test
-  void commandsForgottenAreSeen() {
-    InvariantChecker referee =
-        play(
-            hall(),
-            Fault.random(hall(), SECONDS, 8, 1),
+  void unansweredRequestsAreDetected() {
+    InvariantChecker invariants =
+        run(
+            includedSite(),
+            Fault.random(includedSite(), SECONDS, 8, 1),
             m ->
                 new Mutant(m) {
-                  private int after;
+                  private int dropped;
 
                   @Override
                   public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
-                    Placement p = module.completeAttempt(outcome, now);
-                    return p.decision() == Decision.SHED && ++after > 0 ? Placement.queue() : p;
+                    Placement placement = delegate.completeAttempt(outcome, now);
+                    return placement.decision() == Decision.SHED && ++dropped > 0
+                        ? Placement.queue()
+                        : placement;
                   }
 
                   @Override
-                  public Placement place(Request command, Timestamp now) {
-                    Placement p = module.place(command, now);
-                    return p.decision() == Decision.SHED ? Placement.queue() : p;
+                  public Placement place(Request request, Timestamp now) {
+                    Placement placement = delegate.place(request, now);
+                    return placement.decision() == Decision.SHED ? Placement.queue() : placement;
                   }
                 },
             1);
-    assertTrue(referee.count(Rule.LOST) > 0);
+    assertTrue(invariants.count(Rule.LOST) > 0);
   }
 
-  /** Mutants that answer or send by themselves: each breaks one rule on its own. */
+  /** Each mutant answers or sends on its own and breaks one rule. */
   @Test
-  void repeatsShedsOrderPlacementAndBudgetsAreSeen() {
+  void violationsOfRetrySafetyOrderPlacementAndBudgetAreDetected() {
     List<Fault> failing =
         List.of(new Fault(Fault.Kind.FAIL, 2, 15, List.of(0, 1, 2, 3, 4, 5), 0.5, 0));
-    Mutation repeats =
+    Mutation unsafeRetries =
         m ->
             new Mutant(m) {
-              private final List<Request> again = new ArrayList<>();
+              private final List<Request> retries = new ArrayList<>();
 
               @Override
               public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
-                Placement p = module.completeAttempt(outcome, now);
+                Placement placement = delegate.completeAttempt(outcome, now);
                 if (outcome.result() == AttemptOutcome.AttemptResult.ERROR
-                    && p.decision() != Decision.QUEUE) {
-                  again.add(commands.get(outcome.request()));
+                    && placement.decision() != Decision.QUEUE) {
+                  retries.add(requests.get(outcome.request()));
                   return Placement.queue();
                 }
-                return p;
+                return placement;
               }
 
               @Override
               public NextStep next(Timestamp now) {
-                return again.isEmpty() ? module.next(now) : NextStep.placeAgain(again.get(0));
+                return retries.isEmpty() ? delegate.next(now) : NextStep.placeAgain(retries.get(0));
               }
 
               @Override
-              public Placement place(Request command, Timestamp now) {
-                if (!again.isEmpty() && again.get(0).equals(command)) {
-                  again.remove(0);
+              public Placement place(Request request, Timestamp now) {
+                if (!retries.isEmpty() && retries.get(0).equals(request)) {
+                  retries.remove(0);
                   return Placement.send(new EngineId(7), new TimeSpan(1_000_000), -1);
                 }
-                return super.place(command, now);
+                return super.place(request, now);
               }
             };
-    assertTrue(play(hall(), failing, repeats, 2).count(Rule.TWICE) > 0);
-    Mutation sheds =
+    assertTrue(run(includedSite(), failing, unsafeRetries, 2).count(Rule.TWICE) > 0);
+    Mutation unsafeSheds =
         m ->
             new Mutant(m) {
               @Override
               public Placement completeAttempt(AttemptOutcome outcome, Timestamp now) {
-                Placement p = module.completeAttempt(outcome, now);
-                return p.decision() == Decision.FAIL ? Placement.shed(TimeSpan.ZERO) : p;
+                Placement placement = delegate.completeAttempt(outcome, now);
+                return placement.decision() == Decision.FAIL
+                    ? Placement.shed(TimeSpan.ZERO)
+                    : placement;
               }
             };
-    assertTrue(play(hall(), failing, sheds, 2).count(Rule.TWICE) > 0);
-    Mutation hasty =
+    assertTrue(run(includedSite(), failing, unsafeSheds, 2).count(Rule.TWICE) > 0);
+    Mutation outOfOrder =
         m ->
             new Mutant(m) {
               @Override
-              public Placement place(Request command, Timestamp now) {
-                Placement p = super.place(command, now);
-                return p.decision() == Decision.QUEUE
-                        && command.sequenceKey() != null
-                        && !commands.containsKey(new RequestId("x" + command.id().value()))
-                        && commands.put(new RequestId("x" + command.id().value()), command) == null
+              public Placement place(Request request, Timestamp now) {
+                Placement placement = super.place(request, now);
+                return placement.decision() == Decision.QUEUE
+                        && request.sequenceKey() != null
+                        && !requests.containsKey(new RequestId("x" + request.id().value()))
+                        && requests.put(new RequestId("x" + request.id().value()), request) == null
                     ? Placement.send(new EngineId(3), new TimeSpan(1_000_000), -1)
-                    : p;
+                    : placement;
               }
             };
-    assertTrue(play(hall(), List.of(), hasty, 2).count(Rule.ORDER) > 0);
-    EmulatedSite.RequestClass first = hall().requestClasses().get(0);
-    EmulatedSite placed =
+    assertTrue(run(includedSite(), List.of(), outOfOrder, 2).count(Rule.ORDER) > 0);
+    EmulatedSite.RequestClass template = includedSite().requestClasses().get(0);
+    EmulatedSite restricted =
         new EmulatedSite(
-            "placed",
-            hall().engines(),
-            hall().dispatchers(),
+            "restricted",
+            includedSite().engines(),
+            includedSite().dispatchers(),
             List.of(
                 new EmulatedSite.RequestClass(
-                    first.name(),
+                    template.name(),
                     1,
-                    first.threads(),
-                    first.workMs(),
-                    first.cv(),
+                    template.threads(),
+                    template.workMs(),
+                    template.cv(),
                     1,
                     0,
-                    first.objectiveMs(),
-                    first.deadlineMs(),
+                    template.objectiveMs(),
+                    template.deadlineMs(),
                     0,
-                    first.retrySafety(),
-                    first.deduplicationScope(),
+                    template.retrySafety(),
+                    template.deduplicationScope(),
                     0,
                     0,
                     false,
                     0,
                     1,
                     List.of("l1"))),
-            hall().tenants(),
-            hall().load(),
-            hall().network(),
-            hall().discovery(),
-            hall().limits());
-    assertEquals(0, play(placed, List.of(), m -> m, 2).violationCount());
-    Mutation anywhere =
+            includedSite().tenants(),
+            includedSite().load(),
+            includedSite().network(),
+            includedSite().discovery(),
+            includedSite().limits());
+    assertEquals(0, run(restricted, List.of(), m -> m, 2).violationCount());
+    Mutation anyLocation =
         m ->
             new Mutant(m) {
               @Override
-              public Placement place(Request command, Timestamp now) {
-                Placement p = super.place(command, now);
-                return p.decision() == Decision.SEND
-                    ? Placement.send(new EngineId(1), p.attemptTimeout(), -1)
-                    : p;
+              public Placement place(Request request, Timestamp now) {
+                Placement placement = super.place(request, now);
+                return placement.decision() == Decision.SEND
+                    ? Placement.send(new EngineId(1), placement.attemptTimeout(), -1)
+                    : placement;
               }
             };
-    assertTrue(play(placed, List.of(), anywhere, 2).count(Rule.PLACEMENT) > 0);
-    EmulatedSite unbudgeted = hall();
-    Mutation spends = m -> Policy.ofDispatcher(new Dispatcher(unbudgeted.deployment(0), 3));
-    assertTrue(play(budgeted(), failing, spends, 2).count(Rule.BUDGET) > 0);
+    assertTrue(run(restricted, List.of(), anyLocation, 2).count(Rule.PLACEMENT) > 0);
+    EmulatedSite withoutBudget = includedSite();
+    Mutation exceedsBudget =
+        m -> Policy.ofDispatcher(new Dispatcher(withoutBudget.deployment(0), 3));
+    assertTrue(run(siteWithRetryBudget(), failing, exceedsBudget, 2).count(Rule.BUDGET) > 0);
   }
 
   @Test
-  void coldEnginesThatAreFloodedAreSeen() {
+  void overloadOfEnginesInSlowStartIsDetected() {
     List<Fault> faults = List.of(new Fault(Fault.Kind.DIE, 3, 2, List.of(0, 1, 2, 3), 1, 0));
-    EmulatedSite.Limits load = hall().limits();
+    EmulatedSite.Limits limits = includedSite().limits();
     EmulatedSite strict =
-        with(
-            hall(),
+        withLimits(
+            includedSite(),
             new EmulatedSite.Limits(
-                load.maxAttempts(),
-                load.canCancel(),
-                load.progressMs(),
-                load.maxRetryAfterMs(),
-                load.drainGraceMs(),
+                limits.maxAttempts(),
+                limits.canCancel(),
+                limits.progressMs(),
+                limits.maxRetryAfterMs(),
+                limits.drainGraceMs(),
                 0.3,
-                load.slowStartWindowMs(),
-                load.sequenceKeyRestMs(),
+                limits.slowStartWindowMs(),
+                limits.sequenceKeyRestMs(),
                 null,
                 null,
                 0));
-    Simulation site =
+    Simulation simulation =
         new Simulation(strict, PolicyCatalog.named("least-in-hand"), faults, SECONDS, 3);
-    site.run();
-    assertTrue(site.invariants().count(Rule.COLD) > 0);
+    simulation.run();
+    assertTrue(simulation.invariants().count(Rule.COLD) > 0);
   }
 
   @Test
-  void worldsOutOfBoundsAreRefused() {
+  void unknownAndInvalidSitesAreRejected() {
     Assertions.assertThrows(
         InvalidInputException.class, () -> EmulatedSites.named("no such world"));
     Assertions.assertThrows(
--- a/src/test/java/cobaltseam/emulator/StoredFormsTest.java
+++ b/src/test/java/cobaltseam/emulator/StoredFormatsTest.java
@@ -14,23 +14,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Files of the emulator that people keep, as commit f2adcf2 wrote or read them. */
-class StoredFormsTest {
+/**
+ * Guards against incompatible changes of the file formats of the emulator: recorded files have to
+ * stay readable, and to be written in the same form.
+ */
+class StoredFormatsTest {
   @TempDir Path folder;
 
   @Test
-  void aRecordedScriptOfFaultsIsReadAndWrittenTheSame() throws IOException {
+  void recordedFaultScriptIsReadAndWrittenUnchanged() throws IOException {
     List<Fault> faults =
         FaultScript.read(file("emulator-faults.toml"), EmulatedSites.named("hall"));
     assertEquals(
         Arrays.asList(Fault.Kind.values()),
         faults.stream().map(Fault::kind).toList(),
-        "one of each");
+        "the recorded script has one fault of each kind");
     assertEquals(recorded("emulator-faults.toml"), FaultScript.write(faults));
   }
 
   @Test
-  void aRecordedRunIsReadAndWrittenTheSame() throws IOException {
+  void recordedRunIsReadAndWrittenUnchanged() throws IOException {
     ObjectMapper json = new ObjectMapper();
     String line = recorded("runs.jsonl").strip();
     ResultsFile.RunResult run = json.readValue(line, ResultsFile.RunResult.class);
@@ -39,7 +42,7 @@
   }
 
   @Test
-  void aRecordedPlanIsRead() throws IOException {
+  void recordedPlanIsRead() throws IOException {
     Experiment.Plan plan = Experiment.read(file("plan.toml"));
     assertEquals(
         new Experiment.Plan(
@@ -56,11 +59,11 @@
   }
 
   @Test
-  void aRecordedSiteIsRead() throws IOException {
+  void recordedSiteEqualsTheIncludedSite() throws IOException {
     assertEquals(
         EmulatedSites.named("hall"),
         EmulatedSites.read("hall", recorded("site.toml")),
-        "the site that comes along still has the recorded form");
+        "the included site still has the recorded form");
   }
 
   private Path file(String name) throws IOException {
@@ -68,7 +71,7 @@
   }
 
   private static String recorded(String name) throws IOException {
-    try (InputStream in = StoredFormsTest.class.getResourceAsStream("/cobaltseam/lab/" + name)) {
+    try (InputStream in = StoredFormatsTest.class.getResourceAsStream("/cobaltseam/lab/" + name)) {
       assertNotNull(in, name);
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
