--- a/src/main/java/cobaltseam/adapter/SimulatedDispatcher.java
+++ b/src/main/java/cobaltseam/adapter/SimulatedDispatcher.java
@@ -23,39 +23,67 @@
 import java.io.IOException;
 import java.util.List;
 
-/** One dispatcher of the simulator, from its start to its stop, with its only timer. */
+/**
+ * One dispatcher of the simulator, from its start to its stop. Translates the simulator's events
+ * into calls of a {@link Dispatcher}, and the results of these calls into decisions. At most one
+ * timer is in use at any time.
+ */
 final class SimulatedDispatcher {
-  /** Writes one decision of the reply as a JSON object. */
+  /** Writes one decision of a reply, or the fields of one, as JSON. */
   interface WireDecision {
     void write(JsonGenerator out) throws IOException;
   }
 
+  /** The bit of a request's attributes that says that it has an estimate of its work. */
   private static final int ESTIMATE_VALID_FLAG = 1;
+
+  // The kinds of reports of an attempt in flight.
   private static final int PROGRESS_REPORT = 1;
   private static final int MEMORY_SHORTFALL_REPORT = 2;
   private static final int BLOCKED_REPORT = 3;
+
+  /** The cause in a report of a blocked attempt: it waits for the load of its data set. */
   private static final double BLOCKED_BY_LOAD = 2;
 
-  /** The priority that the protocol requires where the policy names none. */
-  private static final int DEFAULT_RANK = 1;
+  /** The engine priority to send if the policy sets none, since the protocol requires one. */
+  private static final int DEFAULT_PRIORITY = 1;
 
-  /** An answer's usage is its work in milliseconds times this, plus its memory in steps. */
+  /**
+   * The usage that an engine reports is one number: the work in milliseconds times this factor,
+   * plus the memory in steps of {@link #MEMORY_STEP_MB}.
+   */
   private static final int USAGE_MEMORY_RANGE = 4096;
 
   private static final int MEMORY_STEP_MB = 4;
 
   private final Dispatcher dispatcher;
   private final boolean watchesEndpoints;
+
+  /** The column for queued requests in the engines' load reports; -1 if there is none. */
   private final int queuedColumn;
+
+  /** The column for requests in flight in the engines' load reports; -1 if there is none. */
   private final int inFlightColumn;
+
   private List<WireDecision> reply;
+
+  /** The name of the timer that was set last; names count up from 1. */
   private long lastTimer;
+
+  /** When the timer in use elapses; null if there is none. */
   private Timestamp timerDueAt;
 
-  SimulatedDispatcher(JsonObjectReader born, List<WireDecision> reply) {
-    JsonObjectReader settings = born.object("settings");
+  /**
+   * Starts a dispatcher.
+   *
+   * @param startEvent the event with its settings and its random seed
+   * @param reply the list that the decisions of the current batch are added to
+   * @throws InvalidInputException if the settings are invalid
+   */
+  SimulatedDispatcher(JsonObjectReader startEvent, List<WireDecision> reply) {
+    JsonObjectReader settings = startEvent.object("settings");
     Deployment deployment = DeploymentReader.read(settings);
-    dispatcher = new Dispatcher(deployment, born.integer("nonce64"));
+    dispatcher = new Dispatcher(deployment, startEvent.integer("nonce64"));
     List<String> loadColumns =
         settings.has("load_report") && settings.object("load_report").has("fields")
             ? settings.object("load_report").texts("fields")
@@ -65,19 +93,21 @@
     watchesEndpoints = settings.text("discovery", "").equals("subscribe");
     this.reply = reply;
     if (watchesEndpoints) {
-      watchEndpoints();
+      requestEndpointWatch();
     }
   }
 
-  /** Sets the list that the decisions of this batch are added to. */
+  /** Sets the list that the decisions of the current batch are added to. */
   void setReply(List<WireDecision> decisions) {
     reply = decisions;
   }
 
-  private void watchEndpoints() {
+  /** Asks the simulator to send changes of the endpoint list. */
+  private void requestEndpointWatch() {
     addDecision("track", out -> out.writeBooleanField("enable", true));
   }
 
+  /** Places a new request. */
   void acceptRequest(JsonObjectReader event, Timestamp now) {
     boolean hasEstimate = (event.integer("attrs", 0) & ESTIMATE_VALID_FLAG) != 0;
     String tenant = event.text("project", null);
@@ -94,6 +124,7 @@
     addPlacement(request.id(), dispatcher.place(request, now));
   }
 
+  /** Records the outcome of an attempt, and applies the decision that follows from it. */
   void completeAttempt(JsonObjectReader event, Timestamp now) {
     long usage = event.integer("note", 0);
     AttemptResult result = attemptResult(event.text("verdict"));
@@ -109,14 +140,15 @@
             event.flag("settled"),
             new TimeSpan(hasUsage ? usage / USAGE_MEMORY_RANGE * 1000 : -1),
             hasUsage ? usage % USAGE_MEMORY_RANGE * MEMORY_STEP_MB : -1,
-            loadReport(event, queuedColumn),
-            loadReport(event, inFlightColumn));
+            loadReportValue(event, queuedColumn),
+            loadReportValue(event, inFlightColumn));
     addPlacement(id, dispatcher.completeAttempt(outcome, now));
   }
 
-  private static double loadReport(JsonObjectReader event, int column) {
-    List<Double> row = event.numbers("gauge");
-    return column >= 0 && column < row.size() ? row.get(column) : -1;
+  /** Returns a value of the engine's load report in the event; -1 if there is none. */
+  private static double loadReportValue(JsonObjectReader event, int column) {
+    List<Double> values = event.numbers("gauge");
+    return column >= 0 && column < values.size() ? values.get(column) : -1;
   }
 
   private static AttemptResult attemptResult(String verdict) {
@@ -133,24 +165,32 @@
     };
   }
 
+  /**
+   * Applies a message of the endpoint watch: a change of the endpoint list, a complete list, or the
+   * loss of the watch, after which the dispatcher asks for a new one.
+   */
   void updateEndpoints(JsonObjectReader event, List<EndpointStatus> list, Timestamp now) {
     switch (event.text("kind")) {
       case "incr" -> dispatcher.updateEndpoints(list, false, now);
       case "total", "warm_copy" -> dispatcher.updateEndpoints(list, true, now);
       case "lost" -> {
         if (watchesEndpoints) {
-          watchEndpoints();
+          requestEndpointWatch();
         }
       }
       default -> throw new InvalidInputException("sync: unknown 'kind' " + event.text("kind"));
     }
   }
 
-  void clientLeft(JsonObjectReader event, Timestamp now) {
+  /** Records that the client of a request has disconnected. */
+  void clientDisconnected(JsonObjectReader event, Timestamp now) {
     dispatcher.clientDisconnected(new RequestId(event.text("op_id")), now);
   }
 
-  /** A report of an attempt in flight: of its progress, a memory shortfall or a wait. */
+  /**
+   * Records a report of an attempt in flight: its progress, a memory shortfall or that it is
+   * blocked. Reports of other kinds, and of other causes of a block, are ignored.
+   */
   void updateAttempt(JsonObjectReader event, Timestamp now) {
     RequestId id = new RequestId(event.text("op_id"));
     int attempt = (int) event.integer("copy", 0);
@@ -167,14 +207,18 @@
     }
   }
 
+  /** Records that a timer has elapsed, unless it has been replaced. */
   void timerElapsed(JsonObjectReader event) {
     if (event.integer("name") == lastTimer) {
       timerDueAt = null;
     }
   }
 
-  /** Does what the policy asks for until it names a delay, and sets the timer to that. */
-  void followNextSteps(Timestamp now) {
+  /**
+   * Executes the policy's next steps until it returns a delay, and sets the timer to this delay.
+   * Sets no timer if nothing is pending.
+   */
+  void executeNextSteps(Timestamp now) {
     NextStep step = dispatcher.next(now);
     while (step.delay() != null && !step.delay().isPositive()) {
       if (step.cancelAttempt() >= 0) {
@@ -201,27 +245,31 @@
         });
   }
 
-  /** Sets a timer unless one is due as early; one that is replaced still elapses, to no effect. */
+  /**
+   * Sets a timer, unless the one in use elapses at the same time or earlier. A timer that is
+   * replaced still elapses, but {@link #timerElapsed} ignores it.
+   */
   private void setTimer(TimeSpan delay, Timestamp now) {
     Timestamp dueAt = now.plus(delay);
     if (timerDueAt != null && !dueAt.isBefore(timerDueAt)) {
       return;
     }
     timerDueAt = dueAt;
-    long name = ++lastTimer;
+    long timer = ++lastTimer;
     addDecision(
         "schedule",
         out -> {
-          out.writeNumberField("name", name);
+          out.writeNumberField("name", timer);
           out.writeNumberField("from_now_us", delay.us());
         });
   }
 
-  /** Tells the simulator of an exception in the policy. */
-  void reportFault(RuntimeException exception) {
+  /** Reports an exception in the policy to the simulator. */
+  void reportException(RuntimeException exception) {
     addDecision("exception", out -> out.writeStringField("reason_text", exception.toString()));
   }
 
+  /** Adds the decisions for a placement; none if the request stays queued. */
   private void addPlacement(RequestId id, Placement placement) {
     switch (placement.decision()) {
       case SEND -> addAttempt(id, placement);
@@ -239,9 +287,10 @@
     }
   }
 
+  /** Adds an attempt, preceded by its engine priority and memory grant if it has either. */
   private void addAttempt(RequestId id, Placement placement) {
     if (placement.priority() >= 0 || placement.memoryGrantMb() > 0) {
-      int rank = placement.priority() >= 0 ? placement.priority() : DEFAULT_RANK;
+      int rank = placement.priority() >= 0 ? placement.priority() : DEFAULT_PRIORITY;
       addDecision(
           "provide",
           out -> {
@@ -259,6 +308,7 @@
         });
   }
 
+  /** Adds a decision: a JSON object whose only field is its name, with an object of fields. */
   private void addDecision(String name, WireDecision fields) {
     reply.add(
         out -> {
--- a/src/main/java/cobaltseam/adapter/SimulatorAdapter.java
+++ b/src/main/java/cobaltseam/adapter/SimulatorAdapter.java
@@ -24,48 +24,56 @@
 import java.util.List;
 import java.util.Map;
 
-/** Speaks the simulator's protocol: reads a batch of events a line, writes a line of decisions. */
+/**
+ * Implements the simulator's protocol: reads lines of JSON, each a batch of events for any number
+ * of dispatchers, and writes one line of decisions for each. Not thread-safe.
+ */
 public final class SimulatorAdapter {
-  private final JsonFactory json = new JsonFactory();
+  private final JsonFactory jsonFactory = new JsonFactory();
+
+  /** The running dispatchers by their number. */
   private final Map<Long, SimulatedDispatcher> dispatchers = new HashMap<>();
+
+  /** The endpoint lists received, by the number that events refer to them by. */
   private final Map<Long, List<EndpointStatus>> endpointLists = new HashMap<>();
 
   /**
-   * Answers batches until the input ends.
+   * Processes batches until the input ends.
    *
-   * @throws InvalidInputException if a line is not a valid batch; says what is wrong with it
+   * @throws InvalidInputException if a line is not a valid batch; the message names the fault
    * @throws IOException if reading or writing fails
    */
   public void run(InputStream in, OutputStream out) throws IOException {
     BufferedReader lines =
         new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
     JsonGenerator writer =
-        json.createGenerator(out).disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
+        jsonFactory.createGenerator(out).disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
     writer.setRootValueSeparator(null);
     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
       JsonObjectReader batch;
-      try (JsonParser parser = json.createParser(line)) {
+      try (JsonParser parser = jsonFactory.createParser(line)) {
         batch = JsonObjectReader.of(parser);
       } catch (JsonProcessingException exception) {
-        throw new InvalidInputException("a line is not JSON: " + exception.getOriginalMessage());
+        throw new InvalidInputException(
+            "input line is not JSON: " + exception.getOriginalMessage());
       }
-      answerBatch(batch, writer);
+      processBatch(batch, writer);
       writer.writeRaw('\n');
       writer.flush();
       out.flush();
     }
   }
 
-  private void answerBatch(JsonObjectReader batch, JsonGenerator out) throws IOException {
+  private void processBatch(JsonObjectReader batch, JsonGenerator out) throws IOException {
     Timestamp now = new Timestamp(batch.integer("time_us"));
     Map<Long, List<SimulatedDispatcher.WireDecision>> replies = new LinkedHashMap<>();
     for (JsonObjectReader group : batch.objects("groups")) {
-      long number = group.integer("dispatcher");
+      long dispatcherNumber = group.integer("dispatcher");
       List<SimulatedDispatcher.WireDecision> reply =
-          replies.computeIfAbsent(number, n -> new ArrayList<>());
+          replies.computeIfAbsent(dispatcherNumber, n -> new ArrayList<>());
       for (JsonObjectReader event : group.objects("events")) {
         String name = event.singleFieldName();
-        handleEvent(number, name, event.object(name), reply, now);
+        handleEvent(dispatcherNumber, name, event.object(name), reply, now);
       }
     }
     out.writeStartObject();
@@ -87,7 +95,7 @@
   }
 
   private void handleEvent(
-      long number,
+      long dispatcherNumber,
       String name,
       JsonObjectReader event,
       List<SimulatedDispatcher.WireDecision> reply,
@@ -97,18 +105,19 @@
       return;
     }
     if (name.equals("stop")) {
-      // Decisions of the stopped dispatcher must not reach the one that starts in its place.
-      dispatchers.remove(number);
+      // Decisions of the stopped dispatcher must not reach its successor with the same number.
+      dispatchers.remove(dispatcherNumber);
       reply.clear();
       return;
     }
     if (name.equals("born")) {
-      dispatchers.put(number, new SimulatedDispatcher(event, reply));
+      dispatchers.put(dispatcherNumber, new SimulatedDispatcher(event, reply));
       return;
     }
-    SimulatedDispatcher dispatcher = dispatchers.get(number);
+    SimulatedDispatcher dispatcher = dispatchers.get(dispatcherNumber);
     if (dispatcher == null) {
-      throw new InvalidInputException(name + ": dispatcher " + number + " was not born");
+      throw new InvalidInputException(
+          name + ": dispatcher " + dispatcherNumber + " has not been started by a 'born' event");
     }
     try {
       dispatcher.setReply(reply);
@@ -118,17 +127,17 @@
         case "sync" ->
             dispatcher.updateEndpoints(
                 event, endpointLists.getOrDefault(event.integer("ref", 0), List.of()), now);
-        case "withdrawn" -> dispatcher.clientLeft(event, now);
+        case "withdrawn" -> dispatcher.clientDisconnected(event, now);
         case "elapsed" -> dispatcher.timerElapsed(event);
         case "change" -> dispatcher.updateAttempt(event, now);
         case "check_result", "peer", "first_byte" -> {}
         default -> throw new InvalidInputException("unknown event '" + name + "'");
       }
-      dispatcher.followNextSteps(now);
+      dispatcher.executeNextSteps(now);
     } catch (InvalidInputException exception) {
       throw exception;
     } catch (RuntimeException exception) {
-      dispatcher.reportFault(exception);
+      dispatcher.reportException(exception);
     }
   }
 
--- a/src/test/java/cobaltseam/adapter/SimulatorAdapterTest.java
+++ b/src/test/java/cobaltseam/adapter/SimulatorAdapterTest.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The simulator's protocol, in short exchanges written for these tests. */
+/** Tests the simulator's protocol with short exchanges of batches and decisions. */
 class SimulatorAdapterTest {
-  private static final String BORN =
+  private static final String BORN_EVENT =
       """
             {"born":{"nonce64":18446744073709551615,"settings":{"balancers":1,"position":0,"tick_us":1000,
             "unknown":[1,{"x":null}],"classes":[{"name":"look","aim_us":500000,"hard_limit_us":2000000,
@@ -23,7 +23,7 @@
             "limits":{"most_tries":2,"cancel":true},"rules":{},"load_report":{"fields":["busy_reqs"]}}}}
             """
           .replace("\n", "");
-  private static final String ENDPOINT_LIST =
+  private static final String ENDPOINT_LIST_EVENTS =
       """
             {"roster":{"ref":3,"nodes_list":[{"node":77,"failure_domain":"z","model":"m","lifecycle":"up"}]}},
             {"sync":{"index":1,"kind":"warm_copy","ref":3}}"""
@@ -50,11 +50,11 @@
         + "\",\"kind\":\"look\",\"due_us\":2001000,\"guess_us\":9000,\"attrs\":1}}";
   }
 
-  private static String verdictEvent(String id, String how) {
+  private static String verdictEvent(String id, String verdict) {
     return "{\"verdict\":{\"op_id\":\""
         + id
         + "\",\"copy\":0,\"node\":77,\"verdict\":\""
-        + how
+        + verdict
         + "\",\"duration_us\":9000,\"gauge\":[3]}}";
   }
 
@@ -63,7 +63,7 @@
     List<String> out =
         run(
             "{\"time_us\":500,\"groups\":[]}",
-            batch(1000, BORN + "," + ENDPOINT_LIST + "," + acceptEvent("a")),
+            batch(1000, BORN_EVENT + "," + ENDPOINT_LIST_EVENTS + "," + acceptEvent("a")),
             batch(
                 11000, verdictEvent("a", "pass").replace("\"copy\"", "\"settled\":true,\"copy\"")),
             batch(
@@ -82,7 +82,7 @@
 
   @Test
   void saturatedDispatcherSetsOneTimerAndStopDiscardsItsState() throws IOException {
-    String five =
+    String fiveRequests =
         acceptEvent("a")
             + ","
             + acceptEvent("b")
@@ -94,14 +94,14 @@
             + acceptEvent("e");
     List<String> out =
         run(
-            batch(1000, BORN + "," + ENDPOINT_LIST + "," + five),
+            batch(1000, BORN_EVENT + "," + ENDPOINT_LIST_EVENTS + "," + fiveRequests),
             batch(
                 2000,
                 verdictEvent("a", "fault")
                     + ",{\"stop\":{}},"
-                    + BORN
+                    + BORN_EVENT
                     + ","
-                    + ENDPOINT_LIST
+                    + ENDPOINT_LIST_EVENTS
                     + ","
                     + acceptEvent("f")),
             batch(3000, verdictEvent("b", "pass")));
@@ -119,10 +119,10 @@
           {"{\"time_us\":1", "not JSON"},
           {"[]", "not a JSON object"},
           {"{\"groups\":[]}", "'time_us' is missing"},
-          {batch(1, "{\"dance\":{}}"), "was not born"},
-          {batch(1, BORN + ",{\"dance\":{}}"), "unknown event 'dance'"},
-          {batch(1, BORN + ",{\"accept\":{\"kind\":\"look\"}}"), "'op_id' is missing"},
-          {batch(1, BORN.replace("read_like", "maybe")), "unknown 'repeat' maybe"}
+          {batch(1, "{\"dance\":{}}"), "dispatcher 4 has not been started by a 'born' event"},
+          {batch(1, BORN_EVENT + ",{\"dance\":{}}"), "unknown event 'dance'"},
+          {batch(1, BORN_EVENT + ",{\"accept\":{\"kind\":\"look\"}}"), "'op_id' is missing"},
+          {batch(1, BORN_EVENT.replace("read_like", "maybe")), "unknown 'repeat' maybe"}
         }) {
       String message = assertThrows(InvalidInputException.class, () -> run(input[0])).getMessage();
       assertTrue(message.contains(input[1]), message);
@@ -131,7 +131,8 @@
 
   @Test
   void exceptionInTheDispatcherIsReported() throws IOException {
-    List<String> out = run(batch(1000, BORN + "," + acceptEvent("a").replace("look", "other")));
+    List<String> out =
+        run(batch(1000, BORN_EVENT + "," + acceptEvent("a").replace("look", "other")));
     assertTrue(out.get(0).contains("{\"exception\":{\"reason_text\":"), out.get(0));
   }
 }
