--- a/src/main/java/cobaltseam/Main.java
+++ b/src/main/java/cobaltseam/Main.java
@@ -11,8 +11,9 @@
 import java.nio.file.Path;
 
 /**
- * Where the program starts. The commands of the platform, single words, are called directly, so
- * that no command-line library is loaded for them; everything else goes to the command line.
+ * The entry point of the program. Runs the platform's one-word commands directly, so that the
+ * command-line library is not loaded for them, and passes all other arguments to {@link
+ * CobaltseamCommand}.
  */
 public final class Main {
   private static final String LOG_FORMAT = "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n";
@@ -20,9 +21,10 @@
   private Main() {}
 
   /**
-   * Runs the command that the arguments name. The process ends with 1 if its input can't be used.
+   * Runs the command that the arguments name. The process exits with code 1 if input is invalid or
+   * reading or writing fails, and otherwise with the exit code of the command.
    *
-   * @param args the words of the command line
+   * @param args the command-line arguments
    */
   public static void main(String[] args) throws InterruptedException {
     System.setProperty("java.util.logging.SimpleFormatter.format", LOG_FORMAT);
@@ -40,9 +42,9 @@
                 settingsFile == null || settingsFile.isEmpty() ? null : Path.of(settingsFile));
         case "rehearse" -> DispatcherService.rehearse();
         default -> {
-          int code = CobaltseamCommand.run(args);
-          if (code != 0) {
-            System.exit(code);
+          int exitCode = CobaltseamCommand.run(args);
+          if (exitCode != 0) {
+            System.exit(exitCode);
           }
         }
       }
--- a/src/main/java/cobaltseam/cli/CheckCommand.java
+++ b/src/main/java/cobaltseam/cli/CheckCommand.java
@@ -12,16 +12,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Checks the platform's configuration and our own settings file, and prints what they turn on. */
+/** Validates the platform's configuration and the settings file, and prints what they enable. */
 @Command(
     name = "check",
     description =
-        "Reads GW_CONFIG, where it is set, and the own file, and prints what would be on.")
+        "Validates GW_CONFIG, if it is set, and the settings file, and prints what they enable.")
 final class CheckCommand implements Callable<Integer> {
   private static final long US_PER_MS = 1000;
 
-  @Mixin StandardOptions standard;
-  @Mixin SettingsFileOption own;
+  @Mixin StandardOptions standardOptions;
+  @Mixin SettingsFileOption settingsFile;
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -37,8 +37,9 @@
       errors.add(e.getMessage());
     }
     try {
-      Settings settings = own.file == null ? Settings.OFF : SettingsReader.read(own.file);
-      out.println("own file: " + (own.file == null ? "none" : own.file));
+      Settings settings =
+          settingsFile.path == null ? Settings.OFF : SettingsReader.read(settingsFile.path);
+      out.println("own file: " + (settingsFile.path == null ? "none" : settingsFile.path));
       out.println("logging: " + (settings.logsJson() ? "json" : "text"));
       out.println("mastership: " + describe(settings.virtualAddresses()));
       out.println("membership: " + describe(settings.membership()));
--- a/src/main/java/cobaltseam/cli/CobaltseamCommand.java
+++ b/src/main/java/cobaltseam/cli/CobaltseamCommand.java
@@ -14,14 +14,17 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** The command line. The platform's own command words are handled before it is reached. */
+/**
+ * The top-level command. {@link cobaltseam.Main} runs the platform's one-word commands directly,
+ * without this class.
+ */
 @Command(
     name = "cobaltseam",
-    description = "An admission controller and dispatcher for commands on a pool of engines.",
+    description = "An admission controller and dispatcher for queries on a pool of engines.",
     subcommands = {
-      CobaltseamCommand.Serve.class,
-      CobaltseamCommand.Rehearse.class,
-      CobaltseamCommand.Adapt.class,
+      CobaltseamCommand.ServeCommand.class,
+      CobaltseamCommand.RehearseCommand.class,
+      CobaltseamCommand.AdapterCommand.class,
       CheckCommand.class,
       MembersCommand.class,
       VrrpCommand.class
@@ -30,50 +33,51 @@
     versionProvider = StandardOptions.VersionProvider.class,
     synopsisSubcommandLabel = "COMMAND")
 public final class CobaltseamCommand {
-  private static final int EXIT_BAD_INPUT = 1;
+  private static final int EXIT_INVALID_INPUT = 1;
 
   private CobaltseamCommand() {}
 
   /**
    * Runs a command.
    *
-   * @return the exit code: 0, or 1 for invalid input, or 2 for wrong usage
+   * @return the exit code: 0 for success, 1 for invalid input, 2 for incorrect usage
    */
   public static int run(String... args) {
     return run(null, args);
   }
 
-  /** Like {@link #run(String...)}, but prints to a writer; null is standard output. */
+  /** Like {@link #run(String...)}, but prints to a writer, or to standard output if it is null. */
   public static int run(PrintWriter out, String... args) {
-    CommandLine line = new CommandLine(new CobaltseamCommand());
+    CommandLine commandLine = new CommandLine(new CobaltseamCommand());
     if (out != null) {
-      line.setOut(out);
+      commandLine.setOut(out);
     }
     labCommand("emulator.EmulateCommand")
-        .ifPresent(command -> line.addSubcommand("emulate", command));
-    labCommand("fleet.FleetCommand").ifPresent(command -> line.addSubcommand("fleet", command));
-    line.setExecutionStrategy(new CommandLine.RunLast());
-    line.setExecutionExceptionHandler(
+        .ifPresent(command -> commandLine.addSubcommand("emulate", command));
+    labCommand("fleet.FleetCommand")
+        .ifPresent(command -> commandLine.addSubcommand("fleet", command));
+    commandLine.setExecutionStrategy(new CommandLine.RunLast());
+    commandLine.setExecutionExceptionHandler(
         (failure, command, parsed) -> {
           if (failure instanceof InvalidInputException || failure instanceof IOException) {
             command.getErr().println("cobaltseam: " + failure.getMessage());
             command.getErr().flush();
-            return EXIT_BAD_INPUT;
+            return EXIT_INVALID_INPUT;
           }
           throw failure;
         });
     if (args.length == 0) {
-      line.usage(line.getErr());
+      commandLine.usage(commandLine.getErr());
       return CommandLine.ExitCode.USAGE;
     }
-    return line.execute(args);
+    return commandLine.execute(args);
   }
 
-  /** A command of the lab, which is only in the lab's jar. */
-  private static Optional<Object> labCommand(String name) {
+  /** Returns a command that only the jar of the lab contains, or empty without that jar. */
+  private static Optional<Object> labCommand(String className) {
     try {
       return Optional.of(
-          Class.forName("cobaltseam." + name).getDeclaredConstructor().newInstance());
+          Class.forName("cobaltseam." + className).getDeclaredConstructor().newInstance());
     } catch (ReflectiveOperationException e) {
       return Optional.empty();
     }
@@ -82,24 +86,25 @@
   /** Runs the service until SIGTERM. */
   @Command(
       name = "serve",
-      description = "Serves as one dispatcher, by GW_CONFIG and its own file, until SIGTERM.")
-  static final class Serve implements Callable<Integer> {
-    @Mixin StandardOptions standard;
-    @Mixin SettingsFileOption own;
+      description =
+          "Runs one dispatcher, configured by GW_CONFIG and the settings file, until SIGTERM.")
+  static final class ServeCommand implements Callable<Integer> {
+    @Mixin StandardOptions standardOptions;
+    @Mixin SettingsFileOption settingsFile;
 
     @Override
     public Integer call() throws Exception {
-      DispatcherService.run(own.file);
+      DispatcherService.run(settingsFile.path);
       return 0;
     }
   }
 
-  /** Opens a service, sends it one empty query, and ends. */
+  /** Starts a service, sends it one empty query and exits. */
   @Command(
       name = "rehearse",
-      description = "Opens a service on a free loopback port, asks it one empty query, and ends.")
-  static final class Rehearse implements Callable<Integer> {
-    @Mixin StandardOptions standard;
+      description = "Starts a service on a free loopback port, sends it one empty query and exits.")
+  static final class RehearseCommand implements Callable<Integer> {
+    @Mixin StandardOptions standardOptions;
 
     @Override
     public Integer call() throws Exception {
@@ -111,9 +116,10 @@
   /** Runs the simulator adapter on standard input and output. */
   @Command(
       name = "adapter",
-      description = "Answers the simulator, a batch of events a line, until its input ends.")
-  static final class Adapt implements Callable<Integer> {
-    @Mixin StandardOptions standard;
+      description =
+          "Answers the simulator, one batch of events per line, until standard input ends.")
+  static final class AdapterCommand implements Callable<Integer> {
+    @Mixin StandardOptions standardOptions;
 
     @Override
     public Integer call() throws Exception {
--- a/src/main/java/cobaltseam/cli/MembersCommand.java
+++ b/src/main/java/cobaltseam/cli/MembersCommand.java
@@ -21,44 +21,44 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Prints rows that a running dispatcher shows, read over the client protocol. */
+/** Runs a SHOW statement on a running dispatcher over the client protocol and prints the rows. */
 @Command(
     name = "members",
-    description = "Shows whom a running dispatcher takes for members of its fleet.")
+    description = "Shows the members of the fleet as a running dispatcher sees them.")
 final class MembersCommand implements Callable<Integer> {
   private static final int TIMEOUT_MS = 5000;
   private static final int PROTOCOL_3_0 = 3 << 16;
   private static final int MAX_MESSAGE_BYTES = 1 << 20;
 
-  @Mixin StandardOptions standard;
+  @Mixin StandardOptions standardOptions;
 
   @Option(
       names = "--to",
       paramLabel = "HOST:PORT",
       required = true,
-      description = "where the dispatcher takes clients")
-  String to;
+      description = "the address at which the dispatcher accepts clients")
+  String dispatcherAddress;
 
   @Option(
       names = "--show",
       paramLabel = "NAME",
       defaultValue = "members",
       description =
-          "another thing that SHOW cobaltseam.NAME knows, such as counters; default: ${DEFAULT-VALUE}")
-  String show;
+          "what to show by SHOW cobaltseam.NAME, for example counters; default: ${DEFAULT-VALUE}")
+  String showName;
 
   @Option(
       names = "--watch",
       paramLabel = "S",
-      description = "again each so many seconds, what changed alone, until it is interrupted")
+      description = "repeats every S seconds until interrupted and prints only changed rows")
   Double watchSeconds;
 
   @Option(
       names = "--times",
       paramLabel = "N",
       defaultValue = "0",
-      description = "ends a watch after so many looks; 0: never")
-  int times;
+      description = "with --watch, exits after N requests; 0: never")
+  int maxRequests;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
@@ -66,17 +66,17 @@
   public Integer call() throws Exception {
     InetSocketAddress address = parseAddress();
     PrintWriter out = spec.commandLine().getOut();
-    List<String> before = List.of();
-    for (int look = 1; ; look++) {
+    List<String> previousRows = List.of();
+    for (int requests = 1; ; requests++) {
       List<String> rows = requestRows(address);
       for (String row : rows) {
-        if (!before.contains(row)) {
+        if (!previousRows.contains(row)) {
           out.println(row);
         }
       }
       out.flush();
-      before = rows;
-      if (watchSeconds == null || look == times) {
+      previousRows = rows;
+      if (watchSeconds == null || requests == maxRequests) {
         return 0;
       }
       TimeUnit.MILLISECONDS.sleep(Math.max(100, Math.round(watchSeconds * 1000)));
@@ -84,20 +84,21 @@
   }
 
   private InetSocketAddress parseAddress() throws UnknownHostException {
-    int colon = to.lastIndexOf(':');
+    int colon = dispatcherAddress.lastIndexOf(':');
     int port =
-        colon < 0 || !to.substring(colon + 1).matches("[0-9]{1,5}")
+        colon < 0 || !dispatcherAddress.substring(colon + 1).matches("[0-9]{1,5}")
             ? 0
-            : Integer.parseInt(to.substring(colon + 1));
-    if (port < 1 || port > 65_535 || !show.matches("[a-z]+")) {
+            : Integer.parseInt(dispatcherAddress.substring(colon + 1));
+    if (port < 1 || port > 65_535 || !showName.matches("[a-z]+")) {
       throw new InvalidInputException(
-          "--to "
-              + to
+          "found --to "
+              + dispatcherAddress
               + " --show "
-              + show
-              + " stands there; an address, a colon and a port, and a word are allowed");
+              + showName
+              + "; expected --to HOST:PORT and a lowercase word for --show");
     }
-    return new InetSocketAddress(InetAddress.getByName(to.substring(0, colon)), port);
+    return new InetSocketAddress(
+        InetAddress.getByName(dispatcherAddress.substring(0, colon)), port);
   }
 
   private List<String> requestRows(InetSocketAddress address) throws IOException {
@@ -106,7 +107,7 @@
       socket.setSoTimeout(TIMEOUT_MS);
       DataOutputStream out = new DataOutputStream(socket.getOutputStream());
       DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
-      byte[] query = ("SHOW cobaltseam." + show).getBytes(StandardCharsets.UTF_8);
+      byte[] query = ("SHOW cobaltseam." + showName).getBytes(StandardCharsets.UTF_8);
       out.writeInt(9);
       out.writeInt(PROTOCOL_3_0);
       out.write(0);
@@ -119,14 +120,18 @@
     }
   }
 
-  /** Reads messages up to ReadyForQuery, and returns the data rows with their columns joined. */
+  /**
+   * Reads messages up to ReadyForQuery and returns the data rows, each with its columns joined.
+   *
+   * @throws IOException if the dispatcher responds with an error or an invalid message
+   */
   private static List<String> readRows(DataInputStream in) throws IOException {
     List<String> rows = new ArrayList<>();
     while (true) {
       char type = (char) in.readByte();
       int length = in.readInt() - 4;
       if (length < 0 || length > MAX_MESSAGE_BYTES) {
-        throw new IOException("what answers there does not speak PostgreSQL's protocol");
+        throw new IOException("the peer at this address does not speak the PostgreSQL protocol");
       }
       byte[] body = in.readNBytes(length);
       if (type == 'Z') {
@@ -136,7 +141,7 @@
       } else if (type == 'D') {
         DataInputStream row = new DataInputStream(new ByteArrayInputStream(body));
         List<String> columns = new ArrayList<>();
-        for (int left = row.readShort(); left > 0; left--) {
+        for (int remaining = row.readShort(); remaining > 0; remaining--) {
           columns.add(new String(row.readNBytes(row.readInt()), StandardCharsets.UTF_8));
         }
         rows.add(String.join("  ", columns));
--- a/src/main/java/cobaltseam/cli/SettingsFileOption.java
+++ b/src/main/java/cobaltseam/cli/SettingsFileOption.java
@@ -3,14 +3,14 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** The option that names our own settings file. */
+/** The option that names the dispatcher's own settings file. */
 final class SettingsFileOption {
-  /** The file, or null where none is named. */
+  /** The path of the settings file, or null if none is given. */
   @Option(
       names = "--config",
       paramLabel = "FILE",
       defaultValue = "${env:COBALTSEAM_CONFIG}",
       description =
-          "what is on beyond the platform's configuration; default: COBALTSEAM_CONFIG, or nothing")
-  Path file;
+          "settings file in addition to the platform's configuration; default: COBALTSEAM_CONFIG")
+  Path path;
 }
--- a/src/main/java/cobaltseam/cli/StandardOptions.java
+++ b/src/main/java/cobaltseam/cli/StandardOptions.java
@@ -3,10 +3,10 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The options for help and version that every command has. */
+/** The help and version options of every command. */
 @Command(mixinStandardHelpOptions = true, versionProvider = StandardOptions.VersionProvider.class)
 final class StandardOptions {
-  /** Prints the version that the jar was built as. */
+  /** Returns the implementation version in the manifest of the jar. */
   static final class VersionProvider implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/src/main/java/cobaltseam/cli/VrrpCommand.java
+++ b/src/main/java/cobaltseam/cli/VrrpCommand.java
@@ -10,20 +10,21 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** VRRP tools for operators: convert advertisements between bytes and JSON, and watch a group. */
+/** VRRP tools for operators: converts advertisements between hex and JSON, and watches a group. */
 @Command(
     name = "vrrp",
-    description = "Adverts of VRRP version 3: decode and encode them, and watch who is active.",
+    description =
+        "Decodes and encodes VRRP version 3 advertisements, and watches which router is active.",
     subcommands = {VrrpDecodeCommand.class, VrrpEncodeCommand.class, VrrpWatchCommand.class},
     synopsisSubcommandLabel = "COMMAND")
 final class VrrpCommand implements Callable<Integer> {
-  /** The text of {@link ChecksumCoverage#MESSAGE} in JSON and options. */
+  /** The value of {@link ChecksumCoverage#MESSAGE} in JSON and options. */
   static final String COVERS_MESSAGE = "message";
 
-  /** The text of {@link ChecksumCoverage#PSEUDO_HEADER} in JSON and options. */
+  /** The value of {@link ChecksumCoverage#PSEUDO_HEADER} in JSON and options. */
   static final String COVERS_PSEUDO_HEADER = "pseudo_header";
 
-  @Mixin StandardOptions standard;
+  @Mixin StandardOptions standardOptions;
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -33,7 +34,7 @@
   }
 
   /**
-   * Parses the value of an option.
+   * Parses an address in an option or in JSON.
    *
    * @throws InvalidInputException if it is not an address, with the option's name and the value
    */
@@ -42,13 +43,10 @@
         .orElseThrow(
             () ->
                 new InvalidInputException(
-                    option
-                        + ": '"
-                        + text
-                        + "' stands there; an IPv4 or IPv6 address, written out, is allowed"));
+                    option + ": found '" + text + "'; expected a numeric IPv4 or IPv6 address"));
   }
 
-  /** The options for both addresses of a datagram. */
+  /** The options for the source and destination addresses of a datagram. */
   static final class DatagramOptions {
     @Option(
         names = "--source",
@@ -64,12 +62,20 @@
         description = "destination address of the datagram")
     String destination;
 
-    /** The source address, or an {@link InvalidInputException}. */
+    /**
+     * Returns the source address.
+     *
+     * @throws InvalidInputException if it is not a numeric address
+     */
     InetAddress sourceAddress() {
       return parseAddress("--source", source);
     }
 
-    /** The destination address, or an {@link InvalidInputException}. */
+    /**
+     * Returns the destination address.
+     *
+     * @throws InvalidInputException if it is not a numeric address
+     */
     InetAddress destinationAddress() {
       return parseAddress("--destination", destination);
     }
--- a/src/main/java/cobaltseam/cli/VrrpDecodeCommand.java
+++ b/src/main/java/cobaltseam/cli/VrrpDecodeCommand.java
@@ -23,12 +23,13 @@
 /** Decodes the payload of a VRRP datagram from hex to JSON. */
 @Command(
     name = "decode",
-    description = "Reads an advert in hex and prints it as one JSON object, or why it is none.")
+    description =
+        "Decodes an advertisement from hex to one JSON object, or reports why it is invalid.")
 final class VrrpDecodeCommand implements Callable<Integer> {
-  @Mixin StandardOptions standard;
+  @Mixin StandardOptions standardOptions;
   @Mixin VrrpCommand.DatagramOptions datagram;
 
-  @Parameters(paramLabel = "HEX", description = "the payload, with or without spaces and colons")
+  @Parameters(paramLabel = "HEX", description = "the payload in hex; spaces and colons are ignored")
   String hex;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
@@ -37,14 +38,17 @@
   public Integer call() throws IOException {
     String digits = hex.replaceAll("[\\s:]", "");
     if (!digits.matches("([0-9a-fA-F]{2})*")) {
-      throw new InvalidInputException("HEX is not a row of whole bytes in hex");
+      throw new InvalidInputException("HEX is not a sequence of bytes of two hex digits each");
     }
     byte[] bytes = HexFormat.of().parseHex(digits);
     DecodeResult result =
         AdvertisementCodec.decode(bytes, datagram.sourceAddress(), datagram.destinationAddress());
     if (result instanceof DecodeResult.Rejected rejected) {
       throw new InvalidInputException(
-          "no advert, " + rejected.reason().label() + ": " + rejected.reason().explanation());
+          "invalid advertisement, "
+              + rejected.reason().label()
+              + ": "
+              + rejected.reason().explanation());
     }
     PrintWriter out = spec.commandLine().getOut();
     out.println(toJson(bytes, (DecodeResult.Decoded) result));
--- a/src/main/java/cobaltseam/cli/VrrpEncodeCommand.java
+++ b/src/main/java/cobaltseam/cli/VrrpEncodeCommand.java
@@ -20,24 +20,28 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Encodes a VRRP advertisement from JSON or options to hex; an option wins over JSON. */
+/** Encodes a VRRP advertisement from JSON or options to hex; options override JSON. */
 @Command(
     name = "encode",
-    description = "Writes an advert in hex, from the JSON that decode prints or from options.")
+    description =
+        "Encodes an advertisement to hex, from the JSON that decode prints or from options.")
 final class VrrpEncodeCommand implements Callable<Integer> {
-  @Mixin StandardOptions standard;
+  @Mixin StandardOptions standardOptions;
   @Mixin VrrpCommand.DatagramOptions datagram;
 
   @Parameters(
       paramLabel = "JSON",
       arity = "0..1",
-      description = "an object as decode prints it, or - for standard input")
+      description = "an object in the format that decode prints, or - for standard input")
   String json;
 
   @Option(names = "--virtual-router-id", paramLabel = "ID", description = "1 to 255")
-  Integer router;
+  Integer virtualRouterId;
 
-  @Option(names = "--priority", paramLabel = "PRIORITY", description = "0 to 255; 0 resigns")
+  @Option(
+      names = "--priority",
+      paramLabel = "PRIORITY",
+      description = "0 to 255; 0 gives up the active role")
   Integer priority;
 
   @Option(
@@ -50,14 +54,15 @@
       names = {"--address", "--addresses"},
       paramLabel = "ADDRESS",
       split = ",",
-      description = "a virtual address; may be given again")
+      description = "a virtual address; may be repeated")
   List<String> addresses;
 
   @Option(
       names = "--checksum-covers",
       paramLabel = "WHAT",
-      description = "for IPv4: message (RFC 9568, the default) or pseudo_header")
-  String covers;
+      description =
+          "what the checksum covers for IPv4: message (RFC 9568, the default) or pseudo_header")
+  String checksumCoverage;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
@@ -69,7 +74,7 @@
     try {
       Advertisement advertisement =
           new Advertisement(
-              number(router, object, "virtualRouterId"),
+              number(virtualRouterId, object, "virtualRouterId"),
               number(priority, object, "priority"),
               number(interval, object, "maxAdvertiseIntervalCentiseconds"),
               virtualAddresses);
@@ -97,7 +102,7 @@
       }
       return object;
     } catch (JacksonException e) {
-      throw new InvalidInputException("JSON can't be read: " + e.getOriginalMessage());
+      throw new InvalidInputException("JSON can't be parsed: " + e.getOriginalMessage());
     }
   }
 
@@ -115,21 +120,21 @@
 
   private ChecksumCoverage coverage(JsonNode object) {
     String text =
-        covers != null ? covers : object.path("checksumCovers").asText(VrrpCommand.COVERS_MESSAGE);
+        checksumCoverage != null
+            ? checksumCoverage
+            : object.path("checksumCovers").asText(VrrpCommand.COVERS_MESSAGE);
     return switch (text) {
       case VrrpCommand.COVERS_MESSAGE -> ChecksumCoverage.MESSAGE;
       case VrrpCommand.COVERS_PSEUDO_HEADER -> ChecksumCoverage.PSEUDO_HEADER;
       default ->
           throw new InvalidInputException(
-              "--checksum-covers: '"
-                  + text
-                  + "' stands there; message or pseudo_header is allowed");
+              "--checksum-covers: found '" + text + "'; expected message or pseudo_header");
     };
   }
 
   private static int number(Integer option, JsonNode object, String key) {
     if (option == null && !object.path(key).canConvertToInt()) {
-      throw new InvalidInputException(key + " is told neither by an option nor by JSON");
+      throw new InvalidInputException(key + " is given neither by an option nor in JSON");
     }
     return option != null ? option : object.path(key).asInt();
   }
--- a/src/main/java/cobaltseam/cli/VrrpWatchCommand.java
+++ b/src/main/java/cobaltseam/cli/VrrpWatchCommand.java
@@ -31,24 +31,24 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Listens as a member of the group that never becomes active, and prints who is. */
+/** Listens as a member of the group that never becomes active, and prints the active routers. */
 @Command(
     name = "watch",
     description =
-        "Listens at the own file's address and prints each change of who is active, an "
-            + "object a line. It claims nothing and takes no traffic.")
+        "Listens at mastership.listen of the settings file and prints each change of the active "
+            + "router, one JSON object per line. Sends no advertisements and accepts no clients.")
 final class VrrpWatchCommand implements Callable<Integer> {
   private static final int MAX_QUEUED_DATAGRAMS = 4096;
   private static final long US_PER_SECOND = 1_000_000;
   private static final long NS_PER_US = 1000;
 
-  @Mixin StandardOptions standard;
-  @Mixin SettingsFileOption own;
+  @Mixin StandardOptions standardOptions;
+  @Mixin SettingsFileOption settingsFile;
 
   @Option(
       names = "--seconds",
       paramLabel = "N",
-      description = "ends after so many seconds; default: never")
+      description = "exits after N seconds; default: never")
   Long seconds;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
@@ -58,10 +58,12 @@
   @Override
   public Integer call() throws IOException, InterruptedException {
     Settings.VirtualAddressSettings settings =
-        own.file == null ? null : SettingsReader.read(own.file).virtualAddresses();
+        settingsFile.path == null
+            ? null
+            : SettingsReader.read(settingsFile.path).virtualAddresses();
     if (settings == null) {
       throw new InvalidInputException(
-          "the own file, by --config or COBALTSEAM_CONFIG, names no [mastership]");
+          "no settings file with a [mastership] section is given by --config or COBALTSEAM_CONFIG");
     }
     Timestamp start = now();
     BlockingQueue<Datagram> datagrams = new LinkedBlockingQueue<>(MAX_QUEUED_DATAGRAMS);
@@ -88,14 +90,14 @@
     Timestamp end = seconds == null ? null : start.plus(new TimeSpan(seconds * US_PER_SECOND));
     for (Timestamp now = start; end == null || now.isBefore(end); now = now()) {
       Datagram datagram =
-          datagrams.poll(untilNextEvent(observer, end, now).us() + 1, TimeUnit.MICROSECONDS);
+          datagrams.poll(timeToNextEvent(observer, end, now).us() + 1, TimeUnit.MICROSECONDS);
       List<ActiveRouterChange> changes = new ArrayList<>();
       if (datagram != null) {
         socket.release(datagram.bytes, datagram.source);
-        AdvertisementFilter.FilterResult verdict =
+        AdvertisementFilter.FilterResult result =
             filter.evaluate(datagram.bytes, datagram.source, self, now());
-        if (verdict.advertisement() != null) {
-          changes.addAll(observer.onAdvertisement(datagram.source, verdict.advertisement(), now()));
+        if (result.advertisement() != null) {
+          changes.addAll(observer.onAdvertisement(datagram.source, result.advertisement(), now()));
         }
       }
       changes.addAll(observer.expireAdvertisements(now()));
@@ -103,7 +105,7 @@
     }
   }
 
-  /** The filter of a group member; its mastership is never started, so it never advertises. */
+  /** Creates the filter of a group member whose mastership is never started or advertised. */
   private static AdvertisementFilter filter(
       Settings.VirtualAddressSettings settings, Timestamp start) {
     InetAddress self = settings.listen().getAddress();
@@ -126,7 +128,7 @@
         authentication == null ? null : authentication.keys());
   }
 
-  private static TimeSpan untilNextEvent(
+  private static TimeSpan timeToNextEvent(
       ActiveRouterObserver observer, Timestamp end, Timestamp now) {
     Timestamp expiry = observer.nextExpiry();
     TimeSpan wait =
@@ -165,8 +167,8 @@
     return text.toString();
   }
 
-  private static String stateLabel(int activeRouters) {
-    return switch (activeRouters) {
+  private static String stateLabel(int activeRouterCount) {
+    return switch (activeRouterCount) {
       case 0 -> "none";
       case 1 -> "active";
       default -> "split";
--- a/src/main/java/cobaltseam/logging/Field.java
+++ b/src/main/java/cobaltseam/logging/Field.java
@@ -1,16 +1,19 @@
 package cobaltseam.logging;
 
-/** A parameter of a log line: in JSON it is a field of its own, as text only its value shows. */
+/**
+ * A named parameter of a log record. A JSON log line has a separate field for it; a text log line
+ * contains only the value.
+ */
 public record Field(String name, Object value) {
-  /** The name of the event field: it never shows in text. */
+  /** The name of the field that holds the event id; text log lines do not contain it. */
   static final String EVENT = "event";
 
-  /** The event id of a line; see docs/on-call.md. */
+  /** Creates the field that holds the event id of a log record; see docs/on-call.md. */
   public static Field event(String name) {
     return new Field(EVENT, name);
   }
 
-  /** A named value. */
+  /** Creates a field. */
   public static Field of(String name, Object value) {
     return new Field(name, value);
   }
--- a/src/main/java/cobaltseam/logging/JsonLines.java
+++ b/src/main/java/cobaltseam/logging/JsonLines.java
@@ -14,14 +14,14 @@
 import java.util.logging.Logger;
 
 /**
- * Writes each log record as one JSON object a line: at, level, logger, event, message, then the
- * record's fields.
+ * Formats each log record as one line with a JSON object: at, level, logger, event, message, the
+ * record's fields, and error with the stack trace if the record has an exception.
  */
 public final class JsonLines extends Formatter {
   private static final JsonFactory JSON = new JsonFactory();
-  private static final String NO_EVENT = "log";
+  private static final String DEFAULT_EVENT = "log";
 
-  /** Formats all log lines of this process as JSON from now on. */
+  /** Sets this format on all handlers of the root logger. */
   public static void install() {
     for (Handler handler : Logger.getLogger("").getHandlers()) {
       handler.setFormatter(new JsonLines());
@@ -37,7 +37,7 @@
       json.writeStringField("at", record.getInstant().toString());
       json.writeStringField("level", record.getLevel().getName());
       json.writeStringField("logger", record.getLoggerName());
-      String event = NO_EVENT;
+      String event = DEFAULT_EVENT;
       for (Object parameter : parameters) {
         if (parameter instanceof Field field && field.name().equals(Field.EVENT)) {
           event = field.toString();
--- a/src/main/java/cobaltseam/package-info.java
+++ b/src/main/java/cobaltseam/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program: {@link cobaltseam.Main} is where the process starts. It calls the service, the
- * simulator's adapter or the command line, each in a package of its own.
+ * The entry point of the program, {@link cobaltseam.Main}. It runs the service, the simulator's
+ * adapter or a command of the command line; each of them has its own package.
  */
 package cobaltseam;
--- a/src/main/java/cobaltseam/settings/Settings.java
+++ b/src/main/java/cobaltseam/settings/Settings.java
@@ -123,8 +123,9 @@
       String rebootstrapView,
       AuthenticationSettings authentication) {
     /**
-     * Returns only the settings that require a restart to change: {@code rebootstrapView} and
-     * {@code authentication}, which are reloaded while the dispatcher runs, are null.
+     * Returns these settings without {@code rebootstrapView}, which a reload applies, and without
+     * {@code authentication}. Two results differ if a reload changed a setting that only a restart
+     * applies; changes of the authentication are not detected.
      */
     public MembershipSettings withStartupSettingsOnly() {
       return new MembershipSettings(
--- a/src/test/java/cobaltseam/cli/CobaltseamCommandTest.java
+++ b/src/test/java/cobaltseam/cli/CobaltseamCommandTest.java
@@ -24,35 +24,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line: what it prints where, and its exit codes. */
+/** Tests the output, error output and exit codes of the command line. */
 class CobaltseamCommandTest {
   private static final String HEX = "3133640100640 5ccc000020a".replace(" ", "");
 
   private record CommandResult(int code, String out, String err) {}
 
   private static CommandResult run(String... args) {
-    PrintStream out = System.out;
-    PrintStream err = System.err;
-    ByteArrayOutputStream said = new ByteArrayOutputStream();
-    ByteArrayOutputStream wrong = new ByteArrayOutputStream();
-    System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
-    System.setErr(new PrintStream(wrong, true, StandardCharsets.UTF_8));
+    PrintStream originalOut = System.out;
+    PrintStream originalErr = System.err;
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    ByteArrayOutputStream err = new ByteArrayOutputStream();
+    System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
+    System.setErr(new PrintStream(err, true, StandardCharsets.UTF_8));
     try {
       return new CommandResult(
           CobaltseamCommand.run(args),
-          said.toString(StandardCharsets.UTF_8).strip(),
-          wrong.toString(StandardCharsets.UTF_8));
+          out.toString(StandardCharsets.UTF_8).strip(),
+          err.toString(StandardCharsets.UTF_8));
     } finally {
-      System.setOut(out);
-      System.setErr(err);
+      System.setOut(originalOut);
+      System.setErr(originalErr);
     }
   }
 
-  private static CommandResult vrrp(String what, String... more) {
+  private static CommandResult vrrp(String subcommand, String... furtherArgs) {
     List<String> args =
         new ArrayList<>(
-            List.of("vrrp", what, "--source", "192.0.2.1", "--destination", "224.0.0.18"));
-    args.addAll(List.of(more));
+            List.of("vrrp", subcommand, "--source", "192.0.2.1", "--destination", "224.0.0.18"));
+    args.addAll(List.of(furtherArgs));
     return run(args.toArray(String[]::new));
   }
 
@@ -82,11 +82,11 @@
   }
 
   @Test
-  void badInputExitsWith1AndItsReason() {
-    CommandResult bad = vrrp("decode", HEX.replace("05cc", "05cd"));
-    assertEquals(1, bad.code);
-    assertEquals("", bad.out);
-    assertTrue(bad.err.contains("checksum"), bad.err);
+  void invalidInputExitsWithCode1AndReportsReason() {
+    CommandResult invalid = vrrp("decode", HEX.replace("05cc", "05cd"));
+    assertEquals(1, invalid.code);
+    assertEquals("", invalid.out);
+    assertTrue(invalid.err.contains("checksum"), invalid.err);
     assertEquals(1, vrrp("decode", "31x").code);
     assertEquals(
         1, run("vrrp", "decode", HEX, "--source", "here", "--destination", "224.0.0.18").code);
@@ -108,13 +108,13 @@
   }
 
   @Test
-  void wrongUseExitsWith2AndHelpWith0() {
+  void incorrectUsageExitsWithCode2AndHelpWithCode0() {
     assertEquals(2, run().code);
     assertEquals(2, run("nonsense").code);
     assertEquals(2, run("vrrp").code);
     assertEquals(2, run("vrrp", "decode").code);
     assertEquals(2, run("serve", "--config").code);
-    for (String[] of :
+    for (String[] command :
         new String[][] {
           {},
           {"serve"},
@@ -127,24 +127,24 @@
           {"vrrp", "watch"}
         }) {
       for (String option : List.of("--help", "--version")) {
-        List<String> args = new ArrayList<>(List.of(of));
+        List<String> args = new ArrayList<>(List.of(command));
         args.add(option);
-        CommandResult ran = run(args.toArray(String[]::new));
-        assertEquals(0, ran.code, args + ran.err);
-        assertTrue(ran.out.contains("cobaltseam"), args + ran.out);
+        CommandResult result = run(args.toArray(String[]::new));
+        assertEquals(0, result.code, args + result.err);
+        assertTrue(result.out.contains("cobaltseam"), args + result.out);
       }
     }
   }
 
   @Test
-  void watchTellsWhoIsActiveAndWhenNobodyIs(@TempDir Path folder) throws Exception {
+  void watchReportsActiveRoutersAndTheirAbsence(@TempDir Path folder) throws Exception {
     int port;
     try (DatagramSocket probe = new DatagramSocket(new InetSocketAddress("127.0.79.1", 0))) {
       port = probe.getLocalPort();
     }
     Path file =
         Files.writeString(
-            folder.resolve("own.toml"),
+            folder.resolve("cobaltseam.toml"),
             """
                 [mastership]
                 listen = "127.0.79.1:%d"
@@ -154,20 +154,26 @@
                 .formatted(port));
     Advertisement advert =
         new Advertisement(7, 100, 2, List.of(Addresses.parse("192.0.2.10").orElseThrow()));
-    InetAddress to = InetAddress.getByName("127.0.79.1");
-    Thread speaker =
+    InetAddress watchAddress = InetAddress.getByName("127.0.79.1");
+    Thread sender =
         new Thread(
             () -> {
-              try (DatagramSocket one = new DatagramSocket(new InetSocketAddress("127.0.79.2", 0));
-                  DatagramSocket other =
+              try (DatagramSocket firstRouter =
+                      new DatagramSocket(new InetSocketAddress("127.0.79.2", 0));
+                  DatagramSocket secondRouter =
                       new DatagramSocket(new InetSocketAddress("127.0.79.3", 0))) {
                 for (int i = 0; i < 300; i++) {
-                  for (DatagramSocket from :
-                      i < 100 || i >= 200 ? List.of(one) : List.of(one, other)) {
+                  for (DatagramSocket router :
+                      i < 100 || i >= 200
+                          ? List.of(firstRouter)
+                          : List.of(firstRouter, secondRouter)) {
                     byte[] bytes =
                         AdvertisementCodec.encode(
-                            advert, from.getLocalAddress(), to, ChecksumCoverage.MESSAGE);
-                    from.send(new DatagramPacket(bytes, bytes.length, to, port));
+                            advert,
+                            router.getLocalAddress(),
+                            watchAddress,
+                            ChecksumCoverage.MESSAGE);
+                    router.send(new DatagramPacket(bytes, bytes.length, watchAddress, port));
                   }
                   Thread.sleep(5);
                 }
@@ -175,12 +181,12 @@
                 throw new AssertionError(e);
               }
             });
-    speaker.start();
-    CommandResult ran = run("vrrp", "watch", "--config", file.toString(), "--seconds", "3");
-    speaker.join();
-    assertEquals(0, ran.code, ran.err);
+    sender.start();
+    CommandResult result = run("vrrp", "watch", "--config", file.toString(), "--seconds", "3");
+    sender.join();
+    assertEquals(0, result.code, result.err);
     List<String> states = new ArrayList<>();
-    for (String line : ran.out.split("\n")) {
+    for (String line : result.out.split("\n")) {
       JsonNode json = new ObjectMapper().readTree(line);
       assertEquals(7, json.path("virtualRouterId").asInt());
       states.add(json.path("state").asText());
@@ -191,23 +197,24 @@
   }
 
   @Test
-  void checkTellsWhatWouldBeOn(@TempDir Path folder) throws IOException {
+  void checkPrintsWhatSettingsEnable(@TempDir Path folder) throws IOException {
     Path file =
         Files.writeString(
-            folder.resolve("own.toml"),
+            folder.resolve("cobaltseam.toml"),
             """
                 [mastership]
                 listen = "127.0.0.11:1112"
                 peers = []
                 router = [{id = 7, addresses = ["192.0.2.10"], serve = "192.0.2.10:5050"}]
                 """);
-    CommandResult on = run("check", "--config", file.toString());
-    assertEquals(0, on.code, on.err);
-    assertTrue(on.out.contains("virtual router 7/ipv4: priority 100, interval 1000 ms"), on.out);
+    CommandResult valid = run("check", "--config", file.toString());
+    assertEquals(0, valid.code, valid.err);
+    assertTrue(
+        valid.out.contains("virtual router 7/ipv4: priority 100, interval 1000 ms"), valid.out);
     assertTrue(run("check").out.contains("mastership: off"));
     Files.writeString(file, "mastership = 1\n");
-    CommandResult bad = run("check", "--config", file.toString());
-    assertEquals(1, bad.code);
-    assertTrue(bad.err.contains("mastership: found 1;"), bad.err);
+    CommandResult invalid = run("check", "--config", file.toString());
+    assertEquals(1, invalid.code);
+    assertTrue(invalid.err.contains("mastership: found 1;"), invalid.err);
   }
 }
--- a/src/test/java/cobaltseam/logging/PrintedNamesTest.java
+++ b/src/test/java/cobaltseam/logging/PrintedNamesTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Counters, reasons and kinds of fault are printed, parsed and scripted against. Each row of {@code
- * printed-names.txt} is an enum and the labels that commit f2adcf2 printed for its constants, in
- * order; a class or a constant may be renamed, a label may not.
+ * Guards the printed labels of enums, such as counters and rejection reasons, on which operators'
+ * scripts depend. Each row of {@code printed-names.txt} names an enum and the labels of its
+ * constants in order. A class or a constant may be renamed, a label may not.
  */
 class PrintedNamesTest {
   static List<String> rows() throws IOException {
@@ -29,14 +29,14 @@
   @ParameterizedTest
   @MethodSource("rows")
   void labelsAreUnchanged(String row) throws ReflectiveOperationException {
-    String[] parts = row.split(": ");
-    Class<?> type = Class.forName("cobaltseam." + parts[0]);
+    String[] classAndLabels = row.split(": ");
+    Class<?> type = Class.forName("cobaltseam." + classAndLabels[0]);
     Method label = type.getDeclaredMethod("label");
     label.setAccessible(true);
-    List<String> printed = new ArrayList<>();
+    List<String> labels = new ArrayList<>();
     for (Object constant : type.getEnumConstants()) {
-      printed.add((String) label.invoke(constant));
+      labels.add((String) label.invoke(constant));
     }
-    assertEquals(List.of(parts[1].split(" ")), printed);
+    assertEquals(List.of(classAndLabels[1].split(" ")), labels);
   }
 }
