--- a/src/test/java/cobaltseam/fleet/RealFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/RealFleetTest.java
@@ -12,8 +12,8 @@
 import cobaltseam.membership.MemberUpdate;
 import cobaltseam.membership.MembershipMessage;
 import cobaltseam.membership.ViewId;
+import cobaltseam.standin.EmulatedDiscovery;
 import cobaltseam.standin.EmulatedEngine;
-import cobaltseam.standin.EmulatedEventBus;
 import cobaltseam.standin.RequestLedger;
 import cobaltseam.standin.StatementClient;
 import cobaltseam.transport.MessageCodec;
@@ -423,13 +423,13 @@
     AtomicBoolean stop = new AtomicBoolean();
     try (EmulatedEngine one = new EmulatedEngine("127.0.0.1", p -> 20);
         EmulatedEngine two = new EmulatedEngine("127.0.0.1", p -> 20);
-        EmulatedEventBus bus = new EmulatedEventBus("127.0.0.1")) {
+        EmulatedDiscovery bus = new EmulatedDiscovery("127.0.0.1")) {
       List<String> initialEvents =
           List.of(
               bus.publish(
                   true,
-                  EmulatedEventBus.target(1, one.address(), "in_service"),
-                  EmulatedEventBus.target(2, two.address(), "in_service")));
+                  EmulatedDiscovery.endpointJson(1, one.address(), "in_service"),
+                  EmulatedDiscovery.endpointJson(2, two.address(), "in_service")));
       List<Fault> script = List.of(new Fault(Kind.LOSS, 0, 60, List.of(), List.of(), 0.3));
       RealFleetPlan plan =
           RealFleetPlan.of(4)
@@ -478,15 +478,15 @@
     try (EmulatedEngine one = new EmulatedEngine("127.0.0.1", p -> 5);
         EmulatedEngine two = new EmulatedEngine("127.0.0.1", p -> 5);
         EmulatedEngine three = new EmulatedEngine("127.0.0.1", p -> 5);
-        EmulatedEventBus bus = new EmulatedEventBus("127.0.0.1")) {
+        EmulatedDiscovery bus = new EmulatedDiscovery("127.0.0.1")) {
       List<EmulatedEngine> engines = List.of(one, two, three);
       List<String> initialEvents =
           List.of(
               bus.publish(
                   true,
-                  EmulatedEventBus.target(1, one.address(), "in_service"),
-                  EmulatedEventBus.target(2, two.address(), "in_service"),
-                  EmulatedEventBus.target(3, three.address(), "in_service")));
+                  EmulatedDiscovery.endpointJson(1, one.address(), "in_service"),
+                  EmulatedDiscovery.endpointJson(2, two.address(), "in_service"),
+                  EmulatedDiscovery.endpointJson(3, three.address(), "in_service")));
       // One additional attempt per hundred first attempts, and one in 25 seconds per process.
       // Without the budget there are about 90.
       RealFleetPlan plan =
@@ -527,7 +527,7 @@
         Map<String, Integer> attempts = new java.util.HashMap<>();
         engines.forEach(
             e ->
-                e.ledger()
+                e.executions()
                     .forEach(
                         (requestId, ran) ->
                             attempts.merge(requestId, ran.started().get(), Integer::sum)));
@@ -559,7 +559,7 @@
   private static void awaitStarted(List<EmulatedEngine> engines, int commands)
       throws InterruptedException {
     for (long from = System.nanoTime();
-        engines.stream().mapToInt(e -> e.ledger().size()).sum() < commands; ) {
+        engines.stream().mapToInt(e -> e.executions().size()).sum() < commands; ) {
       assertTrue(System.nanoTime() - from < TIMEOUT_S * 1e9, "too few requests reach engines");
       Thread.sleep(20);
     }
@@ -606,8 +606,8 @@
                         new InetSocketAddress("127.0.0.1", fleet.port(to)), 10_000)) {
                   for (RequestLedger.Outcome outcome = RequestLedger.Outcome.ANSWERED;
                       !stop.get()
-                          && outcome != RequestLedger.Outcome.CUT
-                          && outcome != RequestLedger.Outcome.SILENT; ) {
+                          && outcome != RequestLedger.Outcome.DISCONNECTED
+                          && outcome != RequestLedger.Outcome.TIMED_OUT; ) {
                     outcome =
                         session.execute(
                             "%016x".formatted((long) to << 32 | requests.incrementAndGet()),
--- a/src/test/java/cobaltseam/service/ConfigurationReloadProcessTest.java
+++ b/src/test/java/cobaltseam/service/ConfigurationReloadProcessTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.standin.DispatcherProcess;
+import cobaltseam.standin.EmulatedDiscovery;
 import cobaltseam.standin.EmulatedEngine;
-import cobaltseam.standin.EmulatedEventBus;
 import cobaltseam.standin.RequestLedger.Outcome;
 import cobaltseam.standin.StatementClient;
 import java.net.InetAddress;
@@ -29,7 +29,7 @@
   private static final int CLIENTS = 12;
 
   @TempDir Path folder;
-  private EmulatedEventBus bus;
+  private EmulatedDiscovery bus;
   private EmulatedEngine engine;
   private InetSocketAddress listen;
   private String endpointEvents;
@@ -40,9 +40,10 @@
 
   @BeforeEach
   void startDependencies() throws Exception {
-    bus = new EmulatedEventBus(HOST);
+    bus = new EmulatedDiscovery(HOST);
     engine = new EmulatedEngine(HOST, profile -> 200);
-    endpointEvents = bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
+    endpointEvents =
+        bus.publish(true, EmulatedDiscovery.endpointJson(1, engine.address(), "in_service"));
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
       listen = new InetSocketAddress(HOST, free.getLocalPort());
     }
@@ -84,7 +85,7 @@
                           session.execute(call, number % 2 == 0 ? "look" : "once", 3000, 200));
                     }
                   } catch (java.io.IOException e) {
-                    outcomes.put(number + "-" + calls, Outcome.CUT);
+                    outcomes.put(number + "-" + calls, Outcome.DISCONNECTED);
                   }
                 }
               });
@@ -102,15 +103,16 @@
   @Test
   void reloadedSettingsTakeEffectUnderLoadAndEveryRequestHasOneFinalAnswer() throws Exception {
     dispatcher.start();
-    dispatcher.await("serves on", 0, TIMEOUT_MS);
+    dispatcher.awaitLogLine("serves on", 0, TIMEOUT_MS);
     startClients();
     while (count("commands_answered") < 20) {
       Thread.sleep(50);
     }
-    int fromLine = dispatcher.lines();
+    int fromLine = dispatcher.logLineCount();
     dispatcher.writeConfiguration(configuration().replace("\"most_tries\":3", "\"most_tries\":2"));
     dispatcher.signal("HUP");
-    int nextLine = dispatcher.await("dispatch settings have changed while", fromLine, TIMEOUT_MS);
+    int nextLine =
+        dispatcher.awaitLogLine("dispatch settings have changed while", fromLine, TIMEOUT_MS);
     assertTrue(
         !dispatcher.log().lines().toList().get(nextLine - 1).contains("while 0 requests were open"),
         dispatcher.log());
@@ -149,14 +151,14 @@
         outcomes.values().stream()
             .allMatch(outcome -> outcome == Outcome.ANSWERED || outcome == Outcome.SHED),
         outcomes.values().toString());
-    engine.ledger().forEach((call, runs) -> assertTrue(runs.completed().get() <= 1, call));
+    engine.executions().forEach((call, runs) -> assertTrue(runs.completed().get() <= 1, call));
   }
 
   @Test
   void ignoredSighupIsLoggedAtStartAndDisablesReload() throws Exception {
     dispatcher.startWithSighupIgnored();
-    dispatcher.await("SIGHUP was ignored at the start", 0, TIMEOUT_MS);
-    dispatcher.await("serves on", 0, TIMEOUT_MS);
+    dispatcher.awaitLogLine("SIGHUP was ignored at the start", 0, TIMEOUT_MS);
+    dispatcher.awaitLogLine("serves on", 0, TIMEOUT_MS);
     dispatcher.signal("HUP");
     assertEquals(0, dispatcher.terminate().get("configurations_read"));
   }
@@ -164,9 +166,9 @@
   @Test
   void startWithoutIgnoredSighupAllowsReload() throws Exception {
     dispatcher.start();
-    dispatcher.await("serves on", 0, TIMEOUT_MS);
+    dispatcher.awaitLogLine("serves on", 0, TIMEOUT_MS);
     dispatcher.signal("HUP");
-    dispatcher.await("has reloaded its configuration", 0, TIMEOUT_MS);
+    dispatcher.awaitLogLine("has reloaded its configuration", 0, TIMEOUT_MS);
     assertTrue(!dispatcher.log().contains("SIGHUP was ignored"), dispatcher.log());
     assertEquals(1, dispatcher.terminate().get("configurations_read"));
   }
--- a/src/test/java/cobaltseam/service/ProcessSignalTest.java
+++ b/src/test/java/cobaltseam/service/ProcessSignalTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cobaltseam.standin.DispatcherProcess;
+import cobaltseam.standin.EmulatedDiscovery;
 import cobaltseam.standin.EmulatedEngine;
-import cobaltseam.standin.EmulatedEventBus;
 import cobaltseam.standin.RequestLedger.Outcome;
 import cobaltseam.standin.StatementClient;
 import java.io.IOException;
@@ -43,16 +43,17 @@
   private static final int MIN_READY = 9;
 
   @TempDir Path folder;
-  private EmulatedEventBus bus;
+  private EmulatedDiscovery bus;
   private EmulatedEngine engine;
   private String knownEndpoints;
   private final List<DispatcherProcess> processes = new ArrayList<>();
 
   @BeforeEach
   void startEngineAndEventBus() throws Exception {
-    bus = new EmulatedEventBus(HOST);
+    bus = new EmulatedDiscovery(HOST);
     engine = new EmulatedEngine(HOST, profile -> REQUEST_DURATION_MS);
-    knownEndpoints = bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
+    knownEndpoints =
+        bus.publish(true, EmulatedDiscovery.endpointJson(1, engine.address(), "in_service"));
   }
 
   @AfterEach
@@ -85,21 +86,21 @@
     InetSocketAddress listen = freeAddress();
     DispatcherProcess process = dispatcher(0, listen);
     process.start();
-    process.await("serves on", 0, TIMEOUT_MS);
+    process.awaitLogLine("serves on", 0, TIMEOUT_MS);
     ExecutorService executor = Executors.newSingleThreadExecutor();
     try (StatementClient client = new StatementClient(listen, TIMEOUT_MS)) {
       Future<Outcome> outcome =
           executor.submit(
               () -> client.execute("%016x".formatted(1), "once", 3000, REQUEST_DURATION_MS));
-      while (engine.running() == 0) {
+      while (engine.runningCount() == 0) {
         assertFalse(outcome.isDone(), "the request ended before it reached the engine");
         Thread.onSpinWait();
       }
-      int firstLine = process.lines();
+      int firstLine = process.logLineCount();
       process.signal("TERM");
       process.signal("HUP");
       process.signal("TERM");
-      Map<String, Long> counters = process.awaitEnd(firstLine);
+      Map<String, Long> counters = process.awaitExit(firstLine);
       assertEquals(Outcome.ANSWERED, outcome.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
       assertEquals(0, counters.get("faults"));
     } finally {
@@ -116,17 +117,17 @@
     InetSocketAddress listen = freeAddress();
     DispatcherProcess process = dispatcher(0, listen);
     process.start();
-    process.await("serves on", 0, TIMEOUT_MS);
+    process.awaitLogLine("serves on", 0, TIMEOUT_MS);
     ExecutorService executor = Executors.newSingleThreadExecutor();
     try (StatementClient client = new StatementClient(listen, TIMEOUT_MS)) {
-      int firstLine = process.lines();
+      int firstLine = process.logLineCount();
       process.signal("STOP");
       client.send("%016x".formatted(1), "once", 3000, REQUEST_DURATION_MS);
       process.signal("TERM");
       Future<Outcome> outcome = executor.submit(client::awaitOutcome);
       process.signal("CONT");
       assertEquals(Outcome.ANSWERED, outcome.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
-      assertEquals(0, process.awaitEnd(firstLine).get("faults"));
+      assertEquals(0, process.awaitExit(firstLine).get("faults"));
     } finally {
       executor.shutdownNow();
     }
@@ -150,7 +151,7 @@
           () -> {
             long startNanos = System.nanoTime();
             processes.get(number).start();
-            processes.get(number).await("serves on", 0, TIMEOUT_MS);
+            processes.get(number).awaitLogLine("serves on", 0, TIMEOUT_MS);
             try (StatementClient client = new StatementClient(addresses.get(number), TIMEOUT_MS)) {
               client.show("counters");
             }
--- a/src/test/java/cobaltseam/service/VirtualAddressServiceFaultTest.java
+++ b/src/test/java/cobaltseam/service/VirtualAddressServiceFaultTest.java
@@ -9,8 +9,8 @@
 import cobaltseam.settings.Settings;
 import cobaltseam.settings.SettingsReader;
 import cobaltseam.standin.DispatcherProcess;
+import cobaltseam.standin.EmulatedDiscovery;
 import cobaltseam.standin.EmulatedEngine;
-import cobaltseam.standin.EmulatedEventBus;
 import cobaltseam.standin.RequestLedger.Outcome;
 import cobaltseam.standin.StatementClient;
 import cobaltseam.standin.VirtualAddressRig;
@@ -39,10 +39,10 @@
 
   @TempDir Path folder;
 
-  private static ServiceConfiguration configuration(EmulatedEngine engine, EmulatedEventBus bus)
+  private static ServiceConfiguration configuration(EmulatedEngine engine, EmulatedDiscovery bus)
       throws IOException {
     String endpointEvents =
-        bus.publish(true, EmulatedEventBus.target(1, engine.address(), "in_service"));
+        bus.publish(true, EmulatedDiscovery.endpointJson(1, engine.address(), "in_service"));
     String json =
         DispatcherProcess.configuration(
             "n0", new InetSocketAddress("127.0.0.1", 0), 0, 1, 8, bus, endpointEvents);
@@ -97,7 +97,7 @@
       String id = "%016x".formatted(0xe00 + call);
       CompletableFuture<Outcome> outcome =
           CompletableFuture.supplyAsync(() -> executeAndClose(client, id));
-      while (engine.running() == 0 && !outcome.isDone()) {
+      while (engine.runningCount() == 0 && !outcome.isDone()) {
         assertTrue(System.nanoTime() < deadlineNanos, "no request is in flight");
         VirtualAddressRig.sleep(5);
       }
@@ -122,7 +122,7 @@
   @Test
   void requestReceivedWhileTheRouterIsFencedIsRejected() throws Exception {
     try (EmulatedEngine engine = new EmulatedEngine("127.0.0.1", p -> 600);
-        EmulatedEventBus bus = new EmulatedEventBus("127.0.0.1")) {
+        EmulatedDiscovery bus = new EmulatedDiscovery("127.0.0.1")) {
       Settings.VirtualAddressSettings settings = settings();
       InetSocketAddress serviceAddress = settings.routers().get(0).serviceAddress();
       DispatcherService service = new DispatcherService(configuration(engine, bus));
@@ -136,8 +136,8 @@
         // The test is about this duration: the fence time passes while the event loop does not run.
         VirtualAddressRig.sleep(FENCED_AFTER_MS);
         resumed.countDown();
-        assertEquals(Outcome.TURNED_AWAY, client.awaitOutcome());
-        assertTrue(engine.ledger().isEmpty(), "no request ran at the engine");
+        assertEquals(Outcome.REJECTED, client.awaitOutcome());
+        assertTrue(engine.executions().isEmpty(), "no request ran at the engine");
       }
       loop.interrupt();
       loop.join();
@@ -156,7 +156,7 @@
   @Test
   void faultInMastershipEndsOnlyMastership() throws Exception {
     try (EmulatedEngine engine = new EmulatedEngine("127.0.0.1", p -> 600);
-        EmulatedEventBus bus = new EmulatedEventBus("127.0.0.1")) {
+        EmulatedDiscovery bus = new EmulatedDiscovery("127.0.0.1")) {
       AtomicBoolean isFailing = new AtomicBoolean();
       Settings.VirtualAddressSettings settings = settings();
       InetSocketAddress serviceAddress = settings.routers().get(0).serviceAddress();
@@ -176,7 +176,7 @@
       assertEquals(Outcome.ANSWERED, outcome.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
       try (StatementClient client = new StatementClient(service.address(), 5000)) {
         assertEquals("ended by a fault", client.show("mastership").get("mastership"));
-        assertEquals(Outcome.TURNED_AWAY, client.execute("00000000000000e2", "look", 2500));
+        assertEquals(Outcome.REJECTED, client.execute("00000000000000e2", "look", 2500));
       }
       assertThrows(IOException.class, () -> new StatementClient(serviceAddress, 500));
       loop.interrupt();
--- a/src/test/java/cobaltseam/service/VirtualAddressServiceTest.java
+++ b/src/test/java/cobaltseam/service/VirtualAddressServiceTest.java
@@ -53,7 +53,7 @@
    */
   private static String shown(VirtualAddressRig rig, int index, String name) throws Exception {
     long startNanos = System.nanoTime();
-    try (StatementClient client = new StatementClient(rig.owns[index], 5000)) {
+    try (StatementClient client = new StatementClient(rig.ownAddresses[index], 5000)) {
       return client.show("mastership").getOrDefault(name, "");
     } catch (EOFException e) {
       long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
@@ -68,7 +68,7 @@
 
   private static Map<String, String> shownCounters(VirtualAddressRig rig, int index)
       throws IOException {
-    try (StatementClient client = new StatementClient(rig.owns[index], 5000)) {
+    try (StatementClient client = new StatementClient(rig.ownAddresses[index], 5000)) {
       return client.show("counters");
     }
   }
@@ -91,14 +91,14 @@
   private static void awaitState(VirtualAddressRig rig, int index, String state) throws Exception {
     awaitShown(rig, index, "router_51/ipv4_state", state);
     if (state.equals("active")) {
-      awaitShown(rig, index, "router_51/ipv4_serves", rig.serves[index] + " open");
+      awaitShown(rig, index, "router_51/ipv4_serves", rig.serveAddresses[index] + " open");
     }
   }
 
   /** Gives this dispatcher the higher priority, and waits until it is active. */
   private static void moveMastership(VirtualAddressRig rig, int to) throws Exception {
     for (int i = 0; i < 2; i++) {
-      rig.dispatchers[i].writeSettings(rig.own(i, i == to ? 200 : 50));
+      rig.dispatchers[i].writeSettings(rig.toml(i, i == to ? 200 : 50));
       rig.dispatchers[i].signal("HUP");
     }
     awaitState(rig, to, "active");
@@ -126,16 +126,16 @@
         (long) outcomes.get(Outcome.FAILED),
         first.get("commands_failed") + second.get("commands_failed"),
         outcomes.toString());
-    assertEquals(0, outcomes.get(Outcome.SILENT));
+    assertEquals(0, outcomes.get(Outcome.TIMED_OUT));
     assertEquals(0, first.get("faults") + second.get("faults"));
     assertInvariantsHold(rig);
   }
 
   private static void assertInvariantsHold(VirtualAddressRig rig) {
-    assertEquals(0, rig.ranTwice(), "no request that is not idempotent started twice");
-    assertEquals(0, rig.answeredUnrun(), "every answered request was completed by an engine");
-    assertEquals(0, rig.turnedAwayRun(), "no request that a backup rejected ran");
-    assertEquals(0, rig.shedThoughRun(), "no request that is not idempotent was shed after it ran");
+    assertEquals(0, rig.repeatedRuns(), "no request that is not idempotent started twice");
+    assertEquals(0, rig.answeredWithoutRun(), "every answered request was completed by an engine");
+    assertEquals(0, rig.rejectedButRun(), "no request that a backup rejected ran");
+    assertEquals(0, rig.shedAfterRun(), "no request that is not idempotent was shed after it ran");
   }
 
   /**
@@ -174,16 +174,16 @@
       rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
       rig.dispatchers[0].kill();
       long killedAt = System.nanoTime();
-      rig.dispatchers[1].await("mastership.taken", 0, TIMEOUT_MS);
+      rig.dispatchers[1].awaitLogLine("mastership.taken", 0, TIMEOUT_MS);
       rig.awaitAnswer(killedAt, TIMEOUT_MS);
-      int fromLine = rig.dispatchers[0].lines();
+      int fromLine = rig.dispatchers[0].logLineCount();
       rig.dispatchers[0].start();
       // The restarted dispatcher has the higher priority and becomes active again.
-      rig.dispatchers[0].await("mastership.serves", fromLine, TIMEOUT_MS);
+      rig.dispatchers[0].awaitLogLine("mastership.serves", fromLine, TIMEOUT_MS);
       rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
-      fromLine = rig.dispatchers[1].lines();
+      fromLine = rig.dispatchers[1].logLineCount();
       rig.dispatchers[0].terminate();
-      rig.dispatchers[1].await("mastership.taken", fromLine, TIMEOUT_MS);
+      rig.dispatchers[1].awaitLogLine("mastership.taken", fromLine, TIMEOUT_MS);
       rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
       rig.stopClients();
       assertInvariantsHold(rig);
@@ -198,16 +198,16 @@
       rig.startClients(6, 1, 2000);
       rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
       rig.dispatchers[0].signal("STOP");
-      rig.dispatchers[1].await("mastership.taken", 0, TIMEOUT_MS);
+      rig.dispatchers[1].awaitLogLine("mastership.taken", 0, TIMEOUT_MS);
       rig.awaitAnswer(System.nanoTime(), TIMEOUT_MS);
-      int fromLine = rig.dispatchers[0].lines();
+      int fromLine = rig.dispatchers[0].logLineCount();
       rig.dispatchers[0].signal("CONT");
-      int left = rig.dispatchers[0].await("mastership.left", fromLine, TIMEOUT_MS);
+      int left = rig.dispatchers[0].awaitLogLine("mastership.left", fromLine, TIMEOUT_MS);
       assertTrue(
           rig.dispatchers[0].log().lines().toList().get(left - 1).contains("fenced"),
           rig.dispatchers[0].log());
       // The resumed dispatcher becomes active again, since its priority is higher.
-      rig.dispatchers[0].await("mastership.taken", left, TIMEOUT_MS);
+      rig.dispatchers[0].awaitLogLine("mastership.taken", left, TIMEOUT_MS);
       rig.stopClients();
       assertInvariantsHold(rig);
     }
@@ -253,7 +253,7 @@
         clients.add(
             new Thread(
                 () -> {
-                  try (StatementClient client = new StatementClient(rig.serves[0], 8000)) {
+                  try (StatementClient client = new StatementClient(rig.serveAddresses[0], 8000)) {
                     outcomes.put(call, client.execute(call, profile, 3000, 800));
                     endedAtNanos.put(call, System.nanoTime());
                   } catch (IOException e) {
@@ -262,7 +262,7 @@
                 }));
         clients.get(i).start();
       }
-      for (long waitedMs = 0; rig.engines.get(0).running() < 2; waitedMs += 5) {
+      for (long waitedMs = 0; rig.engines.get(0).runningCount() < 2; waitedMs += 5) {
         assertTrue(waitedMs < TIMEOUT_MS, "fewer than two requests are in flight");
         VirtualAddressRig.sleep(5);
       }
@@ -299,17 +299,17 @@
   void dispatcherThatCannotBindItsAddressLetsPeerServe() throws Exception {
     try (VirtualAddressRig rig = new VirtualAddressRig(Plan.of(100, 13), folder)) {
       try (ServerSocket occupant = new ServerSocket()) {
-        occupant.bind(rig.serves[0]);
+        occupant.bind(rig.serveAddresses[0]);
         rig.start();
-        rig.dispatchers[0].await("mastership.bind_failed", 0, TIMEOUT_MS);
-        rig.dispatchers[0].await("unable", 0, TIMEOUT_MS);
+        rig.dispatchers[0].awaitLogLine("mastership.bind_failed", 0, TIMEOUT_MS);
+        rig.dispatchers[0].awaitLogLine("unable", 0, TIMEOUT_MS);
         awaitState(rig, 1, "active");
-        try (StatementClient client = connect(rig.serves[1])) {
+        try (StatementClient client = connect(rig.serveAddresses[1])) {
           assertEquals(Outcome.ANSWERED, client.execute("00000000000000d0", "look", 2000));
         }
       }
       // The address is free again: the dispatcher retries after its backoff and becomes active.
-      rig.dispatchers[0].await("mastership.serves", 0, TIMEOUT_MS);
+      rig.dispatchers[0].awaitLogLine("mastership.serves", 0, TIMEOUT_MS);
       awaitState(rig, 1, "backup");
     }
   }
@@ -322,13 +322,13 @@
   void dispatcherThatCannotBindItsAddressDoesNotEndServiceOfPeer() throws Exception {
     try (VirtualAddressRig rig = new VirtualAddressRig(Plan.of(100, 16), folder);
         ServerSocket occupant = new ServerSocket()) {
-      occupant.bind(rig.serves[0]);
+      occupant.bind(rig.serveAddresses[0]);
       rig.dispatchers[1].start();
-      rig.dispatchers[1].await(" serves on ", 0, TIMEOUT_MS);
+      rig.dispatchers[1].awaitLogLine(" serves on ", 0, TIMEOUT_MS);
       awaitState(rig, 1, "active");
       rig.dispatchers[0].start();
-      rig.dispatchers[0].await("mastership.bind_failed", 0, TIMEOUT_MS);
-      rig.dispatchers[0].await("unable", 0, TIMEOUT_MS);
+      rig.dispatchers[0].awaitLogLine("mastership.bind_failed", 0, TIMEOUT_MS);
+      rig.dispatchers[0].awaitLogLine("unable", 0, TIMEOUT_MS);
       assertTrue(!rig.dispatchers[1].log().contains("mastership.left"), rig.dispatchers[1].log());
       assertEquals("active", state(rig, 1));
     }
@@ -350,17 +350,17 @@
       KeyRing keys = KeyRing.parse("1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16));
       Advertisement advert =
           new Advertisement(51, 250, 10, List.of(Addresses.parse("192.0.2.10").orElseThrow()));
-      InetAddress peer = rig.seenAs(1);
-      InetAddress self = rig.listens(0).getAddress();
+      InetAddress peer = rig.advertSourceAddress(1);
+      InetAddress self = rig.advertListenAddress(0).getAddress();
       byte[] plain = AdvertisementCodec.encode(advert, peer, self, ChecksumCoverage.MESSAGE);
       rig.start();
       awaitState(rig, 0, "active");
       // An advertisement signed with the right key in the peer's name is accepted.
       rig.links[1].sendToReceiver(
           AdvertisementAuthenticator.sign(plain, peer, self, keys, 1, nowUs()));
-      rig.dispatchers[0].await("higher_heard", 0, TIMEOUT_MS);
+      rig.dispatchers[0].awaitLogLine("higher_heard", 0, TIMEOUT_MS);
       awaitState(rig, 0, "active");
-      int fromLine = rig.dispatchers[0].lines();
+      int fromLine = rig.dispatchers[0].logLineCount();
       byte[] stale =
           AdvertisementAuthenticator.sign(plain, peer, self, keys, 1, nowUs() - 1_500_000);
       sendInvalid(rig, plain, stale, keys);
@@ -377,9 +377,9 @@
       rotateKeys(rig, plain, keys);
       // An invalid key file changes nothing.
       Files.writeString(rig.dispatchers[0].folder().toPath().resolve("keys"), "2 short");
-      int reloadFromLine = rig.dispatchers[0].lines();
+      int reloadFromLine = rig.dispatchers[0].logLineCount();
       rig.dispatchers[0].signal("HUP");
-      rig.dispatchers[0].await("configuration.unusable", reloadFromLine, TIMEOUT_MS);
+      rig.dispatchers[0].awaitLogLine("configuration.unusable", reloadFromLine, TIMEOUT_MS);
       assertEquals("active", state(rig, 0));
     }
   }
@@ -387,8 +387,8 @@
   /** Sends unauthenticated, stale, unknown-key and random datagrams in the peer's name. */
   private static void sendInvalid(VirtualAddressRig rig, byte[] plain, byte[] stale, KeyRing keys)
       throws Exception {
-    InetAddress peer = rig.seenAs(1);
-    InetAddress self = rig.listens(0).getAddress();
+    InetAddress peer = rig.advertSourceAddress(1);
+    InetAddress self = rig.advertListenAddress(0).getAddress();
     SplittableRandom random = new SplittableRandom(14);
     for (int i = 0; i < 2000; i++) {
       byte[] bytes =
@@ -409,19 +409,19 @@
   /** Adds a second key by SIGHUP, then removes the first one. */
   private static void rotateKeys(VirtualAddressRig rig, byte[] plain, KeyRing keys)
       throws Exception {
-    InetAddress peer = rig.seenAs(1);
-    InetAddress self = rig.listens(0).getAddress();
+    InetAddress peer = rig.advertSourceAddress(1);
+    InetAddress self = rig.advertListenAddress(0).getAddress();
     for (String file :
         new String[] {"1 " + "ab".repeat(16) + "\n2 " + "cd".repeat(16), "2 " + "cd".repeat(16)}) {
       Files.writeString(rig.dispatchers[0].folder().toPath().resolve("keys"), file);
-      rig.dispatchers[0].writeSettings(rig.own(0, 150).replace("write_key = 1", "write_key = 2"));
-      int fromLine = rig.dispatchers[0].lines();
+      rig.dispatchers[0].writeSettings(rig.toml(0, 150).replace("write_key = 1", "write_key = 2"));
+      int fromLine = rig.dispatchers[0].logLineCount();
       rig.dispatchers[0].signal("HUP");
-      rig.dispatchers[0].await("configuration.read", fromLine, TIMEOUT_MS);
-      fromLine = rig.dispatchers[0].lines();
+      rig.dispatchers[0].awaitLogLine("configuration.read", fromLine, TIMEOUT_MS);
+      fromLine = rig.dispatchers[0].logLineCount();
       rig.links[1].sendToReceiver(
           AdvertisementAuthenticator.sign(plain, peer, self, keys, 2, nowUs()));
-      rig.dispatchers[0].await("higher_heard", fromLine, TIMEOUT_MS);
+      rig.dispatchers[0].awaitLogLine("higher_heard", fromLine, TIMEOUT_MS);
       awaitState(rig, 0, "active");
     }
   }
@@ -458,11 +458,11 @@
     try (VirtualAddressRig rig = new VirtualAddressRig(plan, folder)) {
       rig.start();
       awaitState(rig, 0, "active");
-      rig.bus.setSilent(true);
-      rig.dispatchers[0].await("mastership.fitness", 0, TIMEOUT_MS);
-      rig.dispatchers[1].await("mastership.fitness", 0, TIMEOUT_MS);
+      rig.discovery.setSilent(true);
+      rig.dispatchers[0].awaitLogLine("mastership.fitness", 0, TIMEOUT_MS);
+      rig.dispatchers[1].awaitLogLine("mastership.fitness", 0, TIMEOUT_MS);
       awaitShown(rig, 0, "fitness_steps", "50 [bus_silent]");
-      rig.bus.setSilent(false);
+      rig.discovery.setSilent(false);
       awaitShown(rig, 0, "fitness_steps", "0 []");
       awaitState(rig, 0, "active");
     }
@@ -485,13 +485,13 @@
     try (VirtualAddressRig rig = new VirtualAddressRig(Plan.of(100, 11), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
-      try (StatementClient client = new StatementClient(rig.owns[1], 5000)) {
-        assertEquals(Outcome.TURNED_AWAY, client.execute("00000000000000aa", "look", 2000));
+      try (StatementClient client = new StatementClient(rig.ownAddresses[1], 5000)) {
+        assertEquals(Outcome.REJECTED, client.execute("00000000000000aa", "look", 2000));
         assertTrue(client.lastError().contains("pushback=400"), client.lastError());
         assertEquals("backup", client.show("mastership").get("router_51/ipv4_state"));
         assertEquals("0", client.show("counters").get("commands_taken"));
       }
-      try (StatementClient client = new StatementClient(rig.owns[0], 5000)) {
+      try (StatementClient client = new StatementClient(rig.ownAddresses[0], 5000)) {
         assertEquals(Outcome.ANSWERED, client.execute("00000000000000ab", "look", 2000));
       }
     }
--- a/src/test/java/cobaltseam/soak/RestartSoak.java
+++ b/src/test/java/cobaltseam/soak/RestartSoak.java
@@ -2,8 +2,8 @@
 
 import cobaltseam.soak.SoakPlan.Fault;
 import cobaltseam.standin.DispatcherProcess;
+import cobaltseam.standin.EmulatedDiscovery;
 import cobaltseam.standin.EmulatedEngine;
-import cobaltseam.standin.EmulatedEventBus;
 import cobaltseam.standin.RequestLedger.Entry;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -40,7 +40,7 @@
   }
 
   private final SoakPlan plan;
-  private final EmulatedEventBus bus = new EmulatedEventBus(HOST);
+  private final EmulatedDiscovery bus = new EmulatedDiscovery(HOST);
   private final List<EmulatedEngine> engines = new ArrayList<>();
   private final List<InetSocketAddress> addresses = new ArrayList<>();
   private final List<DispatcherProcess> dispatchers = new ArrayList<>();
@@ -76,7 +76,7 @@
   }
 
   private String target(int engine, String state) {
-    return EmulatedEventBus.target(engine + 1, engines.get(engine).address(), state);
+    return EmulatedDiscovery.endpointJson(engine + 1, engines.get(engine).address(), state);
   }
 
   private static InetSocketAddress freeAddress() throws IOException {
@@ -91,7 +91,7 @@
       dispatcher.start();
     }
     for (DispatcherProcess dispatcher : dispatchers) {
-      dispatcher.await("serves on", 0, START_MS);
+      dispatcher.awaitLogLine("serves on", 0, START_MS);
     }
     SoakClients clients = new SoakClients(plan, addresses);
     clients.start();
@@ -120,7 +120,7 @@
     for (EmulatedEngine engine : engines) {
       departures.forEach(
           (call, leftAt) -> {
-            long startedAt = engine.lastStarts().getOrDefault(call, leftAt);
+            long startedAt = engine.lastStartTimes().getOrDefault(call, leftAt);
             late.add(TimeUnit.NANOSECONDS.toMillis(Math.max(0, startedAt - leftAt)));
           });
     }
@@ -156,7 +156,7 @@
     Map<String, Integer> sums = new HashMap<>();
     for (EmulatedEngine engine : engines) {
       engine
-          .ledger()
+          .executions()
           .forEach(
               (call, ran) -> {
                 int count = started ? ran.started().get() : ran.completed().get();
@@ -206,7 +206,7 @@
     reload(dispatcher, 1);
     DispatcherProcess process = dispatchers.get(dispatcher);
     long from = System.nanoTime();
-    int line = process.lines();
+    int line = process.logLineCount();
     process.signal("TERM");
     if (process.isAlive()) {
       process.signal("HUP");
@@ -220,7 +220,7 @@
     long from = System.nanoTime();
     List<Integer> lines = new ArrayList<>();
     for (DispatcherProcess process : processes) {
-      lines.add(process.lines());
+      lines.add(process.logLineCount());
       process.signal("TERM");
     }
     for (int i = 0; i < processes.size(); i++) {
@@ -230,7 +230,7 @@
 
   private void recordEnd(DispatcherProcess process, long from, int line) throws Exception {
     shutdowns.add(new Shutdown(dispatchers.indexOf(process), from));
-    counters.add(process.awaitEnd(line));
+    counters.add(process.awaitExit(line));
     shutdownMs.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from));
   }
 
@@ -238,11 +238,11 @@
     long from = System.nanoTime();
     List<Integer> lines = new ArrayList<>();
     for (DispatcherProcess process : processes) {
-      lines.add(process.lines());
+      lines.add(process.logLineCount());
       process.start();
     }
     for (int i = 0; i < processes.size(); i++) {
-      processes.get(i).await("serves on", lines.get(i), START_MS);
+      processes.get(i).awaitLogLine("serves on", lines.get(i), START_MS);
       readyMs.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from));
     }
   }
@@ -265,7 +265,7 @@
     bus.publish(false, target(engine, "terminating"));
     Thread.sleep(SoakCheck.DRAIN_MS + FAULT_MS);
     long last =
-        engines.get(engine).lastStarts().values().stream()
+        engines.get(engine).lastStartTimes().values().stream()
             .mapToLong(Long::longValue)
             .max()
             .orElse(published);
--- a/src/test/java/cobaltseam/soak/SoakCheck.java
+++ b/src/test/java/cobaltseam/soak/SoakCheck.java
@@ -25,7 +25,7 @@
               && isReceived(r, Outcome.SHED, "commands_shed")
               && isReceived(r, Outcome.FAILED, "commands_failed")),
   /** No client waits in vain. */
-  NO_CLIENT_WAITS_IN_VAIN(r -> seen(r, Outcome.SILENT) == 0),
+  NO_CLIENT_WAITS_IN_VAIN(r -> seen(r, Outcome.TIMED_OUT) == 0),
   /** What must not be repeated is started once at the most. */
   NOTHING_RUNS_TWICE(
       r ->
@@ -42,7 +42,7 @@
   NOTHING_REJECTED_RUNS(
       r ->
           r.requests().stream()
-              .filter(e -> e.end() == Outcome.TURNED_AWAY)
+              .filter(e -> e.end() == Outcome.REJECTED)
               .noneMatch(e -> r.starts().containsKey(e.call()))),
   /** Nothing begins for a client that has left. */
   NOTHING_BEGINS_AFTER_A_DEPARTURE(
--- a/src/test/java/cobaltseam/soak/SoakCheckTest.java
+++ b/src/test/java/cobaltseam/soak/SoakCheckTest.java
@@ -77,14 +77,14 @@
   void anAnswerThatItsClientNeverReadIsFound() {
     assertBreaksOnly(
         SoakCheck.EVERY_ANSWER_REACHES_ITS_CLIENT,
-        soakRecord(List.of(entry("1", "look", Outcome.CUT)), 1, 1, counters(1, 1, 0)));
+        soakRecord(List.of(entry("1", "look", Outcome.DISCONNECTED)), 1, 1, counters(1, 1, 0)));
   }
 
   @Test
   void aClientThatWaitsInVainIsFound() {
     assertBreaksOnly(
         SoakCheck.NO_CLIENT_WAITS_IN_VAIN,
-        soakRecord(List.of(entry("1", "look", Outcome.SILENT)), 0, 0, counters(0, 0, 0)));
+        soakRecord(List.of(entry("1", "look", Outcome.TIMED_OUT)), 0, 0, counters(0, 0, 0)));
   }
 
   @Test
@@ -104,7 +104,7 @@
   void aRejectedRequestThatRanIsFound() {
     assertBreaksOnly(
         SoakCheck.NOTHING_REJECTED_RUNS,
-        soakRecord(List.of(entry("1", "look", Outcome.TURNED_AWAY)), 1, 1, counters(0, 0, 0)));
+        soakRecord(List.of(entry("1", "look", Outcome.REJECTED)), 1, 1, counters(0, 0, 0)));
   }
 
   @Test
--- a/src/test/java/cobaltseam/soak/SoakClients.java
+++ b/src/test/java/cobaltseam/soak/SoakClients.java
@@ -79,7 +79,10 @@
 
   private void sendUntilItEnds(StatementClient client, int dispatcher, SplittableRandom random) {
     Outcome outcome = Outcome.ANSWERED;
-    while (isRunning && outcome != Outcome.CUT && outcome != Outcome.SILENT && stays(random)) {
+    while (isRunning
+        && outcome != Outcome.DISCONNECTED
+        && outcome != Outcome.TIMED_OUT
+        && stays(random)) {
       String call = "%016x".formatted(calls.incrementAndGet());
       String profile = PROFILES[random.nextInt(PROFILES.length)];
       long asked = System.nanoTime();
--- a/src/test/java/cobaltseam/standin/DispatcherProcess.java
+++ b/src/test/java/cobaltseam/standin/DispatcherProcess.java
@@ -45,7 +45,7 @@
       int position,
       int dispatchers,
       int cores,
-      EmulatedEventBus bus,
+      EmulatedDiscovery bus,
       String known) {
     return """
                 {"name":"%s","listen":"%s:%d","seed":"8c1f30d27a5be96%d","limits":{"sockets":512,"memory_mb":128},
@@ -126,7 +126,7 @@
    * Waits until a line with this text is in the log, from this line on. Returns the number of the
    * next line.
    */
-  public int await(String text, int from, long withinMs) throws InterruptedException {
+  public int awaitLogLine(String text, int from, long withinMs) throws InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
     synchronized (log) {
       for (int i = from; ; i++) {
@@ -145,7 +145,7 @@
   }
 
   /** The number of lines in the log so far. */
-  public int lines() {
+  public int logLineCount() {
     synchronized (log) {
       return log.size();
     }
@@ -170,20 +170,20 @@
 
   /** Sends SIGTERM, and returns the counters that the process prints at its end. */
   public Map<String, Long> terminate() throws IOException, InterruptedException {
-    int from = lines();
+    int from = logLineCount();
     signal("TERM");
-    return awaitEnd(from);
+    return awaitExit(from);
   }
 
   /**
    * Waits until the process has ended, and returns the counters that it printed after this line of
    * its log.
    */
-  public Map<String, Long> awaitEnd(int from) throws InterruptedException {
+  public Map<String, Long> awaitExit(int from) throws InterruptedException {
     if (!process.waitFor(20, TimeUnit.SECONDS)) {
       throw new AssertionError("it does not end:\n" + log());
     }
-    await("counters ", from, 5000);
+    awaitLogLine("counters ", from, 5000);
     Map<String, Long> counters = new HashMap<>();
     String line =
         log().lines().filter(l -> l.startsWith("counters ")).reduce((a, b) -> b).orElseThrow();
--- a/src/test/java/cobaltseam/standin/EmulatedEventBus.java
+++ b/src/test/java/cobaltseam/standin/EmulatedDiscovery.java
@@ -15,7 +15,7 @@
  * An emulated event bus on loopback: sends each client the events that it lacks, and the last
  * offset every 200 ms.
  */
-public final class EmulatedEventBus implements AutoCloseable {
+public final class EmulatedDiscovery implements AutoCloseable {
   private static final int BEAT_MS = 200;
 
   private final ServerSocket server;
@@ -23,7 +23,7 @@
   private volatile boolean silent;
 
   /** Starts an event bus on a free port of this host. */
-  public EmulatedEventBus(String host) throws IOException {
+  public EmulatedDiscovery(String host) throws IOException {
     server = new ServerSocket();
     server.bind(new InetSocketAddress(InetAddress.getByName(host), 0), 64);
     EmulatedEngine.thread(this::accept).start();
@@ -35,7 +35,7 @@
   }
 
   /** One engine's entry in an event. */
-  public static String target(int engine, InetSocketAddress at, String state) {
+  public static String endpointJson(int engine, InetSocketAddress at, String state) {
     return "{\"uid\":\"s-%08x\",\"endpoint\":\"%s:%d\",\"az\":\"z\",\"model\":\"m\",\"state\":\"%s\",\"boot_ms\":0}"
         .formatted(engine, at.getAddress().getHostAddress(), at.getPort(), state);
   }
--- a/src/test/java/cobaltseam/standin/EmulatedEngine.java
+++ b/src/test/java/cobaltseam/standin/EmulatedEngine.java
@@ -67,7 +67,7 @@
   }
 
   /** The executions of each request, by call id. */
-  public Map<String, Executions> ledger() {
+  public Map<String, Executions> executions() {
     return ledger;
   }
 
@@ -82,12 +82,12 @@
   }
 
   /** The number of requests that run now. */
-  public int running() {
+  public int runningCount() {
     return running.get();
   }
 
   /** When each request was started last, by call id, in nanoseconds of this process. */
-  public Map<String, Long> lastStarts() {
+  public Map<String, Long> lastStartTimes() {
     return lastStarts;
   }
 
--- a/src/test/java/cobaltseam/standin/FlipRun.java
+++ b/src/test/java/cobaltseam/standin/FlipRun.java
@@ -37,7 +37,7 @@
   }
 
   private static String state(VirtualAddressRig rig, int index) throws IOException {
-    try (StatementClient client = new StatementClient(rig.owns[index], 5000)) {
+    try (StatementClient client = new StatementClient(rig.ownAddresses[index], 5000)) {
       return client.show("mastership").get("router_51/ipv4_state");
     }
   }
@@ -98,7 +98,7 @@
             default -> {}
           }
           for (int i = 0; i < 2; i++) {
-            rig.dispatchers[i].writeSettings(rig.own(i, i == up ? 200 : 50));
+            rig.dispatchers[i].writeSettings(rig.toml(i, i == up ? 200 : 50));
             rig.dispatchers[i].signal("HUP");
           }
           awaitState(rig, up, "active");
@@ -117,13 +117,13 @@
             seen.get(Outcome.ANSWERED),
             seen.get(Outcome.SHED),
             seen.get(Outcome.FAILED),
-            seen.get(Outcome.TURNED_AWAY),
-            seen.get(Outcome.CUT),
-            seen.get(Outcome.SILENT),
-            rig.ranTwice(),
-            rig.answeredUnrun(),
-            rig.turnedAwayRun(),
-            rig.shedThoughRun(),
+            seen.get(Outcome.REJECTED),
+            seen.get(Outcome.DISCONNECTED),
+            seen.get(Outcome.TIMED_OUT),
+            rig.repeatedRuns(),
+            rig.answeredWithoutRun(),
+            rig.rejectedButRun(),
+            rig.shedAfterRun(),
             unaccounted);
       }
     }
@@ -131,9 +131,9 @@
 
   private static void restart(VirtualAddressRig rig, int index)
       throws IOException, InterruptedException {
-    int from = rig.dispatchers[index].lines();
+    int from = rig.dispatchers[index].logLineCount();
     rig.dispatchers[index].start();
-    rig.dispatchers[index].await("service.started", from, 30_000);
+    rig.dispatchers[index].awaitLogLine("service.started", from, 30_000);
   }
 
   private static long unaccounted(Map<String, Long> counters) {
@@ -203,7 +203,7 @@
           rig.start();
           awaitState(rig, 0, "active");
           awaitState(rig, 1, "backup");
-          int from = rig.dispatchers[1].lines();
+          int from = rig.dispatchers[1].logLineCount();
           for (AdvertLink link : rig.links) {
             link.setFault(Fault.loss(percent / 100.0));
           }
@@ -244,7 +244,7 @@
             new Plan(2, cores, 60, 100, new int[] {150, 100}, true, "", 5), folder)) {
       rig.start();
       awaitState(rig, 0, "active");
-      rig.roving = true;
+      rig.reconnectsAtRandom = true;
       rig.startClients(160, 0, 2500);
       String[] names = {"pass both ways", "cut one way", "cut both ways", "pass again"};
       for (int phase = 0; phase < names.length; phase++) {
@@ -285,7 +285,7 @@
         Plan plan = new Plan(1, 8, 20, interval, new int[] {150, 100}, true, "", 1);
         try (VirtualAddressRig rig = new VirtualAddressRig(plan, folder)) {
           for (int i = 0; i < 2; i++) {
-            StringBuilder own = new StringBuilder(rig.own(i, i == 0 ? 150 : 100));
+            StringBuilder own = new StringBuilder(rig.toml(i, i == 0 ? 150 : 100));
             for (int r = 1; r < number; r++) {
               int port = 20_000 + r;
               own.append(
@@ -294,7 +294,7 @@
                           r >= 51 ? r + 1 : r,
                           i == 0 ? 150 : 100,
                           interval,
-                          rig.serves[i].getAddress().getHostAddress(),
+                          rig.serveAddresses[i].getAddress().getHostAddress(),
                           port));
             }
             rig.dispatchers[i].writeSettings(number == 0 ? "" : own.toString());
--- a/src/test/java/cobaltseam/standin/RequestLedger.java
+++ b/src/test/java/cobaltseam/standin/RequestLedger.java
@@ -15,9 +15,9 @@
     ANSWERED,
     SHED,
     FAILED,
-    TURNED_AWAY,
-    CUT,
-    SILENT,
+    REJECTED,
+    DISCONNECTED,
+    TIMED_OUT,
     UNSENT
   }
 
--- a/src/test/java/cobaltseam/standin/StatementClient.java
+++ b/src/test/java/cobaltseam/standin/StatementClient.java
@@ -48,7 +48,7 @@
     try {
       send(call, profile, ttlMs, workMs);
     } catch (IOException e) {
-      return Outcome.CUT;
+      return Outcome.DISCONNECTED;
     }
     return awaitOutcome();
   }
@@ -65,23 +65,23 @@
     try {
       return read(null);
     } catch (SocketTimeoutException e) {
-      return Outcome.SILENT;
+      return Outcome.TIMED_OUT;
     } catch (IOException e) {
-      return Outcome.CUT;
+      return Outcome.DISCONNECTED;
     }
   }
 
   /**
    * The rows of SHOW cobaltseam.NAME.
    *
-   * @throws NoTableException if the answer is an error, or a table without rows
+   * @throws ShowFailedException if the answer is an error, or a table without rows
    */
   public Map<String, String> show(String name) throws IOException {
     write("SHOW cobaltseam." + name);
     Map<String, String> rows = new LinkedHashMap<>();
     Outcome outcome = read(rows);
     if (outcome != Outcome.ANSWERED || rows.isEmpty()) {
-      throw new NoTableException(name, outcome, lastError);
+      throw new ShowFailedException(name, outcome, lastError);
     }
     return rows;
   }
@@ -103,7 +103,7 @@
   }
 
   private Outcome read(Map<String, String> rows) throws IOException {
-    Outcome end = Outcome.CUT;
+    Outcome end = Outcome.DISCONNECTED;
     while (true) {
       char type = (char) in.readByte();
       byte[] body = in.readNBytes(in.readInt() - 4);
@@ -126,7 +126,7 @@
           lastError = state + " " + text.substring(text.indexOf("\0M") + 2).strip();
           end =
               state.equals("57P03")
-                  ? Outcome.TURNED_AWAY
+                  ? Outcome.REJECTED
                   : state.startsWith("53") ? Outcome.SHED : Outcome.FAILED;
           if (text.startsWith("SFATAL")) {
             return end;
--- a/src/test/java/cobaltseam/standin/VirtualAddressRig.java
+++ b/src/test/java/cobaltseam/standin/VirtualAddressRig.java
@@ -42,15 +42,15 @@
       new AtomicInteger(ProcessHandle.current().pid() % 2 == 0 ? 1 : 120);
 
   public final List<EmulatedEngine> engines = new ArrayList<>();
-  public final EmulatedEventBus bus;
+  public final EmulatedDiscovery discovery;
   public final DispatcherProcess[] dispatchers = new DispatcherProcess[2];
 
   /** The links of adverts from each dispatcher to the other. */
   public final AdvertLink[] links = new AdvertLink[2];
 
   public final RequestLedger ledger = new RequestLedger();
-  public final InetSocketAddress[] serves = new InetSocketAddress[2];
-  public final InetSocketAddress[] owns = new InetSocketAddress[2];
+  public final InetSocketAddress[] serveAddresses = new InetSocketAddress[2];
+  public final InetSocketAddress[] ownAddresses = new InetSocketAddress[2];
   private final InetSocketAddress[] listens = new InetSocketAddress[2];
   private final InetSocketAddress[] seen = new InetSocketAddress[2];
   private final Plan plan;
@@ -61,25 +61,25 @@
    * Whether clients reconnect after some requests, to either dispatcher, as in a split in which the
    * network sees both.
    */
-  public volatile boolean roving;
+  public volatile boolean reconnectsAtRandom;
 
   private final List<Thread> clients = new ArrayList<>();
 
   /** Starts all parts but the dispatchers, whose files go into this folder. */
   public VirtualAddressRig(Plan plan, Path folder) throws IOException {
     this.plan = plan;
-    bus = new EmulatedEventBus("127.0.0.1");
+    discovery = new EmulatedDiscovery("127.0.0.1");
     List<String> targets = new ArrayList<>();
     for (int i = 0; i < plan.engines; i++) {
       engines.add(
           new EmulatedEngine("127.0.0.1", profile -> EmulatedEngine.randomAround(plan.engineMs)));
-      targets.add(EmulatedEventBus.target(i + 1, engines.get(i).address(), "in_service"));
+      targets.add(EmulatedDiscovery.endpointJson(i + 1, engines.get(i).address(), "in_service"));
     }
-    String known = bus.publish(true, targets.toArray(String[]::new));
+    String known = discovery.publish(true, targets.toArray(String[]::new));
     for (int i = 0; i < 2; i++) {
       listens[i] = udp(host());
-      serves[i] = tcp(host());
-      owns[i] = tcp(host());
+      serveAddresses[i] = tcp(host());
+      ownAddresses[i] = tcp(host());
     }
     for (int i = 0; i < 2; i++) {
       seen[i] = udp(host());
@@ -91,8 +91,9 @@
       dispatchers[i] =
           new DispatcherProcess(
               folder.resolve("n" + i),
-              DispatcherProcess.configuration("n" + i, owns[i], i, 2, plan.cores, bus, known),
-              own(i, plan.priorities[i]));
+              DispatcherProcess.configuration(
+                  "n" + i, ownAddresses[i], i, 2, plan.cores, discovery, known),
+              toml(i, plan.priorities[i]));
     }
   }
 
@@ -117,7 +118,7 @@
   }
 
   /** Our own settings file of one dispatcher. */
-  public String own(int index, int priority) {
+  public String toml(int index, int priority) {
     return """
                 [logging]
                 form = "json"
@@ -140,7 +141,7 @@
             priority,
             plan.intervalMs,
             plan.preempts,
-            text(serves[index]),
+            text(serveAddresses[index]),
             plan.more);
   }
 
@@ -150,17 +151,17 @@
       d.start();
     }
     for (DispatcherProcess d : dispatchers) {
-      d.await(" serves on ", 0, 30_000);
+      d.awaitLogLine(" serves on ", 0, 30_000);
     }
   }
 
   /** The address on which a dispatcher receives adverts. */
-  public InetSocketAddress listens(int index) {
+  public InetSocketAddress advertListenAddress(int index) {
     return listens[index];
   }
 
   /** The address from which the other dispatcher receives adverts of dispatcher i. */
-  public InetAddress seenAs(int index) {
+  public InetAddress advertSourceAddress(int index) {
     return seen[index].getAddress();
   }
 
@@ -193,7 +194,7 @@
       long asked = System.nanoTime();
       Outcome end = Outcome.UNSENT;
       try {
-        client = client == null ? new StatementClient(serves[at], ttlMs + 500) : client;
+        client = client == null ? new StatementClient(serveAddresses[at], ttlMs + 500) : client;
         end = client.execute(call, profile, ttlMs);
       } catch (IOException e) {
         end = Outcome.UNSENT;
@@ -202,14 +203,14 @@
         ledger.add(new Entry(call, profile, at, asked, System.nanoTime(), end));
       }
       if (end == Outcome.UNSENT
-          || end == Outcome.CUT
-          || end == Outcome.SILENT
-          || end == Outcome.TURNED_AWAY) {
+          || end == Outcome.DISCONNECTED
+          || end == Outcome.TIMED_OUT
+          || end == Outcome.REJECTED) {
         close(client);
         client = null;
         at = 1 - at;
       }
-      if (roving && i % ROVES_AFTER == 0) {
+      if (reconnectsAtRandom && i % ROVES_AFTER == 0) {
         close(client);
         client = null;
         at = java.util.concurrent.ThreadLocalRandom.current().nextInt(2);
@@ -281,7 +282,7 @@
   public long firstAnswer(int dispatcher, long withinMs) {
     long until = System.nanoTime() + withinMs * 1_000_000;
     while (System.nanoTime() < until) {
-      try (StatementClient client = new StatementClient(serves[dispatcher], 2000)) {
+      try (StatementClient client = new StatementClient(serveAddresses[dispatcher], 2000)) {
         if (client.execute(call(), "look", 1500) == Outcome.ANSWERED) {
           return System.nanoTime();
         }
@@ -295,7 +296,7 @@
   // ---- audits
 
   /** Requests of the class that is not idempotent that engines started more than once. */
-  public long ranTwice() {
+  public long repeatedRuns() {
     return ledger.entries().values().stream()
         .filter(e -> e.profile().equals("once"))
         .filter(e -> engines.stream().mapToInt(g -> begun(g, e.call())).sum() > 1)
@@ -303,7 +304,7 @@
   }
 
   /** Requests that were answered though no engine completed them. */
-  public long answeredUnrun() {
+  public long answeredWithoutRun() {
     return ledger.entries().values().stream()
         .filter(e -> e.end() == Outcome.ANSWERED)
         .filter(
@@ -311,21 +312,21 @@
                 engines.stream()
                     .noneMatch(
                         g ->
-                            g.ledger().containsKey(e.call())
-                                && g.ledger().get(e.call()).completed().get() > 0))
+                            g.executions().containsKey(e.call())
+                                && g.executions().get(e.call()).completed().get() > 0))
         .count();
   }
 
   /** Requests that were rejected before they were admitted, and sent to an engine all the same. */
-  public long turnedAwayRun() {
+  public long rejectedButRun() {
     return ledger.entries().values().stream()
-        .filter(e -> e.end() == Outcome.TURNED_AWAY)
-        .filter(e -> engines.stream().anyMatch(g -> g.ledger().containsKey(e.call())))
+        .filter(e -> e.end() == Outcome.REJECTED)
+        .filter(e -> engines.stream().anyMatch(g -> g.executions().containsKey(e.call())))
         .count();
   }
 
   /** Requests that were shed after they ran, of the class that is not idempotent. */
-  public long shedThoughRun() {
+  public long shedAfterRun() {
     return ledger.entries().values().stream()
         .filter(e -> e.end() == Outcome.SHED && e.profile().equals("once"))
         .filter(
@@ -333,13 +334,15 @@
                 engines.stream()
                     .anyMatch(
                         g ->
-                            g.ledger().containsKey(e.call())
-                                && g.ledger().get(e.call()).completed().get() > 0))
+                            g.executions().containsKey(e.call())
+                                && g.executions().get(e.call()).completed().get() > 0))
         .count();
   }
 
   private static int begun(EmulatedEngine engine, String call) {
-    return engine.ledger().containsKey(call) ? engine.ledger().get(call).started().get() : 0;
+    return engine.executions().containsKey(call)
+        ? engine.executions().get(call).started().get()
+        : 0;
   }
 
   @Override
@@ -354,6 +357,6 @@
     for (EmulatedEngine engine : engines) {
       engine.close();
     }
-    bus.close();
+    discovery.close();
   }
 }
