--- a/src/main/java/cobaltseam/postgres/ClientMessage.java
+++ b/src/main/java/cobaltseam/postgres/ClientMessage.java
@@ -1,28 +1,33 @@
 package cobaltseam.postgres;
 
-/** One message of a client, with the parts that the service uses. */
+/** One message from a client, with only the contents that the service uses. */
 public sealed interface ClientMessage {
   /** StartupMessage of protocol 3.0. */
   record Startup() implements ClientMessage {}
 
-  /** SSLRequest or GSSENCRequest: expects a reply of one byte before the start-up. */
+  /** SSLRequest or GSSENCRequest: the client expects a one-byte reply before it starts up. */
   record EncryptionRequest() implements ClientMessage {}
 
-  /** CancelRequest: names the session whose request is to be cancelled. */
+  /**
+   * CancelRequest: asks to cancel the request of another session.
+   *
+   * @param session the process ID from the BackendKeyData message of that session
+   * @param secret the secret key from the same message
+   */
   record Cancel(int session, int secret) implements ClientMessage {}
 
-  /** Query: a simple query with its statement, without the terminating zero. */
+  /** Query: a simple query; the text is its statement without the terminating zero byte. */
   record Query(byte[] text) implements ClientMessage {}
 
   /** Terminate: the client ends the session. */
   record Terminate() implements ClientMessage {}
 
-  /** Sync: ends a series of messages of the extended protocol, which is not supported. */
+  /** Sync: ends a series of messages of the extended query protocol, which is not supported. */
   record Sync() implements ClientMessage {}
 
-  /** A valid message of a type that is not supported. */
+  /** A valid message of a type that the service does not support. */
   record Unsupported(char type) implements ClientMessage {}
 
-  /** Bytes that are not a valid message, or too many; nothing after them can be parsed. */
+  /** Bytes that are not a valid message, or exceed a limit; parsing stops at them. */
   record Malformed(String reason) implements ClientMessage {}
 }
--- a/src/main/java/cobaltseam/postgres/ClientParser.java
+++ b/src/main/java/cobaltseam/postgres/ClientParser.java
@@ -5,14 +5,15 @@
 import java.util.function.Consumer;
 
 /**
- * Parses the messages of clients in PostgreSQL's protocol 3.0 from bytes in any pieces. What a
- * client can make it store is bounded. One thread calls it, except where noted.
+ * Parses the messages of one client in PostgreSQL's protocol 3.0 from a byte stream that may be
+ * split anywhere. The memory that a client can make it use is bounded. Not thread-safe, except
+ * where noted.
  */
 public final class ClientParser {
-  /** The longest start-up packet, as in PostgreSQL itself. */
+  /** The maximum length of a start-up packet, as in PostgreSQL itself. */
   static final int MAX_STARTUP_BYTES = 10_000;
 
-  /** The longest message, which is a statement with its comment. */
+  /** The maximum length of a message; the longest ones are statements with their comment. */
   static final int MAX_MESSAGE_BYTES = 1 << 16;
 
   private static final int PROTOCOL_3_0 = 3 << 16;
@@ -23,28 +24,34 @@
 
   private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
 
-  /** The bytes used of the buffer; other threads read it as a hint. */
+  /** The number of bytes in use in the buffer; other threads read it as a hint. */
   private volatile int length;
 
   private boolean isStarted;
   private boolean isBroken;
 
-  /** The size of the buffer for incomplete messages, in bytes. */
+  /** Returns the size of the buffer for incomplete messages, in bytes. */
   public int bufferBytes() {
     return buffer.length;
   }
 
-  /** Whether nothing more is parsed, after a malformed message or {@link #fail}. */
+  /** Returns whether parsing has stopped, after a malformed message or {@link #fail}. */
   public boolean isBroken() {
     return isBroken;
   }
 
-  /** Whether a message was received in part; may be called from any thread, and may be stale. */
+  /**
+   * Returns whether a message has been received in part. May be called from any thread; the result
+   * may be stale.
+   */
   public boolean isInMessage() {
     return length > 0;
   }
 
-  /** Stops parsing, and passes on a malformed message with the reason. */
+  /**
+   * Stops parsing, releases the buffer and passes on a malformed message with the reason. Has no
+   * effect if parsing has already stopped.
+   */
   public void fail(String reason, Consumer<ClientMessage> messages) {
     if (!isBroken) {
       reportMalformed(reason, messages);
@@ -53,15 +60,15 @@
     }
   }
 
-  /** Parses received bytes, and passes on each complete message. */
+  /** Parses received bytes and passes on each complete message. */
   public void parse(ByteBuffer in, Consumer<ClientMessage> messages) {
     while (in.hasRemaining() && !isBroken) {
-      int piece = Math.min(in.remaining(), MAX_MESSAGE_BYTES);
-      if (buffer.length - length < piece) {
-        buffer = Arrays.copyOf(buffer, Math.max(length + piece, 2 * buffer.length));
+      int chunkBytes = Math.min(in.remaining(), MAX_MESSAGE_BYTES);
+      if (buffer.length - length < chunkBytes) {
+        buffer = Arrays.copyOf(buffer, Math.max(length + chunkBytes, 2 * buffer.length));
       }
-      in.get(buffer, length, piece);
-      length += piece;
+      in.get(buffer, length, chunkBytes);
+      length += chunkBytes;
       int start = 0;
       for (int consumed = parseNext(start, messages);
           consumed > 0 && !isBroken;
@@ -77,7 +84,7 @@
     }
   }
 
-  /** Parses the message at this offset; returns its length, or 0 if it is not complete yet. */
+  /** Parses the message at an offset; returns its length, or 0 if it is incomplete or malformed. */
   private int parseNext(int start, Consumer<ClientMessage> messages) {
     int typeBytes = isStarted ? 1 : 0;
     if (length - start < typeBytes + Integer.BYTES) {
@@ -136,6 +143,7 @@
     }
   }
 
+  /** Stops parsing and passes on a malformed message; returns 0, the number of bytes consumed. */
   private int reportMalformed(String reason, Consumer<ClientMessage> messages) {
     isBroken = true;
     messages.accept(new ClientMessage.Malformed(reason));
--- a/src/main/java/cobaltseam/postgres/DataSetFinder.java
+++ b/src/main/java/cobaltseam/postgres/DataSetFinder.java
@@ -3,12 +3,13 @@
 import java.util.Set;
 
 /**
- * Finds the data set that an SQL text uses: the number in the first schema with a number that it
- * reads or writes. Only names of tables are considered: after FROM, JOIN and the like, and after a
- * comma there.
+ * Finds the data set that an SQL text uses. Its number is the numeric suffix of the first schema
+ * with such a suffix that the text reads or writes, such as 17 for {@code sales_17.orders}. Only
+ * table names are considered: those after FROM, JOIN and similar keywords, and after a comma in a
+ * list of tables.
  */
 final class DataSetFinder {
-  /** There is no schema with a number. */
+  /** The result if the text uses no schema with a number. */
   static final long NO_DATA_SET = -1;
 
   private static final Set<String> KEYWORDS_BEFORE_TABLE =
@@ -28,26 +29,32 @@
           "returning");
   private static final Set<String> KEYWORDS_BEFORE_TABLE_NAME =
       Set.of("as", "lateral", "if", "not", "exists");
+
+  /** Schemas that belong to no data set. */
   private static final Set<String> IGNORED_SCHEMAS = Set.of("staging");
 
   private final SqlCursor cursor;
 
-  /** Whether a name that follows is that of a table. */
+  /** Whether the next name is the name of a table. */
   private boolean expectsTable;
 
-  /** Whether a comma at {@link #listDepth} is followed by another table. */
+  /** Whether a comma at {@link #listDepth} is followed by another table name. */
   private boolean isInTableList;
 
-  /** The depth of parentheses. */
+  /** The current nesting depth of parentheses. */
   private int depth;
 
+  /** The nesting depth of the current list of tables. */
   private int listDepth;
 
   private DataSetFinder(SqlCursor cursor) {
     this.cursor = cursor;
   }
 
-  /** The number of the data set that the text behind the cursor uses, or {@link #NO_DATA_SET}. */
+  /**
+   * Returns the number of the data set that the text from the cursor on uses, or {@link
+   * #NO_DATA_SET}.
+   */
   static long find(SqlCursor cursor) {
     return new DataSetFinder(cursor).find();
   }
@@ -74,6 +81,7 @@
     return NO_DATA_SET;
   }
 
+  /** Reads a name or keyword; returns the data set if it is a table name in one. */
   private long readNameOrKeyword() {
     boolean isQuoted = cursor.isAt('"');
     String name = cursor.readName();
@@ -108,7 +116,12 @@
     }
   }
 
-  /** The number of the schema of a qualified name, whose first part was read already, or -1. */
+  /**
+   * Reads the rest of a qualified table name and returns the number of its schema, or {@link
+   * #NO_DATA_SET}.
+   *
+   * @param first the first part of the name, which has been read
+   */
   private long readDataSet(String first) {
     String schema = null;
     String last = first;
@@ -117,7 +130,7 @@
       cursor.skipSpaceAndComments();
       if (!cursor.isAt('.')) {
         cursor.moveTo(afterName);
-        return numberOf(schema);
+        return schemaNumber(schema);
       }
       cursor.skip();
       cursor.skipSpaceAndComments();
@@ -129,8 +142,8 @@
     }
   }
 
-  /** The number behind the last underscore of a schema, or -1. */
-  private static long numberOf(String schema) {
+  /** Returns the number after the last underscore of a schema name, or {@link #NO_DATA_SET}. */
+  private static long schemaNumber(String schema) {
     int underscore =
         schema == null || IGNORED_SCHEMAS.contains(schema) ? -1 : schema.lastIndexOf('_');
     String number = underscore < 0 ? "" : schema.substring(underscore + 1);
--- a/src/main/java/cobaltseam/postgres/ServerMessageWriter.java
+++ b/src/main/java/cobaltseam/postgres/ServerMessageWriter.java
@@ -5,37 +5,52 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Encodes the messages of a server in PostgreSQL's protocol 3.0, one after the other. */
+/**
+ * Encodes messages of a server in PostgreSQL's protocol 3.0. Each method appends one message, or
+ * several as noted, and returns this writer. Not thread-safe.
+ */
 public final class ServerMessageWriter {
-  /** SQLSTATE of a failed request, whose effect is unknown: a retry may not be harmless. */
+  /**
+   * SQLSTATE system_error, for a failed request: its effect is unknown, so a retry may be unsafe.
+   */
   public static final String SQLSTATE_FAILED = "58000";
 
-  /** SQLSTATE of a request that was shed: a retry is harmless. */
+  /** SQLSTATE too_many_connections, for a request that was shed: a retry is safe. */
   public static final String SQLSTATE_SHED = "53300";
 
-  /** SQLSTATE of a request that is rejected by a backup or at shutdown: a retry is harmless. */
+  /**
+   * SQLSTATE cannot_connect_now, for a request that is rejected by a backup or at shutdown: a retry
+   * is safe.
+   */
   public static final String SQLSTATE_CANNOT_CONNECT_NOW = "57P03";
 
-  /** SQLSTATE of a statement that can't be used. */
+  /** SQLSTATE syntax_error, for a statement that is rejected as invalid. */
   public static final String SQLSTATE_SYNTAX_ERROR = "42601";
 
-  /** SQLSTATE of a message that is not supported. */
+  /** SQLSTATE feature_not_supported, for a message of a type that is not supported. */
   public static final String SQLSTATE_FEATURE_NOT_SUPPORTED = "0A000";
 
-  /** SQLSTATE of a protocol violation. */
+  /** SQLSTATE protocol_violation. */
   public static final String SQLSTATE_PROTOCOL_VIOLATION = "08P01";
 
+  /** The object ID of PostgreSQL's type text. */
   private static final int TEXT_TYPE_OID = 25;
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream(128);
 
-  /** The encoded messages. */
+  /** Returns the encoded messages. */
   public byte[] toByteArray() {
     return out.toByteArray();
   }
 
-  /** AuthenticationOk, ParameterStatus, BackendKeyData and ReadyForQuery after a start-up. */
-  public ServerMessageWriter startupResponse(int session, int secret) {
+  /**
+   * Appends the response to a start-up: AuthenticationOk, ParameterStatus messages, BackendKeyData
+   * and ReadyForQuery.
+   *
+   * @param sessionId the process ID in BackendKeyData, which a CancelRequest has to repeat
+   * @param secretKey the secret key in BackendKeyData, which a CancelRequest has to repeat
+   */
+  public ServerMessageWriter startupResponse(int sessionId, int secretKey) {
     write('R', ByteBuffer.allocate(4).putInt(0).array());
     String[] parameters = {
       "server_version",
@@ -55,21 +70,21 @@
       write(
           'S', (parameters[i] + '\0' + parameters[i + 1] + '\0').getBytes(StandardCharsets.UTF_8));
     }
-    write('K', ByteBuffer.allocate(8).putInt(session).putInt(secret).array());
+    write('K', ByteBuffer.allocate(8).putInt(sessionId).putInt(secretKey).array());
     return readyForQuery();
   }
 
-  /** ReadyForQuery. */
+  /** Appends ReadyForQuery with the status idle: not in a transaction. */
   public ServerMessageWriter readyForQuery() {
     return write('Z', new byte[] {'I'});
   }
 
-  /** EmptyQueryResponse. */
+  /** Appends EmptyQueryResponse. */
   public ServerMessageWriter emptyQueryResponse() {
     return write('I', new byte[0]);
   }
 
-  /** ErrorResponse with a severity such as ERROR or FATAL and an SQLSTATE. */
+  /** Appends ErrorResponse with a severity such as ERROR or FATAL and an SQLSTATE. */
   public ServerMessageWriter errorResponse(String severity, String sqlState, String text) {
     String body =
         'S'
@@ -84,12 +99,12 @@
     return write('E', body.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** CommandComplete with a tag such as SELECT 1. */
+  /** Appends CommandComplete with a tag such as SELECT 1. */
   public ServerMessageWriter commandComplete(String tag) {
     return write('C', (tag + '\0').getBytes(StandardCharsets.UTF_8));
   }
 
-  /** RowDescription of text columns. */
+  /** Appends RowDescription of columns of type text. */
   public ServerMessageWriter rowDescription(List<String> names) {
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     body.writeBytes(ByteBuffer.allocate(2).putShort((short) names.size()).array());
@@ -108,7 +123,13 @@
     return write('T', body.toByteArray());
   }
 
-  /** DataRow, from text with a tab between its columns, from an offset to another, exclusive. */
+  /**
+   * Appends DataRow.
+   *
+   * @param text contains the row, with a tab between columns
+   * @param from the offset of the row in the text
+   * @param to the offset of the end of the row, exclusive
+   */
   public ServerMessageWriter dataRow(byte[] text, int from, int to) {
     int columns = 1;
     for (int i = from; i < to; i++) {
--- a/src/main/java/cobaltseam/postgres/SqlCursor.java
+++ b/src/main/java/cobaltseam/postgres/SqlCursor.java
@@ -4,8 +4,8 @@
 import java.util.Locale;
 
 /**
- * A position in the bytes of an SQL text, and the steps over its tokens. All of them terminate on
- * any text. Not thread-safe.
+ * A position in the bytes of an SQL text, with methods that read or skip tokens. All methods
+ * terminate on any text. Not thread-safe.
  */
 final class SqlCursor {
   private final byte[] text;
@@ -15,12 +15,15 @@
     this.text = text;
   }
 
-  /** The offset of the next byte; may be one past the end of the text after a broken name. */
+  /**
+   * Returns the offset of the next byte; after an unterminated quoted name, this may exceed the
+   * length of the text.
+   */
   int position() {
     return position;
   }
 
-  /** Goes back, or forth, to an offset. */
+  /** Moves to an offset, backwards or forwards. */
   void moveTo(int offset) {
     position = offset;
   }
@@ -29,7 +32,7 @@
     return position >= text.length;
   }
 
-  /** The next byte; there must be one. */
+  /** Returns the next byte without skipping it; fails at the end of the text. */
   byte next() {
     return text[position];
   }
@@ -39,12 +42,12 @@
     position++;
   }
 
-  /** Whether the next byte is this character. */
+  /** Returns whether the next byte is this character. */
   boolean isAt(char character) {
     return !isAtEnd() && text[position] == character;
   }
 
-  /** Whether a name follows, quoted or not. */
+  /** Returns whether a name follows, quoted or not. */
   boolean isAtName() {
     return !isAtEnd() && (text[position] == '"' || isNameStart(text[position]));
   }
@@ -63,7 +66,7 @@
     }
   }
 
-  /** Reads a name at the position: an unquoted one in lower case, a quoted one as it is. */
+  /** Reads a name; one that is not quoted is converted to lower case. */
   String readName() {
     int start = position;
     if (text[position] != '"') {
@@ -84,11 +87,15 @@
     return name.replace("\"\"", "\"");
   }
 
-  /** Skips a string in single quotes, in which backslashes may escape characters. */
-  void skipString(boolean backslashes) {
+  /**
+   * Skips a string in single quotes.
+   *
+   * @param hasBackslashEscapes whether a backslash escapes the next character, as in E''
+   */
+  void skipString(boolean hasBackslashEscapes) {
     position++;
     while (position < text.length) {
-      if (backslashes && text[position] == '\\' || isAt("''")) {
+      if (hasBackslashEscapes && text[position] == '\\' || isAt("''")) {
         position += 2;
       } else if (text[position++] == '\'') {
         return;
@@ -97,14 +104,15 @@
     position = text.length;
   }
 
-  /** Skips a dollar-quoted string, if one starts at the position. */
+  /** Skips a dollar-quoted string; returns whether one starts at the position. */
   boolean skipDollarQuotedString() {
     int tagEnd = position + 1;
     while (tagEnd < text.length && isNamePart(text[tagEnd]) && text[tagEnd] != '$') {
       tagEnd++;
     }
-    boolean digit = position + 1 < tagEnd && text[position + 1] >= '0' && text[position + 1] <= '9';
-    if (tagEnd >= text.length || text[tagEnd] != '$' || digit) {
+    boolean startsWithDigit =
+        position + 1 < tagEnd && text[position + 1] >= '0' && text[position + 1] <= '9';
+    if (tagEnd >= text.length || text[tagEnd] != '$' || startsWithDigit) {
       return false;
     }
     String quote = new String(text, position, tagEnd + 1 - position, StandardCharsets.ISO_8859_1);
@@ -116,7 +124,7 @@
     return true;
   }
 
-  /** Skips a comment, which may contain other comments; false if it is not terminated. */
+  /** Skips a comment, which may be nested; returns whether it is terminated. */
   boolean skipComment() {
     int depth = 0;
     while (position < text.length) {
@@ -150,7 +158,7 @@
     }
   }
 
-  /** Whether this text, of Latin-1 characters, follows. */
+  /** Returns whether this text, which must be in Latin-1, follows. */
   boolean isAt(String expected) {
     if (text.length - position < expected.length()) {
       return false;
@@ -163,7 +171,7 @@
     return true;
   }
 
-  /** Whether PostgreSQL takes a byte for white space. */
+  /** Returns whether PostgreSQL treats a byte as white space. */
   static boolean isSpace(byte character) {
     return character == ' ' || character >= '\t' && character <= '\r';
   }
--- a/src/main/java/cobaltseam/postgres/Statement.java
+++ b/src/main/java/cobaltseam/postgres/Statement.java
@@ -1,17 +1,17 @@
 package cobaltseam.postgres;
 
 /**
- * A request, as the fields in the comment of its statement describe it.
+ * A statement of a client, with the fields of its leading comment, which describe its request.
  *
- * @param requestClass the name of its request class
- * @param callId the client's id of the request, 16 hex digits
- * @param timeToLiveMs the client's time to live, in milliseconds
- * @param tenant the name of its tenant, or null
- * @param workMs the estimated work, in milliseconds of one thread, or 0
- * @param memoryMb the estimated memory, in megabytes, or 0
- * @param dataSetId the number of the data set that it uses, or below zero
- * @param idempotencyKey by which engines recognise a retry, or null
- * @param text the statement as received, without the comment with the fields
+ * @param requestClass the name of the request class
+ * @param callId the id that the client gave the request, 16 hex digits
+ * @param timeToLiveMs the time to live that the client gave the request, in milliseconds
+ * @param tenant the name of the tenant, or null
+ * @param workMs the estimated work, in milliseconds on one engine thread; 0 if none is given
+ * @param memoryMb the estimated memory, in megabytes; 0 if none is given
+ * @param dataSetId the number of the data set that the statement uses; negative if there is none
+ * @param idempotencyKey the key by which engines recognise a retry, or null
+ * @param text the statement as received, but without the comment that contains the fields
  */
 public record Statement(
     String requestClass,
--- a/src/main/java/cobaltseam/postgres/StatementScanner.java
+++ b/src/main/java/cobaltseam/postgres/StatementScanner.java
@@ -7,27 +7,28 @@
 
 /**
  * Scans a statement for the fields in its leading comment and for the data set that it uses. The
- * statement that is forwarded to an engine stays as received, without that comment.
+ * statement that is forwarded to an engine is the received one without that comment, otherwise
+ * unchanged.
  */
 public final class StatementScanner {
-  /** A statement is not valid; the message says why. */
+  /** Thrown if a statement is invalid; the message is the reason, and is sent to the client. */
   public static final class InvalidStatementException extends Exception {
     private static final long serialVersionUID = 1;
 
-    InvalidStatementException(String why) {
-      super(why, null, false, false);
+    InvalidStatementException(String reason) {
+      super(reason, null, false, false);
     }
   }
 
-  /** The length of the marks around a comment, together. */
+  /** The combined length of the opening and the closing mark of a comment. */
   private static final int COMMENT_MARKS_LENGTH = 4;
 
-  /** The longest idempotency key. */
+  /** The maximum length of an idempotency key. */
   private static final int MAX_IDEMPOTENCY_KEY_CHARS = 128;
 
   private StatementScanner() {}
 
-  /** Whether a text has nothing but white space and semicolons. */
+  /** Returns whether a text consists only of white space and semicolons. */
   public static boolean isEmpty(byte[] text) {
     for (byte b : text) {
       if (!SqlCursor.isSpace(b) && b != ';') {
@@ -40,8 +41,8 @@
   /**
    * Scans a statement.
    *
-   * @throws InvalidStatementException if it has no comment with valid fields, or no statement
-   *     behind it
+   * @throws InvalidStatementException if there is no leading comment with valid fields, or no
+   *     statement after it
    */
   public static Statement scan(byte[] text) throws InvalidStatementException {
     SqlCursor cursor = new SqlCursor(text);
@@ -81,6 +82,7 @@
         forwarded);
   }
 
+  /** Returns a text without the bytes from start to end, exclusive. */
   private static byte[] withoutRange(byte[] text, int start, int end) {
     byte[] rest = Arrays.copyOf(text, start + text.length - end);
     System.arraycopy(text, end, rest, start, text.length - end);
@@ -108,8 +110,8 @@
   }
 
   /**
-   * The idempotency key, which is forwarded unchanged in a list of fields: so it must not contain
-   * what ends a field or a line there.
+   * Returns the idempotency key, or null. It is forwarded unchanged in a list of fields, so it must
+   * not contain characters that end a field or a line there.
    */
   private static String idempotencyKey(Map<String, String> fields)
       throws InvalidStatementException {
@@ -123,9 +125,9 @@
     return key;
   }
 
-  private static double parseNumber(Map<String, String> fields, String name, String absent)
+  private static double parseNumber(Map<String, String> fields, String name, String defaultValue)
       throws InvalidStatementException {
-    String value = fields.getOrDefault(name, absent);
+    String value = fields.getOrDefault(name, defaultValue);
     if (value.matches("[0-9]{1,12}([.][0-9]{0,12})?")) {
       return Double.parseDouble(value);
     }
--- a/src/main/java/cobaltseam/postgres/package-info.java
+++ b/src/main/java/cobaltseam/postgres/package-info.java
@@ -1,7 +1,8 @@
 /**
  * The client protocol: PostgreSQL's protocol 3.0, simple queries only. The entry points are {@link
- * cobaltseam.postgres.ClientParser} for what clients send, {@link cobaltseam.postgres.Replies} for
- * what they receive, and {@link cobaltseam.postgres.StatementScanner} for the comment that leads a
- * statement. Parsers belong to one session and are not thread-safe; sizes are in bytes.
+ * cobaltseam.postgres.ClientParser} for messages from clients, {@link
+ * cobaltseam.postgres.ServerMessageWriter} for messages to clients, and {@link
+ * cobaltseam.postgres.StatementScanner} for statements and the fields in their leading comment. A
+ * parser belongs to one session and is not thread-safe; sizes are in bytes.
  */
 package cobaltseam.postgres;
--- a/src/main/java/cobaltseam/resp/EngineCommands.java
+++ b/src/main/java/cobaltseam/resp/EngineCommands.java
@@ -3,16 +3,18 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes the commands for engines, as RESP arrays of bulk strings. */
+/** Encodes the commands to engines as RESP arrays of bulk strings. */
 public final class EngineCommands {
   private EngineCommands() {}
 
   /**
-   * Runs a statement, whose bytes are passed on unchanged.
+   * Encodes the command that runs a statement.
    *
-   * @param id of the attempt
-   * @param timeToLiveMs after which the engine no longer starts it, in milliseconds
-   * @param idempotencyKey by which engines recognise a retry, or null
+   * @param id the id of the attempt
+   * @param timeToLiveMs the time after which the engine no longer starts the attempt, in
+   *     milliseconds
+   * @param idempotencyKey the key by which engines recognise a retry, or null
+   * @param statement the statement, whose bytes are forwarded unchanged
    */
   public static byte[] pull(
       String id, String requestClass, long timeToLiveMs, String idempotencyKey, byte[] statement) {
@@ -21,22 +23,22 @@
     return array(bytes("PULL"), bytes(id), bytes(allFields), statement);
   }
 
-  /** Cancels an attempt. */
+  /** Encodes the command that cancels an attempt. */
   public static byte[] kill(String id) {
     return array(bytes("KILL"), bytes(id));
   }
 
-  /** Requests one further page of a result. */
+  /** Encodes the command that requests one further page of a result. */
   public static byte[] scroll(String id, int page) {
     return array(bytes("SCROLL"), bytes(id), bytes(Integer.toString(page)));
   }
 
-  /** Releases a result of which no more pages are needed. */
+  /** Encodes the command that releases a result of which no further page is needed. */
   public static byte[] discard(String id) {
     return array(bytes("DISCARD"), bytes(id));
   }
 
-  /** Checks the health of the connection. */
+  /** Encodes the health check of a connection; the response is {@link EngineResponse#ALIVE}. */
   public static byte[] echo(String tag) {
     return array(bytes("ECHO"), bytes(tag));
   }
--- a/src/main/java/cobaltseam/resp/EngineResponse.java
+++ b/src/main/java/cobaltseam/resp/EngineResponse.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * One response of an engine.
+ * One response from an engine.
  *
- * @param id the id of the attempt that it answers
- * @param code its status code or kind, such as {@link #OK} or {@link #CHUNK}
- * @param fields its fields by name
- * @param body its body, unchanged
+ * @param id the id of the attempt that the response belongs to
+ * @param code the status code or the kind of the response, such as {@link #OK} or {@link #CHUNK}
+ * @param fields the fields by name
+ * @param body the body as received
  */
 public record EngineResponse(String id, String code, Map<String, String> fields, byte[] body) {
   /** The attempt has completed; the body is the first page of its result. */
@@ -23,7 +23,7 @@
   /** The attempt has failed. */
   public static final String ERROR = "500";
 
-  /** The time to live of the attempt was over before it ran. */
+  /** The time to live of the attempt ended before the engine started it. */
   public static final String DEADLINE_EXCEEDED = "504";
 
   /** A progress report of a running attempt. */
@@ -35,9 +35,10 @@
   /** The response to a health check of the connection. */
   public static final String ALIVE = "alive";
 
+  /** The number of items of a response: id, code, fields and body. */
   private static final int ITEM_COUNT = 4;
 
-  /** Parses a RESP array; null if it is not a response. */
+  /** Parses the items of a RESP array; returns null if they are not a response. */
   public static EngineResponse parse(List<byte[]> items) {
     if (items.size() != ITEM_COUNT) {
       return null;
@@ -52,18 +53,21 @@
     return new EngineResponse(text(items.get(0)), text(items.get(1)), fields, items.get(3));
   }
 
-  /** A field as an integer of up to nine digits, or -1 if it is absent or something else. */
+  /** Returns a field that is an integer of up to nine digits, or -1 if it is absent or not one. */
   public int integerField(String name) {
     String value = fields.getOrDefault(name, "");
     return value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : -1;
   }
 
-  /** A field as a finite number that is not negative, or -1 if it is absent or something else. */
+  /** Returns a field that is a finite number of at least 0, or -1 if it is absent or not one. */
   public double numberField(String name) {
     return numberField(fields, name);
   }
 
-  /** One value of the load report, or -1 if it is absent or not a number. */
+  /**
+   * Returns a value of the load report that is a finite number of at least 0, or -1 if it is absent
+   * or not one.
+   */
   public double loadReportValue(String name) {
     Map<String, String> report = new HashMap<>();
     for (String value : fields.getOrDefault("rep", "").split(";")) {
@@ -75,9 +79,9 @@
     return numberField(report, name);
   }
 
-  private static double numberField(Map<String, String> from, String name) {
+  private static double numberField(Map<String, String> values, String name) {
     try {
-      double value = Double.parseDouble(from.getOrDefault(name, "-1"));
+      double value = Double.parseDouble(values.getOrDefault(name, "-1"));
       return value >= 0 && value < Double.POSITIVE_INFINITY ? value : -1;
     } catch (NumberFormatException e) {
       return -1;
--- a/src/main/java/cobaltseam/resp/RespParser.java
+++ b/src/main/java/cobaltseam/resp/RespParser.java
@@ -8,29 +8,39 @@
 import java.util.function.Consumer;
 
 /**
- * Parses RESP arrays of bulk strings from bytes in any pieces. What a peer can make it store is
- * bounded. After an error nothing more is parsed. Not thread-safe.
+ * Parses RESP arrays of bulk strings from a byte stream that may be split anywhere. The memory that
+ * a peer can make it use is bounded. Parsing stops at the first error. Not thread-safe.
  */
 public final class RespParser {
   private static final int MAX_ITEMS = 16;
   private static final int MAX_ARRAY_BYTES = 1 << 16;
   private static final int MAX_LINE_BYTES = 16;
 
+  /** The bytes received of a header line. */
   private final ByteArrayOutputStream line = new ByteArrayOutputStream(MAX_LINE_BYTES);
+
+  /** The items received of the current array. */
   private List<byte[]> items = new ArrayList<>();
-  private int missingItems;
 
-  /** Bytes that the remaining items of this array may have. */
+  /** The number of items of the current array not received yet; 0 between arrays. */
+  private int remainingItems;
+
+  /** The maximum total length of the remaining items of the current array. */
   private int remainingBytes;
 
+  /** The item being received, with its CRLF; null while a header line is being received. */
   private byte[] item;
+
+  /** The number of bytes received of {@link #item}. */
   private int receivedBytes;
+
+  /** The error that has stopped parsing, or null. */
   private String error;
 
   /**
-   * Parses received bytes, and passes on each complete array.
+   * Parses received bytes and passes on each complete array.
    *
-   * @return what is wrong, or null
+   * @return the error that has stopped parsing, or null
    */
   public String parse(ByteBuffer in, Consumer<List<byte[]>> arrays) {
     while (error == null && in.hasRemaining()) {
@@ -40,7 +50,10 @@
         byte next = in.get();
         if (next != '\n') {
           line.write(next);
-          error = line.size() > MAX_LINE_BYTES ? "a line too long" : null;
+          error =
+              line.size() > MAX_LINE_BYTES
+                  ? "header line of more than " + MAX_LINE_BYTES + " bytes"
+                  : null;
         } else {
           parseHeader(line.toByteArray());
           line.reset();
@@ -50,20 +63,20 @@
     return error;
   }
 
-  /** Parses a line with the number of items of an array, or of bytes of an item. */
+  /** Parses a header line: the number of items of an array, or of bytes of an item. */
   private void parseHeader(byte[] header) {
-    char type = missingItems == 0 ? '*' : '$';
-    int max = missingItems == 0 ? MAX_ITEMS : remainingBytes;
+    char type = remainingItems == 0 ? '*' : '$';
+    int max = remainingItems == 0 ? MAX_ITEMS : remainingBytes;
     int number = 0;
-    boolean valid = header.length > 2 && header[0] == type && header[header.length - 1] == '\r';
-    for (int i = 1; valid && i < header.length - 1; i++) {
-      valid = header[i] >= '0' && header[i] <= '9' && number <= max;
+    boolean isValid = header.length > 2 && header[0] == type && header[header.length - 1] == '\r';
+    for (int i = 1; isValid && i < header.length - 1; i++) {
+      isValid = header[i] >= '0' && header[i] <= '9' && number <= max;
       number = number * 10 + header[i] - '0';
     }
-    if (!valid || number > max || missingItems == 0 && number == 0) {
-      error = "not the head of an " + (missingItems == 0 ? "array" : "item");
-    } else if (missingItems == 0) {
-      missingItems = number;
+    if (!isValid || number > max || remainingItems == 0 && number == 0) {
+      error = "invalid header of " + (remainingItems == 0 ? "an array" : "a bulk string");
+    } else if (remainingItems == 0) {
+      remainingItems = number;
       remainingBytes = MAX_ARRAY_BYTES;
     } else {
       remainingBytes -= number;
@@ -73,19 +86,19 @@
   }
 
   private void readItem(ByteBuffer in, Consumer<List<byte[]>> arrays) {
-    int piece = Math.min(in.remaining(), item.length - receivedBytes);
-    in.get(item, receivedBytes, piece);
-    receivedBytes += piece;
+    int chunkBytes = Math.min(in.remaining(), item.length - receivedBytes);
+    in.get(item, receivedBytes, chunkBytes);
+    receivedBytes += chunkBytes;
     if (receivedBytes < item.length) {
       return;
     }
     if (item[receivedBytes - 2] != '\r' || item[receivedBytes - 1] != '\n') {
-      error = "an item without its end";
+      error = "bulk string without its terminating CRLF";
       return;
     }
     items.add(Arrays.copyOf(item, receivedBytes - 2));
     item = null;
-    if (--missingItems == 0) {
+    if (--remainingItems == 0) {
       List<byte[]> complete = items;
       items = new ArrayList<>();
       arrays.accept(complete);
--- a/src/main/java/cobaltseam/resp/Result.java
+++ b/src/main/java/cobaltseam/resp/Result.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The result of a request, collected page by page; its rows stay as received, columns separated by
- * tabs. Not thread-safe.
+ * The result of a request, collected page by page. Rows are kept as received: each ends with a line
+ * feed, and its columns are separated by tabs. Not thread-safe.
  */
 public final class Result {
   private static final int MAX_PAGES = 64;
@@ -17,18 +17,22 @@
   private int rowCount;
   private int columnCount = UNKNOWN;
 
-  /** A result of this many pages, none of which was received yet. */
+  /**
+   * Creates a result without any page received.
+   *
+   * @param pages the number of pages; {@link #isValidPageCount} must hold
+   */
   public Result(int pages) {
     this.pages = new byte[Math.max(0, Math.min(pages, MAX_PAGES))][];
     missingPages = pages;
   }
 
-  /** Whether a result may have this many pages. */
+  /** Returns whether a result may have this many pages. */
   public static boolean isValidPageCount(int pages) {
     return pages >= 1 && pages <= MAX_PAGES;
   }
 
-  /** Whether this page was received. */
+  /** Returns whether a page has been received. */
   public boolean hasPage(int page) {
     return page >= 0 && page < pages.length && pages[page] != null;
   }
@@ -37,15 +41,19 @@
    * Adds a page.
    *
    * @param page its index, from 0
-   * @return what is wrong with it, or null
+   * @return why the page is invalid, or null if it has been added
    */
   public String addPage(int page, byte[] body) {
     if (page < 0 || page >= pages.length || pages[page] != null) {
-      return "page " + page + " of " + pages.length + " is none of those to come";
+      return "page "
+          + page
+          + " of "
+          + pages.length
+          + " is out of range or has been received before";
     }
     totalBytes += body.length;
     if (totalBytes > MAX_BYTES) {
-      return "a result of more than " + MAX_BYTES + " bytes";
+      return "result of more than " + MAX_BYTES + " bytes";
     }
     if (body.length > 0 && body[body.length - 1] != '\n') {
       return "page " + page + " ends within a row";
@@ -55,7 +63,7 @@
       columnsInRow += b == '\t' ? 1 : 0;
       if (b == '\n') {
         if (columnCount != UNKNOWN && columnsInRow != columnCount) {
-          return "a row of " + columnsInRow + " columns after one of " + columnCount;
+          return "row of " + columnsInRow + " columns after a row of " + columnCount + " columns";
         }
         columnCount = columnsInRow;
         columnsInRow = 1;
@@ -67,27 +75,27 @@
     return null;
   }
 
-  /** Whether all pages were received. */
+  /** Returns whether all pages have been received. */
   public boolean isComplete() {
     return missingPages == 0;
   }
 
-  /** The number of pages, received or not. */
+  /** Returns the number of pages, received or not. */
   public int pageCount() {
     return pages.length;
   }
 
-  /** The number of rows received. */
+  /** Returns the number of rows received. */
   public int rowCount() {
     return rowCount;
   }
 
-  /** The number of columns of each row, or a default if there is no row. */
-  public int columnCountOr(int otherwise) {
-    return columnCount == UNKNOWN ? otherwise : columnCount;
+  /** Returns the number of columns of each row, or a default if no row has been received. */
+  public int columnCountOr(int defaultCount) {
+    return columnCount == UNKNOWN ? defaultCount : columnCount;
   }
 
-  /** All pages of a complete result, in order. */
+  /** Returns all pages, in order; the result must be complete. */
   public List<byte[]> pages() {
     return List.of(pages);
   }
--- a/src/test/java/cobaltseam/postgres/PostgresProtocolTest.java
+++ b/src/test/java/cobaltseam/postgres/PostgresProtocolTest.java
@@ -14,11 +14,12 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The client wire and the statement scanner, on bytes alone. */
+/** Tests the client protocol and the statement scanner on byte arrays, without a network. */
 class PostgresProtocolTest {
   private static final String FIELDS = "/* op=report,call=9b1f03aa5c7e2d41,ttl=1500 */ ";
 
-  private static ByteBuffer session(String... queries) {
+  /** Encodes what a client sends: SSLRequest, StartupMessage, these queries and Terminate. */
+  private static ByteBuffer encodeSession(String... queries) {
     ByteBuffer out = ByteBuffer.allocate(4096);
     out.putInt(8).putInt(80877103);
     out.putInt(18).putInt(3 << 16).put("user\0app\0\0".getBytes(StandardCharsets.UTF_8));
@@ -29,12 +30,12 @@
     return out.put((byte) 'X').putInt(4).flip();
   }
 
-  /** Parses these pieces; each message as its type, a query with its text. */
-  private static List<String> parse(ClientParser parser, ByteBuffer... pieces) {
+  /** Parses chunks of bytes; returns the type of each message, and for a query also its text. */
+  private static List<String> parse(ClientParser parser, ByteBuffer... chunks) {
     List<String> messages = new ArrayList<>();
-    for (ByteBuffer piece : pieces) {
+    for (ByteBuffer chunk : chunks) {
       parser.parse(
-          piece,
+          chunk,
           message ->
               messages.add(
                   message instanceof ClientMessage.Query query
@@ -45,30 +46,30 @@
   }
 
   @Test
-  void aSessionIsParsedWhereverTheBytesAreCut() {
-    byte[] all = session("SELECT 'ı'", "").array();
-    int length = session("SELECT 'ı'", "").limit();
+  void sessionIsParsedWhereverTheBytesAreSplit() {
+    byte[] allBytes = encodeSession("SELECT 'ı'", "").array();
+    int length = encodeSession("SELECT 'ı'", "").limit();
     List<String> expected =
         List.of("EncryptionRequest", "Startup", "Query SELECT 'ı'", "Query ", "Terminate");
-    for (int cut = 0; cut <= length; cut++) {
+    for (int splitAt = 0; splitAt <= length; splitAt++) {
       assertEquals(
           expected,
           parse(
               new ClientParser(),
-              ByteBuffer.wrap(all, 0, cut).slice(),
-              ByteBuffer.wrap(all, cut, length - cut).slice()),
-          "cut at " + cut);
+              ByteBuffer.wrap(allBytes, 0, splitAt).slice(),
+              ByteBuffer.wrap(allBytes, splitAt, length - splitAt).slice()),
+          "split at " + splitAt);
     }
-    ClientParser slow = new ClientParser();
+    ClientParser byteByByteParser = new ClientParser();
     List<String> messages = new ArrayList<>();
     for (int i = 0; i < length; i++) {
-      messages.addAll(parse(slow, ByteBuffer.wrap(all, i, 1)));
+      messages.addAll(parse(byteByByteParser, ByteBuffer.wrap(allBytes, i, 1)));
     }
     assertEquals(expected, messages);
   }
 
   @Test
-  void aCancelRequestNamesItsSession() {
+  void cancelRequestNamesItsSession() {
     List<ClientMessage> messages = new ArrayList<>();
     new ClientParser()
         .parse(
@@ -78,27 +79,30 @@
   }
 
   @Test
-  void aProtocolViolationIsReportedOnceAndEndsParsing() {
-    int[][] heads = {{7, 3 << 16}, {10_001, 3 << 16}, {8, 2 << 16}, {8, 80877102}, {-1, 0}};
-    for (int[] head : heads) {
-      ByteBuffer bad = ByteBuffer.allocate(64).putInt(head[0]).putInt(head[1]);
+  void protocolViolationIsReportedOnceAndStopsParsing() {
+    int[][] invalidHeaders = {
+      {7, 3 << 16}, {10_001, 3 << 16}, {8, 2 << 16}, {8, 80877102}, {-1, 0}
+    };
+    for (int[] header : invalidHeaders) {
+      ByteBuffer invalid = ByteBuffer.allocate(64).putInt(header[0]).putInt(header[1]);
       assertEquals(
-          List.of("Malformed"), parse(new ClientParser(), bad.position(64).flip(), session()));
+          List.of("Malformed"),
+          parse(new ClientParser(), invalid.position(64).flip(), encodeSession()));
     }
-    ByteBuffer started = ByteBuffer.allocate(64).putInt(8).putInt(3 << 16);
+    ByteBuffer tooLong = ByteBuffer.allocate(64).putInt(8).putInt(3 << 16);
     assertEquals(
         List.of("Startup", "Malformed"),
         parse(
             new ClientParser(),
-            started.put((byte) 'Q').putInt(ClientParser.MAX_MESSAGE_BYTES + 1).flip()));
-    ByteBuffer unended = ByteBuffer.allocate(64).putInt(8).putInt(3 << 16);
+            tooLong.put((byte) 'Q').putInt(ClientParser.MAX_MESSAGE_BYTES + 1).flip()));
+    ByteBuffer unterminated = ByteBuffer.allocate(64).putInt(8).putInt(3 << 16);
     assertEquals(
         List.of("Startup", "Malformed"),
-        parse(new ClientParser(), unended.put((byte) 'Q').putInt(5).put((byte) 'x').flip()));
+        parse(new ClientParser(), unterminated.put((byte) 'Q').putInt(5).put((byte) 'x').flip()));
   }
 
   @Test
-  void randomBytesNeverThrowAndEndParsing() {
+  void randomBytesNeverThrowAndNothingFollowsAMalformedMessage() {
     SplittableRandom random = new SplittableRandom(11);
     for (int i = 0; i < 3000; i++) {
       byte[] bytes = new byte[random.nextInt(1, 200)];
@@ -108,8 +112,8 @@
               ? ByteBuffer.wrap(bytes)
               : ByteBuffer.allocate(8 + bytes.length).putInt(8).putInt(3 << 16).put(bytes).flip();
       List<String> messages = parse(new ClientParser(), in);
-      int malformed = messages.indexOf("Malformed");
-      assertTrue(malformed < 0 || malformed == messages.size() - 1, messages.toString());
+      int malformedIndex = messages.indexOf("Malformed");
+      assertTrue(malformedIndex < 0 || malformedIndex == messages.size() - 1, messages.toString());
     }
   }
 
@@ -126,9 +130,9 @@
     assertEquals(4 + 2 + 3 * 4 + 5, out.getInt());
     assertEquals(3, out.getShort());
     for (String column : List.of("a", "", "çö")) {
-      byte[] read = new byte[out.getInt()];
-      out.get(read);
-      assertEquals(column, new String(read, StandardCharsets.UTF_8));
+      byte[] columnBytes = new byte[out.getInt()];
+      out.get(columnBytes);
+      assertEquals(column, new String(columnBytes, StandardCharsets.UTF_8));
     }
     assertEquals('C', out.get());
     assertEquals(4 + 9, out.getInt());
@@ -149,17 +153,17 @@
     assertEquals(96, statement.memoryMb());
     assertEquals(
         "-- é\n /*x*/ select 1 -- \u00fc", new String(statement.text(), StandardCharsets.UTF_8));
-    byte[] odd = (FIELDS + "select '\u0000'").getBytes(StandardCharsets.UTF_8);
-    odd[odd.length - 2] = (byte) 0xff;
+    byte[] invalidUtf8 = (FIELDS + "select '\u0000'").getBytes(StandardCharsets.UTF_8);
+    invalidUtf8[invalidUtf8.length - 2] = (byte) 0xff;
     assertArrayEquals(
         new byte[] {'\'', (byte) 0xff, '\''},
-        Arrays.copyOfRange(StatementScanner.scan(odd).text(), 7, 10));
+        Arrays.copyOfRange(StatementScanner.scan(invalidUtf8).text(), 7, 10));
   }
 
   @Test
   void statementsWithoutValidFieldsAreRejected() {
     String call = "call=9b1f03aa5c7e2d41";
-    for (String bad :
+    for (String invalid :
         List.of(
             "select 1",
             "/* op=a,ttl=1," + call + " ",
@@ -175,13 +179,13 @@
             "-- op=a,ttl=1," + call)) {
       assertThrows(
           StatementScanner.InvalidStatementException.class,
-          () -> StatementScanner.scan(bad.getBytes(StandardCharsets.UTF_8)),
-          bad);
+          () -> StatementScanner.scan(invalid.getBytes(StandardCharsets.UTF_8)),
+          invalid);
     }
   }
 
   @Test
-  void theDataSetIsThatOfTheFirstSchemaReadOrWritten()
+  void dataSetIsThatOfTheFirstNumberedSchemaReadOrWritten()
       throws StatementScanner.InvalidStatementException {
     Object[][] cases = {
       {17, "SELECT day FROM sales_17.orders WHERE tag = '3f9c'"},
@@ -200,25 +204,26 @@
       {-1, "SELECT x FROM a_99999999999999999999.t"},
       {-1, "SELECT 'from a_9.b"},
     };
-    for (Object[] c : cases) {
+    for (Object[] testCase : cases) {
       assertEquals(
-          ((Integer) c[0]).longValue(),
-          StatementScanner.scan((FIELDS + c[1]).getBytes(StandardCharsets.UTF_8)).dataSetId(),
-          c[1].toString());
+          ((Integer) testCase[0]).longValue(),
+          StatementScanner.scan((FIELDS + testCase[1]).getBytes(StandardCharsets.UTF_8))
+              .dataSetId(),
+          testCase[1].toString());
     }
   }
 
   @Test
-  void theScannerTerminatesOnAnyText() {
+  void scannerTerminatesOnAnyText() {
     SplittableRandom random = new SplittableRandom(5);
-    String[] parts = {
+    String[] tokens = {
       "'", "\"", "$", "$a$", "/*", "*/", "--", "\n", "from", "a_1.", ".", ",", "(", ")", "E'", "\\",
       " ", "é", "x"
     };
     for (int i = 0; i < 5000; i++) {
       StringBuilder text = new StringBuilder(FIELDS).append("s ");
       for (int j = random.nextInt(20); j >= 0; j--) {
-        text.append(parts[random.nextInt(parts.length)]);
+        text.append(tokens[random.nextInt(tokens.length)]);
       }
       try {
         assertInstanceOf(
--- a/src/test/java/cobaltseam/resp/RespProtocolTest.java
+++ b/src/test/java/cobaltseam/resp/RespProtocolTest.java
@@ -14,28 +14,29 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The engine protocol, on bytes alone. */
+/** Tests the engine protocol on byte arrays, without a network. */
 class RespProtocolTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private static List<List<String>> read(RespParser parser, byte[]... pieces) {
-    List<List<String>> read = new ArrayList<>();
-    for (byte[] piece : pieces) {
+  /** Parses chunks of bytes, which must be valid; returns the items of each complete array. */
+  private static List<List<String>> parse(RespParser parser, byte[]... chunks) {
+    List<List<String>> arrays = new ArrayList<>();
+    for (byte[] chunk : chunks) {
       assertNull(
           parser.parse(
-              ByteBuffer.wrap(piece),
+              ByteBuffer.wrap(chunk),
               items ->
-                  read.add(
+                  arrays.add(
                       items.stream().map(i -> new String(i, StandardCharsets.UTF_8)).toList())));
     }
-    return read;
+    return arrays;
   }
 
   @Test
-  void commandsAreParsedWhereverTheBytesAreCut() {
-    byte[] all =
+  void commandsAreParsedWhereverTheBytesAreSplit() {
+    byte[] allBytes =
         bytes(
             new String(
                     EngineCommands.pull("id1", "report", 40, null, bytes("select '\r\n$3'")),
@@ -45,15 +46,17 @@
         List.of(
             List.of("PULL", "id1", "lane=report,ttl=40", "select '\r\n$3'"),
             List.of("SCROLL", "id1", "2"));
-    for (int cut = 0; cut <= all.length; cut++) {
+    for (int splitAt = 0; splitAt <= allBytes.length; splitAt++) {
       assertEquals(
           expected,
-          read(
-              new RespParser(), Arrays.copyOf(all, cut), Arrays.copyOfRange(all, cut, all.length)));
+          parse(
+              new RespParser(),
+              Arrays.copyOf(allBytes, splitAt),
+              Arrays.copyOfRange(allBytes, splitAt, allBytes.length)));
     }
     assertEquals(
         List.of(List.of("KILL", "a"), List.of("DISCARD", "a"), List.of("ECHO", "")),
-        read(
+        parse(
             new RespParser(),
             EngineCommands.kill("a"),
             EngineCommands.discard("a"),
@@ -62,7 +65,7 @@
 
   @Test
   void invalidBytesAreReportedAndNotBuffered() {
-    for (String bad :
+    for (String invalid :
         List.of(
             "+OK\r\n",
             "*0\r\n",
@@ -77,46 +80,50 @@
             "*1\r\n$1\r\nabc",
             "*99999999999999999",
             "*1\r\n$99999999999999\r\n")) {
-      assertNotNull(new RespParser().parse(ByteBuffer.wrap(bytes(bad)), items -> {}), bad);
+      assertNotNull(new RespParser().parse(ByteBuffer.wrap(bytes(invalid)), items -> {}), invalid);
     }
     SplittableRandom random = new SplittableRandom(3);
     for (int i = 0; i < 3000; i++) {
-      byte[] garbage = new byte[64];
-      random.nextBytes(garbage);
-      new RespParser().parse(ByteBuffer.wrap(garbage), items -> {});
+      byte[] randomBytes = new byte[64];
+      random.nextBytes(randomBytes);
+      new RespParser().parse(ByteBuffer.wrap(randomBytes), items -> {});
     }
   }
 
   @Test
   void fieldsOfAResponseAreParsed() {
-    EngineResponse array =
+    EngineResponse response =
         EngineResponse.parse(
             List.of(
                 bytes("i"),
                 bytes("200"),
                 bytes("pages=3,rep=pending:0;busy_reqs:6.482,why=x"),
                 bytes("a\tb\n")));
-    assertEquals("i 200 3", array.id() + " " + array.code() + " " + array.integerField("pages"));
-    assertEquals(6.482, array.loadReportValue(DeploymentReader.IN_FLIGHT_REPORT_FIELD));
-    assertEquals(0, array.loadReportValue(DeploymentReader.QUEUED_REPORT_FIELD));
-    assertEquals(-1, array.loadReportValue("util"));
-    EngineResponse none =
+    assertEquals(
+        "i 200 3", response.id() + " " + response.code() + " " + response.integerField("pages"));
+    assertEquals(6.482, response.loadReportValue(DeploymentReader.IN_FLIGHT_REPORT_FIELD));
+    assertEquals(0, response.loadReportValue(DeploymentReader.QUEUED_REPORT_FIELD));
+    assertEquals(-1, response.loadReportValue("util"));
+    EngineResponse withoutFields =
         EngineResponse.parse(List.of(bytes("i"), bytes("200"), bytes("-"), bytes("")));
-    assertEquals(-1, none.loadReportValue(DeploymentReader.IN_FLIGHT_REPORT_FIELD));
-    assertEquals(-1, none.integerField("pages"));
-    EngineResponse odd =
+    assertEquals(-1, withoutFields.loadReportValue(DeploymentReader.IN_FLIGHT_REPORT_FIELD));
+    assertEquals(-1, withoutFields.integerField("pages"));
+    EngineResponse withInvalidFields =
         EngineResponse.parse(
             List.of(
                 bytes("i"), bytes("x"), bytes("v=NaN,w=1e999,page=99999999999,=,a"), bytes("")));
     assertEquals(
         List.of(-1.0, -1.0, -1.0),
-        List.of(odd.numberField("v"), odd.numberField("w"), odd.numberField("a")));
-    assertEquals(-1, odd.integerField("page"));
+        List.of(
+            withInvalidFields.numberField("v"),
+            withInvalidFields.numberField("w"),
+            withInvalidFields.numberField("a")));
+    assertEquals(-1, withInvalidFields.integerField("page"));
     assertNull(EngineResponse.parse(List.of(bytes("i"), bytes("200"))));
   }
 
   @Test
-  void aResultAcceptsEachPageOnceAndOnlyCompleteRows() {
+  void resultAcceptsEachPageOnceAndOnlyCompleteRows() {
     Result result = new Result(3);
     assertNull(result.addPage(2, bytes("e\tf\n")));
     assertNull(result.addPage(0, bytes("a\tb\nc\td\n")));
