--- a/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
+++ b/src/main/java/cobaltseam/agreement/ConfigurationAgreement.java
@@ -25,7 +25,7 @@
 /**
  * Decides which version of an agreed document this process acts on, such that no two processes act
  * on contradicting versions for longer than {@link AgreementOptions#maxContradiction}. This class
- * does no I/O; the caller must call {@link #follow} after each call to {@link Membership}.
+ * does no I/O; the caller must call {@link #update} after each call to {@link Membership}.
  *
  * <p>Each view carries a version, so versions are chosen in the order of views. A process acts on a
  * version only under a lease: within {@code maxContradiction} by the process's own clock, a
@@ -147,8 +147,8 @@
     return membership.view() != null && membership.isViewReportedByAll();
   }
 
-  /** The latest time at which {@link #follow} must be called next. */
-  public Timestamp nextFollowAt(Timestamp now) {
+  /** The latest time at which {@link #update} must be called next. */
+  public Timestamp nextUpdateAt(Timestamp now) {
     // Pending work is retried at this time. Earlier deadlines, such as the end of a lease, are
     // included below.
     boolean isPending =
@@ -186,9 +186,9 @@
    * updates the active configuration. After the process was suspended, this must be called before
    * any message is received or sent.
    */
-  public List<AgreementEffect> follow(Timestamp now) {
+  public List<AgreementEffect> update(Timestamp now) {
     View view = membership.view();
-    history.follow(view, lease.maxDuration(), now);
+    history.update(view, lease.maxDuration(), now);
     if (view != null) {
       documents.fetchMissing(view, now);
       proposeFirst(view, now);
@@ -272,7 +272,7 @@
     if (!membership.acceptSender(message, now)
         || view == null
         || !view.contains(sender.name(), sender.incarnation())) {
-      return follow(now);
+      return update(now);
     }
     if (message instanceof VersionOffer offer) {
       receiveOffer(offer, view, sender, now);
@@ -283,7 +283,7 @@
     } else if (message instanceof ContentPart part && documents.receive(part, now)) {
       answerOffer();
     }
-    return follow(now);
+    return update(now);
   }
 
   private void receiveOffer(VersionOffer offer, View view, Member sender, Timestamp now) {
--- a/src/main/java/cobaltseam/agreement/VersionHistory.java
+++ b/src/main/java/cobaltseam/agreement/VersionHistory.java
@@ -49,7 +49,7 @@
    * @param maxLeaseDuration the time after which all leases granted until now have ended, by any
    *     member's clock
    */
-  void follow(View next, TimeSpan maxLeaseDuration, Timestamp now) {
+  void update(View next, TimeSpan maxLeaseDuration, Timestamp now) {
     if (next == view) {
       return;
     }
--- a/src/main/java/cobaltseam/coordination/FleetCoordinator.java
+++ b/src/main/java/cobaltseam/coordination/FleetCoordinator.java
@@ -83,8 +83,8 @@
   private AttemptCounts attemptCounts;
   private final EffectSink effects;
   private View gossipView;
-  private boolean isFollowing;
-  private Timestamp lastFollowAt;
+  private boolean isUpdating;
+  private Timestamp lastUpdateAt;
 
   /**
    * @param lease the lease on the view, or null if no module needs one
@@ -155,7 +155,7 @@
 
       @Override
       public Double demand(MemberName of) {
-        KnownFigures known = gossip.figuresOf(of, lastFollowAt);
+        KnownFigures known = gossip.figuresOf(of, lastUpdateAt);
         Long figure = known == null ? null : known.figures().byName().get(DEMAND_FIGURE);
         return figure == null || figure < 0
             ? null
@@ -219,7 +219,7 @@
         handleEffects(agreement.receive(agreementMessage, now), now);
       }
     } else if (membership.acceptSender(message, now)) {
-      lastFollowAt = now;
+      lastUpdateAt = now;
       if (message instanceof LeaseMessage leaseMessage && lease != null) {
         lease
             .receive(leaseMessage, now)
@@ -241,7 +241,7 @@
             .forEach(outgoing -> effects.send(outgoing.to(), outgoing.message()));
       }
     }
-    follow(now);
+    update(now);
   }
 
   /** When {@link #advance} must be called next; null once this process has left. */
@@ -251,7 +251,7 @@
       return null;
     }
     next = lease == null ? next : earlier(next, lease.nextWakeup(now));
-    next = agreement == null ? next : earlier(next, agreement.nextFollowAt(now));
+    next = agreement == null ? next : earlier(next, agreement.nextUpdateAt(now));
     next = gossip == null ? next : earlier(next, gossip.nextRoundAt());
     next = retryBudget == null ? next : earlier(next, retryBudget.nextUpdateAt(now));
     next = loadReports == null ? next : earlier(next, loadReports.nextRoundAt());
@@ -272,7 +272,7 @@
         effects.handleMembership(action);
       }
     }
-    follow(now);
+    update(now);
   }
 
   private void handleEffects(List<AgreementEffect> agreementEffects, Timestamp now) {
@@ -320,17 +320,17 @@
    * Updates each module from the modules that it depends on, in a fixed order. Must be called after
    * any direct call to a module.
    */
-  public void follow(Timestamp now) {
-    if (isFollowing) {
+  public void update(Timestamp now) {
+    if (isUpdating) {
       return;
     }
-    isFollowing = true;
-    lastFollowAt = now;
+    isUpdating = true;
+    lastUpdateAt = now;
     if (lease != null) {
       lease.onTimer(now).forEach(outgoing -> effects.send(outgoing.to(), outgoing.message()));
     }
     if (agreement != null) {
-      handleEffects(agreement.follow(now), now);
+      handleEffects(agreement.update(now), now);
     }
     if (gossip != null) {
       gossip.setIncarnation(membership.self().incarnation());
@@ -365,6 +365,6 @@
           .runRound(membership.view(), membership.header(), now)
           .forEach(outgoing -> effects.send(outgoing.to(), outgoing.message()));
     }
-    isFollowing = false;
+    isUpdating = false;
   }
 }
--- a/src/main/java/cobaltseam/emulator/Baseline.java
+++ b/src/main/java/cobaltseam/emulator/Baseline.java
@@ -384,7 +384,7 @@
   }
 
   @Override
-  public void clientLeft(RequestId id, Timestamp now) {
+  public void clientDisconnected(RequestId id, Timestamp now) {
     OpenRequest request = openRequests.get(id);
     if (request != null && request.engine == null) {
       remove(request);
--- a/src/main/java/cobaltseam/emulator/ClientTraffic.java
+++ b/src/main/java/cobaltseam/emulator/ClientTraffic.java
@@ -277,7 +277,7 @@
                 }
 
                 @Override
-                public boolean hasClientLeft() {
+                public boolean isClientDisconnected() {
                   return isOver[0];
                 }
               });
@@ -287,7 +287,7 @@
         () -> {
           if (!isOver[0]) {
             isOver[0] = true;
-            dispatcher.clientLeft(id);
+            dispatcher.clientDisconnected(id);
             counts.row(request.requestClass).unanswered++;
             finish(request);
           }
--- a/src/main/java/cobaltseam/emulator/EmulateShrinkCommand.java
+++ b/src/main/java/cobaltseam/emulator/EmulateShrinkCommand.java
@@ -57,7 +57,7 @@
         : complete.violationCount() == 0) {
       throw new InvalidInputException("the script does not fail, so there is nothing to minimise");
     }
-    List<Fault> minimal = shrink.of(faults);
+    List<Fault> minimal = shrink.shrink(faults);
     out.printf(
         "# %d faults of %d are left, after %d runs; seed %d%n",
         minimal.size(), faults.size(), shrink.runs(), common.seed);
--- a/src/main/java/cobaltseam/emulator/EmulatedDispatcher.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedDispatcher.java
@@ -24,7 +24,7 @@
     void onFinalAnswer(InvariantChecker.FinalAnswer answer, TimeSpan retryAfter);
 
     /** Whether the client disconnected before the request was admitted. */
-    boolean hasClientLeft();
+    boolean isClientDisconnected();
   }
 
   /** An admitted request that is not over. */
@@ -169,7 +169,7 @@
   void admit(Request request, EngineLink.RequestWork work, String key, ResponseListener listener) {
     receive(
         () -> {
-          if (listener.hasClientLeft()) {
+          if (listener.isClientDisconnected()) {
             return;
           }
           InFlightRequest inFlightRequest = new InFlightRequest();
@@ -186,16 +186,16 @@
   }
 
   /** The client of a request has disconnected. */
-  void clientLeft(RequestId id) {
+  void clientDisconnected(RequestId id) {
     InFlightRequest inFlightRequest = inFlight.get(id);
     if (inFlightRequest == null || inFlightRequest.listener == null) {
       return;
     }
-    invariants.clientLeft(number, id, isSuspended || policy == null);
+    invariants.clientDisconnected(number, id, isSuspended || policy == null);
     inFlightRequest.listener = null;
     receive(
         () -> {
-          policy.clientLeft(id, time.now());
+          policy.clientDisconnected(id, time.now());
           if (inFlightRequest.current != null) {
             abandon(inFlightRequest.current, AttemptResult.CANCELLED);
           } else {
@@ -358,7 +358,7 @@
       InFlightRequest inFlightRequest =
           step.request() == null ? null : inFlight.get(step.request().id());
       if (step.request() != null && inFlightRequest == null) {
-        policy.clientLeft(step.request().id(), time.now());
+        policy.clientDisconnected(step.request().id(), time.now());
       } else if (step.cancelAttempt() >= 0) {
         if (inFlightRequest.current != null
             && inFlightRequest.current.number == step.cancelAttempt()) {
--- a/src/main/java/cobaltseam/emulator/InvariantChecker.java
+++ b/src/main/java/cobaltseam/emulator/InvariantChecker.java
@@ -60,7 +60,7 @@
     long admittedUs;
     long deadlineUs;
     FinalAnswer answer;
-    boolean hasClientLeft;
+    boolean isClientDisconnected;
     int openAttempts;
     final List<ObservedAttempt> attempts = new ArrayList<>();
   }
@@ -404,20 +404,20 @@
    *
    * @param wasSuspended whether the dispatcher was suspended or down, which excuses it
    */
-  void clientLeft(int dispatcher, RequestId id, boolean wasSuspended) {
+  void clientDisconnected(int dispatcher, RequestId id, boolean wasSuspended) {
     ObservedRequest observed = observedRequests.get(dispatcher).get(id);
     if (observed != null && observed.answer == null) {
       if (!wasSuspended) {
         report(Rule.LOST, dispatcher, id, "no final answer by the deadline");
       }
-      observed.hasClientLeft = true;
+      observed.isClientDisconnected = true;
       removeIfOver(dispatcher, id, observed);
     }
   }
 
   /** Forgets a request that has its final answer, or no client, and no open attempt. */
   private void removeIfOver(int dispatcher, RequestId id, ObservedRequest observed) {
-    if ((observed.answer != null || observed.hasClientLeft) && observed.openAttempts == 0) {
+    if ((observed.answer != null || observed.isClientDisconnected) && observed.openAttempts == 0) {
       observedRequests.get(dispatcher).remove(id);
       if (observed.requestClass.isOrdered() && observed.key != null) {
         Deque<RequestId> queue = queuesByKey.get(dispatcher).get(observed.key);
--- a/src/main/java/cobaltseam/emulator/Policy.java
+++ b/src/main/java/cobaltseam/emulator/Policy.java
@@ -25,7 +25,7 @@
 
   void updateProgress(RequestId id, int attempt, double fraction, Timestamp now);
 
-  void clientLeft(RequestId id, Timestamp now);
+  void clientDisconnected(RequestId id, Timestamp now);
 
   /** Passes every call on to another policy; subclasses override what they add to. */
   class DelegatingPolicy implements Policy {
@@ -61,8 +61,8 @@
     }
 
     @Override
-    public void clientLeft(RequestId id, Timestamp now) {
-      delegate.clientLeft(id, now);
+    public void clientDisconnected(RequestId id, Timestamp now) {
+      delegate.clientDisconnected(id, now);
     }
   }
 
@@ -95,7 +95,7 @@
       }
 
       @Override
-      public void clientLeft(RequestId id, Timestamp now) {
+      public void clientDisconnected(RequestId id, Timestamp now) {
         dispatcher.clientDisconnected(id, now);
       }
     };
--- a/src/main/java/cobaltseam/emulator/Shrink.java
+++ b/src/main/java/cobaltseam/emulator/Shrink.java
@@ -44,7 +44,7 @@
    *
    * @param failing a list that fails
    */
-  public List<T> of(List<T> failing) {
+  public List<T> shrink(List<T> failing) {
     List<T> minimal = new ArrayList<>(failing);
     for (int length = Math.max(1, minimal.size() / 2); ; length = Math.max(1, length / 2)) {
       boolean removed = false;
--- a/src/main/java/cobaltseam/fleet/FleetShrinkCommand.java
+++ b/src/main/java/cobaltseam/fleet/FleetShrinkCommand.java
@@ -32,7 +32,7 @@
     if (!FleetRunner.playVirtual(plan, faults, common.seconds, common.seed).isFailed()) {
       throw new InvalidInputException("the script violates no invariant and can't be shrunk");
     }
-    List<Fault> shrunkFaults = shrink.of(faults);
+    List<Fault> shrunkFaults = shrink.shrink(faults);
     PrintWriter out = spec.commandLine().getOut();
     out.printf(
         "# %d troubles of %d are left, after %d runs; seed %d%n",
--- a/src/main/java/cobaltseam/fleet/VirtualFleet.java
+++ b/src/main/java/cobaltseam/fleet/VirtualFleet.java
@@ -532,7 +532,7 @@
       recordActivation(index, null);
     } else if (process.isAlive) {
       if (process.agreement != null) {
-        process.coordinator.follow(clockTime(index));
+        process.coordinator.update(clockTime(index));
         recordActivation(index, process.agreement.activeConfiguration());
       }
       advance(index);
@@ -773,7 +773,7 @@
     }
     String rejection =
         processes[index].agreement.propose(content, expectedNumber, clockTime(index));
-    processes[index].coordinator.follow(clockTime(index));
+    processes[index].coordinator.update(clockTime(index));
     scheduleWake(index);
     return rejection;
   }
--- a/src/main/java/cobaltseam/service/FleetService.java
+++ b/src/main/java/cobaltseam/service/FleetService.java
@@ -225,7 +225,7 @@
             runStep(
                 () -> {
                   agreed.propose(document, clock.now());
-                  coordinator.follow(clock.now());
+                  coordinator.update(clock.now());
                 }));
   }
 
--- a/src/test/java/cobaltseam/emulator/ExperimentTest.java
+++ b/src/test/java/cobaltseam/emulator/ExperimentTest.java
@@ -122,7 +122,7 @@
                                 && fault.engines().contains(6)
                                 && fault.lengthS() >= 3),
             Fault::simplerVariants);
-    List<Fault> minimal = shrink.of(faults);
+    List<Fault> minimal = shrink.shrink(faults);
     assertEquals(1, minimal.size(), minimal.toString());
     assertEquals(List.of(6), minimal.get(0).engines());
     assertTrue(minimal.get(0).lengthS() < 6 && minimal.get(0).lengthS() >= 3, minimal.toString());
--- a/src/test/java/cobaltseam/emulator/InvariantCheckerTest.java
+++ b/src/test/java/cobaltseam/emulator/InvariantCheckerTest.java
@@ -68,8 +68,8 @@
     }
 
     @Override
-    public void clientLeft(RequestId id, Timestamp now) {
-      delegate.clientLeft(id, now);
+    public void clientDisconnected(RequestId id, Timestamp now) {
+      delegate.clientDisconnected(id, now);
     }
   }
 
