--- a/src/test/java/cobaltseam/soak/RestartSoak.java
+++ b/src/test/java/cobaltseam/soak/RestartSoak.java
@@ -34,8 +34,8 @@
     /** Whether an answer to this request was owed during the shutdown. */
     boolean owes(Entry entry) {
       return entry.dispatcher() == dispatcher
-          && entry.asked() < signalledAt + ADMISSION_NANOS
-          && entry.ended() > signalledAt;
+          && entry.sentAt() < signalledAt + ADMISSION_NANOS
+          && entry.endedAt() > signalledAt;
     }
   }
 
@@ -134,7 +134,7 @@
       long lastNanos =
           requests.stream()
               .filter(shutdown::owes)
-              .mapToLong(e -> e.ended() - shutdown.signalledAt())
+              .mapToLong(e -> e.endedAt() - shutdown.signalledAt())
               .max()
               .orElse(0);
       last.add(TimeUnit.NANOSECONDS.toMillis(lastNanos));
--- a/src/test/java/cobaltseam/soak/SoakCheck.java
+++ b/src/test/java/cobaltseam/soak/SoakCheck.java
@@ -30,20 +30,20 @@
   NOTHING_RUNS_TWICE(
       r ->
           r.requests().stream()
-              .filter(e -> e.profile().equals("once"))
-              .allMatch(e -> r.starts().getOrDefault(e.call(), 0) <= 1)),
+              .filter(e -> e.requestClass().equals("once"))
+              .allMatch(e -> r.starts().getOrDefault(e.callId(), 0) <= 1)),
   /** A completed answer is that of a request that an engine completed. */
   ONLY_WHAT_RAN_IS_ANSWERED(
       r ->
           r.requests().stream()
-              .filter(e -> e.end() == Outcome.ANSWERED)
-              .allMatch(e -> r.completions().getOrDefault(e.call(), 0) > 0)),
+              .filter(e -> e.outcome() == Outcome.ANSWERED)
+              .allMatch(e -> r.completions().getOrDefault(e.callId(), 0) > 0)),
   /** A request that was rejected before it was admitted runs nowhere. */
   NOTHING_REJECTED_RUNS(
       r ->
           r.requests().stream()
-              .filter(e -> e.end() == Outcome.REJECTED)
-              .noneMatch(e -> r.starts().containsKey(e.call()))),
+              .filter(e -> e.outcome() == Outcome.REJECTED)
+              .noneMatch(e -> r.starts().containsKey(e.callId()))),
   /** Nothing begins for a client that has left. */
   NOTHING_BEGINS_AFTER_A_DEPARTURE(
       r -> r.startsAfterDepartureMs().stream().allMatch(ms -> ms <= SoakCheck.DEPARTURE_MS)),
@@ -75,7 +75,7 @@
   }
 
   private static long seen(SoakRecord soakRecord, Outcome outcome) {
-    return soakRecord.requests().stream().filter(e -> e.end() == outcome).count();
+    return soakRecord.requests().stream().filter(e -> e.outcome() == outcome).count();
   }
 
   private static boolean isReceived(SoakRecord soakRecord, Outcome outcome, String counter) {
--- a/src/test/java/cobaltseam/standin/AdvertLink.java
+++ b/src/test/java/cobaltseam/standin/AdvertLink.java
@@ -13,84 +13,99 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Carries adverts from one dispatcher to another: loses, duplicates and delays them at random from
- * a seed, which also reorders them, and can be cut. The sender sends to it as to its peer, and the
- * receiver sees its address as that of the sender.
+ * A one-way proxy for the adverts from one dispatcher to another. The link loses, duplicates and
+ * delays adverts at random from a seed, where delays also reorder them, and can be cut. The sender
+ * is configured with the link's receiving address as its peer, and the receiver sees the link's
+ * source address as that of the sender.
  */
 public final class AdvertLink implements AutoCloseable {
   /**
-   * The faults of a link: the parts, from 0 to 1, that are lost, duplicated and late, and the
-   * longest delay.
+   * The faults of a link.
+   *
+   * @param lossRate the share of adverts that are lost, from 0 to 1
+   * @param duplicationRate the share of adverts that are duplicated, from 0 to 1
+   * @param delayRate the share of adverts that are delayed, from 0 to 1
+   * @param maxDelayMs the longest delay of an advert
    */
-  public record Fault(double lost, double doubled, double late, int lateMs) {
+  public record Fault(double lossRate, double duplicationRate, double delayRate, int maxDelayMs) {
     public static final Fault NONE = new Fault(0, 0, 0, 0);
 
-    /** A fault that only loses this part of the adverts. */
-    public static Fault loss(double share) {
-      return new Fault(share, 0, 0, 0);
+    /** Returns a fault that only loses adverts, at a rate from 0 to 1. */
+    public static Fault loss(double lossRate) {
+      return new Fault(lossRate, 0, 0, 0);
     }
   }
 
   private final DatagramSocket in;
   private final DatagramSocket out;
-  private final InetSocketAddress to;
-  private final SplittableRandom chance;
-  private final ScheduledExecutorService late =
-      Executors.newSingleThreadScheduledExecutor(EmulatedEngine::thread);
-  private final AtomicLong passed = new AtomicLong();
+  private final InetSocketAddress destination;
+  private final SplittableRandom random;
+  private final ScheduledExecutorService scheduler =
+      Executors.newSingleThreadScheduledExecutor(EmulatedEngine::daemonThread);
+  private final AtomicLong forwarded = new AtomicLong();
   private volatile Fault fault = Fault.NONE;
   private volatile boolean cut;
 
   /**
-   * @param hears where the sending dispatcher believes its peer to be
-   * @param speaks the address that the receiving dispatcher believes the sender to have
-   * @param to where the receiving dispatcher listens
+   * Opens the link and starts to forward adverts, without faults.
+   *
+   * @param receiveAddress the address to which the sending dispatcher sends its adverts
+   * @param sourceAddress the address from which the receiving dispatcher receives the adverts
+   * @param destination the address on which the receiving dispatcher listens
+   * @param seed the seed of the random faults
    */
-  public AdvertLink(InetSocketAddress hears, InetAddress speaks, InetSocketAddress to, long seed)
+  public AdvertLink(
+      InetSocketAddress receiveAddress,
+      InetAddress sourceAddress,
+      InetSocketAddress destination,
+      long seed)
       throws IOException {
-    in = new DatagramSocket(hears);
-    out = new DatagramSocket(new InetSocketAddress(speaks, 0));
-    this.to = to;
-    chance = new SplittableRandom(seed);
-    EmulatedEngine.thread(this::run).start();
+    in = new DatagramSocket(receiveAddress);
+    out = new DatagramSocket(new InetSocketAddress(sourceAddress, 0));
+    this.destination = destination;
+    random = new SplittableRandom(seed);
+    EmulatedEngine.daemonThread(this::forwardAdverts).start();
   }
 
-  /** From now on the link has these faults. */
-  public void setFault(Fault now) {
-    fault = now;
+  /** Replaces the faults of the link. */
+  public void setFault(Fault newFault) {
+    fault = newFault;
   }
 
   /** Cuts the link, or restores it. */
-  public void setCut(boolean now) {
-    cut = now;
+  public void setCut(boolean isCut) {
+    cut = isCut;
   }
 
-  /** The number of adverts that were passed on. */
-  public long passedAdverts() {
-    return passed.get();
+  /** Returns the number of adverts that were forwarded, duplicates included. */
+  public long forwardedAdverts() {
+    return forwarded.get();
   }
 
-  /** Sends bytes to the receiver as if they came from the sender. */
+  /** Sends a datagram to the receiver from the link's source address. */
   public void sendToReceiver(byte[] bytes) throws IOException {
-    out.send(new DatagramPacket(bytes, bytes.length, to));
+    out.send(new DatagramPacket(bytes, bytes.length, destination));
   }
 
-  private void run() {
+  private void forwardAdverts() {
     byte[] buffer = new byte[65_535];
     while (!in.isClosed()) {
       try {
         DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
         in.receive(packet);
         byte[] bytes = Arrays.copyOf(buffer, packet.getLength());
-        Fault now = fault;
-        boolean lost = chance.nextDouble() < now.lost;
-        boolean twice = chance.nextDouble() < now.doubled;
-        int wait = chance.nextDouble() < now.late ? chance.nextInt(now.lateMs + 1) : 0;
-        if (lost || cut) {
+        Fault currentFault = fault;
+        boolean isLost = random.nextDouble() < currentFault.lossRate;
+        boolean isDuplicated = random.nextDouble() < currentFault.duplicationRate;
+        int delayMs =
+            random.nextDouble() < currentFault.delayRate
+                ? random.nextInt(currentFault.maxDelayMs + 1)
+                : 0;
+        if (isLost || cut) {
           continue;
         }
-        for (int i = 0; i < (twice ? 2 : 1); i++) {
-          late.schedule(() -> pass(bytes), wait * (i + 1L), TimeUnit.MILLISECONDS);
+        for (int i = 0; i < (isDuplicated ? 2 : 1); i++) {
+          scheduler.schedule(() -> forward(bytes), delayMs * (i + 1L), TimeUnit.MILLISECONDS);
         }
       } catch (IOException e) {
         return;
@@ -98,13 +113,13 @@
     }
   }
 
-  private void pass(byte[] bytes) {
+  private void forward(byte[] bytes) {
     try {
       sendToReceiver(bytes);
-      passed.incrementAndGet();
+      forwarded.incrementAndGet();
     } catch (IOException e) {
-      // The receiver is not there now; the advert is lost.
-      passed.get();
+      // The receiver does not listen at the moment, so the advert is lost.
+      forwarded.get();
     }
   }
 
@@ -112,6 +127,6 @@
   public void close() {
     in.close();
     out.close();
-    late.shutdownNow();
+    scheduler.shutdownNow();
   }
 }
--- a/src/test/java/cobaltseam/standin/DispatcherProcess.java
+++ b/src/test/java/cobaltseam/standin/DispatcherProcess.java
@@ -16,28 +16,38 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A real dispatcher in a process of its own, which tests start, freeze, kill, terminate and
- * restart.
+ * A dispatcher that runs in a process of its own. Tests start, suspend, kill, terminate and restart
+ * it. Its standard output and error are kept as its log, over all starts.
  */
 public final class DispatcherProcess implements AutoCloseable {
   private final Path folder;
-  private final Path own;
+  private final Path settingsFile;
   private final List<String> log = new ArrayList<>();
   private Process process;
 
   /**
-   * @param own the own file, or null
+   * Writes the files of the process, but does not start it.
+   *
+   * @param folder the folder for the files; created if it does not exist
+   * @param configuration the text of the platform's configuration file
+   * @param settings the text of the dispatcher's settings file, or null to run without one
    */
-  public DispatcherProcess(Path folder, String configuration, String own) throws IOException {
+  public DispatcherProcess(Path folder, String configuration, String settings) throws IOException {
     this.folder = folder;
     Files.createDirectories(folder);
     Files.writeString(folder.resolve("config.json"), configuration);
-    this.own = own == null ? null : Files.writeString(folder.resolve("cobaltseam.toml"), own);
+    settingsFile =
+        settings == null ? null : Files.writeString(folder.resolve("cobaltseam.toml"), settings);
   }
 
   /**
-   * The platform's configuration, with request classes that are idempotent, idempotent with a key,
-   * and not idempotent.
+   * Returns the text of a platform configuration with three request classes: {@code look} is
+   * idempotent, {@code marked} is idempotent with a key, and {@code once} is not idempotent.
+   *
+   * @param position the index of this dispatcher
+   * @param dispatchers the number of dispatchers
+   * @param cores the number of cores of each engine
+   * @param knownEvents the endpoint events that the dispatcher knows at its start, as JSON
    */
   public static String configuration(
       String name,
@@ -45,8 +55,8 @@
       int position,
       int dispatchers,
       int cores,
-      EmulatedDiscovery bus,
-      String known) {
+      EmulatedDiscovery discovery,
+      String knownEvents) {
     return """
                 {"name":"%s","listen":"%s:%d","seed":"8c1f30d27a5be96%d","limits":{"sockets":512,"memory_mb":128},
                 "bus":"%s:%d","known":{"offset":1,"batch":[%s]},"settings":{"balancers":%d,"position":%d,"tick_us":5000,
@@ -65,27 +75,27 @@
             listen.getAddress().getHostAddress(),
             listen.getPort(),
             position,
-            bus.address().getAddress().getHostAddress(),
-            bus.address().getPort(),
-            known,
+            discovery.address().getAddress().getHostAddress(),
+            discovery.address().getPort(),
+            knownEvents,
             dispatchers,
             position,
             cores);
   }
 
-  /** Starts it, and returns at once. */
+  /** Starts the process, and returns without waiting until it serves. */
   public void start() throws IOException {
     start(List.of());
   }
 
-  /** Starts it with SIGHUP ignored, as nohup does. */
+  /** Starts the process with SIGHUP ignored, as nohup does. */
   public void startWithSighupIgnored() throws IOException {
     start(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
   }
 
-  private void start(List<String> before) throws IOException {
-    List<String> line = new ArrayList<>(before);
-    line.addAll(
+  private void start(List<String> commandPrefix) throws IOException {
+    List<String> command = new ArrayList<>(commandPrefix);
+    command.addAll(
         List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-XX:+UseSerialGC",
@@ -95,15 +105,15 @@
             System.getProperty("java.class.path"),
             Main.class.getName(),
             "serve"));
-    if (own != null) {
-      line.addAll(List.of("--config", own.toString()));
+    if (settingsFile != null) {
+      command.addAll(List.of("--config", settingsFile.toString()));
     }
-    ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true);
+    ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
     builder.environment().keySet().removeAll(List.of("GW_NAME", "GW_LISTEN", "COBALTSEAM_CONFIG"));
     process = builder.start();
     Process started = process;
-    EmulatedEngine.thread(
+    EmulatedEngine.daemonThread(
             () -> {
               try (BufferedReader reader =
                   new BufferedReader(
@@ -115,7 +125,7 @@
                   }
                 }
               } catch (IOException e) {
-                // The process was killed; its log ends here.
+                // The process was killed, which ends its log.
                 return;
               }
             })
@@ -123,19 +133,23 @@
   }
 
   /**
-   * Waits until a line with this text is in the log, from this line on. Returns the number of the
-   * next line.
+   * Waits until the log has a line that contains a text.
+   *
+   * @param from the index of the first line to search
+   * @return the index of the line after the one found
+   * @throws AssertionError if there is no such line within {@code timeoutMs}
    */
-  public int awaitLogLine(String text, int from, long withinMs) throws InterruptedException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
+  public int awaitLogLine(String text, int from, long timeoutMs) throws InterruptedException {
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     synchronized (log) {
       for (int i = from; ; i++) {
         while (i >= log.size()) {
-          long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
-          if (left <= 0) {
-            throw new AssertionError("no line with '" + text + "' in:\n" + String.join("\n", log));
+          long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+          if (remainingMs <= 0) {
+            throw new AssertionError(
+                "no log line contains '" + text + "':\n" + String.join("\n", log));
           }
-          log.wait(left);
+          log.wait(remainingMs);
         }
         if (log.get(i).contains(text)) {
           return i + 1;
@@ -144,31 +158,31 @@
     }
   }
 
-  /** The number of lines in the log so far. */
+  /** Returns the number of lines in the log so far. */
   public int logLineCount() {
     synchronized (log) {
       return log.size();
     }
   }
 
-  /** The log so far. */
+  /** Returns the log so far. */
   public String log() {
     synchronized (log) {
       return String.join("\n", log);
     }
   }
 
-  /** Whether the process runs. */
+  /** Returns whether the process has been started and has not ended. */
   public boolean isAlive() {
     return process != null && process.isAlive();
   }
 
-  /** Kills the process, and waits until it has ended. */
+  /** Sends SIGKILL, and waits until the process has ended. */
   public void kill() throws InterruptedException {
     process.destroyForcibly().waitFor();
   }
 
-  /** Sends SIGTERM, and returns the counters that the process prints at its end. */
+  /** Sends SIGTERM, and returns the counters that the process prints when it ends. */
   public Map<String, Long> terminate() throws IOException, InterruptedException {
     int from = logLineCount();
     signal("TERM");
@@ -176,17 +190,22 @@
   }
 
   /**
-   * Waits until the process has ended, and returns the counters that it printed after this line of
-   * its log.
+   * Waits until the process has ended, and returns the counters that it printed.
+   *
+   * @param from the index of the first log line to search for the counters
    */
   public Map<String, Long> awaitExit(int from) throws InterruptedException {
     if (!process.waitFor(20, TimeUnit.SECONDS)) {
-      throw new AssertionError("it does not end:\n" + log());
+      throw new AssertionError("the process did not end within 20 s:\n" + log());
     }
     awaitLogLine("counters ", from, 5000);
     Map<String, Long> counters = new HashMap<>();
     String line =
-        log().lines().filter(l -> l.startsWith("counters ")).reduce((a, b) -> b).orElseThrow();
+        log()
+            .lines()
+            .filter(text -> text.startsWith("counters "))
+            .reduce((earlier, later) -> later)
+            .orElseThrow();
     for (String pair : line.substring("counters ".length()).split(" ")) {
       counters.put(
           pair.substring(0, pair.indexOf('=')),
@@ -199,26 +218,26 @@
   public void signal(String name) throws IOException, InterruptedException {
     if (new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor()
         != 0) {
-      throw new AssertionError("no signal " + name);
+      throw new AssertionError("signal " + name + " could not be sent to the process");
     }
   }
 
-  /** The processor time that the process has used, in milliseconds. */
+  /** Returns the processor time that the process has used, in milliseconds. */
   public double processorMs() {
     return process.toHandle().info().totalCpuDuration().orElseThrow().toNanos() / 1e6;
   }
 
-  /** Writes the platform's configuration; it is read at the next SIGHUP or start. */
+  /** Writes the platform's configuration file, which is read at the next SIGHUP or start. */
   public void writeConfiguration(String text) throws IOException {
     Files.writeString(folder.resolve("config.json"), text);
   }
 
-  /** Writes our own settings file; it is read at the next SIGHUP or start. */
+  /** Writes the dispatcher's settings file, which is read at the next SIGHUP or start. */
   public void writeSettings(String text) throws IOException {
-    Files.writeString(own, text);
+    Files.writeString(settingsFile, text);
   }
 
-  /** The folder that holds the files of the process. */
+  /** Returns the folder that holds the files of the process. */
   public File folder() {
     return folder.toFile();
   }
--- a/src/test/java/cobaltseam/standin/EmulatedDiscovery.java
+++ b/src/test/java/cobaltseam/standin/EmulatedDiscovery.java
@@ -12,46 +12,52 @@
 import java.util.List;
 
 /**
- * An emulated event bus on loopback: sends each client the events that it lacks, and the last
- * offset every 200 ms.
+ * An emulated discovery service on loopback. Each client states the offset of its last event and
+ * receives the events that follow, and a heartbeat with the last offset every 200 ms.
  */
 public final class EmulatedDiscovery implements AutoCloseable {
-  private static final int BEAT_MS = 200;
+  private static final int HEARTBEAT_MS = 200;
 
   private final ServerSocket server;
   private final List<String> events = new ArrayList<>();
   private volatile boolean silent;
 
-  /** Starts an event bus on a free port of this host. */
+  /** Starts a discovery service on a free port of a host. */
   public EmulatedDiscovery(String host) throws IOException {
     server = new ServerSocket();
     server.bind(new InetSocketAddress(InetAddress.getByName(host), 0), 64);
-    EmulatedEngine.thread(this::accept).start();
+    EmulatedEngine.daemonThread(this::accept).start();
   }
 
-  /** Where it listens. */
+  /** Returns the address that the service listens on. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getLocalSocketAddress();
   }
 
-  /** One engine's entry in an event. */
-  public static String endpointJson(int engine, InetSocketAddress at, String state) {
+  /** Returns one engine's entry in an event, as JSON. */
+  public static String endpointJson(int engine, InetSocketAddress address, String state) {
     return "{\"uid\":\"s-%08x\",\"endpoint\":\"%s:%d\",\"az\":\"z\",\"model\":\"m\",\"state\":\"%s\",\"boot_ms\":0}"
-        .formatted(engine, at.getAddress().getHostAddress(), at.getPort(), state);
+        .formatted(engine, address.getAddress().getHostAddress(), address.getPort(), state);
   }
 
-  /** Publishes an event. Returns its text, for a configuration that holds it already. */
-  public synchronized String publish(boolean whole, String... targets) {
+  /**
+   * Publishes an event.
+   *
+   * @param isFullList whether the event replaces the endpoint list, or only updates some endpoints
+   * @return the text of the event, for a configuration with events that are known at the start
+   */
+  public synchronized String publish(boolean isFullList, String... endpoints) {
     events.add(
         "{\"offset\":%d,\"topology\":{\"rev\":%d,\"all\":%b,\"targets\":[%s]}}"
-            .formatted(events.size() + 1, events.size() + 1, whole, String.join(",", targets)));
+            .formatted(
+                events.size() + 1, events.size() + 1, isFullList, String.join(",", endpoints)));
     notifyAll();
     return events.get(events.size() - 1);
   }
 
-  /** From now on it sends nothing, or sends again. */
-  public synchronized void setSilent(boolean now) {
-    silent = now;
+  /** Sets whether the service sends nothing, neither events nor heartbeats. */
+  public synchronized void setSilent(boolean isSilent) {
+    silent = isSilent;
     notifyAll();
   }
 
@@ -59,7 +65,7 @@
     while (!server.isClosed()) {
       try {
         Socket socket = server.accept();
-        EmulatedEngine.thread(() -> serve(socket)).start();
+        EmulatedEngine.daemonThread(() -> serve(socket)).start();
       } catch (IOException e) {
         return;
       }
@@ -68,22 +74,22 @@
 
   private void serve(Socket socket) {
     try (socket) {
-      String asked = EmulatedEngine.line(new DataInputStream(socket.getInputStream()));
-      int told = Integer.parseInt(asked.substring(asked.indexOf(' ') + 1));
+      String request = EmulatedEngine.readLine(new DataInputStream(socket.getInputStream()));
+      int sentOffset = Integer.parseInt(request.substring(request.indexOf(' ') + 1));
       OutputStream out = socket.getOutputStream();
       while (true) {
         StringBuilder text = new StringBuilder();
         synchronized (this) {
-          if (told == events.size()) {
-            wait(BEAT_MS);
+          if (sentOffset == events.size()) {
+            wait(HEARTBEAT_MS);
           }
           if (silent) {
             continue;
           }
-          for (; told < events.size(); told++) {
-            text.append(events.get(told)).append('\n');
+          for (; sentOffset < events.size(); sentOffset++) {
+            text.append(events.get(sentOffset)).append('\n');
           }
-          text.append(told).append('\n');
+          text.append(sentOffset).append('\n');
         }
         out.write(text.toString().getBytes(StandardCharsets.UTF_8));
         out.flush();
--- a/src/test/java/cobaltseam/standin/EmulatedEngine.java
+++ b/src/test/java/cobaltseam/standin/EmulatedEngine.java
@@ -26,69 +26,77 @@
 import java.util.function.ToLongFunction;
 
 /**
- * An emulated engine on loopback: takes a given time for each statement, answers with one page,
- * stops the statements of a connection that closes, and records how often each ran and how many ran
- * at once.
+ * An emulated engine on loopback. Each request takes a given time and is answered with one page.
+ * The engine cancels the requests of a connection that closes, and records how often each request
+ * ran and how many ran concurrently.
  */
 public final class EmulatedEngine implements AutoCloseable {
-  /** How often an engine started one request, and how often it completed it. */
+  /** How often an engine started and completed one request. */
   public record Executions(AtomicInteger started, AtomicInteger completed) {}
 
   private final ServerSocket server;
-  private final ToLongFunction<String> millis;
-  private final ScheduledExecutorService work =
-      Executors.newScheduledThreadPool(2, EmulatedEngine::thread);
-  private final Map<String, Executions> ledger = new ConcurrentHashMap<>();
+  private final ToLongFunction<String> executionMs;
+  private final ScheduledExecutorService scheduler =
+      Executors.newScheduledThreadPool(2, EmulatedEngine::daemonThread);
+  private final Map<String, Executions> executions = new ConcurrentHashMap<>();
   private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
   private final AtomicInteger running = new AtomicInteger();
-  private final AtomicInteger most = new AtomicInteger();
+  private final AtomicInteger maxRunning = new AtomicInteger();
   private volatile boolean failing;
-  private final Map<String, Long> lastStarts = new ConcurrentHashMap<>();
+  private final Map<String, Long> lastStartTimes = new ConcurrentHashMap<>();
 
   /**
-   * @param millis how long a command of a profile runs
+   * Starts an engine on a free port of a host.
+   *
+   * @param executionMs gives the execution time of a request by its request class, in milliseconds
    */
-  public EmulatedEngine(String host, ToLongFunction<String> millis) throws IOException {
-    this.millis = millis;
+  public EmulatedEngine(String host, ToLongFunction<String> executionMs) throws IOException {
+    this.executionMs = executionMs;
     server = new ServerSocket();
     server.bind(new InetSocketAddress(InetAddress.getByName(host), 0), 256);
-    thread(this::accept).start();
+    daemonThread(this::accept).start();
   }
 
-  static Thread thread(Runnable task) {
+  static Thread daemonThread(Runnable task) {
     Thread thread = new Thread(task, "stand-in");
     thread.setDaemon(true);
     return thread;
   }
 
-  /** Where it listens. */
+  /** Returns the address that the engine listens on. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getLocalSocketAddress();
   }
 
-  /** The executions of each request, by call id. */
+  /** Returns the executions of each request, by call id. */
   public Map<String, Executions> executions() {
-    return ledger;
+    return executions;
   }
 
-  /** The largest number of requests that ran at once since the last call. */
+  /**
+   * Returns the largest number of requests that ran concurrently since the last call, and starts a
+   * new measurement.
+   */
   public int takeMaxRunning() {
-    return most.getAndSet(running.get());
+    return maxRunning.getAndSet(running.get());
   }
 
-  /** From now on every statement fails as soon as it starts, or none does. */
-  public void setFailing(boolean now) {
-    failing = now;
+  /** Sets whether every new request fails as soon as it starts. */
+  public void setFailing(boolean isFailing) {
+    failing = isFailing;
   }
 
-  /** The number of requests that run now. */
+  /** Returns the number of requests that run now. */
   public int runningCount() {
     return running.get();
   }
 
-  /** When each request was started last, by call id, in nanoseconds of this process. */
+  /**
+   * Returns the time of each request's last start, by call id, in nanoseconds of {@link
+   * System#nanoTime} in this process.
+   */
   public Map<String, Long> lastStartTimes() {
-    return lastStarts;
+    return lastStartTimes;
   }
 
   private void accept() {
@@ -97,7 +105,7 @@
         Socket socket = server.accept();
         socket.setTcpNoDelay(true);
         sockets.add(socket);
-        thread(() -> serve(socket)).start();
+        daemonThread(() -> serve(socket)).start();
       } catch (IOException e) {
         return;
       }
@@ -105,94 +113,95 @@
   }
 
   private void serve(Socket socket) {
-    Map<String, ScheduledFuture<?>> open = new ConcurrentHashMap<>();
+    Map<String, ScheduledFuture<?>> pending = new ConcurrentHashMap<>();
     try (socket) {
       DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
       OutputStream out = socket.getOutputStream();
       while (true) {
-        List<String> items = items(in);
+        List<String> items = readArray(in);
         String id = items.get(1);
         switch (items.get(0)) {
-          case "PULL" -> pull(open, out, id, items.get(2));
-          case "KILL" -> giveUp(open.remove(id));
-          case "ECHO" -> say(out, id, "alive", "-", "");
+          case "PULL" -> startRequest(pending, out, id, items.get(2));
+          case "KILL" -> cancel(pending.remove(id));
+          case "ECHO" -> writeArray(out, id, "alive", "-", "");
           default -> {}
         }
       }
     } catch (IOException e) {
-      // The client has disconnected; its statements stop.
-      open.values().forEach(this::giveUp);
+      // The client has disconnected, which cancels its requests.
+      pending.values().forEach(this::cancel);
     } finally {
       sockets.remove(socket);
     }
   }
 
-  private void pull(
-      Map<String, ScheduledFuture<?>> open, OutputStream out, String id, String fields) {
-    Executions ran =
-        ledger.computeIfAbsent(id, i -> new Executions(new AtomicInteger(), new AtomicInteger()));
-    lastStarts.put(id, System.nanoTime());
-    ran.started.incrementAndGet();
+  private void startRequest(
+      Map<String, ScheduledFuture<?>> pending, OutputStream out, String id, String fields) {
+    Executions counts =
+        executions.computeIfAbsent(
+            id, i -> new Executions(new AtomicInteger(), new AtomicInteger()));
+    lastStartTimes.put(id, System.nanoTime());
+    counts.started.incrementAndGet();
     if (failing) {
       try {
-        say(out, id, "500", "-", "");
+        writeArray(out, id, "500", "-", "");
       } catch (IOException e) {
         // The client has disconnected.
-        ran.completed.get();
+        counts.completed.get();
       }
       return;
     }
-    int now = running.incrementAndGet();
-    most.accumulateAndGet(now, Math::max);
-    String profile =
+    int runningNow = running.incrementAndGet();
+    maxRunning.accumulateAndGet(runningNow, Math::max);
+    String requestClass =
         Arrays.stream(fields.split(","))
-            .filter(f -> f.startsWith("lane="))
+            .filter(field -> field.startsWith("lane="))
             .findFirst()
             .orElse("lane=")
             .substring(5);
-    long wait = millis.applyAsLong(profile);
-    open.put(
+    long durationMs = executionMs.applyAsLong(requestClass);
+    pending.put(
         id,
-        work.schedule(
+        scheduler.schedule(
             () -> {
-              if (open.remove(id) == null) {
+              if (pending.remove(id) == null) {
                 return;
               }
               running.decrementAndGet();
-              ran.completed.incrementAndGet();
+              counts.completed.incrementAndGet();
               try {
-                say(
+                writeArray(
                     out,
                     id,
                     "200",
                     "pages=1,rep=pending:0;busy_reqs:" + running.get(),
                     "a\t" + id + "\tx\n");
               } catch (IOException e) {
-                // The client has disconnected; the statement ran all the same.
-                ran.completed.get();
+                // The client has disconnected, but the request counts as completed.
+                counts.completed.get();
               }
             },
-            wait,
+            durationMs,
             TimeUnit.MILLISECONDS));
   }
 
-  private void giveUp(ScheduledFuture<?> future) {
+  private void cancel(ScheduledFuture<?> future) {
     if (future != null && future.cancel(false)) {
       running.decrementAndGet();
     }
   }
 
-  static List<String> items(DataInputStream in) throws IOException {
+  static List<String> readArray(DataInputStream in) throws IOException {
     List<String> items = new ArrayList<>();
-    for (int left = Integer.parseInt(line(in).substring(1)); left > 0; left--) {
-      byte[] item = in.readNBytes(Integer.parseInt(line(in).substring(1)));
-      line(in);
+    for (int remaining = Integer.parseInt(readLine(in).substring(1)); remaining > 0; remaining--) {
+      byte[] item = in.readNBytes(Integer.parseInt(readLine(in).substring(1)));
+      readLine(in);
       items.add(new String(item, StandardCharsets.UTF_8));
     }
     return items;
   }
 
-  static String line(DataInputStream in) throws IOException {
+  static String readLine(DataInputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (char c = (char) in.readUnsignedByte(); c != '\n'; c = (char) in.readUnsignedByte()) {
       line.append(c);
@@ -200,7 +209,7 @@
     return line.toString().strip();
   }
 
-  private static void say(OutputStream out, String... items) throws IOException {
+  private static void writeArray(OutputStream out, String... items) throws IOException {
     StringBuilder text = new StringBuilder("*" + items.length + "\r\n");
     for (String item : items) {
       text.append('$').append(item.length()).append("\r\n").append(item).append("\r\n");
@@ -211,28 +220,28 @@
     }
   }
 
-  /** Resets every connection, as a process that dies does. */
+  /** Resets every connection with a TCP RST, as if the process had crashed. */
   public void resetConnections() throws IOException {
     for (Socket socket : new HashSet<>(sockets)) {
       try {
         socket.setSoLinger(true, 0);
         socket.close();
       } catch (SocketException e) {
-        // The client closed it in the same moment.
+        // The client closed the connection concurrently.
         sockets.remove(socket);
       }
     }
   }
 
-  /** A random time, from half to one and a half times this mean. */
-  public static long randomAround(long millis) {
-    return millis / 2 + ThreadLocalRandom.current().nextLong(millis + 1);
+  /** Returns a random time, uniformly distributed from 0.5 to 1.5 times the mean. */
+  public static long randomAround(long meanMs) {
+    return meanMs / 2 + ThreadLocalRandom.current().nextLong(meanMs + 1);
   }
 
   @Override
   public void close() throws IOException {
     server.close();
     resetConnections();
-    work.shutdownNow();
+    scheduler.shutdownNow();
   }
 }
--- a/src/test/java/cobaltseam/standin/ShowFailedException.java
+++ b/src/test/java/cobaltseam/standin/ShowFailedException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** A dispatcher answered SHOW with something else than a table with rows. */
+/** Thrown if a dispatcher answers SHOW with an error or with a table without rows. */
 public final class ShowFailedException extends IOException {
   private static final long serialVersionUID = 1L;
 
   ShowFailedException(String name, Object outcome, String lastError) {
-    super("SHOW cobaltseam." + name + " ended as " + outcome + " without rows: " + lastError);
+    super("SHOW cobaltseam." + name + " returned no rows (outcome " + outcome + "): " + lastError);
   }
 }
--- a/src/test/java/cobaltseam/standin/StatementClient.java
+++ b/src/test/java/cobaltseam/standin/StatementClient.java
@@ -13,57 +13,62 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One session of a client: sends simple queries one at a time, and reads the outcome of each. */
+/** One session of a client, which sends simple queries one at a time and reads their outcomes. */
 public final class StatementClient implements AutoCloseable {
-  private static final int CONNECT_MS = 1000;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
 
   private final Socket socket = new Socket();
   private final DataInputStream in;
   private final DataOutputStream out;
   private String lastError = "";
 
-  /** Connects and starts a session; an answer is awaited for at most this many milliseconds. */
-  public StatementClient(InetSocketAddress to, int waitMs) throws IOException {
+  /**
+   * Connects and starts a session.
+   *
+   * @param timeoutMs how long the client waits for each answer
+   */
+  public StatementClient(InetSocketAddress address, int timeoutMs) throws IOException {
     try {
-      socket.connect(to, CONNECT_MS);
+      socket.connect(address, CONNECT_TIMEOUT_MS);
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout(waitMs);
+      socket.setSoTimeout(timeoutMs);
       in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
       out = new DataOutputStream(socket.getOutputStream());
       out.write(new byte[] {0, 0, 0, 9, 0, 3, 0, 0, 0});
-      read(null);
+      readOutcome(null);
     } catch (IOException e) {
       socket.close();
       throw e;
     }
   }
 
-  /** Writes a statement and waits for its outcome. */
-  public Outcome execute(String call, String profile, int ttlMs) {
-    return execute(call, profile, ttlMs, 50);
+  /** Sends a statement with an estimated work of 50 ms, and waits for its outcome. */
+  public Outcome execute(String callId, String requestClass, int deadlineMs) {
+    return execute(callId, requestClass, deadlineMs, 50);
   }
 
-  /** Writes a statement with this estimate of its work, and waits for its outcome. */
-  public Outcome execute(String call, String profile, int ttlMs, int workMs) {
+  /** Sends a statement with an estimate of its work, and waits for its outcome. */
+  public Outcome execute(String callId, String requestClass, int deadlineMs, int workMs) {
     try {
-      send(call, profile, ttlMs, workMs);
+      send(callId, requestClass, deadlineMs, workMs);
     } catch (IOException e) {
       return Outcome.DISCONNECTED;
     }
     return awaitOutcome();
   }
 
-  /** Writes a statement. */
-  public void send(String call, String profile, int ttlMs, int workMs) throws IOException {
-    write(
+  /** Sends a statement without waiting for its outcome. */
+  public void send(String callId, String requestClass, int deadlineMs, int workMs)
+      throws IOException {
+    writeQuery(
         "/* op=%s,call=%s,ttl=%d,org=acme,work=%d.0 */ SELECT a FROM s_1.t"
-            .formatted(profile, call, ttlMs, workMs));
+            .formatted(requestClass, callId, deadlineMs, workMs));
   }
 
-  /** Waits for the outcome of the statement that was written last. */
+  /** Waits for the outcome of the statement that was sent last. */
   public Outcome awaitOutcome() {
     try {
-      return read(null);
+      return readOutcome(null);
     } catch (SocketTimeoutException e) {
       return Outcome.TIMED_OUT;
     } catch (IOException e) {
@@ -72,46 +77,47 @@
   }
 
   /**
-   * The rows of SHOW cobaltseam.NAME.
+   * Returns the rows of SHOW cobaltseam.NAME, each as a name and a value.
    *
    * @throws ShowFailedException if the answer is an error, or a table without rows
    */
   public Map<String, String> show(String name) throws IOException {
-    write("SHOW cobaltseam." + name);
+    writeQuery("SHOW cobaltseam." + name);
     Map<String, String> rows = new LinkedHashMap<>();
-    Outcome outcome = read(rows);
+    Outcome outcome = readOutcome(rows);
     if (outcome != Outcome.ANSWERED || rows.isEmpty()) {
       throw new ShowFailedException(name, outcome, lastError);
     }
     return rows;
   }
 
-  /** The SQLSTATE and text of the last error. */
+  /** Returns the SQLSTATE and the message of the last error, or an empty string. */
   public String lastError() {
     return lastError;
   }
 
-  private void write(String text) throws IOException {
+  private void writeQuery(String text) throws IOException {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    ByteArrayOutputStream whole = new ByteArrayOutputStream();
-    DataOutputStream to = new DataOutputStream(whole);
-    to.write('Q');
-    to.writeInt(bytes.length + 5);
-    to.write(bytes);
-    to.write(0);
-    out.write(whole.toByteArray());
+    ByteArrayOutputStream message = new ByteArrayOutputStream();
+    DataOutputStream encoder = new DataOutputStream(message);
+    encoder.write('Q');
+    encoder.writeInt(bytes.length + 5);
+    encoder.write(bytes);
+    encoder.write(0);
+    out.write(message.toByteArray());
   }
 
-  private Outcome read(Map<String, String> rows) throws IOException {
-    Outcome end = Outcome.DISCONNECTED;
+  /** Reads to the end of an answer, and adds its rows to a map unless that is null. */
+  private Outcome readOutcome(Map<String, String> rows) throws IOException {
+    Outcome outcome = Outcome.DISCONNECTED;
     while (true) {
       char type = (char) in.readByte();
       byte[] body = in.readNBytes(in.readInt() - 4);
       switch (type) {
         case 'Z' -> {
-          return end;
+          return outcome;
         }
-        case 'C' -> end = Outcome.ANSWERED;
+        case 'C' -> outcome = Outcome.ANSWERED;
         case 'D' -> {
           if (rows != null) {
             DataInputStream row = new DataInputStream(new java.io.ByteArrayInputStream(body));
@@ -122,14 +128,14 @@
         }
         case 'E' -> {
           String text = new String(body, StandardCharsets.UTF_8);
-          String state = text.substring(text.indexOf("\0C") + 2, text.indexOf("\0C") + 7);
-          lastError = state + " " + text.substring(text.indexOf("\0M") + 2).strip();
-          end =
-              state.equals("57P03")
+          String sqlState = text.substring(text.indexOf("\0C") + 2, text.indexOf("\0C") + 7);
+          lastError = sqlState + " " + text.substring(text.indexOf("\0M") + 2).strip();
+          outcome =
+              sqlState.equals("57P03")
                   ? Outcome.REJECTED
-                  : state.startsWith("53") ? Outcome.SHED : Outcome.FAILED;
+                  : sqlState.startsWith("53") ? Outcome.SHED : Outcome.FAILED;
           if (text.startsWith("SFATAL")) {
-            return end;
+            return outcome;
           }
         }
         default -> {}
--- a/src/test/java/cobaltseam/standin/VirtualAddressRig.java
+++ b/src/test/java/cobaltseam/standin/VirtualAddressRig.java
@@ -179,7 +179,7 @@
     String[] profiles = {"look", "look", "marked", "once"};
     for (int i = 0; i < number; i++) {
       int mine = i;
-      Thread thread = EmulatedEngine.thread(() -> ask(profiles, mine, pauseMs, ttlMs));
+      Thread thread = EmulatedEngine.daemonThread(() -> ask(profiles, mine, pauseMs, ttlMs));
       clients.add(thread);
       thread.start();
     }
@@ -257,8 +257,8 @@
     while (System.nanoTime() < until) {
       long first =
           ledger.entries().values().stream()
-              .filter(e -> e.end() == Outcome.ANSWERED && e.asked() >= since)
-              .mapToLong(Entry::ended)
+              .filter(e -> e.outcome() == Outcome.ANSWERED && e.sentAt() >= since)
+              .mapToLong(Entry::endedAt)
               .min()
               .orElse(-1);
       if (first >= 0) {
@@ -298,44 +298,44 @@
   /** Requests of the class that is not idempotent that engines started more than once. */
   public long repeatedRuns() {
     return ledger.entries().values().stream()
-        .filter(e -> e.profile().equals("once"))
-        .filter(e -> engines.stream().mapToInt(g -> begun(g, e.call())).sum() > 1)
+        .filter(e -> e.requestClass().equals("once"))
+        .filter(e -> engines.stream().mapToInt(g -> begun(g, e.callId())).sum() > 1)
         .count();
   }
 
   /** Requests that were answered though no engine completed them. */
   public long answeredWithoutRun() {
     return ledger.entries().values().stream()
-        .filter(e -> e.end() == Outcome.ANSWERED)
+        .filter(e -> e.outcome() == Outcome.ANSWERED)
         .filter(
             e ->
                 engines.stream()
                     .noneMatch(
                         g ->
-                            g.executions().containsKey(e.call())
-                                && g.executions().get(e.call()).completed().get() > 0))
+                            g.executions().containsKey(e.callId())
+                                && g.executions().get(e.callId()).completed().get() > 0))
         .count();
   }
 
   /** Requests that were rejected before they were admitted, and sent to an engine all the same. */
   public long rejectedButRun() {
     return ledger.entries().values().stream()
-        .filter(e -> e.end() == Outcome.REJECTED)
-        .filter(e -> engines.stream().anyMatch(g -> g.executions().containsKey(e.call())))
+        .filter(e -> e.outcome() == Outcome.REJECTED)
+        .filter(e -> engines.stream().anyMatch(g -> g.executions().containsKey(e.callId())))
         .count();
   }
 
   /** Requests that were shed after they ran, of the class that is not idempotent. */
   public long shedAfterRun() {
     return ledger.entries().values().stream()
-        .filter(e -> e.end() == Outcome.SHED && e.profile().equals("once"))
+        .filter(e -> e.outcome() == Outcome.SHED && e.requestClass().equals("once"))
         .filter(
             e ->
                 engines.stream()
                     .anyMatch(
                         g ->
-                            g.executions().containsKey(e.call())
-                                && g.executions().get(e.call()).completed().get() > 0))
+                            g.executions().containsKey(e.callId())
+                                && g.executions().get(e.callId()).completed().get() > 0))
         .count();
   }
 
