--- a/bench/vrrp.sh
+++ b/bench/vrrp.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The long measurements of mastership; docs/measures-vrrp.md holds what they gave.
+# Runs the long measurements of VRRP mastership; their results are in docs/measures-vrrp.md.
 #   bench/vrrp.sh flips 60 16 | takeover 40 | false 30 | split | routers
 #   bench/vrrp.sh explore 'preempt:200,100:3,1,1,1,1' ...
 set -eu
--- a/example/Query.java
+++ b/example/Query.java
@@ -7,13 +7,14 @@
 import java.util.List;
 
 /**
- * Sends simple queries to a dispatcher and prints the rows, for machines without psql. Usage:
- * {@code java example/Query.java PORT QUERY...}; it waits up to 30 s for the port to open.
+ * Sends queries to a dispatcher with the simple query protocol of PostgreSQL and prints the rows,
+ * for machines without psql. Usage: {@code java example/Query.java PORT QUERY...}. Waits up to 30 s
+ * for the port to open.
  */
 public final class Query {
   private static final int PROTOCOL_VERSION = 196_608;
   private static final int CONNECT_ATTEMPTS = 300;
-  private static final int CONNECT_BACKOFF_MS = 100;
+  private static final int CONNECT_RETRY_DELAY_MS = 100;
 
   private Query() {}
 
@@ -44,12 +45,12 @@
         if (attempt == CONNECT_ATTEMPTS) {
           throw e;
         }
-        Thread.sleep(CONNECT_BACKOFF_MS);
+        Thread.sleep(CONNECT_RETRY_DELAY_MS);
       }
     }
   }
 
-  /** Prints rows and errors up to ReadyForQuery. */
+  /** Prints data rows and error responses until ReadyForQuery is received. */
   private static void readUntilReady(DataInputStream in) throws IOException {
     while (true) {
       int type = in.readUnsignedByte();
@@ -66,11 +67,12 @@
 
   private static List<String> columns(byte[] row) {
     List<String> columns = new ArrayList<>();
-    int at = 2;
-    while (at < row.length) {
-      int length = java.nio.ByteBuffer.wrap(row, at, 4).getInt();
-      columns.add(length < 0 ? "null" : new String(row, at + 4, length, StandardCharsets.UTF_8));
-      at += 4 + Math.max(0, length);
+    int position = 2;
+    while (position < row.length) {
+      int length = java.nio.ByteBuffer.wrap(row, position, 4).getInt();
+      columns.add(
+          length < 0 ? "null" : new String(row, position + 4, length, StandardCharsets.UTF_8));
+      position += 4 + Math.max(0, length);
     }
     return columns;
   }
--- a/example/Toy.java
+++ b/example/Toy.java
@@ -9,31 +9,33 @@
 import java.util.List;
 
 /**
- * One engine and one event bus for a first try, both on loopback. Each statement is answered with
- * two rows, the second on a further page. Start it with: java example/Toy.java
+ * Runs a minimal engine and a minimal event bus on loopback, for {@code example/first-try.sh}. The
+ * engine answers each query with two rows, the second one on a separate page. Usage: {@code java
+ * example/Toy.java}.
  */
 public final class Toy {
-  private static final int ENGINE = 6001;
-  private static final int BUS = 7070;
+  private static final int ENGINE_PORT = 6001;
+  private static final int EVENT_BUS_PORT = 7070;
 
-  private interface Talk {
-    void with(DataInputStream in, OutputStream out) throws IOException, InterruptedException;
+  private interface ConnectionHandler {
+    void handle(DataInputStream in, OutputStream out) throws IOException, InterruptedException;
   }
 
   public static void main(String[] args) throws IOException {
-    new Thread(() -> listen(ENGINE, Toy::engine)).start();
-    new Thread(() -> listen(BUS, Toy::bus)).start();
-    System.out.println("engine on 127.0.0.1:" + ENGINE + ", event bus on 127.0.0.1:" + BUS);
+    new Thread(() -> listen(ENGINE_PORT, Toy::serveEngine)).start();
+    new Thread(() -> listen(EVENT_BUS_PORT, Toy::serveEventBus)).start();
+    System.out.println(
+        "engine on 127.0.0.1:" + ENGINE_PORT + ", event bus on 127.0.0.1:" + EVENT_BUS_PORT);
   }
 
-  private static void listen(int port, Talk talk) {
+  private static void listen(int port, ConnectionHandler handler) {
     try (ServerSocket server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"))) {
       while (true) {
         Socket socket = server.accept();
         new Thread(
                 () -> {
                   try (socket) {
-                    talk.with(
+                    handler.handle(
                         new DataInputStream(socket.getInputStream()), socket.getOutputStream());
                   } catch (IOException | InterruptedException e) {
                     System.out.println("a connection to " + port + " ended");
@@ -46,53 +48,53 @@
     }
   }
 
-  /** Tells every second that nothing has changed since the one event of the configuration. */
-  private static void bus(DataInputStream in, OutputStream out)
+  /** Sends a heartbeat every second, with the offset of the one event in the configuration. */
+  private static void serveEventBus(DataInputStream in, OutputStream out)
       throws IOException, InterruptedException {
-    System.out.println("event bus: " + line(in));
+    System.out.println("event bus: " + readLine(in));
     while (true) {
       out.write("1\n".getBytes(StandardCharsets.UTF_8));
       Thread.sleep(1000);
     }
   }
 
-  private static void engine(DataInputStream in, OutputStream out) throws IOException {
+  private static void serveEngine(DataInputStream in, OutputStream out) throws IOException {
     while (true) {
       List<String> items = new ArrayList<>();
-      for (int left = Integer.parseInt(line(in).substring(1)); left > 0; left--) {
-        byte[] item = in.readNBytes(Integer.parseInt(line(in).substring(1)));
-        line(in);
+      for (int count = Integer.parseInt(readLine(in).substring(1)); count > 0; count--) {
+        byte[] item = in.readNBytes(Integer.parseInt(readLine(in).substring(1)));
+        readLine(in);
         items.add(new String(item, StandardCharsets.UTF_8));
       }
       System.out.println("engine: " + items);
       String id = items.get(1);
       switch (items.get(0)) {
         case "PULL" ->
-            answer(
+            writeAnswer(
                 out, id, "200", "pages=2,rep=pending:0;busy_reqs:1", "hello\tfrom\t" + id + "\n");
         case "SCROLL" ->
-            answer(
+            writeAnswer(
                 out, id, "chunk", "page=" + items.get(2), "this\tis\tpage " + items.get(2) + "\n");
-        case "ECHO" -> answer(out, id, "alive", "-", "");
+        case "ECHO" -> writeAnswer(out, id, "alive", "-", "");
         default -> {}
       }
     }
   }
 
-  private static void answer(OutputStream out, String... items) throws IOException {
-    StringBuilder text = new StringBuilder("*" + items.length + "\r\n");
+  private static void writeAnswer(OutputStream out, String... items) throws IOException {
+    StringBuilder answer = new StringBuilder("*" + items.length + "\r\n");
     for (String item : items) {
-      text.append('$')
+      answer.append('$')
           .append(item.getBytes(StandardCharsets.UTF_8).length)
           .append("\r\n")
           .append(item)
           .append("\r\n");
     }
-    out.write(text.toString().getBytes(StandardCharsets.UTF_8));
+    out.write(answer.toString().getBytes(StandardCharsets.UTF_8));
     out.flush();
   }
 
-  private static String line(DataInputStream in) throws IOException {
+  private static String readLine(DataInputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (char c = (char) in.readUnsignedByte(); c != '\n'; c = (char) in.readUnsignedByte()) {
       line.append(c);
--- a/example/first-try.sh
+++ b/example/first-try.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Starts one engine with discovery and one dispatcher on loopback, sends a query, prints the counters, and stops both.
+# Starts a minimal engine with an event bus and one dispatcher on loopback, sends a query, prints the
+# dispatcher's counters, and stops all of them.
 set -eu
 cd "$(dirname "$0")/.."
 java example/Toy.java &
