--- a/example/Toy.java
+++ b/example/Toy.java
@@ -84,7 +84,8 @@
   private static void writeAnswer(OutputStream out, String... items) throws IOException {
     StringBuilder answer = new StringBuilder("*" + items.length + "\r\n");
     for (String item : items) {
-      answer.append('$')
+      answer
+          .append('$')
           .append(item.getBytes(StandardCharsets.UTF_8).length)
           .append("\r\n")
           .append(item)
