--- a/src/main/java/cobaltseam/capacity/CapacityLeases.java
+++ b/src/main/java/cobaltseam/capacity/CapacityLeases.java
@@ -50,7 +50,7 @@
     /** When the lease on the view ends; null if there is none. */
     Timestamp leaseUntil();
 
-    /** The time after which all leases on earlier views have ended, by any clock. */
+    /** The time after which all leases on earlier views have ended, by any member's clock. */
     TimeSpan maxLeaseDuration();
 
     /** The largest difference between the rates of two clocks, as a ratio. */
@@ -471,7 +471,9 @@
         equalShare(now)
             - lentToOthers
             - Math.ceil(targetAmount(demand, known.knownCount, known.sum));
-    // The capacity lease ends before the lease on the view under which it is granted, by any clock.
+    // The capacity lease ends before the lease on the view under which it is granted, by every
+    // member's
+    // clock.
     TimeSpan duration =
         hasLease(now)
             ? context.leaseUntil().since(now).times(1 / (1 + 2 * context.maxClockRateRatio()))
--- a/src/main/java/cobaltseam/emulator/EmulatedSite.java
+++ b/src/main/java/cobaltseam/emulator/EmulatedSite.java
@@ -219,7 +219,7 @@
   /** The machine type of all engines. */
   static final String MACHINE_TYPE = "emulated";
 
-  /** A time span of so many milliseconds, rounded to microseconds. */
+  /** Returns a time span given in milliseconds, rounded to microseconds. */
   static TimeSpan ms(double ms) {
     return new TimeSpan(Math.round(ms * 1000));
   }
--- a/src/main/java/cobaltseam/emulator/Shrink.java
+++ b/src/main/java/cobaltseam/emulator/Shrink.java
@@ -7,9 +7,9 @@
 
 /**
  * Minimises a failing list of faults by delta debugging. Removes faults as long as the rest still
- * fails, first half of them at once and at last one by one, and then replaces each remaining fault
- * by simpler variants. The result fails; before the faults are simplified, none of them can be
- * removed on its own.
+ * fails, first half of them at a time and finally one at a time, and then replaces each remaining
+ * fault by simpler variants. The result fails; before the faults are simplified, none of them can
+ * be removed on its own.
  *
  * @param <T> the type of a fault
  */
--- a/src/main/java/cobaltseam/membership/ViewDeltaPlanner.java
+++ b/src/main/java/cobaltseam/membership/ViewDeltaPlanner.java
@@ -16,8 +16,8 @@
   private static final int MAX_ADDED = 64;
 
   /**
-   * A process that sent a message to this one within so many periods is retained, whatever its
-   * condition according to other members.
+   * The number of probe periods within which a message received from a process retains it, whatever
+   * its condition according to other members.
    */
   private static final double RETAIN_IF_RECEIVED_WITHIN_PERIODS = 1.5;
 
--- a/src/main/java/cobaltseam/retrybudget/RetryBudget.java
+++ b/src/main/java/cobaltseam/retrybudget/RetryBudget.java
@@ -58,7 +58,7 @@
   /** The half-life of the average need, in windows. */
   private static final double NEED_HALF_LIFE_WINDOWS = 0.25;
 
-  /** The need of so many windows is kept in reserve and not transferred. */
+  /** The number of windows whose need is kept in reserve and not transferred. */
   private static final double RESERVE_WINDOWS = 0.25;
 
   /** An amount that may be spent until a time. */
--- a/src/main/java/cobaltseam/service/ClientInput.java
+++ b/src/main/java/cobaltseam/service/ClientInput.java
@@ -32,7 +32,7 @@
 
   private static final String CLIENT_ATTRIBUTE = "client";
 
-  /** Clients' messages may take up one byte for each so many bytes of the process's memory. */
+  /** The ratio of the process's memory to the memory that clients' messages may use. */
   private static final int MEMORY_PER_BUFFERED_BYTE = 32;
 
   /**
--- a/src/main/java/cobaltseam/service/EngineConnection.java
+++ b/src/main/java/cobaltseam/service/EngineConnection.java
@@ -89,7 +89,7 @@
 
   /**
    * Whether a further attempt may use this connection. A call id may be used on it only once, since
-   * the answers to two attempts with the same id could not be told apart.
+   * the answers to two attempts with the same id could not be distinguished.
    */
   boolean canAccept(String callId, int maxAttempts) {
     return attempts.size() < maxAttempts
--- a/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
+++ b/src/test/java/cobaltseam/fleet/VirtualFleetTest.java
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void aThirdKilledAtOnceIsRemovedInOneViewChange() {
+  void thirdOfMembersKilledAtOnceIsRemovedInOneViewChange() {
     for (int seed = 0; seed < 10; seed++) {
       VirtualFleet fleet =
           fleet(30, seed, fault(Kind.GONE, 1, 1, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29));
--- a/src/test/java/cobaltseam/service/SlowStartRaceTest.java
+++ b/src/test/java/cobaltseam/service/SlowStartRaceTest.java
@@ -182,7 +182,7 @@
         });
   }
 
-  /** Answers all requests that arrive within so many seconds, each immediately. */
+  /** Answers each request immediately, for this many seconds. */
   private static List<SentAttempt> answerAll(EmulatedPeer engine, double seconds) throws Exception {
     List<SentAttempt> sent = new ArrayList<>();
     long endNanos = System.nanoTime() + (long) (seconds * 1e9);
--- a/src/test/java/cobaltseam/transport/MessageCodecTest.java
+++ b/src/test/java/cobaltseam/transport/MessageCodecTest.java
@@ -86,7 +86,7 @@
           new MembershipMessage.ViewRequest(HEADER, VIEW_ID, 48),
           new MembershipMessage.ViewPart(HEADER, VIEW_ID, 0, 2, List.of(FIRST, SECOND), null));
 
-  /** A health check (kind {@code Probe}) as the first build with wire version 1 encoded it. */
+  /** A health check (kind {@code Probe}) as originally encoded with wire version 1. */
   private static final String RECORDED_HEALTH_CHECK =
       "bf61760161666372696761"
           + "6b6550726f6265616dbf6466726f6dbf666d656d626572bf646e616d656161656269727468016761646472657373"
--- a/src/test/java/cobaltseam/transport/WireCompatibilityTest.java
+++ b/src/test/java/cobaltseam/transport/WireCompatibilityTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Reads messages and stored state that were recorded with the first names of the message classes,
- * and writes the same bytes. Guards against a renamed class or record component that changes the
- * encoding.
+ * Reads recorded messages and stored state, whose names are the original names of the message
+ * classes, and writes the same bytes. Guards against a renamed class or record component that
+ * changes the encoding.
  */
 class WireCompatibilityTest {
   private static final int KIND_COUNT = 30;
