--- a/src/test/java/cobaltseam/standin/VirtualAddressRig.java
+++ b/src/test/java/cobaltseam/standin/VirtualAddressRig.java
@@ -15,12 +15,19 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Two real dispatchers with one virtual router on loopback, with the links of adverts between them,
- * emulated engines and event bus, and clients that go to whichever dispatcher accepts them, as the
- * network would lead them to the virtual address.
+ * A test rig with two dispatcher processes that share one virtual router on loopback, the advert
+ * links between them, emulated engines and discovery, and clients. The clients change to the other
+ * dispatcher when one doesn't accept them, as if the network routed them to the virtual address.
  */
 public final class VirtualAddressRig implements AutoCloseable {
-  /** The parameters of the rig. */
+  /**
+   * The parameters of the rig.
+   *
+   * @param engineMs the mean execution time of a request
+   * @param intervalMs the advertisement interval
+   * @param priorities the priority of each dispatcher
+   * @param extraSettings lines to add to the virtual router in both settings files
+   */
   public record Plan(
       int engines,
       int cores,
@@ -28,96 +35,107 @@
       int intervalMs,
       int[] priorities,
       boolean preempts,
-      String more,
+      String extraSettings,
       long seed) {
-    /** A small rig with these advert intervals, in milliseconds. */
+    /** Returns a small rig with an advertisement interval in milliseconds. */
     public static Plan of(int intervalMs, long seed) {
       return new Plan(2, 8, 20, intervalMs, new int[] {150, 100}, true, "", seed);
     }
   }
 
-  private static final int ROVES_AFTER = 10;
-  private static final String PREFIX = "127.0.77.";
-  private static final AtomicInteger HOSTS =
+  private static final int REQUESTS_PER_RECONNECT = 10;
+  private static final String HOST_PREFIX = "127.0.77.";
+  private static final AtomicInteger NEXT_HOST =
       new AtomicInteger(ProcessHandle.current().pid() % 2 == 0 ? 1 : 120);
 
   public final List<EmulatedEngine> engines = new ArrayList<>();
   public final EmulatedDiscovery discovery;
   public final DispatcherProcess[] dispatchers = new DispatcherProcess[2];
 
-  /** The links of adverts from each dispatcher to the other. */
+  /** The link that carries the adverts of each dispatcher to the other one. */
   public final AdvertLink[] links = new AdvertLink[2];
 
   public final RequestLedger ledger = new RequestLedger();
+
+  /** The address on which each dispatcher serves clients while it is active. */
   public final InetSocketAddress[] serveAddresses = new InetSocketAddress[2];
+
+  /** The address on which each dispatcher always listens for clients. */
   public final InetSocketAddress[] ownAddresses = new InetSocketAddress[2];
-  private final InetSocketAddress[] listens = new InetSocketAddress[2];
-  private final InetSocketAddress[] seen = new InetSocketAddress[2];
+
+  private final InetSocketAddress[] advertListenAddresses = new InetSocketAddress[2];
+  private final InetSocketAddress[] advertSourceAddresses = new InetSocketAddress[2];
   private final Plan plan;
-  private final AtomicLong calls = new AtomicLong();
-  private final AtomicBoolean going = new AtomicBoolean();
+  private final AtomicLong callCount = new AtomicLong();
+  private final AtomicBoolean isRunning = new AtomicBoolean();
 
   /**
-   * Whether clients reconnect after some requests, to either dispatcher, as in a split in which the
-   * network sees both.
+   * Whether clients reconnect after every {@value #REQUESTS_PER_RECONNECT} requests to a random
+   * dispatcher, as in a split in which the network routes clients to both.
    */
   public volatile boolean reconnectsAtRandom;
 
   private final List<Thread> clients = new ArrayList<>();
 
-  /** Starts all parts but the dispatchers, whose files go into this folder. */
+  /** Starts everything but the dispatchers, and writes their files into subfolders of a folder. */
   public VirtualAddressRig(Plan plan, Path folder) throws IOException {
     this.plan = plan;
     discovery = new EmulatedDiscovery("127.0.0.1");
-    List<String> targets = new ArrayList<>();
+    List<String> endpoints = new ArrayList<>();
     for (int i = 0; i < plan.engines; i++) {
       engines.add(
-          new EmulatedEngine("127.0.0.1", profile -> EmulatedEngine.randomAround(plan.engineMs)));
-      targets.add(EmulatedDiscovery.endpointJson(i + 1, engines.get(i).address(), "in_service"));
+          new EmulatedEngine(
+              "127.0.0.1", requestClass -> EmulatedEngine.randomAround(plan.engineMs)));
+      endpoints.add(EmulatedDiscovery.endpointJson(i + 1, engines.get(i).address(), "in_service"));
     }
-    String known = discovery.publish(true, targets.toArray(String[]::new));
+    String knownEvents = discovery.publish(true, endpoints.toArray(String[]::new));
     for (int i = 0; i < 2; i++) {
-      listens[i] = udp(host());
-      serveAddresses[i] = tcp(host());
-      ownAddresses[i] = tcp(host());
+      advertListenAddresses[i] = freeUdpAddress(nextHost());
+      serveAddresses[i] = freeTcpAddress(nextHost());
+      ownAddresses[i] = freeTcpAddress(nextHost());
     }
     for (int i = 0; i < 2; i++) {
-      seen[i] = udp(host());
+      advertSourceAddresses[i] = freeUdpAddress(nextHost());
     }
     for (int i = 0; i < 2; i++) {
-      // What dispatcher i sends to its peer's apparent address reaches the peer from i's apparent
-      // address.
-      links[i] = new AdvertLink(seen[1 - i], seen[i].getAddress(), listens[1 - i], plan.seed + i);
+      // Dispatcher i sends its adverts to the advert source address of its peer. The link forwards
+      // them to the peer's listening address, from the advert source address of dispatcher i.
+      links[i] =
+          new AdvertLink(
+              advertSourceAddresses[1 - i],
+              advertSourceAddresses[i].getAddress(),
+              advertListenAddresses[1 - i],
+              plan.seed + i);
       dispatchers[i] =
           new DispatcherProcess(
               folder.resolve("n" + i),
               DispatcherProcess.configuration(
-                  "n" + i, ownAddresses[i], i, 2, plan.cores, discovery, known),
+                  "n" + i, ownAddresses[i], i, 2, plan.cores, discovery, knownEvents),
               toml(i, plan.priorities[i]));
     }
   }
 
-  private static String host() {
-    return PREFIX + (1 + HOSTS.getAndIncrement() % 250);
+  private static String nextHost() {
+    return HOST_PREFIX + (1 + NEXT_HOST.getAndIncrement() % 250);
   }
 
-  private static InetSocketAddress tcp(String host) throws IOException {
+  private static InetSocketAddress freeTcpAddress(String host) throws IOException {
     try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName(host))) {
       return (InetSocketAddress) probe.getLocalSocketAddress();
     }
   }
 
-  private static InetSocketAddress udp(String host) throws IOException {
+  private static InetSocketAddress freeUdpAddress(String host) throws IOException {
     try (DatagramSocket probe = new DatagramSocket(new InetSocketAddress(host, 0))) {
       return (InetSocketAddress) probe.getLocalSocketAddress();
     }
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String format(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** Our own settings file of one dispatcher. */
+  /** Returns the text of one dispatcher's settings file, which is TOML. */
   public String toml(int index, int priority) {
     return """
                 [logging]
@@ -136,86 +154,94 @@
                 %s
                 """
         .formatted(
-            text(listens[index]),
-            text(seen[1 - index]),
+            format(advertListenAddresses[index]),
+            format(advertSourceAddresses[1 - index]),
             priority,
             plan.intervalMs,
             plan.preempts,
-            text(serveAddresses[index]),
-            plan.more);
+            format(serveAddresses[index]),
+            plan.extraSettings);
   }
 
-  /** Starts both dispatchers, and returns when they serve. */
+  /** Starts both dispatchers, and waits until they serve. */
   public void start() throws IOException, InterruptedException {
-    for (DispatcherProcess d : dispatchers) {
-      d.start();
+    for (DispatcherProcess dispatcher : dispatchers) {
+      dispatcher.start();
     }
-    for (DispatcherProcess d : dispatchers) {
-      d.awaitLogLine(" serves on ", 0, 30_000);
+    for (DispatcherProcess dispatcher : dispatchers) {
+      dispatcher.awaitLogLine(" serves on ", 0, 30_000);
     }
   }
 
-  /** The address on which a dispatcher receives adverts. */
+  /** Returns the address on which a dispatcher receives adverts. */
   public InetSocketAddress advertListenAddress(int index) {
-    return listens[index];
+    return advertListenAddresses[index];
   }
 
-  /** The address from which the other dispatcher receives adverts of dispatcher i. */
+  /**
+   * Returns the source address of a dispatcher's adverts, as the other dispatcher receives them.
+   */
   public InetAddress advertSourceAddress(int index) {
-    return seen[index].getAddress();
+    return advertSourceAddresses[index].getAddress();
   }
 
   // ---- clients
 
-  private String call() {
-    return String.format("%016x", calls.incrementAndGet());
+  private String nextCallId() {
+    return String.format("%016x", callCount.incrementAndGet());
   }
 
   /**
-   * Starts clients that send statements with this pause between them, until {@link #stopClients}.
+   * Starts clients that send requests until {@link #stopClients}, each with a pause between its
+   * requests.
    */
-  public void startClients(int number, int pauseMs, int ttlMs) {
-    going.set(true);
-    String[] profiles = {"look", "look", "marked", "once"};
-    for (int i = 0; i < number; i++) {
-      int mine = i;
-      Thread thread = EmulatedEngine.daemonThread(() -> ask(profiles, mine, pauseMs, ttlMs));
+  public void startClients(int count, int pauseMs, int deadlineMs) {
+    isRunning.set(true);
+    String[] requestClasses = {"look", "look", "marked", "once"};
+    for (int i = 0; i < count; i++) {
+      int index = i;
+      Thread thread =
+          EmulatedEngine.daemonThread(
+              () -> sendRequests(requestClasses, index, pauseMs, deadlineMs));
       clients.add(thread);
       thread.start();
     }
   }
 
-  private void ask(String[] profiles, int from, int pauseMs, int ttlMs) {
-    int at = from % 2;
+  private void sendRequests(String[] requestClasses, int clientIndex, int pauseMs, int deadlineMs) {
+    int dispatcher = clientIndex % 2;
     StatementClient client = null;
-    for (int i = from; going.get(); i++) {
-      String call = call();
-      String profile = profiles[i % profiles.length];
-      long asked = System.nanoTime();
-      Outcome end = Outcome.UNSENT;
+    for (int i = clientIndex; isRunning.get(); i++) {
+      String callId = nextCallId();
+      String requestClass = requestClasses[i % requestClasses.length];
+      long sentAt = System.nanoTime();
+      Outcome outcome = Outcome.UNSENT;
       try {
-        client = client == null ? new StatementClient(serveAddresses[at], ttlMs + 500) : client;
-        end = client.execute(call, profile, ttlMs);
+        client =
+            client == null
+                ? new StatementClient(serveAddresses[dispatcher], deadlineMs + 500)
+                : client;
+        outcome = client.execute(callId, requestClass, deadlineMs);
       } catch (IOException e) {
-        end = Outcome.UNSENT;
+        outcome = Outcome.UNSENT;
       }
-      if (end != Outcome.UNSENT) {
-        ledger.add(new Entry(call, profile, at, asked, System.nanoTime(), end));
+      if (outcome != Outcome.UNSENT) {
+        ledger.add(new Entry(callId, requestClass, dispatcher, sentAt, System.nanoTime(), outcome));
       }
-      if (end == Outcome.UNSENT
-          || end == Outcome.DISCONNECTED
-          || end == Outcome.TIMED_OUT
-          || end == Outcome.REJECTED) {
+      if (outcome == Outcome.UNSENT
+          || outcome == Outcome.DISCONNECTED
+          || outcome == Outcome.TIMED_OUT
+          || outcome == Outcome.REJECTED) {
         close(client);
         client = null;
-        at = 1 - at;
+        dispatcher = 1 - dispatcher;
       }
-      if (reconnectsAtRandom && i % ROVES_AFTER == 0) {
+      if (reconnectsAtRandom && i % REQUESTS_PER_RECONNECT == 0) {
         close(client);
         client = null;
-        at = java.util.concurrent.ThreadLocalRandom.current().nextInt(2);
+        dispatcher = java.util.concurrent.ThreadLocalRandom.current().nextInt(2);
       }
-      sleep(end == Outcome.UNSENT ? 1 : pauseMs);
+      sleep(outcome == Outcome.UNSENT ? 1 : pauseMs);
     }
     close(client);
   }
@@ -230,7 +256,9 @@
     }
   }
 
-  /** Sleeps; an interrupt ends the sleep and stays set. */
+  /**
+   * Sleeps until the time has passed or the thread is interrupted, and keeps its interrupt flag.
+   */
   public static void sleep(long ms) {
     try {
       Thread.sleep(ms);
@@ -239,9 +267,9 @@
     }
   }
 
-  /** Stops the clients, and waits until each has its last outcome. */
+  /** Stops the clients, and waits until each has recorded its last outcome. */
   public void stopClients() throws InterruptedException {
-    going.set(false);
+    isRunning.set(false);
     for (Thread client : clients) {
       client.join(30_000);
     }
@@ -249,12 +277,14 @@
   }
 
   /**
-   * Waits for the answer to a request sent after this time, and returns when it came, in
-   * nanoseconds of this process.
+   * Waits until a client has received an answer to a request that was sent at {@code since} or
+   * later.
+   *
+   * @return the time of the first such answer, in nanoseconds of {@link System#nanoTime}
    */
-  public long awaitAnswer(long since, long withinMs) {
-    long until = System.nanoTime() + withinMs * 1_000_000;
-    while (System.nanoTime() < until) {
+  public long awaitAnswer(long since, long timeoutMs) {
+    long deadline = System.nanoTime() + timeoutMs * 1_000_000;
+    while (System.nanoTime() < deadline) {
       long first =
           ledger.entries().values().stream()
               .filter(e -> e.outcome() == Outcome.ANSWERED && e.sentAt() >= since)
@@ -267,8 +297,8 @@
       sleep(2);
     }
     throw new AssertionError(
-        "no answer within "
-            + withinMs
+        "no client received an answer within "
+            + timeoutMs
             + " ms\n"
             + dispatchers[0].log()
             + "\n---\n"
@@ -276,34 +306,41 @@
   }
 
   /**
-   * Sends requests to one dispatcher on new sessions until it answers, and returns when it did, in
-   * nanoseconds of this process.
+   * Sends requests to one dispatcher, each on a new session, until it answers one.
+   *
+   * @return the time of the answer, in nanoseconds of {@link System#nanoTime}
    */
-  public long firstAnswer(int dispatcher, long withinMs) {
-    long until = System.nanoTime() + withinMs * 1_000_000;
-    while (System.nanoTime() < until) {
+  public long firstAnswer(int dispatcher, long timeoutMs) {
+    long deadline = System.nanoTime() + timeoutMs * 1_000_000;
+    while (System.nanoTime() < deadline) {
       try (StatementClient client = new StatementClient(serveAddresses[dispatcher], 2000)) {
-        if (client.execute(call(), "look", 1500) == Outcome.ANSWERED) {
+        if (client.execute(nextCallId(), "look", 1500) == Outcome.ANSWERED) {
           return System.nanoTime();
         }
       } catch (IOException e) {
         sleep(1);
       }
     }
-    throw new AssertionError("no answer of " + dispatcher + "\n" + dispatchers[dispatcher].log());
+    throw new AssertionError(
+        "dispatcher "
+            + dispatcher
+            + " did not answer within "
+            + timeoutMs
+            + " ms\n"
+            + dispatchers[dispatcher].log());
   }
 
-  // ---- audits
+  // ---- checks of the ledger against the engines
 
-  /** Requests of the class that is not idempotent that engines started more than once. */
+  /** Returns the number of non-idempotent requests that engines started more than once. */
   public long repeatedRuns() {
     return ledger.entries().values().stream()
         .filter(e -> e.requestClass().equals("once"))
-        .filter(e -> engines.stream().mapToInt(g -> begun(g, e.callId())).sum() > 1)
+        .filter(e -> engines.stream().mapToInt(engine -> startCount(engine, e.callId())).sum() > 1)
         .count();
   }
 
-  /** Requests that were answered though no engine completed them. */
+  /** Returns the number of requests that were answered although no engine completed them. */
   public long answeredWithoutRun() {
     return ledger.entries().values().stream()
         .filter(e -> e.outcome() == Outcome.ANSWERED)
@@ -311,21 +348,24 @@
             e ->
                 engines.stream()
                     .noneMatch(
-                        g ->
-                            g.executions().containsKey(e.callId())
-                                && g.executions().get(e.callId()).completed().get() > 0))
+                        engine ->
+                            engine.executions().containsKey(e.callId())
+                                && engine.executions().get(e.callId()).completed().get() > 0))
         .count();
   }
 
-  /** Requests that were rejected before they were admitted, and sent to an engine all the same. */
+  /** Returns the number of requests that were rejected although an engine started them. */
   public long rejectedButRun() {
     return ledger.entries().values().stream()
         .filter(e -> e.outcome() == Outcome.REJECTED)
-        .filter(e -> engines.stream().anyMatch(g -> g.executions().containsKey(e.callId())))
+        .filter(
+            e -> engines.stream().anyMatch(engine -> engine.executions().containsKey(e.callId())))
         .count();
   }
 
-  /** Requests that were shed after they ran, of the class that is not idempotent. */
+  /**
+   * Returns the number of non-idempotent requests that were shed although an engine completed them.
+   */
   public long shedAfterRun() {
     return ledger.entries().values().stream()
         .filter(e -> e.outcome() == Outcome.SHED && e.requestClass().equals("once"))
@@ -333,21 +373,21 @@
             e ->
                 engines.stream()
                     .anyMatch(
-                        g ->
-                            g.executions().containsKey(e.callId())
-                                && g.executions().get(e.callId()).completed().get() > 0))
+                        engine ->
+                            engine.executions().containsKey(e.callId())
+                                && engine.executions().get(e.callId()).completed().get() > 0))
         .count();
   }
 
-  private static int begun(EmulatedEngine engine, String call) {
-    return engine.executions().containsKey(call)
-        ? engine.executions().get(call).started().get()
+  private static int startCount(EmulatedEngine engine, String callId) {
+    return engine.executions().containsKey(callId)
+        ? engine.executions().get(callId).started().get()
         : 0;
   }
 
   @Override
   public void close() throws IOException {
-    going.set(false);
+    isRunning.set(false);
     for (int i = 0; i < 2; i++) {
       if (dispatchers[i] != null) {
         dispatchers[i].close();
