--- a/src/main/java/cobaltseam/capacity/CapacityLeases.java
+++ b/src/main/java/cobaltseam/capacity/CapacityLeases.java
@@ -471,9 +471,8 @@
         equalShare(now)
             - lentToOthers
             - Math.ceil(targetAmount(demand, known.knownCount, known.sum));
-    // The capacity lease ends before the lease on the view under which it is granted, by every
-    // member's
-    // clock.
+    // The capacity lease ends before the lease on the view under which it is granted, by
+    // every member's clock.
     TimeSpan duration =
         hasLease(now)
             ? context.leaseUntil().since(now).times(1 / (1 + 2 * context.maxClockRateRatio()))
--- a/src/main/java/cobaltseam/service/EngineConnections.java
+++ b/src/main/java/cobaltseam/service/EngineConnections.java
@@ -23,7 +23,7 @@
     /** Called when an attempt reports progress, from 0 to 1. */
     void progressReported(Attempt attempt, double progress, Timestamp now);
 
-    /** Called when an attempt spills to disk because it lacks memory; in megabytes. */
+    /** Called when an attempt spills to disk because it lacks {@code missingMb} of memory. */
     void memoryShortfallReported(Attempt attempt, double missingMb);
 
     /** Called when an attempt waits for a load of the table that it reads. */
