--- a/src/test/java/cobaltseam/soak/RestartSoak.java
+++ b/src/test/java/cobaltseam/soak/RestartSoak.java
@@ -17,30 +17,30 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Plays one {@link SoakPlan} on real processes, and records what the checks need. */
+/** Runs one {@link SoakPlan} on dispatcher processes, and creates the record for the checks. */
 final class RestartSoak implements AutoCloseable {
   private static final String HOST = "127.0.0.1";
   private static final int CORES = 8;
-  private static final int START_MS = 30_000;
-  private static final int HANG_MS = 60_000;
-  private static final int FAULT_MS = 600;
-  private static final int RELOADS = 4;
+  private static final int START_TIMEOUT_MS = 30_000;
+  private static final int HANGING_EXECUTION_MS = 60_000;
+  private static final int SETTLE_MS = 600;
+  private static final int RELOAD_COUNT = 4;
 
-  /** After SIGTERM, requests on open connections are owed an answer for so long. */
-  private static final long ADMISSION_NANOS = 700_000_000;
+  /** How long after SIGTERM a dispatcher still admits requests on open connections. */
+  private static final long SHUTDOWN_DELAY_NANOS = 700_000_000;
 
-  /** One SIGTERM, in nanoseconds of this process. */
+  /** One SIGTERM to a dispatcher, with its time in nanoseconds of {@link System#nanoTime}. */
   private record Shutdown(int dispatcher, long signalledAt) {
-    /** Whether an answer to this request was owed during the shutdown. */
-    boolean owes(Entry entry) {
+    /** Returns whether a request was pending during the shutdown and has to be answered. */
+    boolean wasPending(Entry entry) {
       return entry.dispatcher() == dispatcher
-          && entry.sentAt() < signalledAt + ADMISSION_NANOS
+          && entry.sentAt() < signalledAt + SHUTDOWN_DELAY_NANOS
           && entry.endedAt() > signalledAt;
     }
   }
 
   private final SoakPlan plan;
-  private final EmulatedDiscovery bus = new EmulatedDiscovery(HOST);
+  private final EmulatedDiscovery discovery = new EmulatedDiscovery(HOST);
   private final List<EmulatedEngine> engines = new ArrayList<>();
   private final List<InetSocketAddress> addresses = new ArrayList<>();
   private final List<DispatcherProcess> dispatchers = new ArrayList<>();
@@ -55,43 +55,45 @@
 
   RestartSoak(SoakPlan plan, Path folder) throws IOException {
     this.plan = plan;
-    List<String> targets = new ArrayList<>();
+    List<String> endpoints = new ArrayList<>();
     for (int i = 0; i < plan.engines(); i++) {
-      int number = i;
-      engines.add(new EmulatedEngine(HOST, profile -> runMs(number)));
-      targets.add(target(i, "in_service"));
+      int engine = i;
+      engines.add(new EmulatedEngine(HOST, requestClass -> executionMs(engine)));
+      endpoints.add(endpointJson(i, "in_service"));
     }
-    String known = bus.publish(true, targets.toArray(String[]::new));
+    String knownEvents = discovery.publish(true, endpoints.toArray(String[]::new));
     for (int i = 0; i < plan.dispatchers(); i++) {
       addresses.add(freeAddress());
       configurations.add(
           DispatcherProcess.configuration(
-              "n" + i, addresses.get(i), i, plan.dispatchers(), CORES, bus, known));
+              "n" + i, addresses.get(i), i, plan.dispatchers(), CORES, discovery, knownEvents));
       dispatchers.add(new DispatcherProcess(folder.resolve("n" + i), configurations.get(i), null));
     }
   }
 
-  private long runMs(int engine) {
-    return hangingEngine.get() == engine ? HANG_MS : EmulatedEngine.randomAround(plan.engineMs());
+  private long executionMs(int engine) {
+    return hangingEngine.get() == engine
+        ? HANGING_EXECUTION_MS
+        : EmulatedEngine.randomAround(plan.engineMs());
   }
 
-  private String target(int engine, String state) {
+  private String endpointJson(int engine, String state) {
     return EmulatedDiscovery.endpointJson(engine + 1, engines.get(engine).address(), state);
   }
 
   private static InetSocketAddress freeAddress() throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
-      return new InetSocketAddress(HOST, free.getLocalPort());
+    try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
+      return new InetSocketAddress(HOST, probe.getLocalPort());
     }
   }
 
-  /** Plays the whole plan. */
-  SoakRecord play() throws Exception {
+  /** Starts all dispatchers and clients, injects the faults of the plan, and stops everything. */
+  SoakRecord run() throws Exception {
     for (DispatcherProcess dispatcher : dispatchers) {
       dispatcher.start();
     }
     for (DispatcherProcess dispatcher : dispatchers) {
-      dispatcher.awaitLogLine("serves on", 0, START_MS);
+      dispatcher.awaitLogLine("serves on", 0, START_TIMEOUT_MS);
     }
     SoakClients clients = new SoakClients(plan, addresses);
     clients.start();
@@ -99,7 +101,7 @@
       Thread.sleep(fault.pauseMs());
       inject(fault);
     }
-    Thread.sleep(FAULT_MS);
+    Thread.sleep(SETTLE_MS);
     List<Entry> requests = clients.stop();
     shutDown(dispatchers);
     return new SoakRecord(
@@ -114,53 +116,53 @@
         startsAfterDrainMs);
   }
 
-  /** How long after its client had left each request was started last, where it was. */
+  /** Returns {@link SoakRecord#startsAfterDepartureMs}. */
   private List<Long> startsAfterDepartureMs(Map<String, Long> departures) {
-    List<Long> late = new ArrayList<>();
+    List<Long> delaysMs = new ArrayList<>();
     for (EmulatedEngine engine : engines) {
       departures.forEach(
-          (call, leftAt) -> {
-            long startedAt = engine.lastStartTimes().getOrDefault(call, leftAt);
-            late.add(TimeUnit.NANOSECONDS.toMillis(Math.max(0, startedAt - leftAt)));
+          (callId, departedAt) -> {
+            long startedAt = engine.lastStartTimes().getOrDefault(callId, departedAt);
+            delaysMs.add(TimeUnit.NANOSECONDS.toMillis(Math.max(0, startedAt - departedAt)));
           });
     }
-    return late;
+    return delaysMs;
   }
 
-  /** How long after SIGTERM the last request of each shutdown had its end. */
+  /** Returns {@link SoakRecord#lastAnswersMs}. */
   private List<Long> lastAnswersMs(List<Entry> requests) {
-    List<Long> last = new ArrayList<>();
+    List<Long> lastAnswers = new ArrayList<>();
     for (Shutdown shutdown : shutdowns) {
       long lastNanos =
           requests.stream()
-              .filter(shutdown::owes)
+              .filter(shutdown::wasPending)
               .mapToLong(e -> e.endedAt() - shutdown.signalledAt())
               .max()
               .orElse(0);
-      last.add(TimeUnit.NANOSECONDS.toMillis(lastNanos));
+      lastAnswers.add(TimeUnit.NANOSECONDS.toMillis(lastNanos));
     }
-    return last;
+    return lastAnswers;
   }
 
-  /** How long each process took from SIGTERM to its end, in milliseconds. */
+  /** Returns the time from SIGTERM to the end of each process, in milliseconds. */
   List<Long> shutdownMs() {
     return shutdownMs;
   }
 
-  /** What the report of a long run holds of one seed. */
-  String figures() {
-    return "ends after SIGTERM " + shutdownMs + " ms, restarts ready " + readyMs + " ms";
+  /** Returns the times of shutdowns and restarts, for the report of a long run. */
+  String summary() {
+    return "shutdowns took " + shutdownMs + " ms, restarts took " + readyMs + " ms";
   }
 
-  private Map<String, Integer> executions(boolean started) {
+  private Map<String, Integer> executions(boolean countsStarts) {
     Map<String, Integer> sums = new HashMap<>();
     for (EmulatedEngine engine : engines) {
       engine
           .executions()
           .forEach(
-              (call, ran) -> {
-                int count = started ? ran.started().get() : ran.completed().get();
-                sums.merge(call, count, Integer::sum);
+              (callId, counts) -> {
+                int count = countsStarts ? counts.started().get() : counts.completed().get();
+                sums.merge(callId, count, Integer::sum);
               });
     }
     return sums;
@@ -174,18 +176,18 @@
       case RESTART_ALL -> restartAll();
       case RESTART_BETWEEN_RELOADS -> restartBetweenReloads(dispatcher);
       case RESTART_IN_SILENCE -> {
-        bus.setSilent(true);
+        discovery.setSilent(true);
         restart(dispatcher);
-        bus.setSilent(false);
+        discovery.setSilent(false);
       }
       case RESTART_BESIDE_HANGING_ENGINE -> {
         hangingEngine.set(engine);
-        Thread.sleep(FAULT_MS);
+        Thread.sleep(SETTLE_MS);
         restart(dispatcher);
         hangingEngine.set(-1);
         engines.get(engine).resetConnections();
       }
-      case RELOADS -> reload(dispatcher, RELOADS);
+      case RELOADS -> reload(dispatcher, RELOAD_COUNT);
       case ENGINE_RESET -> engines.get(engine).resetConnections();
       case ENGINE_DRAIN -> drain(engine);
       default -> throw new AssertionError(fault.kind());
@@ -194,60 +196,64 @@
 
   private void restart(int dispatcher) throws Exception {
     shutDown(List.of(dispatchers.get(dispatcher)));
-    startAgain(List.of(dispatchers.get(dispatcher)));
+    startAll(List.of(dispatchers.get(dispatcher)));
   }
 
   private void restartAll() throws Exception {
     shutDown(dispatchers);
-    startAgain(dispatchers);
+    startAll(dispatchers);
   }
 
   private void restartBetweenReloads(int dispatcher) throws Exception {
     reload(dispatcher, 1);
     DispatcherProcess process = dispatchers.get(dispatcher);
-    long from = System.nanoTime();
-    int line = process.logLineCount();
+    long signalledAt = System.nanoTime();
+    int fromLine = process.logLineCount();
     process.signal("TERM");
     if (process.isAlive()) {
       process.signal("HUP");
     }
-    recordEnd(process, from, line);
-    startAgain(List.of(process));
+    recordShutdown(process, signalledAt, fromLine);
+    startAll(List.of(process));
   }
 
-  /** Sends SIGTERM to all of these, and then waits for the end of each. */
+  /** Sends SIGTERM to several dispatchers, and then waits until each has ended. */
   private void shutDown(List<DispatcherProcess> processes) throws Exception {
-    long from = System.nanoTime();
-    List<Integer> lines = new ArrayList<>();
+    long signalledAt = System.nanoTime();
+    List<Integer> fromLines = new ArrayList<>();
     for (DispatcherProcess process : processes) {
-      lines.add(process.logLineCount());
+      fromLines.add(process.logLineCount());
       process.signal("TERM");
     }
     for (int i = 0; i < processes.size(); i++) {
-      recordEnd(processes.get(i), from, lines.get(i));
+      recordShutdown(processes.get(i), signalledAt, fromLines.get(i));
     }
   }
 
-  private void recordEnd(DispatcherProcess process, long from, int line) throws Exception {
-    shutdowns.add(new Shutdown(dispatchers.indexOf(process), from));
-    counters.add(process.awaitExit(line));
-    shutdownMs.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from));
+  private void recordShutdown(DispatcherProcess process, long signalledAt, int fromLine)
+      throws Exception {
+    shutdowns.add(new Shutdown(dispatchers.indexOf(process), signalledAt));
+    counters.add(process.awaitExit(fromLine));
+    shutdownMs.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalledAt));
   }
 
-  private void startAgain(List<DispatcherProcess> processes) throws Exception {
-    long from = System.nanoTime();
-    List<Integer> lines = new ArrayList<>();
+  private void startAll(List<DispatcherProcess> processes) throws Exception {
+    long startedAt = System.nanoTime();
+    List<Integer> fromLines = new ArrayList<>();
     for (DispatcherProcess process : processes) {
-      lines.add(process.logLineCount());
+      fromLines.add(process.logLineCount());
       process.start();
     }
     for (int i = 0; i < processes.size(); i++) {
-      processes.get(i).awaitLogLine("serves on", lines.get(i), START_MS);
-      readyMs.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from));
+      processes.get(i).awaitLogLine("serves on", fromLines.get(i), START_TIMEOUT_MS);
+      readyMs.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt));
     }
   }
 
-  /** Writes another configuration with each SIGHUP: another quota, which changes nothing here. */
+  /**
+   * Writes a new configuration before each SIGHUP. Only the quota changes, and it is always higher
+   * than the load.
+   */
   private void reload(int dispatcher, int times) throws Exception {
     for (int i = 0; i < times; i++) {
       reloads++;
@@ -261,22 +267,22 @@
   }
 
   private void drain(int engine) throws Exception {
-    long published = System.nanoTime();
-    bus.publish(false, target(engine, "terminating"));
-    Thread.sleep(SoakCheck.DRAIN_MS + FAULT_MS);
-    long last =
+    long publishedAt = System.nanoTime();
+    discovery.publish(false, endpointJson(engine, "terminating"));
+    Thread.sleep(SoakCheck.MAX_START_AFTER_DRAIN_MS + SETTLE_MS);
+    long lastStart =
         engines.get(engine).lastStartTimes().values().stream()
             .mapToLong(Long::longValue)
             .max()
-            .orElse(published);
-    startsAfterDrainMs.add(TimeUnit.NANOSECONDS.toMillis(Math.max(0, last - published)));
-    bus.publish(false, target(engine, "in_service"));
+            .orElse(publishedAt);
+    startsAfterDrainMs.add(TimeUnit.NANOSECONDS.toMillis(Math.max(0, lastStart - publishedAt)));
+    discovery.publish(false, endpointJson(engine, "in_service"));
   }
 
-  /** The log of every dispatcher, for the report of a failure. */
+  /** Returns the logs of all dispatchers, for the report of a failure. */
   String logs() {
     StringBuilder logs = new StringBuilder();
-    dispatchers.forEach(d -> logs.append(d.log()).append("\n---\n"));
+    dispatchers.forEach(dispatcher -> logs.append(dispatcher.log()).append("\n---\n"));
     return logs.toString();
   }
 
@@ -286,6 +292,6 @@
     for (EmulatedEngine engine : engines) {
       engine.close();
     }
-    bus.close();
+    discovery.close();
   }
 }
--- a/src/test/java/cobaltseam/soak/RestartSoakTest.java
+++ b/src/test/java/cobaltseam/soak/RestartSoakTest.java
@@ -11,41 +11,41 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The soak at three fixed seeds, which together play every kind of fault; with {@code
- * -Dsoak.seeds=N} at N seeds from 1, or from {@code -Dsoak.first=S}, on.
+ * Runs the soak at three fixed seeds, which together inject every kind of fault. {@code
+ * -Dsoak.seeds=N} runs N consecutive seeds instead, which begin at 1 or at {@code -Dsoak.first=S}.
  */
 class RestartSoakTest {
   private static final long[] FIXED_SEEDS = {2, 10, 23};
-  private static final long SEEDS = Long.getLong("soak.seeds", 0);
+  private static final long SEED_COUNT = Long.getLong("soak.seeds", 0);
   private static final long FIRST_SEED = Long.getLong("soak.first", 1);
 
   @TempDir Path folder;
 
   static LongStream seeds() {
-    return SEEDS == 0
+    return SEED_COUNT == 0
         ? LongStream.of(FIXED_SEEDS)
-        : LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS);
+        : LongStream.range(FIRST_SEED, FIRST_SEED + SEED_COUNT);
   }
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void restartsUnderLoadBreakNoRule(long seed) throws Exception {
-    SoakPlan plan = SoakPlan.draw(seed);
+  void restartsUnderLoadPassAllChecks(long seed) throws Exception {
+    SoakPlan plan = SoakPlan.generate(seed);
     try (RestartSoak soak = new RestartSoak(plan, folder)) {
-      SoakRecord soakRecord = soak.play();
-      String how =
+      SoakRecord soakRecord = soak.run();
+      String description =
           plan
-              + "\nagain: mvn -o test -Dtest=RestartSoakTest -Dsoak.seeds=1 -Dsoak.first="
+              + "\nreproduce with: mvn -o test -Dtest=RestartSoakTest -Dsoak.seeds=1 -Dsoak.first="
               + seed
               + "\ncounters "
               + soakRecord.counters()
               + "\nlast answers "
               + soakRecord.lastAnswersMs()
-              + " ms after SIGTERM, ends "
+              + " ms after SIGTERM, shutdowns took "
               + soak.shutdownMs()
-              + " ms, ready "
+              + " ms, restarts took "
               + soakRecord.readyMs()
-              + " ms, starts after drain "
+              + " ms, last starts after a drain "
               + soakRecord.startsAfterDrainMs()
               + " ms";
       System.out.println(
@@ -54,9 +54,9 @@
               + ": "
               + soakRecord.requests().size()
               + " requests, "
-              + soak.figures());
-      assertTrue(soakRecord.requests().size() > plan.clients(), how);
-      assertEquals(List.of(), SoakCheck.broken(soakRecord), how + "\n" + soak.logs());
+              + soak.summary());
+      assertTrue(soakRecord.requests().size() > plan.clients(), description);
+      assertEquals(List.of(), SoakCheck.failedChecks(soakRecord), description + "\n" + soak.logs());
     }
   }
 }
--- a/src/test/java/cobaltseam/soak/SoakCheck.java
+++ b/src/test/java/cobaltseam/soak/SoakCheck.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The named checks of the soak, each on the record of a run. */
+/** The checks of the soak, each a predicate on the record of a run. */
 enum SoakCheck {
-  /** Each request that was read got one final answer. */
+  /** Each request that a dispatcher read has exactly one final answer. */
   EVERY_REQUEST_READ_IS_ANSWERED_ONCE(
       r ->
           r.sum("commands_taken")
@@ -16,75 +16,84 @@
                   + r.sum("commands_failed")
                   + r.sum("commands_departed")),
   /**
-   * What dispatchers answered reached its client whole: no answer is lost with a connection, but
-   * for those of clients that left.
+   * Each answer of a dispatcher reached its client. Only answers to clients that departed may be
+   * lost with their connection.
    */
   EVERY_ANSWER_REACHES_ITS_CLIENT(
       r ->
-          isReceived(r, Outcome.ANSWERED, "commands_answered")
-              && isReceived(r, Outcome.SHED, "commands_shed")
-              && isReceived(r, Outcome.FAILED, "commands_failed")),
-  /** No client waits in vain. */
-  NO_CLIENT_WAITS_IN_VAIN(r -> seen(r, Outcome.TIMED_OUT) == 0),
-  /** What must not be repeated is started once at the most. */
-  NOTHING_RUNS_TWICE(
+          isReceivedByClients(r, Outcome.ANSWERED, "commands_answered")
+              && isReceivedByClients(r, Outcome.SHED, "commands_shed")
+              && isReceivedByClients(r, Outcome.FAILED, "commands_failed")),
+  /** No client timed out while it waited for an answer. */
+  NO_REQUEST_TIMES_OUT(r -> count(r, Outcome.TIMED_OUT) == 0),
+  /** Engines started each request that is not idempotent at most once. */
+  NO_NON_IDEMPOTENT_REQUEST_STARTS_TWICE(
       r ->
           r.requests().stream()
               .filter(e -> e.requestClass().equals("once"))
               .allMatch(e -> r.starts().getOrDefault(e.callId(), 0) <= 1)),
-  /** A completed answer is that of a request that an engine completed. */
-  ONLY_WHAT_RAN_IS_ANSWERED(
+  /** Each request that was answered with a result was completed by an engine. */
+  EVERY_ANSWERED_REQUEST_WAS_COMPLETED(
       r ->
           r.requests().stream()
               .filter(e -> e.outcome() == Outcome.ANSWERED)
               .allMatch(e -> r.completions().getOrDefault(e.callId(), 0) > 0)),
-  /** A request that was rejected before it was admitted runs nowhere. */
-  NOTHING_REJECTED_RUNS(
+  /** No engine started a request that was rejected before it was admitted. */
+  NO_REJECTED_REQUEST_STARTS(
       r ->
           r.requests().stream()
               .filter(e -> e.outcome() == Outcome.REJECTED)
               .noneMatch(e -> r.starts().containsKey(e.callId()))),
-  /** Nothing begins for a client that has left. */
-  NOTHING_BEGINS_AFTER_A_DEPARTURE(
-      r -> r.startsAfterDepartureMs().stream().allMatch(ms -> ms <= SoakCheck.DEPARTURE_MS)),
-  /** A draining engine is sent nothing once the grace is over. */
-  DRAINS_ARE_KEPT(r -> r.startsAfterDrainMs().stream().allMatch(ms -> ms <= SoakCheck.DRAIN_MS)),
-  /** No request is unanswered when a process may be killed. */
-  NOTHING_IS_LOST_AT_THE_KILL(
-      r -> r.lastAnswersMs().stream().allMatch(ms -> ms <= SoakCheck.KILL_MS)),
-  /** A restarted process serves in time. */
-  RESTARTS_ARE_READY_IN_TIME(r -> r.readyMs().stream().allMatch(ms -> ms <= SoakCheck.READY_MS)),
-  /** No dispatcher caught a fault of its own. */
-  NO_FAULTS(r -> r.sum("faults") == 0);
+  /** No engine started a request too long after its client had departed. */
+  NO_REQUEST_STARTS_AFTER_A_DEPARTURE(
+      r ->
+          r.startsAfterDepartureMs().stream()
+              .allMatch(ms -> ms <= SoakCheck.MAX_START_AFTER_DEPARTURE_MS)),
+  /** No request started on a draining engine after the drain grace. */
+  NO_REQUEST_STARTS_AFTER_THE_DRAIN_GRACE(
+      r ->
+          r.startsAfterDrainMs().stream().allMatch(ms -> ms <= SoakCheck.MAX_START_AFTER_DRAIN_MS)),
+  /** No request was pending at the time when the platform may send SIGKILL. */
+  NO_REQUEST_IS_PENDING_AT_SIGKILL(
+      r -> r.lastAnswersMs().stream().allMatch(ms -> ms <= SoakCheck.MAX_LAST_ANSWER_MS)),
+  /** Each restarted dispatcher served within {@link #MAX_READY_MS}. */
+  RESTARTED_DISPATCHERS_SERVE_IN_TIME(
+      r -> r.readyMs().stream().allMatch(ms -> ms <= SoakCheck.MAX_READY_MS)),
+  /** No dispatcher counted an internal fault. */
+  NO_INTERNAL_FAULTS(r -> r.sum("faults") == 0);
 
-  /** The 0.1 s within which a departure has to be noticed, and what a busy machine may add. */
-  static final long DEPARTURE_MS = 300;
+  /** The 100 ms within which a dispatcher has to detect a departure, and 200 ms for scheduling. */
+  static final long MAX_START_AFTER_DEPARTURE_MS = 300;
 
-  /** The page's grace of a drain and what a busy machine may add. */
-  static final long DRAIN_MS = 1300;
+  /** The platform's drain grace, and an allowance for scheduling delays. */
+  static final long MAX_START_AFTER_DRAIN_MS = 1300;
 
-  /** The longest deadline, and what the page adds to it, before SIGKILL may come. */
-  static final long KILL_MS = 3700;
+  /**
+   * The longest deadline, 3 s, and the dispatcher's shutdown delay of 0.7 s. After that the
+   * platform may send SIGKILL.
+   */
+  static final long MAX_LAST_ANSWER_MS = 3700;
 
-  static final long READY_MS = 10_000;
+  static final long MAX_READY_MS = 10_000;
 
-  private final Predicate<SoakRecord> holds;
+  private final Predicate<SoakRecord> passes;
 
-  SoakCheck(Predicate<SoakRecord> holds) {
-    this.holds = holds;
+  SoakCheck(Predicate<SoakRecord> passes) {
+    this.passes = passes;
   }
 
-  private static long seen(SoakRecord soakRecord, Outcome outcome) {
+  private static long count(SoakRecord soakRecord, Outcome outcome) {
     return soakRecord.requests().stream().filter(e -> e.outcome() == outcome).count();
   }
 
-  private static boolean isReceived(SoakRecord soakRecord, Outcome outcome, String counter) {
-    long unseen = soakRecord.sum(counter) - seen(soakRecord, outcome);
-    return unseen >= 0 && unseen <= soakRecord.departures();
+  private static boolean isReceivedByClients(
+      SoakRecord soakRecord, Outcome outcome, String counter) {
+    long unreceived = soakRecord.sum(counter) - count(soakRecord, outcome);
+    return unreceived >= 0 && unreceived <= soakRecord.departures();
   }
 
-  /** The checks that do not hold for a run. */
-  static List<SoakCheck> broken(SoakRecord soakRecord) {
-    return Arrays.stream(values()).filter(c -> !c.holds.test(soakRecord)).toList();
+  /** Returns the checks that a run failed. */
+  static List<SoakCheck> failedChecks(SoakRecord soakRecord) {
+    return Arrays.stream(values()).filter(check -> !check.passes.test(soakRecord)).toList();
   }
 }
--- a/src/test/java/cobaltseam/soak/SoakCheckTest.java
+++ b/src/test/java/cobaltseam/soak/SoakCheckTest.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Each check of the soak finds the record that breaks it, and no other check does. */
+/** Each check of the soak fails on a record that violates it, and no other check fails. */
 class SoakCheckTest {
   private static final Entry ANSWERED = entry("1", "once", Outcome.ANSWERED);
 
-  private static Entry entry(String call, String profile, Outcome end) {
-    return new Entry(call, profile, 0, 0, 1, end);
+  private static Entry entry(String callId, String requestClass, Outcome outcome) {
+    return new Entry(callId, requestClass, 0, 0, 1, outcome);
   }
 
   private static Map<String, Long> counters(long taken, long answered, long faults) {
@@ -33,13 +33,13 @@
     return new SoakRecord(
         requests,
         0,
-        List.of(SoakCheck.DEPARTURE_MS),
+        List.of(SoakCheck.MAX_START_AFTER_DEPARTURE_MS),
         Map.of("1", starts),
         Map.of("1", completions),
         List.of(counters),
-        List.of(SoakCheck.KILL_MS),
-        List.of(SoakCheck.READY_MS),
-        List.of(SoakCheck.DRAIN_MS));
+        List.of(SoakCheck.MAX_LAST_ANSWER_MS),
+        List.of(SoakCheck.MAX_READY_MS),
+        List.of(SoakCheck.MAX_START_AFTER_DRAIN_MS));
   }
 
   private static SoakRecord withTimes(
@@ -56,70 +56,77 @@
         List.of(startAfterDrainMs));
   }
 
-  private static void assertBreaksOnly(SoakCheck check, SoakRecord soakRecord) {
-    assertEquals(List.of(check), SoakCheck.broken(soakRecord));
+  private static void assertFailsOnly(SoakCheck check, SoakRecord soakRecord) {
+    assertEquals(List.of(check), SoakCheck.failedChecks(soakRecord));
   }
 
   @Test
-  void aRunInOrderBreaksNothing() {
+  void correctRunPassesAllChecks() {
     assertEquals(
-        List.of(), SoakCheck.broken(soakRecord(List.of(ANSWERED), 1, 1, counters(1, 1, 0))));
+        List.of(), SoakCheck.failedChecks(soakRecord(List.of(ANSWERED), 1, 1, counters(1, 1, 0))));
   }
 
   @Test
-  void aRequestWithoutAFinalAnswerIsFound() {
-    assertBreaksOnly(
+  void requestWithoutFinalAnswerIsDetected() {
+    assertFailsOnly(
         SoakCheck.EVERY_REQUEST_READ_IS_ANSWERED_ONCE,
         soakRecord(List.of(ANSWERED), 1, 1, counters(2, 1, 0)));
   }
 
   @Test
-  void anAnswerThatItsClientNeverReadIsFound() {
-    assertBreaksOnly(
+  void answerThatItsClientNeverReceivedIsDetected() {
+    assertFailsOnly(
         SoakCheck.EVERY_ANSWER_REACHES_ITS_CLIENT,
         soakRecord(List.of(entry("1", "look", Outcome.DISCONNECTED)), 1, 1, counters(1, 1, 0)));
   }
 
   @Test
-  void aClientThatWaitsInVainIsFound() {
-    assertBreaksOnly(
-        SoakCheck.NO_CLIENT_WAITS_IN_VAIN,
+  void requestThatTimesOutIsDetected() {
+    assertFailsOnly(
+        SoakCheck.NO_REQUEST_TIMES_OUT,
         soakRecord(List.of(entry("1", "look", Outcome.TIMED_OUT)), 0, 0, counters(0, 0, 0)));
   }
 
   @Test
-  void aSecondRunOfWhatMustNotRepeatIsFound() {
-    assertBreaksOnly(
-        SoakCheck.NOTHING_RUNS_TWICE, soakRecord(List.of(ANSWERED), 2, 1, counters(1, 1, 0)));
+  void secondStartOfNonIdempotentRequestIsDetected() {
+    assertFailsOnly(
+        SoakCheck.NO_NON_IDEMPOTENT_REQUEST_STARTS_TWICE,
+        soakRecord(List.of(ANSWERED), 2, 1, counters(1, 1, 0)));
   }
 
   @Test
-  void anAnswerOfWhatNeverRanIsFound() {
-    assertBreaksOnly(
-        SoakCheck.ONLY_WHAT_RAN_IS_ANSWERED,
+  void answerWithoutCompletionIsDetected() {
+    assertFailsOnly(
+        SoakCheck.EVERY_ANSWERED_REQUEST_WAS_COMPLETED,
         soakRecord(List.of(ANSWERED), 1, 0, counters(1, 1, 0)));
   }
 
   @Test
-  void aRejectedRequestThatRanIsFound() {
-    assertBreaksOnly(
-        SoakCheck.NOTHING_REJECTED_RUNS,
+  void rejectedRequestThatRanIsDetected() {
+    assertFailsOnly(
+        SoakCheck.NO_REJECTED_REQUEST_STARTS,
         soakRecord(List.of(entry("1", "look", Outcome.REJECTED)), 1, 1, counters(0, 0, 0)));
   }
 
   @Test
-  void aFaultIsFound() {
-    assertBreaksOnly(SoakCheck.NO_FAULTS, soakRecord(List.of(ANSWERED), 1, 1, counters(1, 1, 1)));
+  void internalFaultIsDetected() {
+    assertFailsOnly(
+        SoakCheck.NO_INTERNAL_FAULTS, soakRecord(List.of(ANSWERED), 1, 1, counters(1, 1, 1)));
   }
 
   @Test
-  void lateAnswersStartsAndAttemptsAreFound() {
-    assertBreaksOnly(
-        SoakCheck.NOTHING_BEGINS_AFTER_A_DEPARTURE, withTimes(SoakCheck.DEPARTURE_MS + 1, 0, 0, 0));
-    assertBreaksOnly(
-        SoakCheck.NOTHING_IS_LOST_AT_THE_KILL, withTimes(0, SoakCheck.KILL_MS + 1, 0, 0));
-    assertBreaksOnly(
-        SoakCheck.RESTARTS_ARE_READY_IN_TIME, withTimes(0, 0, SoakCheck.READY_MS + 1, 0));
-    assertBreaksOnly(SoakCheck.DRAINS_ARE_KEPT, withTimes(0, 0, 0, SoakCheck.DRAIN_MS + 1));
+  void lateAnswersStartsAndRestartsAreDetected() {
+    assertFailsOnly(
+        SoakCheck.NO_REQUEST_STARTS_AFTER_A_DEPARTURE,
+        withTimes(SoakCheck.MAX_START_AFTER_DEPARTURE_MS + 1, 0, 0, 0));
+    assertFailsOnly(
+        SoakCheck.NO_REQUEST_IS_PENDING_AT_SIGKILL,
+        withTimes(0, SoakCheck.MAX_LAST_ANSWER_MS + 1, 0, 0));
+    assertFailsOnly(
+        SoakCheck.RESTARTED_DISPATCHERS_SERVE_IN_TIME,
+        withTimes(0, 0, SoakCheck.MAX_READY_MS + 1, 0));
+    assertFailsOnly(
+        SoakCheck.NO_REQUEST_STARTS_AFTER_THE_DRAIN_GRACE,
+        withTimes(0, 0, 0, SoakCheck.MAX_START_AFTER_DRAIN_MS + 1));
   }
 }
--- a/src/test/java/cobaltseam/soak/SoakClients.java
+++ b/src/test/java/cobaltseam/soak/SoakClients.java
@@ -16,19 +16,20 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients that keep sending on their open connections, whatever happens to the dispatcher, and
- * connect to another one when theirs has ended.
+ * Clients that send requests on their open connection until it ends, also while their dispatcher
+ * shuts down, and then connect to a random dispatcher. A client departs if it closes its connection
+ * while a request is pending.
  */
 final class SoakClients {
-  private static final String[] PROFILES = {"look", "marked", "once"};
-  private static final int ANSWER_SLACK_MS = 1500;
-  private static final int RECONNECT_MS = 20;
+  private static final String[] REQUEST_CLASSES = {"look", "marked", "once"};
+  private static final int TIMEOUT_AFTER_DEADLINE_MS = 1500;
+  private static final int RECONNECT_DELAY_MS = 20;
   private static final int REQUESTS_PER_DEPARTURE = 20;
-  private static final int JOIN_MS = 20_000;
+  private static final int JOIN_TIMEOUT_MS = 20_000;
 
   private final List<InetSocketAddress> dispatchers;
   private final SoakPlan plan;
-  private final AtomicLong calls = new AtomicLong();
+  private final AtomicLong callCount = new AtomicLong();
   private final Map<String, Long> departures = new ConcurrentHashMap<>();
   private final Queue<Entry> entries = new ConcurrentLinkedQueue<>();
   private final List<Thread> threads = new ArrayList<>();
@@ -49,16 +50,23 @@
     }
   }
 
-  /** Ends all clients after their last answer, and returns what each request came to. */
+  /**
+   * Stops all clients after their last answer.
+   *
+   * @return the requests of all clients with their outcomes, without those pending at a departure
+   */
   List<Entry> stop() throws InterruptedException {
     isRunning = false;
     for (Thread thread : threads) {
-      thread.join(JOIN_MS);
+      thread.join(JOIN_TIMEOUT_MS);
     }
     return List.copyOf(entries);
   }
 
-  /** When clients left that did not wait for their answer, by call id, in nanoseconds. */
+  /**
+   * Returns the time of each departure, by the call id of the pending request, in nanoseconds of
+   * {@link System#nanoTime}.
+   */
   Map<String, Long> departures() {
     return departures;
   }
@@ -67,44 +75,48 @@
     while (isRunning) {
       int dispatcher = random.nextInt(dispatchers.size());
       try (StatementClient client =
-          new StatementClient(dispatchers.get(dispatcher), plan.deadlineMs() + ANSWER_SLACK_MS)) {
-        sendUntilItEnds(client, dispatcher, random);
-        departWithoutAnswer(client, random);
+          new StatementClient(
+              dispatchers.get(dispatcher), plan.deadlineMs() + TIMEOUT_AFTER_DEADLINE_MS)) {
+        sendUntilDisconnected(client, dispatcher, random);
+        departWithPendingRequest(client, random);
       } catch (IOException e) {
-        // Nobody listens there for the moment.
-        sleep(RECONNECT_MS);
+        // The dispatcher does not listen at the moment.
+        sleep(RECONNECT_DELAY_MS);
       }
     }
   }
 
-  private void sendUntilItEnds(StatementClient client, int dispatcher, SplittableRandom random) {
+  private void sendUntilDisconnected(
+      StatementClient client, int dispatcher, SplittableRandom random) {
     Outcome outcome = Outcome.ANSWERED;
     while (isRunning
         && outcome != Outcome.DISCONNECTED
         && outcome != Outcome.TIMED_OUT
-        && stays(random)) {
-      String call = "%016x".formatted(calls.incrementAndGet());
-      String profile = PROFILES[random.nextInt(PROFILES.length)];
-      long asked = System.nanoTime();
-      outcome = client.execute(call, profile, plan.deadlineMs(), plan.engineMs());
-      entries.add(new Entry(call, profile, dispatcher, asked, System.nanoTime(), outcome));
+        && continuesSession(random)) {
+      String callId = "%016x".formatted(callCount.incrementAndGet());
+      String requestClass = REQUEST_CLASSES[random.nextInt(REQUEST_CLASSES.length)];
+      long sentAt = System.nanoTime();
+      outcome = client.execute(callId, requestClass, plan.deadlineMs(), plan.engineMs());
+      entries.add(new Entry(callId, requestClass, dispatcher, sentAt, System.nanoTime(), outcome));
       sleep(random.nextInt(20));
     }
   }
 
-  private boolean stays(SplittableRandom random) {
+  private boolean continuesSession(SplittableRandom random) {
     return !plan.hasDepartures() || random.nextInt(REQUESTS_PER_DEPARTURE) > 0;
   }
 
-  /** Sends a request that its client does not wait for, as the last one of a connection. */
-  private void departWithoutAnswer(StatementClient client, SplittableRandom random)
+  /**
+   * Sends a last request on a connection, and closes the connection without waiting for the answer.
+   */
+  private void departWithPendingRequest(StatementClient client, SplittableRandom random)
       throws IOException {
     if (isRunning && plan.hasDepartures()) {
-      String call = "%016x".formatted(calls.incrementAndGet());
-      client.send(call, "look", plan.deadlineMs(), plan.engineMs());
+      String callId = "%016x".formatted(callCount.incrementAndGet());
+      client.send(callId, "look", plan.deadlineMs(), plan.engineMs());
       sleep(random.nextInt(plan.engineMs()));
       client.close();
-      departures.put(call, System.nanoTime());
+      departures.put(callId, System.nanoTime());
     }
   }
 
--- a/src/test/java/cobaltseam/soak/SoakPlan.java
+++ b/src/test/java/cobaltseam/soak/SoakPlan.java
@@ -5,10 +5,12 @@
 import java.util.SplittableRandom;
 
 /**
- * What one run of the soak plays; the same seed gives the same plan.
+ * The parameters and the faults of one run of the soak. The same seed gives the same plan.
  *
- * @param hasDepartures whether clients leave before their answer now and then
- * @param engineMs the mean time that an engine takes for a request
+ * @param engineMs the mean execution time of a request
+ * @param deadlineMs the deadline of each request
+ * @param hasDepartures whether some clients close their connection while a request is pending
+ * @param faults the faults, in the order in which they are injected
  */
 record SoakPlan(
     long seed,
@@ -19,46 +21,48 @@
     int deadlineMs,
     boolean hasDepartures,
     List<Fault> faults) {
-  /** What happens to a dispatcher, an engine or discovery. */
+  /** A kind of fault of a dispatcher, an engine or discovery. */
   enum FaultKind {
-    /** SIGTERM, and a start after it. */
+    /** SIGTERM to one dispatcher, which is started again after it has ended. */
     RESTART,
-    /** SIGTERM to all dispatchers at once, and a start of each after it. */
+    /** SIGTERM to all dispatchers at once, which are started again after all have ended. */
     RESTART_ALL,
-    /** A restart with a new configuration and SIGHUP right before and right after SIGTERM. */
+    /** A restart with a new configuration, and with SIGHUP just before and just after SIGTERM. */
     RESTART_BETWEEN_RELOADS,
-    /** A restart while discovery tells nothing. */
+    /** A restart while discovery sends nothing. */
     RESTART_IN_SILENCE,
-    /** A restart while an engine answers nothing. */
+    /** A restart while one engine does not answer. */
     RESTART_BESIDE_HANGING_ENGINE,
-    /** Several new configurations, each with SIGHUP. */
+    /** Several new configurations, each followed by SIGHUP. */
     RELOADS,
     /** An engine resets all its connections. */
     ENGINE_RESET,
-    /** An engine begins to drain, and returns. */
+    /** An engine drains, and returns to service. */
     ENGINE_DRAIN
   }
 
   /**
-   * One fault; faults follow each other.
+   * One fault. Faults are injected one after the other.
    *
-   * @param pauseMs how long nothing is disturbed before it
-   * @param target the dispatcher or engine, modulo their number
+   * @param pauseMs the time without a fault before this one
+   * @param target the index of the dispatcher or engine, to be taken modulo their number
    */
   record Fault(FaultKind kind, int pauseMs, int target) {}
 
   private static final int MAX_DISPATCHERS = 4;
   private static final int MAX_ENGINES = 4;
-  private static final int FAULTS = 4;
+  private static final int FAULT_COUNT = 4;
 
-  /** Where no client leaves, each answer has to be seen. */
+  /**
+   * About one run in three has departures. In the other runs each answer has to reach its client.
+   */
   private static final int RUNS_PER_RUN_WITH_DEPARTURES = 3;
 
-  static SoakPlan draw(long seed) {
+  static SoakPlan generate(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     FaultKind[] kinds = FaultKind.values();
     List<Fault> faults = new ArrayList<>();
-    for (int i = 0; i < FAULTS; i++) {
+    for (int i = 0; i < FAULT_COUNT; i++) {
       FaultKind kind = kinds[random.nextInt(kinds.length)];
       faults.add(new Fault(kind, 100 + random.nextInt(500), random.nextInt(12)));
     }
--- a/src/test/java/cobaltseam/soak/SoakRecord.java
+++ b/src/test/java/cobaltseam/soak/SoakRecord.java
@@ -5,18 +5,19 @@
 import java.util.Map;
 
 /**
- * What was recorded in one run, for the checks.
+ * The record of one run, for the checks.
  *
- * @param requests each request as its client saw it
- * @param departures how many requests were left by their client before an answer
- * @param startsAfterDepartureMs how long after its client had left a request was started last
- * @param starts how often engines started each request, by call id
- * @param completions how often engines completed each request, by call id
- * @param counters what each dispatcher process counted until its end
- * @param lastAnswersMs for each shutdown, how long after SIGTERM the last request had its end
- * @param readyMs how long each restart took until it served
- * @param startsAfterDrainMs for each drain, the last start of a request at the engine, from the
- *     publication of the drain on
+ * @param requests each request with its outcome for its client
+ * @param departures the number of clients that closed their connection while a request was pending
+ * @param startsAfterDepartureMs for each departure and engine, the time from the departure to the
+ *     last start of the request on the engine, or 0
+ * @param starts the number of times that engines started each request, by call id
+ * @param completions the number of times that engines completed each request, by call id
+ * @param counters the counters of each dispatcher process when it ended
+ * @param lastAnswersMs for each shutdown, the time from SIGTERM to the outcome of the last request
+ * @param readyMs for each restart, the time from the start until the dispatcher served
+ * @param startsAfterDrainMs for each drain, the time from its publication to the last start of a
+ *     request on the engine
  */
 record SoakRecord(
     List<Entry> requests,
@@ -28,6 +29,7 @@
     List<Long> lastAnswersMs,
     List<Long> readyMs,
     List<Long> startsAfterDrainMs) {
+  /** Returns the sum of a counter over all dispatcher processes. */
   long sum(String counter) {
     return counters.stream().mapToLong(c -> c.get(counter)).sum();
   }
--- a/src/test/java/cobaltseam/soak/package-info.java
+++ b/src/test/java/cobaltseam/soak/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A seeded soak of restarts: dispatchers as processes under load, signals and faults of engines and
- * discovery, and named checks on what clients, engines and dispatchers recorded.
+ * A randomized soak of restarts, reproducible from its seed. Dispatcher processes under load
+ * receive signals, while engines and discovery have faults. Checks then compare the records of
+ * clients, engines and dispatchers.
  */
 package cobaltseam.soak;
--- a/src/test/java/cobaltseam/testing/KnownRedCondition.java
+++ b/src/test/java/cobaltseam/testing/KnownRedCondition.java
@@ -13,24 +13,25 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * Passes over the tests that {@code KNOWN-RED.txt} lists, unless {@code -DknownRed=run} is given.
- * It is registered for all tests; a test that is not in the file always runs.
+ * Skips the tests that {@code KNOWN-RED.txt} lists as known failures, unless {@code -DknownRed=run}
+ * is given. The condition is registered for all tests, and a test that is not in the file always
+ * runs.
  */
 public final class KnownRedCondition implements ExecutionCondition {
   private static final Path FILE = Path.of("KNOWN-RED.txt");
-  private static final String ENTRY = "test:";
-  private static final Set<String> KNOWN_RED = read();
+  private static final String ENTRY_PREFIX = "test:";
+  private static final Set<String> KNOWN_FAILURES = readKnownFailures();
 
-  private static Set<String> read() {
+  private static Set<String> readKnownFailures() {
     try {
       return Files.exists(FILE)
           ? Files.readAllLines(FILE).stream()
-              .filter(line -> line.startsWith(ENTRY))
-              .map(line -> line.substring(ENTRY.length()).strip())
+              .filter(line -> line.startsWith(ENTRY_PREFIX))
+              .map(line -> line.substring(ENTRY_PREFIX.length()).strip())
               .collect(Collectors.toUnmodifiableSet())
           : Set.of();
     } catch (IOException e) {
-      throw new UncheckedIOException("KNOWN-RED.txt can't be read", e);
+      throw new UncheckedIOException("KNOWN-RED.txt cannot be read", e);
     }
   }
 
@@ -38,10 +39,10 @@
   public ConditionEvaluationResult evaluateExecutionCondition(ExtensionContext context) {
     Optional<Method> method = context.getTestMethod();
     String name = method.map(m -> m.getDeclaringClass().getName() + "#" + m.getName()).orElse("");
-    boolean isPassedOver =
-        KNOWN_RED.contains(name) && !"run".equals(System.getProperty("knownRed"));
-    return isPassedOver
-        ? ConditionEvaluationResult.disabled("known red: " + name)
-        : ConditionEvaluationResult.enabled("not known red");
+    boolean isSkipped =
+        KNOWN_FAILURES.contains(name) && !"run".equals(System.getProperty("knownRed"));
+    return isSkipped
+        ? ConditionEvaluationResult.disabled("listed in KNOWN-RED.txt: " + name)
+        : ConditionEvaluationResult.enabled("not skipped by KNOWN-RED.txt");
   }
 }
