--- a/src/main/java/cobaltseam/service/ConfigurationCheck.java
+++ b/src/main/java/cobaltseam/service/ConfigurationCheck.java
@@ -66,7 +66,7 @@
         + configuration.deployment().dispatcherCount()
         + " dispatchers, "
         + configuration.deployment().requestClasses().size()
-        + " request classes, limits "
+        + " profiles, limits "
         + configuration.maxSockets()
         + " descriptors and "
         + (configuration.memoryBytes() >> 20)
