--- a/src/test/java/cobaltseam/cli/CobaltseamCommandTest.java
+++ b/src/test/java/cobaltseam/cli/CobaltseamCommandTest.java
@@ -31,9 +31,13 @@
   private record CommandResult(int code, String out, String err) {}
 
   private static CommandResult run(String... args) {
+    return run(new ByteArrayOutputStream(), args);
+  }
+
+  /** Runs a command; another thread may read {@code out} meanwhile. */
+  private static CommandResult run(ByteArrayOutputStream out, String... args) {
     PrintStream originalOut = System.out;
     PrintStream originalErr = System.err;
-    ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
     System.setErr(new PrintStream(err, true, StandardCharsets.UTF_8));
@@ -136,12 +140,46 @@
     }
   }
 
-  @Test
-  void watchReportsActiveRoutersAndTheirAbsence(@TempDir Path folder) throws Exception {
-    int port;
+  private static int freeUdpPort() throws IOException {
     try (DatagramSocket probe = new DatagramSocket(new InetSocketAddress("127.0.79.1", 0))) {
-      port = probe.getLocalPort();
+      return probe.getLocalPort();
+    }
+  }
+
+  /**
+   * Sends advertisements of one router until the command has reported it, then of two routers, and
+   * then of the first one again. The second router must not start earlier: a command that is slow
+   * to start would miss it.
+   */
+  private static void sendAdvertisements(int port, ByteArrayOutputStream output) {
+    Advertisement advert =
+        new Advertisement(7, 100, 2, List.of(Addresses.parse("192.0.2.10").orElseThrow()));
+    try (DatagramSocket firstRouter = new DatagramSocket(new InetSocketAddress("127.0.79.2", 0));
+        DatagramSocket secondRouter = new DatagramSocket(new InetSocketAddress("127.0.79.3", 0))) {
+      InetAddress watchAddress = InetAddress.getByName("127.0.79.1");
+      boolean isFirstReported = false;
+      for (int i = 0; i < 200; i += isFirstReported ? 1 : 0) {
+        for (DatagramSocket router :
+            !isFirstReported || i >= 100
+                ? List.of(firstRouter)
+                : List.of(firstRouter, secondRouter)) {
+          byte[] bytes =
+              AdvertisementCodec.encode(
+                  advert, router.getLocalAddress(), watchAddress, ChecksumCoverage.MESSAGE);
+          router.send(new DatagramPacket(bytes, bytes.length, watchAddress, port));
+        }
+        isFirstReported =
+            isFirstReported || output.toString(StandardCharsets.UTF_8).contains("active");
+        Thread.sleep(5);
+      }
+    } catch (IOException | InterruptedException e) {
+      throw new AssertionError(e);
     }
+  }
+
+  @Test
+  void watchReportsActiveRoutersAndTheirAbsence(@TempDir Path folder) throws Exception {
+    int port = freeUdpPort();
     Path file =
         Files.writeString(
             folder.resolve("cobaltseam.toml"),
@@ -152,37 +190,12 @@
                 router = [{id = 7, interval_ms = 20, addresses = ["192.0.2.10"], serve = "192.0.2.10:5050"}]
                 """
                 .formatted(port));
-    Advertisement advert =
-        new Advertisement(7, 100, 2, List.of(Addresses.parse("192.0.2.10").orElseThrow()));
-    InetAddress watchAddress = InetAddress.getByName("127.0.79.1");
-    Thread sender =
-        new Thread(
-            () -> {
-              try (DatagramSocket firstRouter =
-                      new DatagramSocket(new InetSocketAddress("127.0.79.2", 0));
-                  DatagramSocket secondRouter =
-                      new DatagramSocket(new InetSocketAddress("127.0.79.3", 0))) {
-                for (int i = 0; i < 300; i++) {
-                  for (DatagramSocket router :
-                      i < 100 || i >= 200
-                          ? List.of(firstRouter)
-                          : List.of(firstRouter, secondRouter)) {
-                    byte[] bytes =
-                        AdvertisementCodec.encode(
-                            advert,
-                            router.getLocalAddress(),
-                            watchAddress,
-                            ChecksumCoverage.MESSAGE);
-                    router.send(new DatagramPacket(bytes, bytes.length, watchAddress, port));
-                  }
-                  Thread.sleep(5);
-                }
-              } catch (IOException | InterruptedException e) {
-                throw new AssertionError(e);
-              }
-            });
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    Thread sender = new Thread(() -> sendAdvertisements(port, output));
     sender.start();
-    CommandResult result = run("vrrp", "watch", "--config", file.toString(), "--seconds", "3");
+    CommandResult result =
+        run(output, "vrrp", "watch", "--config", file.toString(), "--seconds", "3");
+    sender.interrupt();
     sender.join();
     assertEquals(0, result.code, result.err);
     List<String> states = new ArrayList<>();
